--- a/crates/stackgw-adapter/src/host.rs
+++ b/crates/stackgw-adapter/src/host.rs
@@ -150,9 +150,9 @@
         return Err(line.wrong("Weight", "below 0"));
     }
     let standing = match line.text("Readiness")? {
-        "in_service" => Standing::Serving,
-        "terminating" => Standing::Draining,
-        "terminated" => Standing::Gone,
+        "in_service" => Lifecycle::Serving,
+        "terminating" => Lifecycle::Draining,
+        "terminated" => Lifecycle::Removed,
         other => return Err(line.wrong("Readiness", format!("'{other}' is unknown"))),
     };
     let member = Member {
@@ -160,9 +160,9 @@
         group: GroupId(line.need_index("Shard")?),
         zone: line.get("Area").map_or(Ok(0), |_| line.need_index("Area"))?,
         weight,
-        started: line.int("StartedAtNs")?.filter(|t| *t != 0),
-        standing,
-        primary: line.number("Leads")?.unwrap_or(0.0) > 0.0,
+        started_at: line.int("StartedAtNs")?.filter(|t| *t != 0),
+        lifecycle: standing,
+        listed_primary: line.number("Leads")?.unwrap_or(0.0) > 0.0,
     };
     Ok(Entry { name: line.text("Server")?.to_owned(), member })
 }
@@ -171,13 +171,13 @@
     Ok(match line.text("Status")? {
         "delivered" => Outcome::Served,
         "app_error" => Outcome::Error,
-        "shed" => Outcome::Shed,
-        "empty" => Outcome::NotHere,
+        "shed" => Outcome::Overloaded,
+        "empty" => Outcome::Misrouted,
         "expired" => Outcome::TimedOut,
-        "dial_failed" => Outcome::NoConnection,
-        "dropped" => Outcome::Broken,
+        "dial_failed" => Outcome::ConnectFailed,
+        "dropped" => Outcome::ConnectionReset,
         "revoked" => Outcome::Cancelled,
-        "unused" => Outcome::Unsent,
+        "unused" => Outcome::NotSent,
         other => return Err(line.wrong("Status", format!("'{other}' is unknown"))),
     })
 }
@@ -187,8 +187,8 @@
         Ok(self.member_ids.get(line.text("Server")?).copied())
     }
 
-    fn report(&self, line: &Line) -> Result<Report, Malformed> {
-        let mut report = Report::default();
+    fn report(&self, line: &Line) -> Result<LoadReport, Malformed> {
+        let mut report = LoadReport::default();
         for (name, value) in line.pairs("Stats")? {
             match name {
                 "x0" => report.position = Some(self.position_zero + (value * 1e9).floor() as Time),
@@ -223,7 +223,7 @@
                     };
                     members = entries.iter().map(|e| self.listed(e)).collect();
                 }
-                Event::List { scope, members }
+                Event::EndpointList { scope, members }
             }
             "query" => Event::Request(self.request(line, now)?),
             "first" => {
@@ -233,7 +233,7 @@
                 let (Some(request), Some(member)) = (request, self.member(line)?) else {
                     return Ok(None);
                 };
-                Event::Started { request, member }
+                Event::StreamStarted { request, member }
             }
             "resolved" => return self.answer(line),
             "abandoned" => {
@@ -241,7 +241,7 @@
                     return Ok(None);
                 };
                 self.close(request);
-                Event::Abandoned(request)
+                Event::ClientDisconnected(request)
             }
             "ring" => {
                 let text = line.text("Cookie")?;
@@ -255,7 +255,7 @@
                 let Some(member) = self.member(line)? else {
                     return Ok(None);
                 };
-                Event::Probed { member, answered, took, report }
+                Event::HealthChecked { member, responded: answered, elapsed: took, load_report: report }
             }
             "heard" => {
                 let body = match line.text("Body")? {
@@ -269,7 +269,7 @@
                 let Some((told, relay, news)) = self.digests.unpack(now, &body) else {
                     return Ok(None);
                 };
-                Event::Peer { told, relay, news }
+                Event::Gossip { sent_at: told, relay, updates: news }
             }
             _ => return Err(line.wrong("message", format!("'{}' is unknown", line.name))),
         };
@@ -304,8 +304,8 @@
             deadline: line.need_int("DropDeadNs")?,
             session: line.get("Sess").map(|s| SessionId(s.into())),
             last_write: age.map(|ms| now - (ms * 1e6) as Span),
-            repeat: line.int("StateBits")?.unwrap_or(0) & REPEAT_BIT != 0,
-            fresh: false,
+            is_retry: line.int("StateBits")?.unwrap_or(0) & REPEAT_BIT != 0,
+            requires_strong_read: false,
         };
         self.next_request += 1;
         self.request_ids.insert(name.clone(), request.id);
@@ -342,8 +342,18 @@
             Some(2) => Some(false),
             _ => None,
         };
-        let answer = Answer { request, attempt, member, outcome, took, finished, primary, position, report };
-        Ok(Some(Event::Answer(answer)))
+        let answer = AttemptResult {
+            request,
+            attempt,
+            member,
+            outcome,
+            elapsed: took,
+            request_finished: finished,
+            is_primary: primary,
+            position,
+            load_report: report,
+        };
+        Ok(Some(Event::AttemptEnded(answer)))
     }
 
     fn close(&mut self, request: RequestId) {
@@ -390,21 +400,23 @@
             Action::Cancel { request, attempt } => {
                 writeln!(out, "undo_send GatewayId={gateway} RequestId={} Attempt={attempt}", name(request))
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let wait = retry_after.map_or(String::new(), |t| format!(" HoldOffNs={t}"));
                 writeln!(out, "not_now GatewayId={gateway} RequestId={}{wait}", name(request))
             }
             Action::Fail(request) => {
                 writeln!(out, "drop_request GatewayId={gateway} RequestId={}", name(request))
             }
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 writeln!(out, "defer GatewayId={gateway} WaitNs={after} Cookie={token}")
             }
-            Action::Probe(member) => writeln!(out, "ask_load GatewayId={gateway} Server={}", server(member)),
-            Action::CloseIdle(member) => {
+            Action::HealthCheck(member) => {
+                writeln!(out, "ask_load GatewayId={gateway} Server={}", server(member))
+            }
+            Action::CloseIdleConnections(member) => {
                 writeln!(out, "shut_idle GatewayId={gateway} Server={}", server(member))
             }
-            Action::Tell { to, news } => {
+            Action::SendGossip { to, updates: news } => {
                 let target = to.map_or("all".to_owned(), |n| n.to_string());
                 let bodies = self.digests.pack(now, to.is_some(), news);
                 bodies.iter().try_for_each(|body| {
@@ -414,9 +426,9 @@
             Action::Subscribe(on) => {
                 writeln!(out, "stream_changes GatewayId={gateway} On={}", u8::from(*on))
             }
-            Action::Forget(_) => Ok(()),
-            Action::FetchList => writeln!(out, "lookup GatewayId={gateway}"),
-            Action::Note(text) => writeln!(out, "log GatewayId={gateway} NoteText={text}"),
+            Action::ForgetMember(_) => Ok(()),
+            Action::FetchEndpointList => writeln!(out, "lookup GatewayId={gateway}"),
+            Action::Log(text) => writeln!(out, "log GatewayId={gateway} NoteText={text}"),
         };
         match action {
             Action::Send { request, .. } => {
@@ -424,8 +436,8 @@
                     open.attempts_out += 1;
                 }
             }
-            Action::Refuse { request, .. } | Action::Fail(request) => self.close(*request),
-            Action::Forget(member) => {
+            Action::Reject { request, .. } | Action::Fail(request) => self.close(*request),
+            Action::ForgetMember(member) => {
                 self.digests.remove(*member);
                 if let Some(name) = self.members.remove(member) {
                     self.member_ids.remove(&name);
--- a/crates/stackgw-flight/src/back.rs
+++ b/crates/stackgw-flight/src/back.rs
@@ -362,7 +362,7 @@
             match next {
                 Ok(Some(data)) if matches!(kind(&data), Some(MessageHeader::Schema) | None) => {
                     writer.broken("its schema changed, or a message could not be read");
-                    return Outcome::Spoilt;
+                    return Outcome::MalformedResponse;
                 }
                 Ok(Some(data)) => writer.put(data),
                 Ok(None) => {
@@ -372,7 +372,7 @@
                 Err(status) => {
                     let gone = lost(&status).is_some();
                     writer.broken(status.message());
-                    return if gone { Outcome::Broken } else { Outcome::Error };
+                    return if gone { Outcome::ConnectionReset } else { Outcome::Error };
                 }
             }
         }
--- a/crates/stackgw-gateway/src/discovery.rs
+++ b/crates/stackgw-gateway/src/discovery.rs
@@ -2,7 +2,7 @@
 //! without I/O; every size has a limit.
 
 use serde_json::Value;
-use stackgw_router::api::{Span, Standing, SECOND};
+use stackgw_router::api::{Lifecycle, Span, SECOND};
 use std::fmt;
 use std::net::SocketAddr;
 
@@ -90,9 +90,9 @@
         locality: value.get("locality").and_then(Value::as_str).unwrap_or_default().to_owned(),
         cell,
         phase: match text("phase")? {
-            "ready" => Standing::Serving,
-            "draining" => Standing::Draining,
-            "gone" => Standing::Gone,
+            "ready" => Lifecycle::Serving,
+            "draining" => Lifecycle::Draining,
+            "gone" => Lifecycle::Removed,
             other => return wrong(format!("members: phase is '{other}'")),
         },
         size,
--- a/crates/stackgw-gateway/src/limits.rs
+++ b/crates/stackgw-gateway/src/limits.rs
@@ -178,7 +178,7 @@
             member_bytes: memory / 6,
             unread_bytes: memory / 5,
             drain_grace: settings.router.obligations.drain_grace,
-            only_drains_bind: settings.router.obligations.only_drains_bind,
+            only_drains_bind: settings.router.obligations.removal_is_advisory,
             connect: settings.router.limits.connect_timeout,
             // As long again as a line of a few such limits takes.
             connect_late: settings.router.limits.connect_timeout * 4,
--- a/crates/stackgw-gateway/src/pg/reply.rs
+++ b/crates/stackgw-gateway/src/pg/reply.rs
@@ -1,7 +1,7 @@
 //! A member's reply, gathered until it is whole.
 
 use super::Frame;
-use stackgw_router::api::{Report, Time, MS};
+use stackgw_router::api::{LoadReport, Time, MS};
 use stackgw_settings::note_load;
 
 /// A message that has no place in a reply, or too many of them.
@@ -42,7 +42,7 @@
     /// Its position, or the commit time of a write.
     pub position: Option<Time>,
     /// The load report that rode along.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 impl Reply {
@@ -169,8 +169,8 @@
 
 /// Reads `name=value` pairs; names without a meaning here are skipped. One that cannot be read spoils them all, and so
 /// does one named twice or one that no member can have.
-pub fn load_report(text: &str) -> Option<Report> {
-    let mut report = Report::default();
+pub fn load_report(text: &str) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     let mut named = Vec::new();
     for pair in text.split(',').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once('=')?;
--- a/crates/stackgw-gateway/src/reducer/clients.rs
+++ b/crates/stackgw-gateway/src/reducer/clients.rs
@@ -311,7 +311,7 @@
             self.take_held(request);
             self.unshared(request);
             if known {
-                self.events.push_back(Event::Abandoned(request));
+                self.events.push_back(Event::ClientDisconnected(request));
             }
             self.forget_request(request);
         }
@@ -533,8 +533,8 @@
         if !self.members.values().any(|m| m.group == statement.cluster) {
             return Err(Final::Malformed("the cluster is unknown"));
         }
-        let need = self.classes[class].need;
-        if (need == Need::Write) != statement.write {
+        let need = self.classes[class].consistency;
+        if (need == Consistency::Write) != statement.write {
             return Err(Final::Malformed("the class and the statement do not go together"));
         }
         if self.open_ids.contains(&statement.id) {
@@ -546,13 +546,13 @@
         if self.requests.len() >= self.limits.requests {
             return self.decline(Final::Refused("too many requests are open", None));
         }
-        if let Some(why) = self.shut().filter(|_| need == Need::Write) {
+        if let Some(why) = self.shut().filter(|_| need == Consistency::Write) {
             return self.decline(Final::Refused(why, None));
         }
         let request = RequestId(self.next_request);
         self.next_request += 1;
         let deadline = came + (statement.wait_ms as Span * MS).min(self.limits.wait_most);
-        let sessions = matches!(need, Need::Write | Need::Session);
+        let sessions = matches!(need, Consistency::Write | Consistency::ReadYourWrites);
         let asked = Request {
             id: request,
             class,
@@ -560,8 +560,8 @@
             deadline,
             session: sessions.then(|| SessionId(statement.key.as_str().into())),
             last_write: statement.after_ms.map(|ms| ms * MS),
-            repeat: statement.repeat,
-            fresh: false,
+            is_retry: statement.repeat,
+            requires_strong_read: false,
         };
         self.counters.held_bytes += statement.held() as u64;
         self.open_ids.insert(statement.id.clone());
@@ -578,7 +578,7 @@
             streams: false,
         };
         self.requests.insert(request, open);
-        if need == Need::Session && self.shared.is_some() {
+        if need == Consistency::ReadYourWrites && self.shared.is_some() {
             self.ask_session(now, asked, out);
         } else {
             self.events.push_back(Event::Request(asked));
--- a/crates/stackgw-gateway/src/reducer/list.rs
+++ b/crates/stackgw-gateway/src/reducer/list.rs
@@ -77,7 +77,7 @@
 
     /// The old list holds; a router that asks for the list itself will ask again.
     pub(super) fn list_failed(&mut self) {
-        self.events.push_back(Event::List { scope: ListScope::Failed, members: Vec::new() });
+        self.events.push_back(Event::EndpointList { scope: ListScope::Failed, members: Vec::new() });
     }
 
     pub(super) fn list(&mut self, now: Time, list: ListUpdate, out: &mut Vec<Effect>) {
@@ -105,7 +105,7 @@
             let missing = self.members.iter_mut().filter(|(id, _)| !named.contains(id));
             missing.for_each(|(_, known)| known.told = known.told.or(Some(now)));
         }
-        self.events.push_back(Event::List { scope, members });
+        self.events.push_back(Event::EndpointList { scope, members });
         self.wake_ready(now, out);
     }
 
@@ -166,9 +166,9 @@
         if let Some(known) = self.members.get_mut(&id) {
             (known.group, known.started) = (entry.cell, started);
             let binds = match entry.phase {
-                Standing::Serving => false,
-                Standing::Draining => true,
-                Standing::Gone => !self.limits.only_drains_bind || known.told.is_some(),
+                Lifecycle::Serving => false,
+                Lifecycle::Draining => true,
+                Lifecycle::Removed => !self.limits.only_drains_bind || known.told.is_some(),
             };
             known.told = if binds { known.told.or(Some(now)) } else { None };
         }
@@ -177,9 +177,9 @@
             group: GroupId(entry.cell),
             zone: self.names.zones.iter().position(|z| *z == entry.locality).unwrap_or(0) as u32,
             weight: entry.size,
-            started,
-            standing: entry.phase,
-            primary: entry.leader,
+            started_at: started,
+            lifecycle: entry.phase,
+            listed_primary: entry.leader,
         })
     }
 
@@ -189,7 +189,7 @@
         match self.digests.unpack(now, bytes).filter(|_| known) {
             Some((told, relay, news)) => {
                 self.counters.words_heard += 1;
-                self.events.push_back(Event::Peer { told, relay, news });
+                self.events.push_back(Event::Gossip { sent_at: told, relay, updates: news });
             }
             None => self.counters.words_dropped += 1,
         }
--- a/crates/stackgw-gateway/src/reducer/members.rs
+++ b/crates/stackgw-gateway/src/reducer/members.rs
@@ -77,7 +77,7 @@
         let give_up = timeout.map_or(open.deadline, |t| open.deadline.min(now + t));
         let job = Job::Attempt { request, number, sent: now, give_up, again: false };
         if give_up <= now || open.ended {
-            return self.job_ended(now, member, job, Outcome::Unsent, Reply::default(), out);
+            return self.job_ended(now, member, job, Outcome::NotSent, Reply::default(), out);
         }
         self.employ(now, member, job, out);
     }
@@ -85,7 +85,7 @@
     /// Gives a job to an idle connection, the one used last, or to a new one.
     pub(super) fn employ(&mut self, now: Time, member: MemberId, job: Job, out: &mut Vec<Effect>) {
         let Some((address, back)) = self.members.get(&member).map(|m| (m.address, m.back)) else {
-            return self.job_ended(now, member, job, Outcome::Unsent, Reply::default(), out);
+            return self.job_ended(now, member, job, Outcome::NotSent, Reply::default(), out);
         };
         self.ways_changed(member);
         if let Some(id) = self.pool.take(member) {
@@ -100,7 +100,7 @@
             return self.set_conn_timer(id, now + self.limits.connect);
         }
         if !self.may_open(now, member) {
-            return self.job_ended(now, member, job, Outcome::Unsent, Reply::default(), out);
+            return self.job_ended(now, member, job, Outcome::NotSent, Reply::default(), out);
         }
         if self.conns.len() >= self.limits.member_connections {
             match self.pool.oldest().or_else(|| self.coming.pop_first().map(|(_, id)| id)) {
@@ -109,7 +109,7 @@
                     out.push(Effect::MemberClose(idle));
                     self.forget(idle);
                 }
-                None => return self.job_ended(now, member, job, Outcome::Unsent, Reply::default(), out),
+                None => return self.job_ended(now, member, job, Outcome::NotSent, Reply::default(), out),
             }
         }
         let id = ConnId(self.next_conn);
@@ -166,12 +166,12 @@
             // Danger: a slow connect would carry what was asked for inside the drain's grace past it.
             conn.phase = Phase::Writing;
             out.push(Effect::MemberClose(id));
-            return self.end_job(now, id, Outcome::Unsent, out);
+            return self.end_job(now, id, Outcome::NotSent, out);
         }
         // Danger: a client may leave, or its time end, while its attempt waits for a connection; where the settings allow no
         // cancels nothing has taken that attempt back.
         if conn.job.is_some_and(|job| self.is_over(now, job)) {
-            return self.rest(now, id, Outcome::Unsent, out);
+            return self.rest(now, id, Outcome::NotSent, out);
         }
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let back = conn.back;
@@ -272,8 +272,8 @@
                 self.ways_changed(member);
             }
             (Phase::Writing | Phase::Waiting, Ok(true)) => {
-                let outcome = outcome(&conn.reply).unwrap_or(Outcome::Spoilt);
-                if conn.phase == Phase::Writing || outcome == Outcome::Spoilt {
+                let outcome = outcome(&conn.reply).unwrap_or(Outcome::MalformedResponse);
+                if conn.phase == Phase::Writing || outcome == Outcome::MalformedResponse {
                     // It is out of step: what is still to be written would be taken for the next request.
                     out.push(Effect::MemberClose(id));
                     return self.end_job(now, id, outcome, out);
@@ -330,13 +330,15 @@
                 // It came up, so somebody listens; what broke is this connection.
                 return self.reopen(now, id, job.map(Job::once_more), out);
             }
-            Phase::Connecting => Outcome::NoConnection,
-            Phase::Streaming { .. } => return self.member_stream_over(now, id, Outcome::Broken, out),
-            Phase::Waiting if why == Closed::Unsent && ended.is_none() => Outcome::NoConnection,
-            Phase::Starting | Phase::Writing if ended == Some(Outcome::Shed) => Outcome::Shed,
-            Phase::Starting | Phase::Writing => Outcome::NoConnection,
-            Phase::Waiting if why == Closed::Bad => Outcome::Spoilt,
-            Phase::Waiting => ended.unwrap_or(Outcome::Broken),
+            Phase::Connecting => Outcome::ConnectFailed,
+            Phase::Streaming { .. } => {
+                return self.member_stream_over(now, id, Outcome::ConnectionReset, out)
+            }
+            Phase::Waiting if why == Closed::Unsent && ended.is_none() => Outcome::ConnectFailed,
+            Phase::Starting | Phase::Writing if ended == Some(Outcome::Overloaded) => Outcome::Overloaded,
+            Phase::Starting | Phase::Writing => Outcome::ConnectFailed,
+            Phase::Waiting if why == Closed::Bad => Outcome::MalformedResponse,
+            Phase::Waiting => ended.unwrap_or(Outcome::ConnectionReset),
         };
         self.end_job(now, id, outcome, out);
     }
@@ -366,8 +368,8 @@
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.timer = None;
         let outcome = match conn.phase {
-            Phase::Connecting | Phase::Starting | Phase::Writing => Outcome::NoConnection,
-            Phase::Waiting if conn.partial && now < conn.until => Outcome::Spoilt,
+            Phase::Connecting | Phase::Starting | Phase::Writing => Outcome::ConnectFailed,
+            Phase::Waiting if conn.partial && now < conn.until => Outcome::MalformedResponse,
             Phase::Waiting => Outcome::TimedOut,
             Phase::Idle | Phase::Streaming { .. } => return,
         };
@@ -423,7 +425,7 @@
         let job = self.unbind(id);
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let (member, mut reply) = (conn.member, std::mem::take(&mut conn.reply));
-        if !reply.is_whole() || outcome == Outcome::Spoilt {
+        if !reply.is_whole() || outcome == Outcome::MalformedResponse {
             reply = Reply::default(); // What is not whole tells nothing of its member.
         }
         if conn.phase != Phase::Idle {
@@ -450,7 +452,12 @@
                 let told = told.filter(|report| self.can_be(now, report.position));
                 self.counters.probes_failed += u64::from(told.is_none());
                 let (answered, report) = (told.is_some(), told.unwrap_or_default());
-                return self.events.push_back(Event::Probed { member, answered, took: now - sent, report });
+                return self.events.push_back(Event::HealthChecked {
+                    member,
+                    responded: answered,
+                    elapsed: now - sent,
+                    load_report: report,
+                });
             }
         };
         self.count(outcome);
@@ -466,8 +473,18 @@
         }
         let Reply { primary, position, report, .. } = reply;
         let took = now - sent;
-        let answer = Answer { request, attempt, member, outcome, took, finished, primary, position, report };
-        self.events.push_back(Event::Answer(answer));
+        let answer = AttemptResult {
+            request,
+            attempt,
+            member,
+            outcome,
+            elapsed: took,
+            request_finished: finished,
+            is_primary: primary,
+            position,
+            load_report: report,
+        };
+        self.events.push_back(Event::AttemptEnded(answer));
         self.forget_request(request);
     }
 
@@ -477,7 +494,7 @@
             (reply.primary, reply.position) = (None, None);
         }
         if !self.can_be(now, reply.report.position) {
-            reply.report = Report::default();
+            reply.report = LoadReport::default();
         }
     }
 
@@ -493,14 +510,14 @@
         *match outcome {
             Outcome::Served => &mut counters.ended_served,
             Outcome::Error => &mut counters.ended_error,
-            Outcome::Shed => &mut counters.ended_shed,
-            Outcome::NotHere => &mut counters.ended_miss,
+            Outcome::Overloaded => &mut counters.ended_shed,
+            Outcome::Misrouted => &mut counters.ended_miss,
             Outcome::TimedOut => &mut counters.ended_timed_out,
-            Outcome::NoConnection => &mut counters.ended_no_connection,
-            Outcome::Broken => &mut counters.ended_reset,
-            Outcome::Spoilt => &mut counters.ended_spoilt,
+            Outcome::ConnectFailed => &mut counters.ended_no_connection,
+            Outcome::ConnectionReset => &mut counters.ended_reset,
+            Outcome::MalformedResponse => &mut counters.ended_spoilt,
             Outcome::Cancelled => &mut counters.ended_cancelled,
-            Outcome::Unsent => &mut counters.ended_unsent,
+            Outcome::NotSent => &mut counters.ended_unsent,
         } += 1;
     }
 }
@@ -510,10 +527,10 @@
     Some(match reply.ended()? {
         Ended::Row => Outcome::Served,
         Ended::Error(code) => match &code {
-            b"25006" | b"72000" => Outcome::NotHere,
-            b"53300" => Outcome::Shed,
+            b"25006" | b"72000" => Outcome::Misrouted,
+            b"53300" => Outcome::Overloaded,
             _ => Outcome::Error,
         },
-        Ended::Nothing => Outcome::Spoilt,
+        Ended::Nothing => Outcome::MalformedResponse,
     })
 }
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -363,12 +363,13 @@
         let mut settings = config.settings.router;
         if config.together.is_some() {
             // What a session wrote is found out here, so the router is told with each read.
-            settings.session_marks = SessionMarks::Client;
+            settings.session_tracking = SessionTracking::Client;
         }
         // Where the file says how the list comes to be known, a watch brings it.
-        settings.list_on_request &= config.start.is_none();
+        settings.polls_endpoint_list &= config.start.is_none();
         // What members tell is carried beside the list where the platform has no messages for it.
-        settings.limits.carried = config.start.is_some() && config.others.is_some() && !settings.limits.peers;
+        settings.limits.host_gossip =
+            config.start.is_some() && config.others.is_some() && !settings.limits.gossip;
         Reducer {
             fixed,
             discovery: config.discovery,
@@ -377,10 +378,10 @@
             limits: config.limits,
             names: config.settings.names,
             classes: settings.classes.clone(),
-            subscribed: !settings.list_on_request,
+            subscribed: !settings.polls_endpoint_list,
             peers: config.peers,
             peers_all: config.peers_all,
-            me: settings.me as usize,
+            me: settings.instance_index as usize,
             known: config.known,
             moments: Moments::new(settings.tick),
             router: Router::new(settings, config.seed),
@@ -444,7 +445,7 @@
 
     /// Each member that the router keeps: what it believes of it, and what the connections show.
     pub fn seen(&self) -> impl Iterator<Item = Seen> + '_ {
-        self.router.beliefs().map(|(id, belief)| {
+        self.router.member_snapshots().map(|(id, belief)| {
             let name = self.members.get(&id).map_or("?", |m| m.name.as_str()).to_owned();
             let on = |c: &&Conn| c.member == id && matches!(c.job, Some(Job::Attempt { .. }));
             Seen { name, belief, out: self.conns.values().filter(on).count() as u32 }
@@ -523,7 +524,7 @@
         if let Some(known) = self.known.take() {
             self.revision = Some(known.revision);
             let members = known.members.iter().filter_map(|e| self.listed(now, e, out)).collect();
-            self.events.push_back(Event::List { scope: ListScope::Cached, members });
+            self.events.push_back(Event::EndpointList { scope: ListScope::Cached, members });
         }
         self.set_timer(now + self.limits.sweep, Due::Sweep);
         if self.subscribed && self.starting.is_none() {
@@ -556,7 +557,7 @@
                     self.give_up_conn(now, conn, Outcome::Cancelled, out);
                 }
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let wait = retry_after.map(|wait| (wait + MS - 1) / MS);
                 let refused = Final::Refused("not now, trying again is harmless", wait);
                 let answered = self.answer(now, request, refused, out);
@@ -566,16 +567,16 @@
                 let answered = self.answer(now, request, Final::Failed("the request failed"), out);
                 self.counters.answered_failed += u64::from(answered);
             }
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.set_timer(now + after, Due::Router(token));
             }
-            Action::Probe(member) => {
+            Action::HealthCheck(member) => {
                 self.counters.probes += 1;
                 self.employ(now, member, Job::Probe { sent: now }, out);
             }
-            Action::CloseIdle(member) => self.close_idle(member, out),
-            Action::Forget(member) => self.forget_member(member, out),
-            Action::Tell { to, news } => {
+            Action::CloseIdleConnections(member) => self.close_idle(member, out),
+            Action::ForgetMember(member) => self.forget_member(member, out),
+            Action::SendGossip { to, updates: news } => {
                 let address = to.map_or(self.peers_all, |n| self.peers.get(n as usize).copied());
                 for body in self.digests.pack(now, to.is_some(), &news) {
                     if let Some(address) = address {
@@ -594,11 +595,11 @@
                 self.subscribed = false;
                 self.unwatch(out);
             }
-            Action::FetchList => {
+            Action::FetchEndpointList => {
                 self.fetching = true;
                 out.push(Effect::Fetch(self.discovery));
             }
-            Action::Note(text) => out.push(Effect::Log(text)),
+            Action::Log(text) => out.push(Effect::Log(text)),
         }
     }
 
@@ -685,14 +686,20 @@
     /// Its name.
     pub name: String,
     /// What the router believes.
-    pub belief: Belief,
+    pub belief: MemberSnapshot,
     /// Attempts on connections to it.
     pub out: u32,
 }
 
 impl Seen {
     fn line(&self, now: Time) -> String {
-        let Belief { in_flight, out, strain, limit, position } = self.belief;
+        let MemberSnapshot {
+            in_flight,
+            ejected: out,
+            latency_ratio: strain,
+            concurrency_limit: limit,
+            position,
+        } = self.belief;
         let age = position.map_or("never heard".to_owned(), |at| format!("{} ms old", (now - at) / MS));
         let left = if out { ", left out but for trials" } else { "" };
         let (name, here) = (&self.name, self.out);
--- a/crates/stackgw-gateway/src/reducer/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/sessions.rs
@@ -294,12 +294,12 @@
         match knowledge {
             // Danger: a position that cannot be, from a peer or an old file, would overflow or be waited for in vain.
             Knowledge::Sure(Some(position)) if !(0..now + FUTURE_MOST).contains(&position) => {
-                request.fresh = true;
+                request.requires_strong_read = true;
             }
             // The client's own word counts too, where it carries one.
             Knowledge::Sure(position) => request.last_write = request.last_write.max(position),
             Knowledge::Cautious(why) => {
-                request.fresh = true;
+                request.requires_strong_read = true;
                 if let Some(shared) = self.shared.as_mut() {
                     *shared.cautious.entry(why).or_default() += 1;
                 }
--- a/crates/stackgw-gateway/src/reducer/start.rs
+++ b/crates/stackgw-gateway/src/reducer/start.rs
@@ -113,8 +113,8 @@
             number: pace.number,
             fleet: pace.fleet,
             opens: f64::from(opens),
-            cold_share: rules.cold_share,
-            warm_within: rules.warm_within,
+            cold_share: rules.cold_capacity_share,
+            warm_within: rules.warm_up_time,
         };
         self.starting = Some(Box::new(Starting {
             start,
@@ -151,7 +151,7 @@
                     let body = message.encode();
                     self.cluster_send(out, |cluster, effects| cluster.tell(to, &body, effects));
                 }
-                Output::Expect(rate) => self.router.expect(rate),
+                Output::Expect(rate) => self.router.seed_warm_throughput(rate),
                 Output::Seen(seen) => self.sighted(now, &seen),
                 Output::Keep(kept) => out.push(Effect::Keep(Box::new(kept))),
                 Output::List(Taken::Whole(entries)) => self.told(now, ListScope::Full, &entries, out),
@@ -190,7 +190,7 @@
         if let Some(starting) = self.starting.as_mut() {
             starting.due = None;
         }
-        let (rate, seen) = (self.router.warm_rate(), self.saw(now));
+        let (rate, seen) = (self.router.warm_throughput(), self.saw(now));
         self.with_start(now, out, |start, outputs| {
             start.answers(rate);
             start.saw(now, seen);
@@ -203,12 +203,12 @@
         // Danger: an answer may be as old as the gathering before, and a role told just before its member started again must not
         // pass for one told after it.
         let since = self.starting.as_mut().map_or(now, |s| std::mem::replace(&mut s.gathered, now));
-        let news = self.router.news();
-        let seen = |news: &News| {
+        let news = self.router.take_gossip();
+        let seen = |news: &GossipUpdate| {
             let name = &self.members.get(&news.member)?.name;
             let position_ms = u64::try_from(news.position? / MS).ok()?;
             let at_ms = u64::try_from(since / MS).ok()?;
-            Some(Sighting { member: Sighting::of(name), position_ms, leads: news.primary, at_ms })
+            Some(Sighting { member: Sighting::of(name), position_ms, leads: news.is_primary, at_ms })
         };
         news.iter().filter_map(seen).collect()
     }
@@ -225,10 +225,11 @@
             // Danger: a process that has started since leads nobody until it says so itself.
             let began = self.members.get(&member).and_then(|known| known.started);
             let primary = seen.leads.filter(|_| began.is_none_or(|began| seen.at() > began));
-            let news = vec![News { member, position, primary, strain: 0.0, answers: 0 }];
+            let news =
+                vec![GossipUpdate { member, position, is_primary: primary, latency_ratio: 0.0, samples: 0 }];
             // No earlier than its position, which the answer that told it had.
             let told = seen.at().max(seen.position()).min(now);
-            self.events.push_back(Event::Peer { told, relay: false, news });
+            self.events.push_back(Event::Gossip { sent_at: told, relay: false, updates: news });
         }
     }
 
@@ -302,7 +303,7 @@
         let Some(deal) = starting.deal.as_ref() else { return };
         for member in std::mem::take(&mut starting.ways) {
             let free = u32::try_from(self.pool.idle(member)).unwrap_or(u32::MAX);
-            self.router.reach(member, deal.from(now, member).map(|from| (free, from)));
+            self.router.set_connection_permits(member, deal.from(now, member).map(|from| (free, from)));
         }
     }
 
--- a/crates/stackgw-gateway/src/reducer/streams.rs
+++ b/crates/stackgw-gateway/src/reducer/streams.rs
@@ -33,7 +33,7 @@
     /// Its position.
     pub position: Option<Time>,
     /// The load report that rode along.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// Which members speak another front's protocol, by the operator's file.
@@ -66,7 +66,7 @@
         let Some(Job::Attempt { request, sent, .. }) = job else {
             // A probe is answered by one value.
             out.push(Effect::MemberClose(id));
-            return self.end_job(now, id, Outcome::Spoilt, out);
+            return self.end_job(now, id, Outcome::MalformedResponse, out);
         };
         let open = self.requests.get_mut(&request).filter(|open| !open.ended && open.streams);
         let asker = open.and_then(|open| open.asker.filter(|asker| matches!(asker, Asker::Call(_))));
@@ -95,7 +95,7 @@
         self.counters.answered_served += 1;
         self.counters.streams_begun += 1;
         out.push(Effect::CallStreams(call, id));
-        self.events.push_back(Event::Started { request, member });
+        self.events.push_back(Event::StreamStarted { request, member });
         for other in others {
             out.push(Effect::MemberClose(other));
             self.end_job(now, other, Outcome::Cancelled, out);
@@ -122,8 +122,18 @@
             (conn.member, std::mem::take(&mut conn.reply));
         let Some(Job::Attempt { request, number: attempt, .. }) = conn.job else { return };
         let finished = true;
-        let answer = Answer { request, attempt, member, outcome, took, finished, primary, position, report };
-        self.events.push_back(Event::Answer(answer));
+        let answer = AttemptResult {
+            request,
+            attempt,
+            member,
+            outcome,
+            elapsed: took,
+            request_finished: finished,
+            is_primary: primary,
+            position,
+            load_report: report,
+        };
+        self.events.push_back(Event::AttemptEnded(answer));
     }
 
     /// A stream is over. The router learns from the time until it began, not from how long its reader took.
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -218,7 +218,7 @@
     assert_eq!((reply.ended(), reply.primary), (Some(Ended::Row), Some(true)));
     assert_eq!(reply.position, Some(1_767_225_600_123 * MS));
     assert_eq!(reply.report.position, Some(1_767_225_600 * SECOND + 123_900_000));
-    assert_eq!((reply.report.primary, reply.report.in_flight), (Some(true), Some(7.0)));
+    assert_eq!((reply.report.is_primary, reply.report.in_flight), (Some(true), Some(7.0)));
     let wanted: Vec<u8> = row(b"v").into_iter().flat_map(|f| f.bytes).collect();
     assert_eq!(reply.row, wanted);
     assert_eq!(reply.column(), Some("v"));
--- a/crates/stackgw-gateway/tests/streams.rs
+++ b/crates/stackgw-gateway/tests/streams.rs
@@ -85,7 +85,7 @@
     let effects = rig.input(Input::MemberStreamOver(conn, Outcome::Served));
     assert!(!closed(&effects).contains(&conn));
     assert_eq!((in_flight(&rig), rig.reducer.counters().streams_begun), (0, 1));
-    assert!(rig.reducer.seen().all(|seen| seen.belief.strain < 1.0), "its length is no strain");
+    assert!(rig.reducer.seen().all(|seen| seen.belief.latency_ratio < 1.0), "its length is no strain");
 }
 
 #[test]
--- a/crates/stackgw-router/src/api.rs
+++ b/crates/stackgw-router/src/api.rs
@@ -25,33 +25,33 @@
 
 /// How current the data behind an answer must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
+pub enum Consistency {
     /// Only the primary takes it.
     Write,
     /// Must see every commit made before the request came in.
-    Fresh,
+    Strong,
     /// Read-your-writes: must see what its session has written.
-    Session,
+    ReadYourWrites,
     /// Staleness bound: the data may be this old when the request is sent on.
-    Bounded(Span),
+    BoundedStaleness(Span),
     /// Any member may answer.
-    Loose,
+    Eventual,
 }
 
 /// What a second execution of a request would do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Harmless to repeat.
-    Safe,
+    Idempotent,
     /// Repeats are dropped within `scope` for `window` after the first attempt that may have run.
-    Keyed {
+    WithKey {
         /// Where repeats are recognised.
         scope: KeyScope,
         /// How long they are remembered.
         window: Span,
     },
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Where the key of a keyed request is known.
@@ -62,36 +62,36 @@
     /// In one zone.
     Zone,
     /// Everywhere.
-    Everywhere,
+    Global,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// How current its data must be.
-    pub need: Need,
+    pub consistency: Consistency,
     /// What a repeat would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Answers within this time earn the full worth.
-    pub aim: Span,
+    pub latency_objective: Span,
     /// The client waits this long in all, over all its tries.
     pub deadline: Span,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight_share: f64,
 }
 
 /// What a replica does with a read that it is too far behind for.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub enum Lagging {
+pub enum LaggingReads {
     /// Answers from what it has; the router alone guards the bound.
     #[default]
-    Answers,
+    ServedStale,
     /// Turns it away untouched.
-    Refuses,
+    Rejected,
     /// Waits up to this long to catch up, then turns it away.
-    Waits(Span),
+    Delayed(Span),
 }
 
 /// How the list of members names the primary.
@@ -99,7 +99,7 @@
 pub enum RoleListing {
     /// Some seconds late.
     #[default]
-    Late,
+    Delayed,
     /// As it stood when the day began.
     AtStart,
     /// Not at all.
@@ -108,7 +108,7 @@
 
 /// Who knows when a session last wrote.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub enum SessionMarks {
+pub enum SessionTracking {
     /// The client's request carries the age of its last write.
     #[default]
     Client,
@@ -118,12 +118,12 @@
 
 /// Where load reports come from.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReporting {
     /// On answers and probes.
     #[default]
-    OnAnswers,
+    OnResponses,
     /// On probes alone.
-    OnProbes,
+    OnHealthChecks,
     /// Nowhere.
     Never,
 }
@@ -132,21 +132,21 @@
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Limits {
     /// Attempts of one request, the first included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// An attempt may be called off.
     pub cancel: bool,
     /// Members may be probed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Clients are told when to come back.
     pub retry_after: bool,
     /// The longest such wait that they respect.
-    pub retry_after_max: Span,
+    pub max_retry_after: Span,
     /// Routers may message each other.
-    pub peers: bool,
+    pub gossip: bool,
     /// The host carries word between routers by ways of its own ([`crate::Router::news`]).
-    pub carried: bool,
+    pub host_gossip: bool,
     /// A connection that is not up by then has failed.
     pub connect_timeout: Span,
 }
@@ -159,28 +159,28 @@
     /// Nothing new to a member later than this after word that it drains or is gone.
     pub drain_grace: Span,
     /// Only a drain binds; a member that is merely gone from the list may still be tried.
-    pub only_drains_bind: bool,
+    pub removal_is_advisory: bool,
     /// Share of its capacity that a member starts with.
-    pub cold_share: f64,
+    pub cold_capacity_share: f64,
     /// It is warm after this long.
-    pub warm_within: Span,
+    pub warm_up_time: Span,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long, a cold member falls over.
-    pub fall_window: Span,
+    pub overload_window: Span,
 }
 
 /// What costs points, as far as decisions turn on it.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Prices {
+pub struct Costs {
     /// For each probe, per request.
-    pub probe: f64,
+    pub health_check: f64,
     /// For each attempt that crosses zones, per request.
     pub cross_zone: f64,
     /// For work that served no answer, as a share of the work offered.
-    pub waste: f64,
+    pub wasted_work: f64,
     /// For worth that ended unserved after its aim, as a share of the worth offered.
-    pub late_fail: f64,
+    pub late_failure: f64,
 }
 
 /// What a router is told at start.
@@ -191,49 +191,49 @@
     /// How many routers serve this deployment.
     pub fleet_size: u32,
     /// This router's number among them.
-    pub me: u32,
+    pub instance_index: u32,
     /// The zone that this router is in.
     pub zone: u32,
     /// The host hands over events no closer together than this.
     pub tick: Span,
     /// The list must be asked for; otherwise changes arrive on their own.
-    pub list_on_request: bool,
+    pub polls_endpoint_list: bool,
     /// A router that must ask is held to have been told what was listed this long ago.
-    pub must_ask_within: Span,
+    pub poll_grace: Span,
     /// What a lagging replica does with a read.
-    pub lagging: Lagging,
+    pub lagging_reads: LaggingReads,
     /// Every answer carries a position; otherwise only a write's does.
-    pub positions_in_answers: bool,
+    pub positions_in_responses: bool,
     /// How the list names the primary.
     pub role_listing: RoleListing,
     /// Who knows when a session last wrote.
-    pub session_marks: SessionMarks,
+    pub session_tracking: SessionTracking,
     /// A write is answered once a replica has it.
-    pub commit_waits: bool,
+    pub commit_waits_for_replica: bool,
     /// Where reports come from.
-    pub reports: Reports,
+    pub load_reporting: LoadReporting,
     /// Reports tell positions.
-    pub report_position: bool,
+    pub reports_carry_position: bool,
     /// Clients flag their retries.
-    pub retries_marked: bool,
+    pub retries_are_flagged: bool,
     /// What is allowed.
     pub limits: Limits,
     /// The rules' figures.
     pub obligations: Obligations,
     /// What costs points.
-    pub prices: Prices,
+    pub costs: Costs,
 }
 
 /// What the list says of a member's process.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Lifecycle {
     /// It serves.
     #[default]
     Serving,
     /// It finishes what it has and takes nothing new.
     Draining,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// One entry of the list.
@@ -248,11 +248,11 @@
     /// Its weight against other members.
     pub weight: f64,
     /// When its process started, if that is recent enough to be told.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
     /// What the list says of its process.
-    pub standing: Standing,
+    pub lifecycle: Lifecycle,
     /// The list holds it for the primary.
-    pub primary: bool,
+    pub listed_primary: bool,
 }
 
 /// How much of the list an event carries.
@@ -270,11 +270,11 @@
 
 /// A member's word on itself, as old as the report is.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Every commit up to this moment is applied.
     pub position: Option<Time>,
     /// It is the primary.
-    pub primary: Option<bool>,
+    pub is_primary: Option<bool>,
     /// Requests that it holds.
     pub in_flight: Option<f64>,
     /// Requests that wait there.
@@ -299,9 +299,9 @@
     /// When the session's last write was committed, by the client's word.
     pub last_write: Option<Time>,
     /// The client says that it repeats an earlier try.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// It must see every commit made before it came in, whatever its class needs: what its session wrote is not known.
-    pub fresh: bool,
+    pub requires_strong_read: bool,
 }
 
 /// How an attempt ended.
@@ -312,35 +312,35 @@
     /// The member answered with an error; it may have had an effect.
     Error,
     /// Sent away without a look, by a full or a draining member. Never ran.
-    Shed,
+    Overloaded,
     /// Turned away untouched: a write at a replica, or a read at one too far behind. Never ran.
-    NotHere,
+    Misrouted,
     /// No answer in time; it may have run or may still run.
     TimedOut,
     /// No connection. Never ran.
-    NoConnection,
+    ConnectFailed,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionReset,
     /// What came back was spoilt: it may have run, and nothing that it said counts. All members' answers may be spoilt
     /// on their way, so it speaks neither for nor against this one.
-    Spoilt,
+    MalformedResponse,
     /// Called off; it may have run.
     Cancelled,
     /// It was never sent.
-    Unsent,
+    NotSent,
 }
 
 impl Outcome {
     /// The attempt is known not to have run.
     pub fn never_ran(self) -> bool {
         use Outcome::*;
-        matches!(self, Shed | NotHere | NoConnection | Unsent)
+        matches!(self, Overloaded | Misrouted | ConnectFailed | NotSent)
     }
 }
 
 /// The end of one attempt.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
+pub struct AttemptResult {
     /// Whose attempt.
     pub request: RequestId,
     /// Its number, from 0 in order of sending.
@@ -350,43 +350,43 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
-    pub took: Span,
+    pub elapsed: Span,
     /// The request has its final answer.
-    pub finished: bool,
+    pub request_finished: bool,
     /// The member says that it is the primary, or that it is not.
-    pub primary: Option<bool>,
+    pub is_primary: Option<bool>,
     /// The member's position, or the commit time of a write.
     pub position: Option<Time>,
     /// A report that rode along.
-    pub report: Report,
+    pub load_report: LoadReport,
 }
 
 /// What answers have told of one member, in a form that routers can pass on to each other.
 #[derive(Debug, Clone, PartialEq)]
-pub struct News {
+pub struct GossipUpdate {
     /// Which member.
     pub member: MemberId,
     /// Every commit up to this moment is applied there.
     pub position: Option<Time>,
     /// It is the primary, or it is not.
-    pub primary: Option<bool>,
+    pub is_primary: Option<bool>,
     /// Mean answer time over aim.
-    pub strain: f64,
+    pub latency_ratio: f64,
     /// Over so many answers.
-    pub answers: u32,
+    pub samples: u32,
 }
 
 /// What a router believes of one member.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Belief {
+pub struct MemberSnapshot {
     /// This router's requests that it holds.
     pub in_flight: u32,
     /// It gets nothing but trials.
-    pub out: bool,
+    pub ejected: bool,
     /// Mean answer time over aim.
-    pub strain: f64,
+    pub latency_ratio: f64,
     /// Requests of this router that it may hold.
-    pub limit: f64,
+    pub concurrency_limit: f64,
     /// The latest position heard.
     pub position: Option<Time>,
 }
@@ -395,7 +395,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// News of the list.
-    List {
+    EndpointList {
         /// How much of it.
         scope: ListScope,
         /// The entries.
@@ -404,37 +404,37 @@
     /// A request came in; one final answer is owed.
     Request(Request),
     /// An attempt's stream began; the client owns it from now on.
-    Started {
+    StreamStarted {
         /// Whose attempt.
         request: RequestId,
         /// The member that serves it.
         member: MemberId,
     },
     /// An attempt ended.
-    Answer(Answer),
+    AttemptEnded(AttemptResult),
     /// The client left; nothing is owed any more.
-    Abandoned(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer that the router set.
     Timer(u64),
     /// A probe came back.
-    Probed {
+    HealthChecked {
         /// The member.
         member: MemberId,
         /// It answered.
-        answered: bool,
+        responded: bool,
         /// Time since it was sent.
-        took: Span,
+        elapsed: Span,
         /// What it said.
-        report: Report,
+        load_report: LoadReport,
     },
     /// Another router's word.
-    Peer {
+    Gossip {
         /// When it was sent, by the common clock.
-        told: Time,
+        sent_at: Time,
         /// This router is to pass it on.
         relay: bool,
         /// The word.
-        news: Vec<News>,
+        updates: Vec<GossipUpdate>,
     },
 }
 
@@ -458,7 +458,7 @@
         attempt: u32,
     },
     /// Final answer: not now; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When to come back.
@@ -467,30 +467,30 @@
     /// Final answer: it failed; nothing is promised.
     Fail(RequestId),
     /// Set a timer.
-    Timer {
+    SetTimer {
         /// How long from now.
         after: Span,
         /// Comes back with the event.
         token: u64,
     },
     /// Probe a member.
-    Probe(MemberId),
+    HealthCheck(MemberId),
     /// Close idle connections to a member.
-    CloseIdle(MemberId),
+    CloseIdleConnections(MemberId),
     /// This member is of no more use: its number will not be heard again, and what goes by it may be dropped. Named by a
     /// list once more, it gets a new one.
-    Forget(MemberId),
+    ForgetMember(MemberId),
     /// Give word to another router, or to all of them.
-    Tell {
+    SendGossip {
         /// Its number; `None`: all.
         to: Option<u32>,
         /// The word, which one router is to pass on and all only to take in.
-        news: Vec<News>,
+        updates: Vec<GossipUpdate>,
     },
     /// Subscribe to changes of the list.
     Subscribe(bool),
     /// Ask for the list once.
-    FetchList,
+    FetchEndpointList,
     /// A line for the log.
-    Note(String),
+    Log(String),
 }
--- a/crates/stackgw-router/src/router.rs
+++ b/crates/stackgw-router/src/router.rs
@@ -103,7 +103,7 @@
     seen: Time,
     gap: Span,
     /// News since this term began, and when this router tells what it gathered.
-    news: BTreeMap<MemberId, News>,
+    news: BTreeMap<MemberId, GossipUpdate>,
     term: i64,
     tell_at: Option<Time>,
 }
@@ -112,13 +112,14 @@
     /// A router that knows nothing yet but its settings.
     pub fn new(mut set: Settings, seed: u64) -> Self {
         // Nobody to talk to, or no report to hear: neither is asked for.
-        set.limits.peers &= set.fleet_size > 1;
-        set.limits.probes &= set.reports != Reports::Never;
-        let bound = |c: &Class| if let Need::Bounded(bound) = c.need { bound } else { SECOND };
+        set.limits.gossip &= set.fleet_size > 1;
+        set.limits.health_checks &= set.load_reporting != LoadReporting::Never;
+        let bound =
+            |c: &Class| if let Consistency::BoundedStaleness(bound) = c.consistency { bound } else { SECOND };
         let bound = set.classes.iter().map(bound).min().unwrap_or(SECOND);
-        let aim = set.classes.iter().map(|c| c.aim).min().unwrap_or(SECOND) as f64;
+        let aim = set.classes.iter().map(|c| c.latency_objective).min().unwrap_or(SECOND) as f64;
         let stretch = 1.0 + scatter(seed) / 5.0;
-        let most = if set.limits.peers { f64::MAX } else { 6.0 };
+        let most = if set.limits.gossip { f64::MAX } else { 6.0 };
         let crowd = (f64::from(set.fleet_size) / CROWD).clamp(1.0, most);
         let strain = [STRAIN_START; 2];
         Router { set, seed, bound, aim, crowd, stretch, strain, ..Router::default() }
@@ -136,19 +137,30 @@
         }
         self.seen = now;
         match event {
-            Event::List { scope, members } => self.list(now, scope, members, out),
+            Event::EndpointList { scope, members } => self.list(now, scope, members, out),
             Event::Request(request) => self.accept(now, request, out),
             // The stream is the client's from here on; nothing is owed for it.
-            Event::Started { request, .. } => drop(self.entries.remove(&request)),
-            Event::Answer(answer) => self.answer(now, answer, out),
-            Event::Abandoned(request) => self.end(request, out),
-            Event::Probed { member, answered, report: Report { position, primary, .. }, .. } => {
+            Event::StreamStarted { request, .. } => drop(self.entries.remove(&request)),
+            Event::AttemptEnded(answer) => self.answer(now, answer, out),
+            Event::ClientDisconnected(request) => self.end(request, out),
+            Event::HealthChecked {
+                member,
+                responded: answered,
+                load_report: LoadReport { position, is_primary: primary, .. },
+                ..
+            } => {
                 let Some(node) = self.nodes.get_mut(&member) else { return };
                 node.probe_out = false;
                 let group = node.group;
                 if answered {
                     self.learn(now, member, primary, position, false);
-                    self.share(News { member, position, primary, strain: 0.0, answers: 0 });
+                    self.share(GossipUpdate {
+                        member,
+                        position,
+                        is_primary: primary,
+                        latency_ratio: 0.0,
+                        samples: 0,
+                    });
                 }
                 for id in self.groups.get(&group).into_iter().flat_map(|g| &g.held) {
                     self.entries.entry(*id).and_modify(|entry| entry.tried.clear());
@@ -160,52 +172,52 @@
                 self.ticking = false;
                 self.tick(now, out);
             }
-            Event::Peer { told, relay, news } => self.hear(told, relay, news),
+            Event::Gossip { sent_at: told, relay, updates: news } => self.hear(told, relay, news),
         }
         if !self.ticking && !self.nodes.is_empty() {
             self.ticking = true;
-            out.push(Action::Timer { after: self.set.tick.max(TICK), token: 0 });
+            out.push(Action::SetTimer { after: self.set.tick.max(TICK), token: 0 });
         }
     }
 
     /// What it believes of each member, for those who look on.
-    pub fn beliefs(&self) -> impl Iterator<Item = (MemberId, Belief)> + '_ {
+    pub fn member_snapshots(&self) -> impl Iterator<Item = (MemberId, MemberSnapshot)> + '_ {
         self.nodes.iter().map(|(id, node)| (*id, node.belief()))
     }
 
     /// Requests a second that a warm member answers this router: a start for a later life, or for a peer.
-    pub fn warm_rate(&self) -> f64 {
+    pub fn warm_throughput(&self) -> f64 {
         self.warm[0].max(self.warm[1])
     }
 
     /// What members told since this was last asked, for a host that carries word to other routers.
-    pub fn news(&mut self) -> Vec<News> {
+    pub fn take_gossip(&mut self) -> Vec<GossipUpdate> {
         std::mem::take(&mut self.news).into_values().collect()
     }
 
     /// Where a host deals out connections: how many to a member are free, and from when on it may open one.
     /// `None`: it opens what it is asked for.
-    pub fn reach(&mut self, member: MemberId, ways: Option<(u32, Time)>) {
+    pub fn set_connection_permits(&mut self, member: MemberId, ways: Option<(u32, Time)>) {
         self.nodes.entry(member).and_modify(|node| node.ways = ways);
     }
 
     /// What it was before, or is elsewhere; own answers take its place.
-    pub fn expect(&mut self, rate: f64) {
-        self.warm = if self.warm_rate() > 0.0 { self.warm } else { [rate; 2] };
+    pub fn seed_warm_throughput(&mut self, rate: f64) {
+        self.warm = if self.warm_throughput() > 0.0 { self.warm } else { [rate; 2] };
     }
 
     fn list(&mut self, now: Time, scope: ListScope, members: Vec<Member>, out: &mut Vec<Action>) {
-        if self.set.list_on_request && matches!(scope, ListScope::Cached | ListScope::Failed) {
+        if self.set.polls_endpoint_list && matches!(scope, ListScope::Cached | ListScope::Failed) {
             out.push(Action::Subscribe(true)); // A call fails only after a time-out, which sets the pace.
         }
         if scope == ListScope::Failed {
             return;
         }
-        let binds = !self.set.obligations.only_drains_bind;
+        let binds = !self.set.obligations.removal_is_advisory;
         if scope != ListScope::Changes {
             self.probes = members.len() as f64 / self.crowd;
             let missing = self.nodes.iter_mut().filter(|(id, _)| !members.iter().any(|m| m.id == **id));
-            missing.for_each(|(_, node)| node.stand(now, Standing::Gone, binds));
+            missing.for_each(|(_, node)| node.stand(now, Lifecycle::Removed, binds));
         }
         for member in members {
             let group = self.groups.entry(member.group).or_default();
@@ -220,17 +232,17 @@
                 group.members.push(member.id);
                 fresh.clone()
             });
-            if member.started.is_some() && node.started != member.started {
+            if member.started_at.is_some() && node.started != member.started_at {
                 // A restarted process is cold; its past tells no health or role, but its drain holds.
                 let Node { position, in_flight, standing, told, ways, .. } = *node;
                 *node = Node { position, in_flight, standing, told, ways, ..fresh };
                 group.primary = group.primary.filter(|id| *id != member.id);
             }
-            if member.started.is_none() && scope != ListScope::Cached {
+            if member.started_at.is_none() && scope != ListScope::Cached {
                 node.started = None; // Up for long; a kept list could not tell.
             }
-            node.stand(now, member.standing, binds);
-            (node.weight, node.listed_primary) = (member.weight, member.primary);
+            node.stand(now, member.lifecycle, binds);
+            (node.weight, node.listed_primary) = (member.weight, member.listed_primary);
         }
         self.tick(now, out);
     }
@@ -238,8 +250,8 @@
     /// Whether anything new may go to a member: a draining one is used as primary alone, inside the grace.
     fn open(&self, now: Time, node: &Node, as_primary: bool) -> bool {
         let grace = (self.set.obligations.drain_grace as f64 * GRACE_USE) as Span;
-        let draining = node.standing == Standing::Draining && now - node.told < grace;
-        node.standing == Standing::Serving || as_primary && draining
+        let draining = node.standing == Lifecycle::Draining && now - node.told < grace;
+        node.standing == Lifecycle::Serving || as_primary && draining
     }
 
     /// Takes a member's word on role and position. Claims are ordered by position: old word undoes no newer;
@@ -274,35 +286,36 @@
         self.groups.get(&group).into_iter().flat_map(|g| &g.members).map(|id| (*id, &self.nodes[id]))
     }
 
-    fn judge(&mut self, now: Time, answer: &Answer, class: Option<&Class>) {
+    fn judge(&mut self, now: Time, answer: &AttemptResult, class: Option<&Class>) {
         use Outcome::*;
         let Some(node) = self.nodes.get_mut(&answer.member) else { return };
         node.in_flight = node.in_flight.saturating_sub(1);
-        if matches!(answer.outcome, Served | NotHere) {
+        if matches!(answer.outcome, Served | Misrouted) {
             if node.out {
                 // Back from a trial: start carefully, it may be cold or still choking.
                 (node.out, node.trial_wait) = (false, TRIAL_FIRST);
                 node.limit = (node.limit / 2.0).max(LIMIT_LEAST / self.crowd);
             }
-            (node.strikes, node.quiet_since, node.heard) = (0, now, node.heard.max(now - answer.took));
+            (node.strikes, node.quiet_since, node.heard) = (0, now, node.heard.max(now - answer.elapsed));
         }
         // Danger: answers that get lost look like ones that take too long, and limits shrink to nothing.
-        let lost = matches!(answer.outcome, TimedOut | Cancelled) && node.lost(now, now - answer.took, 1.0);
+        let lost =
+            matches!(answer.outcome, TimedOut | Cancelled) && node.lost(now, now - answer.elapsed, 1.0);
         if lost || answer.outcome == Served {
             node.loss += (f64::from(u8::from(lost)) - node.loss) * STRAIN_STEP;
         }
-        let took = (answer.took - self.gap).max(0) as f64;
-        let ratio = class.map_or(node.strain, |c| took / c.aim as f64).min(STRAIN_WORST);
+        let took = (answer.elapsed - self.gap).max(0) as f64;
+        let ratio = class.map_or(node.strain, |c| took / c.latency_objective as f64).min(STRAIN_WORST);
         // One shed, time-out, break or slow connect proves nothing; a connect refused at once does.
         let (strikes, strain) = match answer.outcome {
             Served => (0, Some(ratio)),
             TimedOut if self.gap == 0 && !lost => (1, Some(STRAIN_WORST)),
-            Shed | Broken => (1, None),
-            NoConnection if answer.took < self.set.limits.connect_timeout / 2 => (STRIKES_OUT, None),
-            NoConnection => (2, None),
+            Overloaded | ConnectionReset => (1, None),
+            ConnectFailed if answer.elapsed < self.set.limits.connect_timeout / 2 => (STRIKES_OUT, None),
+            ConnectFailed => (2, None),
             _ => (0, None),
         };
-        if answer.outcome == NotHere && class.is_some_and(|c| c.need != Need::Write) {
+        if answer.outcome == Misrouted && class.is_some_and(|c| c.consistency != Consistency::Write) {
             node.lag = node.lag.max(LAG_OF_MISS); // Too far behind, however fresh it looked.
         }
         if let Some(strain) = strain {
@@ -310,14 +323,20 @@
             let leads = self.groups.get(&node.group).is_some_and(|g| g.primary == Some(answer.member));
             self.taken[usize::from(leads)] += 1.0;
             node.latency += (took - node.latency) * STRAIN_STEP * 2.0;
-            let over = &mut self.strain[usize::from(answer.primary == Some(true))];
+            let over = &mut self.strain[usize::from(answer.is_primary == Some(true))];
             *over += (strain - *over) * STRAIN_STEP;
             node.adjust(strain, 1, LIMIT_LEAST / self.crowd, answer.outcome == Served);
         }
         node.strike(now, strikes);
-        let Answer { member, position, primary, .. } = *answer;
+        let AttemptResult { member, position, is_primary: primary, .. } = *answer;
         let (answers, strain) = (strain.is_some().into(), strain.unwrap_or(0.0));
-        self.share(News { member, position, primary, strain, answers });
+        self.share(GossipUpdate {
+            member,
+            position,
+            is_primary: primary,
+            latency_ratio: strain,
+            samples: answers,
+        });
     }
 
     /// A member that holds requests and answers none for far longer than usual is silent, whatever its probes
@@ -333,7 +352,8 @@
                 silent.insert(*id);
             }
         }
-        let reads = |e: &&Entry| self.set.limits.cancel && self.class(e).effect != Effect::Unsafe;
+        let reads =
+            |e: &&Entry| self.set.limits.cancel && self.class(e).idempotency != Idempotency::NonIdempotent;
         for entry in self.entries.values().filter(reads) {
             let by = f64::from(entry.sent);
             let lost = |n: &Node| n.lost(now, entry.sent_at, by * if n.loss > LOSS_SEEN { 1.0 } else { 3.0 });
@@ -362,7 +382,7 @@
     fn cold_room(&self, now: Time, node: &Node) -> bool {
         let rules = &self.set.obligations;
         let warmth = node.warmth(now, rules);
-        let rate = self.warm_rate() * warmth * rules.fall_multiple * COLD_USE;
+        let rate = self.warm_throughput() * warmth * rules.overload_multiple * COLD_USE;
         let least = 4.0 / f64::from(self.set.fleet_size.max(1));
         // Where connections are dealt, few routers have one here yet: theirs is what the others cannot use.
         let (mut dealt, mut reached) = (0, 0);
@@ -371,15 +391,15 @@
             reached += u32::from(!n.has_none_free() || n.in_flight > 0);
         }
         let part = f64::from(dealt.max(1)) / f64::from(reached.max(1));
-        let budget = (rate * part * rules.fall_window as f64 / SECOND as f64).max(least);
-        let spent = node.cold_sends.iter().filter(|t| now - **t < rules.fall_window).count();
+        let budget = (rate * part * rules.overload_window as f64 / SECOND as f64).max(least);
+        let spent = node.cold_sends.iter().filter(|t| now - **t < rules.overload_window).count();
         // A part of one is a chance, drawn by each router for each window: else hundreds would each send one.
-        let window = node.started.unwrap_or(0) ^ (now / rules.fall_window.max(1));
+        let window = node.started.unwrap_or(0) ^ (now / rules.overload_window.max(1));
         warmth >= 1.0 || (spent as f64) < (budget + scatter(self.seed ^ window as u64)).floor()
     }
 
-    fn share(&mut self, word: News) {
-        if self.set.limits.peers || self.set.limits.carried {
+    fn share(&mut self, word: GossipUpdate) {
+        if self.set.limits.gossip || self.set.limits.host_gossip {
             self.news.entry(word.member).and_modify(|news| news.add(&word)).or_insert(word);
         }
     }
@@ -393,21 +413,24 @@
             return;
         }
         (self.term, self.tell_at) = (term, None);
-        if to == Some(self.set.me) {
+        if to == Some(self.set.instance_index) {
             self.tell_at = Some(now + GATHER);
         } else if !self.news.is_empty() {
-            out.push(Action::Tell { to, news: std::mem::take(&mut self.news).into_values().collect() });
+            out.push(Action::SendGossip {
+                to,
+                updates: std::mem::take(&mut self.news).into_values().collect(),
+            });
         }
     }
 
     /// Another router's word is late or lost. Positions never go back, so they hold; they order roles.
-    fn hear(&mut self, told: Time, relay: bool, news: Vec<News>) {
+    fn hear(&mut self, told: Time, relay: bool, news: Vec<GossipUpdate>) {
         for word in news {
             if word.position.is_some() {
-                self.learn(told, word.member, word.primary, word.position, false);
+                self.learn(told, word.member, word.is_primary, word.position, false);
             }
-            if let Some(node) = self.nodes.get_mut(&word.member).filter(|_| word.answers > 0) {
-                node.adjust(word.strain, word.answers, LIMIT_LEAST / self.crowd, false);
+            if let Some(node) = self.nodes.get_mut(&word.member).filter(|_| word.samples > 0) {
+                node.adjust(word.latency_ratio, word.samples, LIMIT_LEAST / self.crowd, false);
             }
             if relay {
                 self.share(word);
@@ -417,10 +440,12 @@
 
     fn accept(&mut self, now: Time, mut request: Request, out: &mut Vec<Action>) {
         let (id, group) = (request.id, request.group);
-        request.last_write = match self.set.session_marks {
+        request.last_write = match self.set.session_tracking {
             // A commit time is rounded up on the wire; stay on its far side.
-            SessionMarks::Client => request.last_write.map(|t| t + MS),
-            SessionMarks::Router => request.session.as_ref().and_then(|s| self.last_writes.get(s).copied()),
+            SessionTracking::Client => request.last_write.map(|t| t + MS),
+            SessionTracking::Router => {
+                request.session.as_ref().and_then(|s| self.last_writes.get(s).copied())
+            }
         };
         self.entries.insert(id, Entry { request, arrived: now, ..Entry::default() });
         self.probes = (self.probes + PROBES_PER_REQUEST / self.crowd).min(self.nodes.len() as f64);
@@ -453,11 +478,11 @@
     }
 
     /// What its class needs, unless it must see every commit whatever that is.
-    fn need(&self, entry: &Entry) -> Need {
-        if entry.request.fresh {
-            Need::Fresh
+    fn need(&self, entry: &Entry) -> Consistency {
+        if entry.request.requires_strong_read {
+            Consistency::Strong
         } else {
-            self.class(entry).need
+            self.class(entry).consistency
         }
     }
 
@@ -467,34 +492,36 @@
         if !self.may_refuse(entry) {
             return entry.request.deadline - self.set.tick.max(TICK) - self.set.tick;
         }
-        if class.late_worth >= LATE_COUNTS {
+        if class.late_weight_share >= LATE_COUNTS {
             let half = (entry.request.deadline - entry.arrived) / 2; // Later it costs, the way in included.
             return entry.arrived + half - (self.set.tick.max(TICK) * 2).min(half / 4);
         }
-        let kept = (self.strain[usize::from(class.need == Need::Write)] * reserve).min(HOLD_RESERVE_MOST);
-        entry.request.deadline.min(entry.arrived + class.aim) - (class.aim as f64 * kept) as Span
+        let kept = (self.strain[usize::from(class.consistency == Consistency::Write)] * reserve)
+            .min(HOLD_RESERVE_MOST);
+        entry.request.deadline.min(entry.arrived + class.latency_objective)
+            - (class.latency_objective as f64 * kept) as Span
     }
 
     /// The ledger's answer to: may another attempt be sent?
     fn may_send(&self, now: Time, entry: &Entry) -> bool {
-        if entry.sent >= self.set.limits.attempts || entry.request.deadline - now <= self.set.tick {
+        if entry.sent >= self.set.limits.max_attempts || entry.request.deadline - now <= self.set.tick {
             return false;
         }
-        match (self.class(entry).effect, entry.may_have_run) {
-            (Effect::Safe, _) | (_, None) => true,
-            (Effect::Keyed { scope: KeyScope::Zone, .. }, _) => false,
-            (Effect::Keyed { window, .. }, Some(first)) => now - first < window - self.set.tick * 2,
-            (Effect::Unsafe, Some(_)) => false,
+        match (self.class(entry).idempotency, entry.may_have_run) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::WithKey { scope: KeyScope::Zone, .. }, _) => false,
+            (Idempotency::WithKey { window, .. }, Some(first)) => now - first < window - self.set.tick * 2,
+            (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
     /// The ledger's answer to: may the client be told that trying again is harmless?
     fn may_refuse(&self, entry: &Entry) -> bool {
         let clean = entry.may_have_run.is_none() && entry.out.is_empty();
-        match self.class(entry).effect {
-            Effect::Safe => true,
-            Effect::Keyed { scope, .. } => clean || scope == KeyScope::Everywhere,
-            Effect::Unsafe => clean,
+        match self.class(entry).idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey { scope, .. } => clean || scope == KeyScope::Global,
+            Idempotency::NonIdempotent => clean,
         }
     }
 
@@ -502,7 +529,7 @@
     fn route(&self, now: Time, entry: &Entry) -> Option<MemberId> {
         let group = entry.request.group;
         let primary = self.primary(now, group);
-        let most = self.set.limits.attempts;
+        let most = self.set.limits.max_attempts;
         let at_primary = |share| primary.filter(|id| self.fits(now, entry, *id, share, true));
         let fits = |id: &MemberId| self.fits(now, entry, *id, 1.0, false);
         // Danger: a primary by the list alone may be a replica by now; it must show that it holds the write.
@@ -510,12 +537,12 @@
         let holds = |id: &MemberId, write| claimed == Some(*id) || self.nodes[id].position >= write;
         let need = self.need(entry);
         let floor = match need {
-            Need::Write if primary.is_some() => return at_primary(1.0),
+            Consistency::Write if primary.is_some() => return at_primary(1.0),
             // A write met by a member that is not the primary tries the next, then waits for a probe.
-            Need::Write if entry.tried.is_empty() || entry.sent * 2 >= most => return None,
-            Need::Write => return self.members(group).map(|m| m.0).find(fits),
-            Need::Fresh => return at_primary(1.0).filter(|id| claimed == Some(*id)),
-            Need::Session => {
+            Consistency::Write if entry.tried.is_empty() || entry.sent * 2 >= most => return None,
+            Consistency::Write => return self.members(group).map(|m| m.0).find(fits),
+            Consistency::Strong => return at_primary(1.0).filter(|id| claimed == Some(*id)),
+            Consistency::ReadYourWrites => {
                 let write = entry.request.last_write.unwrap_or(0);
                 // Departure: a primary without room leaves even these to replicas that cover the write.
                 let recent = now - write < READ_AFTER_WRITE;
@@ -524,8 +551,8 @@
                     place => return place,
                 }
             }
-            Need::Bounded(bound) => now - (bound - STALENESS_MARGIN).max(bound / 2),
-            Need::Loose => 0,
+            Consistency::BoundedStaleness(bound) => now - (bound - STALENESS_MARGIN).max(bound / 2),
+            Consistency::Eventual => 0,
         };
         let others = self.members(group).filter(|(id, _)| Some(*id) != primary);
         let replicas: Vec<_> = others.filter(|(id, _)| fits(id)).collect();
@@ -534,7 +561,7 @@
         if let Some(fresh) = trial.or_else(|| pick(&replicas, |node| node.position >= floor)) {
             return Some(fresh);
         }
-        if self.set.lagging != Lagging::Answers && floor > 0 && entry.tried.is_empty() {
+        if self.set.lagging_reads != LaggingReads::ServedStale && floor > 0 && entry.tried.is_empty() {
             // Replicas check reads here, so one that merely aged may be asked: the next in turn of those last
             // heard inside the bound, else the most advanced; with nothing heard all take turns.
             let near = |n: &Node| !n.out && (n.position == 0 || n.lag <= 2 * (now - floor));
@@ -547,17 +574,18 @@
         }
         // Departure: in a thin stream all positions age out, and the reads of a large fleet would fill the
         // primaries. The word of a replica is milliseconds away, so it is asked first.
-        let asks = self.set.lagging == Lagging::Answers && floor > 0 && self.set.limits.probes;
+        let asks =
+            self.set.lagging_reads == LaggingReads::ServedStale && floor > 0 && self.set.limits.health_checks;
         let asked = |n: &Node| n.asked_within(now, PROBE_WAIT) || self.probe_due(now, n);
         if asks && replicas.iter().any(|(_, n)| !n.out && asked(n)) {
             return None;
         }
-        at_primary(FALLBACK_SHARE).filter(|id| need != Need::Session || holds(id, floor))
+        at_primary(FALLBACK_SHARE).filter(|id| need != Consistency::ReadYourWrites || holds(id, floor))
     }
 
     fn fits(&self, now: Time, entry: &Entry, id: MemberId, share: f64, as_primary: bool) -> bool {
         let Some(node) = self.nodes.get(&id) else { return false };
-        let safe = self.class(entry).effect != Effect::Unsafe;
+        let safe = self.class(entry).idempotency != Idempotency::NonIdempotent;
         let met = entry.tried.iter().chain(&entry.erred).any(|met| *met == id);
         let reached = !met && node.has_way(now);
         reached && self.open(now, node, as_primary) && self.room(now, node, share, as_primary, safe)
@@ -579,7 +607,7 @@
             node.trial_at = now + node.trial_wait;
         }
         if warmth < 1.0 {
-            node.cold_sends.retain(|t| now - *t < self.set.obligations.fall_window);
+            node.cold_sends.retain(|t| now - *t < self.set.obligations.overload_window);
             node.cold_sends.push_back(now);
         }
         entry.out.push((entry.sent, member));
@@ -587,20 +615,22 @@
         out.push(Action::Send { request: id, member, timeout: None });
     }
 
-    fn answer(&mut self, now: Time, answer: Answer, out: &mut Vec<Action>) {
+    fn answer(&mut self, now: Time, answer: AttemptResult, out: &mut Vec<Action>) {
         let class = self.entries.get(&answer.request).map(|e| self.class(e).clone());
         let served = answer.outcome == Outcome::Served;
         self.judge(now, &answer, class.as_ref());
-        self.learn(now, answer.member, answer.report.primary, answer.report.position, false);
-        self.learn(now, answer.member, answer.primary, answer.position, true);
+        self.learn(now, answer.member, answer.load_report.is_primary, answer.load_report.position, false);
+        self.learn(now, answer.member, answer.is_primary, answer.position, true);
         if let Some(entry) = self.entries.get_mut(&answer.request) {
             entry.out.retain(|(attempt, _)| *attempt != answer.attempt);
             if !answer.outcome.never_ran() {
-                let sent = now - answer.took;
+                let sent = now - answer.elapsed;
                 entry.may_have_run = Some(entry.may_have_run.map_or(sent, |t| t.min(sent)));
             }
             match answer.outcome {
-                Outcome::NotHere | Outcome::Shed | Outcome::NoConnection => entry.tried.push(answer.member),
+                Outcome::Misrouted | Outcome::Overloaded | Outcome::ConnectFailed => {
+                    entry.tried.push(answer.member)
+                }
                 Outcome::Error => entry.erred.push(answer.member),
                 _ => {}
             }
@@ -609,13 +639,13 @@
             for id in entry.erred.iter().filter(|_| served) {
                 self.nodes.entry(*id).and_modify(|node| node.strike(now, 2));
             }
-            let marks = served && self.set.session_marks == SessionMarks::Router;
-            let write = marks && class.is_some_and(|c| c.need == Need::Write);
+            let marks = served && self.set.session_tracking == SessionTracking::Router;
+            let write = marks && class.is_some_and(|c| c.consistency == Consistency::Write);
             if let Some(session) = entry.request.session.clone().filter(|_| write) {
                 let last = self.last_writes.entry(session).or_insert(0);
                 *last = answer.position.unwrap_or(now).max(*last);
             }
-            if answer.finished {
+            if answer.request_finished {
                 self.end(answer.request, out);
             }
             self.proceed(now, answer.request, out);
@@ -631,10 +661,10 @@
         let class = self.class(entry);
         let left = (entry.arrived + class.deadline - now).max(0);
         // What is too late to be worth much would only feed a storm of retries: it is to stay away long.
-        let hopeless = class.late_worth < LATE_COUNTS && now >= self.hold_until(entry, HOLD_RESERVE);
-        let wait = if hopeless { Span::MAX } else { left / 3 }.min(self.set.limits.retry_after_max);
+        let hopeless = class.late_weight_share < LATE_COUNTS && now >= self.hold_until(entry, HOLD_RESERVE);
+        let wait = if hopeless { Span::MAX } else { left / 3 }.min(self.set.limits.max_retry_after);
         let retry_after = Some(wait).filter(|w| self.set.limits.retry_after && *w > 0);
-        let refusal = self.may_refuse(entry).then_some(Action::Refuse { request: id, retry_after });
+        let refusal = self.may_refuse(entry).then_some(Action::Reject { request: id, retry_after });
         out.push(refusal.unwrap_or(Action::Fail(id)));
         self.end(id, out);
     }
@@ -651,7 +681,8 @@
     fn pump(&mut self, now: Time, group: GroupId, out: &mut Vec<Action>) {
         let Some(held) = self.groups.get_mut(&group).map(|g| std::mem::take(&mut g.held)) else { return };
         let waiting = held.iter().filter_map(|id| self.entries.get(id));
-        let rank = |e: &Entry| (self.class(e).worth, self.hold_until(e, HOLD_RESERVE), e.request.id);
+        let rank =
+            |e: &Entry| (self.class(e).priority_weight, self.hold_until(e, HOLD_RESERVE), e.request.id);
         let mut order: Vec<_> = waiting.map(rank).collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         for (_, _, id) in order {
@@ -661,7 +692,7 @@
 
     fn tick(&mut self, now: Time, out: &mut Vec<Action>) {
         self.find_silent(now, out);
-        if self.set.limits.peers {
+        if self.set.limits.gossip {
             self.gossip(now, out);
         }
         let overdue = |e: &&Entry| now >= e.request.deadline + self.set.obligations.answer_slack / 2;
@@ -684,7 +715,7 @@
     /// Danger: replicas and primaries are seldom used alike, and their mean is less than the busier bear:
     /// by it alone cold members would be kept half idle.
     fn measure(&mut self, now: Time) {
-        let serving = || self.nodes.iter().filter(|(_, n)| n.standing == Standing::Serving);
+        let serving = || self.nodes.iter().filter(|(_, n)| n.standing == Lifecycle::Serving);
         let primaries = serving().filter(|(id, n)| self.claimed(n.group) == Some(**id)).count();
         let counts = [serving().count() - primaries, primaries];
         // Danger: cold members answer what they are sent; alone they would shut the door on themselves.
@@ -708,10 +739,12 @@
 
     /// Probes all while no primary is at work, one after another for a held read, and aged ones in a budget.
     fn probe(&mut self, now: Time, group: GroupId, out: &mut Vec<Action>) {
-        let Some(state) = self.groups.get(&group).filter(|_| self.set.limits.probes) else { return };
-        let read = |id: &RequestId| self.class(&self.entries[id]).need != Need::Write;
+        let Some(state) = self.groups.get(&group).filter(|_| self.set.limits.health_checks) else { return };
+        let read = |id: &RequestId| self.class(&self.entries[id]).consistency != Consistency::Write;
         // Danger: a read held for a primary's own word would wait in vain where only the list names one.
-        let proof = |id: &RequestId| matches!(self.need(&self.entries[id]), Need::Fresh | Need::Session);
+        let proof = |id: &RequestId| {
+            matches!(self.need(&self.entries[id]), Consistency::Strong | Consistency::ReadYourWrites)
+        };
         let proven = |id: &MemberId| state.primary == Some(*id) || !state.held.iter().any(proof);
         let primary = self.primary(now, group).filter(|id| !self.nodes[id].out && proven(id));
         let pace = (SEEK_PACE as f64 * self.crowd * self.stretch) as Span;
@@ -735,7 +768,7 @@
                 (node.probed_at, node.probe_out) = (now, true);
                 node.take_way();
             });
-            out.push(Action::Probe(id));
+            out.push(Action::HealthCheck(id));
         }
     }
 }
@@ -783,9 +816,9 @@
 
     /// Takes the list's word. Danger: it may call members gone that serve. Where only a drain binds such a
     /// one stays in use while its answers speak for it, and is out at the first doubt.
-    fn stand(&mut self, now: Time, standing: Standing, gone_binds: bool) {
-        self.doubted = standing == Standing::Gone && !gone_binds && self.standing == Standing::Serving;
-        if self.standing == Standing::Serving && standing != Standing::Serving {
+    fn stand(&mut self, now: Time, standing: Lifecycle, gone_binds: bool) {
+        self.doubted = standing == Lifecycle::Removed && !gone_binds && self.standing == Lifecycle::Serving;
+        if self.standing == Lifecycle::Serving && standing != Lifecycle::Serving {
             self.told = now;
         }
         self.standing = if self.doubted { self.standing } else { standing };
--- a/crates/stackgw-router/src/state.rs
+++ b/crates/stackgw-router/src/state.rs
@@ -10,7 +10,7 @@
     pub(crate) group: GroupId,
     pub(crate) weight: f64,
     pub(crate) started: Option<Time>,
-    pub(crate) standing: Standing,
+    pub(crate) standing: Lifecycle,
     /// When this router was told that the member drains or is gone.
     pub(crate) told: Time,
     /// Listed as gone where that does not bind: it may serve all the same.
@@ -51,18 +51,25 @@
 impl Node {
     /// A member of which nothing has been heard.
     pub(crate) fn unheard(member: &Member) -> Self {
-        Node { group: member.group, started: member.started, lag: Span::MAX / 2, ..Node::default() }
+        Node { group: member.group, started: member.started_at, lag: Span::MAX / 2, ..Node::default() }
     }
 
     /// Share of its capacity that it surely has by its age.
     pub(crate) fn warmth(&self, now: Time, rules: &Obligations) -> f64 {
-        let age = self.started.map_or(rules.warm_within, |s| (now - s).max(0)) as f64;
-        rules.cold_share + (1.0 - rules.cold_share) * (age / rules.warm_within.max(1) as f64).min(1.0)
+        let age = self.started.map_or(rules.warm_up_time, |s| (now - s).max(0)) as f64;
+        rules.cold_capacity_share
+            + (1.0 - rules.cold_capacity_share) * (age / rules.warm_up_time.max(1) as f64).min(1.0)
     }
 
-    pub(crate) fn belief(&self) -> Belief {
+    pub(crate) fn belief(&self) -> MemberSnapshot {
         let Node { in_flight, out, strain, limit, .. } = *self;
-        Belief { in_flight, out, strain, limit, position: Some(self.position).filter(|at| *at > 0) }
+        MemberSnapshot {
+            in_flight,
+            ejected: out,
+            latency_ratio: strain,
+            concurrency_limit: limit,
+            position: Some(self.position).filter(|at| *at > 0),
+        }
     }
 
     /// It can be reached now.
@@ -87,7 +94,7 @@
 
     /// Gone, or taken to be gone and out of use, since before a moment, with nothing in flight.
     fn is_past(&self, before: Time) -> bool {
-        let gone = self.standing == Standing::Gone || self.doubted && self.out;
+        let gone = self.standing == Lifecycle::Removed || self.doubted && self.out;
         gone && self.in_flight == 0 && self.told < before
     }
 
@@ -124,7 +131,7 @@
         }
     }
     groups.retain(|_, group| !group.members.is_empty() || !group.held.is_empty());
-    past.into_iter().map(Action::Forget).collect()
+    past.into_iter().map(Action::ForgetMember).collect()
 }
 
 /// The ledger entry of a request: what was sent, what may have run.
@@ -142,15 +149,15 @@
     pub(crate) erred: Vec<MemberId>,
 }
 
-impl News {
+impl GossipUpdate {
     /// Adds later word of the same member: the most advanced position, the mean strain.
-    pub(crate) fn add(&mut self, word: &News) {
+    pub(crate) fn add(&mut self, word: &GossipUpdate) {
         if word.position >= self.position {
-            (self.position, self.primary) = (word.position, word.primary.or(self.primary));
+            (self.position, self.is_primary) = (word.position, word.is_primary.or(self.is_primary));
         }
-        let answers = self.answers + word.answers;
-        let sum = self.strain * f64::from(self.answers) + word.strain * f64::from(word.answers);
-        (self.strain, self.answers) = (sum / f64::from(answers.max(1)), answers);
+        let answers = self.samples + word.samples;
+        let sum = self.latency_ratio * f64::from(self.samples) + word.latency_ratio * f64::from(word.samples);
+        (self.latency_ratio, self.samples) = (sum / f64::from(answers.max(1)), answers);
     }
 }
 
--- a/crates/stackgw-router/tests/cold_sum.rs
+++ b/crates/stackgw-router/tests/cold_sum.rs
@@ -48,13 +48,13 @@
 
     fn settings(&self, fleet: u32, me: u32) -> Settings {
         let obligations = Obligations {
-            cold_share: self.share,
-            warm_within: self.warm,
-            fall_multiple: self.multiple,
-            fall_window: self.window,
+            cold_capacity_share: self.share,
+            warm_up_time: self.warm,
+            overload_multiple: self.multiple,
+            overload_window: self.window,
             ..settings().obligations
         };
-        Settings { fleet_size: fleet, me, obligations, ..settings() }
+        Settings { fleet_size: fleet, instance_index: me, obligations, ..settings() }
     }
 }
 
@@ -120,7 +120,7 @@
                     let sent = self.now;
                     self.later(took, Next::Answer { at, life, request, member: member.0, sent });
                 }
-                Action::Timer { after, .. } => self.later(after, Next::Timer { at, life }),
+                Action::SetTimer { after, .. } => self.later(after, Next::Timer { at, life }),
                 _ => {}
             }
         }
@@ -128,7 +128,7 @@
 
     fn list(&self, told: bool) -> Vec<Member> {
         let started = |id| (told && COLD.contains(&id)).then_some(self.began);
-        (0..MEMBERS).map(|id| Member { started: started(id), ..member(id, id == 0) }).collect()
+        (0..MEMBERS).map(|id| Member { started_at: started(id), ..member(id, id == 0) }).collect()
     }
 }
 
@@ -159,7 +159,7 @@
     };
     for (at, part) in parts.iter().enumerate() {
         let members = all.list(false);
-        all.tell(at, Event::List { scope: ListScope::Full, members });
+        all.tell(at, Event::EndpointList { scope: ListScope::Full, members });
         let first = all.dice.wait(SECOND as f64 * sum / (rate * part));
         all.later(first, Next::Ask(at));
         // Half are told at once, the others over two seconds.
@@ -192,25 +192,25 @@
                     continue;
                 }
                 let attempt = all.attempts[&(at, life, request)] - 1;
-                let answer = Answer {
+                let answer = AttemptResult {
                     request,
                     attempt,
                     member: MemberId(member),
                     outcome: Outcome::Served,
-                    took: all.now - sent,
-                    finished: true,
-                    primary: Some(member == 0),
+                    elapsed: all.now - sent,
+                    request_finished: true,
+                    is_primary: Some(member == 0),
                     position: Some(all.now - 10 * MS),
-                    report: Report::default(),
+                    load_report: LoadReport::default(),
                 };
-                all.tell(at, Event::Answer(answer));
+                all.tell(at, Event::AttemptEnded(answer));
             }
             Next::Timer { at, life } if all.routers[at].1 == life => all.tell(at, Event::Timer(0)),
             Next::Timer { .. } => {}
             Next::Told(at) => {
                 all.told.insert(at);
                 let members = all.list(true);
-                all.tell(at, Event::List { scope: ListScope::Full, members });
+                all.tell(at, Event::EndpointList { scope: ListScope::Full, members });
             }
             Next::Restart(at) => {
                 let life = all.routers[at].1 + 1;
@@ -218,7 +218,7 @@
                 all.routers[at] = (Router::new(rules.settings(fleet as u32, at as u32), seed), life);
                 all.told.insert(at);
                 let members = all.list(true);
-                all.tell(at, Event::List { scope: ListScope::Full, members });
+                all.tell(at, Event::EndpointList { scope: ListScope::Full, members });
             }
         }
     }
--- a/crates/stackgw-router/tests/common/mod.rs
+++ b/crates/stackgw-router/tests/common/mod.rs
@@ -17,43 +17,43 @@
 
 pub fn settings() -> Settings {
     let class = |need, effect, late_worth| Class {
-        need,
-        effect,
-        aim: 300 * MS,
+        consistency: need,
+        idempotency: effect,
+        latency_objective: 300 * MS,
         deadline: 3 * SECOND,
-        worth: 1.0,
-        late_worth,
+        priority_weight: 1.0,
+        late_weight_share: late_worth,
     };
-    let keyed = Effect::Keyed { scope: KeyScope::Group, window: 2 * SECOND };
+    let keyed = Idempotency::WithKey { scope: KeyScope::Group, window: 2 * SECOND };
     Settings {
         classes: vec![
-            class(Need::Bounded(BOUND), Effect::Safe, 0.0),
-            class(Need::Session, Effect::Safe, 0.0),
-            class(Need::Write, Effect::Unsafe, 0.7),
-            class(Need::Loose, Effect::Safe, 0.0),
-            class(Need::Write, keyed, 0.7),
-            class(Need::Fresh, Effect::Safe, 0.0),
+            class(Consistency::BoundedStaleness(BOUND), Idempotency::Idempotent, 0.0),
+            class(Consistency::ReadYourWrites, Idempotency::Idempotent, 0.0),
+            class(Consistency::Write, Idempotency::NonIdempotent, 0.7),
+            class(Consistency::Eventual, Idempotency::Idempotent, 0.0),
+            class(Consistency::Write, keyed, 0.7),
+            class(Consistency::Strong, Idempotency::Idempotent, 0.0),
         ],
         fleet_size: 1,
         tick: 5 * MS,
-        positions_in_answers: true,
-        report_position: true,
+        positions_in_responses: true,
+        reports_carry_position: true,
         limits: Limits {
-            attempts: 6,
+            max_attempts: 6,
             cancel: true,
-            probes: true,
+            health_checks: true,
             retry_after: true,
-            retry_after_max: SECOND,
+            max_retry_after: SECOND,
             connect_timeout: 250 * MS,
             ..Limits::default()
         },
         obligations: Obligations {
             answer_slack: 20 * MS,
             drain_grace: SECOND,
-            cold_share: 0.2,
-            warm_within: 15 * SECOND,
-            fall_multiple: 3.0,
-            fall_window: 2 * SECOND,
+            cold_capacity_share: 0.2,
+            warm_up_time: 15 * SECOND,
+            overload_multiple: 3.0,
+            overload_window: 2 * SECOND,
             ..Obligations::default()
         },
         ..Settings::default()
@@ -66,9 +66,9 @@
         group: GROUP,
         zone: 0,
         weight: 1.0,
-        started: None,
-        standing: Standing::Serving,
-        primary,
+        started_at: None,
+        lifecycle: Lifecycle::Serving,
+        listed_primary: primary,
     }
 }
 
@@ -93,7 +93,7 @@
         let attempts = Default::default();
         let mut bench = Bench { router, now: START, next: 0, log: Vec::new(), attempts };
         let members = (0..count).map(|id| member(id, id == 0)).collect();
-        bench.tell(Event::List { scope: ListScope::Cached, members });
+        bench.tell(Event::EndpointList { scope: ListScope::Cached, members });
         bench
     }
 
@@ -148,16 +148,22 @@
             deadline: self.now + 3 * SECOND,
             session: Some(SessionId("s".into())),
             last_write: age.map(|age| self.now - age),
-            repeat: false,
-            fresh: false,
+            is_retry: false,
+            requires_strong_read: false,
         };
         let actions = self.tell(Event::Request(request));
         (id, actions)
     }
 
     pub fn probed(&mut self, id: u32, primary: bool, position: Time) {
-        let report = Report { position: Some(position), primary: Some(primary), ..Report::default() };
-        self.tell(Event::Probed { member: MemberId(id), answered: true, took: MS, report });
+        let report =
+            LoadReport { position: Some(position), is_primary: Some(primary), ..LoadReport::default() };
+        self.tell(Event::HealthChecked {
+            member: MemberId(id),
+            responded: true,
+            elapsed: MS,
+            load_report: report,
+        });
     }
 
     /// Ends the latest attempt of a request.
@@ -178,9 +184,19 @@
         let attempt = self.attempts.get(&request).map_or(0, |n| n - 1);
         let finished = outcome == Outcome::Served;
         let member = MemberId(member);
-        let report = Report::default();
-        let answer = Answer { request, attempt, member, outcome, took, finished, primary, position, report };
-        self.tell(Event::Answer(answer))
+        let report = LoadReport::default();
+        let answer = AttemptResult {
+            request,
+            attempt,
+            member,
+            outcome,
+            elapsed: took,
+            request_finished: finished,
+            is_primary: primary,
+            position,
+            load_report: report,
+        };
+        self.tell(Event::AttemptEnded(answer))
     }
 }
 
@@ -191,7 +207,7 @@
 
 impl Answers for Outcome {
     fn answers(self) -> bool {
-        matches!(self, Outcome::Served | Outcome::Error | Outcome::Shed | Outcome::NotHere)
+        matches!(self, Outcome::Served | Outcome::Error | Outcome::Overloaded | Outcome::Misrouted)
     }
 }
 
@@ -201,11 +217,11 @@
 }
 
 pub fn probes(actions: &[Action]) -> Vec<u32> {
-    actions.iter().filter_map(|a| if let Action::Probe(m) = a { Some(m.0) } else { None }).collect()
+    actions.iter().filter_map(|a| if let Action::HealthCheck(m) = a { Some(m.0) } else { None }).collect()
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
--- a/crates/stackgw-router/tests/invariants.rs
+++ b/crates/stackgw-router/tests/invariants.rs
@@ -35,13 +35,13 @@
 const OUTCOMES: [Outcome; 9] = [
     Outcome::Served,
     Outcome::Error,
-    Outcome::Shed,
-    Outcome::NotHere,
+    Outcome::Overloaded,
+    Outcome::Misrouted,
     Outcome::TimedOut,
-    Outcome::NoConnection,
-    Outcome::Broken,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionReset,
     Outcome::Cancelled,
-    Outcome::Unsent,
+    Outcome::NotSent,
 ];
 
 #[derive(Debug, Default)]
@@ -84,20 +84,22 @@
                 assert!(!owed.ended, "sent after its end");
                 assert!(now < owed.deadline, "sent after the deadline");
                 assert!(owed.out.is_empty(), "two attempts at once");
-                assert!(owed.sent < self.settings.limits.attempts, "too many attempts");
+                assert!(owed.sent < self.settings.limits.max_attempts, "too many attempts");
                 let class = &self.settings.classes[owed.class];
                 if let Some(first) = owed.may_have_run {
-                    match class.effect {
-                        Effect::Safe => {}
-                        Effect::Keyed { window, .. } => assert!(now - first <= window, "key forgotten"),
-                        Effect::Unsafe => panic!("an unsafe request may run twice"),
+                    match class.idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::WithKey { window, .. } => {
+                            assert!(now - first <= window, "key forgotten")
+                        }
+                        Idempotency::NonIdempotent => panic!("an unsafe request may run twice"),
                     }
                 }
                 if let Some(told) = self.barred.get(member) {
                     let grace = self.settings.obligations.drain_grace;
                     assert!(now - told <= grace, "sent to a member that drains or is gone");
                 }
-                if let Need::Bounded(bound) = class.need {
+                if let Consistency::BoundedStaleness(bound) = class.consistency {
                     let position = self.positions.get(member).copied().unwrap_or(0);
                     let excused = self.been_primary.get(member).copied().unwrap_or(false);
                     assert!(excused || now - position <= bound, "stale read");
@@ -105,10 +107,10 @@
                 owed.out.push((owed.sent, *member, now));
                 owed.sent += 1;
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let owed = self.owed.get_mut(request).expect("known");
                 assert!(!owed.ended, "two final answers");
-                let safe = self.settings.classes[owed.class].effect == Effect::Safe;
+                let safe = self.settings.classes[owed.class].idempotency == Idempotency::Idempotent;
                 assert!(safe || (owed.may_have_run.is_none() && owed.out.is_empty()), "a false promise");
                 owed.ended = true;
             }
@@ -117,7 +119,7 @@
                 assert!(!owed.ended, "two final answers");
                 owed.ended = true;
             }
-            Action::Timer { after, .. } => assert!(*after > 0),
+            Action::SetTimer { after, .. } => assert!(*after > 0),
             _ => {}
         }
     }
@@ -172,13 +174,23 @@
         let answered = outcome.answers();
         let (primary, position) = (primary.filter(|_| answered), position.filter(|_| answered));
         self.learn(member, primary, position, true);
-        let report = Report::default();
-        let answer = Answer { request, attempt, member, outcome, took, finished, primary, position, report };
-        self.tell(Event::Answer(answer));
+        let report = LoadReport::default();
+        let answer = AttemptResult {
+            request,
+            attempt,
+            member,
+            outcome,
+            elapsed: took,
+            request_finished: finished,
+            is_primary: primary,
+            position,
+            load_report: report,
+        };
+        self.tell(Event::AttemptEnded(answer));
     }
 
-    fn play(steps: &[Step], lagging: Lagging) -> Vec<Action> {
-        let settings = Settings { lagging, ..settings() };
+    fn play(steps: &[Step], lagging: LaggingReads) -> Vec<Action> {
+        let settings = Settings { lagging_reads: lagging, ..settings() };
         let mut world = World {
             router: Router::new(settings.clone(), 9),
             settings,
@@ -190,7 +202,7 @@
             all: Vec::new(),
         };
         let members = (0..5).map(|id| member(id, id == 0)).collect();
-        world.tell(Event::List { scope: ListScope::Cached, members });
+        world.tell(Event::EndpointList { scope: ListScope::Cached, members });
         for step in steps {
             world.step(step);
         }
@@ -207,8 +219,16 @@
                 let last_write = age.map(|ms| self.now - Span::from(ms) * MS);
                 self.owed.insert(id, Owed { class, deadline, ..Owed::default() });
                 let (group, session) = (GROUP, Some(SessionId("s".into())));
-                let request =
-                    Request { id, class, group, deadline, session, last_write, repeat: false, fresh: false };
+                let request = Request {
+                    id,
+                    class,
+                    group,
+                    deadline,
+                    session,
+                    last_write,
+                    is_retry: false,
+                    requires_strong_read: false,
+                };
                 self.tell(Event::Request(request));
             }
             Step::End { pick, outcome, primary, lag } => {
@@ -228,13 +248,19 @@
                 if answered {
                     self.learn(member, Some(primary), position, false);
                 }
-                let report = Report { position, primary: Some(primary), ..Report::default() };
-                self.tell(Event::Probed { member, answered, took: MS, report });
+                let report = LoadReport { position, is_primary: Some(primary), ..LoadReport::default() };
+                self.tell(Event::HealthChecked {
+                    member,
+                    responded: answered,
+                    elapsed: MS,
+                    load_report: report,
+                });
             }
             Step::Standing { member: id, standing, restarted, primary } => {
-                let standing = [Standing::Serving, Standing::Draining, Standing::Gone][usize::from(standing)];
+                let standing =
+                    [Lifecycle::Serving, Lifecycle::Draining, Lifecycle::Removed][usize::from(standing)];
                 let id = MemberId(u32::from(id));
-                if standing == Standing::Serving {
+                if standing == Lifecycle::Serving {
                     self.barred.remove(&id);
                 } else {
                     self.barred.entry(id).or_insert(self.now);
@@ -243,15 +269,15 @@
                     self.been_primary.insert(id, true);
                 }
                 let started = Some(self.now).filter(|_| restarted);
-                let entry = Member { standing, started, ..member(id.0, primary) };
-                self.tell(Event::List { scope: ListScope::Changes, members: vec![entry] });
+                let entry = Member { lifecycle: standing, started_at: started, ..member(id.0, primary) };
+                self.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![entry] });
             }
             Step::Abandon { pick } => {
                 let open: Vec<_> = self.owed.iter().filter(|(_, o)| !o.ended).map(|(id, _)| *id).collect();
                 if !open.is_empty() {
                     let id = open[usize::from(pick) % open.len()];
                     self.owed.get_mut(&id).expect("known").ended = true;
-                    self.tell(Event::Abandoned(id));
+                    self.tell(Event::ClientDisconnected(id));
                 }
             }
             Step::Pass { ms } => self.pass(Span::from(ms) * MS),
@@ -266,10 +292,10 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let days = proptest::collection::vec(step(), 1..150);
     let result = runner.run(&days, |steps| {
-        for lagging in [Lagging::Answers, Lagging::Refuses] {
+        for lagging in [LaggingReads::ServedStale, LaggingReads::Rejected] {
             // Where replicas check reads they keep the bound; the other rules must hold all the same.
             let left_out =
-                |s: &Step| lagging == Lagging::Refuses && matches!(s, Step::Ask { class: BOUNDED, .. });
+                |s: &Step| lagging == LaggingReads::Rejected && matches!(s, Step::Ask { class: BOUNDED, .. });
             let steps: Vec<_> = steps.iter().filter(|s| !left_out(s)).cloned().collect();
             assert_eq!(World::play(&steps, lagging), World::play(&steps, lagging));
         }
--- a/crates/stackgw-router/tests/ordinary_path.rs
+++ b/crates/stackgw-router/tests/ordinary_path.rs
@@ -16,7 +16,7 @@
 fn bounded_reads_rotate_over_fresh_replicas_by_weight() {
     let mut bench = Bench::heard(settings(), 4);
     let heavy = Member { weight: 2.0, ..member(3, false) };
-    bench.tell(Event::List { scope: ListScope::Changes, members: vec![heavy] });
+    bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![heavy] });
     let mut counts = [0; 4];
     for _ in 0..40 {
         let (id, actions) = bench.ask(BOUNDED);
@@ -60,20 +60,20 @@
 
 #[test]
 fn where_replicas_check_reads_the_most_advanced_is_asked_first() {
-    let mut bench = Bench::new(Settings { lagging: Lagging::Refuses, ..settings() }, 3);
+    let mut bench = Bench::new(Settings { lagging_reads: LaggingReads::Rejected, ..settings() }, 3);
     bench.probed(0, true, bench.now);
     bench.probed(1, false, bench.now - 750 * MS);
     bench.probed(2, false, bench.now - 700 * MS);
     let (id, actions) = bench.ask(BOUNDED);
     assert_eq!(sent(&actions), [2]);
-    let actions = bench.end(id, 2, Outcome::NotHere, MS);
+    let actions = bench.end(id, 2, Outcome::Misrouted, MS);
     assert_eq!(sent(&actions), [0], "then the primary");
 }
 
 #[test]
 fn replicas_last_heard_hopelessly_behind_are_not_asked() {
     // Danger: where all lag, each read wastes a wait and an attempt on a miss that was foreseeable.
-    let mut bench = Bench::new(Settings { lagging: Lagging::Refuses, ..settings() }, 3);
+    let mut bench = Bench::new(Settings { lagging_reads: LaggingReads::Rejected, ..settings() }, 3);
     bench.probed(0, true, bench.now);
     (1..3).for_each(|id| bench.probed(id, false, bench.now - 5 * SECOND));
     assert_eq!(sent(&bench.ask(BOUNDED).1), [0]);
@@ -81,7 +81,7 @@
 
 #[test]
 fn where_replicas_check_reads_an_aged_position_alone_excludes_none() {
-    let mut bench = Bench::heard(Settings { lagging: Lagging::Waits(20 * MS), ..settings() }, 3);
+    let mut bench = Bench::heard(Settings { lagging_reads: LaggingReads::Delayed(20 * MS), ..settings() }, 3);
     bench.now += 2 * BOUND;
     let used: Vec<_> = (0..4).flat_map(|_| sent(&bench.ask(BOUNDED).1)).collect();
     assert!(used.contains(&1) && used.contains(&2), "the load is spread, not piled on one: {used:?}");
@@ -119,7 +119,7 @@
 
 #[test]
 fn the_router_remembers_a_sessions_write_where_clients_do_not() {
-    let mut bench = Bench::heard(Settings { session_marks: SessionMarks::Router, ..settings() }, 3);
+    let mut bench = Bench::heard(Settings { session_tracking: SessionTracking::Router, ..settings() }, 3);
     let (id, _) = bench.ask(WRITE);
     bench.now += 50 * MS;
     bench.end_as(id, 0, Outcome::Served, 50 * MS, Some(true), Some(bench.now));
@@ -179,6 +179,6 @@
         bench.pass(20 * MS);
         bench.end_as(id, to, Outcome::Served, 20 * MS, Some(to == 0), Some(bench.now));
     }
-    let unusual = |a: &&Action| matches!(a, Action::Cancel { .. } | Action::Refuse { .. } | Action::Fail(_));
+    let unusual = |a: &&Action| matches!(a, Action::Cancel { .. } | Action::Reject { .. } | Action::Fail(_));
     assert_eq!(bench.log.iter().filter(unusual).count(), 0);
 }
--- a/crates/stackgw-router/tests/rules.rs
+++ b/crates/stackgw-router/tests/rules.rs
@@ -10,13 +10,13 @@
 #[test]
 fn a_held_request_is_refused_while_its_client_can_still_come_back() {
     let mut bench = Bench::new(settings(), 1);
-    bench.tell(Event::List { scope: ListScope::Full, members: vec![] });
+    bench.tell(Event::EndpointList { scope: ListScope::Full, members: vec![] });
     let (id, actions) = bench.ask(WRITE);
-    assert!(actions.iter().all(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))));
+    assert!(actions.iter().all(|a| !matches!(a, Action::Reject { .. } | Action::Fail(_))));
     let actions = bench.pass(2 * SECOND);
     assert!(refused(&actions, id));
     let hint = actions.iter().find_map(|a| match a {
-        Action::Refuse { retry_after, .. } => *retry_after,
+        Action::Reject { retry_after, .. } => *retry_after,
         _ => None,
     });
     assert!(hint.is_some_and(|h| h > 0 && h <= SECOND), "says when to come back: {hint:?}");
@@ -28,7 +28,7 @@
 fn a_held_write_is_refused_before_half_of_its_time_is_over() {
     for time in [40, 360, 750, 3_000] {
         let mut bench = Bench::new(settings(), 1);
-        bench.tell(Event::List { scope: ListScope::Full, members: vec![] });
+        bench.tell(Event::EndpointList { scope: ListScope::Full, members: vec![] });
         let request =
             Request { class: WRITE, group: GROUP, deadline: bench.now + time * MS, ..Request::default() };
         let asked = bench.now;
@@ -54,9 +54,9 @@
     let mut bench = Bench::heard(settings(), 3);
     let (id, actions) = bench.ask(BOUNDED);
     let to = sent(&actions)[0];
-    bench.tell(Event::Abandoned(id));
-    bench.tell(Event::Abandoned(id));
-    let actions = bench.end(id, to, Outcome::Broken, 10 * MS);
+    bench.tell(Event::ClientDisconnected(id));
+    bench.tell(Event::ClientDisconnected(id));
+    let actions = bench.end(id, to, Outcome::ConnectionReset, 10 * MS);
     assert!(sent(&actions).is_empty() && !refused(&actions, id) && !failed(&actions, id));
 }
 
@@ -64,7 +64,7 @@
 
 #[test]
 fn an_unsafe_write_that_may_have_run_is_only_failed() {
-    for outcome in [Outcome::TimedOut, Outcome::Broken, Outcome::Error, Outcome::Cancelled] {
+    for outcome in [Outcome::TimedOut, Outcome::ConnectionReset, Outcome::Error, Outcome::Cancelled] {
         let mut bench = Bench::heard(settings(), 3);
         let (id, _) = bench.ask(WRITE);
         bench.now += 100 * MS;
@@ -77,7 +77,7 @@
 fn an_unsafe_write_that_never_ran_goes_on() {
     let mut bench = Bench::heard(settings(), 3);
     let (id, _) = bench.ask(WRITE);
-    let actions = bench.end_as(id, 0, Outcome::NotHere, MS, Some(false), Some(bench.now + MS));
+    let actions = bench.end_as(id, 0, Outcome::Misrouted, MS, Some(false), Some(bench.now + MS));
     assert_eq!(sent(&actions).len(), 1, "the next member is tried");
     assert_ne!(sent(&actions), [0]);
 }
@@ -87,10 +87,10 @@
     let mut bench = Bench::heard(settings(), 3);
     let (id, _) = bench.ask(KEYED);
     bench.now += 500 * MS;
-    let actions = bench.end(id, 0, Outcome::Broken, 500 * MS);
+    let actions = bench.end(id, 0, Outcome::ConnectionReset, 500 * MS);
     assert_eq!(sent(&actions), [0]);
     bench.now += 1_600 * MS;
-    let actions = bench.end(id, 0, Outcome::Broken, 1_600 * MS);
+    let actions = bench.end(id, 0, Outcome::ConnectionReset, 1_600 * MS);
     assert!(sent(&actions).is_empty(), "its key is forgotten by now");
     assert!(failed(&actions, id) && !refused(&actions, id), "it may have run");
 }
@@ -114,7 +114,7 @@
     let mut count = 0;
     while let [member] = to[..] {
         count += 1;
-        to = sent(&bench.end(id, member, Outcome::Shed, MS));
+        to = sent(&bench.end(id, member, Outcome::Overloaded, MS));
     }
     assert_eq!(count, 6);
 }
@@ -123,10 +123,10 @@
 
 #[test]
 fn a_draining_or_gone_replica_gets_nothing_new() {
-    for standing in [Standing::Draining, Standing::Gone] {
+    for standing in [Lifecycle::Draining, Lifecycle::Removed] {
         let mut bench = Bench::heard(settings(), 3);
-        let gone = Member { standing, ..member(1, false) };
-        bench.tell(Event::List { scope: ListScope::Changes, members: vec![gone] });
+        let gone = Member { lifecycle: standing, ..member(1, false) };
+        bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![gone] });
         for _ in 0..6 {
             assert_eq!(sent(&bench.ask(LOOSE).1), [2]);
         }
@@ -136,8 +136,8 @@
 #[test]
 fn a_draining_primary_takes_writes_inside_the_grace_while_no_other_is_known() {
     let mut bench = Bench::heard(settings(), 3);
-    let drains = Member { standing: Standing::Draining, ..member(0, true) };
-    bench.tell(Event::List { scope: ListScope::Changes, members: vec![drains] });
+    let drains = Member { lifecycle: Lifecycle::Draining, ..member(0, true) };
+    bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![drains] });
     bench.now += 500 * MS;
     assert_eq!(sent(&bench.ask(WRITE).1), [0]);
     bench.now += 400 * MS;
@@ -150,7 +150,7 @@
 fn a_member_missing_from_a_full_list_is_gone() {
     let mut bench = Bench::heard(settings(), 3);
     let left = vec![member(0, true), member(2, false)];
-    bench.tell(Event::List { scope: ListScope::Full, members: left });
+    bench.tell(Event::EndpointList { scope: ListScope::Full, members: left });
     for _ in 0..4 {
         assert_eq!(sent(&bench.ask(LOOSE).1), [2]);
     }
@@ -159,14 +159,14 @@
 // ---- Cold members ----
 
 fn cold(id: u32, primary: bool, now: Time) -> Member {
-    Member { started: Some(now), ..member(id, primary) }
+    Member { started_at: Some(now), ..member(id, primary) }
 }
 
 #[test]
 fn a_cold_member_gets_no_more_than_its_budget_whatever_fails() {
     let mut bench = Bench::heard(settings(), 3);
     bench.pass(SECOND);
-    bench.tell(Event::List { scope: ListScope::Changes, members: vec![cold(2, false, bench.now)] });
+    bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![cold(2, false, bench.now)] });
     let mut to_cold = 0;
     // 300 requests in 2 s, each turned away at once: a limit on requests in flight would not hold them.
     for _ in 0..300 {
@@ -180,9 +180,9 @@
 #[test]
 fn a_drained_primary_with_a_cold_successor_does_not_flood_it() {
     let mut bench = Bench::heard(settings(), 3);
-    let drains = Member { standing: Standing::Draining, ..member(0, true) };
+    let drains = Member { lifecycle: Lifecycle::Draining, ..member(0, true) };
     let change = vec![drains, cold(1, false, bench.now)];
-    bench.tell(Event::List { scope: ListScope::Changes, members: change });
+    bench.tell(Event::EndpointList { scope: ListScope::Changes, members: change });
     bench.now += SECOND;
     bench.probed(1, true, bench.now);
     let first: usize = (0..100).map(|_| sent(&bench.ask(WRITE).1).len()).sum();
@@ -194,7 +194,7 @@
 #[test]
 fn where_replicas_do_not_check_no_bounded_read_goes_past_its_bound() {
     let mut bench = Bench::heard(settings(), 3);
-    bench.tell(Event::List { scope: ListScope::Changes, members: vec![member(0, false)] });
+    bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![member(0, false)] });
     bench.probed(0, false, bench.now + MS);
     bench.now += BOUND;
     let (_, actions) = bench.ask(BOUNDED);
@@ -203,14 +203,14 @@
 
 #[test]
 fn a_new_member_is_not_taken_for_fresh() {
-    let mut bench = Bench::heard(Settings { session_marks: SessionMarks::Router, ..settings() }, 2);
+    let mut bench = Bench::heard(Settings { session_tracking: SessionTracking::Router, ..settings() }, 2);
     let (id, _) = bench.ask(WRITE);
     bench.end_as(id, 0, Outcome::Served, 10 * MS, Some(true), Some(bench.now));
     bench.pass(2 * SECOND);
     (0..2).for_each(|m| bench.probed(m, m == 0, bench.now));
     bench.pass(2 * SECOND);
     // Every member covered the write; one that joins now may start from an older copy.
-    bench.tell(Event::List { scope: ListScope::Changes, members: vec![cold(2, false, bench.now)] });
+    bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![cold(2, false, bench.now)] });
     for _ in 0..6 {
         assert!(!sent(&bench.ask(SESSION).1).contains(&2));
     }
@@ -261,12 +261,12 @@
     let mut bench = Bench::new(settings(), 3);
     let (id, actions) = bench.ask(WRITE);
     assert_eq!(sent(&actions), [0], "the list is all there is");
-    let actions = bench.end_as(id, 0, Outcome::NotHere, MS, Some(false), Some(bench.now));
+    let actions = bench.end_as(id, 0, Outcome::Misrouted, MS, Some(false), Some(bench.now));
     let tried = sent(&actions)[0];
-    let actions = bench.end_as(id, tried, Outcome::NotHere, MS, Some(false), Some(bench.now));
+    let actions = bench.end_as(id, tried, Outcome::Misrouted, MS, Some(false), Some(bench.now));
     let last = sent(&actions)[0];
     assert_ne!(last, tried);
-    bench.end_as(id, last, Outcome::NotHere, MS, Some(false), Some(bench.now));
+    bench.end_as(id, last, Outcome::Misrouted, MS, Some(false), Some(bench.now));
     assert!(!refused(&bench.log, id), "after one round it waits for a probe");
     bench.now += 200 * MS;
     bench.probed(tried, true, bench.now);
@@ -278,8 +278,8 @@
 #[test]
 fn a_silent_replica_loses_its_reads_to_the_others() {
     let mut patient = settings();
-    patient.classes.iter_mut().for_each(|class| class.aim = 100 * MS);
-    patient.classes[LOOSE].aim = 2 * SECOND;
+    patient.classes.iter_mut().for_each(|class| class.latency_objective = 100 * MS);
+    patient.classes[LOOSE].latency_objective = 2 * SECOND;
     let mut bench = Bench::heard(patient, 3);
     let open: Vec<_> = (0..6).map(|_| bench.ask(LOOSE)).collect();
     let mut stuck = None;
@@ -308,7 +308,7 @@
         (id, _) = bench.ask(LOOSE);
         to = 1;
     }
-    assert_eq!(sent(&bench.end(id, to, Outcome::NoConnection, MS)), [2], "sent on at once");
+    assert_eq!(sent(&bench.end(id, to, Outcome::ConnectFailed, MS)), [2], "sent on at once");
     let next: Vec<_> = (0..4).flat_map(|_| sent(&bench.ask(LOOSE).1)).collect();
     assert!(!next.contains(&1));
     bench.pass(300 * MS);
@@ -330,7 +330,7 @@
         let outcome = if round % 2 == 0 { Outcome::TimedOut } else { Outcome::Served };
         bench.now += 20 * MS;
         if outcome == Outcome::TimedOut {
-            bench.tell(Event::Abandoned(id));
+            bench.tell(Event::ClientDisconnected(id));
         }
         bench.end(id, 1, outcome, 20 * MS);
     }
@@ -361,10 +361,10 @@
 fn a_read_too_late_to_be_of_worth_is_asked_to_stay_away_for_long() {
     // Danger: its retry comes back late by nature, and many of them are a storm.
     let mut bench = Bench::new(settings(), 1);
-    bench.tell(Event::List { scope: ListScope::Full, members: vec![] });
+    bench.tell(Event::EndpointList { scope: ListScope::Full, members: vec![] });
     let (id, _) = bench.ask(LOOSE);
     let actions = bench.pass(300 * MS);
-    assert!(actions.contains(&Action::Refuse { request: id, retry_after: Some(SECOND) }));
+    assert!(actions.contains(&Action::Reject { request: id, retry_after: Some(SECOND) }));
 }
 
 #[test]
@@ -372,9 +372,9 @@
     // Danger: late answers that earn a fifth take the room of answers that earn it all.
     for (late_worth, held) in [(0.2, false), (0.7, true)] {
         let mut settings = settings();
-        settings.classes[LOOSE].late_worth = late_worth;
+        settings.classes[LOOSE].late_weight_share = late_worth;
         let mut bench = Bench::new(settings, 1);
-        bench.tell(Event::List { scope: ListScope::Full, members: vec![] });
+        bench.tell(Event::EndpointList { scope: ListScope::Full, members: vec![] });
         let (id, _) = bench.ask(LOOSE);
         assert_eq!(refused(&bench.pass(400 * MS), id), !held, "{late_worth}");
     }
@@ -427,10 +427,10 @@
 fn a_frozen_list_does_not_bring_an_old_primary_back() {
     let mut bench = Bench::heard(Settings { role_listing: RoleListing::AtStart, ..settings() }, 3);
     let (id, _) = bench.ask(WRITE);
-    bench.end_as(id, 0, Outcome::NotHere, MS, Some(false), Some(bench.now));
+    bench.end_as(id, 0, Outcome::Misrouted, MS, Some(false), Some(bench.now));
     bench.now += SECOND;
     bench.probed(2, true, bench.now);
-    bench.tell(Event::List { scope: ListScope::Changes, members: vec![member(0, true)] });
+    bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![member(0, true)] });
     assert_eq!(sent(&bench.ask(WRITE).1), [2]);
 }
 
@@ -447,7 +447,7 @@
             if member == new {
                 break;
             }
-            to = sent(&bench.end_as(id, member, Outcome::NotHere, MS, Some(false), Some(bench.now)));
+            to = sent(&bench.end_as(id, member, Outcome::Misrouted, MS, Some(false), Some(bench.now)));
         }
         bench.now += 100 * MS;
         bench.probed(new, true, bench.now);
@@ -457,8 +457,8 @@
 
 #[test]
 fn a_failed_list_changes_nothing_and_is_asked_for_again() {
-    let mut bench = Bench::heard(Settings { list_on_request: true, ..settings() }, 3);
-    let actions = bench.tell(Event::List { scope: ListScope::Failed, members: vec![] });
+    let mut bench = Bench::heard(Settings { polls_endpoint_list: true, ..settings() }, 3);
+    let actions = bench.tell(Event::EndpointList { scope: ListScope::Failed, members: vec![] });
     assert!(actions.contains(&Action::Subscribe(true)));
     assert_eq!(sent(&bench.ask(WRITE).1), [0]);
 }
@@ -474,8 +474,8 @@
             bench.end(id, 0, Outcome::Served, 50 * MS);
             bench.pass(950 * MS);
         }
-        let cold = Member { started: Some(bench.now), ..member(0, true) };
-        bench.tell(Event::List { scope: ListScope::Changes, members: vec![cold] });
+        let cold = Member { started_at: Some(bench.now), ..member(0, true) };
+        bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![cold] });
         bench.probed(0, true, bench.now);
         bench.log.clear();
         bench.ask(WRITE);
@@ -493,8 +493,8 @@
     let (id, actions) = bench.ask(KEYED);
     assert_eq!(sent(&actions), [0]);
     bench.now += 100 * MS;
-    bench.tell(Event::List { scope: ListScope::Full, members: vec![] });
-    let actions = bench.end(id, 0, Outcome::Broken, 100 * MS);
+    bench.tell(Event::EndpointList { scope: ListScope::Full, members: vec![] });
+    let actions = bench.end(id, 0, Outcome::ConnectionReset, 100 * MS);
     assert!(actions.iter().all(|a| !matches!(a, Action::Fail(_))), "held: it may be repeated");
     let mut after = 10 * MS;
     while bench.now < deadline {
@@ -503,7 +503,7 @@
         if failed(&actions, id) || refused(&actions, id) {
             return assert!(bench.now < deadline);
         }
-        let next = |a: &Action| if let Action::Timer { after, .. } = a { Some(*after) } else { None };
+        let next = |a: &Action| if let Action::SetTimer { after, .. } = a { Some(*after) } else { None };
         after = actions.iter().find_map(next).expect("a timer is always set");
     }
     panic!("no final answer before the deadline");
@@ -515,13 +515,17 @@
     let mut bench = Bench::heard(settings(), 3);
     let (id, actions) = bench.ask(BOUNDED);
     let busy = sent(&actions)[0];
-    let gone = |n| Member { standing: Standing::Gone, ..member(n, false) };
+    let gone = |n| Member { lifecycle: Lifecycle::Removed, ..member(n, false) };
     let forgotten = |bench: &Bench| -> Vec<u32> {
-        bench.log.iter().filter_map(|a| if let Action::Forget(id) = a { Some(id.0) } else { None }).collect()
+        bench
+            .log
+            .iter()
+            .filter_map(|a| if let Action::ForgetMember(id) = a { Some(id.0) } else { None })
+            .collect()
     };
     for n in 10..300 {
-        let drains = Member { standing: Standing::Draining, ..member(9, false) };
-        bench.tell(Event::List {
+        let drains = Member { lifecycle: Lifecycle::Draining, ..member(9, false) };
+        bench.tell(Event::EndpointList {
             scope: ListScope::Changes,
             members: vec![member(n, false), gone(n - 1), drains],
         });
@@ -532,7 +536,7 @@
     assert!(dropped.len() > 250 && dropped.len() < 290, "{} were forgotten, {members:?}", dropped.len());
     assert!(dropped.iter().all(|n| (9..290).contains(n)), "one that still serves was forgotten: {members:?}");
     // One with an attempt out is kept until that has ended.
-    bench.tell(Event::List { scope: ListScope::Changes, members: vec![gone(busy)] });
+    bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![gone(busy)] });
     bench.pass(60 * SECOND);
     assert!(!forgotten(&bench).contains(&busy));
     bench.end_as(id, busy, Outcome::Served, MS, Some(false), None);
@@ -580,8 +584,8 @@
     }
     let called = bench.log.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     assert!(called > 20, "{called} called off well before their clients leave");
-    for (member, belief) in bench.router.beliefs() {
-        assert!(!belief.out && belief.limit > 5.0, "{member:?}: {belief:?}");
+    for (member, belief) in bench.router.member_snapshots() {
+        assert!(!belief.ejected && belief.concurrency_limit > 5.0, "{member:?}: {belief:?}");
     }
 }
 
@@ -597,7 +601,9 @@
         bench.end(id, sent(&actions)[0], Outcome::Served, 20 * MS);
     }
     assert!(!bench.log.iter().any(|a| matches!(a, Action::Cancel { .. })));
-    let strain = |bench: &Bench| bench.router.beliefs().find(|(id, _)| id.0 == to).map(|(_, b)| b.strain);
+    let strain = |bench: &Bench| {
+        bench.router.member_snapshots().find(|(id, _)| id.0 == to).map(|(_, b)| b.latency_ratio)
+    };
     let before = strain(&bench);
     bench.end(slow, to, Outcome::TimedOut, 800 * MS);
     assert!(strain(&bench) > before);
@@ -609,9 +615,9 @@
     let mut bench = Bench::heard(settings(), 3);
     for _ in 0..STRIKES {
         let (id, _) = bench.ask(WRITE);
-        bench.end(id, 0, Outcome::Broken, MS);
+        bench.end(id, 0, Outcome::ConnectionReset, MS);
     }
-    assert!(bench.router.beliefs().any(|(id, b)| id.0 == 0 && b.out));
+    assert!(bench.router.member_snapshots().any(|(id, b)| id.0 == 0 && b.ejected));
     bench.pass(300 * MS);
     let now = bench.now;
     (1..3).for_each(|id| bench.probed(id, false, now));
@@ -649,10 +655,17 @@
     let mut bench = Bench::new(settings(), 2);
     let deadline = bench.now + 3 * SECOND;
     let id = RequestId(900);
-    let request = Request { id, class: SESSION, group: GROUP, deadline, fresh: true, ..Request::default() };
+    let request = Request {
+        id,
+        class: SESSION,
+        group: GROUP,
+        deadline,
+        requires_strong_read: true,
+        ..Request::default()
+    };
     let actions = bench.tell(Event::Request(request));
     assert!(sent(&actions).is_empty(), "the list alone proves nothing");
-    assert!(actions.contains(&Action::Probe(MemberId(0))), "so it is asked: {actions:?}");
+    assert!(actions.contains(&Action::HealthCheck(MemberId(0))), "so it is asked: {actions:?}");
     // The listed one has become a replica, however far it has come.
     bench.probed(0, false, bench.now);
     assert!(!bench.log.iter().any(|a| matches!(a, Action::Send { .. })));
@@ -665,14 +678,14 @@
     for holds in [false, true] {
         let mut bench = Bench::new(settings(), 1);
         if holds {
-            let word = News {
+            let word = GossipUpdate {
                 member: MemberId(0),
                 position: Some(bench.now),
-                primary: None,
-                strain: 0.0,
-                answers: 0,
+                is_primary: None,
+                latency_ratio: 0.0,
+                samples: 0,
             };
-            bench.tell(Event::Peer { told: bench.now, relay: false, news: vec![word] });
+            bench.tell(Event::Gossip { sent_at: bench.now, relay: false, updates: vec![word] });
         }
         let (_, actions) = bench.ask_since(SESSION, Some(100 * MS));
         assert_eq!(sent(&actions).len(), usize::from(holds));
--- a/crates/stackgw-router/tests/ways.rs
+++ b/crates/stackgw-router/tests/ways.rs
@@ -9,7 +9,7 @@
     let mut bench = Bench::heard(settings(), 3);
     bench.now += 10 * MS;
     for (id, ways) in ways.into_iter().enumerate() {
-        bench.router.reach(MemberId(id as u32), ways);
+        bench.router.set_connection_permits(MemberId(id as u32), ways);
     }
     bench
 }
@@ -27,7 +27,7 @@
     // The turn is taken: until the host says what there is, nothing more goes there.
     let (_, actions) = bench.ask(WRITE);
     assert!(sent(&actions).is_empty());
-    bench.router.reach(MemberId(0), Some((1, Time::MAX)));
+    bench.router.set_connection_permits(MemberId(0), Some((1, Time::MAX)));
     let actions = bench.end(write, 0, Outcome::Served, 5 * MS);
     assert_eq!(sent(&actions), [0], "a connection is free again");
 }
@@ -48,43 +48,44 @@
 #[test]
 fn a_start_of_its_process_leaves_a_members_ways_as_the_host_told_them() {
     let mut bench = dealt([None, Some((0, Time::MAX)), Some((0, Time::MAX))]);
-    let started = |id| Member { started: Some(START), ..member(id, false) };
-    bench.tell(Event::List { scope: ListScope::Changes, members: vec![started(1), started(2)] });
+    let started = |id| Member { started_at: Some(START), ..member(id, false) };
+    bench.tell(Event::EndpointList { scope: ListScope::Changes, members: vec![started(1), started(2)] });
     assert_eq!(sent(&bench.ask(BOUNDED).1), [0], "the primary is all that can be reached");
 }
 
 #[test]
 fn word_that_the_host_carries_is_handed_over_once_and_heard_without_being_passed_on() {
-    let limits = Limits { carried: true, ..settings().limits };
+    let limits = Limits { host_gossip: true, ..settings().limits };
     let mut bench = Bench::new(Settings { limits, fleet_size: 3, ..settings() }, 3);
     bench.probed(1, false, START);
-    assert_eq!(bench.router.news().iter().map(|news| news.member).collect::<Vec<_>>(), [MemberId(1)]);
-    assert!(bench.router.news().is_empty());
-    let word = |id, primary| News {
+    assert_eq!(bench.router.take_gossip().iter().map(|news| news.member).collect::<Vec<_>>(), [MemberId(1)]);
+    assert!(bench.router.take_gossip().is_empty());
+    let word = |id, primary| GossipUpdate {
         member: MemberId(id),
         position: Some(START),
-        primary: Some(primary),
-        strain: 0.0,
-        answers: 0,
+        is_primary: Some(primary),
+        latency_ratio: 0.0,
+        samples: 0,
     };
-    bench.tell(Event::Peer { told: START, relay: false, news: vec![word(2, true), word(0, false)] });
-    assert!(bench.router.news().is_empty());
+    bench.tell(Event::Gossip { sent_at: START, relay: false, updates: vec![word(2, true), word(0, false)] });
+    assert!(bench.router.take_gossip().is_empty());
     assert_eq!(sent(&bench.ask(WRITE).1), [2], "the primary as others heard it, without a probe");
-    assert!(bench.pass(2 * SECOND).iter().all(|action| !matches!(action, Action::Tell { .. })));
+    assert!(bench.pass(2 * SECOND).iter().all(|action| !matches!(action, Action::SendGossip { .. })));
 }
 
 #[test]
 fn a_router_with_few_connections_to_cold_members_uses_what_the_others_cannot() {
     // All three have just started; what a window allows at one that is reached grows as others are not.
     let most = |reached: usize| {
-        let mut bench = Bench::heard(Settings { fleet_size: 10, lagging: Lagging::Refuses, ..settings() }, 4);
-        let started = |id| Member { started: Some(bench.now), ..member(id, false) };
+        let mut bench =
+            Bench::heard(Settings { fleet_size: 10, lagging_reads: LaggingReads::Rejected, ..settings() }, 4);
+        let started = |id| Member { started_at: Some(bench.now), ..member(id, false) };
         let members = (1..4).map(started).collect();
-        bench.tell(Event::List { scope: ListScope::Changes, members });
-        bench.router.expect(10.0);
+        bench.tell(Event::EndpointList { scope: ListScope::Changes, members });
+        bench.router.seed_warm_throughput(10.0);
         (1..4).for_each(|id| bench.probed(id, false, START));
         let free = |id: usize| (if id <= reached { 50 } else { 0 }, Time::MAX);
-        (1..4).for_each(|id| bench.router.reach(MemberId(id as u32), Some(free(id))));
+        (1..4).for_each(|id| bench.router.set_connection_permits(MemberId(id as u32), Some(free(id))));
         let mut to_one = 0;
         for _ in 0..60 {
             to_one += bench.served(LOOSE, MS).into_iter().filter(|member| *member == 1).count();
--- a/crates/stackgw-settings/src/document.rs
+++ b/crates/stackgw-settings/src/document.rs
@@ -57,9 +57,9 @@
 
 /// Notes one field of a load report under the settings' name for it. The position (`x0`) is not among them: its zero
 /// and its precision are the wire's. Names without a meaning here are skipped.
-pub fn note_load(report: &mut Report, name: &str, value: f64) {
+pub fn note_load(report: &mut LoadReport, name: &str, value: f64) {
     match name {
-        "x1" => report.primary = Some(value > 0.5),
+        "x1" => report.is_primary = Some(value > 0.5),
         "inflight" => report.in_flight = Some(value),
         "queue" => report.queued = Some(value),
         "util" => report.utilisation = Some(value),
@@ -81,37 +81,37 @@
     let class = |(i, c): (usize, &Value)| -> Result<Class, String> {
         let bound = bounds.get(i).and_then(Value::as_i64);
         let need = match needs.get(i).and_then(Value::as_str) {
-            Some("update") => Need::Write,
-            Some("latest") => Need::Fresh,
-            Some("own_writes") => Need::Session,
+            Some("update") => Consistency::Write,
+            Some("latest") => Consistency::Strong,
+            Some("own_writes") => Consistency::ReadYourWrites,
             Some("recent") => {
                 let bound = bound.ok_or("StalenessBoundNs is too short")?;
-                Need::Bounded(
+                Consistency::BoundedStaleness(
                     Some(bound).filter(|b| *b > 0).ok_or("StalenessBoundNs holds one that is not above 0")?,
                 )
             }
-            Some("loose") => Need::Loose,
+            Some("loose") => Consistency::Eventual,
             other => return Err(format!("NeedsByClass holds {other:?} for class {i}")),
         };
         let scope = || match word(c, "Group")? {
             "cell" => Ok(KeyScope::Group),
             "zone" => Ok(KeyScope::Zone),
-            "all" => Ok(KeyScope::Everywhere),
+            "all" => Ok(KeyScope::Global),
             other => Err(format!("Group holds '{other}'")),
         };
         let effect = match word(c, "Effect")? {
-            "retryable" => Effect::Safe,
-            "dedup" => Effect::Keyed { scope: scope()?, window: span(c, "DedupWindowNs")? },
-            "fragile" => Effect::Unsafe,
+            "retryable" => Idempotency::Idempotent,
+            "dedup" => Idempotency::WithKey { scope: scope()?, window: span(c, "DedupWindowNs")? },
+            "fragile" => Idempotency::NonIdempotent,
             other => return Err(format!("Effect holds '{other}'")),
         };
         Ok(Class {
-            need,
-            effect,
-            aim: above_zero(c, "AimNs")?,
+            consistency: need,
+            idempotency: effect,
+            latency_objective: above_zero(c, "AimNs")?,
             deadline: above_zero(c, "DeadlineNs")?,
-            worth: amount(c, "Worth")?,
-            late_worth: amount(c, "LateWorth")?,
+            priority_weight: amount(c, "Worth")?,
+            late_weight_share: amount(c, "LateWorth")?,
         })
     };
     let reported = list(stats, "Fields")?;
@@ -124,63 +124,63 @@
                 Err("FleetSize is not above 0".to_owned())
             }
         })?,
-        me: index(conf, "Me")?,
+        instance_index: index(conf, "Me")?,
         zone: index(conf, "Zone")?,
         tick: span(conf, "QuantumNs")?,
-        list_on_request: word(conf, "MembershipMode")? == "subscribe",
-        must_ask_within: span_or(rules, "MustAskInNs", 0)?,
-        lagging: match word(domain, "Behind")? {
-            "silent" => Lagging::Answers,
-            "reject" => Lagging::Refuses,
-            "hold" => Lagging::Waits(span(domain, "CatchUpWaitNs")?),
+        polls_endpoint_list: word(conf, "MembershipMode")? == "subscribe",
+        poll_grace: span_or(rules, "MustAskInNs", 0)?,
+        lagging_reads: match word(domain, "Behind")? {
+            "silent" => LaggingReads::ServedStale,
+            "reject" => LaggingReads::Rejected,
+            "hold" => LaggingReads::Delayed(span(domain, "CatchUpWaitNs")?),
             other => return Err(format!("Behind holds '{other}'")),
         },
-        positions_in_answers: flag(domain, "Stamps")?,
+        positions_in_responses: flag(domain, "Stamps")?,
         role_listing: match word(domain, "RoleListed")? {
-            "delayed" => RoleListing::Late,
+            "delayed" => RoleListing::Delayed,
             "initial" => RoleListing::AtStart,
             "silent" => RoleListing::Never,
             other => return Err(format!("RoleListed holds '{other}'")),
         },
-        session_marks: match word(domain, "SessionMarks")? {
-            "client" => SessionMarks::Client,
-            "router" => SessionMarks::Router,
+        session_tracking: match word(domain, "SessionMarks")? {
+            "client" => SessionTracking::Client,
+            "router" => SessionTracking::Router,
             other => return Err(format!("SessionMarks holds '{other}'")),
         },
-        commit_waits: flag(domain, "CommitWaits")?,
-        reports: match word(stats, "How")? {
-            "piggyback" => Reports::OnAnswers,
-            "pull" => Reports::OnProbes,
-            "silent" => Reports::Never,
+        commit_waits_for_replica: flag(domain, "CommitWaits")?,
+        load_reporting: match word(stats, "How")? {
+            "piggyback" => LoadReporting::OnResponses,
+            "pull" => LoadReporting::OnHealthChecks,
+            "silent" => LoadReporting::Never,
             other => return Err(format!("How holds '{other}'")),
         },
-        report_position: reported.iter().any(|f| f == "x0"),
-        retries_marked: conf.get("Clients").is_some_and(|c| flag(c, "MarksRetry") == Ok(true)),
+        reports_carry_position: reported.iter().any(|f| f == "x0"),
+        retries_are_flagged: conf.get("Clients").is_some_and(|c| flag(c, "MarksRetry") == Ok(true)),
         limits: Limits {
-            attempts: index(limits, "MaxAttempts")?,
-            second_copies: flag(limits, "SecondCopies")?,
+            max_attempts: index(limits, "MaxAttempts")?,
+            hedged_requests: flag(limits, "SecondCopies")?,
             cancel: flag(limits, "Cancel")?,
-            probes: flag(limits, "Probes")?,
+            health_checks: flag(limits, "Probes")?,
             retry_after: flag(limits, "RetryAfter")?,
-            retry_after_max: span_or(limits, "MaxRetryAfterNs", 0)?,
-            peers: flag(limits, "MayTell")?,
-            carried: false,
+            max_retry_after: span_or(limits, "MaxRetryAfterNs", 0)?,
+            gossip: flag(limits, "MayTell")?,
+            host_gossip: false,
             connect_timeout: above_zero(limits, "DialTimeoutNs")?,
         },
         obligations: Obligations {
             answer_slack: span(rules, "AnswerSlackNs")?,
             drain_grace: span(rules, "StopSendingWithinNs")?,
-            only_drains_bind: rules.get("OnlyDrainingBinds").and_then(Value::as_bool).unwrap_or(false),
-            cold_share: amount(rules, "StartCapacity")?,
-            warm_within: span(rules, "WarmWithinNs")?,
-            fall_multiple: amount(rules, "FallMultiple")?,
-            fall_window: above_zero(rules, "FallNs")?,
+            removal_is_advisory: rules.get("OnlyDrainingBinds").and_then(Value::as_bool).unwrap_or(false),
+            cold_capacity_share: amount(rules, "StartCapacity")?,
+            warm_up_time: span(rules, "WarmWithinNs")?,
+            overload_multiple: amount(rules, "FallMultiple")?,
+            overload_window: above_zero(rules, "FallNs")?,
         },
-        prices: Prices {
-            probe: number(prices, "Probe")?,
+        costs: Costs {
+            health_check: number(prices, "Probe")?,
             cross_zone: number(prices, "CrossZone")?,
-            waste: number(prices, "Waste")?,
-            late_fail: number(prices, "LateFail")?,
+            wasted_work: number(prices, "Waste")?,
+            late_failure: number(prices, "LateFail")?,
         },
     })
 }
--- a/crates/stackgw-settings/src/words.rs
+++ b/crates/stackgw-settings/src/words.rs
@@ -3,7 +3,7 @@
 //! A message holds a flag byte (1: to be passed on), the sender's clock in milliseconds (four bytes, low end
 //! first), and for each member six bytes: three of its digest, its position's age, role and strain, answers.
 
-use stackgw_router::api::{MemberId, News, Span, Time, MS};
+use stackgw_router::api::{GossipUpdate, MemberId, Span, Time, MS};
 use std::collections::HashMap;
 
 /// No message is longer.
@@ -44,19 +44,19 @@
     }
 
     /// The messages that carry this news.
-    pub fn pack(&self, now: Time, relay: bool, news: &[News]) -> Vec<Vec<u8>> {
+    pub fn pack(&self, now: Time, relay: bool, news: &[GossipUpdate]) -> Vec<Vec<u8>> {
         let known: Vec<_> = news.iter().filter(|n| self.digests.contains_key(&n.member)).collect();
-        let pack = |part: &[&News]| {
+        let pack = |part: &[&GossipUpdate]| {
             let mut body = vec![u8::from(relay)];
             body.extend(((now / MS) as u32).to_le_bytes());
             for news in part {
                 let age = news.position.map(|at| (now - at).max(0) / AGE_STEP + 2);
                 let age =
                     age.filter(|age| *age < i64::from(NO_POSITION)).map_or(NO_POSITION, |age| age as u8);
-                let role = news.primary.map_or(0, |primary| 1 + u8::from(primary));
-                let strain = (news.strain / STRAIN_STEP).round().clamp(0.0, STRAIN_MOST) as u8;
+                let role = news.is_primary.map_or(0, |primary| 1 + u8::from(primary));
+                let strain = (news.latency_ratio / STRAIN_STEP).round().clamp(0.0, STRAIN_MOST) as u8;
                 body.extend(self.digests.get(&news.member).copied().unwrap_or_default());
-                body.extend([age, role << 6 | strain, news.answers.min(255) as u8]);
+                body.extend([age, role << 6 | strain, news.samples.min(255) as u8]);
             }
             body
         };
@@ -65,7 +65,7 @@
 
     /// What a message says, when it was sent by the common clock, and whether it is to be passed on. `None`:
     /// the bytes are no such message.
-    pub fn unpack(&self, now: Time, body: &[u8]) -> Option<(Time, bool, Vec<News>)> {
+    pub fn unpack(&self, now: Time, body: &[u8]) -> Option<(Time, bool, Vec<GossipUpdate>)> {
         let (&[relay, a, b, c, d], entries) = body.split_first_chunk::<HEAD>()?;
         if relay > 1 || entries.len() % ENTRY != 0 {
             return None;
@@ -79,7 +79,13 @@
             let position = (age != NO_POSITION).then(|| told - i64::from(age) * AGE_STEP);
             let primary = (mixed >> 6 > 0).then_some(mixed >> 6 == 2);
             let strain = f64::from(mixed & 63) * STRAIN_STEP;
-            Some(News { member, position, primary, strain, answers: answers.into() })
+            Some(GossipUpdate {
+                member,
+                position,
+                is_primary: primary,
+                latency_ratio: strain,
+                samples: answers.into(),
+            })
         };
         Some((told, relay == 1, entries.chunks_exact(ENTRY).filter_map(one).collect()))
     }
--- a/crates/stackgw-settings/tests/unit/words.rs
+++ b/crates/stackgw-settings/tests/unit/words.rs
@@ -13,27 +13,33 @@
 fn word_arrives_as_a_lower_bound_under_the_receivers_own_numbers() {
     let (here, there) = (known(&["a", "b"]), known(&["b", "a"]));
     let now = 70 * SECOND + 3;
-    let news = News {
+    let news = GossipUpdate {
         member: MemberId(0),
         position: Some(now - 9 * MS),
-        primary: Some(false),
-        strain: 0.4,
-        answers: 3,
+        is_primary: Some(false),
+        latency_ratio: 0.4,
+        samples: 3,
     };
     let bodies = here.pack(now, true, &[news]);
     let (told, relay, heard) = there.unpack(now + 20 * MS, &bodies[0]).expect("a message");
     assert!(relay && told <= now && now - told < MS);
     let heard = &heard[0];
-    assert_eq!((heard.member, heard.primary, heard.answers), (MemberId(1), Some(false), 3));
+    assert_eq!((heard.member, heard.is_primary, heard.samples), (MemberId(1), Some(false), 3));
     let position = heard.position.expect("a position");
     assert!(position <= now - 9 * MS && position > now - 30 * MS, "{position}");
-    assert!((heard.strain - 0.4).abs() < 0.03);
+    assert!((heard.latency_ratio - 0.4).abs() < 0.03);
 }
 
 #[test]
 fn an_old_position_is_left_out_and_messages_stay_small() {
     let digests = known(&["a"]);
-    let old = News { member: MemberId(0), position: Some(0), primary: None, strain: 0.0, answers: 0 };
+    let old = GossipUpdate {
+        member: MemberId(0),
+        position: Some(0),
+        is_primary: None,
+        latency_ratio: 0.0,
+        samples: 0,
+    };
     let bodies = digests.pack(90 * SECOND, false, &vec![old; 100]);
     assert!(bodies.iter().all(|body| body.len() <= MOST_BYTES));
     let heard: Vec<_> = bodies.iter().filter_map(|b| digests.unpack(90 * SECOND, b)).collect();
@@ -44,7 +50,13 @@
 #[test]
 fn a_member_that_is_dropped_is_neither_told_of_nor_heard_of() {
     let (mut digests, there) = (known(&["a", "b"]), known(&["a", "b"]));
-    let news = |n| News { member: MemberId(n), position: None, primary: None, strain: 0.1, answers: 1 };
+    let news = |n| GossipUpdate {
+        member: MemberId(n),
+        position: None,
+        is_primary: None,
+        latency_ratio: 0.1,
+        samples: 1,
+    };
     digests.remove(MemberId(0));
     let bodies = digests.pack(SECOND, false, &[news(0), news(1)]);
     let (_, _, heard) = there.unpack(SECOND, &bodies[0]).expect("a message");
--- a/crates/stackgw-start/src/book.rs
+++ b/crates/stackgw-start/src/book.rs
@@ -11,7 +11,7 @@
 //! What it told of drains before binds on until those members are known to have started again.
 
 use crate::entry::{Entry, Update};
-use stackgw_router::api::{Span, Standing, Time, MS};
+use stackgw_router::api::{Lifecycle, Span, Time, MS};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where word of the list comes from.
@@ -172,8 +172,8 @@
         if whole {
             let named: BTreeSet<_> = word.members.iter().map(|e| e.id.as_str()).collect();
             let missing = self.held.values_mut().filter(|held| !named.contains(held.entry.id.as_str()));
-            for held in missing.filter(|held| held.entry.phase != Standing::Gone) {
-                (held.entry.phase, held.revision) = (Standing::Gone, word.revision);
+            for held in missing.filter(|held| held.entry.phase != Lifecycle::Removed) {
+                (held.entry.phase, held.revision) = (Lifecycle::Removed, word.revision);
                 held.bound = held.bound.or(Some((word.revision, now)));
             }
         }
@@ -196,7 +196,7 @@
     fn enter(&mut self, now: Time, mut entry: Entry, revision: u64, repeats: bool) -> Option<Entry> {
         let before = self.held.get(&entry.id);
         let mut bound = before.and_then(|held| held.bound);
-        if entry.phase == Standing::Serving {
+        if entry.phase == Lifecycle::Serving {
             // A drain binds until newer word of the same count, or a start after it, ends it.
             let ended = |(told, at): (u64, Time)| revision > told || entry.up_since_ms * MS > at;
             match (bound.filter(|bound| !ended(*bound)), before) {
@@ -215,7 +215,7 @@
     }
 
     fn prune(&mut self) {
-        let mut gone: Vec<_> = self.held.values().filter(|h| h.entry.phase == Standing::Gone).collect();
+        let mut gone: Vec<_> = self.held.values().filter(|h| h.entry.phase == Lifecycle::Removed).collect();
         if gone.len() <= GONE_MOST {
             return;
         }
@@ -228,7 +228,7 @@
 
     /// The members that are not gone.
     pub fn present(&self) -> impl Iterator<Item = &Entry> {
-        self.held.values().map(|held| &held.entry).filter(|entry| entry.phase != Standing::Gone)
+        self.held.values().map(|held| &held.entry).filter(|entry| entry.phase != Lifecycle::Removed)
     }
 
     /// For one that has this version: what changed since, or (`None`, with the whole list) where that is not known.
--- a/crates/stackgw-start/src/entry.rs
+++ b/crates/stackgw-start/src/entry.rs
@@ -1,7 +1,7 @@
 //! The list's entries, under the list's own names.
 
 use serde::{Deserialize, Serialize};
-use stackgw_router::api::Standing;
+use stackgw_router::api::Lifecycle;
 use std::net::SocketAddr;
 
 /// One entry of the list.
@@ -17,7 +17,7 @@
     pub cell: u32,
     /// What the list says of its process.
     #[serde(with = "phase")]
-    pub phase: Standing,
+    pub phase: Lifecycle,
     /// Its weight.
     pub size: f64,
     /// When it last started, in Unix milliseconds; 0 means long ago, and below 0 that nobody knows.
@@ -39,21 +39,21 @@
 
 mod phase {
     use serde::{de::Error, Deserialize, Deserializer, Serializer};
-    use stackgw_router::api::Standing;
+    use stackgw_router::api::Lifecycle;
 
-    pub(super) fn serialize<S: Serializer>(phase: &Standing, to: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(phase: &Lifecycle, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_u8(match phase {
-            Standing::Serving => 0,
-            Standing::Draining => 1,
-            Standing::Gone => 2,
+            Lifecycle::Serving => 0,
+            Lifecycle::Draining => 1,
+            Lifecycle::Removed => 2,
         })
     }
 
-    pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Standing, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Lifecycle, D::Error> {
         match u8::deserialize(from)? {
-            0 => Ok(Standing::Serving),
-            1 => Ok(Standing::Draining),
-            2 => Ok(Standing::Gone),
+            0 => Ok(Lifecycle::Serving),
+            1 => Ok(Lifecycle::Draining),
+            2 => Ok(Lifecycle::Removed),
             other => Err(D::Error::custom(format!("{other} is no phase"))),
         }
     }
--- a/crates/stackgw-start/tests/common/mod.rs
+++ b/crates/stackgw-start/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use stackgw_router::api::{Span, Standing, Time, MS, SECOND};
+use stackgw_router::api::{Lifecycle, Span, Time, MS, SECOND};
 use stackgw_start::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     usize::from(a) * 250 + usize::from(b) - 1
 }
 
-pub fn entry(n: usize, phase: Standing, leader: bool) -> Entry {
+pub fn entry(n: usize, phase: Lifecycle, leader: bool) -> Entry {
     Entry {
         id: format!("m{n}"),
         address: SocketAddr::from(([10, 1, 0, n as u8 + 1], 6_543)),
@@ -66,7 +66,7 @@
     due: Time,
     pub ready_at: Option<Time>,
     /// What its router was told last of each member: by name, the phase.
-    pub router: BTreeMap<String, Standing>,
+    pub router: BTreeMap<String, Lifecycle>,
     pub highest: u64,
     /// What it was told of members that others have seen.
     pub sighted: Vec<Sighting>,
@@ -111,7 +111,7 @@
             highest: 0,
             sighted: Vec::new(),
         };
-        let list = (0..members).map(|n| entry(n, Standing::Serving, n == 0)).collect();
+        let list = (0..members).map(|n| entry(n, Lifecycle::Serving, n == 0)).collect();
         let mut sim = Sim {
             now: 1_000 * SECOND,
             nodes: (0..fleet).map(node).collect(),
@@ -229,7 +229,7 @@
     }
 
     pub fn drain(&mut self, member: usize) {
-        self.change(|list| list[member].phase = Standing::Draining);
+        self.change(|list| list[member].phase = Lifecycle::Draining);
     }
 
     fn outputs(&mut self, n: usize, out: Vec<Output>) {
--- a/crates/stackgw-start/tests/histories.rs
+++ b/crates/stackgw-start/tests/histories.rs
@@ -5,7 +5,7 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use stackgw_router::api::{Standing, MS, SECOND};
+use stackgw_router::api::{Lifecycle, MS, SECOND};
 
 #[test]
 fn a_fleet_alone_spreads_its_asks_over_what_the_service_bears() {
@@ -60,7 +60,7 @@
         sim.drain(3);
         sim.pass(GRACE);
         assert_eq!(sim.current(), 40, "seed {seed}");
-        let told = |node: &Node| node.router.get("m3") == Some(&Standing::Draining);
+        let told = |node: &Node| node.router.get("m3") == Some(&Lifecycle::Draining);
         assert!(sim.nodes.iter().all(told));
     }
 }
@@ -176,7 +176,7 @@
                 Step::Start(n) => sim.start(n),
                 Step::Kill(n) => sim.kill(n),
                 Step::Drain(m) => sim.drain(m),
-                Step::Back(m) => sim.change(|list| list[m].phase = Standing::Serving),
+                Step::Back(m) => sim.change(|list| list[m].phase = Lifecycle::Serving),
                 Step::Lead(m) => sim.change(|list| {
                     list.iter_mut().enumerate().for_each(|(n, e)| e.leader = n == m);
                 }),
--- a/crates/stackgw-start/tests/model.rs
+++ b/crates/stackgw-start/tests/model.rs
@@ -2,7 +2,7 @@
 //! instances, every order in which datagrams arrive or are lost, one instance dying and coming back with its disk, one cut off
 //! for a while, a service that falls behind, up to a bound.
 
-use stackgw_router::api::{Standing, Time, MS, SECOND};
+use stackgw_router::api::{Lifecycle, Time, MS, SECOND};
 use stackgw_start::*;
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
@@ -68,11 +68,11 @@
     Heal,
 }
 
-fn phase(version: u64) -> Standing {
+fn phase(version: u64) -> Lifecycle {
     if version == 2 {
-        Standing::Draining
+        Lifecycle::Draining
     } else {
-        Standing::Serving
+        Lifecycle::Serving
     }
 }
 
