--- /dev/null
+++ b/crates/stackgw-router/tests/digest/simulation.rs
@@ -0,0 +1,545 @@
+//! The router's surroundings, simulated: clients, members with faults, the endpoint list, peers and timers.
+
+use crate::hash::Digest;
+use crate::scenario::{pace, settings, Pace, Random, FIRST_WRITE};
+use stackgw_router::{api::*, Router};
+use std::collections::BTreeMap;
+
+const START: Time = 1_000 * SECOND;
+/// Beliefs are hashed once in so many events.
+const BELIEFS_EVERY: u32 = 40;
+/// A group that no list names.
+const UNKNOWN_GROUP: GroupId = GroupId(99);
+
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum Fault {
+    None,
+    /// Takes requests and never answers.
+    Silent,
+    /// A quarter of its answers never arrive.
+    Lossy,
+    /// Answers with errors.
+    Failing,
+    /// Takes ten times as long.
+    Slow,
+    /// Rejects what comes in.
+    Full,
+    /// Connections break.
+    Resetting,
+    /// Connections are refused at once.
+    Unreachable,
+    /// Connections time out.
+    SlowToConnect,
+    /// Some answers are malformed.
+    Malformed,
+}
+
+const FAULTS: [Fault; 14] = [
+    Fault::None,
+    Fault::None,
+    Fault::None,
+    Fault::None,
+    Fault::None,
+    Fault::Silent,
+    Fault::Lossy,
+    Fault::Failing,
+    Fault::Slow,
+    Fault::Full,
+    Fault::Resetting,
+    Fault::Unreachable,
+    Fault::SlowToConnect,
+    Fault::Malformed,
+];
+
+struct SimulatedMember {
+    entry: Member,
+    is_primary: bool,
+    was_primary_at_start: bool,
+    lag: Span,
+    fault: Fault,
+    /// When it has done all that was sent to it.
+    busy_until: Time,
+}
+
+struct OpenAttempt {
+    number: u32,
+    member: MemberId,
+    sent_at: Time,
+    outcome: Outcome,
+}
+
+#[derive(Default)]
+struct OpenRequest {
+    class: usize,
+    deadline: Time,
+    attempts_sent: u32,
+    open: Vec<OpenAttempt>,
+    ended: bool,
+}
+
+enum Step {
+    Arrival,
+    AttemptEnds { request: RequestId, attempt: u32, outcome: Option<Outcome> },
+    ClientLeaves(RequestId),
+    CheckReturns(MemberId),
+    Timer(u64),
+    FaultChanges,
+    ListChanges,
+    Gossip,
+    Permits,
+    Stall,
+}
+
+pub struct Simulation {
+    router: Router,
+    settings: Settings,
+    pace: Pace,
+    random: Random,
+    now: Time,
+    scheduled: BTreeMap<(Time, u64), Step>,
+    scheduled_count: u64,
+    members: BTreeMap<MemberId, SimulatedMember>,
+    next_member: u32,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    next_request: u64,
+    events: u32,
+}
+
+impl Simulation {
+    pub fn new(seed: u64) -> Self {
+        let mut random = Random::new(seed.wrapping_mul(0x5851_f42d_4c95_7f2d));
+        let settings = settings(&mut random);
+        let pace = pace(&mut random);
+        let mut simulation = Simulation {
+            router: Router::new(settings.clone(), seed),
+            settings,
+            pace,
+            random,
+            now: START,
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
+            members: BTreeMap::new(),
+            next_member: 0,
+            requests: BTreeMap::new(),
+            next_request: 0,
+            events: 0,
+        };
+        for group in 0..simulation.pace.groups {
+            for place in 0..simulation.pace.members_per_group {
+                simulation.add_member(GroupId(group as u32), place == 0);
+            }
+        }
+        simulation
+    }
+
+    /// Plays until the router has been handed `events` events.
+    pub fn run(mut self, events: u32, digest: &mut Digest) {
+        if let Some(throughput) = self.pace.expected_throughput {
+            self.router.expect(throughput);
+        }
+        let scope = self.random.pick(&[ListScope::Cached, ListScope::Full]);
+        self.send_list(scope, digest);
+        for step in
+            [Step::Arrival, Step::FaultChanges, Step::ListChanges, Step::Gossip, Step::Permits, Step::Stall]
+        {
+            self.schedule(MS, step);
+        }
+        while self.events < events {
+            let Some(((at, _), step)) = self.scheduled.pop_first() else { break };
+            self.now = self.now.max(at);
+            self.play(step, digest);
+        }
+        self.hash_beliefs(digest);
+        digest.gossip(&self.router.news());
+    }
+
+    fn schedule(&mut self, after: Span, step: Step) {
+        self.scheduled_count += 1;
+        self.scheduled.insert((self.now + after.max(0), self.scheduled_count), step);
+    }
+
+    fn play(&mut self, step: Step, digest: &mut Digest) {
+        match step {
+            Step::Arrival => self.client_asks(digest),
+            Step::AttemptEnds { request, attempt, outcome } => {
+                self.attempt_ends(request, attempt, outcome, digest)
+            }
+            Step::ClientLeaves(request) => self.client_leaves(request, digest),
+            Step::CheckReturns(member) => self.check_returns(member, digest),
+            Step::Timer(token) => self.hand(Event::Timer(token), digest),
+            Step::FaultChanges => self.change_faults(),
+            Step::ListChanges => self.change_list(digest),
+            Step::Gossip => self.gossip(digest),
+            Step::Permits => self.change_permits(),
+            Step::Stall => self.stall(),
+        }
+    }
+
+    /// Hands the router an event, hashes what it asks for and carries it out.
+    fn hand(&mut self, event: Event, digest: &mut Digest) {
+        let mut actions = Vec::new();
+        self.router.handle(self.now, event, &mut actions);
+        self.events += 1;
+        for action in actions {
+            digest.action(self.now, &action);
+            self.carry_out(action);
+        }
+        if self.events.is_multiple_of(BELIEFS_EVERY) {
+            self.hash_beliefs(digest);
+        }
+    }
+
+    fn hash_beliefs(&mut self, digest: &mut Digest) {
+        for (member, belief) in self.router.beliefs() {
+            digest.belief(member, &belief);
+        }
+        digest.float(self.router.warm_rate());
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { request, member, .. } => self.start_attempt(request, member),
+            Action::Cancel { request, attempt } => {
+                let after = self.random.between(0, 20 * MS);
+                let outcome = Some(Outcome::Cancelled);
+                self.schedule(after, Step::AttemptEnds { request, attempt, outcome });
+            }
+            Action::Refuse { request, .. } | Action::Fail(request) => {
+                self.requests.entry(request).and_modify(|open| open.ended = true);
+            }
+            Action::Timer { after, token } => self.schedule(after, Step::Timer(token)),
+            Action::Probe(member) => {
+                let after = self.random.exponential(8 * MS);
+                self.schedule(after, Step::CheckReturns(member));
+            }
+            Action::Subscribe(_) => self.schedule(50 * MS, Step::ListChanges),
+            _ => {}
+        }
+    }
+
+    // ---- Clients ----
+
+    fn client_asks(&mut self, digest: &mut Digest) {
+        let gap = self.random.exponential(self.pace.arrival_gap);
+        // Quiet stretches and bursts.
+        let gap = if self.random.chance(0.002) { gap + self.random.between(0, 3 * SECOND) } else { gap };
+        self.schedule(gap, Step::Arrival);
+        let burst = if self.random.chance(0.01) { self.random.below(40) + 1 } else { 1 };
+        for _ in 0..burst {
+            self.new_request(digest);
+        }
+    }
+
+    fn new_request(&mut self, digest: &mut Digest) {
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
+        let class = self.random.below(self.settings.classes.len());
+        let patience = self.random.pick(&[0.02, 0.2, 1.0, 1.0, 1.0]);
+        let deadline = self.now + (self.settings.classes[class].deadline as f64 * patience) as Span;
+        let known_group = GroupId(self.random.below(self.pace.groups) as u32);
+        let group = if self.random.chance(0.002) { UNKNOWN_GROUP } else { known_group };
+        let session = SessionId(format!("session {}", self.random.below(12)).into());
+        let write_age = self.random.between(0, 4 * SECOND);
+        let request = Request {
+            id,
+            class,
+            group,
+            deadline,
+            session: self.random.chance(0.8).then_some(session),
+            last_write: self.random.chance(0.5).then_some(self.now - write_age),
+            repeat: self.random.chance(0.1),
+            fresh: self.random.chance(0.03),
+        };
+        let open = OpenRequest { class, deadline, ..OpenRequest::default() };
+        self.requests.insert(id, open);
+        if self.random.chance(0.03) {
+            let after = self.random.between(0, deadline - self.now);
+            self.schedule(after, Step::ClientLeaves(id));
+        }
+        self.hand(Event::Request(request), digest);
+    }
+
+    fn client_leaves(&mut self, request: RequestId, digest: &mut Digest) {
+        let Some(open) = self.requests.get_mut(&request).filter(|open| !open.ended) else { return };
+        open.ended = true;
+        self.hand(Event::Abandoned(request), digest);
+    }
+
+    // ---- Attempts ----
+
+    fn start_attempt(&mut self, request: RequestId, member: MemberId) {
+        let now = self.now;
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        let (class, deadline, number) = (open.class, open.deadline, open.attempts_sent);
+        open.attempts_sent += 1;
+        let (outcome, took) = self.attempt_fate(class, member);
+        let late = now + took > deadline;
+        let outcome = if late { Outcome::TimedOut } else { outcome };
+        let after = if late { (deadline - now).max(0) } else { took };
+        let attempt = OpenAttempt { number, member, sent_at: now, outcome };
+        self.requests.entry(request).and_modify(|open| open.open.push(attempt));
+        self.schedule(after, Step::AttemptEnds { request, attempt: number, outcome: None });
+    }
+
+    /// How an attempt will end, and after how long.
+    fn attempt_fate(&mut self, class: usize, id: MemberId) -> (Outcome, Span) {
+        const NEVER: Span = 1_000 * SECOND;
+        let now = self.now;
+        let travel = self.random.between(MS / 10, 3 * MS);
+        let work = self.random.exponential(self.pace.service_time);
+        let connect_timeout = self.settings.limits.connect_timeout;
+        let refuses = self.settings.lagging != Lagging::Answers;
+        let draw = self.random.fraction();
+        let Some(member) = self.members.get_mut(&id) else { return (Outcome::NoConnection, travel) };
+        let bound = match self.settings.classes[class].need {
+            Need::Bounded(bound) => bound,
+            _ => Span::MAX,
+        };
+        let misrouted = class >= FIRST_WRITE && !member.is_primary || refuses && member.lag > bound;
+        match member.fault {
+            Fault::Silent => return (Outcome::TimedOut, NEVER),
+            Fault::Lossy if draw < 0.25 => return (Outcome::TimedOut, NEVER),
+            Fault::Full if draw < 0.9 => return (Outcome::Shed, travel),
+            Fault::Resetting if draw < 0.6 => return (Outcome::Broken, travel + work),
+            Fault::Unreachable => return (Outcome::NoConnection, travel),
+            Fault::SlowToConnect if draw < 0.7 => return (Outcome::NoConnection, connect_timeout),
+            _ if misrouted => return (Outcome::NotHere, travel),
+            Fault::Failing if draw < 0.8 => return (Outcome::Error, travel),
+            _ => {}
+        }
+        let work = if member.fault == Fault::Slow { work * 10 } else { work };
+        member.busy_until = member.busy_until.max(now) + work;
+        let took = member.busy_until - now + travel;
+        match draw {
+            _ if member.fault == Fault::Malformed && draw < 0.5 => (Outcome::Spoilt, took),
+            _ if draw < 0.003 => (Outcome::Unsent, 0),
+            _ if draw < 0.006 => (Outcome::Error, took),
+            _ => (Outcome::Served, took),
+        }
+    }
+
+    fn attempt_ends(&mut self, id: RequestId, number: u32, forced: Option<Outcome>, digest: &mut Digest) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(place) = request.open.iter().position(|attempt| attempt.number == number) else { return };
+        let attempt = request.open.remove(place);
+        let outcome = forced.unwrap_or(attempt.outcome);
+        let served = outcome == Outcome::Served && !request.ended;
+        let class = request.class;
+        if served && self.random.chance(0.05) {
+            // The client takes over the stream before its end is known.
+            self.hand(Event::Started { request: id, member: attempt.member }, digest);
+        }
+        let spoke = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Shed | Outcome::NotHere);
+        let finished = served || self.requests.get(&id).is_some_and(|request| request.ended);
+        self.requests.entry(id).and_modify(|request| request.ended |= served);
+        let state = self.members.get(&attempt.member);
+        let lag = state.map_or(0, |member| if member.is_primary { 0 } else { member.lag });
+        let tells_position = self.settings.positions_in_answers || class >= FIRST_WRITE && served;
+        let reported = spoke && self.settings.reports == Reports::OnAnswers;
+        let report = self.report(attempt.member);
+        let answer = Answer {
+            request: id,
+            attempt: number,
+            member: attempt.member,
+            outcome,
+            took: self.now - attempt.sent_at,
+            finished,
+            primary: state.map(|member| member.is_primary).filter(|_| spoke),
+            position: Some(self.now - lag).filter(|_| spoke && tells_position),
+            report: if reported { report } else { Report::default() },
+        };
+        self.hand(Event::Answer(answer), digest);
+        self.requests.retain(|_, request| !request.ended || !request.open.is_empty());
+    }
+
+    // ---- Members ----
+
+    fn report(&self, id: MemberId) -> Report {
+        let Some(member) = self.members.get(&id) else { return Report::default() };
+        let lag = if member.is_primary { 0 } else { member.lag };
+        Report {
+            position: Some(self.now - lag).filter(|_| self.settings.report_position),
+            primary: Some(member.is_primary),
+            ..Report::default()
+        }
+    }
+
+    fn check_returns(&mut self, id: MemberId, digest: &mut Digest) {
+        let fault = self.members.get(&id).map_or(Fault::Silent, |member| member.fault);
+        let lost = matches!(fault, Fault::Silent | Fault::Unreachable) || self.random.chance(0.03);
+        let took = self.random.between(MS, 20 * MS);
+        let report = self.report(id);
+        self.hand(Event::Probed { member: id, answered: !lost, took, report }, digest);
+    }
+
+    fn add_member(&mut self, group: GroupId, is_primary: bool) {
+        let id = MemberId(self.next_member);
+        self.next_member += 1;
+        let age = self.random.between(0, 20 * SECOND);
+        let entry = Member {
+            id,
+            group,
+            zone: 0,
+            weight: self.random.pick(&[0.5, 1.0, 1.0, 2.0]),
+            started: self.random.chance(0.2).then_some(self.now - age),
+            standing: Standing::Serving,
+            primary: is_primary,
+        };
+        let member = SimulatedMember {
+            entry,
+            is_primary,
+            was_primary_at_start: is_primary,
+            lag: self.random.exponential(60 * MS),
+            fault: Fault::None,
+            busy_until: 0,
+        };
+        self.members.insert(id, member);
+    }
+
+    fn any_member(&mut self) -> MemberId {
+        let ids: Vec<MemberId> = self.members.keys().copied().collect();
+        self.random.pick(&ids)
+    }
+
+    fn change_faults(&mut self) {
+        let gap = self.random.exponential(self.pace.fault_gap);
+        self.schedule(gap, Step::FaultChanges);
+        let id = self.any_member();
+        let fault = self.random.pick(&FAULTS);
+        let mean_lag = self.random.pick(&[20 * MS, 200 * MS, 3 * SECOND]);
+        let lag = self.random.exponential(mean_lag);
+        if let Some(member) = self.members.get_mut(&id) {
+            member.fault = fault;
+            member.lag = lag;
+        }
+        if self.random.chance(0.2) {
+            self.move_primary(id);
+        }
+    }
+
+    fn move_primary(&mut self, id: MemberId) {
+        let group = self.members[&id].entry.group;
+        for (other, member) in &mut self.members {
+            if member.entry.group == group {
+                member.is_primary = *other == id;
+            }
+        }
+    }
+
+    // ---- The endpoint list ----
+
+    fn change_list(&mut self, digest: &mut Digest) {
+        let gap = self.random.exponential(self.pace.list_gap);
+        self.schedule(gap, Step::ListChanges);
+        let id = self.any_member();
+        let age = self.random.between(0, SECOND);
+        match self.random.below(8) {
+            0 | 1 => self.change_lifecycle(id, Standing::Draining),
+            2 => self.change_lifecycle(id, Standing::Gone),
+            3 | 4 => {
+                for member in self.members.values_mut() {
+                    member.entry.standing = Standing::Serving;
+                }
+            }
+            5 => {
+                let restarted = Some(self.now - age);
+                self.members.entry(id).and_modify(|member| member.entry.started = restarted);
+            }
+            6 if self.members.len() > 1 => {
+                let removed = self.members.remove(&id);
+                if let Some(member) = removed {
+                    self.add_member(member.entry.group, member.is_primary);
+                }
+            }
+            _ => {
+                let weight = self.random.pick(&[0.5, 1.0, 3.0]);
+                self.members.entry(id).and_modify(|member| member.entry.weight = weight);
+            }
+        }
+        let scope = match self.random.below(10) {
+            0 => ListScope::Failed,
+            1 => ListScope::Cached,
+            2 | 3 => ListScope::Full,
+            _ => ListScope::Changes,
+        };
+        self.send_list(scope, digest);
+    }
+
+    fn change_lifecycle(&mut self, id: MemberId, lifecycle: Standing) {
+        self.members.entry(id).and_modify(|member| member.entry.standing = lifecycle);
+    }
+
+    fn send_list(&mut self, scope: ListScope, digest: &mut Digest) {
+        let role_listing = self.settings.role_listing;
+        let listed = |member: &SimulatedMember| Member {
+            primary: match role_listing {
+                RoleListing::Late => member.is_primary,
+                RoleListing::AtStart => member.was_primary_at_start,
+                RoleListing::Never => false,
+            },
+            ..member.entry.clone()
+        };
+        let mut members: Vec<Member> = self.members.values().map(listed).collect();
+        if scope == ListScope::Failed {
+            members.clear();
+        } else if self.events > 0 && self.random.chance(0.3) {
+            let left_out = self.random.below(members.len());
+            members.remove(left_out);
+        }
+        self.hand(Event::List { scope, members }, digest);
+    }
+
+    // ---- Peers, the host, the clock ----
+
+    fn gossip(&mut self, digest: &mut Digest) {
+        let gap = self.random.exponential(self.pace.gossip_gap);
+        self.schedule(gap, Step::Gossip);
+        if self.settings.limits.carried {
+            digest.gossip(&self.router.news());
+        }
+        if !(self.settings.limits.peers || self.settings.limits.carried) {
+            return;
+        }
+        let count = self.random.between(1, 4);
+        let age = self.random.between(0, 300 * MS);
+        let updates: Vec<News> = (0..count).map(|_| self.peer_update(age)).collect();
+        let relay = self.settings.limits.peers && self.random.chance(0.3);
+        self.hand(Event::Peer { told: self.now - age, relay, news: updates }, digest);
+    }
+
+    fn peer_update(&mut self, age: Span) -> News {
+        let id = self.any_member();
+        let report = self.report(id);
+        let answers = self.random.between(0, 6) as u32;
+        News {
+            member: id,
+            position: report.position.map(|position| position - age),
+            primary: report.primary.filter(|_| self.random.chance(0.7)),
+            strain: if answers > 0 { self.random.fraction() * 1.2 } else { 0.0 },
+            answers,
+        }
+    }
+
+    fn change_permits(&mut self) {
+        self.schedule(30 * MS, Step::Permits);
+        if !self.pace.paced_connections {
+            return;
+        }
+        let id = self.any_member();
+        let free = self.random.below(4) as u32;
+        let from = self.now + self.random.between(-100 * MS, 200 * MS);
+        let permits = self.random.chance(0.8).then_some((free, from));
+        self.router.reach(id, permits);
+        if self.random.chance(0.01) {
+            let throughput = self.random.fraction() * 50.0;
+            self.router.expect(throughput);
+        }
+    }
+
+    fn stall(&mut self) {
+        let gap = self.random.exponential(self.pace.stall_gap);
+        self.schedule(gap, Step::Stall);
+        let length = self.random.between(50 * MS, SECOND);
+        self.now += length;
+    }
+}
