--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -185,3 +185,43 @@
         assert_eq!(said.lines().count(), 1, "{said}");
     }
 }
+
+/// Two instances, members that fail, drain, leave and hand over the primary's role, messages between the instances, and a kill:
+/// recorded, with every reply.
+const CONVERSATION: &str = include_str!("fixtures/conversation.in");
+const REPLIES: &str = include_str!("fixtures/conversation.out");
+
+#[test]
+fn a_recorded_conversation_gets_the_same_replies_to_the_byte() {
+    let replies = stdout(&run(CONVERSATION));
+    for (number, (line, recorded)) in replies.lines().zip(REPLIES.lines()).enumerate() {
+        assert_eq!(line, recorded, "line {} of the replies", number + 1);
+    }
+    assert!(replies == REPLIES, "{} bytes, {} recorded", replies.len(), REPLIES.len());
+}
+
+#[test]
+fn the_recorded_conversation_has_every_message_and_every_status() {
+    let has = |text: &str, line_starts: &str, field: &str| {
+        text.lines().any(|line| line.starts_with(line_starts) && line.contains(field))
+    };
+    for message in [
+        "clock", "go", "page", "item", "power_on", "halt", "topology", "query", "first", "resolved", "abandoned",
+        "ring", "probe_done", "heard",
+    ] {
+        assert!(has(CONVERSATION, message, ""), "{message}");
+    }
+    for status in [
+        "delivered", "app_error", "shed", "empty", "expired", "dial_failed", "dropped", "revoked", "unused",
+    ] {
+        assert!(has(CONVERSATION, "", &format!("Status={status} ")), "{status}");
+    }
+    for scope in ["delta", "full", "cached", "failed"] {
+        assert!(has(CONVERSATION, "topology", &format!("Scope={scope}")), "{scope}");
+    }
+    for reply in [
+        "pass_on", "undo_send", "not_now", "drop_request", "defer", "ask_load", "say", "stream_changes", "done",
+    ] {
+        assert!(has(REPLIES, reply, ""), "{reply}");
+    }
+}
