--- a/crates/stackgw-sessions/tests/common/mod.rs
+++ b/crates/stackgw-sessions/tests/common/mod.rs
@@ -81,10 +81,25 @@
     pub missed: Vec<String>,
     pub messages: u64,
     positions: Time,
+    /// Changes each instance's settings before it starts.
+    adjust: fn(&mut Settings),
+    /// All outputs with the true time and the instance, where a test asks for them.
+    pub trace: Option<Vec<(Time, usize, Output)>>,
 }
 
 impl World {
     pub fn new(seed: u64, keepers: usize, guests: usize, disks: bool, weather: Weather) -> Self {
+        World::with_settings(seed, (keepers, guests), disks, weather, |_| {})
+    }
+
+    /// The same with settings that differ from the usual ones.
+    pub fn with_settings(
+        seed: u64,
+        (keepers, guests): (usize, usize),
+        disks: bool,
+        weather: Weather,
+        adjust: fn(&mut Settings),
+    ) -> Self {
         let mut world = World {
             now: 0,
             rng: SmallRng::seed_from_u64(seed),
@@ -104,6 +119,8 @@
             missed: Vec::new(),
             messages: 0,
             positions: 0,
+            adjust,
+            trace: None,
         };
         for n in 0..keepers + guests {
             let offset = world.rng.random_range(0..1_000) * MS + 100 * SECOND;
@@ -142,6 +159,7 @@
         i.incarnation = (i.incarnation + 1).max(now as u64 / 1_000_000);
         i.paused = false;
         let mut set = settings(n, i.incarnation, self.keepers);
+        (self.adjust)(&mut set);
         if i.has_disk {
             let (unbroken_since, records) = i.disk.get_or_insert((i.incarnation, Vec::new()));
             records.truncate(i.synced);
@@ -168,6 +186,11 @@
         self.instances[n].synced = self.instances[n].synced.saturating_sub(records);
     }
 
+    /// Sets an instance's clock forward or back; only while it is down.
+    pub fn set_clock(&mut self, n: usize, by: Span) {
+        self.instances[n].offset += by;
+    }
+
     pub fn lose_disk(&mut self, n: usize) {
         let i = &mut self.instances[n];
         (i.disk, i.synced) = (None, 0);
@@ -207,6 +230,9 @@
 
     fn carry_out(&mut self, n: usize, out: Vec<Output>) {
         for output in out {
+            if let Some(trace) = self.trace.as_mut() {
+                trace.push((self.now, n, output.clone()));
+            }
             match output {
                 Output::Send(to, message) => {
                     self.messages += 1;
--- /dev/null
+++ b/crates/stackgw-sessions/tests/stored_and_sent.rs
@@ -0,0 +1,124 @@
+//! What other versions of this program send and have stored stays readable: bytes of each message, hashes that stand in
+//! messages and on disks, and what each kind of record comes to when it is read back.
+
+use stackgw_router::api::SECOND;
+use stackgw_sessions::*;
+
+/// One line a message: a name and its bytes in hexadecimal digits.
+const MESSAGES: &str = include_str!("fixtures/messages.hex");
+
+const TO: Peer = Peer { node: NodeId(0xfedc_ba98_7654_3210), incarnation: 1_764_633_600_123 };
+const KEY: SessionKey = SessionKey(0x0123_4567_89ab_cdef);
+const POSITION: i64 = 1_764_633_600_123_456_789;
+const STAMP: Stamp = Stamp { disk: 1_764_633_500_000, records: 300, last: 1_764_633_550_000 };
+
+fn messages() -> Vec<(&'static str, Message)> {
+    let (nonce, roster) = (77, 0xdead_beef_0bad_cafe);
+    vec![
+        ("lease_request", Message::Ask { nonce, roster, stamp: Some(STAMP) }),
+        ("lease_request_without_store", Message::Ask { nonce, roster, stamp: None }),
+        (
+            "lease_grant",
+            Message::Pledge {
+                nonce,
+                roster,
+                covers: 60 * SECOND,
+                unbroken_since: 1_764_633_500_000,
+                stamp: Some(STAMP),
+            },
+        ),
+        ("store_outdated", Message::Stale(STAMP)),
+        ("replica_set_mismatch", Message::Differs { nonce, roster }),
+        ("replicate", Message::Marks(vec![(1, KEY, POSITION), (2, SessionKey(3), UNKNOWN), (300, KEY, -5)])),
+        ("acknowledge", Message::Held(vec![1, 2, 300])),
+        ("position_query", Message::Look { nonce, key: KEY }),
+        ("position_reply", Message::Sure { nonce, position: Some(POSITION) }),
+        ("position_reply_none", Message::Sure { nonce, position: None }),
+        ("position_uncertain", Message::Unsure { nonce }),
+        ("forward_write", Message::Carry { ticket: 12, key: KEY, position: POSITION }),
+        ("forwarded_write_released", Message::Carried { ticket: 12 }),
+    ]
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits: Vec<_> = hex.chars().filter_map(|digit| digit.to_digit(16)).collect();
+    digits.chunks(2).map(|pair| pair.iter().fold(0, |byte, digit| byte * 16 + *digit as u8)).collect()
+}
+
+#[test]
+fn each_message_encodes_to_the_stored_bytes() {
+    let lines: Vec<_> =
+        messages().iter().map(|(name, message)| format!("{name} {}", hex(&message.encode(TO)))).collect();
+    let stored: Vec<_> = MESSAGES.lines().collect();
+    assert_eq!(lines, stored);
+}
+
+#[test]
+fn each_stored_message_decodes_to_its_value() {
+    let stored: Vec<_> = MESSAGES.lines().filter_map(|line| line.split_once(' ')).collect();
+    assert_eq!(stored.len(), messages().len());
+    for ((name, hex), (expected_name, message)) in stored.into_iter().zip(messages()) {
+        assert_eq!(name, expected_name);
+        assert_eq!(Message::decode(&bytes(hex)), Ok((TO, message)), "{name}");
+    }
+}
+
+#[test]
+fn hashes_of_names_sessions_and_rosters_stay() {
+    let nodes = ["g0", "g1", "g2"].map(NodeId::of);
+    assert_eq!(nodes.map(|node| node.0), [NODES[0], NODES[1], NODES[2]]);
+    assert_eq!(SessionKey::of(2, "7f3a9c21e0b4d655").0, SESSION);
+    let roster = Roster::new(nodes, 2, &[800_000_000, 60 * SECOND]);
+    assert_eq!(roster.digest(), ROSTER);
+    let place = |node: NodeId| nodes.iter().position(|known| *known == node).expect("one of the three");
+    let homes = |n| roster.homes(SessionKey(n)).map(place).collect::<Vec<_>>();
+    let homes: Vec<_> = (0..6).map(homes).collect();
+    assert_eq!(homes, HOMES.map(|homes| homes.to_vec()));
+}
+
+/// The ids of `g0`, `g1` and `g2`.
+const NODES: [u64; 3] = [4_795_034_760_179_464_576, 17_976_738_094_164_826_054, 2_850_079_368_443_514_579];
+const SESSION: u64 = 12_907_638_285_093_708_163;
+const ROSTER: u64 = 16_563_709_622_201_792_816;
+/// Of sessions 0 to 5, by place among the three.
+const HOMES: [[usize; 2]; 6] = [[2, 1], [1, 0], [2, 1], [1, 2], [0, 2], [2, 0]];
+
+#[test]
+fn records_of_each_kind_come_back_as_what_they_say() {
+    let peer = |node, incarnation| Peer { node: NodeId(node), incarnation };
+    let records = [
+        Record::Roster(5),
+        Record::Held(KEY, POSITION),
+        Record::Owed(SessionKey(3), UNKNOWN),
+        Record::Whole(peer(7, 3)),
+        Record::Whole(peer(8, 3)),
+        Record::Whole(peer(7, 4)),
+        Record::Seen(peer(7, 3), STAMP),
+        Record::Seen(peer(7, 4), STAMP),
+        Record::Roster(5),
+    ];
+    let mut recovered = Recovered { unbroken_since: 2, stamp: STAMP, ..Recovered::default() };
+    records.into_iter().for_each(|record| recovered.apply(record));
+    let expected = Recovered {
+        unbroken_since: 2,
+        stamp: Stamp { records: 309, ..STAMP },
+        seen: vec![(peer(7, 4), STAMP)],
+        roster: Some(5),
+        held: vec![(KEY, POSITION)],
+        owed: vec![(SessionKey(3), UNKNOWN)],
+        whole: vec![peer(8, 3), peer(7, 4)],
+    };
+    assert_eq!(recovered, expected);
+    let begun = Stamp { disk: 9, records: 0, last: 0 };
+    recovered.apply(Record::Void(begun, 10));
+    let begun = Stamp { last: STAMP.last, ..begun };
+    let expected = Recovered { unbroken_since: 10, stamp: begun, whole: Vec::new(), ..expected };
+    assert_eq!(recovered, expected);
+    recovered.apply(Record::Roster(6));
+    let stamp = Stamp { records: 1, ..begun };
+    assert_eq!(recovered, Recovered { roster: Some(6), stamp, ..expected });
+}
