--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -206,21 +206,41 @@
         text.lines().any(|line| line.starts_with(line_starts) && line.contains(field))
     };
     for message in [
-        "clock", "go", "page", "item", "power_on", "halt", "topology", "query", "first", "resolved", "abandoned",
-        "ring", "probe_done", "heard",
+        "clock",
+        "go",
+        "page",
+        "item",
+        "power_on",
+        "halt",
+        "topology",
+        "query",
+        "first",
+        "resolved",
+        "abandoned",
+        "ring",
+        "probe_done",
+        "heard",
     ] {
         assert!(has(CONVERSATION, message, ""), "{message}");
     }
-    for status in [
-        "delivered", "app_error", "shed", "empty", "expired", "dial_failed", "dropped", "revoked", "unused",
-    ] {
+    for status in
+        ["delivered", "app_error", "shed", "empty", "expired", "dial_failed", "dropped", "revoked", "unused"]
+    {
         assert!(has(CONVERSATION, "", &format!("Status={status} ")), "{status}");
     }
     for scope in ["delta", "full", "cached", "failed"] {
         assert!(has(CONVERSATION, "topology", &format!("Scope={scope}")), "{scope}");
     }
     for reply in [
-        "pass_on", "undo_send", "not_now", "drop_request", "defer", "ask_load", "say", "stream_changes", "done",
+        "pass_on",
+        "undo_send",
+        "not_now",
+        "drop_request",
+        "defer",
+        "ask_load",
+        "say",
+        "stream_changes",
+        "done",
     ] {
         assert!(has(REPLIES, reply, ""), "{reply}");
     }
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -11,7 +11,7 @@
 use stackgw_gateway::limits::{Limits, Platform};
 use stackgw_gateway::pg::{code, load_report, value, write, Ended, Frame, Frames, Reply, Statement};
 use stackgw_gateway::reducer::{ClientId, Effect, Input};
-use stackgw_router::api::Standing;
+use stackgw_router::api::Lifecycle;
 use std::fmt::{Display, Write};
 use std::path::{Path, PathBuf};
 
@@ -301,7 +301,7 @@
         reply.column().unwrap_or("-"),
         hex(&reply.row),
         report.position.unwrap_or(-1),
-        report.primary.map_or("-".to_owned(), |primary| primary.to_string()),
+        report.is_primary.map_or("-".to_owned(), |primary| primary.to_string()),
         report.in_flight.unwrap_or(-1.0),
         report.queued.unwrap_or(-1.0),
         report.utilisation.unwrap_or(-1.0),
@@ -449,9 +449,9 @@
     let mut text = format!("{} {}", list.revision, list.complete);
     for entry in &list.members {
         let phase = match entry.phase {
-            Standing::Serving => 0,
-            Standing::Draining => 1,
-            Standing::Gone => 2,
+            Lifecycle::Serving => 0,
+            Lifecycle::Draining => 1,
+            Lifecycle::Removed => 2,
         };
         write!(
             text,
--- a/crates/stackgw-router/tests/digest/hash.rs
+++ b/crates/stackgw-router/tests/digest/hash.rs
@@ -69,7 +69,7 @@
                 self.number(request.0);
                 self.number(u64::from(*attempt));
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 self.kind(3);
                 self.number(request.0);
                 self.optional(*retry_after);
@@ -78,24 +78,24 @@
                 self.kind(4);
                 self.number(request.0);
             }
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.kind(5);
                 self.signed(*after);
                 self.number(*token);
             }
-            Action::Probe(member) => {
+            Action::HealthCheck(member) => {
                 self.kind(6);
                 self.number(u64::from(member.0));
             }
-            Action::CloseIdle(member) => {
+            Action::CloseIdleConnections(member) => {
                 self.kind(7);
                 self.number(u64::from(member.0));
             }
-            Action::Forget(member) => {
+            Action::ForgetMember(member) => {
                 self.kind(8);
                 self.number(u64::from(member.0));
             }
-            Action::Tell { to, news } => {
+            Action::SendGossip { to, updates: news } => {
                 self.kind(9);
                 self.optional(to.map(i64::from));
                 self.gossip(news);
@@ -104,28 +104,28 @@
                 self.kind(10);
                 self.flag(*wanted);
             }
-            Action::FetchList => self.kind(11),
-            Action::Note(_) => self.kind(12),
+            Action::FetchEndpointList => self.kind(11),
+            Action::Log(_) => self.kind(12),
         }
     }
 
-    pub fn gossip(&mut self, updates: &[News]) {
+    pub fn gossip(&mut self, updates: &[GossipUpdate]) {
         self.number(updates.len() as u64);
         for update in updates {
             self.number(u64::from(update.member.0));
             self.optional(update.position);
-            self.optional(update.primary.map(i64::from));
-            self.float(update.strain);
-            self.number(u64::from(update.answers));
+            self.optional(update.is_primary.map(i64::from));
+            self.float(update.latency_ratio);
+            self.number(u64::from(update.samples));
         }
     }
 
-    pub fn belief(&mut self, member: MemberId, belief: &Belief) {
+    pub fn belief(&mut self, member: MemberId, belief: &MemberSnapshot) {
         self.number(u64::from(member.0));
         self.number(u64::from(belief.in_flight));
-        self.flag(belief.out);
-        self.float(belief.strain);
-        self.float(belief.limit);
+        self.flag(belief.ejected);
+        self.float(belief.latency_ratio);
+        self.float(belief.concurrency_limit);
         self.optional(belief.position);
     }
 }
--- a/crates/stackgw-router/tests/digest/scenario.rs
+++ b/crates/stackgw-router/tests/digest/scenario.rs
@@ -51,43 +51,43 @@
 fn classes(random: &mut Random) -> Vec<Class> {
     let bound = random.pick(&[150 * MS, 500 * MS, 2 * SECOND]);
     let window = random.pick(&[300 * MS, 2 * SECOND]);
-    let keyed = |scope| Effect::Keyed { scope, window };
+    let keyed = |scope| Idempotency::WithKey { scope, window };
     let kinds = [
-        (Need::Bounded(bound), Effect::Safe),
-        (Need::Session, Effect::Safe),
-        (Need::Loose, Effect::Safe),
-        (Need::Fresh, Effect::Safe),
-        (Need::Bounded(4 * bound), Effect::Unsafe),
-        (Need::Write, Effect::Unsafe),
-        (Need::Write, keyed(KeyScope::Group)),
-        (Need::Write, keyed(KeyScope::Zone)),
-        (Need::Write, keyed(KeyScope::Everywhere)),
-        (Need::Write, Effect::Safe),
+        (Consistency::BoundedStaleness(bound), Idempotency::Idempotent),
+        (Consistency::ReadYourWrites, Idempotency::Idempotent),
+        (Consistency::Eventual, Idempotency::Idempotent),
+        (Consistency::Strong, Idempotency::Idempotent),
+        (Consistency::BoundedStaleness(4 * bound), Idempotency::NonIdempotent),
+        (Consistency::Write, Idempotency::NonIdempotent),
+        (Consistency::Write, keyed(KeyScope::Group)),
+        (Consistency::Write, keyed(KeyScope::Zone)),
+        (Consistency::Write, keyed(KeyScope::Global)),
+        (Consistency::Write, Idempotency::Idempotent),
     ];
     let objective = random.pick(&[60 * MS, 200 * MS, 400 * MS]);
     kinds
         .into_iter()
         .map(|(consistency, repeats)| Class {
-            need: consistency,
-            effect: repeats,
-            aim: objective * random.between(1, 3),
+            consistency: consistency,
+            idempotency: repeats,
+            latency_objective: objective * random.between(1, 3),
             deadline: random.pick(&[SECOND, 3 * SECOND]),
-            worth: random.pick(&[0.5, 1.0, 3.0]),
-            late_worth: random.pick(&[0.0, 0.2, 0.5, 0.7]),
+            priority_weight: random.pick(&[0.5, 1.0, 3.0]),
+            late_weight_share: random.pick(&[0.0, 0.2, 0.5, 0.7]),
         })
         .collect()
 }
 
 fn limits(random: &mut Random, fleet_size: u32) -> Limits {
     Limits {
-        attempts: random.pick(&[1, 2, 4, 6]),
-        second_copies: random.chance(0.5),
+        max_attempts: random.pick(&[1, 2, 4, 6]),
+        hedged_requests: random.chance(0.5),
         cancel: random.chance(0.75),
-        probes: random.chance(0.8),
+        health_checks: random.chance(0.8),
         retry_after: random.chance(0.7),
-        retry_after_max: random.pick(&[200 * MS, 2 * SECOND]),
-        peers: fleet_size > 1 && random.chance(0.5),
-        carried: random.chance(0.3),
+        max_retry_after: random.pick(&[200 * MS, 2 * SECOND]),
+        gossip: fleet_size > 1 && random.chance(0.5),
+        host_gossip: random.chance(0.3),
         connect_timeout: random.pick(&[100 * MS, 400 * MS]),
     }
 }
@@ -96,36 +96,45 @@
     Obligations {
         answer_slack: random.pick(&[0, 20 * MS, 100 * MS]),
         drain_grace: random.pick(&[300 * MS, 2 * SECOND]),
-        only_drains_bind: random.chance(0.4),
-        cold_share: random.pick(&[0.1, 0.25, 1.0]),
-        warm_within: random.pick(&[2 * SECOND, 15 * SECOND]),
-        fall_multiple: random.pick(&[2.0, 4.0]),
-        fall_window: random.pick(&[500 * MS, 2 * SECOND]),
+        removal_is_advisory: random.chance(0.4),
+        cold_capacity_share: random.pick(&[0.1, 0.25, 1.0]),
+        warm_up_time: random.pick(&[2 * SECOND, 15 * SECOND]),
+        overload_multiple: random.pick(&[2.0, 4.0]),
+        overload_window: random.pick(&[500 * MS, 2 * SECOND]),
     }
 }
 
 pub fn settings(random: &mut Random) -> Settings {
     let fleet_size = random.pick(&[1, 2, 8, 40, 300]);
-    let reports = random.pick(&[Reports::OnAnswers, Reports::OnAnswers, Reports::OnProbes, Reports::Never]);
+    let reports = random.pick(&[
+        LoadReporting::OnResponses,
+        LoadReporting::OnResponses,
+        LoadReporting::OnHealthChecks,
+        LoadReporting::Never,
+    ]);
     Settings {
         classes: classes(random),
         fleet_size,
-        me: random.below(fleet_size as usize) as u32,
+        instance_index: random.below(fleet_size as usize) as u32,
         zone: 0,
         tick: random.pick(&[0, MS, 5 * MS, 25 * MS]),
-        list_on_request: random.chance(0.5),
-        must_ask_within: SECOND,
-        lagging: random.pick(&[Lagging::Answers, Lagging::Refuses, Lagging::Waits(20 * MS)]),
-        positions_in_answers: random.chance(0.5),
-        role_listing: random.pick(&[RoleListing::Late, RoleListing::AtStart, RoleListing::Never]),
-        session_marks: random.pick(&[SessionMarks::Client, SessionMarks::Router]),
-        commit_waits: random.chance(0.5),
-        reports,
-        report_position: random.chance(0.8),
-        retries_marked: random.chance(0.5),
+        polls_endpoint_list: random.chance(0.5),
+        poll_grace: SECOND,
+        lagging_reads: random.pick(&[
+            LaggingReads::ServedStale,
+            LaggingReads::Rejected,
+            LaggingReads::Delayed(20 * MS),
+        ]),
+        positions_in_responses: random.chance(0.5),
+        role_listing: random.pick(&[RoleListing::Delayed, RoleListing::AtStart, RoleListing::Never]),
+        session_tracking: random.pick(&[SessionTracking::Client, SessionTracking::Router]),
+        commit_waits_for_replica: random.chance(0.5),
+        load_reporting: reports,
+        reports_carry_position: random.chance(0.8),
+        retries_are_flagged: random.chance(0.5),
         limits: limits(random, fleet_size),
         obligations: obligations(random),
-        prices: Prices::default(),
+        costs: Costs::default(),
     }
 }
 
--- a/crates/stackgw-router/tests/digest/simulation.rs
+++ b/crates/stackgw-router/tests/digest/simulation.rs
@@ -135,7 +135,7 @@
     /// Plays until the router has been handed `events` events.
     pub fn run(mut self, events: u32, digest: &mut Digest) {
         if let Some(throughput) = self.pace.expected_throughput {
-            self.router.expect(throughput);
+            self.router.seed_warm_throughput(throughput);
         }
         let scope = self.random.pick(&[ListScope::Cached, ListScope::Full]);
         self.send_list(scope, digest);
@@ -150,7 +150,7 @@
             self.play(step, digest);
         }
         self.hash_beliefs(digest);
-        digest.gossip(&self.router.news());
+        digest.gossip(&self.router.take_gossip());
     }
 
     fn schedule(&mut self, after: Span, step: Step) {
@@ -190,10 +190,10 @@
     }
 
     fn hash_beliefs(&mut self, digest: &mut Digest) {
-        for (member, belief) in self.router.beliefs() {
+        for (member, belief) in self.router.member_snapshots() {
             digest.belief(member, &belief);
         }
-        digest.float(self.router.warm_rate());
+        digest.float(self.router.warm_throughput());
     }
 
     fn carry_out(&mut self, action: Action) {
@@ -204,11 +204,11 @@
                 let outcome = Some(Outcome::Cancelled);
                 self.schedule(after, Step::AttemptEnds { request, attempt, outcome });
             }
-            Action::Refuse { request, .. } | Action::Fail(request) => {
+            Action::Reject { request, .. } | Action::Fail(request) => {
                 self.requests.entry(request).and_modify(|open| open.ended = true);
             }
-            Action::Timer { after, token } => self.schedule(after, Step::Timer(token)),
-            Action::Probe(member) => {
+            Action::SetTimer { after, token } => self.schedule(after, Step::Timer(token)),
+            Action::HealthCheck(member) => {
                 let after = self.random.exponential(8 * MS);
                 self.schedule(after, Step::CheckReturns(member));
             }
@@ -247,8 +247,8 @@
             deadline,
             session: self.random.chance(0.8).then_some(session),
             last_write: self.random.chance(0.5).then_some(self.now - write_age),
-            repeat: self.random.chance(0.1),
-            fresh: self.random.chance(0.03),
+            is_retry: self.random.chance(0.1),
+            requires_strong_read: self.random.chance(0.03),
         };
         let open = OpenRequest { class, deadline, ..OpenRequest::default() };
         self.requests.insert(id, open);
@@ -262,7 +262,7 @@
     fn client_leaves(&mut self, request: RequestId, digest: &mut Digest) {
         let Some(open) = self.requests.get_mut(&request).filter(|open| !open.ended) else { return };
         open.ended = true;
-        self.hand(Event::Abandoned(request), digest);
+        self.hand(Event::ClientDisconnected(request), digest);
     }
 
     // ---- Attempts ----
@@ -288,22 +288,22 @@
         let travel = self.random.between(MS / 10, 3 * MS);
         let work = self.random.exponential(self.pace.service_time);
         let connect_timeout = self.settings.limits.connect_timeout;
-        let refuses = self.settings.lagging != Lagging::Answers;
+        let refuses = self.settings.lagging_reads != LaggingReads::ServedStale;
         let draw = self.random.fraction();
-        let Some(member) = self.members.get_mut(&id) else { return (Outcome::NoConnection, travel) };
-        let bound = match self.settings.classes[class].need {
-            Need::Bounded(bound) => bound,
+        let Some(member) = self.members.get_mut(&id) else { return (Outcome::ConnectFailed, travel) };
+        let bound = match self.settings.classes[class].consistency {
+            Consistency::BoundedStaleness(bound) => bound,
             _ => Span::MAX,
         };
         let misrouted = class >= FIRST_WRITE && !member.is_primary || refuses && member.lag > bound;
         match member.fault {
             Fault::Silent => return (Outcome::TimedOut, NEVER),
             Fault::Lossy if draw < 0.25 => return (Outcome::TimedOut, NEVER),
-            Fault::Full if draw < 0.9 => return (Outcome::Shed, travel),
-            Fault::Resetting if draw < 0.6 => return (Outcome::Broken, travel + work),
-            Fault::Unreachable => return (Outcome::NoConnection, travel),
-            Fault::SlowToConnect if draw < 0.7 => return (Outcome::NoConnection, connect_timeout),
-            _ if misrouted => return (Outcome::NotHere, travel),
+            Fault::Full if draw < 0.9 => return (Outcome::Overloaded, travel),
+            Fault::Resetting if draw < 0.6 => return (Outcome::ConnectionReset, travel + work),
+            Fault::Unreachable => return (Outcome::ConnectFailed, travel),
+            Fault::SlowToConnect if draw < 0.7 => return (Outcome::ConnectFailed, connect_timeout),
+            _ if misrouted => return (Outcome::Misrouted, travel),
             Fault::Failing if draw < 0.8 => return (Outcome::Error, travel),
             _ => {}
         }
@@ -311,8 +311,8 @@
         member.busy_until = member.busy_until.max(now) + work;
         let took = member.busy_until - now + travel;
         match draw {
-            _ if member.fault == Fault::Malformed && draw < 0.5 => (Outcome::Spoilt, took),
-            _ if draw < 0.003 => (Outcome::Unsent, 0),
+            _ if member.fault == Fault::Malformed && draw < 0.5 => (Outcome::MalformedResponse, took),
+            _ if draw < 0.003 => (Outcome::NotSent, 0),
             _ if draw < 0.006 => (Outcome::Error, took),
             _ => (Outcome::Served, took),
         }
@@ -327,40 +327,41 @@
         let class = request.class;
         if served && self.random.chance(0.05) {
             // The client takes over the stream before its end is known.
-            self.hand(Event::Started { request: id, member: attempt.member }, digest);
+            self.hand(Event::StreamStarted { request: id, member: attempt.member }, digest);
         }
-        let spoke = matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Shed | Outcome::NotHere);
+        let spoke =
+            matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Overloaded | Outcome::Misrouted);
         let finished = served || self.requests.get(&id).is_some_and(|request| request.ended);
         self.requests.entry(id).and_modify(|request| request.ended |= served);
         let state = self.members.get(&attempt.member);
         let lag = state.map_or(0, |member| if member.is_primary { 0 } else { member.lag });
-        let tells_position = self.settings.positions_in_answers || class >= FIRST_WRITE && served;
-        let reported = spoke && self.settings.reports == Reports::OnAnswers;
+        let tells_position = self.settings.positions_in_responses || class >= FIRST_WRITE && served;
+        let reported = spoke && self.settings.load_reporting == LoadReporting::OnResponses;
         let report = self.report(attempt.member);
-        let answer = Answer {
+        let answer = AttemptResult {
             request: id,
             attempt: number,
             member: attempt.member,
             outcome,
-            took: self.now - attempt.sent_at,
-            finished,
-            primary: state.map(|member| member.is_primary).filter(|_| spoke),
+            elapsed: self.now - attempt.sent_at,
+            request_finished: finished,
+            is_primary: state.map(|member| member.is_primary).filter(|_| spoke),
             position: Some(self.now - lag).filter(|_| spoke && tells_position),
-            report: if reported { report } else { Report::default() },
+            load_report: if reported { report } else { LoadReport::default() },
         };
-        self.hand(Event::Answer(answer), digest);
+        self.hand(Event::AttemptEnded(answer), digest);
         self.requests.retain(|_, request| !request.ended || !request.open.is_empty());
     }
 
     // ---- Members ----
 
-    fn report(&self, id: MemberId) -> Report {
-        let Some(member) = self.members.get(&id) else { return Report::default() };
+    fn report(&self, id: MemberId) -> LoadReport {
+        let Some(member) = self.members.get(&id) else { return LoadReport::default() };
         let lag = if member.is_primary { 0 } else { member.lag };
-        Report {
-            position: Some(self.now - lag).filter(|_| self.settings.report_position),
-            primary: Some(member.is_primary),
-            ..Report::default()
+        LoadReport {
+            position: Some(self.now - lag).filter(|_| self.settings.reports_carry_position),
+            is_primary: Some(member.is_primary),
+            ..LoadReport::default()
         }
     }
 
@@ -369,7 +370,10 @@
         let lost = matches!(fault, Fault::Silent | Fault::Unreachable) || self.random.chance(0.03);
         let took = self.random.between(MS, 20 * MS);
         let report = self.report(id);
-        self.hand(Event::Probed { member: id, answered: !lost, took, report }, digest);
+        self.hand(
+            Event::HealthChecked { member: id, responded: !lost, elapsed: took, load_report: report },
+            digest,
+        );
     }
 
     fn add_member(&mut self, group: GroupId, is_primary: bool) {
@@ -381,9 +385,9 @@
             group,
             zone: 0,
             weight: self.random.pick(&[0.5, 1.0, 1.0, 2.0]),
-            started: self.random.chance(0.2).then_some(self.now - age),
-            standing: Standing::Serving,
-            primary: is_primary,
+            started_at: self.random.chance(0.2).then_some(self.now - age),
+            lifecycle: Lifecycle::Serving,
+            listed_primary: is_primary,
         };
         let member = SimulatedMember {
             entry,
@@ -434,16 +438,16 @@
         let id = self.any_member();
         let age = self.random.between(0, SECOND);
         match self.random.below(8) {
-            0 | 1 => self.change_lifecycle(id, Standing::Draining),
-            2 => self.change_lifecycle(id, Standing::Gone),
+            0 | 1 => self.change_lifecycle(id, Lifecycle::Draining),
+            2 => self.change_lifecycle(id, Lifecycle::Removed),
             3 | 4 => {
                 for member in self.members.values_mut() {
-                    member.entry.standing = Standing::Serving;
+                    member.entry.lifecycle = Lifecycle::Serving;
                 }
             }
             5 => {
                 let restarted = Some(self.now - age);
-                self.members.entry(id).and_modify(|member| member.entry.started = restarted);
+                self.members.entry(id).and_modify(|member| member.entry.started_at = restarted);
             }
             6 if self.members.len() > 1 => {
                 let removed = self.members.remove(&id);
@@ -465,15 +469,15 @@
         self.send_list(scope, digest);
     }
 
-    fn change_lifecycle(&mut self, id: MemberId, lifecycle: Standing) {
-        self.members.entry(id).and_modify(|member| member.entry.standing = lifecycle);
+    fn change_lifecycle(&mut self, id: MemberId, lifecycle: Lifecycle) {
+        self.members.entry(id).and_modify(|member| member.entry.lifecycle = lifecycle);
     }
 
     fn send_list(&mut self, scope: ListScope, digest: &mut Digest) {
         let role_listing = self.settings.role_listing;
         let listed = |member: &SimulatedMember| Member {
-            primary: match role_listing {
-                RoleListing::Late => member.is_primary,
+            listed_primary: match role_listing {
+                RoleListing::Delayed => member.is_primary,
                 RoleListing::AtStart => member.was_primary_at_start,
                 RoleListing::Never => false,
             },
@@ -486,7 +490,7 @@
             let left_out = self.random.below(members.len());
             members.remove(left_out);
         }
-        self.hand(Event::List { scope, members }, digest);
+        self.hand(Event::EndpointList { scope, members }, digest);
     }
 
     // ---- Peers, the host, the clock ----
@@ -494,29 +498,29 @@
     fn gossip(&mut self, digest: &mut Digest) {
         let gap = self.random.exponential(self.pace.gossip_gap);
         self.schedule(gap, Step::Gossip);
-        if self.settings.limits.carried {
-            digest.gossip(&self.router.news());
+        if self.settings.limits.host_gossip {
+            digest.gossip(&self.router.take_gossip());
         }
-        if !(self.settings.limits.peers || self.settings.limits.carried) {
+        if !(self.settings.limits.gossip || self.settings.limits.host_gossip) {
             return;
         }
         let count = self.random.between(1, 4);
         let age = self.random.between(0, 300 * MS);
-        let updates: Vec<News> = (0..count).map(|_| self.peer_update(age)).collect();
-        let relay = self.settings.limits.peers && self.random.chance(0.3);
-        self.hand(Event::Peer { told: self.now - age, relay, news: updates }, digest);
+        let updates: Vec<GossipUpdate> = (0..count).map(|_| self.peer_update(age)).collect();
+        let relay = self.settings.limits.gossip && self.random.chance(0.3);
+        self.hand(Event::Gossip { sent_at: self.now - age, relay, updates: updates }, digest);
     }
 
-    fn peer_update(&mut self, age: Span) -> News {
+    fn peer_update(&mut self, age: Span) -> GossipUpdate {
         let id = self.any_member();
         let report = self.report(id);
         let answers = self.random.between(0, 6) as u32;
-        News {
+        GossipUpdate {
             member: id,
             position: report.position.map(|position| position - age),
-            primary: report.primary.filter(|_| self.random.chance(0.7)),
-            strain: if answers > 0 { self.random.fraction() * 1.2 } else { 0.0 },
-            answers,
+            is_primary: report.is_primary.filter(|_| self.random.chance(0.7)),
+            latency_ratio: if answers > 0 { self.random.fraction() * 1.2 } else { 0.0 },
+            samples: answers,
         }
     }
 
@@ -529,10 +533,10 @@
         let free = self.random.below(4) as u32;
         let from = self.now + self.random.between(-100 * MS, 200 * MS);
         let permits = self.random.chance(0.8).then_some((free, from));
-        self.router.reach(id, permits);
+        self.router.set_connection_permits(id, permits);
         if self.random.chance(0.01) {
             let throughput = self.random.fraction() * 50.0;
-            self.router.expect(throughput);
+            self.router.seed_warm_throughput(throughput);
         }
     }
 
--- a/crates/stackgw-start/tests/digest.rs
+++ b/crates/stackgw-start/tests/digest.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
-use stackgw_router::api::{GroupId, MemberId, Span, Standing, Time, MS, SECOND};
+use stackgw_router::api::{GroupId, Lifecycle, MemberId, Span, Time, MS, SECOND};
 use stackgw_start::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -193,8 +193,8 @@
     (rng.random::<f64>() * end as f64) as usize
 }
 
-fn any_phase(rng: &mut Pcg64Mcg) -> Standing {
-    [Standing::Serving, Standing::Serving, Standing::Draining, Standing::Gone][below(rng, 4)]
+fn any_phase(rng: &mut Pcg64Mcg) -> Lifecycle {
+    [Lifecycle::Serving, Lifecycle::Serving, Lifecycle::Draining, Lifecycle::Removed][below(rng, 4)]
 }
 
 fn any_entry(rng: &mut Pcg64Mcg, now: Time, members: usize) -> Entry {
@@ -239,10 +239,10 @@
     let (now, member) = (sim.now, below(rng, sim.versions[0].len()));
     match below(rng, 6) {
         0 | 1 => sim.drain(member),
-        2 => sim.change(|list| list[member].phase = Standing::Serving),
-        3 => sim.change(|list| list[member].phase = Standing::Gone),
+        2 => sim.change(|list| list[member].phase = Lifecycle::Serving),
+        3 => sim.change(|list| list[member].phase = Lifecycle::Removed),
         4 => sim.change(|list| {
-            (list[member].up_since_ms, list[member].phase) = (now / MS, Standing::Serving);
+            (list[member].up_since_ms, list[member].phase) = (now / MS, Lifecycle::Serving);
         }),
         _ => sim.change(|list| {
             list.iter_mut().enumerate().for_each(|(n, entry)| entry.leader = n == member);
--- a/crates/stackgw-start/tests/stored_and_sent.rs
+++ b/crates/stackgw-start/tests/stored_and_sent.rs
@@ -3,7 +3,7 @@
 
 use serde::de::{DeserializeOwned, Deserializer, Error, Visitor};
 use serde::Serialize;
-use stackgw_router::api::Standing;
+use stackgw_router::api::Lifecycle;
 use stackgw_start::{service, Entry, Message, Sighting, Tell, Update};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
     SocketAddr::from(([0x2001, 0xdb8, 0, 0, 0, 0, 0, 0x17], 7_654))
 }
 
-fn entry(number: u8, phase: Standing) -> Entry {
+fn entry(number: u8, phase: Lifecycle) -> Entry {
     Entry {
         id: format!("member-{number}"),
         address: SocketAddr::from(([10, 1, 2, number], 6_543)),
@@ -36,9 +36,9 @@
 /// One member in each phase, with each form of address and of start time.
 fn entries() -> Vec<Entry> {
     let primary =
-        Entry { leader: true, size: 2.5, up_since_ms: 1_790_000_123_456, ..entry(1, Standing::Serving) };
-    let draining = Entry { up_since_ms: -1, address: peer_v6(), ..entry(2, Standing::Draining) };
-    let gone = Entry { locality: String::new(), cell: 0, size: 0.0, ..entry(3, Standing::Gone) };
+        Entry { leader: true, size: 2.5, up_since_ms: 1_790_000_123_456, ..entry(1, Lifecycle::Serving) };
+    let draining = Entry { up_since_ms: -1, address: peer_v6(), ..entry(2, Lifecycle::Draining) };
+    let gone = Entry { locality: String::new(), cell: 0, size: 0.0, ..entry(3, Lifecycle::Removed) };
     vec![primary, draining, gone]
 }
 
@@ -72,7 +72,7 @@
 
 /// More entries than one datagram carries.
 fn many_entries() -> Vec<Entry> {
-    (1..=60).map(|number| entry(number, Standing::Serving)).collect()
+    (1..=60).map(|number| entry(number, Lifecycle::Serving)).collect()
 }
 
 fn fragments() -> Vec<Message> {
@@ -120,7 +120,7 @@
 
 fn stored_lists() -> [(&'static str, Update); 2] {
     let complete = Update { revision: 70_000, complete: true, members: entries() };
-    let changes = Update { revision: 70_001, complete: false, members: vec![entry(9, Standing::Draining)] };
+    let changes = Update { revision: 70_001, complete: false, members: vec![entry(9, Lifecycle::Draining)] };
     [("list-complete.bin", complete), ("list-changes.bin", changes)]
 }
 
