--- a/crates/stackgw-gateway/src/io/cluster.rs
+++ b/crates/stackgw-gateway/src/io/cluster.rs
@@ -53,7 +53,7 @@
 pub(super) fn kept(
     start: &stackgw_config::Start,
     log: &Logger,
-) -> Option<(Option<stackgw_start::Kept>, ListWriter)> {
+) -> Option<(Option<stackgw_start::CachedEndpoints>, ListWriter)> {
     let path = start.list.as_ref()?;
     let kept = stackgw_store::read_list(path, &start.service).unwrap_or_else(|failed| {
         info!(log, "{failed}; starting without it");
--- a/crates/stackgw-gateway/src/reducer/clients.rs
+++ b/crates/stackgw-gateway/src/reducer/clients.rs
@@ -523,7 +523,7 @@
         let class = class.ok_or(Final::Malformed("the class is unknown"))?;
         if self.members.is_empty() {
             let hint = self.fixed.settings.router.limits.retry_after;
-            let wait = self.starting.as_ref().filter(|_| hint).map(|s| s.start.comes_back(now));
+            let wait = self.starting.as_ref().filter(|_| hint).map(|s| s.start.retry_after(now));
             let text = "no list of members is known yet";
             return self.decline(match wait {
                 Some(wait) => Final::Refused(text, Some((wait + MS - 1) / MS)),
--- a/crates/stackgw-gateway/src/reducer/list.rs
+++ b/crates/stackgw-gateway/src/reducer/list.rs
@@ -62,7 +62,8 @@
         if self.starting.is_some() {
             self.counters.watches_lost += 1;
             log_rarely(self.counters.watches_lost, &format!("watch of the list lost ({}),", lost.why), out);
-            return self.with_start(now, out, |start, outputs| start.watch_lost(now, lost.put_off, outputs));
+            return self
+                .with_start(now, out, |start, outputs| start.handle_watch_lost(now, lost.put_off, outputs));
         }
         if !std::mem::replace(&mut self.watching, false) {
             return;
@@ -83,7 +84,7 @@
     pub(super) fn list(&mut self, now: Time, list: ListUpdate, out: &mut Vec<Effect>) {
         self.watch_wait(now + self.limits.watch_silence);
         if self.starting.is_some() {
-            return self.with_start(now, out, |start, outputs| start.watch_said(now, list, outputs));
+            return self.with_start(now, out, |start, outputs| start.handle_watch_update(now, list, outputs));
         }
         self.watch_pause = 0;
         if !list.complete && self.revision.is_some_and(|known| list.revision < known) {
--- a/crates/stackgw-gateway/src/reducer/members.rs
+++ b/crates/stackgw-gateway/src/reducer/members.rs
@@ -116,7 +116,7 @@
         self.next_conn += 1;
         self.counters.members_opened += 1;
         self.counters.members_open += 1;
-        self.deal(|deal| deal.opens(now, member));
+        self.deal(|deal| deal.record_attempt(now, member));
         let timer = Some(self.set_timer(now + self.limits.connect, Due::Conn(id)));
         let phase = Phase::Connecting;
         let reply = Reply::default();
@@ -259,7 +259,7 @@
             (Phase::Starting, Ok(true)) => {
                 self.counters.members_up += 1;
                 let (member, busy) = (conn.member, conn.job.is_some());
-                self.deal(|deal| deal.came_up(member));
+                self.deal(|deal| deal.record_success(member));
                 let Some(conn) = self.conns.get_mut(&id) else { return };
                 if busy {
                     return self.write_job(now, id, out);
@@ -358,7 +358,7 @@
     fn handshake_failed(&mut self, now: Time, id: ConnId) {
         let coming = |c: &&Conn| matches!(c.phase, Phase::Connecting | Phase::Starting);
         if let Some(member) = self.conns.get(&id).filter(coming).map(|conn| conn.member) {
-            self.deal(|deal| deal.failed(now, member));
+            self.deal(|deal| deal.record_failure(now, member));
         }
     }
 
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -218,7 +218,7 @@
     /// Keep a record on the disk.
     Store(stackgw_sessions::Record),
     /// Keep the list on the disk.
-    Keep(Box<stackgw_start::Kept>),
+    Keep(Box<stackgw_start::CachedEndpoints>),
     /// The answer to a question at the local socket.
     Told(u64, serde_json::Value),
     /// Take what waits in line, then close the listener.
@@ -474,7 +474,7 @@
             Input::WatchUp => self.watch_wait(now + self.limits.watch_first),
             Input::WatchAlive => {
                 self.watch_wait(now + self.limits.watch_silence);
-                self.with_start(now, out, |start, outputs| start.watch_alive(now, outputs));
+                self.with_start(now, out, |start, outputs| start.handle_watch_heartbeat(now, outputs));
             }
             Input::WatchLost(why) => self.watch_lost(now, why, out),
             Input::FetchFailed => {
--- a/crates/stackgw-gateway/src/reducer/start.rs
+++ b/crates/stackgw-gateway/src/reducer/start.rs
@@ -4,17 +4,18 @@
 use super::*;
 use serde_json::{json, Value};
 use stackgw_start::{
-    Deal, Dealt, Kept, Message, Note, Origin, Output, Pace, Settings, Sighting, Start, Taken,
+    Bootstrap, BootstrapSettings, CachedEndpoints, ConnectionPacer, LogEvent, MergeOutcome, Message,
+    Observation, Origin, Output, PacerConfig, PollRate,
 };
 
 /// Everything of it.
 pub(super) struct Starting {
-    pub(super) start: Start,
+    pub(super) start: Bootstrap,
     outputs: Vec<Output>,
     due: Option<TimerKey>,
     service: String,
     /// Who may open a connection to a cold member when; `None`: that is not dealt.
-    deal: Option<Deal>,
+    deal: Option<ConnectionPacer>,
     /// Members to which the ways have changed since the router was last told.
     ways: BTreeSet<MemberId>,
     /// Members by their names as sightings carry them.
@@ -26,40 +27,42 @@
 impl Starting {
     /// One line for the log.
     pub(super) fn line(&self, now: Time) -> String {
-        let (counts, book) = (self.start.counts(), self.start.book());
-        let (holders, live) = self.start.holders();
-        let origin = book.origin().map_or("nothing", word);
-        let age = book.age(now).map_or_else(|| "never".to_owned(), |age| format!("{} ms", age / MS));
+        let (counts, cache) = (self.start.counts(), self.start.cache());
+        let (holders, live) = self.start.watch_leaders();
+        let origin = cache.origin().map_or("nothing", word);
+        let age = cache.age(now).map_or_else(|| "never".to_owned(), |age| format!("{} ms", age / MS));
         format!(
             "list from {origin}, version {:?}, vouched for {age} ago, watch={live} holders={holders:?} watches={} alone={} asked={} \
              unanswered={} answered={} pushed={} taken={} older={} foreign={} sighted={} dealt={} waited={}",
-            book.revision(), counts.watches, counts.alone, counts.asked, counts.unanswered, counts.answered, counts.pushed,
-            counts.taken, counts.older, counts.foreign, counts.sighted, self.dealt(now), self.waited()
+            cache.revision(), counts.watches_opened, counts.watches_without_leader, counts.polls_sent, counts.polls_unanswered, counts.polls_answered, counts.snapshots_pushed,
+            counts.snapshots_merged, counts.stale_updates, counts.foreign_messages, counts.observations_merged, self.dealt(now), self.waited()
         )
     }
 
     /// Members whose connections are dealt now: not those that have become warm since they were listed.
     fn dealt(&self, now: Time) -> usize {
-        self.deal.as_ref().map_or(0, |deal| deal.members().filter(|m| deal.from(now, *m).is_some()).count())
+        self.deal.as_ref().map_or(0, |deal| {
+            deal.paced_members().filter(|m| deal.next_connection_at(now, *m).is_some()).count()
+        })
     }
 
     /// How often somebody would have opened a connection out of turn.
     fn waited(&self) -> u64 {
-        self.deal.as_ref().map_or(0, Deal::waited)
+        self.deal.as_ref().map_or(0, ConnectionPacer::deferrals)
     }
 
     fn tell(&self, now: Time) -> Value {
-        let (counts, book) = (self.start.counts(), self.start.book());
-        let (holders, live) = self.start.holders();
+        let (counts, cache) = (self.start.counts(), self.start.cache());
+        let (holders, live) = self.start.watch_leaders();
         json!({
             "service": self.service,
-            "revision": book.revision(), "origin": book.origin().map(word), "age_ms": book.age(now).map(|age| age / MS),
-            "members": book.present().count(), "behind": book.is_behind(), "resets": book.resets(),
+            "revision": cache.revision(), "origin": cache.origin().map(word), "age_ms": cache.age(now).map(|age| age / MS),
+            "members": cache.endpoints().count(), "behind": cache.is_behind(), "resets": cache.resets(),
             "ready": self.start.is_ready(now), "watch": live,
             "holders": holders.iter().map(ToString::to_string).collect::<Vec<_>>(),
-            "counts": {"watches": counts.watches, "alone": counts.alone, "asked": counts.asked,
-                "unanswered": counts.unanswered, "answered": counts.answered, "pushed": counts.pushed,
-                "taken": counts.taken, "older": counts.older, "foreign": counts.foreign, "sighted": counts.sighted,
+            "counts": {"watches": counts.watches_opened, "alone": counts.watches_without_leader, "asked": counts.polls_sent,
+                "unanswered": counts.polls_unanswered, "answered": counts.polls_answered, "pushed": counts.snapshots_pushed,
+                "taken": counts.snapshots_merged, "older": counts.stale_updates, "foreign": counts.foreign_messages, "sighted": counts.observations_merged,
                 "waited": self.waited()},
             "dealt": self.dealt(now),
         })
@@ -68,7 +71,7 @@
 
 fn word(origin: Origin) -> &'static str {
     match origin {
-        Origin::Kept => "kept word",
+        Origin::Cached => "kept word",
         Origin::Peer => "a peer",
         Origin::Service => "the service",
     }
@@ -82,46 +85,47 @@
         now: Time,
         file: &stackgw_config::Start,
         others: Option<&stackgw_config::Cluster>,
-        kept: Option<Kept>,
+        kept: Option<CachedEndpoints>,
         out: &mut Vec<Effect>,
     ) {
-        let pace = Pace {
-            number: self.me as u32,
-            fleet: self.fixed.settings.router.fleet_size.max(others.map_or(0, |o| o.expected)),
-            bears: f64::from(file.bears),
-            least: self.limits.watch_pause,
+        let pace = PollRate {
+            instance_number: self.me as u32,
+            fleet_size: self.fixed.settings.router.fleet_size.max(others.map_or(0, |o| o.expected)),
+            service_capacity: f64::from(file.bears),
+            min_pause: self.limits.watch_pause,
         };
-        let set = Settings {
-            pace,
-            others: others.map(|others| (others.reached_at(), others.seeds.clone())),
-            holders: stackgw_start::HOLDERS_LEAST,
-            service: stackgw_start::service(&file.service),
-            grace: self.limits.drain_grace,
-            silence: self.limits.watch_silence,
-            kept_wait: file.kept_wait.as_nanos(),
-            reset_after: file.reset_after.as_nanos(),
+        let set = BootstrapSettings {
+            poll_rate: pace,
+            peers: others.map(|others| (others.reached_at(), others.seeds.clone())),
+            min_watch_leaders: stackgw_start::MIN_WATCH_LEADERS,
+            service_id: stackgw_start::service_id(&file.service),
+            drain_grace: self.limits.drain_grace,
+            watch_timeout: self.limits.watch_silence,
+            cached_list_wait: file.kept_wait.as_nanos(),
+            service_reset_after: file.reset_after.as_nanos(),
             seed: self.secret,
         };
         // What the platform knows is kept word too; of which moment, it does not say.
-        let known = self.known.take().map(|list| Kept { list, said: 0, rate: 0.0 });
+        let known =
+            self.known.take().map(|list| CachedEndpoints { list, confirmed_at: 0, warm_throughput: 0.0 });
         let newer = [kept, known].into_iter().flatten().max_by_key(|kept| kept.list.revision);
         let mut outputs = Vec::new();
-        let start = Start::new(now, set, newer, &mut outputs);
+        let start = Bootstrap::new(now, set, newer, &mut outputs);
         let service = file.service.clone();
         let rules = &self.fixed.settings.router.obligations;
-        let dealt = |opens| Dealt {
-            number: pace.number,
-            fleet: pace.fleet,
-            opens: f64::from(opens),
-            cold_share: rules.cold_capacity_share,
-            warm_within: rules.warm_up_time,
+        let dealt = |opens| PacerConfig {
+            instance_number: pace.instance_number,
+            fleet_size: pace.fleet_size,
+            connection_rate: f64::from(opens),
+            cold_capacity_share: rules.cold_capacity_share,
+            warm_up_time: rules.warm_up_time,
         };
         self.starting = Some(Box::new(Starting {
             start,
             outputs: Vec::new(),
             due: None,
             service,
-            deal: file.opens.map(|opens| Deal::new(dealt(opens), self.secret)),
+            deal: file.opens.map(|opens| ConnectionPacer::new(dealt(opens), self.secret)),
             ways: BTreeSet::new(),
             sights: HashMap::new(),
             gathered: now,
@@ -134,7 +138,7 @@
         &mut self,
         now: Time,
         out: &mut Vec<Effect>,
-        act: impl FnOnce(&mut Start, &mut Vec<Output>),
+        act: impl FnOnce(&mut Bootstrap, &mut Vec<Output>),
     ) {
         let Some(starting) = self.starting.as_mut() else { return };
         let mut outputs = std::mem::take(&mut starting.outputs);
@@ -145,29 +149,37 @@
     fn start_outputs(&mut self, now: Time, mut outputs: Vec<Output>, out: &mut Vec<Effect>) {
         for output in outputs.drain(..) {
             match output {
-                Output::Watch(after) => self.open_watch(now, after, out),
-                Output::Unwatch => self.unwatch(out),
+                Output::OpenWatch(after) => self.open_watch(now, after, out),
+                Output::CloseWatch => self.unwatch(out),
                 Output::Send(to, message) => {
                     let body = message.encode();
                     self.cluster_send(out, |cluster, effects| cluster.tell(to, &body, effects));
                 }
-                Output::Expect(rate) => self.router.seed_warm_throughput(rate),
-                Output::Seen(seen) => self.sighted(now, &seen),
-                Output::Keep(kept) => out.push(Effect::Keep(Box::new(kept))),
-                Output::List(Taken::Whole(entries)) => self.told(now, ListScope::Full, &entries, out),
-                Output::List(Taken::Cautious(entries)) => self.told(now, ListScope::Cached, &entries, out),
-                Output::List(Taken::Changes(entries)) => self.told(now, ListScope::Changes, &entries, out),
-                Output::List(Taken::Same | Taken::Older) => {}
-                Output::Said(note) => out.push(Effect::Log(match note {
-                    Note::Holds(true) => "holds a watch of the list for the fleet".to_owned(),
-                    Note::Holds(false) => {
+                Output::SeedWarmThroughput(rate) => self.router.seed_warm_throughput(rate),
+                Output::Observations(seen) => self.sighted(now, &seen),
+                Output::Persist(kept) => out.push(Effect::Keep(Box::new(kept))),
+                Output::Endpoints(MergeOutcome::Complete(entries)) => {
+                    self.told(now, ListScope::Full, &entries, out)
+                }
+                Output::Endpoints(MergeOutcome::Cached(entries)) => {
+                    self.told(now, ListScope::Cached, &entries, out)
+                }
+                Output::Endpoints(MergeOutcome::Changed(entries)) => {
+                    self.told(now, ListScope::Changes, &entries, out)
+                }
+                Output::Endpoints(MergeOutcome::Unchanged | MergeOutcome::Stale) => {}
+                Output::Log(note) => out.push(Effect::Log(match note {
+                    LogEvent::WatchEstablished(true) => "holds a watch of the list for the fleet".to_owned(),
+                    LogEvent::WatchEstablished(false) => {
                         "watches the list for itself: nobody tells it who hears the service".to_owned()
                     }
-                    Note::Leaves => "leaves the watch of the list to others".to_owned(),
-                    Note::Behind(version) => {
+                    LogEvent::WatchReleased => "leaves the watch of the list to others".to_owned(),
+                    LogEvent::ServiceBehind(version) => {
                         format!("the list service tells older lists than version {version}, which is held")
                     }
-                    Note::Reset => "the list service counts its versions anew, and is believed".to_owned(),
+                    LogEvent::ServiceReset => {
+                        "the list service counts its versions anew, and is believed".to_owned()
+                    }
                 })),
             }
         }
@@ -180,7 +192,7 @@
     /// Sets its timer anew where its moment has changed.
     pub(super) fn start_due_set(&mut self, now: Time) {
         let Some(starting) = self.starting.as_ref() else { return };
-        let key = self.moved(starting.due, starting.start.next_due(now), Due::Start);
+        let key = self.moved(starting.due, starting.start.next_timeout(now), Due::Start);
         if let Some(starting) = self.starting.as_mut() {
             starting.due = Some(key);
         }
@@ -192,14 +204,14 @@
         }
         let (rate, seen) = (self.router.warm_throughput(), self.saw(now));
         self.with_start(now, out, |start, outputs| {
-            start.answers(rate);
-            start.saw(now, seen);
-            start.due(now, outputs);
+            start.set_warm_throughput(rate);
+            start.record_observations(now, seen);
+            start.handle_timeout(now, outputs);
         });
     }
 
     /// What members have told here, in the form in which others are told.
-    fn saw(&mut self, now: Time) -> Vec<Sighting> {
+    fn saw(&mut self, now: Time) -> Vec<Observation> {
         // Danger: an answer may be as old as the gathering before, and a role told just before its member started again must not
         // pass for one told after it.
         let since = self.starting.as_mut().map_or(now, |s| std::mem::replace(&mut s.gathered, now));
@@ -208,15 +220,20 @@
             let name = &self.members.get(&news.member)?.name;
             let position_ms = u64::try_from(news.position? / MS).ok()?;
             let at_ms = u64::try_from(since / MS).ok()?;
-            Some(Sighting { member: Sighting::of(name), position_ms, leads: news.is_primary, at_ms })
+            Some(Observation {
+                member_hash: Observation::hash_name(name),
+                position_ms,
+                is_primary: news.is_primary,
+                observed_at_ms: at_ms,
+            })
         };
         news.iter().filter_map(seen).collect()
     }
 
     /// What members have told elsewhere, for the router.
-    fn sighted(&mut self, now: Time, seen: &[Sighting]) {
+    fn sighted(&mut self, now: Time, seen: &[Observation]) {
         for seen in seen {
-            let known = self.starting.as_ref().and_then(|s| s.sights.get(&seen.member).copied());
+            let known = self.starting.as_ref().and_then(|s| s.sights.get(&seen.member_hash).copied());
             let Some(member) = known else { continue };
             let position = Some(seen.position()).filter(|at| *at > 0);
             if !self.can_be(now, position) {
@@ -224,18 +241,18 @@
             }
             // Danger: a process that has started since leads nobody until it says so itself.
             let began = self.members.get(&member).and_then(|known| known.started);
-            let primary = seen.leads.filter(|_| began.is_none_or(|began| seen.at() > began));
+            let primary = seen.is_primary.filter(|_| began.is_none_or(|began| seen.observed_at() > began));
             let news =
                 vec![GossipUpdate { member, position, is_primary: primary, latency_ratio: 0.0, samples: 0 }];
             // No earlier than its position, which the answer that told it had.
-            let told = seen.at().max(seen.position()).min(now);
+            let told = seen.observed_at().max(seen.position()).min(now);
             self.events.push_back(Event::Gossip { sent_at: told, relay: false, updates: news });
         }
     }
 
     // Connections that are dealt.
 
-    pub(super) fn deal(&mut self, act: impl FnOnce(&mut Deal)) {
+    pub(super) fn deal(&mut self, act: impl FnOnce(&mut ConnectionPacer)) {
         if let Some(deal) = self.starting.as_mut().and_then(|starting| starting.deal.as_mut()) {
             act(deal);
         }
@@ -246,26 +263,26 @@
         let Some(starting) = self.starting.as_mut() else { return };
         for entry in list {
             let Some(member) = self.member_ids.get(&entry.id).copied() else { continue };
-            starting.sights.insert(Sighting::of(&entry.id), member);
+            starting.sights.insert(Observation::hash_name(&entry.id), member);
             let Some(deal) = starting.deal.as_mut() else { continue };
             let started = match entry.up_since_ms {
                 0 => None,
                 ms => Some(Some(ms * MS).filter(|_| ms > 0)),
             };
-            deal.listed(now, member, &entry.id, GroupId(entry.cell), started);
+            deal.update_member(now, member, &entry.id, GroupId(entry.cell), started);
             starting.ways.insert(member);
         }
         if let Some(deal) = starting.deal.as_mut() {
-            deal.arrange(now);
+            deal.schedule_new_members(now);
         }
     }
 
     /// Drops what goes by a member's number.
     pub(super) fn start_forgets(&mut self, member: MemberId, name: &str) {
         let Some(starting) = self.starting.as_mut() else { return };
-        starting.sights.remove(&Sighting::of(name));
+        starting.sights.remove(&Observation::hash_name(name));
         if let Some(deal) = starting.deal.as_mut() {
-            deal.forget(member);
+            deal.remove_member(member);
         }
     }
 
@@ -274,9 +291,9 @@
         let Some(deal) = self.starting.as_mut().and_then(|starting| starting.deal.as_mut()) else {
             return true;
         };
-        let may = deal.from(now, member).is_none_or(|from| from <= now);
+        let may = deal.next_connection_at(now, member).is_none_or(|from| from <= now);
         if !may {
-            deal.waits();
+            deal.record_deferral();
         }
         may
     }
@@ -291,7 +308,7 @@
     /// All that are dealt: some may be warm by now.
     pub(super) fn ways_aged(&mut self) {
         if let Some(starting) = self.starting.as_mut() {
-            starting.ways.extend(starting.deal.iter().flat_map(Deal::members));
+            starting.ways.extend(starting.deal.iter().flat_map(ConnectionPacer::paced_members));
         }
     }
 
@@ -303,7 +320,10 @@
         let Some(deal) = starting.deal.as_ref() else { return };
         for member in std::mem::take(&mut starting.ways) {
             let free = u32::try_from(self.pool.idle(member)).unwrap_or(u32::MAX);
-            self.router.set_connection_permits(member, deal.from(now, member).map(|from| (free, from)));
+            self.router.set_connection_permits(
+                member,
+                deal.next_connection_at(now, member).map(|from| (free, from)),
+            );
         }
     }
 
@@ -313,14 +333,14 @@
             self.counters.words_dropped += 1;
         }
         if let Some(message) = message {
-            self.with_start(now, out, |start, outputs| start.message(now, message, outputs));
+            self.with_start(now, out, |start, outputs| start.handle_message(now, message, outputs));
         }
     }
 
     pub(super) fn start_met(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(member) = self.cluster.as_ref().filter(|_| self.starting.is_some()) else { return };
         let up = member.cluster.known().filter(|seen| seen.up).map(|seen| seen.identity.address).collect();
-        self.with_start(now, out, |start, outputs| start.met(now, up, outputs));
+        self.with_start(now, out, |start, outputs| start.update_membership(now, up, outputs));
     }
 
     /// What a running gateway can change of it; `moved`: the list is at another address now.
@@ -339,7 +359,7 @@
         };
         let moved = moved || starting.service != file.service;
         starting.service = file.service.clone();
-        let service = stackgw_start::service(&file.service);
+        let service = stackgw_start::service_id(&file.service);
         self.with_start(now, out, |start, outputs| start.reload(now, seeds, service, moved, outputs));
     }
 
--- a/crates/stackgw-start/benches/scale.rs
+++ b/crates/stackgw-start/benches/scale.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use stackgw_router::api::{GroupId, MemberId, Span, Time, MS, SECOND};
-use stackgw_start::{Deal, Dealt};
+use stackgw_start::{ConnectionPacer, PacerConfig};
 
 const FLEETS: [usize; 4] = [100, 300, 500, 2_000];
 const SEED: u64 = 3;
@@ -43,15 +43,20 @@
 
 /// All turns that instances take at members that have just started, one connection for each instance and member.
 fn turns(fleet: usize, members: u32, opens: f64, now: Time) -> Vec<Vec<Span>> {
-    let set =
-        |number| Dealt { number, fleet: fleet as u32, opens, cold_share: 0.25, warm_within: 10 * SECOND };
+    let set = |number| PacerConfig {
+        instance_number: number,
+        fleet_size: fleet as u32,
+        connection_rate: opens,
+        cold_capacity_share: 0.25,
+        warm_up_time: 10 * SECOND,
+    };
     let of = |number: usize| {
-        let mut deal = Deal::new(set(number as u32), SEED + number as u64);
+        let mut deal = ConnectionPacer::new(set(number as u32), SEED + number as u64);
         for n in 0..members {
-            deal.listed(now, MemberId(n), &format!("m{n}"), GroupId(2), Some(Some(now)));
+            deal.update_member(now, MemberId(n), &format!("m{n}"), GroupId(2), Some(Some(now)));
         }
-        deal.arrange(now);
-        (0..members).map(|n| deal.from(now, MemberId(n)).unwrap_or(now) - now).collect()
+        deal.schedule_new_members(now);
+        (0..members).map(|n| deal.next_connection_at(now, MemberId(n)).unwrap_or(now) - now).collect()
     };
     (0..fleet).map(of).collect()
 }
--- a/crates/stackgw-start/src/start.rs
+++ b/crates/stackgw-start/src/bootstrap.rs
@@ -1,12 +1,12 @@
 //! One instance, from knowing nothing on: when it asks the list service itself, whom it asks else, what it tells others, and
 //! when it is ready.
 
-use crate::book::{Book, Origin, Taken};
-use crate::circle::Circle;
-use crate::entry::Update;
-use crate::message::{Gathered, Message, Tell};
-use crate::seen::{Sighting, Sightings};
-use crate::turns::{Pace, Turns};
+use crate::endpoint::EndpointUpdate;
+use crate::endpoint_cache::{EndpointCache, MergeOutcome, Origin};
+use crate::message::{EndpointSnapshot, Message, Reassembly};
+use crate::observation::{Observation, Observations};
+use crate::poll_schedule::{PollRate, PollSchedule};
+use crate::watch_leaders::WatchLeaders;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use stackgw_router::api::{Span, Time, MS, SECOND};
@@ -15,95 +15,95 @@
 
 /// What an instance is told.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Settings {
+pub struct BootstrapSettings {
     /// Its number, the fleet's size, and what the service bears.
-    pub pace: Pace,
+    pub poll_rate: PollRate,
     /// Where others reach it, and where some of them are always found; `None`: it talks to nobody.
-    pub others: Option<(SocketAddr, Vec<SocketAddr>)>,
-    /// So many hold the watch at least; [`HOLDERS_LEAST`] unless there is a reason.
-    pub holders: u32,
+    pub peers: Option<(SocketAddr, Vec<SocketAddr>)>,
+    /// So many hold the watch at least; [`MIN_WATCH_LEADERS`] unless there is a reason.
+    pub min_watch_leaders: u32,
     /// The service whose versions its list has, by a hash of its name.
-    pub service: u64,
+    pub service_id: u64,
     /// Word of a drain has to be everywhere within this.
-    pub grace: Span,
+    pub drain_grace: Span,
     /// A watch that says nothing for so long is lost.
-    pub silence: Span,
+    pub watch_timeout: Span,
     /// How long an instance that has only kept word waits for better before it says that it is ready.
-    pub kept_wait: Span,
+    pub cached_list_wait: Span,
     /// A service that tells older lists for this long has lost its state, and is believed.
-    pub reset_after: Span,
+    pub service_reset_after: Span,
     /// For the choices by chance.
     pub seed: u64,
 }
 
 /// The list as it was kept.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kept {
+pub struct CachedEndpoints {
     /// All of it.
-    pub list: Update,
+    pub list: EndpointUpdate,
     /// When the service last vouched for it.
-    pub said: Time,
+    pub confirmed_at: Time,
     /// Requests a second that a warm member answered this instance; 0: not known.
-    pub rate: f64,
+    pub warm_throughput: f64,
 }
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Open a watch of what changes after this version, or of all.
-    Watch(Option<u64>),
+    OpenWatch(Option<u64>),
     /// Close the watch.
-    Unwatch,
+    CloseWatch,
     /// Tell another instance.
     Send(SocketAddr, Message),
     /// The list is news to whoever decides by it.
-    List(Taken),
+    Endpoints(MergeOutcome),
     /// Keep this on the disk.
-    Keep(Kept),
+    Persist(CachedEndpoints),
     /// Requests a second that a warm member may be taken to answer this instance, until its own answers tell.
-    Expect(f64),
+    SeedWarmThroughput(f64),
     /// What others' answers showed of members, to be taken for a start.
-    Seen(Vec<Sighting>),
+    Observations(Vec<Observation>),
     /// Something for the log.
-    Said(Note),
+    Log(LogEvent),
 }
 
 /// What is worth a line in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Note {
+pub enum LogEvent {
     /// It holds the watch now, for the fleet or (`false`) for itself alone.
-    Holds(bool),
+    WatchEstablished(bool),
     /// It no longer does.
-    Leaves,
+    WatchReleased,
     /// The service tells an older list than this one, which is held.
-    Behind(u64),
+    ServiceBehind(u64),
     /// The service counts anew, and is believed.
-    Reset,
+    ServiceReset,
 }
 
 /// What came and went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct BootstrapCounters {
     /// Watches opened.
-    pub watches: u64,
+    pub watches_opened: u64,
     /// Of them, those opened for want of a holder that hears the service.
-    pub alone: u64,
+    pub watches_without_leader: u64,
     /// Questions to others.
-    pub asked: u64,
+    pub polls_sent: u64,
     /// Times that nobody who was asked answered.
-    pub unanswered: u64,
+    pub polls_unanswered: u64,
     /// Questions of others.
-    pub answered: u64,
+    pub polls_answered: u64,
     /// Datagrams sent unasked, as the list had changed.
-    pub pushed: u64,
+    pub snapshots_pushed: u64,
     /// Word taken from others.
-    pub taken: u64,
+    pub snapshots_merged: u64,
     /// Word that was older than what is held.
-    pub older: u64,
+    pub stale_updates: u64,
     /// Word of another service, or that makes no sense here.
-    pub foreign: u64,
+    pub foreign_messages: u64,
     /// News of members' positions and roles that others told.
-    pub sighted: u64,
+    pub observations_merged: u64,
 }
 
 /// The watch.
@@ -123,7 +123,7 @@
     to: Vec<SocketAddr>,
     nonce: u32,
     sent: Time,
-    gathered: Option<Gathered>,
+    gathered: Option<Reassembly>,
 }
 
 /// Parts of a grace after which others are asked again, so that two that are lost leave time for a third.
@@ -151,11 +151,11 @@
 
 /// See the module.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Start {
-    set: Settings,
-    book: Book,
-    turns: Turns,
-    circle: Option<Circle>,
+pub struct Bootstrap {
+    set: BootstrapSettings,
+    book: EndpointCache,
+    turns: PollSchedule,
+    circle: Option<WatchLeaders>,
     rng: Pcg64Mcg,
     started: Time,
     watch: Watch,
@@ -179,19 +179,25 @@
     rate: f64,
     expects: bool,
     /// What answers have shown of members, here and elsewhere.
-    seen: Sightings,
-    counts: Counts,
+    seen: Observations,
+    counts: BootstrapCounters,
 }
 
-impl Start {
+impl Bootstrap {
     /// An instance that starts now, with what it kept.
-    pub fn new(now: Time, set: Settings, kept: Option<Kept>, out: &mut Vec<Output>) -> Self {
-        let others = set.others.as_ref();
-        let circle =
-            others.map(|(me, seeds)| Circle::new(*me, seeds.iter().copied(), set.pace.fleet, set.holders));
-        let mut start = Start {
-            book: Book::new(set.reset_after),
-            turns: Turns::new(set.pace, set.seed),
+    pub fn new(
+        now: Time,
+        set: BootstrapSettings,
+        kept: Option<CachedEndpoints>,
+        out: &mut Vec<Output>,
+    ) -> Self {
+        let others = set.peers.as_ref();
+        let circle = others.map(|(me, seeds)| {
+            WatchLeaders::new(*me, seeds.iter().copied(), set.poll_rate.fleet_size, set.min_watch_leaders)
+        });
+        let mut start = Bootstrap {
+            book: EndpointCache::new(set.service_reset_after),
+            turns: PollSchedule::new(set.poll_rate, set.seed),
             circle,
             rng: Pcg64Mcg::seed_from_u64(set.seed ^ 0x57a7),
             started: now,
@@ -210,37 +216,37 @@
             kept_at: None,
             rate: 0.0,
             expects: false,
-            seen: Sightings::default(),
-            counts: Counts::default(),
+            seen: Observations::default(),
+            counts: BootstrapCounters::default(),
             set,
         };
-        if let Some(Kept { list, said, rate }) = kept {
-            start.expect(rate, out);
-            let taken = start.book.take(now, list, Origin::Kept, said.min(now), None);
-            out.push(Output::List(taken));
+        if let Some(CachedEndpoints { list, confirmed_at, warm_throughput }) = kept {
+            start.expect(warm_throughput, out);
+            let taken = start.book.take(now, list, Origin::Cached, confirmed_at.min(now), None);
+            out.push(Output::Endpoints(taken));
         }
         start.look(now, out);
         start
     }
 
     /// What the router takes a warm member to answer this instance, in requests a second.
-    pub fn answers(&mut self, rate: f64) {
+    pub fn set_warm_throughput(&mut self, rate: f64) {
         self.rate = rate;
     }
 
     /// What answers have shown here, to be told to others.
-    pub fn saw(&mut self, now: Time, seen: impl IntoIterator<Item = Sighting>) {
+    pub fn record_observations(&mut self, now: Time, seen: impl IntoIterator<Item = Observation>) {
         for seen in seen {
-            self.seen.own(now, seen, self.set.silence);
+            self.seen.own(now, seen, self.set.watch_timeout);
         }
     }
 
     /// What answers have shown elsewhere.
-    fn sighted(&mut self, now: Time, seen: Vec<Sighting>, out: &mut Vec<Output>) {
-        let (keep, known) = (self.set.silence, &mut self.seen);
+    fn sighted(&mut self, now: Time, seen: Vec<Observation>, out: &mut Vec<Output>) {
+        let (keep, known) = (self.set.watch_timeout, &mut self.seen);
         let news: Vec<_> = seen.into_iter().filter(|seen| known.take(now, *seen, keep)).collect();
-        self.counts.sighted += news.len() as u64;
-        out.extend((!news.is_empty()).then_some(Output::Seen(news)));
+        self.counts.observations_merged += news.len() as u64;
+        out.extend((!news.is_empty()).then_some(Output::Observations(news)));
     }
 
     /// Takes what is known elsewhere for a start, once.
@@ -248,61 +254,61 @@
         let known = rate > 0.0 && rate.is_finite() && self.rate <= 0.0;
         if known && !self.expects {
             self.expects = true;
-            out.push(Output::Expect(rate));
+            out.push(Output::SeedWarmThroughput(rate));
         }
     }
 
     /// What is held for the list.
-    pub fn book(&self) -> &Book {
+    pub fn cache(&self) -> &EndpointCache {
         &self.book
     }
 
     /// What came and went.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> BootstrapCounters {
         self.counts
     }
 
     /// Who should hold the watch, as seen from here, and whether this instance has one that hears the service.
-    pub fn holders(&self) -> (Vec<SocketAddr>, bool) {
-        (self.circle.as_ref().map(Circle::chosen).unwrap_or_default(), self.live)
+    pub fn watch_leaders(&self) -> (Vec<SocketAddr>, bool) {
+        (self.circle.as_ref().map(WatchLeaders::chosen).unwrap_or_default(), self.live)
     }
 
     /// The list may be gone by: it is there, and better word is no longer waited for.
     pub fn is_ready(&self, now: Time) -> bool {
         match self.book.origin() {
             None => false,
-            Some(Origin::Kept) => now - self.started >= self.set.kept_wait,
+            Some(Origin::Cached) => now - self.started >= self.set.cached_list_wait,
             Some(_) => true,
         }
     }
 
     /// For how long a client that comes now had better stay away, while this is not ready.
-    pub fn comes_back(&self, now: Time) -> Span {
-        let kept = self.book.origin().map(|_| self.started + self.set.kept_wait);
+    pub fn retry_after(&self, now: Time) -> Span {
+        let kept = self.book.origin().map(|_| self.started + self.set.cached_list_wait);
         let turn = if let Watch::Due(at) = self.watch { at } else { now } + self.pace();
-        (kept.map_or(turn, |kept| kept.min(turn)) - now).max(self.set.pace.least)
+        (kept.map_or(turn, |kept| kept.min(turn)) - now).max(self.set.poll_rate.min_pause)
     }
 
     /// How often others are asked.
     fn pace(&self) -> Span {
-        (self.set.grace / ASKS_PER_GRACE).max(10 * MS)
+        (self.set.drain_grace / ASKS_PER_GRACE).max(10 * MS)
     }
 
     fn wait(&self) -> Span {
-        (self.set.grace / WAITS_PER_GRACE).max(5 * MS)
+        (self.set.drain_grace / WAITS_PER_GRACE).max(5 * MS)
     }
 
     /// So many may ask the service as this one would.
     fn askers(&self) -> u32 {
         match &self.circle {
-            Some(circle) if !self.alone => circle.holders().min(self.set.pace.fleet.max(1)),
-            _ => self.set.pace.fleet.max(1),
+            Some(circle) if !self.alone => circle.holders().min(self.set.poll_rate.fleet_size.max(1)),
+            _ => self.set.poll_rate.fleet_size.max(1),
         }
     }
 
     /// Somebody with a watch of its own has told lately.
     fn is_told(&self, now: Time) -> bool {
-        self.told_live.is_some_and(|at| now - at < self.set.silence)
+        self.told_live.is_some_and(|at| now - at < self.set.watch_timeout)
     }
 
     /// Decides whether the watch is wanted, and sees to it.
@@ -315,7 +321,7 @@
         let holds = holds && (seed || settled);
         // Nobody has had word of the service for too long: whoever wants the list asks itself.
         let since = self.told.unwrap_or(self.started);
-        let patience = if self.told.is_some() { self.set.silence } else { SETTLE };
+        let patience = if self.told.is_some() { self.set.watch_timeout } else { SETTLE };
         let alone = !holds && now - since >= patience;
         match self.watch {
             Watch::Off if holds || alone => {
@@ -327,11 +333,11 @@
             Watch::Due(_) => self.alone = alone,
             Watch::Open(_) if holds => {
                 let was_alone = std::mem::take(&mut self.alone);
-                out.extend((was_alone && self.live).then_some(Output::Said(Note::Holds(true))));
+                out.extend((was_alone && self.live).then_some(Output::Log(LogEvent::WatchEstablished(true))));
             }
             Watch::Open(at) if self.is_told(now) && now - at >= ALONE_LEAST => {
                 (self.watch, self.live, self.alone) = (Watch::Off, false, false);
-                out.extend([Output::Unwatch, Output::Said(Note::Leaves)]);
+                out.extend([Output::CloseWatch, Output::Log(LogEvent::WatchReleased)]);
             }
             _ => {}
         }
@@ -339,21 +345,21 @@
             if at <= now {
                 (self.watch, self.live, self.heard) = (Watch::Open(now), false, now);
                 self.turns.asks();
-                self.counts.watches += 1;
-                self.counts.alone += u64::from(self.alone);
-                out.push(Output::Watch(self.book.revision()));
+                self.counts.watches_opened += 1;
+                self.counts.watches_without_leader += u64::from(self.alone);
+                out.push(Output::OpenWatch(self.book.revision()));
             }
         }
     }
 
-    /// When [`Start::due`] is wanted next.
-    pub fn next_due(&self, now: Time) -> Time {
+    /// When [`Bootstrap::handle_timeout`] is wanted next.
+    pub fn next_timeout(&self, now: Time) -> Time {
         let watch = match self.watch {
             Watch::Due(at) => at,
-            Watch::Open(_) => self.heard + self.set.silence,
-            Watch::Off => self.told.map_or(self.started + SETTLE, |at| at + self.set.silence),
+            Watch::Open(_) => self.heard + self.set.watch_timeout,
+            Watch::Off => self.told.map_or(self.started + SETTLE, |at| at + self.set.watch_timeout),
         };
-        let later = [self.started + SETTLE, self.started + self.set.kept_wait];
+        let later = [self.started + SETTLE, self.started + self.set.cached_list_wait];
         let settle = later.into_iter().filter(|at| *at > now).min().unwrap_or(Time::MAX);
         let ask = match (&self.circle, &self.asking) {
             (None, _) => Time::MAX,
@@ -364,13 +370,13 @@
     }
 
     /// Time has come for what waits for it.
-    pub fn due(&mut self, now: Time, out: &mut Vec<Output>) {
-        if matches!(self.watch, Watch::Open(_)) && now - self.heard >= self.set.silence {
-            out.push(Output::Unwatch);
-            self.watch_lost(now, None, out);
+    pub fn handle_timeout(&mut self, now: Time, out: &mut Vec<Output>) {
+        if matches!(self.watch, Watch::Open(_)) && now - self.heard >= self.set.watch_timeout {
+            out.push(Output::CloseWatch);
+            self.handle_watch_lost(now, None, out);
         }
         if self.asking.as_ref().is_some_and(|asking| now - asking.sent >= self.wait()) {
-            self.counts.unanswered += 1;
+            self.counts.polls_unanswered += 1;
             self.asking = None;
             self.ask_at = now;
             self.turn = self.turn.wrapping_add(1);
@@ -387,8 +393,8 @@
         let pace = self.pace() as f64 * (0.75 + 0.5 * self.rng.random::<f64>());
         self.ask_at = now + pace as Span;
         let Some(circle) = self.circle.as_mut() else { return };
-        let Some((from, _)) = self.set.others else { return };
-        let have = self.book.revision().filter(|_| self.book.origin() != Some(Origin::Kept));
+        let Some((from, _)) = self.set.peers else { return };
+        let have = self.book.revision().filter(|_| self.book.origin() != Some(Origin::Cached));
         // Whoever has nothing is sent whole lists.
         let most = if have.is_some() { WIDTH_MOST } else { WIDTH_WHOLE };
         self.width = if circle.doubts() { (2 * self.width).min(most) } else { 1 };
@@ -401,9 +407,9 @@
             self.ask_at = now + self.wait();
         }
         let nonce = self.rng.random::<u32>().max(1);
-        self.counts.asked += to.len() as u64;
+        self.counts.polls_sent += to.len() as u64;
         let seen = self.seen.news();
-        let ask = Message::Ask { from, nonce, service: self.set.service, have, seen };
+        let ask = Message::Poll { from, nonce, service: self.set.service_id, have, seen };
         out.extend(to.iter().map(|to| Output::Send(*to, ask.clone())));
         self.asking = Some(Asking { to, nonce, sent: now, gathered: None });
     }
@@ -411,44 +417,44 @@
     // The watch.
 
     /// The watch brought a list.
-    pub fn watch_said(&mut self, now: Time, update: Update, out: &mut Vec<Output>) {
+    pub fn handle_watch_update(&mut self, now: Time, update: EndpointUpdate, out: &mut Vec<Output>) {
         self.heard = now;
         let (had, behind) = (self.book.revision(), self.book.is_behind());
         let resets = self.book.resets();
         let taken = self.book.take(now, update, Origin::Service, now, None);
         self.turns.served();
         if self.book.resets() > resets {
-            out.push(Output::Said(Note::Reset));
+            out.push(Output::Log(LogEvent::ServiceReset));
         }
-        if taken == Taken::Older {
-            self.counts.older += 1;
+        if taken == MergeOutcome::Stale {
+            self.counts.stale_updates += 1;
             if self.book.is_behind() && !behind {
-                out.push(Output::Said(Note::Behind(had.unwrap_or_default())));
+                out.push(Output::Log(LogEvent::ServiceBehind(had.unwrap_or_default())));
             }
             return;
         }
         let first = !std::mem::replace(&mut self.live, true);
         if first {
-            out.push(Output::Said(Note::Holds(!self.alone)));
+            out.push(Output::Log(LogEvent::WatchEstablished(!self.alone)));
         }
         // That the service is back is news to others too, even where it tells nothing new.
-        if first || matches!(taken, Taken::Whole(_) | Taken::Changes(_)) {
+        if first || matches!(taken, MergeOutcome::Complete(_) | MergeOutcome::Changed(_)) {
             self.push(now, had, out);
         }
         self.news(now, taken, out);
     }
 
     /// The watch brought a line without news.
-    pub fn watch_alive(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn handle_watch_heartbeat(&mut self, now: Time, out: &mut Vec<Output>) {
         self.heard = now;
         if self.live {
             self.book.vouched(now);
-            self.news(now, Taken::Same, out);
+            self.news(now, MergeOutcome::Unchanged, out);
         }
     }
 
     /// The watch ended, or could not be opened. `wait`: the service said that it is overloaded, and perhaps for how long.
-    pub fn watch_lost(&mut self, now: Time, wait: Option<Span>, out: &mut Vec<Output>) {
+    pub fn handle_watch_lost(&mut self, now: Time, wait: Option<Span>, out: &mut Vec<Output>) {
         if !matches!(self.watch, Watch::Open(_)) {
             return;
         }
@@ -462,18 +468,22 @@
     }
 
     /// News for whoever decides by the list, and for the disk.
-    fn news(&mut self, now: Time, taken: Taken, out: &mut Vec<Output>) {
-        if !matches!(taken, Taken::Same | Taken::Older) {
-            out.push(Output::List(taken));
+    fn news(&mut self, now: Time, taken: MergeOutcome, out: &mut Vec<Output>) {
+        if !matches!(taken, MergeOutcome::Unchanged | MergeOutcome::Stale) {
+            out.push(Output::Endpoints(taken));
             self.kept_at = None;
         }
         let due = self.kept_at.is_none_or(|at| now - at >= KEEP_EVERY);
         if let (true, Some(revision), Some(said)) = (due, self.book.revision(), self.book.said()) {
-            if self.book.origin() != Some(Origin::Kept) {
+            if self.book.origin() != Some(Origin::Cached) {
                 self.kept_at = Some(now);
-                let members = self.book.present().cloned().collect();
-                let list = Update { revision, complete: true, members };
-                out.push(Output::Keep(Kept { list, said, rate: self.rate }));
+                let members = self.book.endpoints().cloned().collect();
+                let list = EndpointUpdate { revision, complete: true, members };
+                out.push(Output::Persist(CachedEndpoints {
+                    list,
+                    confirmed_at: said,
+                    warm_throughput: self.rate,
+                }));
             }
         }
     }
@@ -481,9 +491,9 @@
     // Others.
 
     /// Who is there, by the membership.
-    pub fn met(&mut self, now: Time, up: BTreeSet<SocketAddr>, out: &mut Vec<Output>) {
+    pub fn update_membership(&mut self, now: Time, up: BTreeSet<SocketAddr>, out: &mut Vec<Output>) {
         if let Some(circle) = self.circle.as_mut() {
-            circle.met(up);
+            circle.update_membership(up);
             self.look(now, out);
         }
     }
@@ -500,13 +510,13 @@
         if let Some(circle) = self.circle.as_mut() {
             circle.reload(seeds.iter().copied());
         }
-        if self.set.service != service || moved {
-            self.set.service = service;
+        if self.set.service_id != service || moved {
+            self.set.service_id = service;
             self.book.other_service();
             (self.told, self.told_live) = (None, None);
             self.started = now;
             if matches!(self.watch, Watch::Open(_)) {
-                out.push(Output::Unwatch);
+                out.push(Output::CloseWatch);
                 self.watch = Watch::Due(now);
                 self.live = false;
             }
@@ -515,34 +525,34 @@
     }
 
     /// Word of another instance.
-    pub fn message(&mut self, now: Time, message: Message, out: &mut Vec<Output>) {
+    pub fn handle_message(&mut self, now: Time, message: Message, out: &mut Vec<Output>) {
         match message {
-            Message::Ask { from, nonce, service, have, seen } if service == self.set.service => {
+            Message::Poll { from, nonce, service, have, seen } if service == self.set.service_id => {
                 self.sighted(now, seen, out);
                 self.answer(now, from, nonce, have, out);
             }
-            Message::Tell(mut tell) if tell.service == self.set.service => {
+            Message::Snapshot(mut tell) if tell.service == self.set.service_id => {
                 self.sighted(now, std::mem::take(&mut tell.seen), out);
                 self.told(now, tell, out);
             }
-            _ => self.counts.foreign += 1,
+            _ => self.counts.foreign_messages += 1,
         }
     }
 
     /// What is held, without its entries.
-    fn tell(&mut self, now: Time, nonce: u32) -> Option<Tell> {
-        let seen = self.seen.all(now, self.set.silence);
-        let (from, _) = self.set.others.as_ref()?;
+    fn tell(&mut self, now: Time, nonce: u32) -> Option<EndpointSnapshot> {
+        let seen = self.seen.all(now, self.set.watch_timeout);
+        let (from, _) = self.set.peers.as_ref()?;
         let age = self.book.age(now).unwrap_or_default();
         let live = self.live && !self.book.is_behind();
-        Some(Tell {
+        Some(EndpointSnapshot {
             from: *from,
             nonce,
-            service: self.set.service,
+            service: self.set.service_id,
             revision: self.book.revision(),
             said_ago_ms: u64::try_from(age / MS).unwrap_or_default(),
             live,
-            kept: self.book.origin() == Some(Origin::Kept),
+            kept: self.book.origin() == Some(Origin::Cached),
             put_off_ms: u64::try_from(self.turns.put_off_for(now) / MS).unwrap_or_default(),
             rate: (self.rate * 1_000.0) as u64,
             base: None,
@@ -553,9 +563,9 @@
     }
 
     fn answer(&mut self, now: Time, to: SocketAddr, nonce: u32, have: Option<u64>, out: &mut Vec<Output>) {
-        self.counts.answered += 1;
+        self.counts.polls_answered += 1;
         let Some(tell) = self.tell(now, nonce) else { return };
-        if !self.live && (self.book.revision().is_none() || self.book.origin() == Some(Origin::Kept)) {
+        if !self.live && (self.book.revision().is_none() || self.book.origin() == Some(Origin::Cached)) {
             // Told as soon as there is something to tell.
             if self.waiting.len() < WAITING_MOST {
                 self.waiting.insert(to);
@@ -564,22 +574,27 @@
         let known = self.book.revision().is_some();
         let parts = if known { self.parts(now, &tell, have) } else { None };
         let parts = parts.unwrap_or_else(|| vec![tell]);
-        out.extend(parts.into_iter().map(|part| Output::Send(to, Message::Tell(part))));
+        out.extend(parts.into_iter().map(|part| Output::Send(to, Message::Snapshot(part))));
     }
 
     /// What changed since a version, in parts; `None` where that is too much to be told now.
-    fn parts(&mut self, now: Time, tell: &Tell, have: Option<u64>) -> Option<Vec<Tell>> {
+    fn parts(
+        &mut self,
+        now: Time,
+        tell: &EndpointSnapshot,
+        have: Option<u64>,
+    ) -> Option<Vec<EndpointSnapshot>> {
         let (base, entries) = self.book.since(have);
         if base.is_none() {
             if now - self.whole.0 >= self.pace() {
                 self.whole = (now, 0);
             }
             self.whole.1 += 1;
-            if self.whole.1 > WHOLE_PER_PACE * u64::from(self.set.pace.fleet.max(8)) {
+            if self.whole.1 > WHOLE_PER_PACE * u64::from(self.set.poll_rate.fleet_size.max(8)) {
                 return None;
             }
         }
-        Tell { base, ..tell.clone() }.parts(entries)
+        EndpointSnapshot { base, ..tell.clone() }.parts(entries)
     }
 
     /// Tells all others what has changed since a version, and those that waited for it all of it.
@@ -589,18 +604,18 @@
         let others: BTreeSet<_> = circle.others().chain(waiting.iter().copied()).collect();
         let Some(tell) = self.tell(now, 0) else { return };
         let (base, entries) = self.book.since(had);
-        let parts = Tell { base, ..tell.clone() }.parts(entries).filter(|parts| parts.len() == 1);
+        let parts = EndpointSnapshot { base, ..tell.clone() }.parts(entries).filter(|parts| parts.len() == 1);
         let news = parts.and_then(|mut parts| parts.pop()).unwrap_or_else(|| tell.clone());
         let whole = if waiting.is_empty() { None } else { self.parts(now, &tell, None) };
         for to in others {
             let told = whole.as_ref().filter(|_| waiting.contains(&to));
             let told = told.map_or(std::slice::from_ref(&news), |parts| parts);
-            self.counts.pushed += told.len() as u64;
-            out.extend(told.iter().map(|part| Output::Send(to, Message::Tell(part.clone()))));
+            self.counts.snapshots_pushed += told.len() as u64;
+            out.extend(told.iter().map(|part| Output::Send(to, Message::Snapshot(part.clone()))));
         }
     }
 
-    fn told(&mut self, now: Time, tell: Tell, out: &mut Vec<Output>) {
+    fn told(&mut self, now: Time, tell: EndpointSnapshot, out: &mut Vec<Output>) {
         if let Some(circle) = self.circle.as_mut() {
             circle.heard(tell.from);
         }
@@ -630,9 +645,9 @@
             };
             match gathered {
                 Some(gathered) if gathered.fits(&tell) => gathered.add(tell),
-                _ => *gathered = Some(Gathered::new(tell)),
+                _ => *gathered = Some(Reassembly::new(tell)),
             }
-            let whole = gathered.as_ref().and_then(Gathered::whole);
+            let whole = gathered.as_ref().and_then(Reassembly::whole);
             if let Some(whole) = whole {
                 self.asking = None;
                 self.take(now, whole, out);
@@ -646,10 +661,10 @@
         self.take(now, tell, out);
     }
 
-    fn take(&mut self, now: Time, tell: Tell, out: &mut Vec<Output>) {
+    fn take(&mut self, now: Time, tell: EndpointSnapshot, out: &mut Vec<Output>) {
         self.expect(tell.rate as f64 / 1_000.0, out);
         let said = now - MS.saturating_mul(tell.said_ago_ms.min(AGO_MOST_MS) as Span);
-        let fresh = tell.revision.is_some() && !tell.kept && now - said < self.set.silence;
+        let fresh = tell.revision.is_some() && !tell.kept && now - said < self.set.watch_timeout;
         if fresh && tell.revision >= self.book.revision() {
             self.told = Some(now);
             self.told_live = if tell.live { Some(now) } else { self.told_live };
@@ -665,16 +680,16 @@
             self.ask_for(now, revision, fresh);
             return self.look(now, out);
         }
-        let origin = if fresh { Origin::Peer } else { Origin::Kept };
-        let update = Update { revision, complete: tell.base.is_none(), members: tell.entries };
+        let origin = if fresh { Origin::Peer } else { Origin::Cached };
+        let update = EndpointUpdate { revision, complete: tell.base.is_none(), members: tell.entries };
         let taken = self.book.take(now, update, origin, said, tell.base);
         match taken {
-            Taken::Older => {
-                self.counts.older += 1;
+            MergeOutcome::Stale => {
+                self.counts.stale_updates += 1;
                 self.ask_for(now, revision, fresh);
             }
             taken => {
-                self.counts.taken += 1;
+                self.counts.snapshots_merged += 1;
                 self.news(now, taken, out);
             }
         }
--- a/crates/stackgw-start/src/deal.rs
+++ b/crates/stackgw-start/src/connection_pacer.rs
@@ -16,17 +16,17 @@
 
 /// What deals go by.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Dealt {
+pub struct PacerConfig {
     /// This instance's number.
-    pub number: u32,
+    pub instance_number: u32,
     /// How many there are.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// New connections a second that a member which has just started bears from all of them.
-    pub opens: f64,
+    pub connection_rate: f64,
     /// Share of its capacity that it has then ...
-    pub cold_share: f64,
+    pub cold_capacity_share: f64,
     /// ... from which it grows evenly to all of it in this time.
-    pub warm_within: Span,
+    pub warm_up_time: Span,
 }
 
 /// Each handshake in a row that did not come up in time doubles the wait for the next turn, so often at most.
@@ -34,7 +34,7 @@
 
 /// One member that may be cold.
 #[derive(Debug, Clone, PartialEq)]
-struct Lane {
+struct MemberPacing {
     group: GroupId,
     name: u64,
     /// As the list has it; `None`: nobody knows, and `from` is taken for it.
@@ -50,31 +50,36 @@
 
 /// See the module.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Deal {
-    set: Dealt,
+pub struct ConnectionPacer {
+    set: PacerConfig,
     rng: Pcg64Mcg,
-    lanes: BTreeMap<MemberId, Lane>,
+    lanes: BTreeMap<MemberId, MemberPacing>,
     waited: u64,
 }
 
-impl Deal {
+impl ConnectionPacer {
     /// Deals of an instance that knows no member yet.
-    pub fn new(set: Dealt, seed: u64) -> Self {
-        Deal { set, rng: Pcg64Mcg::seed_from_u64(seed ^ 0xdea1), lanes: BTreeMap::new(), waited: 0 }
+    pub fn new(set: PacerConfig, seed: u64) -> Self {
+        ConnectionPacer {
+            set,
+            rng: Pcg64Mcg::seed_from_u64(seed ^ 0xdea1),
+            lanes: BTreeMap::new(),
+            waited: 0,
+        }
     }
 
     /// New connections a second that a member of this age bears.
     fn bears(&self, age: Span) -> f64 {
-        let warmth = (age as f64 / self.set.warm_within.max(1) as f64).clamp(0.0, 1.0);
-        let most = 1.0 / self.set.cold_share.clamp(0.01, 1.0);
-        self.set.opens.max(0.01) * (1.0 + (most - 1.0) * warmth)
+        let warmth = (age as f64 / self.set.warm_up_time.max(1) as f64).clamp(0.0, 1.0);
+        let most = 1.0 / self.set.cold_capacity_share.clamp(0.01, 1.0);
+        self.set.connection_rate.max(0.01) * (1.0 + (most - 1.0) * warmth)
     }
 
     /// When a member that was of some age at `at` has borne so many connections since.
     fn borne(&self, at: Time, age: Span, count: f64) -> Time {
         // While it warms up what it bears grows evenly: with a rate r and a growth g, count = r t + g t t / 2.
-        let (rate, warm) = (self.bears(age), (self.set.warm_within - age).max(0) as f64 / SECOND as f64);
-        let growth = if warm > 0.0 { (self.bears(self.set.warm_within) - rate) / warm } else { 0.0 };
+        let (rate, warm) = (self.bears(age), (self.set.warm_up_time - age).max(0) as f64 / SECOND as f64);
+        let growth = if warm > 0.0 { (self.bears(self.set.warm_up_time) - rate) / warm } else { 0.0 };
         let within = rate * warm + growth * warm * warm / 2.0;
         let seconds = if count <= within && growth > 0.0 {
             ((rate * rate + 2.0 * growth * count).sqrt() - rate) / growth
@@ -86,7 +91,7 @@
 
     /// A member as the list has it now. `started`: when its process started, where that is recent or (`None` within) unknown;
     /// `None`: it has been up for long.
-    pub fn listed(
+    pub fn update_member(
         &mut self,
         now: Time,
         member: MemberId,
@@ -94,26 +99,26 @@
         group: GroupId,
         started: Option<Option<Time>>,
     ) {
-        let Some(started) = started else { return self.forget(member) };
+        let Some(started) = started else { return self.remove_member(member) };
         let known = self.lanes.get(&member);
         if known.is_some_and(|lane| lane.started == started) {
             return;
         }
         let from = started.unwrap_or(now).min(now);
         let name = xxh3_64(name.as_bytes());
-        let lane = Lane { group, name, started, from, next: now, failed: 0, unopened: Some(now) };
+        let lane = MemberPacing { group, name, started, from, next: now, failed: 0, unopened: Some(now) };
         self.lanes.insert(member, lane);
     }
 
     /// The list has been gone through: gives each member that was listed in this moment its place in its group's row.
-    pub fn arrange(&mut self, now: Time) {
+    pub fn schedule_new_members(&mut self, now: Time) {
         let mut rows: BTreeMap<GroupId, Vec<_>> = BTreeMap::new();
         for (id, lane) in &self.lanes {
             rows.entry(lane.group).or_default().push((lane.name, *id, lane.from, lane.unopened));
         }
         rows.retain(|_, row| row.iter().any(|(_, _, _, unopened)| *unopened == Some(now)));
-        let fleet = f64::from(self.set.fleet.max(1));
-        let mine = (f64::from(self.set.number) + self.rng.random::<f64>()) / fleet;
+        let fleet = f64::from(self.set.fleet_size.max(1));
+        let mine = (f64::from(self.set.instance_number) + self.rng.random::<f64>()) / fleet;
         for mut row in rows.into_values() {
             row.sort_unstable();
             let count = row.len() as f64;
@@ -128,53 +133,53 @@
     }
 
     /// Members that are dealt.
-    pub fn members(&self) -> impl Iterator<Item = MemberId> + '_ {
+    pub fn paced_members(&self) -> impl Iterator<Item = MemberId> + '_ {
         self.lanes.keys().copied()
     }
 
     /// From when on this instance may open a connection to a member; `None`: whenever it likes.
-    pub fn from(&self, now: Time, member: MemberId) -> Option<Time> {
+    pub fn next_connection_at(&self, now: Time, member: MemberId) -> Option<Time> {
         let lane = self.lanes.get(&member)?;
-        (now - lane.from < self.set.warm_within).then_some(lane.next)
+        (now - lane.from < self.set.warm_up_time).then_some(lane.next)
     }
 
     /// A connection is opened: the next one is for a later turn.
-    pub fn opens(&mut self, now: Time, member: MemberId) {
+    pub fn record_attempt(&mut self, now: Time, member: MemberId) {
         let Some(lane) = self.lanes.get(&member) else { return };
         let turns = f64::from(1u32 << lane.failed.min(DOUBLED_MOST)) * (0.5 + self.rng.random::<f64>());
-        let next = self.borne(now, now - lane.from, turns * f64::from(self.set.fleet.max(1)));
+        let next = self.borne(now, now - lane.from, turns * f64::from(self.set.fleet_size.max(1)));
         self.lanes.entry(member).and_modify(|lane| (lane.next, lane.unopened) = (next, None));
     }
 
     /// A connection did not come up in time, or was turned away.
-    pub fn failed(&mut self, now: Time, member: MemberId) {
+    pub fn record_failure(&mut self, now: Time, member: MemberId) {
         if let Some(lane) = self.lanes.get_mut(&member) {
             lane.failed = lane.failed.saturating_add(1);
-            self.opens(now, member);
+            self.record_attempt(now, member);
         }
     }
 
     /// A connection came up.
-    pub fn came_up(&mut self, member: MemberId) {
+    pub fn record_success(&mut self, member: MemberId) {
         self.lanes.entry(member).and_modify(|lane| lane.failed = 0);
     }
 
     /// Somebody would have opened a connection whose turn had not come.
-    pub fn waits(&mut self) {
+    pub fn record_deferral(&mut self) {
         self.waited += 1;
     }
 
     /// How often that was.
-    pub fn waited(&self) -> u64 {
+    pub fn deferrals(&self) -> u64 {
         self.waited
     }
 
     /// Drops a member.
-    pub fn forget(&mut self, member: MemberId) {
+    pub fn remove_member(&mut self, member: MemberId) {
         self.lanes.remove(&member);
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/deal.rs"]
+#[path = "../tests/unit/connection_pacer.rs"]
 mod tests;
--- a/crates/stackgw-start/src/entry.rs
+++ b/crates/stackgw-start/src/endpoint.rs
@@ -6,7 +6,7 @@
 
 /// One entry of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct Endpoint {
     /// The member's name, the same at every gateway.
     pub id: String,
     /// Where this gateway reaches it.
@@ -28,13 +28,13 @@
 
 /// A list, or the entries of one that changed.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Update {
+pub struct EndpointUpdate {
     /// The list's version.
     pub revision: u64,
     /// All entries, not just those that changed.
     pub complete: bool,
     /// The entries.
-    pub members: Vec<Entry>,
+    pub members: Vec<Endpoint>,
 }
 
 mod phase {
--- a/crates/stackgw-start/src/book.rs
+++ b/crates/stackgw-start/src/endpoint_cache.rs
@@ -10,7 +10,7 @@
 //! One exception to the last line: a service that goes on telling an older list for long has lost its state and counts anew.
 //! What it told of drains before binds on until those members are known to have started again.
 
-use crate::entry::{Entry, Update};
+use crate::endpoint::{Endpoint, EndpointUpdate};
 use stackgw_router::api::{Lifecycle, Span, Time, MS};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Origin {
     /// A disk's, the platform's, or that of a peer which has lost the service: as it was, for all that is known.
-    Kept,
+    Cached,
     /// A peer that hears the service.
     Peer,
     /// The service itself.
@@ -27,22 +27,22 @@
 
 /// What came of word.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Taken {
+pub enum MergeOutcome {
     /// The whole list anew; who is missing has gone.
-    Whole(Vec<Entry>),
+    Complete(Vec<Endpoint>),
     /// The whole list, but as kept: nobody in it is known to lead or to be warm.
-    Cautious(Vec<Entry>),
+    Cached(Vec<Endpoint>),
     /// Entries that changed.
-    Changes(Vec<Entry>),
+    Changed(Vec<Endpoint>),
     /// It is what was held already.
-    Same,
+    Unchanged,
     /// It is older than what is held, and tells nothing.
-    Older,
+    Stale,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 struct Held {
-    entry: Entry,
+    entry: Endpoint,
     /// The version that brought it.
     revision: u64,
     /// The version that told that it drains or is gone, and when that was heard here.
@@ -51,7 +51,7 @@
 
 /// See the module.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Book {
+pub struct EndpointCache {
     held: BTreeMap<String, Held>,
     revision: Option<u64>,
     origin: Origin,
@@ -68,13 +68,13 @@
 /// Members that are gone and still held, so that others can be told; beyond it the oldest are dropped.
 const GONE_MOST: usize = 1_024;
 
-impl Book {
+impl EndpointCache {
     /// An empty book; a service that tells older lists for longer than `reset_after` is believed.
     pub fn new(reset_after: Span) -> Self {
-        Book {
+        EndpointCache {
             held: BTreeMap::new(),
             revision: None,
-            origin: Origin::Kept,
+            origin: Origin::Cached,
             said: 0,
             behind_since: None,
             dropped: 0,
@@ -115,7 +115,7 @@
 
     /// The service vouches for what is held: nothing has changed since it was told.
     pub fn vouched(&mut self, said: Time) {
-        if self.origin != Origin::Kept && self.behind_since.is_none() {
+        if self.origin != Origin::Cached && self.behind_since.is_none() {
             self.said = self.said.max(said);
         }
     }
@@ -123,7 +123,8 @@
     /// Another service counts from now on: its versions mean nothing beside the earlier one's.
     pub fn other_service(&mut self) {
         if self.revision.is_some() {
-            (self.revision, self.origin, self.behind_since, self.dropped) = (Some(0), Origin::Kept, None, 0);
+            (self.revision, self.origin, self.behind_since, self.dropped) =
+                (Some(0), Origin::Cached, None, 0);
             for held in self.held.values_mut() {
                 held.revision = 0;
                 held.bound = held.bound.map(|(_, at)| (0, at));
@@ -132,26 +133,33 @@
     }
 
     /// Takes word that its source vouched for at `said`. Changes are those since `base`, where it names one.
-    pub fn take(&mut self, now: Time, word: Update, origin: Origin, said: Time, base: Option<u64>) -> Taken {
+    pub fn take(
+        &mut self,
+        now: Time,
+        word: EndpointUpdate,
+        origin: Origin,
+        said: Time,
+        base: Option<u64>,
+    ) -> MergeOutcome {
         let known = self.revision;
         let older = known.is_some_and(|known| word.revision < known);
         match origin {
             // Kept word fills an empty book, and no other.
-            Origin::Kept if known.is_some() || !word.complete => return Taken::Older,
-            Origin::Peer if older => return Taken::Older,
+            Origin::Cached if known.is_some() || !word.complete => return MergeOutcome::Stale,
+            Origin::Peer if older => return MergeOutcome::Stale,
             Origin::Peer
                 if !word.complete && base.is_none_or(|base| known.is_none_or(|known| base > known)) =>
             {
-                return Taken::Older;
+                return MergeOutcome::Stale;
             }
-            Origin::Peer if known == Some(word.revision) && self.origin != Origin::Kept => {
+            Origin::Peer if known == Some(word.revision) && self.origin != Origin::Cached => {
                 self.vouched(said);
-                return Taken::Same;
+                return MergeOutcome::Unchanged;
             }
             Origin::Service if older => {
                 let since = *self.behind_since.get_or_insert(now);
                 if !word.complete || now - since < self.reset_after {
-                    return Taken::Older;
+                    return MergeOutcome::Stale;
                 }
                 self.resets += 1;
                 self.dropped = word.revision;
@@ -167,7 +175,7 @@
             self.behind_since = None;
         }
         let whole = word.complete || known.is_none();
-        let confirms = self.origin == Origin::Kept;
+        let confirms = self.origin == Origin::Cached;
         let mut changed = Vec::new();
         if whole {
             let named: BTreeSet<_> = word.members.iter().map(|e| e.id.as_str()).collect();
@@ -184,16 +192,16 @@
         self.said = if origin == Origin::Service { now } else { said };
         self.prune();
         match (origin, confirms || whole) {
-            (Origin::Kept, _) => Taken::Cautious(self.present().map(cautious).collect()),
+            (Origin::Cached, _) => MergeOutcome::Cached(self.endpoints().map(cautious).collect()),
             // What was kept has been confirmed: it holds without the caution.
-            (_, true) => Taken::Whole(self.present().cloned().collect()),
-            (_, false) if changed.is_empty() => Taken::Same,
-            (_, false) => Taken::Changes(changed),
+            (_, true) => MergeOutcome::Complete(self.endpoints().cloned().collect()),
+            (_, false) if changed.is_empty() => MergeOutcome::Unchanged,
+            (_, false) => MergeOutcome::Changed(changed),
         }
     }
 
     /// Writes one entry down; gives it back as it stands where that is news.
-    fn enter(&mut self, now: Time, mut entry: Entry, revision: u64, repeats: bool) -> Option<Entry> {
+    fn enter(&mut self, now: Time, mut entry: Endpoint, revision: u64, repeats: bool) -> Option<Endpoint> {
         let before = self.held.get(&entry.id);
         let mut bound = before.and_then(|held| held.bound);
         if entry.phase == Lifecycle::Serving {
@@ -227,23 +235,23 @@
     }
 
     /// The members that are not gone.
-    pub fn present(&self) -> impl Iterator<Item = &Entry> {
+    pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.held.values().map(|held| &held.entry).filter(|entry| entry.phase != Lifecycle::Removed)
     }
 
     /// For one that has this version: what changed since, or (`None`, with the whole list) where that is not known.
-    pub fn since(&self, base: Option<u64>) -> (Option<u64>, Vec<Entry>) {
+    pub fn since(&self, base: Option<u64>) -> (Option<u64>, Vec<Endpoint>) {
         match base.filter(|base| *base >= self.dropped && self.revision >= Some(*base)) {
             Some(base) => {
                 let news = self.held.values().filter(|held| held.revision > base);
                 (Some(base), news.map(|held| held.entry.clone()).collect())
             }
-            None => (None, self.present().cloned().collect()),
+            None => (None, self.endpoints().cloned().collect()),
         }
     }
 }
 
 /// An entry as kept word has it: it leads nobody, and may have just started.
-fn cautious(entry: &Entry) -> Entry {
-    Entry { leader: false, up_since_ms: -1, ..entry.clone() }
+fn cautious(entry: &Endpoint) -> Endpoint {
+    Endpoint { leader: false, up_since_ms: -1, ..entry.clone() }
 }
--- a/crates/stackgw-start/src/lib.rs
+++ b/crates/stackgw-start/src/lib.rs
@@ -1,6 +1,6 @@
 //! How an instance comes to know the list of members, where hundreds of them start or come back in the same second.
 //!
-//! One [`Start`] stands in each instance. It says when this instance asks the list service itself (in turns, so that all
+//! One [`Bootstrap`] stands in each instance. It says when this instance asks the list service itself (in turns, so that all
 //! together stay within what the service bears), whom of the others it asks instead, what it tells them, what each source's
 //! word is good for, and when it is ready. Two invariants:
 //!
@@ -11,25 +11,25 @@
 //! No I/O, no clock, no threads: time, messages, the disk's word and a seed are handed in. `docs/design/start.md` says why it
 //! is built so and when it fails.
 
-mod book;
-mod circle;
-mod deal;
-mod entry;
+mod bootstrap;
+mod connection_pacer;
+mod endpoint;
+mod endpoint_cache;
 mod message;
-mod seen;
-mod start;
-mod turns;
+mod observation;
+mod poll_schedule;
+mod watch_leaders;
 
-pub use book::{Book, Origin, Taken};
-pub use circle::HOLDERS_LEAST;
-pub use deal::{Deal, Dealt};
-pub use entry::{Entry, Update};
-pub use message::{Message, Tell};
-pub use seen::{Sighting, Sightings};
-pub use start::{Counts, Kept, Note, Output, Settings, Start};
-pub use turns::{Pace, Turns};
+pub use bootstrap::{Bootstrap, BootstrapCounters, BootstrapSettings, CachedEndpoints, LogEvent, Output};
+pub use connection_pacer::{ConnectionPacer, PacerConfig};
+pub use endpoint::{Endpoint, EndpointUpdate};
+pub use endpoint_cache::{EndpointCache, MergeOutcome, Origin};
+pub use message::{EndpointSnapshot, Message};
+pub use observation::{Observation, Observations};
+pub use poll_schedule::{PollRate, PollSchedule};
+pub use watch_leaders::MIN_WATCH_LEADERS;
 
 /// A service's name as datagrams carry it.
-pub fn service(name: &str) -> u64 {
+pub fn service_id(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
--- a/crates/stackgw-start/src/message.rs
+++ b/crates/stackgw-start/src/message.rs
@@ -1,7 +1,7 @@
 //! What instances tell each other of the list, as datagrams' bodies.
 
-use crate::entry::Entry;
-use crate::seen::{Sighting, SEEN_EACH};
+use crate::endpoint::Endpoint;
+use crate::observation::{Observation, SEEN_EACH};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// What has changed since the version that I have?
-    Ask {
+    Poll {
         /// Where the answer goes.
         from: SocketAddr,
         /// Names this question.
@@ -24,15 +24,15 @@
         /// The version held; `None`: nothing, or kept word.
         have: Option<u64>,
         /// What the asker has learned of members since it asked last.
-        seen: Vec<Sighting>,
+        seen: Vec<Observation>,
     },
     /// What is known.
-    Tell(Tell),
+    Snapshot(EndpointSnapshot),
 }
 
 /// What an instance knows of the list, in one or more parts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Tell {
+pub struct EndpointSnapshot {
     /// Who tells.
     pub from: SocketAddr,
     /// The question's; 0: nobody asked.
@@ -56,9 +56,9 @@
     /// Which part this is, from 0 on, of how many; of 0 parts: the entries are not told here.
     pub part: (u16, u16),
     /// The entries.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<Endpoint>,
     /// What is known of members; beside the first part alone.
-    pub seen: Vec<Sighting>,
+    pub seen: Vec<Observation>,
 }
 
 impl Message {
@@ -71,10 +71,10 @@
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (message, rest) = postcard::take_from_bytes::<Message>(bytes).ok()?;
         let sound = match &message {
-            Message::Ask { seen, .. } => seen.len() <= SEEN_EACH,
-            Message::Tell(tell) => {
+            Message::Poll { seen, .. } => seen.len() <= SEEN_EACH,
+            Message::Snapshot(tell) => {
                 let (part, parts) = tell.part;
-                let finite = |e: &Entry| e.size.is_finite() && e.size >= 0.0 && !e.id.is_empty();
+                let finite = |e: &Endpoint| e.size.is_finite() && e.size >= 0.0 && !e.id.is_empty();
                 parts <= PARTS_MOST
                     && (part < parts || (parts == 0 && tell.entries.is_empty()))
                     && tell.entries.iter().all(finite)
@@ -85,10 +85,10 @@
     }
 }
 
-impl Tell {
+impl EndpointSnapshot {
     /// Splits entries over as many parts as they need; `None`: they need too many.
-    pub fn parts(self, entries: Vec<Entry>) -> Option<Vec<Tell>> {
-        let room = MOST_BYTES.saturating_sub(Message::Tell(self.clone()).encode().len() + 16);
+    pub fn parts(self, entries: Vec<Endpoint>) -> Option<Vec<EndpointSnapshot>> {
+        let room = MOST_BYTES.saturating_sub(Message::Snapshot(self.clone()).encode().len() + 16);
         let (mut parts, mut now, mut bytes) = (Vec::new(), Vec::new(), 0);
         for entry in entries {
             let size = postcard::to_allocvec(&entry).map_or(usize::MAX, |bytes| bytes.len());
@@ -105,42 +105,47 @@
         parts.push(now);
         let count = u16::try_from(parts.len()).ok().filter(|count| *count <= PARTS_MOST)?;
         let seen = |n| if n == 0 { self.seen.clone() } else { Vec::new() };
-        let part = |(n, entries)| Tell { part: (n as u16, count), entries, seen: seen(n), ..self.clone() };
+        let part = |(n, entries)| EndpointSnapshot {
+            part: (n as u16, count),
+            entries,
+            seen: seen(n),
+            ..self.clone()
+        };
         Some(parts.into_iter().enumerate().map(part).collect())
     }
 }
 
 /// Gathers the parts of one answer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Gathered {
-    first: Tell,
-    parts: Vec<Option<Vec<Entry>>>,
+pub struct Reassembly {
+    first: EndpointSnapshot,
+    parts: Vec<Option<Vec<Endpoint>>>,
 }
 
-impl Gathered {
+impl Reassembly {
     /// Begins with any part.
-    pub fn new(tell: Tell) -> Self {
-        let mut gathered = Gathered { parts: vec![None; usize::from(tell.part.1)], first: tell.clone() };
+    pub fn new(tell: EndpointSnapshot) -> Self {
+        let mut gathered = Reassembly { parts: vec![None; usize::from(tell.part.1)], first: tell.clone() };
         gathered.add(tell);
         gathered
     }
 
     /// Whether a part is of the same answer.
-    pub fn fits(&self, tell: &Tell) -> bool {
-        let of = |t: &Tell| (t.from, t.nonce, t.service, t.revision, t.base, t.part.1);
+    pub fn fits(&self, tell: &EndpointSnapshot) -> bool {
+        let of = |t: &EndpointSnapshot| (t.from, t.nonce, t.service, t.revision, t.base, t.part.1);
         of(&self.first) == of(tell)
     }
 
     /// Adds a part.
-    pub fn add(&mut self, tell: Tell) {
+    pub fn add(&mut self, tell: EndpointSnapshot) {
         if let Some(part) = self.parts.get_mut(usize::from(tell.part.0)) {
             *part = Some(tell.entries);
         }
     }
 
     /// The whole answer, once it is here.
-    pub fn whole(&self) -> Option<Tell> {
+    pub fn whole(&self) -> Option<EndpointSnapshot> {
         let entries = self.parts.iter().cloned().collect::<Option<Vec<_>>>()?.concat();
-        Some(Tell { entries, ..self.first.clone() })
+        Some(EndpointSnapshot { entries, ..self.first.clone() })
     }
 }
--- a/crates/stackgw-start/src/turns.rs
+++ b/crates/stackgw-start/src/poll_schedule.rs
@@ -20,21 +20,21 @@
 
 /// What turns go by.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct PollRate {
     /// This instance's number.
-    pub number: u32,
+    pub instance_number: u32,
     /// How many there are.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// Asks a second that the service bears.
-    pub bears: f64,
+    pub service_capacity: f64,
     /// No pause is shorter than this on average.
-    pub least: Span,
+    pub min_pause: Span,
 }
 
 /// The turns of one instance.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Turns {
-    pace: Pace,
+pub struct PollSchedule {
+    pace: PollRate,
     rng: Pcg64Mcg,
     /// Asks in a row that brought nothing.
     failed: u32,
@@ -43,26 +43,26 @@
     put_off: Time,
 }
 
-impl Turns {
-    /// Turns of an instance that has not asked yet.
-    pub fn new(pace: Pace, seed: u64) -> Self {
-        Turns { pace, rng: Pcg64Mcg::seed_from_u64(seed), failed: 0, asked: 0, put_off: 0 }
+impl PollSchedule {
+    /// PollSchedule of an instance that has not asked yet.
+    pub fn new(pace: PollRate, seed: u64) -> Self {
+        PollSchedule { pace, rng: Pcg64Mcg::seed_from_u64(seed), failed: 0, asked: 0, put_off: 0 }
     }
 
     /// The span within which so many can ask once.
     pub fn span(&self, askers: u32) -> Span {
-        let seconds = f64::from(askers.max(1)) / (self.pace.bears.max(0.01) * USE);
+        let seconds = f64::from(askers.max(1)) / (self.pace.service_capacity.max(0.01) * USE);
         (seconds * SECOND as f64) as Span
     }
 
     /// A share below one: this instance's place in a span that so many share, by chance; where the whole fleet does, moved
     /// by chance within its own part of it.
     fn place(&mut self, askers: u32) -> f64 {
-        if askers < self.pace.fleet {
+        if askers < self.pace.fleet_size {
             return self.rng.random();
         }
-        let fleet = f64::from(self.pace.fleet.max(1));
-        let part = (f64::from(self.pace.number) + self.rng.random::<f64>()) / fleet;
+        let fleet = f64::from(self.pace.fleet_size.max(1));
+        let part = (f64::from(self.pace.instance_number) + self.rng.random::<f64>()) / fleet;
         (part + f64::from(self.asked) * GOLDEN).fract()
     }
 
@@ -70,7 +70,7 @@
     pub fn first(&mut self, now: Time, askers: u32) -> Time {
         // Danger: all that were told the same time to come back would come back in it.
         let put_off = self.put_off > now;
-        let span = self.span(if put_off { self.pace.fleet } else { askers });
+        let span = self.span(if put_off { self.pace.fleet_size } else { askers });
         let place = self.place(askers);
         now.max(self.put_off) + (span as f64 * place) as Span
     }
@@ -83,8 +83,8 @@
     /// An ask brought nothing, or what it brought has ended: when to ask again. Pauses grow by doubling up to a span of the
     /// whole fleet.
     pub fn again(&mut self, now: Time, askers: u32) -> Time {
-        let (fleet, mine) = (self.span(self.pace.fleet) as f64, self.span(askers) as f64);
-        let least = self.pace.least as f64;
+        let (fleet, mine) = (self.span(self.pace.fleet_size) as f64, self.span(askers) as f64);
+        let least = self.pace.min_pause as f64;
         // A pause is anything up to twice the span: the span on average, which keeps all of them within what is borne.
         let span = (mine * 2f64.powi(self.failed.min(16) as i32)).min(fleet.max(mine)).max(least);
         self.failed += 1;
--- a/crates/stackgw-start/src/circle.rs
+++ b/crates/stackgw-start/src/watch_leaders.rs
@@ -13,13 +13,13 @@
 /// Asks that went unanswered in a row before an instance is left out.
 const UNANSWERED: u32 = 3;
 /// Holders at least: with three, one may be killed while another is stopped or cut off.
-pub const HOLDERS_LEAST: u32 = 3;
+pub const MIN_WATCH_LEADERS: u32 = 3;
 /// Instances that one holder answers; more of them want more holders.
 const EACH_ANSWERS: u32 = 250;
 
 /// Everyone that may hold the watch, as one instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Circle {
+pub struct WatchLeaders {
     me: SocketAddr,
     seeds: BTreeSet<SocketAddr>,
     up: BTreeSet<SocketAddr>,
@@ -34,10 +34,10 @@
     xxh3_64(address.to_string().as_bytes())
 }
 
-impl Circle {
+impl WatchLeaders {
     /// Seen from an instance of a fleet of about this size.
     pub fn new(me: SocketAddr, seeds: impl IntoIterator<Item = SocketAddr>, fleet: u32, least: u32) -> Self {
-        let mut circle = Circle {
+        let mut circle = WatchLeaders {
             me,
             seeds: seeds.into_iter().collect(),
             up: BTreeSet::new(),
@@ -55,7 +55,7 @@
     }
 
     /// Who is there, by the membership.
-    pub fn met(&mut self, up: BTreeSet<SocketAddr>) {
+    pub fn update_membership(&mut self, up: BTreeSet<SocketAddr>) {
         let seeds = &self.seeds;
         self.unanswered.retain(|address, _| up.contains(address) || seeds.contains(address));
         self.up = up;
--- a/crates/stackgw-start/tests/common/mod.rs
+++ b/crates/stackgw-start/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of [`Start`]s in simulated time: a list service that fails, a network that loses, delays and cuts, instances that
+//! A fleet of [`Bootstrap`]s in simulated time: a list service that fails, a network that loses, delays and cuts, instances that
 //! are killed and started anew. Everything by one seed.
 
 #![allow(dead_code)]
@@ -22,8 +22,8 @@
     usize::from(a) * 250 + usize::from(b) - 1
 }
 
-pub fn entry(n: usize, phase: Lifecycle, leader: bool) -> Entry {
-    Entry {
+pub fn entry(n: usize, phase: Lifecycle, leader: bool) -> Endpoint {
+    Endpoint {
         id: format!("m{n}"),
         address: SocketAddr::from(([10, 1, (n / 250) as u8, (n % 250) as u8 + 1], 6_543)),
         locality: "room".to_owned(),
@@ -49,16 +49,16 @@
 enum Event {
     Told(usize, u32, Message),
     Due(usize, u32),
-    Watch(usize, u32, u32, Option<Update>),
+    Watch(usize, u32, u32, Option<EndpointUpdate>),
     Lost(usize, u32, u32, Option<Span>),
     Blank(usize, u32, u32),
     Met,
 }
 
 pub struct Node {
-    pub start: Option<Start>,
+    pub start: Option<Bootstrap>,
     gone: Time,
-    pub kept: Option<Kept>,
+    pub kept: Option<CachedEndpoints>,
     /// Rises with each life, and with each watch.
     life: u32,
     watch: u32,
@@ -71,13 +71,13 @@
     pub router: BTreeMap<String, Lifecycle>,
     pub highest: u64,
     /// What it was told of members that others have seen.
-    pub sighted: Vec<Sighting>,
+    pub sighted: Vec<Observation>,
 }
 
 pub struct Sim {
     pub now: Time,
     pub nodes: Vec<Node>,
-    pub versions: Vec<Vec<Entry>>,
+    pub versions: Vec<Vec<Endpoint>>,
     pub moods: Vec<Mood>,
     pub cut: BTreeSet<(bool, bool)>,
     /// Which instances stand on the far side of a cut.
@@ -153,20 +153,20 @@
 
     pub fn start(&mut self, n: usize) {
         self.kill(n);
-        let set = Settings {
-            pace: Pace {
-                number: n as u32,
-                fleet: self.nodes.len() as u32,
-                bears: self.bears,
-                least: 100 * MS,
+        let set = BootstrapSettings {
+            poll_rate: PollRate {
+                instance_number: n as u32,
+                fleet_size: self.nodes.len() as u32,
+                service_capacity: self.bears,
+                min_pause: 100 * MS,
             },
-            others: self.talks.then(|| (address(n), (0..self.seeds).map(address).collect())),
-            holders: HOLDERS_LEAST,
-            service: service("s"),
-            grace: GRACE,
-            silence: 5 * SECOND,
-            kept_wait: 300 * MS,
-            reset_after: 60 * SECOND,
+            peers: self.talks.then(|| (address(n), (0..self.seeds).map(address).collect())),
+            min_watch_leaders: MIN_WATCH_LEADERS,
+            service_id: service_id("s"),
+            drain_grace: GRACE,
+            watch_timeout: 5 * SECOND,
+            cached_list_wait: 300 * MS,
+            service_reset_after: 60 * SECOND,
             seed: self.rng.random(),
         };
         let node = &mut self.nodes[n];
@@ -174,7 +174,7 @@
         (node.ready_at, node.highest) = (None, 0);
         node.router.clear();
         let mut out = Vec::new();
-        node.start = Some(Start::new(self.now, set, node.kept.clone(), &mut out));
+        node.start = Some(Bootstrap::new(self.now, set, node.kept.clone(), &mut out));
         self.outputs(n, out);
     }
 
@@ -205,7 +205,7 @@
     }
 
     /// The list changes; those that watch are told.
-    pub fn change(&mut self, change: impl FnOnce(&mut Vec<Entry>)) {
+    pub fn change(&mut self, change: impl FnOnce(&mut Vec<Endpoint>)) {
         let mut list = self.versions.last().cloned().unwrap_or_default();
         change(&mut list);
         self.versions.push(list);
@@ -213,9 +213,9 @@
     }
 
     /// What is in the list of a version and was not in some version since another: all that changed, be it there and back.
-    fn since(&self, after: u64, version: usize) -> Vec<Entry> {
+    fn since(&self, after: u64, version: usize) -> Vec<Endpoint> {
         let changed =
-            |e: &&Entry| self.versions[after as usize - 1..version].iter().any(|list| !list.contains(e));
+            |e: &&Endpoint| self.versions[after as usize - 1..version].iter().any(|list| !list.contains(e));
         self.versions[version - 1].iter().filter(changed).cloned().collect()
     }
 
@@ -226,7 +226,7 @@
             return;
         }
         let members = self.since(seen, version);
-        let update = Update { revision: version as u64, complete: false, members };
+        let update = EndpointUpdate { revision: version as u64, complete: false, members };
         let (life, watch) = (self.nodes[n].life, self.nodes[n].watch);
         self.nodes[n].seen = version as u64;
         // Behind what the watch began with.
@@ -238,7 +238,7 @@
     }
 
     /// Calls one instance, if it runs, and carries out what it asks for.
-    pub fn call(&mut self, n: usize, act: impl FnOnce(&mut Start, Time, &mut Vec<Output>)) {
+    pub fn call(&mut self, n: usize, act: impl FnOnce(&mut Bootstrap, Time, &mut Vec<Output>)) {
         let (now, mut out) = (self.now, Vec::new());
         if let Some(start) = self.nodes[n].start.as_mut() {
             act(start, now, &mut out);
@@ -252,8 +252,8 @@
         }
         for output in out {
             match output {
-                Output::Watch(after) => self.watch(n, after),
-                Output::Unwatch => {
+                Output::OpenWatch(after) => self.watch(n, after),
+                Output::CloseWatch => {
                     self.nodes[n].watch += 1;
                     self.nodes[n].watches = false;
                 }
@@ -272,20 +272,20 @@
                     let life = self.nodes[to].life;
                     self.at(at, Event::Told(to, life, message));
                 }
-                Output::List(Taken::Whole(entries) | Taken::Cautious(entries)) => {
+                Output::Endpoints(MergeOutcome::Complete(entries) | MergeOutcome::Cached(entries)) => {
                     self.nodes[n].router = entries.into_iter().map(|e| (e.id, e.phase)).collect();
                 }
-                Output::List(Taken::Changes(entries)) => {
+                Output::Endpoints(MergeOutcome::Changed(entries)) => {
                     self.nodes[n].router.extend(entries.into_iter().map(|e| (e.id, e.phase)));
                 }
-                Output::Keep(kept) => self.nodes[n].kept = Some(kept),
-                Output::Seen(seen) => self.nodes[n].sighted.extend(seen),
-                Output::List(_) | Output::Said(_) | Output::Expect(_) => {}
+                Output::Persist(kept) => self.nodes[n].kept = Some(kept),
+                Output::Observations(seen) => self.nodes[n].sighted.extend(seen),
+                Output::Endpoints(_) | Output::Log(_) | Output::SeedWarmThroughput(_) => {}
             }
         }
         let (now, node) = (self.now, &mut self.nodes[n]);
         let Some(start) = &node.start else { return };
-        if let Some(revision) = start.book().revision() {
+        if let Some(revision) = start.cache().revision() {
             if revision < node.highest {
                 self.broken =
                     Some(format!("instance {n} went from version {} back to {revision}", node.highest));
@@ -295,7 +295,7 @@
         if start.is_ready(now) {
             node.ready_at = node.ready_at.or(Some(now));
         }
-        let (due, life) = (start.next_due(now), node.life);
+        let (due, life) = (start.next_timeout(now), node.life);
         if due != node.due {
             node.due = due;
             self.at(due.max(now), Event::Due(n, life));
@@ -317,7 +317,7 @@
                 let (list, revision) = (self.versions[version - 1].clone(), version as u64);
                 let news = after.filter(|after| *after <= revision && *after > 0);
                 let members = news.map_or(list, |after| self.since(after, version));
-                let update = Update { revision, complete: news.is_none(), members };
+                let update = EndpointUpdate { revision, complete: news.is_none(), members };
                 (self.nodes[n].watches, self.nodes[n].seen) = (true, revision);
                 self.at(at, Event::Watch(n, life, watch, Some(update)));
                 self.at(at + 2 * SECOND, Event::Blank(n, life, watch));
@@ -342,7 +342,7 @@
         let n = match event {
             Event::Told(n, life, message) if current(&self.nodes[n], life) => {
                 let start = self.nodes[n].start.as_mut().expect("it is current");
-                start.message(now, message, &mut out);
+                start.handle_message(now, message, &mut out);
                 n
             }
             Event::Due(n, life) if current(&self.nodes[n], life) => {
@@ -351,7 +351,7 @@
                     return;
                 }
                 node.due = Time::MAX;
-                node.start.as_mut().expect("it is current").due(now, &mut out);
+                node.start.as_mut().expect("it is current").handle_timeout(now, &mut out);
                 n
             }
             Event::Watch(n, life, watch, update) if current(&self.nodes[n], life) => {
@@ -359,14 +359,14 @@
                     return;
                 }
                 let start = self.nodes[n].start.as_mut().expect("it is current");
-                start.watch_said(now, update.expect("a list"), &mut out);
+                start.handle_watch_update(now, update.expect("a list"), &mut out);
                 n
             }
             Event::Lost(n, life, watch, wait) if current(&self.nodes[n], life) => {
                 if self.nodes[n].watch != watch {
                     return;
                 }
-                self.nodes[n].start.as_mut().expect("it is current").watch_lost(now, wait, &mut out);
+                self.nodes[n].start.as_mut().expect("it is current").handle_watch_lost(now, wait, &mut out);
                 n
             }
             Event::Blank(n, life, watch) if current(&self.nodes[n], life) => {
@@ -374,7 +374,11 @@
                     return;
                 }
                 if matches!(self.moods[n], Mood::Up | Mood::Behind(_)) {
-                    self.nodes[n].start.as_mut().expect("it is current").watch_alive(now, &mut out);
+                    self.nodes[n]
+                        .start
+                        .as_mut()
+                        .expect("it is current")
+                        .handle_watch_heartbeat(now, &mut out);
                 }
                 self.at(now + 2 * SECOND, Event::Blank(n, life, watch));
                 n
@@ -393,7 +397,7 @@
                         (0..self.nodes.len()).filter(|m| *m != n).filter(here).map(address).collect();
                     if let Some(start) = self.nodes[n].start.as_mut() {
                         let mut out = Vec::new();
-                        start.met(now, up, &mut out);
+                        start.update_membership(now, up, &mut out);
                         self.outputs(n, out);
                     }
                 }
@@ -407,8 +411,8 @@
     /// Instances that hold the newest version, and not as kept word.
     pub fn current(&self) -> usize {
         let version = Some(self.version());
-        let fresh = |start: &&Start| {
-            start.book().revision() == version && start.book().origin() != Some(Origin::Kept)
+        let fresh = |start: &&Bootstrap| {
+            start.cache().revision() == version && start.cache().origin() != Some(Origin::Cached)
         };
         self.nodes.iter().filter_map(|node| node.start.as_ref()).filter(fresh).count()
     }
--- a/crates/stackgw-start/tests/digest.rs
+++ b/crates/stackgw-start/tests/digest.rs
@@ -67,30 +67,30 @@
     fn origin(&mut self, origin: Option<Origin>) {
         self.unsigned(match origin {
             None => 0,
-            Some(Origin::Kept) => 1,
+            Some(Origin::Cached) => 1,
             Some(Origin::Peer) => 2,
             Some(Origin::Service) => 3,
         });
     }
 
-    fn taken(&mut self, taken: &Taken) {
+    fn taken(&mut self, taken: &MergeOutcome) {
         let (number, entries) = match taken {
-            Taken::Whole(entries) => (1, Some(entries)),
-            Taken::Cautious(entries) => (2, Some(entries)),
-            Taken::Changes(entries) => (3, Some(entries)),
-            Taken::Same => (4, None),
-            Taken::Older => (5, None),
+            MergeOutcome::Complete(entries) => (1, Some(entries)),
+            MergeOutcome::Cached(entries) => (2, Some(entries)),
+            MergeOutcome::Changed(entries) => (3, Some(entries)),
+            MergeOutcome::Unchanged => (4, None),
+            MergeOutcome::Stale => (5, None),
         };
         self.unsigned(number);
         self.stored(&entries);
     }
 
-    fn note(&mut self, note: &Note) {
+    fn note(&mut self, note: &LogEvent) {
         let (number, value) = match note {
-            Note::Holds(for_all) => (1, u64::from(*for_all)),
-            Note::Leaves => (2, 0),
-            Note::Behind(version) => (3, *version),
-            Note::Reset => (4, 0),
+            LogEvent::WatchEstablished(for_all) => (1, u64::from(*for_all)),
+            LogEvent::WatchReleased => (2, 0),
+            LogEvent::ServiceBehind(version) => (3, *version),
+            LogEvent::ServiceReset => (4, 0),
         };
         self.unsigned(number);
         self.unsigned(value);
@@ -98,71 +98,83 @@
 
     fn output(&mut self, output: &Output) {
         match output {
-            Output::Watch(after) => {
+            Output::OpenWatch(after) => {
                 self.unsigned(11);
                 self.optional(*after);
             }
-            Output::Unwatch => self.unsigned(12),
+            Output::CloseWatch => self.unsigned(12),
             Output::Send(to, message) => {
                 self.unsigned(13);
                 self.address(*to);
                 self.bytes(&message.encode());
             }
-            Output::List(taken) => {
+            Output::Endpoints(taken) => {
                 self.unsigned(14);
                 self.taken(taken);
             }
-            Output::Keep(kept) => {
+            Output::Persist(kept) => {
                 self.unsigned(15);
                 self.stored(&kept.list);
-                self.signed(kept.said);
-                self.float(kept.rate);
+                self.signed(kept.confirmed_at);
+                self.float(kept.warm_throughput);
             }
-            Output::Expect(rate) => {
+            Output::SeedWarmThroughput(rate) => {
                 self.unsigned(16);
                 self.float(*rate);
             }
-            Output::Seen(seen) => {
+            Output::Observations(seen) => {
                 self.unsigned(17);
                 self.stored(seen);
             }
-            Output::Said(note) => {
+            Output::Log(note) => {
                 self.unsigned(18);
                 self.note(note);
             }
         }
     }
 
-    fn book(&mut self, now: Time, book: &Book) {
+    fn book(&mut self, now: Time, book: &EndpointCache) {
         self.optional(book.revision());
         self.origin(book.origin());
         self.optional_time(book.age(now));
         self.optional_time(book.said());
         self.flag(book.is_behind());
         self.unsigned(book.resets());
-        let present: Vec<_> = book.present().collect();
+        let present: Vec<_> = book.endpoints().collect();
         self.stored(&present);
     }
 
-    fn counts(&mut self, counts: Counts) {
-        for count in [counts.watches, counts.alone, counts.asked, counts.unanswered, counts.answered] {
+    fn counts(&mut self, counts: BootstrapCounters) {
+        for count in [
+            counts.watches_opened,
+            counts.watches_without_leader,
+            counts.polls_sent,
+            counts.polls_unanswered,
+            counts.polls_answered,
+        ] {
             self.unsigned(count);
         }
-        for count in [counts.pushed, counts.taken, counts.older, counts.foreign, counts.sighted] {
+        for count in [
+            counts.snapshots_pushed,
+            counts.snapshots_merged,
+            counts.stale_updates,
+            counts.foreign_messages,
+            counts.observations_merged,
+        ] {
             self.unsigned(count);
         }
     }
 
     /// What an instance says of itself.
-    fn instance(&mut self, now: Time, start: &Start) {
-        self.book(now, start.book());
+    fn instance(&mut self, now: Time, start: &Bootstrap) {
+        self.book(now, start.cache());
         self.counts(start.counts());
-        let (holders, live) = start.holders();
+        let (holders, live) = start.watch_leaders();
         holders.into_iter().for_each(|holder| self.address(holder));
         self.flag(live);
         self.flag(start.is_ready(now));
-        self.signed(start.comes_back(now));
-        self.signed(start.next_due(now));
+        self.signed(start.retry_after(now));
+        self.signed(start.next_timeout(now));
     }
 
     fn fleet(&mut self, sim: &mut Sim) {
@@ -197,18 +209,18 @@
     [Lifecycle::Serving, Lifecycle::Serving, Lifecycle::Draining, Lifecycle::Removed][below(rng, 4)]
 }
 
-fn any_entry(rng: &mut Pcg64Mcg, now: Time, members: usize) -> Entry {
+fn any_entry(rng: &mut Pcg64Mcg, now: Time, members: usize) -> Endpoint {
     let up_since_ms = [0, 0, -1, now / MS - below(rng, 20_000) as i64][below(rng, 4)];
     let (phase, leader) = (any_phase(rng), chance(rng, 0.3));
-    Entry { up_since_ms, ..entry(below(rng, members), phase, leader) }
+    Endpoint { up_since_ms, ..entry(below(rng, members), phase, leader) }
 }
 
-fn any_sighting(rng: &mut Pcg64Mcg, now: Time, members: usize) -> Sighting {
-    Sighting {
-        member: Sighting::of(&format!("m{}", below(rng, members))),
+fn any_sighting(rng: &mut Pcg64Mcg, now: Time, members: usize) -> Observation {
+    Observation {
+        member_hash: Observation::hash_name(&format!("m{}", below(rng, members))),
         position_ms: (now / MS) as u64 - below(rng, 8_000) as u64,
-        leads: [None, Some(false), Some(true)][below(rng, 3)],
-        at_ms: (now / MS) as u64 + 1_000 - below(rng, 8_000) as u64,
+        is_primary: [None, Some(false), Some(true)][below(rng, 3)],
+        observed_at_ms: (now / MS) as u64 + 1_000 - below(rng, 8_000) as u64,
     }
 }
 
@@ -218,10 +230,10 @@
     let fragments = [0, 1, 1, 2, 3][below(rng, 5)];
     let entries = if fragments == 0 { 0 } else { below(rng, 4) };
     let version = sim.version() + below(rng, 20) as u64 / 18;
-    Message::Tell(Tell {
+    Message::Snapshot(EndpointSnapshot {
         from: address(from),
         nonce: if chance(rng, 0.7) { 0 } else { rng.random() },
-        service: service(if chance(rng, 0.9) { "s" } else { "other" }),
+        service: service_id(if chance(rng, 0.9) { "s" } else { "other" }),
         revision: chance(rng, 0.9).then_some(version.saturating_sub(below(rng, 4) as u64)),
         said_ago_ms: below(rng, 9_000) as u64,
         live: chance(rng, 0.5),
@@ -277,7 +289,8 @@
     let fleet = sim.nodes.len();
     match below(rng, 5) {
         0 => {
-            let watches = |n: &usize| sim.nodes[*n].start.as_ref().is_some_and(|start| start.holders().1);
+            let watches =
+                |n: &usize| sim.nodes[*n].start.as_ref().is_some_and(|start| start.watch_leaders().1);
             let watching: Vec<_> = (0..fleet).filter(watches).collect();
             watching.into_iter().for_each(|n| sim.kill(n));
         }
@@ -293,25 +306,25 @@
     match below(rng, 5) {
         0 => {
             let seen: Vec<_> = (0..below(rng, 20)).map(|_| any_sighting(rng, now, members)).collect();
-            sim.call(n, |start, now, _| start.saw(now, seen));
+            sim.call(n, |start, now, _| start.record_observations(now, seen));
         }
         1 => {
             let rate = rng.random::<f64>() * 400.0;
-            sim.call(n, |start, _, _| start.answers(rate));
+            sim.call(n, |start, _, _| start.set_warm_throughput(rate));
         }
         2 => {
             let (name, moved) = (if chance(rng, 0.8) { "s" } else { "other" }, chance(rng, 0.3));
             let seeds: Vec<_> = (0..below(rng, 4)).map(address).collect();
-            sim.call(n, |start, now, out| start.reload(now, &seeds, service(name), moved, out));
+            sim.call(n, |start, now, out| start.reload(now, &seeds, service_id(name), moved, out));
         }
         3 => {
             let from = below(rng, sim.nodes.len());
             let answer = any_answer(rng, sim, from);
-            sim.call(n, |start, now, out| start.message(now, answer, out));
+            sim.call(n, |start, now, out| start.handle_message(now, answer, out));
         }
         _ => {
             let up: BTreeSet<_> = (0..sim.nodes.len()).filter(|_| chance(rng, 0.7)).map(address).collect();
-            sim.call(n, |start, now, out| start.met(now, up, out));
+            sim.call(n, |start, now, out| start.update_membership(now, up, out));
         }
     }
 }
@@ -374,7 +387,7 @@
     let mut digest = Digest::new();
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut book = Book::new(10 * SECOND);
+        let mut book = EndpointCache::new(10 * SECOND);
         let (mut now, mut version) = (1_000 * SECOND, 5);
         // Some have more members gone than are remembered.
         let members = if seed % 40 == 0 { 1_500 } else { 6 };
@@ -382,12 +395,12 @@
             now += below(&mut rng, 3_000) as Span * MS;
             version += below(&mut rng, 3) as u64;
             let count = below(&mut rng, members + 1);
-            let update = Update {
+            let update = EndpointUpdate {
                 revision: version - below(&mut rng, 4) as u64,
                 complete: chance(&mut rng, 0.4),
                 members: (0..count).map(|_| any_entry(&mut rng, now, members)).collect(),
             };
-            let origin = [Origin::Kept, Origin::Peer, Origin::Service, Origin::Service][below(&mut rng, 4)];
+            let origin = [Origin::Cached, Origin::Peer, Origin::Service, Origin::Service][below(&mut rng, 4)];
             let said = now - below(&mut rng, 4_000) as Span * MS;
             let base = chance(&mut rng, 0.7).then_some(version - below(&mut rng, 4) as u64);
             match below(&mut rng, 12) {
@@ -411,13 +424,13 @@
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let fleet = 1 + below(&mut rng, 400) as u32;
-        let pace = Pace {
-            number: below(&mut rng, fleet as usize) as u32,
-            fleet,
-            bears: rng.random::<f64>() * 200.0,
-            least: below(&mut rng, 200) as Span * MS,
+        let pace = PollRate {
+            instance_number: below(&mut rng, fleet as usize) as u32,
+            fleet_size: fleet,
+            service_capacity: rng.random::<f64>() * 200.0,
+            min_pause: below(&mut rng, 200) as Span * MS,
         };
-        let (mut turns, mut now) = (Turns::new(pace, seed), 1_000 * SECOND);
+        let (mut turns, mut now) = (PollSchedule::new(pace, seed), 1_000 * SECOND);
         for _ in 0..60 {
             now += below(&mut rng, 3_000) as Span * MS;
             let askers = 1 + below(&mut rng, fleet as usize) as u32;
@@ -442,14 +455,14 @@
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let fleet = 1 + below(&mut rng, 300) as u32;
-        let set = Dealt {
-            number: below(&mut rng, fleet as usize) as u32,
-            fleet,
-            opens: rng.random::<f64>() * 40.0,
-            cold_share: rng.random::<f64>(),
-            warm_within: below(&mut rng, 20) as Span * SECOND,
+        let set = PacerConfig {
+            instance_number: below(&mut rng, fleet as usize) as u32,
+            fleet_size: fleet,
+            connection_rate: rng.random::<f64>() * 40.0,
+            cold_capacity_share: rng.random::<f64>(),
+            warm_up_time: below(&mut rng, 20) as Span * SECOND,
         };
-        let (mut deal, mut now) = (Deal::new(set, seed), 100 * SECOND);
+        let (mut deal, mut now) = (ConnectionPacer::new(set, seed), 100 * SECOND);
         for _ in 0..60 {
             now += below(&mut rng, 2_000) as Span * MS;
             let number = below(&mut rng, 6) as u32;
@@ -458,17 +471,17 @@
             let started = now - below(&mut rng, 12_000) as Span * MS;
             let started = [None, Some(None), Some(Some(started)), Some(Some(started))][below(&mut rng, 4)];
             match below(&mut rng, 8) {
-                0 | 1 => deal.listed(now, member, &format!("m{number}"), group, started),
-                2 => deal.arrange(now),
-                3 => deal.opens(now, member),
-                4 => deal.failed(now, member),
-                5 => deal.came_up(member),
-                6 if chance(&mut rng, 0.2) => deal.forget(member),
-                _ => deal.waits(),
+                0 | 1 => deal.update_member(now, member, &format!("m{number}"), group, started),
+                2 => deal.schedule_new_members(now),
+                3 => deal.record_attempt(now, member),
+                4 => deal.record_failure(now, member),
+                5 => deal.record_success(member),
+                6 if chance(&mut rng, 0.2) => deal.remove_member(member),
+                _ => deal.record_deferral(),
             }
-            digest.unsigned(deal.waited());
-            deal.members().for_each(|member| digest.unsigned(u64::from(member.0)));
-            (0..6).for_each(|member| digest.optional_time(deal.from(now, MemberId(member))));
+            digest.unsigned(deal.deferrals());
+            deal.paced_members().for_each(|member| digest.unsigned(u64::from(member.0)));
+            (0..6).for_each(|member| digest.optional_time(deal.next_connection_at(now, MemberId(member))));
         }
     }
     digest.print("start-connections-dealt");
@@ -480,7 +493,7 @@
     let mut digest = Digest::new();
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut known, mut now) = (Sightings::default(), 1_000 * SECOND);
+        let (mut known, mut now) = (Observations::default(), 1_000 * SECOND);
         let members = if seed % 50 == 0 { 6_000 } else { 40 };
         for _ in 0..80 {
             now += below(&mut rng, 500) as Span * MS;
--- a/crates/stackgw-start/tests/histories.rs
+++ b/crates/stackgw-start/tests/histories.rs
@@ -196,12 +196,12 @@
             for node in &sim.nodes {
                 // What the router has is what the book has.
                 let Some(start) = &node.start else { continue };
-                for entry in start.book().present() {
+                for entry in start.cache().endpoints() {
                     prop_assert_eq!(node.router.get(&entry.id), Some(&entry.phase));
                 }
                 // A version tells of each member what it was then, or of a drain told before it.
-                let Some(version) = start.book().revision().and_then(|v| sim.versions.get(v as usize - 1)) else { continue };
-                for (entry, told) in start.book().present().zip(version) {
+                let Some(version) = start.cache().revision().and_then(|v| sim.versions.get(v as usize - 1)) else { continue };
+                for (entry, told) in start.cache().endpoints().zip(version) {
                     prop_assert!(entry.phase == told.phase, "{entry:?} where the version has {told:?}");
                 }
             }
@@ -227,10 +227,15 @@
 #[test]
 fn those_that_were_put_off_together_do_not_come_back_together() {
     let now = 1_000 * SECOND;
-    let pace = |number| stackgw_start::Pace { number, fleet: 100, bears: 50.0, least: 100 * MS };
+    let pace = |number| stackgw_start::PollRate {
+        instance_number: number,
+        fleet_size: 100,
+        service_capacity: 50.0,
+        min_pause: 100 * MS,
+    };
     let mut back: Vec<_> = (0..100)
         .flat_map(|n| {
-            let mut turns = stackgw_start::Turns::new(pace(n), u64::from(n));
+            let mut turns = stackgw_start::PollSchedule::new(pace(n), u64::from(n));
             turns.put_off(now, 2 * SECOND);
             [turns.again(now, 100), turns.first(now, 3)]
         })
@@ -244,9 +249,14 @@
 /// A change counts as told six seconds after the service had it and could be reached. An ask fails after three at the latest.
 #[test]
 fn no_history_of_failures_or_word_of_the_service_keeps_an_instance_away_for_long() {
-    let pace = |number| stackgw_start::Pace { number, fleet: 300, bears: 300.0, least: 100 * MS };
+    let pace = |number| stackgw_start::PollRate {
+        instance_number: number,
+        fleet_size: 300,
+        service_capacity: 300.0,
+        min_pause: 100 * MS,
+    };
     for number in 0..300 {
-        let mut turns = stackgw_start::Turns::new(pace(number), u64::from(number));
+        let mut turns = stackgw_start::PollSchedule::new(pace(number), u64::from(number));
         let mut now = 1_000 * SECOND;
         for n in 0..40 {
             // Every third time the service says that it wants an hour for itself.
@@ -269,14 +279,14 @@
     let mut sim = Sim::new(30, 5, 100.0, true, 4);
     sim.start_all(0..30);
     sim.pass(5 * SECOND);
-    let seen = |now: i64, leads| stackgw_start::Sighting {
-        member: stackgw_start::Sighting::of("m1"),
+    let seen = |now: i64, leads| stackgw_start::Observation {
+        member_hash: stackgw_start::Observation::hash_name("m1"),
         position_ms: (now / MS) as u64,
-        leads: Some(leads),
-        at_ms: (now / MS) as u64,
+        is_primary: Some(leads),
+        observed_at_ms: (now / MS) as u64,
     };
     let now = sim.now;
-    sim.nodes[17].start.as_mut().expect("it runs").saw(now, [seen(now, true)]);
+    sim.nodes[17].start.as_mut().expect("it runs").record_observations(now, [seen(now, true)]);
     // Its own question tells a holder, and the others' questions bring it from there: one grace, as each asks four times in it and
     // the holders in turn.
     sim.pass(GRACE * 3 / 2);
--- a/crates/stackgw-start/tests/model.rs
+++ b/crates/stackgw-start/tests/model.rs
@@ -26,8 +26,8 @@
 
 #[derive(Debug, Clone, PartialEq)]
 struct Node {
-    start: Option<Start>,
-    kept: Option<Kept>,
+    start: Option<Bootstrap>,
+    kept: Option<CachedEndpoints>,
     /// The watch is open, and the version that it has come to.
     watch: Option<u64>,
     highest: u64,
@@ -76,8 +76,8 @@
     }
 }
 
-fn list(version: u64, complete: bool) -> Update {
-    let entry = Entry {
+fn list(version: u64, complete: bool) -> EndpointUpdate {
+    let entry = Endpoint {
         id: "m".to_owned(),
         address: SocketAddr::from(([10, 1, 0, 1], 6_543)),
         locality: String::new(),
@@ -87,20 +87,25 @@
         up_since_ms: 0,
         leader: true,
     };
-    Update { revision: version, complete, members: vec![entry] }
+    EndpointUpdate { revision: version, complete, members: vec![entry] }
 }
 
 impl Bounds {
-    fn settings(&self, n: usize) -> Settings {
-        Settings {
-            pace: Pace { number: n as u32, fleet: NODES as u32, bears: 1_000.0, least: MS },
-            others: Some((address(n), vec![address(0), address(1), address(2)])),
-            holders: self.holders,
-            service: service("s"),
-            grace: SECOND,
-            silence: 5 * SECOND,
-            kept_wait: 0,
-            reset_after: 600 * SECOND,
+    fn settings(&self, n: usize) -> BootstrapSettings {
+        BootstrapSettings {
+            poll_rate: PollRate {
+                instance_number: n as u32,
+                fleet_size: NODES as u32,
+                service_capacity: 1_000.0,
+                min_pause: MS,
+            },
+            peers: Some((address(n), vec![address(0), address(1), address(2)])),
+            min_watch_leaders: self.holders,
+            service_id: service_id("s"),
+            drain_grace: SECOND,
+            watch_timeout: 5 * SECOND,
+            cached_list_wait: 0,
+            service_reset_after: 600 * SECOND,
             seed: n as u64,
         }
     }
@@ -111,9 +116,9 @@
         // A later life goes back behind what the disk has as little as this one does.
         let highest = kept.as_ref().map_or(0, |kept| kept.list.revision);
         if self.forgetful {
-            kept = kept.map(|kept| Kept { list: list(1, true), ..kept });
+            kept = kept.map(|kept| CachedEndpoints { list: list(1, true), ..kept });
         }
-        let start = Start::new(world.now, self.settings(n), kept, &mut out);
+        let start = Bootstrap::new(world.now, self.settings(n), kept, &mut out);
         (world.nodes[n].start, world.nodes[n].watch, world.nodes[n].highest) = (Some(start), None, highest);
         self.outputs(world, n, out);
     }
@@ -121,8 +126,8 @@
     fn outputs(&self, world: &mut World, n: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Watch(after) => world.nodes[n].watch = Some(after.unwrap_or(0)),
-                Output::Unwatch => world.nodes[n].watch = None,
+                Output::OpenWatch(after) => world.nodes[n].watch = Some(after.unwrap_or(0)),
+                Output::CloseWatch => world.nodes[n].watch = None,
                 Output::Send(to, message) => {
                     let to = (0..NODES).find(|m| address(*m) == to).unwrap_or(n);
                     let cut = world.cut.is_some_and(|cut| (cut == n) != (cut == to));
@@ -131,13 +136,16 @@
                         world.net.push((n, to, message));
                     }
                 }
-                Output::Keep(kept) => world.nodes[n].kept = Some(kept),
-                Output::List(_) | Output::Expect(_) | Output::Seen(_) | Output::Said(_) => {}
+                Output::Persist(kept) => world.nodes[n].kept = Some(kept),
+                Output::Endpoints(_)
+                | Output::SeedWarmThroughput(_)
+                | Output::Observations(_)
+                | Output::Log(_) => {}
             }
         }
         let Some(start) = &world.nodes[n].start else { return };
-        let revision = start.book().revision().unwrap_or(0);
-        let said = start.book().present().next().map(|entry| entry.phase);
+        let revision = start.cache().revision().unwrap_or(0);
+        let said = start.cache().endpoints().next().map(|entry| entry.phase);
         world.broken |= revision < world.nodes[n].highest;
         world.broken |= revision > 0 && said != Some(phase(revision));
         world.nodes[n].highest = revision;
@@ -207,7 +215,7 @@
         match step {
             Step::Deliver(at) => {
                 let (_, to, message) = world.net.remove(at);
-                world.nodes[to].start.as_mut()?.message(now, message, &mut out);
+                world.nodes[to].start.as_mut()?.handle_message(now, message, &mut out);
                 self.outputs(&mut world, to, out);
             }
             Step::Lose(at) => drop(world.net.remove(at)),
@@ -216,17 +224,20 @@
                 // What changed after that version, or all of it where the service has not come to it.
                 let update = list(told, seen == 0 || seen > told);
                 world.nodes[n].watch = Some(told);
-                world.nodes[n].start.as_mut()?.watch_said(now, update, &mut out);
+                world.nodes[n].start.as_mut()?.handle_watch_update(now, update, &mut out);
                 self.outputs(&mut world, n, out);
             }
             Step::Tick => {
-                let due =
-                    world.nodes.iter().filter_map(|node| Some(node.start.as_ref()?.next_due(now))).min()?;
+                let due = world
+                    .nodes
+                    .iter()
+                    .filter_map(|node| Some(node.start.as_ref()?.next_timeout(now)))
+                    .min()?;
                 (world.now, world.ticks) = (due.max(now + MS), world.ticks + 1);
                 for n in 0..NODES {
                     let (mut out, now) = (Vec::new(), world.now);
                     if let Some(start) = world.nodes[n].start.as_mut() {
-                        start.due(now, &mut out);
+                        start.handle_timeout(now, &mut out);
                     }
                     self.outputs(&mut world, n, out);
                 }
--- a/crates/stackgw-start/tests/stored_and_sent.rs
+++ b/crates/stackgw-start/tests/stored_and_sent.rs
@@ -4,7 +4,7 @@
 use serde::de::{DeserializeOwned, Deserializer, Error, Visitor};
 use serde::Serialize;
 use stackgw_router::api::Lifecycle;
-use stackgw_start::{service, Entry, Message, Sighting, Tell, Update};
+use stackgw_start::{service_id, Endpoint, EndpointSnapshot, EndpointUpdate, Message, Observation};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -20,8 +20,8 @@
     SocketAddr::from(([0x2001, 0xdb8, 0, 0, 0, 0, 0, 0x17], 7_654))
 }
 
-fn entry(number: u8, phase: Lifecycle) -> Entry {
-    Entry {
+fn entry(number: u8, phase: Lifecycle) -> Endpoint {
+    Endpoint {
         id: format!("member-{number}"),
         address: SocketAddr::from(([10, 1, 2, number], 6_543)),
         locality: "zone-b".to_owned(),
@@ -34,17 +34,21 @@
 }
 
 /// One member in each phase, with each form of address and of start time.
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<Endpoint> {
     let primary =
-        Entry { leader: true, size: 2.5, up_since_ms: 1_790_000_123_456, ..entry(1, Lifecycle::Serving) };
-    let draining = Entry { up_since_ms: -1, address: peer_v6(), ..entry(2, Lifecycle::Draining) };
-    let gone = Entry { locality: String::new(), cell: 0, size: 0.0, ..entry(3, Lifecycle::Removed) };
+        Endpoint { leader: true, size: 2.5, up_since_ms: 1_790_000_123_456, ..entry(1, Lifecycle::Serving) };
+    let draining = Endpoint { up_since_ms: -1, address: peer_v6(), ..entry(2, Lifecycle::Draining) };
+    let gone = Endpoint { locality: String::new(), cell: 0, size: 0.0, ..entry(3, Lifecycle::Removed) };
     vec![primary, draining, gone]
 }
 
-fn sightings() -> Vec<Sighting> {
-    let seen =
-        |name, position_ms, leads, at_ms| Sighting { member: Sighting::of(name), position_ms, leads, at_ms };
+fn sightings() -> Vec<Observation> {
+    let seen = |name, position_ms, leads, at_ms| Observation {
+        member_hash: Observation::hash_name(name),
+        position_ms,
+        is_primary: leads,
+        observed_at_ms: at_ms,
+    };
     vec![
         seen("member-1", 1_790_000_200_000, Some(true), 1_790_000_200_005),
         seen("member-2", 1_790_000_199_000, Some(false), 1_790_000_200_001),
@@ -52,11 +56,11 @@
     ]
 }
 
-fn tell() -> Tell {
-    Tell {
+fn tell() -> EndpointSnapshot {
+    EndpointSnapshot {
         from: peer(7_000),
         nonce: 0xdead_beef,
-        service: service("list"),
+        service: service_id("list"),
         revision: Some(70_000),
         said_ago_ms: 1_234,
         live: true,
@@ -71,26 +75,31 @@
 }
 
 /// More entries than one datagram carries.
-fn many_entries() -> Vec<Entry> {
+fn many_entries() -> Vec<Endpoint> {
     (1..=60).map(|number| entry(number, Lifecycle::Serving)).collect()
 }
 
 fn fragments() -> Vec<Message> {
-    let whole = Tell { entries: Vec::new(), ..tell() };
-    whole.parts(many_entries()).expect("few enough").into_iter().map(Message::Tell).collect()
+    let whole = EndpointSnapshot { entries: Vec::new(), ..tell() };
+    whole.parts(many_entries()).expect("few enough").into_iter().map(Message::Snapshot).collect()
 }
 
 fn datagrams() -> Vec<(String, Message)> {
-    let first_question =
-        Message::Ask { from: peer(7_001), nonce: 1, service: service("list"), have: None, seen: Vec::new() };
-    let later_question = Message::Ask {
+    let first_question = Message::Poll {
+        from: peer(7_001),
+        nonce: 1,
+        service: service_id("list"),
+        have: None,
+        seen: Vec::new(),
+    };
+    let later_question = Message::Poll {
         from: peer_v6(),
         nonce: u32::MAX,
-        service: service("another"),
+        service: service_id("another"),
         have: Some(69_999),
         seen: sightings(),
     };
-    let nothing = Tell {
+    let nothing = EndpointSnapshot {
         nonce: 0,
         revision: None,
         live: false,
@@ -101,26 +110,27 @@
         seen: Vec::new(),
         ..tell()
     };
-    let version_only = Tell { part: (0, 0), entries: Vec::new(), ..tell() };
-    let changes = Tell { base: Some(69_998), from: peer_v6(), ..tell() };
-    let cached = Tell { kept: true, live: false, said_ago_ms: 86_400_000, ..tell() };
+    let version_only = EndpointSnapshot { part: (0, 0), entries: Vec::new(), ..tell() };
+    let changes = EndpointSnapshot { base: Some(69_998), from: peer_v6(), ..tell() };
+    let cached = EndpointSnapshot { kept: true, live: false, said_ago_ms: 86_400_000, ..tell() };
     let mut datagrams = vec![
         ("question-first.bin".to_owned(), first_question),
         ("question-later.bin".to_owned(), later_question),
-        ("answer-nothing-known.bin".to_owned(), Message::Tell(nothing)),
-        ("answer-version-only.bin".to_owned(), Message::Tell(version_only)),
-        ("answer-complete.bin".to_owned(), Message::Tell(tell())),
-        ("answer-changes.bin".to_owned(), Message::Tell(changes)),
-        ("answer-cached.bin".to_owned(), Message::Tell(cached)),
+        ("answer-nothing-known.bin".to_owned(), Message::Snapshot(nothing)),
+        ("answer-version-only.bin".to_owned(), Message::Snapshot(version_only)),
+        ("answer-complete.bin".to_owned(), Message::Snapshot(tell())),
+        ("answer-changes.bin".to_owned(), Message::Snapshot(changes)),
+        ("answer-cached.bin".to_owned(), Message::Snapshot(cached)),
     ];
     let numbered = fragments().into_iter().enumerate();
     datagrams.extend(numbered.map(|(n, fragment)| (format!("answer-fragment-{n}.bin"), fragment)));
     datagrams
 }
 
-fn stored_lists() -> [(&'static str, Update); 2] {
-    let complete = Update { revision: 70_000, complete: true, members: entries() };
-    let changes = Update { revision: 70_001, complete: false, members: vec![entry(9, Lifecycle::Draining)] };
+fn stored_lists() -> [(&'static str, EndpointUpdate); 2] {
+    let complete = EndpointUpdate { revision: 70_000, complete: true, members: entries() };
+    let changes =
+        EndpointUpdate { revision: 70_001, complete: false, members: vec![entry(9, Lifecycle::Draining)] };
     [("list-complete.bin", complete), ("list-changes.bin", changes)]
 }
 
@@ -154,8 +164,8 @@
     let fragments = fragments();
     assert_eq!(fragments.len(), 3);
     let entries = fragments.into_iter().flat_map(|fragment| match fragment {
-        Message::Tell(tell) => tell.entries,
-        Message::Ask { .. } => Vec::new(),
+        Message::Snapshot(tell) => tell.entries,
+        Message::Poll { .. } => Vec::new(),
     });
     assert!(entries.eq(many_entries()));
 }
@@ -164,7 +174,7 @@
 fn the_list_is_read_and_written_as_an_earlier_version_wrote_it() {
     for (name, list) in stored_lists() {
         let bytes = std::fs::read(fixture(name)).expect(name);
-        assert_eq!(postcard::from_bytes::<Update>(&bytes).as_ref(), Ok(&list), "{name}");
+        assert_eq!(postcard::from_bytes::<EndpointUpdate>(&bytes).as_ref(), Ok(&list), "{name}");
         assert_eq!(postcard::to_allocvec(&list).expect("it has a form"), bytes, "{name}");
     }
 }
@@ -203,7 +213,7 @@
 
 #[test]
 fn the_stored_list_keeps_its_field_names() {
-    assert_eq!(field_names::<Update>(), ["revision", "complete", "members"]);
+    assert_eq!(field_names::<EndpointUpdate>(), ["revision", "complete", "members"]);
     let entry = ["id", "address", "locality", "cell", "phase", "size", "up_since_ms", "leader"];
-    assert_eq!(field_names::<Entry>(), entry);
+    assert_eq!(field_names::<Endpoint>(), entry);
 }
--- a/crates/stackgw-start/tests/unit/deal.rs
+++ b/crates/stackgw-start/tests/unit/connection_pacer.rs
@@ -1,4 +1,4 @@
-//! What of `deal.rs` is seen from inside only.
+//! What of `connection_pacer.rs` is seen from inside only.
 
 use super::*;
 use stackgw_router::api::MS;
@@ -6,16 +6,22 @@
 const OPENS: f64 = 30.0;
 const FLEET: u32 = 300;
 
-fn dealt(number: u32) -> Deal {
-    let set = Dealt { number, fleet: FLEET, opens: OPENS, cold_share: 0.25, warm_within: 10 * SECOND };
-    Deal::new(set, u64::from(number) * 7)
+fn dealt(number: u32) -> ConnectionPacer {
+    let set = PacerConfig {
+        instance_number: number,
+        fleet_size: FLEET,
+        connection_rate: OPENS,
+        cold_capacity_share: 0.25,
+        warm_up_time: 10 * SECOND,
+    };
+    ConnectionPacer::new(set, u64::from(number) * 7)
 }
 
-fn listed(deal: &mut Deal, now: Time, started: Option<Option<Time>>) {
+fn listed(deal: &mut ConnectionPacer, now: Time, started: Option<Option<Time>>) {
     for n in 0..3 {
-        deal.listed(now, MemberId(n), &format!("m{n}"), GroupId(2), started);
+        deal.update_member(now, MemberId(n), &format!("m{n}"), GroupId(2), started);
     }
-    deal.arrange(now);
+    deal.schedule_new_members(now);
 }
 
 /// When each instance's first turn at each member comes.
@@ -24,7 +30,7 @@
         .map(|n| {
             let mut deal = dealt(n);
             listed(&mut deal, now, Some(started));
-            [0, 1, 2].map(|m| deal.from(now, MemberId(m)).expect("it is cold"))
+            [0, 1, 2].map(|m| deal.next_connection_at(now, MemberId(m)).expect("it is cold"))
         })
         .collect()
 }
@@ -58,11 +64,11 @@
     assert!(half < cold * 2 / 3, "{half} {cold}");
     let mut deal = dealt(7);
     listed(&mut deal, now, Some(Some(now - SECOND)));
-    assert!(deal.from(now, MemberId(1)).is_some());
-    assert_eq!(deal.from(now + 9 * SECOND, MemberId(1)), None, "warm by its age");
+    assert!(deal.next_connection_at(now, MemberId(1)).is_some());
+    assert_eq!(deal.next_connection_at(now + 9 * SECOND, MemberId(1)), None, "warm by its age");
     listed(&mut deal, now, None);
-    assert_eq!(deal.from(now, MemberId(1)), None, "warm by the list");
-    assert_eq!(deal.from(now, MemberId(9)), None, "never heard of");
+    assert_eq!(deal.next_connection_at(now, MemberId(1)), None, "warm by the list");
+    assert_eq!(deal.next_connection_at(now, MemberId(9)), None, "never heard of");
 }
 
 #[test]
@@ -73,11 +79,11 @@
         for number in 0..50 {
             let mut deal = dealt(number);
             listed(&mut deal, now, Some(Some(now)));
-            deal.opens(now, MemberId(0));
+            deal.record_attempt(now, MemberId(0));
             for _ in 0..failures {
-                deal.failed(now, MemberId(0));
+                deal.record_failure(now, MemberId(0));
             }
-            sum += deal.from(now, MemberId(0)).expect("cold") - now;
+            sum += deal.next_connection_at(now, MemberId(0)).expect("cold") - now;
         }
         sum / 50
     };
@@ -86,9 +92,9 @@
     assert!((wait(9) - wait(12)).abs() < wait(9) / 3, "no more than so often");
     let mut deal = dealt(0);
     listed(&mut deal, now, Some(Some(now)));
-    let before = deal.from(now, MemberId(0));
+    let before = deal.next_connection_at(now, MemberId(0));
     listed(&mut deal, now + MS, Some(Some(now)));
-    assert_eq!(deal.from(now, MemberId(0)), before, "the same word changes nothing");
+    assert_eq!(deal.next_connection_at(now, MemberId(0)), before, "the same word changes nothing");
     listed(&mut deal, now + MS, Some(Some(now + MS)));
-    assert_ne!(deal.from(now, MemberId(0)), before, "another start is another turn");
+    assert_ne!(deal.next_connection_at(now, MemberId(0)), before, "another start is another turn");
 }
--- a/crates/stackgw-start/tests/unit/seen.rs
+++ b/crates/stackgw-start/tests/unit/observation.rs
@@ -1,16 +1,16 @@
-//! What of `seen.rs` is seen from inside only.
+//! What of `observation.rs` is seen from inside only.
 
 use super::*;
 use stackgw_router::api::SECOND;
 
-fn seen(member: u64, position_ms: u64, leads: Option<bool>, at_ms: u64) -> Sighting {
-    Sighting { member, position_ms, leads, at_ms }
+fn seen(member: u64, position_ms: u64, leads: Option<bool>, at_ms: u64) -> Observation {
+    Observation { member_hash: member, position_ms, is_primary: leads, observed_at_ms: at_ms }
 }
 
 #[test]
 fn later_word_of_a_member_takes_the_place_of_earlier_word_and_grows_old() {
     let (now, keep) = (100 * SECOND, 5 * SECOND);
-    let mut known = Sightings::default();
+    let mut known = Observations::default();
     assert!(known.take(now, seen(1, 99_000, Some(true), 99_990), keep));
     assert!(!known.take(now, seen(1, 98_000, Some(false), 99_995), keep), "an older position");
     assert!(!known.take(now, seen(1, 99_000, None, 99_999), keep), "it says less");
@@ -27,13 +27,13 @@
 #[test]
 fn more_than_one_datagram_carries_is_told_in_turn_and_all_is_bounded() {
     let (now, keep) = (100 * SECOND, 5 * SECOND);
-    let mut known = Sightings::default();
+    let mut known = Observations::default();
     for n in 0..(SEEN_MOST as u64 + 10) {
         known.own(now, seen(n + 1, 99_000, None, 99_000), keep);
     }
     let rounds = SEEN_MOST.div_ceil(SEEN_EACH);
-    let all: BTreeSet<_> = (0..rounds).flat_map(|_| known.all(now, keep)).map(|s| s.member).collect();
+    let all: BTreeSet<_> = (0..rounds).flat_map(|_| known.all(now, keep)).map(|s| s.member_hash).collect();
     assert_eq!(all.len(), SEEN_MOST);
-    let news: BTreeSet<_> = (0..rounds).flat_map(|_| known.news()).map(|s| s.member).collect();
+    let news: BTreeSet<_> = (0..rounds).flat_map(|_| known.news()).map(|s| s.member_hash).collect();
     assert_eq!((news.len(), known.news().len()), (SEEN_MOST, 0));
 }
--- a/crates/stackgw-store/src/list.rs
+++ b/crates/stackgw-store/src/list.rs
@@ -5,7 +5,7 @@
 use crate::Failed;
 use serde::{Deserialize, Serialize};
 use stackgw_router::api::{Time, MS};
-use stackgw_start::{Kept, Update};
+use stackgw_start::{CachedEndpoints, EndpointUpdate};
 use std::io::Write;
 use std::path::Path;
 use std::sync::mpsc::Receiver;
@@ -31,7 +31,7 @@
 }
 
 /// What a file kept of this service's list; `None`: there is none, or another service's. One that is damaged is set aside.
-pub fn read(path: &Path, service: &str) -> Result<Option<Kept>, Failed> {
+pub fn read(path: &Path, service: &str) -> Result<Option<CachedEndpoints>, Failed> {
     let wrong = |why: &dyn std::fmt::Display| Failed(format!("start.list: {}: {why}", path.display()));
     let about = match std::fs::metadata(path) {
         Ok(about) => about,
@@ -46,7 +46,11 @@
         Some((head, list)) if head.service == service => {
             // A clock may have been set back since.
             let said = head.said_ms.clamp(0, i64::try_from(unix_ms()).unwrap_or(i64::MAX));
-            Ok(Some(Kept { list, said: said.saturating_mul(MS) as Time, rate: head.rate }))
+            Ok(Some(CachedEndpoints {
+                list,
+                confirmed_at: said.saturating_mul(MS) as Time,
+                warm_throughput: head.rate,
+            }))
         }
         Some(_) => Ok(None),
         None => {
@@ -57,21 +61,26 @@
     }
 }
 
-fn parse(text: &[u8]) -> Option<(Head, Update)> {
+fn parse(text: &[u8]) -> Option<(Head, EndpointUpdate)> {
     let (head, list) = text.split_at(text.iter().position(|b| *b == b'\n')?);
     let list = list.strip_prefix(b"\n")?.strip_suffix(b"\n")?;
     let head: Head = serde_json::from_slice(head).ok()?;
     let whole = head.version == VERSION && head.sum == blake3::hash(list).to_hex().as_str();
-    let list: Update = serde_json::from_slice(list).ok().filter(|_| whole)?;
+    let list: EndpointUpdate = serde_json::from_slice(list).ok().filter(|_| whole)?;
     list.complete.then_some((head, list))
 }
 
 /// Writes the file beside its place and moves it there, so that a start finds the old one or the new one.
-fn write(path: &Path, service: &str, kept: &Kept) -> std::io::Result<()> {
+fn write(path: &Path, service: &str, kept: &CachedEndpoints) -> std::io::Result<()> {
     let list = serde_json::to_vec(&kept.list)?;
     let sum = blake3::hash(&list).to_hex().to_string();
-    let head =
-        Head { version: VERSION, service: service.to_owned(), said_ms: kept.said / MS, rate: kept.rate, sum };
+    let head = Head {
+        version: VERSION,
+        service: service.to_owned(),
+        said_ms: kept.confirmed_at / MS,
+        rate: kept.warm_throughput,
+        sum,
+    };
     let beside = path.with_extension("new");
     let mut file = std::fs::File::create(&beside)?;
     file.write_all(&serde_json::to_vec(&head)?)?;
@@ -85,23 +94,23 @@
 /// A thread that keeps the newest list; what came while it wrote and is no longer the newest is passed over. Dropped, it writes
 /// the newest first.
 #[derive(Debug)]
-pub struct ListWriter(Worker<Kept>);
+pub struct ListWriter(Worker<CachedEndpoints>);
 
 impl ListWriter {
     /// Starts the thread; `said` is told, on it, of the first failure in a row.
     pub fn start(path: &Path, service: &str, said: impl Fn(Failed) + Send + 'static) -> Result<Self, Failed> {
         let (path, service) = (path.to_owned(), service.to_owned());
         let worker = Worker::start("list", move |line| run(&path, &service, &line, &said));
-        worker.map(ListWriter).map_err(|e| Worker::<Kept>::failed("start.list", &e))
+        worker.map(ListWriter).map_err(|e| Worker::<CachedEndpoints>::failed("start.list", &e))
     }
 
     /// Keeps this one from now on.
-    pub fn put(&self, kept: Kept) {
+    pub fn put(&self, kept: CachedEndpoints) {
         self.0.put(kept);
     }
 }
 
-fn run(path: &Path, service: &str, line: &Receiver<Kept>, said: &impl Fn(Failed)) {
+fn run(path: &Path, service: &str, line: &Receiver<CachedEndpoints>, said: &impl Fn(Failed)) {
     let mut failing = false;
     while let Ok(first) = line.recv() {
         let newest = line.try_iter().last().unwrap_or(first);
