--- a/crates/stackgw-cli/src/cmd/demo.rs
+++ b/crates/stackgw-cli/src/cmd/demo.rs
@@ -3,13 +3,15 @@
 use super::measure_start::{play, Way, OPENS_USE};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
-use stackgw_standin::{Gateways, Mode, Setup, Speaks, Store, Trial, Troubles, Verdict, GROUP};
+use stackgw_standin::{
+    Faults, FleetConfig, FleetMode, GatewayFleet, Protocol, ReplicaGroup, SessionAudit, Verdict, GROUP,
+};
 use std::time::Duration;
 
 /// Stand-ins, gateways and clients on loopback; gateways are killed.
 #[derive(Args)]
 pub struct Demo {
-    /// Gateways.
+    /// GatewayFleet.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=16))]
     gateways: u16,
     /// So many of them keep marks; all, unless said otherwise.
@@ -100,7 +102,7 @@
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let fleet = usize::from(self.gateways.max(3));
         println!("{fleet} gateways, three members, one list service; each part lasts ten seconds");
-        let said = |name: &'static str, part: &stackgw_standin::Part| {
+        let said = |name: &'static str, part: &stackgw_standin::PhaseReport| {
             let ready = part.ready_ms.map_or("never".to_owned(), |ms| format!("after {ms} ms"));
             println!(
                 "{name}: {} list asks ({} in the worst 100 ms), ready {ready}, {:.1}% served in time, {} handshakes, \
@@ -119,30 +121,31 @@
 
     fn play(&self, folder: &std::path::Path) -> Result<Verdict, String> {
         #[cfg(feature = "flight")]
-        let (flight, speaks) = (self.flight, if self.flight { Speaks::Flight } else { Speaks::First });
+        let (flight, speaks) =
+            (self.flight, if self.flight { Protocol::FlightSql } else { Protocol::Postgres });
         #[cfg(not(feature = "flight"))]
-        let (flight, speaks) = (false, Speaks::First);
-        let (store, agent) = Store::start_speaking(&self.lag_ms, speaks).map_err(|e| e.to_string())?;
+        let (flight, speaks) = (false, Protocol::Postgres);
+        let (store, agent) = ReplicaGroup::start_speaking(&self.lag_ms, speaks).map_err(|e| e.to_string())?;
         let gateways = usize::from(self.gateways);
         let keepers = usize::from(self.keepers.unwrap_or(self.gateways)).clamp(1, gateways);
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
-        let gateways = Gateways::start(Setup {
+        let gateways = GatewayFleet::start(FleetConfig {
             gateways,
             keepers,
-            mode: if self.off { Mode::Off } else { Mode::Shared },
+            mode: if self.off { FleetMode::LocalSessions } else { FleetMode::SharedSessions },
             disks: !self.no_disks,
             lease_ms: self.lease_ms,
             horizon_ms: self.horizon_ms,
             relays: true,
             flight,
             speaks,
-            ..Setup::new(program, folder.to_owned(), vec![agent])
+            ..FleetConfig::new(program, folder.to_owned(), vec![agent])
         })?;
         if self.kill_every_ms == 0 && !self.off {
             // A calm run is to show what it is like once all are sure of each other.
             std::thread::sleep(Duration::from_millis(self.horizon_ms + 3 * self.lease_ms));
         }
-        let troubles = Troubles {
+        let troubles = Faults {
             kill_every: Duration::from_millis(self.kill_every_ms.max(1)),
             all: true,
             disks: true,
@@ -150,7 +153,7 @@
             slow: true,
             cut: Some(Duration::from_millis(self.lease_ms * 2)),
         };
-        let trial = Trial {
+        let trial = SessionAudit {
             clients: usize::from(self.clients),
             pairs: self.pairs,
             reads: self.reads,
@@ -177,7 +180,7 @@
 }
 
 /// Says where the gateways listen, and waits until standard input ends.
-fn hold(gateways: &Gateways) {
+fn hold(gateways: &GatewayFleet) {
     for n in 0..gateways.len() {
         let at = |at: Option<std::net::SocketAddr>| at.map_or("not there".to_owned(), |at| at.to_string());
         let flight = gateways.flight(n).map(|at| format!(", flight sql at {at}")).unwrap_or_default();
--- a/crates/stackgw-cli/src/cmd/measure.rs
+++ b/crates/stackgw-cli/src/cmd/measure.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Subcommand};
 use serde::Serialize;
-use stackgw_standin::{Gateways, Mode, Setup, Store, Trial, Verdict};
+use stackgw_standin::{FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, SessionAudit, Verdict};
 use std::path::Path;
 use std::time::Duration;
 
@@ -40,11 +40,11 @@
     json: bool,
 }
 
-const CASES: [(&str, Mode, bool, u64); 4] = [
-    ("off", Mode::Off, false, 2_000),
-    ("cautious", Mode::Shared, false, 3_000_000),
-    ("on, no disks", Mode::Shared, false, 2_000),
-    ("on, disks", Mode::Shared, true, 2_000),
+const CASES: [(&str, FleetMode, bool, u64); 4] = [
+    ("off", FleetMode::LocalSessions, false, 2_000),
+    ("cautious", FleetMode::SharedSessions, false, 3_000_000),
+    ("on, no disks", FleetMode::SharedSessions, false, 2_000),
+    ("on, disks", FleetMode::SharedSessions, true, 2_000),
 ];
 
 #[derive(Serialize)]
@@ -102,7 +102,7 @@
         instances: u16,
         round: u64,
         case: &'static str,
-        (mode, disks, horizon_ms): (Mode, bool, u64),
+        (mode, disks, horizon_ms): (FleetMode, bool, u64),
     ) -> Result<Line, String> {
         let folder = std::env::temp_dir().join(format!("stackgw-measure-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -117,21 +117,25 @@
         instances: u16,
         round: u64,
         case: &'static str,
-        (mode, disks, horizon_ms): (Mode, bool, u64),
+        (mode, disks, horizon_ms): (FleetMode, bool, u64),
     ) -> Result<Line, String> {
-        let (store, agent) = Store::start(&[10, 20]).map_err(|e| e.to_string())?;
+        let (store, agent) = ReplicaGroup::start(&[10, 20]).map_err(|e| e.to_string())?;
         let count = usize::from(instances);
-        let gateways = Gateways::start(Setup {
+        let gateways = GatewayFleet::start(FleetConfig {
             gateways: count,
             keepers: count,
             mode,
             disks,
             horizon_ms,
-            ..Setup::new(std::env::current_exe().map_err(|e| e.to_string())?, folder.to_owned(), vec![agent])
+            ..FleetConfig::new(
+                std::env::current_exe().map_err(|e| e.to_string())?,
+                folder.to_owned(),
+                vec![agent],
+            )
         })?;
         std::thread::sleep(Duration::from_millis(4_000));
         let seed = round * 1_000 + u64::from(instances) * 10 + 1;
-        let trial = Trial {
+        let trial = SessionAudit {
             clients: 8,
             pairs: self.pairs,
             reads: 3,
@@ -141,12 +145,12 @@
             troubles: None,
             most: Duration::from_secs(120),
         };
-        let cpu = |gateways: &Gateways| (0..count).filter_map(|n| cpu_us(gateways.pid(n)?)).sum::<f64>();
+        let cpu = |gateways: &GatewayFleet| (0..count).filter_map(|n| cpu_us(gateways.pid(n)?)).sum::<f64>();
         let before = cpu(&gateways);
         let busy: Verdict = trial.run(&store, &gateways, |_| {});
         let spent = cpu(&gateways) - before;
         let requests = busy.tally.writes.iter().chain(&busy.tally.reads).sum::<u64>();
-        let calm = Trial {
+        let calm = SessionAudit {
             clients: 48,
             pairs: 96,
             reads: 5,
--- a/crates/stackgw-cli/src/cmd/measure_flight.rs
+++ b/crates/stackgw-cli/src/cmd/measure_flight.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use futures::{Stream, StreamExt};
 use serde::Serialize;
-use stackgw_standin::{Client, Gateways, Setup, Speaks, Store, GROUP};
+use stackgw_standin::{Client, FleetConfig, GatewayFleet, Protocol, ReplicaGroup, GROUP};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -46,8 +46,8 @@
 
 /// A group and one gateway before it.
 struct World {
-    store: Arc<Store>,
-    gateways: Gateways,
+    store: Arc<ReplicaGroup>,
+    gateways: GatewayFleet,
     folder: std::path::PathBuf,
 }
 
@@ -59,18 +59,22 @@
 }
 
 impl World {
-    fn new(speaks: Speaks) -> Result<Self, String> {
+    fn new(speaks: Protocol) -> Result<Self, String> {
         let folder = std::env::temp_dir().join(format!("stackgw-measure-{}-{speaks:?}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let (store, agent) = Store::start_speaking(&[10, 20], speaks).map_err(|e| e.to_string())?;
-        let gateways = Gateways::start(Setup {
+        let (store, agent) = ReplicaGroup::start_speaking(&[10, 20], speaks).map_err(|e| e.to_string())?;
+        let gateways = GatewayFleet::start(FleetConfig {
             gateways: 1,
             keepers: 1,
             disks: false,
             horizon_ms: 2_000,
             flight: true,
             speaks,
-            ..Setup::new(std::env::current_exe().map_err(|e| e.to_string())?, folder.clone(), vec![agent])
+            ..FleetConfig::new(
+                std::env::current_exe().map_err(|e| e.to_string())?,
+                folder.clone(),
+                vec![agent],
+            )
         })?;
         // Until its caution at start is over.
         std::thread::sleep(Duration::from_millis(2_500));
@@ -123,7 +127,7 @@
     pub fn run(self) -> Result<(), String> {
         let mut lines = Vec::new();
         for round in 0..self.rounds {
-            let world = World::new(Speaks::Flight)?;
+            let world = World::new(Protocol::FlightSql)?;
             let mut say = |case: String, figure, value| {
                 let line = Line { round, case, figure, value };
                 if self.json {
@@ -140,7 +144,7 @@
             say("cancel to stop".to_owned(), "ms", self.cancel(&world)?);
             say(format!("{} slow readers, peak", self.slow), "MiB", self.memory(&world)?);
             drop(world);
-            let world = World::new(Speaks::First)?;
+            let world = World::new(Protocol::Postgres)?;
             let first = self.small(&world, false)?;
             let flight = self.small(&world, true)?;
             say("small statements, first protocol".to_owned(), "per CPU second", first);
--- a/crates/stackgw-cli/src/cmd/measure_start.rs
+++ b/crates/stackgw-cli/src/cmd/measure_start.rs
@@ -2,7 +2,7 @@
 
 use super::measure::spread;
 use clap::Args;
-use stackgw_standin::{ColdStart, Line, Part, StartPart, PARTS};
+use stackgw_standin::{BootstrapConfig, ColdStart, ColdStartReport, PhaseReport, PHASE_NAMES};
 use std::path::PathBuf;
 
 /// Fleets that start at once: what list service and members bear, how soon clients are served.
@@ -23,7 +23,7 @@
     /// Rounds; each plays every case once.
     #[arg(long, default_value_t = 3)]
     rounds: u64,
-    /// Part of what a cold member can do that handshakes may take, where connections are dealt.
+    /// PhaseReport of what a cold member can do that handshakes may take, where connections are dealt.
     #[arg(long, default_value_t = OPENS_USE)]
     opens: f64,
     /// For the choices by chance; each round takes the next one.
@@ -45,9 +45,9 @@
 /// How a measured fleet comes to know the list, where not as the platform has it.
 #[derive(Clone, Copy)]
 pub struct Way {
-    /// Gateways tell each other.
+    /// GatewayFleet tell each other.
     pub cluster: bool,
-    /// Part of what a cold member can do that handshakes may take; `None`: connections are not dealt.
+    /// PhaseReport of what a cold member can do that handshakes may take; `None`: connections are not dealt.
     pub opens: Option<f64>,
 }
 
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    fn case(&self, fleet: usize, case: &str, seed: u64) -> Result<Line, String> {
+    fn case(&self, fleet: usize, case: &str, seed: u64) -> Result<ColdStartReport, String> {
         let program = match (&self.before, case) {
             (Some(before), "before") => before.clone(),
             _ => std::env::current_exe().map_err(|e| e.to_string())?,
@@ -104,8 +104,8 @@
     load: f64,
     seed: u64,
     kept: Option<PathBuf>,
-    told: impl FnMut(&'static str, &Part),
-) -> Result<Line, String> {
+    told: impl FnMut(&'static str, &PhaseReport),
+) -> Result<ColdStartReport, String> {
     let keep = kept.is_some();
     let folder = kept.unwrap_or_else(|| {
         std::env::temp_dir().join(format!("stackgw-start-{}-{fleet}", std::process::id()))
@@ -117,7 +117,7 @@
         let mut lines =
             vec![format!("bears: {}", bears.ceil() as u64), "list: \"{folder}/g{n}.list\"".to_owned()];
         lines.extend(opens.map(|share| format!("opens: {}", ColdStart::opens(member, share))));
-        StartPart { cluster, lines }
+        BootstrapConfig { cluster, lines }
     });
     let cold = ColdStart { program, folder: folder.clone(), fleet, start, bears, rate, member, seed };
     let line = cold.play(told);
@@ -128,13 +128,13 @@
 }
 
 /// Medians over the rounds, with the least and the most.
-fn table(fleet: u16, cases: &[String], lines: &[(String, Line)]) {
+fn table(fleet: u16, cases: &[String], lines: &[(String, ColdStartReport)]) {
     println!("{fleet} gateways: median (least to most) over the rounds");
     println!("| case | part | list asks | in the worst 100 ms | refused | 99% ready, ms | served in time | in the first 5 s | members could | answered | handshakes | at one in its worst 100 ms | cold, of what it falls at | fell | broken |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for case in cases {
-        for (n, name) in PARTS.iter().enumerate() {
-            let of = |figure: &dyn Fn(&Part) -> f64, digits: usize| {
+        for (n, name) in PHASE_NAMES.iter().enumerate() {
+            let of = |figure: &dyn Fn(&PhaseReport) -> f64, digits: usize| {
                 let rounds = lines.iter().filter(|(c, _)| c == case);
                 spread(rounds.map(|(_, line)| figure(line.parts()[n])), digits)
             };
--- a/crates/stackgw-cli/src/cmd/query.rs
+++ b/crates/stackgw-cli/src/cmd/query.rs
@@ -8,7 +8,7 @@
 use clap::{Args, ValueEnum};
 use futures::TryStreamExt;
 use parquet::arrow::ArrowWriter;
-use stackgw_flight::root;
+use stackgw_flight::root_cause;
 use std::fs::File;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -82,7 +82,7 @@
 pub async fn connect(at: SocketAddr) -> Result<Sql, String> {
     let endpoint = Endpoint::from_shared(format!("http://{at}")).map_err(|e| format!("{at}: {e}"))?;
     let endpoint = endpoint.connect_timeout(Duration::from_secs(5)).tcp_nodelay(true);
-    let channel = endpoint.connect().await.map_err(|e| format!("{at}: {}", root(&e)))?;
+    let channel = endpoint.connect().await.map_err(|e| format!("{at}: {}", root_cause(&e)))?;
     Ok(FlightSqlServiceClient::new(channel))
 }
 
--- a/crates/stackgw-cli/src/cmd/run.rs
+++ b/crates/stackgw-cli/src/cmd/run.rs
@@ -43,11 +43,11 @@
     let bulk = &file.bulk;
     let users = match &file.auth {
         None => None,
-        Some(stackgw_config::Auth::Basic(users)) => Some((stackgw_flight::Way::Basic, users)),
-        Some(stackgw_config::Auth::Bearer(users)) => Some((stackgw_flight::Way::Bearer, users)),
+        Some(stackgw_config::Auth::Basic(users)) => Some((stackgw_flight::AuthScheme::Basic, users)),
+        Some(stackgw_config::Auth::Bearer(users)) => Some((stackgw_flight::AuthScheme::Bearer, users)),
     };
     let users = users.map(|(way, users)| stackgw_flight::Users::read(way, users)).transpose()?;
-    let settings = stackgw_flight::Settings {
+    let settings = stackgw_flight::ServerConfig {
         listen: file.listen,
         ring,
         ticket_ms: file.ticket.as_millis(),
@@ -55,14 +55,14 @@
         requests: file.requests,
         streams: file.streams,
         threads: file.threads,
-        bulk: stackgw_flight::Rules {
+        bulk: stackgw_flight::StreamLimits {
             streams: bulk.streams,
             each: bulk.each_kib << 10,
             all: bulk.all_kib << 10,
             stall: ms(bulk.stall),
             silence: ms(bulk.silence),
         },
-        members: stackgw_flight::Members {
+        members: stackgw_flight::BackendConfig {
             connect_ms: u64::try_from(config.limits.connect / MS).unwrap_or(1).max(1),
             per_channel: bulk.per_channel,
             message_bytes: bulk.message_kib << 10,
--- a/crates/stackgw-cli/tests/discovery.rs
+++ b/crates/stackgw-cli/tests/discovery.rs
@@ -1,13 +1,13 @@
 //! Discovery that fails in every way in which it can, and comes back at the worst moment; clients that fill the gateway up
 //! meanwhile. Sockets.
 
-mod world;
+mod fixture;
 
+use fixture::*;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Sender};
 use std::time::{Duration, Instant};
-use world::*;
 
 /// What an agent does with a connection once it has failed.
 #[derive(Debug, Clone, Copy)]
--- a/crates/stackgw-cli/tests/driver/mod.rs
+++ b/crates/stackgw-cli/tests/driver/mod.rs
@@ -7,7 +7,7 @@
 use arrow_flight::sql::client::FlightSqlServiceClient;
 use arrow_flight::{FlightData, FlightInfo};
 use futures::{StreamExt, TryStreamExt};
-use stackgw_standin::{Answer, Client, Gateways, Setup, Speaks, Store, GROUP};
+use stackgw_standin::{Client, FleetConfig, GatewayFleet, Protocol, ReplicaGroup, RequestOutcome, GROUP};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,34 +17,34 @@
 use tonic::Code;
 
 /// A group behind two gateways.
-pub struct World {
-    pub store: Arc<Store>,
-    pub gateways: Gateways,
+pub struct Fixture {
+    pub store: Arc<ReplicaGroup>,
+    pub gateways: GatewayFleet,
     pub folder: PathBuf,
 }
 
-impl World {
+impl Fixture {
     /// Replicas that are so far behind, all members speaking this.
-    pub fn new(name: &str, lags_ms: &[u64], speaks: Speaks) -> Self {
+    pub fn new(name: &str, lags_ms: &[u64], speaks: Protocol) -> Self {
         Self::with(name, lags_ms, speaks, None)
     }
 
     /// The same where clients of Flight SQL show who they are.
-    pub fn with(name: &str, lags_ms: &[u64], speaks: Speaks, auth: Option<&'static str>) -> Self {
+    pub fn with(name: &str, lags_ms: &[u64], speaks: Protocol, auth: Option<&'static str>) -> Self {
         let folder =
             std::env::temp_dir().join(format!("stackgw-conf-{}-{name}-{speaks:?}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let (store, agent) = Store::start_speaking(lags_ms, speaks).expect("members");
-        let gateways = Gateways::start(Setup {
+        let (store, agent) = ReplicaGroup::start_speaking(lags_ms, speaks).expect("members");
+        let gateways = GatewayFleet::start(FleetConfig {
             disks: false,
             lease_ms: 300,
             horizon_ms: 2_000,
             flight: true,
             speaks,
             auth,
-            ..Setup::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), vec![agent])
+            ..FleetConfig::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), vec![agent])
         });
-        World { store, gateways: gateways.unwrap_or_else(|why| panic!("{why}")), folder }
+        Fixture { store, gateways: gateways.unwrap_or_else(|why| panic!("{why}")), folder }
     }
 
     /// Where Flight SQL clients of a gateway connect.
@@ -53,16 +53,16 @@
     }
 
     /// A client of a gateway, by this protocol.
-    pub fn driver(&self, n: usize, front: Speaks) -> Box<dyn Driver> {
+    pub fn driver(&self, n: usize, front: Protocol) -> Box<dyn Driver> {
         match front {
-            Speaks::First => Box::new(First(self.gateways.address(n).expect("it runs"), None)),
-            Speaks::Flight => Box::new(Flight::new(self.flight(n))),
+            Protocol::Postgres => Box::new(First(self.gateways.address(n).expect("it runs"), None)),
+            Protocol::FlightSql => Box::new(Flight::new(self.flight(n))),
         }
     }
 
     /// Requests that members work on now.
     pub fn running(&self) -> usize {
-        let running = |m: &stackgw_standin::Member| m.running.load(std::sync::atomic::Ordering::Relaxed);
+        let running = |m: &stackgw_standin::FakeMember| m.running.load(std::sync::atomic::Ordering::Relaxed);
         self.store.members.iter().map(running).sum()
     }
 
@@ -85,7 +85,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for Fixture {
     fn drop(&mut self) {
         self.gateways.clear_up();
     }
@@ -93,7 +93,7 @@
 
 /// How a request ended, in the words that both protocols have.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ClientOutcome {
     Served(String),
     Refused,
     Failed,
@@ -138,20 +138,20 @@
 }
 
 /// What a value that was written reads as.
-pub fn served(value: u32) -> Verdict {
-    Verdict::Served(format!("{value:08x}"))
+pub fn served(value: u32) -> ClientOutcome {
+    ClientOutcome::Served(format!("{value:08x}"))
 }
 
 /// A client of one gateway.
 pub trait Driver: Send {
-    fn ask(&mut self, ask: &Ask) -> Verdict;
+    fn ask(&mut self, ask: &Ask) -> ClientOutcome;
 
     /// Comes again while it is refused, as a gateway that has just started may not know its members yet.
-    fn patiently(&mut self, ask: &Ask) -> Verdict {
+    fn patiently(&mut self, ask: &Ask) -> ClientOutcome {
         let since = Instant::now();
         loop {
             let verdict = self.ask(ask);
-            if verdict != Verdict::Refused || since.elapsed() > Duration::from_secs(10) {
+            if verdict != ClientOutcome::Refused || since.elapsed() > Duration::from_secs(10) {
                 return verdict;
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -169,7 +169,7 @@
 }
 
 impl Driver for First {
-    fn ask(&mut self, ask: &Ask) -> Verdict {
+    fn ask(&mut self, ask: &Ask) -> ClientOutcome {
         let mut client = self.1.take().or_else(|| Client::connect(self.0)).expect("a connection");
         if let Some(patience) = ask.patience {
             client.patience(patience);
@@ -178,11 +178,13 @@
         let (class, wait, group) = (ask.class, ask.wait_ms, ask.group);
         let text = format!("{} /* id={id},c={class},d={wait},cluster={group} */", ask.sql());
         let verdict = match client.ask(&text) {
-            Answer::Served(value) => Verdict::Served(String::from_utf8_lossy(&value).into_owned()),
-            Answer::Refused => Verdict::Refused,
-            Answer::Failed => Verdict::Failed,
-            Answer::Malformed => Verdict::Malformed,
-            Answer::Late if ask.patience.is_some() => return Verdict::Left,
+            RequestOutcome::Served(value) => {
+                ClientOutcome::Served(String::from_utf8_lossy(&value).into_owned())
+            }
+            RequestOutcome::Rejected => ClientOutcome::Refused,
+            RequestOutcome::Failed => ClientOutcome::Failed,
+            RequestOutcome::Malformed => ClientOutcome::Malformed,
+            RequestOutcome::TimedOut if ask.patience.is_some() => return ClientOutcome::Left,
             other => panic!("{other:?} for {text}"),
         };
         self.1 = Some(client);
@@ -214,7 +216,7 @@
 }
 
 impl Driver for Flight {
-    fn ask(&mut self, ask: &Ask) -> Verdict {
+    fn ask(&mut self, ask: &Ask) -> ClientOutcome {
         let at = self.at;
         let asks = async {
             let mut client = sql(at, ask.class).await;
@@ -231,7 +233,9 @@
                     Err(e) => verdict(&e),
                 },
                 None => match read(&mut client, text).await {
-                    Ok(values) => Verdict::Served(String::from_utf8_lossy(&values.concat()).into_owned()),
+                    Ok(values) => {
+                        ClientOutcome::Served(String::from_utf8_lossy(&values.concat()).into_owned())
+                    }
                     Err(e) => verdict(&*e),
                 },
             }
@@ -243,7 +247,7 @@
             Ok(verdict) => verdict,
             Err(_) if ask.patience.is_some() => {
                 self.runtime.block_on(async { tokio::time::sleep(Duration::from_millis(20)).await });
-                Verdict::Left
+                ClientOutcome::Left
             }
             Err(_) => panic!("no answer to {ask:?}"),
         }
@@ -280,11 +284,11 @@
     Ok(client.inner_mut().do_get(request).await?.into_inner().boxed())
 }
 
-pub fn verdict(error: &(dyn Error + 'static)) -> Verdict {
+pub fn verdict(error: &(dyn Error + 'static)) -> ClientOutcome {
     match code(error) {
-        Some(Code::Unavailable) => Verdict::Refused,
-        Some(Code::Aborted) => Verdict::Failed,
-        Some(Code::InvalidArgument) => Verdict::Malformed,
+        Some(Code::Unavailable) => ClientOutcome::Refused,
+        Some(Code::Aborted) => ClientOutcome::Failed,
+        Some(Code::InvalidArgument) => ClientOutcome::Malformed,
         _ => panic!("{error:?}"),
     }
 }
--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -1,16 +1,16 @@
 //! The binary on loopback, between small stand-ins of clients, members and the list's agent.
 
-mod world;
+mod fixture;
 
+use fixture::*;
 use std::io::Write;
 use std::process::Command;
 use std::sync::mpsc::channel;
 use std::time::Instant;
-use world::*;
 
 #[test]
 fn requests_go_to_members_and_their_rows_come_back() {
-    let World { gateway, seen, .. } = world("rows");
+    let Fixture { gateway, seen, .. } = start_fixture("rows");
     let _client = gateway.client();
     // Startup and query in one piece; then two queries at once, answered in order.
     let mut eager = gateway.connect();
@@ -42,7 +42,7 @@
 
 #[test]
 fn bad_bytes_end_their_own_connection_and_no_other() {
-    let World { gateway, seen, .. } = world("bad");
+    let Fixture { gateway, seen, .. } = start_fixture("bad");
     let mut good = gateway.client();
     let mut bad = gateway.connect();
     bad.socket.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("written");
@@ -64,7 +64,7 @@
 
 #[test]
 fn values_of_the_largest_size_pass_both_ways() {
-    let World { gateway, seen, .. } = world("large");
+    let Fixture { gateway, seen, .. } = start_fixture("large");
     let mut client = gateway.client();
     // The stand-in answers with the key, so a long key makes a large row.
     let key = "k".repeat(64 << 10);
@@ -90,7 +90,7 @@
 
 #[test]
 fn more_clients_than_places_stay_within_the_descriptors_and_are_served() {
-    let World { gateway, .. } = world("many");
+    let Fixture { gateway, .. } = start_fixture("many");
     let mut clients: Vec<_> = (0..200).map(|_| gateway.client()).collect();
     // One that is turned away tries again, and finds the place of one idle longer.
     let served = (0..1000).any(|_| {
@@ -115,7 +115,7 @@
 
 #[test]
 fn where_all_places_are_busy_a_new_client_is_turned_away_at_once() {
-    let World { gateway, go: _silent, .. } = world("busy");
+    let Fixture { gateway, go: _silent, .. } = start_fixture("busy");
     // 128 descriptors leave 52 places. Statements that no member answers yet hold them all.
     let busy = (0..52).map(|_| {
         let mut client = gateway.client();
@@ -135,7 +135,7 @@
 
 #[test]
 fn clients_that_do_not_read_hold_nobody_up() {
-    let World { gateway, .. } = world("slow");
+    let Fixture { gateway, .. } = start_fixture("slow");
     let key = "k".repeat(60 << 10);
     let mut stuck: Vec<_> = (0..20).map(|_| gateway.client()).collect();
     for client in &mut stuck {
@@ -160,7 +160,7 @@
 
 #[test]
 fn sigterm_loses_nothing_that_was_taken() {
-    let World { mut gateway, seen, go, .. } = world("term");
+    let Fixture { mut gateway, seen, go, .. } = start_fixture("term");
     let mut busy = gateway.client();
     let mut idle = gateway.client();
     busy.write(&[insert("slow")]);
@@ -218,7 +218,7 @@
 /// A second copy behind an answer belongs to nobody; the next request is not served with it.
 #[test]
 fn a_second_copy_behind_an_answer_is_never_the_next_ones_answer() {
-    let World { gateway, .. } = world("copies");
+    let Fixture { gateway, .. } = start_fixture("copies");
     let mut client = gateway.client();
     for n in 0..40 {
         let key = format!("twice-{n}");
@@ -233,7 +233,7 @@
 /// Whatever is spoilt reaches no client: a read is asked for again, a write that may have run fails at once.
 #[test]
 fn spoilt_answers_reach_no_client_and_no_write_is_sent_twice() {
-    let World { gateway, seen, .. } = world("spoilt");
+    let Fixture { gateway, seen, .. } = start_fixture("spoilt");
     let mut client = gateway.client();
     for kind in ["noise", "huge", "short", "tag"] {
         let key = format!("spoilt-{kind}");
@@ -254,7 +254,7 @@
 /// SIGHUP under load, twice: the list comes from the new address, the old one's versions do not bind, none is lost.
 #[test]
 fn sighup_moves_to_the_new_list_and_loses_nothing() {
-    let World { mut gateway, seen, go, entries } = world("reload");
+    let Fixture { mut gateway, seen, go, entries } = start_fixture("reload");
     let (mut busy, mut client) = (gateway.client(), gateway.client());
     busy.write(&[insert("slow")]);
     assert!(seen.recv_timeout(WAIT).expect("the statement").contains("'slow'"));
@@ -330,7 +330,7 @@
 
 #[test]
 fn every_bad_client_gets_an_error_or_a_close_in_time_and_usual_ones_are_served() {
-    let World { gateway, seen, .. } = world("rude");
+    let Fixture { gateway, seen, .. } = start_fixture("rude");
     let mut usual = gateway.client();
     let open = |done: bool, bytes: &[u8]| {
         let mut wire = gateway.connect();
@@ -356,7 +356,7 @@
 /// A close over unread bytes is a reset, which may overtake the error.
 #[test]
 fn an_error_reaches_a_client_that_is_still_sending() {
-    let World { gateway, .. } = world("sending");
+    let Fixture { gateway, .. } = start_fixture("sending");
     for _ in 0..20 {
         let mut client = gateway.client();
         let mut out = client.socket.try_clone().expect("its other half");
@@ -374,7 +374,7 @@
 /// Found with 256 descriptors: hundreds that connect and say nothing must not take the places of those that ask.
 #[test]
 fn hundreds_of_silent_connections_take_no_place_from_those_that_ask() {
-    let World { gateway, .. } = world("silent");
+    let Fixture { gateway, .. } = start_fixture("silent");
     let mut usual = gateway.client();
     let mut silent = Vec::new();
     for n in 0..400 {
--- a/crates/stackgw-cli/tests/ending.rs
+++ b/crates/stackgw-cli/tests/ending.rs
@@ -1,16 +1,16 @@
 //! The end of a gateway under load: whatever a connection's bytes were doing just then, each statement that was read gets its one
 //! answer.
 
-mod world;
+mod fixture;
 
+use fixture::*;
 use std::io::Write;
-use world::*;
 
 /// Found by reading: the end answered what was in hand and ended in the same moment; statements that a client's task had read and
 /// could not hand over yet went with the process.
 #[test]
 fn statements_that_wait_behind_a_full_line_are_answered_before_the_end() {
-    let World { mut gateway, seen, go, .. } = world("behind");
+    let Fixture { mut gateway, seen, go, .. } = start_fixture("behind");
     let mut client = gateway.client();
     // One that its member never answers, and far more behind it than one client may have in hand.
     client.write(&[insert("slow")]);
@@ -32,7 +32,7 @@
 /// Clients that write on without a pause, up to the end: what was in hand is answered, what comes behind it is refused, in order.
 #[test]
 fn what_is_in_hand_is_answered_at_the_end_under_a_flood_of_statements() {
-    let World { mut gateway, seen, go, .. } = world("write-on");
+    let Fixture { mut gateway, seen, go, .. } = start_fixture("write-on");
     let mut clients: Vec<_> = (0..4).map(|_| gateway.client()).collect();
     for client in &mut clients {
         client.write(&[insert("slow")]);
--- a/crates/stackgw-cli/tests/flight.rs
+++ b/crates/stackgw-cli/tests/flight.rs
@@ -8,17 +8,17 @@
 use arrow_array::{ArrayRef, BinaryArray, RecordBatch, StringArray};
 use arrow_flight::{FlightInfo, Ticket};
 use arrow_schema::{DataType, Field, Schema};
-use driver::{code, fetch, sql, Sql, World};
+use driver::{code, fetch, sql, Fixture, Sql};
 use futures::TryStreamExt;
-use stackgw_standin::{Client, Speaks, USER};
+use stackgw_standin::{Client, Protocol, USER};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tonic::Code;
 
 /// Members of our first protocol, one replica.
-fn world(name: &str, auth: Option<&'static str>) -> World {
-    World::with(name, &[20], Speaks::First, auth)
+fn fixture(name: &str, auth: Option<&'static str>) -> Fixture {
+    Fixture::with(name, &[20], Protocol::Postgres, auth)
 }
 
 fn run<T>(work: impl std::future::Future<Output = T>) -> T {
@@ -53,27 +53,27 @@
 
 #[test]
 fn a_write_is_read_back_through_either_gateway_and_runs_once() {
-    let world = world("write", None);
+    let fixture = fixture("write", None);
     run(async {
         for round in 0..5 {
-            let mut writer = sql(world.flight(round % 2), "buy").await;
+            let mut writer = sql(fixture.flight(round % 2), "buy").await;
             written(&mut writer, INSERT).await;
             for n in 0..2 {
-                let mut reader = sql(world.flight(n), "mine").await;
+                let mut reader = sql(fixture.flight(n), "mine").await;
                 let info = reader.execute(SELECT.to_owned(), None).await.expect("a ticket");
                 assert_eq!(patiently(&mut reader, info).await, [b"6869".to_vec()]);
             }
         }
     });
-    let audit = world.store.audit();
+    let audit = fixture.store.audit();
     assert_eq!((audit.writes.len(), audit.writes.values().max()), (5, Some(&1)));
 }
 
 #[test]
 fn prepared_statements_take_their_parameters() {
-    let world = world("prepared", None);
+    let fixture = fixture("prepared", None);
     run(async {
-        let mut writer = sql(world.flight(0), "buy").await;
+        let mut writer = sql(fixture.flight(0), "buy").await;
         let text = "INSERT INTO state (uid, val) VALUES (?, ?) RETURNING val";
         let mut insert = writer.prepare(text.to_owned(), None).await.expect("prepared");
         let names: Vec<_> =
@@ -88,7 +88,7 @@
         insert.set_parameters(row).expect("they fit");
         written(&mut writer, INSERT).await; // So that the primary is known.
         assert_eq!(insert.execute_update().await.expect("served"), 1);
-        let mut reader = sql(world.flight(0), "mine").await;
+        let mut reader = sql(fixture.flight(0), "mine").await;
         let mut select =
             reader.prepare("SELECT val FROM state WHERE uid = ?".to_owned(), None).await.expect("prepared");
         let fields = vec![Field::new("uid", DataType::Utf8, false)];
@@ -102,19 +102,19 @@
 
 #[test]
 fn a_ticket_is_good_at_another_instance_and_after_a_restart_but_not_for_ever_and_not_if_forged() {
-    let world = world("ticket", None);
+    let fixture = fixture("ticket", None);
     run(async {
-        let mut first = sql(world.flight(0), "look").await;
+        let mut first = sql(fixture.flight(0), "look").await;
         let info = first.execute(SELECT.to_owned(), None).await.expect("a ticket");
-        world.gateways.restart(0).expect("it starts");
+        fixture.gateways.restart(0).expect("it starts");
         // It listens, and may not have the list yet.
-        let mut waits = world.gateways.address(0).and_then(Client::connect).expect("a connection");
+        let mut waits = fixture.gateways.address(0).and_then(Client::connect).expect("a connection");
         assert!(waits.is_ready());
         for n in 0..2 {
-            let mut other = sql(world.flight(n), "look").await;
+            let mut other = sql(fixture.flight(n), "look").await;
             assert_eq!(fetch(&mut other, info.clone()).await.expect("served").len(), 1);
         }
-        let mut other = sql(world.flight(1), "look").await;
+        let mut other = sql(fixture.flight(1), "look").await;
         let mut forged = info.clone();
         let bytes = forged.endpoint[0].ticket.as_ref().expect("a ticket").ticket.to_vec();
         let middle = bytes.len() / 2;
@@ -136,9 +136,9 @@
 
 #[test]
 fn what_is_missing_or_contradicts_is_named() {
-    let world = world("wrong", None);
+    let fixture = fixture("wrong", None);
     run(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         for (statement, names) in [
             ("SELECT val FROM state WHERE uid = 'k' /* c=mine */", "class"),
             ("SELECT val FROM state WHERE uid = 'k' /* cluster=3 */", "group"),
@@ -153,14 +153,14 @@
         let error = client.begin_transaction().await.expect_err("none");
         assert_eq!(code(&error), Some(Code::Unimplemented), "{error:?}");
     });
-    assert!(world.store.audit().writes.is_empty());
+    assert!(fixture.store.audit().writes.is_empty());
 }
 
 #[test]
 fn catalogs_and_sql_info_are_told() {
-    let world = world("catalogs", None);
+    let fixture = fixture("catalogs", None);
     run(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let info = client.get_catalogs().await.expect("catalogs");
         let ticket = info.endpoint[0].ticket.clone().expect("a ticket");
         let batches: Vec<_> =
@@ -181,32 +181,32 @@
 
 #[test]
 fn a_silent_primary_fails_a_write_in_time_and_it_is_not_sent_again() {
-    let world = world("silent", None);
+    let fixture = fixture("silent", None);
     run(async {
         // First a write, so that the primary is known.
-        let mut writer = sql(world.flight(0), "buy").await;
+        let mut writer = sql(fixture.flight(0), "buy").await;
         written(&mut writer, INSERT).await;
-        world.store.members[0].silent.store(true, Ordering::Relaxed);
+        fixture.store.members[0].silent.store(true, Ordering::Relaxed);
         let since = Instant::now();
         let error = writer.execute_update(INSERT.replace("k1", "k2"), None).await.expect_err("no answer");
         assert!(matches!(code(&error), Some(Code::Aborted | Code::Unavailable)), "{error:?}");
         assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
     });
-    assert_eq!(world.store.audit().writes.len(), 1);
+    assert_eq!(fixture.store.audit().writes.len(), 1);
 }
 
 #[test]
 fn who_asks_shows_it_or_is_told_nothing() {
     for way in ["basic", "bearer"] {
-        let world = world(way, Some(way));
+        let fixture = fixture(way, Some(way));
         run(async {
-            let mut stranger = sql(world.flight(0), "look").await;
+            let mut stranger = sql(fixture.flight(0), "look").await;
             let error = stranger.execute(SELECT.to_owned(), None).await.expect_err("nobody");
             assert_eq!(code(&error), Some(Code::Unauthenticated), "{error:?}");
             stranger.set_token("not a token".to_owned());
             let error = stranger.get_catalogs().await.expect_err("nobody");
             assert_eq!(code(&error), Some(Code::Unauthenticated), "{error:?}");
-            let mut known = sql(world.flight(0), "buy").await;
+            let mut known = sql(fixture.flight(0), "buy").await;
             if way == "basic" {
                 let error = known.handshake(USER.0, "another secret").await.expect_err("a wrong one");
                 assert_eq!(code(&error), Some(Code::Unauthenticated), "{error:?}");
@@ -216,10 +216,10 @@
             }
             written(&mut known, INSERT).await;
             // What one gateway gave is good at the other, and after a restart.
-            world.gateways.restart(0).expect("it starts");
+            fixture.gateways.restart(0).expect("it starts");
             let token = known.token().cloned().expect("a token");
             for n in 0..2 {
-                let mut other = sql(world.flight(n), "look").await;
+                let mut other = sql(fixture.flight(n), "look").await;
                 other.set_token(token.clone());
                 let info = other.execute(SELECT.to_owned(), None).await.expect("a ticket");
                 patiently(&mut other, info).await;
@@ -238,10 +238,10 @@
 
 #[test]
 fn the_query_command_writes_answers_in_each_form_and_errors_in_a_line() {
-    let world = world("query", None);
-    run(async { written(&mut sql(world.flight(0), "buy").await, INSERT).await });
-    let at = world.flight(0).to_string();
-    let (group, file) = (["--class", "mine", "--group", "2"], world.folder.join("answer.parquet"));
+    let fixture = fixture("query", None);
+    run(async { written(&mut sql(fixture.flight(0), "buy").await, INSERT).await });
+    let at = fixture.flight(0).to_string();
+    let (group, file) = (["--class", "mine", "--group", "2"], fixture.folder.join("answer.parquet"));
     let ask = |more: &[&str]| {
         let since = Instant::now();
         loop {
--- a/crates/stackgw-cli/tests/floods.rs
+++ b/crates/stackgw-cli/tests/floods.rs
@@ -4,8 +4,8 @@
 
 mod driver;
 
-use driver::{served, Ask, World};
-use stackgw_standin::Speaks;
+use driver::{served, Ask, Fixture};
+use stackgw_standin::Protocol;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -102,16 +102,16 @@
 
 /// Does something to a gateway; afterwards, and while that connection is still there, others are served and memory holds.
 fn bears(name: &str, does: impl FnOnce(SocketAddr) -> Option<Raw>) {
-    let world = World::new(name, &[20], Speaks::First);
-    let mut driver = world.driver(0, Speaks::Flight);
+    let fixture = Fixture::new(name, &[20], Protocol::Postgres);
+    let mut driver = fixture.driver(0, Protocol::FlightSql);
     assert_eq!(driver.patiently(&Ask::write("k", 1)), served(1));
-    let _open = does(world.flight(0));
+    let _open = does(fixture.flight(0));
     let since = Instant::now();
     assert_eq!(driver.patiently(&Ask::write("k", 2)), served(2));
     assert_eq!(driver.patiently(&Ask::read("mine", "k")), served(2));
-    assert_eq!(world.driver(0, Speaks::First).patiently(&Ask::read("mine", "k")), served(2));
+    assert_eq!(fixture.driver(0, Protocol::Postgres).patiently(&Ask::read("mine", "k")), served(2));
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
-    let mb = world.peak_mb(0);
+    let mb = fixture.peak_mb(0);
     assert!(mb < 96, "{name}: {mb} MB");
 }
 
--- a/crates/stackgw-cli/tests/leaving.rs
+++ b/crates/stackgw-cli/tests/leaving.rs
@@ -1,26 +1,27 @@
 //! Clients that leave, in every way in which they can, while what they asked for waits: nothing is sent on for them.
 
-mod world;
+mod fixture;
 
+use fixture::*;
 use std::io::Write;
 use std::net::Shutdown;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{channel, Sender};
 use std::sync::Arc;
 use std::thread::JoinHandle;
-use world::*;
 
 /// Two replicas and no primary, so that writes wait; with the word that brings the primary.
-fn without_primary(name: &str) -> (World, impl FnOnce() -> Sender<String>) {
+fn without_primary(name: &str) -> (Fixture, impl FnOnce() -> Sender<String>) {
     let (tell, news) = channel();
-    let world = world_of(name, |entries| agent_with_news(list_text(1, true, &entries[1..]), news));
-    let primary = list_text(2, false, &world.entries[..1]);
+    let fixture =
+        start_fixture_with(name, |entries| agent_with_news(list_text(1, true, &entries[1..]), news));
+    let primary = list_text(2, false, &fixture.entries[..1]);
     // The agent ends with the last sender, and would take what it has just written along.
     let comes = move || {
         tell.send(primary).expect("the watch");
         tell
     };
-    (world, comes)
+    (fixture, comes)
 }
 
 /// A client that asks for a write that waits, and then leaves.
@@ -76,7 +77,7 @@
 }
 
 fn nothing_begins_for_the_gone(name: &str, flooding: usize) {
-    let (World { gateway, seen, .. }, primary_comes) = without_primary(name);
+    let (Fixture { gateway, seen, .. }, primary_comes) = without_primary(name);
     let mut stays = gateway.client();
     let (over, threads) = flood(&gateway, flooding);
     let mut here = Vec::new();
@@ -127,7 +128,7 @@
 /// One that cancels and stays has given up that request, and no other.
 #[test]
 fn nothing_is_sent_on_for_a_cancelled_request() {
-    let (World { gateway, seen, .. }, primary_comes) = without_primary("cancelled");
+    let (Fixture { gateway, seen, .. }, primary_comes) = without_primary("cancelled");
     // It has the list once it says so.
     drop(gateway.client());
     let mut client = gateway.connect();
--- a/crates/stackgw-cli/tests/sessions.rs
+++ b/crates/stackgw-cli/tests/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions across real processes on loopback: gateways are killed, paused, started anew with and without their disks, between
 //! paired writes and reads. The stand-ins' audit is the judge. Every wait is for an event and bounded.
 
-use stackgw_standin::{Gateways, Mode, Setup, Store, Trial, Troubles, Verdict};
+use stackgw_standin::{Faults, FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, SessionAudit, Verdict};
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,18 +12,18 @@
 const LEASE_MS: u64 = 500;
 const HORIZON_MS: u64 = 4_000;
 
-struct World {
-    store: Arc<Store>,
-    gateways: Gateways,
+struct Fixture {
+    store: Arc<ReplicaGroup>,
+    gateways: GatewayFleet,
     folder: PathBuf,
 }
 
-impl World {
-    fn new(name: &str, gateways: usize, keepers: usize, mode: Mode, disks: bool) -> Self {
+impl Fixture {
+    fn new(name: &str, gateways: usize, keepers: usize, mode: FleetMode, disks: bool) -> Self {
         let folder = std::env::temp_dir().join(format!("stackgw-sessions-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let (store, agent) = Store::start(&[20, 1_500]).expect("members");
-        let gateways = Gateways::start(Setup {
+        let (store, agent) = ReplicaGroup::start(&[20, 1_500]).expect("members");
+        let gateways = GatewayFleet::start(FleetConfig {
             gateways,
             keepers,
             mode,
@@ -31,9 +31,9 @@
             lease_ms: LEASE_MS,
             horizon_ms: HORIZON_MS,
             relays: true,
-            ..Setup::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), vec![agent])
+            ..FleetConfig::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), vec![agent])
         });
-        World { store, gateways: gateways.unwrap_or_else(|why| panic!("{why}")), folder }
+        Fixture { store, gateways: gateways.unwrap_or_else(|why| panic!("{why}")), folder }
     }
 
     /// What a gateway says of its sessions.
@@ -56,21 +56,21 @@
         since.elapsed()
     }
 
-    fn run(&self, trial: &Trial) -> Verdict {
+    fn run(&self, trial: &SessionAudit) -> Verdict {
         trial.run(&self.store, &self.gateways, |_| {})
     }
 }
 
-impl Drop for World {
+impl Drop for Fixture {
     fn drop(&mut self) {
         self.gateways.clear_up();
     }
 }
 
 /// Each run has other keys and ids than any before.
-fn trial(pairs: u64) -> Trial {
+fn trial(pairs: u64) -> SessionAudit {
     static SEED: AtomicU64 = AtomicU64::new(11);
-    Trial {
+    SessionAudit {
         clients: 6,
         pairs,
         reads: 1,
@@ -82,8 +82,8 @@
     }
 }
 
-fn storm(kill_every_ms: u64) -> Troubles {
-    Troubles {
+fn storm(kill_every_ms: u64) -> Faults {
+    Faults {
         kill_every: Duration::from_millis(kill_every_ms),
         all: true,
         disks: true,
@@ -96,9 +96,9 @@
 #[test]
 fn no_read_misses_its_write_while_gateways_are_killed_between_them() {
     for (name, gateways, keepers, disks) in [("two", 2, 2, true), ("three", 4, 3, false)] {
-        let world = World::new(name, gateways, keepers, Mode::Shared, disks);
+        let fixture = Fixture::new(name, gateways, keepers, FleetMode::SharedSessions, disks);
         let pause = Duration::from_millis(20);
-        let verdict = world.run(&Trial { troubles: Some(storm(150)), pause, ..trial(400) });
+        let verdict = fixture.run(&SessionAudit { troubles: Some(storm(150)), pause, ..trial(400) });
         assert!(verdict.good(), "{verdict:?}");
         assert!(verdict.tally.pairs >= 400 && verdict.kills > 0, "{verdict:?}");
     }
@@ -106,86 +106,87 @@
 
 #[test]
 fn with_marks_in_each_process_alone_the_same_run_misses_writes() {
-    let world = World::new("off", 2, 2, Mode::Off, false);
-    let verdict = world.run(&Trial { troubles: Some(storm(250)), ..trial(300) });
+    let fixture = Fixture::new("off", 2, 2, FleetMode::LocalSessions, false);
+    let verdict = fixture.run(&SessionAudit { troubles: Some(storm(250)), ..trial(300) });
     assert!(verdict.tally.misses > 0, "{verdict:?}");
     assert_eq!(verdict.doubled + verdict.refused_and_ran, 0);
 }
 
 #[test]
 fn on_a_calm_day_reads_are_sure_and_replicas_serve_them() {
-    let world = World::new("calm", 3, 2, Mode::Shared, true);
-    world.sure(2);
-    let calm = Trial { pause: Duration::from_millis(600), reads: 4, ..trial(30) };
-    let verdict = world.run(&calm);
+    let fixture = Fixture::new("calm", 3, 2, FleetMode::SharedSessions, true);
+    fixture.sure(2);
+    let calm = SessionAudit { pause: Duration::from_millis(600), reads: 4, ..trial(30) };
+    let verdict = fixture.run(&calm);
     assert!(verdict.good(), "{verdict:?}");
     assert!(verdict.reads_at[1] > verdict.reads_at[0], "past the window after a write: {verdict:?}");
     // A busy machine may keep a process waiting past a lease.
-    let cautious: u64 = (0..3).filter_map(|n| world.told(n)["counts"]["cautious"].as_u64()).sum();
+    let cautious: u64 = (0..3).filter_map(|n| fixture.told(n)["counts"]["cautious"].as_u64()).sum();
     assert!(cautious * 10 <= verdict.tally.reads[0], "{cautious} of {verdict:?}");
 }
 
 #[test]
 fn with_disks_all_restart_at_once_and_are_sure_again_within_a_second_or_so() {
-    let world = World::new("all", 2, 2, Mode::Shared, true);
-    world.sure(2);
+    let fixture = Fixture::new("all", 2, 2, FleetMode::SharedSessions, true);
+    fixture.sure(2);
     // Wait for the disk to have it that nothing is missing: that is written with the next questions.
     std::thread::sleep(Duration::from_millis(2 * LEASE_MS));
-    assert!(world.run(&trial(20)).good());
+    assert!(fixture.run(&trial(20)).good());
     for _ in 0..2 {
-        (0..2).for_each(|n| world.gateways.kill(n));
-        (0..2).for_each(|n| world.gateways.restart(n).expect("it starts"));
-        let took = world.sure(2);
+        (0..2).for_each(|n| fixture.gateways.kill(n));
+        (0..2).for_each(|n| fixture.gateways.restart(n).expect("it starts"));
+        let took = fixture.sure(2);
         assert!(took < Duration::from_millis(HORIZON_MS), "{took:?}");
-        assert!(world.run(&trial(20)).good());
+        assert!(fixture.run(&trial(20)).good());
     }
     // Without them, a horizon.
-    (0..2).for_each(|n| world.gateways.kill(n));
-    (0..2).for_each(|n| world.gateways.lose_disk(n));
-    (0..2).for_each(|n| world.gateways.restart(n).expect("it starts"));
-    assert!(world.sure(2) > Duration::from_millis(HORIZON_MS / 2));
+    (0..2).for_each(|n| fixture.gateways.kill(n));
+    (0..2).for_each(|n| fixture.gateways.lose_disk(n));
+    (0..2).for_each(|n| fixture.gateways.restart(n).expect("it starts"));
+    assert!(fixture.sure(2) > Duration::from_millis(HORIZON_MS / 2));
 }
 
 #[test]
 fn the_only_current_replica_slows_down_right_after_the_write() {
-    let world = World::new("slow", 2, 2, Mode::Shared, true);
-    world.sure(2);
-    world.store.members[1].lag_ms.store(2_500, Ordering::Relaxed);
-    world.store.members[1].slow_ms.store(80, Ordering::Relaxed);
-    let verdict = world.run(&Trial { pause: Duration::from_millis(1_100), ..trial(30) });
+    let fixture = Fixture::new("slow", 2, 2, FleetMode::SharedSessions, true);
+    fixture.sure(2);
+    fixture.store.members[1].lag_ms.store(2_500, Ordering::Relaxed);
+    fixture.store.members[1].slow_ms.store(80, Ordering::Relaxed);
+    let verdict = fixture.run(&SessionAudit { pause: Duration::from_millis(1_100), ..trial(30) });
     assert!(verdict.good(), "{verdict:?}");
 }
 
 #[test]
 fn gateways_cut_from_each_other_miss_nothing_while_clients_roam() {
-    let world = World::new("cut", 2, 2, Mode::Shared, true);
-    world.sure(2);
-    let net = world.gateways.net().expect("relays");
+    let fixture = Fixture::new("cut", 2, 2, FleetMode::SharedSessions, true);
+    fixture.sure(2);
+    let net = fixture.gateways.net().expect("relays");
     for cuts in [&[(0, 1), (1, 0)][..], &[(0, 1)], &[(1, 0)]] {
         cuts.iter().for_each(|(from, to)| net.cut(*from, *to));
-        let verdict = world.run(&trial(60));
+        let verdict = fixture.run(&trial(60));
         assert!(verdict.good(), "{cuts:?} {verdict:?}");
         net.mend();
         net.loss.store(150, Ordering::Relaxed);
-        let verdict = world.run(&trial(60));
+        let verdict = fixture.run(&trial(60));
         assert!(verdict.good(), "after {cuts:?}, with loss: {verdict:?}");
         net.loss.store(0, Ordering::Relaxed);
     }
-    world.sure(2);
+    fixture.sure(2);
 }
 
 #[test]
 fn a_gateway_paused_past_its_lease_wakes_cautious() {
-    let world = World::new("pause", 2, 2, Mode::Shared, true);
-    world.sure(2);
+    let fixture = Fixture::new("pause", 2, 2, FleetMode::SharedSessions, true);
+    fixture.sure(2);
     for n in 0..2 {
-        world.gateways.pause(n, true);
+        fixture.gateways.pause(n, true);
         // Meanwhile the other one lets writes out that the paused one was sure to hear of.
         let clients = std::thread::scope(|scope| {
-            let run =
-                scope.spawn(|| world.run(&Trial { most: Duration::from_millis(8 * LEASE_MS), ..trial(40) }));
+            let run = scope.spawn(|| {
+                fixture.run(&SessionAudit { most: Duration::from_millis(8 * LEASE_MS), ..trial(40) })
+            });
             std::thread::sleep(Duration::from_millis(3 * LEASE_MS));
-            world.gateways.pause(n, false);
+            fixture.gateways.pause(n, false);
             run.join()
         });
         let verdict = clients.expect("no panic");
@@ -195,10 +196,10 @@
 
 #[test]
 fn a_gateway_killed_between_the_commit_and_the_answer_doubles_nothing() {
-    let world = World::new("commit", 2, 2, Mode::Shared, true);
+    let fixture = Fixture::new("commit", 2, 2, FleetMode::SharedSessions, true);
     // The primary commits at once and answers later: most kills fall between the two.
-    world.store.members[0].slow_ms.store(60, Ordering::Relaxed);
-    let troubles = Troubles {
+    fixture.store.members[0].slow_ms.store(60, Ordering::Relaxed);
+    let troubles = Faults {
         kill_every: Duration::from_millis(120),
         all: false,
         disks: false,
@@ -206,44 +207,44 @@
         slow: false,
         cut: None,
     };
-    let verdict = world.run(&Trial { troubles: Some(troubles), ..trial(60) });
+    let verdict = fixture.run(&SessionAudit { troubles: Some(troubles), ..trial(60) });
     assert!(verdict.good() && verdict.tally.writes[3] > 0, "{verdict:?}");
 }
 
 #[test]
 fn a_killed_keeper_is_named_as_the_reason() {
-    let world = World::new("why", 2, 2, Mode::Shared, true);
-    world.sure(2);
-    world.gateways.kill(1);
+    let fixture = Fixture::new("why", 2, 2, FleetMode::SharedSessions, true);
+    fixture.sure(2);
+    fixture.gateways.kill(1);
     let since = Instant::now();
-    while world.told(0)["unsure_because"] != "no pledge from g1" {
-        assert!(since.elapsed() < Duration::from_secs(20), "{}", world.told(0));
+    while fixture.told(0)["unsure_because"] != "no pledge from g1" {
+        assert!(since.elapsed() < Duration::from_secs(20), "{}", fixture.told(0));
         std::thread::sleep(Duration::from_millis(20));
     }
     // A foreign file in place of its disk is set aside, and it starts all the same.
-    let store = world.folder.join("g1.redb");
-    std::fs::copy(world.folder.join("cluster.key"), &store).expect("a file");
-    world.gateways.restart(1).expect("it starts");
-    let aside = std::fs::read_dir(&world.folder).expect("a folder").flatten();
+    let store = fixture.folder.join("g1.redb");
+    std::fs::copy(fixture.folder.join("cluster.key"), &store).expect("a file");
+    fixture.gateways.restart(1).expect("it starts");
+    let aside = std::fs::read_dir(&fixture.folder).expect("a folder").flatten();
     assert!(aside.filter(|e| e.file_name().to_string_lossy().contains("redb.refused")).count() == 1);
-    world.sure(2);
+    fixture.sure(2);
 }
 
 #[test]
 fn a_wrong_key_keeps_an_instance_out_and_reads_stay_right() {
-    let world = World::new("key", 2, 2, Mode::Shared, true);
-    world.gateways.kill(1);
-    let other = world.folder.join("other.key");
+    let fixture = Fixture::new("key", 2, 2, FleetMode::SharedSessions, true);
+    fixture.gateways.kill(1);
+    let other = fixture.folder.join("other.key");
     std::fs::write(&other, "another key that nobody else has").expect("a file");
-    let file = world.folder.join("g1.yaml");
+    let file = fixture.folder.join("g1.yaml");
     let text = std::fs::read_to_string(&file).expect("a file");
-    let key = world.folder.join("cluster.key").display().to_string();
+    let key = fixture.folder.join("cluster.key").display().to_string();
     std::fs::write(&file, text.replace(&key, &other.display().to_string())).expect("a file");
-    world.gateways.restart(1).expect("it starts");
-    let verdict = world.run(&trial(60));
+    fixture.gateways.restart(1).expect("it starts");
+    let verdict = fixture.run(&trial(60));
     assert!(verdict.good(), "{verdict:?}");
-    assert_eq!(world.told(0)["sure"], false);
-    assert!(world.told(0)["counts"]["unknown_key"].as_u64() > Some(0), "{}", world.told(0));
+    assert_eq!(fixture.told(0)["sure"], false);
+    assert!(fixture.told(0)["counts"]["unknown_key"].as_u64() > Some(0), "{}", fixture.told(0));
 }
 
 #[test]
--- a/crates/stackgw-cli/tests/streams.rs
+++ b/crates/stackgw-cli/tests/streams.rs
@@ -4,21 +4,21 @@
 mod driver;
 
 use arrow_flight::{Action, CancelFlightInfoRequest, CancelFlightInfoResult, FlightData, Ticket};
-use driver::{code, messages, served, sql, Ask, Sql, World};
+use driver::{code, messages, served, sql, Ask, Fixture, Sql};
 use futures::{Stream, StreamExt};
 use prost::Message;
-use stackgw_standin::Speaks;
+use stackgw_standin::Protocol;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 use tonic::{Code, Request, Status};
 
-/// A world that knows its primary, and a runtime for its clients.
-fn world(name: &str, lags_ms: &[u64]) -> (World, tokio::runtime::Runtime) {
-    let world = World::new(name, lags_ms, Speaks::Flight);
+/// A fixture that knows its primary, and a runtime for its clients.
+fn fixture(name: &str, lags_ms: &[u64]) -> (Fixture, tokio::runtime::Runtime) {
+    let fixture = Fixture::new(name, lags_ms, Protocol::FlightSql);
     for n in 0..2 {
-        assert_eq!(world.driver(n, Speaks::Flight).patiently(&Ask::write("k", 1)), served(1));
+        assert_eq!(fixture.driver(n, Protocol::FlightSql).patiently(&Ask::write("k", 1)), served(1));
     }
-    (world, tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime"))
+    (fixture, tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime"))
 }
 
 fn bulk(batches: u64, bytes: usize) -> String {
@@ -58,22 +58,22 @@
 }
 
 /// Sets a trouble of all members.
-fn all(world: &World, trouble: impl Fn(&stackgw_standin::Member) -> &AtomicU64, value: u64) {
-    world.store.members.iter().for_each(|m| trouble(m).store(value, Ordering::Relaxed));
+fn all(fixture: &Fixture, trouble: impl Fn(&stackgw_standin::FakeMember) -> &AtomicU64, value: u64) {
+    fixture.store.members.iter().for_each(|m| trouble(m).store(value, Ordering::Relaxed));
 }
 
 /// Reads that ran since the last look, and no id twice.
-fn none_twice(world: &World) {
-    let audit = world.store.audit();
+fn none_twice(fixture: &Fixture) {
+    let audit = fixture.store.audit();
     assert!(audit.reads_by_id.values().all(|ran| *ran == 1), "{:?}", audit.reads_by_id);
 }
 
 #[test]
 fn a_stream_passes_whole_and_in_order_and_its_schema_with_it() {
-    let (world, runtime) = world("whole", &[20, 20]);
+    let (fixture, runtime) = fixture("whole", &[20, 20]);
     runtime.block_on(async {
         for (batches, bytes) in [(1, 10), (50, 64 << 10), (20, 1 << 20)] {
-            let mut client = sql(world.flight(0), "look").await;
+            let mut client = sql(fixture.flight(0), "look").await;
             let mut stream = begin(&mut client, &bulk(batches, bytes)).await;
             let (messages, body, error) = drain(&mut stream).await;
             assert!(error.is_none(), "{error:?}");
@@ -81,24 +81,24 @@
             assert!(body >= bytes * usize::try_from(batches).expect("small"), "{body}");
         }
     });
-    none_twice(&world);
+    none_twice(&fixture);
 }
 
 #[test]
 fn a_client_that_cancels_halfway_stops_the_work_within_a_second() {
-    let (world, runtime) = world("cancel", &[20, 20]);
+    let (fixture, runtime) = fixture("cancel", &[20, 20]);
     runtime.block_on(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
         for _ in 0..20 {
             stream.next().await.expect("more").expect("good");
         }
-        assert_eq!(world.running(), 1);
+        assert_eq!(fixture.running(), 1);
         drop(stream);
         tokio::time::sleep(Duration::from_millis(10)).await;
     });
-    world.rests(Duration::from_secs(1));
-    let cancels = || world.store.members.iter().map(|m| m.cancels.load(Ordering::Relaxed)).sum::<u64>();
+    fixture.rests(Duration::from_secs(1));
+    let cancels = || fixture.store.members.iter().map(|m| m.cancels.load(Ordering::Relaxed)).sum::<u64>();
     let since = Instant::now();
     while cancels() == 0 {
         assert!(since.elapsed() < Duration::from_secs(5), "the member was not told");
@@ -108,15 +108,15 @@
 
 #[test]
 fn cancel_flight_info_stops_what_runs_before_it_begins_and_halfway() {
-    let (world, runtime) = world("action", &[20]);
+    let (fixture, runtime) = fixture("action", &[20]);
     runtime.block_on(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let info = client.execute(bulk(1_000_000, 64 << 10), None).await.expect("a ticket");
         let stop = || {
             let body = CancelFlightInfoRequest { info: Some(info.clone()) }.encode_to_vec();
             Action { r#type: "CancelFlightInfo".to_owned(), body: body.into() }
         };
-        let mut other = sql(world.flight(0), "look").await;
+        let mut other = sql(fixture.flight(0), "look").await;
         let error = other.do_action(Request::new(stop())).await.map(|_| ()).expect_err("nothing runs");
         assert!(format!("{error:?}").contains("NotFound"), "{error:?}");
         let ticket = || Request::new(info.endpoint[0].ticket.clone().expect("a ticket"));
@@ -129,7 +129,7 @@
         assert_eq!(CancelFlightInfoResult::decode(result.body).expect("a result").status, 1);
         assert_eq!(drain(&mut stream).await.2.expect("an end").code(), Code::Cancelled);
         // Before it begins.
-        all(&world, |m| &m.slow_ms, 5_000);
+        all(&fixture, |m| &m.slow_ms, 5_000);
         let mut asks = client.clone();
         let asked = async { asks.inner_mut().do_get(ticket()).await.map(|_| ()) };
         let stops = async {
@@ -140,15 +140,15 @@
         let (asked, ()) = tokio::join!(asked, stops);
         assert_eq!(asked.expect_err("it was stopped").code(), Code::Cancelled);
     });
-    world.rests(Duration::from_secs(1));
+    fixture.rests(Duration::from_secs(1));
 }
 
 #[test]
 fn a_member_that_stops_sending_halfway_ends_the_stream_once_and_in_time() {
-    let (world, runtime) = world("stalls", &[20, 20]);
-    all(&world, |m| &m.stalls_after, 5);
+    let (fixture, runtime) = fixture("stalls", &[20, 20]);
+    all(&fixture, |m| &m.stalls_after, 5);
     runtime.block_on(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let since = Instant::now();
         let mut stream = begin(&mut client, &bulk(1_000, 1_000)).await;
         let (messages, _, error) = drain(&mut stream).await;
@@ -156,37 +156,37 @@
         assert_eq!(messages, 6, "what had come is its client's");
         assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
     });
-    none_twice(&world);
-    world.rests(Duration::from_secs(1));
+    none_twice(&fixture);
+    fixture.rests(Duration::from_secs(1));
 }
 
 #[test]
 fn a_member_that_dies_halfway_ends_the_stream_and_nobody_begins_it_again() {
-    let (world, runtime) = world("dies", &[20, 20]);
+    let (fixture, runtime) = fixture("dies", &[20, 20]);
     runtime.block_on(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
         stream.next().await.expect("more").expect("good");
         let n =
-            (0..3).find(|n| world.store.members[*n].running.load(Ordering::Relaxed) > 0).expect("one runs");
-        world.store.kill(n);
+            (0..3).find(|n| fixture.store.members[*n].running.load(Ordering::Relaxed) > 0).expect("one runs");
+        fixture.store.kill(n);
         assert_eq!(drain(&mut stream).await.2.expect("an end").code(), Code::Aborted);
         // Others go on at once.
         let mut stream = begin(&mut client, &bulk(3, 1_000)).await;
         assert!(drain(&mut stream).await.2.is_none());
     });
-    none_twice(&world);
+    none_twice(&fixture);
 }
 
 #[test]
 fn a_member_that_drains_halfway_finishes_its_stream() {
-    let (world, runtime) = world("drains", &[20]);
+    let (fixture, runtime) = fixture("drains", &[20]);
     runtime.block_on(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let mut stream = begin(&mut client, &bulk(400, 64 << 10)).await;
         stream.next().await.expect("more").expect("good");
         for n in 0..2 {
-            world.store.announce(n, "draining");
+            fixture.store.announce(n, "draining");
         }
         tokio::time::sleep(Duration::from_millis(1_200)).await;
         let (messages, _, error) = drain(&mut stream).await;
@@ -197,23 +197,23 @@
 
 #[test]
 fn a_schema_that_changes_between_two_batches_ends_the_stream() {
-    let (world, runtime) = world("schema", &[20]);
-    all(&world, |m| &m.changes_after, 4);
+    let (fixture, runtime) = fixture("schema", &[20]);
+    all(&fixture, |m| &m.changes_after, 4);
     runtime.block_on(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let mut stream = begin(&mut client, &bulk(100, 1_000)).await;
         let (messages, _, error) = drain(&mut stream).await;
         assert_eq!(error.expect("an end").code(), Code::Aborted);
         assert!(messages <= 5, "{messages}");
     });
-    world.rests(Duration::from_secs(1));
+    fixture.rests(Duration::from_secs(1));
 }
 
 #[test]
 fn a_batch_beyond_the_limit_ends_its_stream_and_no_other() {
-    let (world, runtime) = world("large", &[20]);
+    let (fixture, runtime) = fixture("large", &[20]);
     runtime.block_on(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let mut other = begin(&mut client, &bulk(100, 64 << 10)).await;
         other.next().await.expect("more").expect("good");
         let mut stream = begin(&mut client, &bulk(3, 3 << 20)).await;
@@ -225,18 +225,18 @@
 
 #[test]
 fn a_hundred_slow_readers_stall_nobody_and_are_ended() {
-    let (world, runtime) = world("slow", &[20, 20]);
+    let (fixture, runtime) = fixture("slow", &[20, 20]);
     runtime.block_on(async {
         // Each on a connection of its own: what one leaves unread takes the room of its own connection.
         let mut slow = Vec::new();
         for _ in 0..100 {
-            let mut client = sql(world.flight(0), "look").await;
+            let mut client = sql(fixture.flight(0), "look").await;
             let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
             stream.next().await.expect("more").expect("good");
             slow.push(stream);
         }
         // Quick statements and a whole stream go by.
-        let mut quick = sql(world.flight(0), "look").await;
+        let mut quick = sql(fixture.flight(0), "look").await;
         for _ in 0..10 {
             let mut stream = begin(&mut quick, &bulk(1, 10)).await;
             assert!(drain(&mut stream).await.2.is_none());
@@ -249,34 +249,34 @@
             assert_eq!(end, Code::ResourceExhausted);
         }
     });
-    world.rests(Duration::from_secs(1));
-    let memory = world.peak_mb(0);
+    fixture.rests(Duration::from_secs(1));
+    let memory = fixture.peak_mb(0);
     assert!(memory < 192, "{memory} MB");
 }
 
 #[test]
 fn a_clients_time_ends_its_stream() {
-    let (world, runtime) = world("late", &[20]);
+    let (fixture, runtime) = fixture("late", &[20]);
     runtime.block_on(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let text = format!("{} /* d=500 */", bulk(1_000_000, 64 << 10));
         let since = Instant::now();
         let mut stream = begin(&mut client, &text).await;
         assert_eq!(drain(&mut stream).await.2.expect("an end").code(), Code::DeadlineExceeded);
         assert!(since.elapsed() < Duration::from_millis(1_500), "{:?}", since.elapsed());
     });
-    world.rests(Duration::from_secs(1));
+    fixture.rests(Duration::from_secs(1));
 }
 
 #[test]
 fn a_ticket_of_a_stream_is_good_at_another_gateway() {
-    let (world, runtime) = world("ticket", &[20]);
+    let (fixture, runtime) = fixture("ticket", &[20]);
     runtime.block_on(async {
-        let info = sql(world.flight(0), "look").await.execute(bulk(3, 100), None).await.expect("a ticket");
+        let info = sql(fixture.flight(0), "look").await.execute(bulk(3, 100), None).await.expect("a ticket");
         assert!(info.schema.is_empty(), "only the answer tells it");
-        world.gateways.restart(0).expect("it starts");
+        fixture.gateways.restart(0).expect("it starts");
         let ticket: Ticket = info.endpoint[0].ticket.clone().expect("a ticket");
-        let mut other = sql(world.flight(1), "look").await;
+        let mut other = sql(fixture.flight(1), "look").await;
         let answer = other.inner_mut().do_get(Request::new(ticket)).await.expect("it begins");
         let mut stream: Messages = answer.into_inner().boxed();
         assert_eq!(drain(&mut stream).await.0, 4);
@@ -285,12 +285,12 @@
 
 #[test]
 fn at_the_gateways_end_a_stream_ends_too() {
-    let (world, runtime) = world("ends", &[20]);
+    let (fixture, runtime) = fixture("ends", &[20]);
     runtime.block_on(async {
-        let mut client = sql(world.flight(0), "look").await;
+        let mut client = sql(fixture.flight(0), "look").await;
         let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
         stream.next().await.expect("more").expect("good");
-        world.gateways.kill(0);
+        fixture.gateways.kill(0);
         let error = loop {
             match stream.next().await.expect("an error before the end") {
                 Ok(_) => {}
@@ -299,5 +299,5 @@
         };
         assert!(code(&error).is_some());
     });
-    world.rests(Duration::from_secs(1));
+    fixture.rests(Duration::from_secs(1));
 }
--- a/crates/stackgw-flight/src/back.rs
+++ b/crates/stackgw-flight/src/back.rs
@@ -6,7 +6,7 @@
 
 use crate::pass::{lock, Reader, Streams, Writer};
 use crate::server::CANCEL;
-use crate::status::root;
+use crate::status::root_cause;
 use arrow_array::cast::AsArray;
 use arrow_array::{Array, RecordBatch};
 use arrow_flight::decode::FlightRecordBatchStream;
@@ -36,7 +36,7 @@
 
 /// What the back is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Members {
+pub struct BackendConfig {
     /// A connection that is not up by then has failed, in milliseconds.
     pub connect_ms: u64,
     /// Requests on one connection.
@@ -58,7 +58,7 @@
 const CANCEL_WAIT: Duration = Duration::from_millis(500);
 
 pub(crate) struct Back {
-    set: Members,
+    set: BackendConfig,
     behind: Behind,
     streams: Arc<Streams>,
     channels: Mutex<Channels<SocketAddr>>,
@@ -86,7 +86,7 @@
 }
 
 impl Back {
-    pub(crate) fn new(set: Members, behind: Behind, streams: Arc<Streams>, log: Logger) -> Arc<Self> {
+    pub(crate) fn new(set: BackendConfig, behind: Behind, streams: Arc<Streams>, log: Logger) -> Arc<Self> {
         let channels = Mutex::new(Channels::new(set.per_channel));
         Arc::new(Back {
             set,
@@ -195,7 +195,7 @@
         let up = tokio::time::timeout(wait, link.get_or_try_init(|| opens)).await;
         match up {
             Ok(Ok(channel)) => return Ok(channel.clone()),
-            Ok(Err(why)) => self.broke(at, &root(&why)),
+            Ok(Err(why)) => self.broke(at, &root_cause(&why)),
             Err(_) => self.broke(at, "not up in time"),
         }
         Err(Some(Closed::Lost))
@@ -390,7 +390,7 @@
     /// What a status of the member means: see the table in `docs/design/flight.md`.
     async fn failed(&self, id: ConnId, status: &Status) -> Ended {
         if let Some(lost) = lost(status) {
-            return Ended::Closed(lost, root(status));
+            return Ended::Closed(lost, root_cause(status));
         }
         let never = status.metadata().get(NEVER).is_some_and(|word| word == "never");
         let code = match status.code() {
--- a/crates/stackgw-flight/src/lib.rs
+++ b/crates/stackgw-flight/src/lib.rs
@@ -16,9 +16,9 @@
 mod users;
 
 pub use asked::{Asked, Headers, Value, Wrong};
-pub use back::Members;
+pub use back::BackendConfig;
 pub use sealed::{Sealed, Unusable};
-pub use server::{start, Running, Settings};
-pub use stackgw_streams::Rules;
-pub use status::{root, status};
-pub use users::{Users, Way};
+pub use server::{start, Running, ServerConfig};
+pub use stackgw_streams::StreamLimits;
+pub use status::{root_cause, status};
+pub use users::{AuthScheme, Users};
--- a/crates/stackgw-flight/src/pass.rs
+++ b/crates/stackgw-flight/src/pass.rs
@@ -6,7 +6,7 @@
 use futures::Stream;
 use stackgw_gateway::Waits;
 use stackgw_router::api::{Outcome, Time};
-use stackgw_streams::{End, Flow, Rules, StreamId};
+use stackgw_streams::{End, Flow, StreamId, StreamLimits};
 use std::collections::{HashMap, VecDeque};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -69,7 +69,7 @@
 }
 
 impl Streams {
-    pub(crate) fn new(rules: Rules) -> Arc<Self> {
+    pub(crate) fn new(rules: StreamLimits) -> Arc<Self> {
         let all = All { flow: Flow::new(rules), pipes: HashMap::new(), armed: None };
         Arc::new(Streams { all: Mutex::new(all), zero: Instant::now(), sooner: Notify::new() })
     }
--- a/crates/stackgw-flight/src/server.rs
+++ b/crates/stackgw-flight/src/server.rs
@@ -1,7 +1,7 @@
 //! The server: gRPC on threads of its own, one request a call through the door.
 
 use crate::asked::{Asked, Headers, Value, Wrong};
-use crate::back::{Back, Members};
+use crate::back::{Back, BackendConfig};
 use crate::door::Outer;
 use crate::pass::{Keeps, Reader, Streams};
 use crate::running::{Place, Running as Runs};
@@ -30,7 +30,7 @@
 use stackgw_gateway::pg::value;
 use stackgw_gateway::reducer::Final;
 use stackgw_gateway::{Answered, Behind, Door};
-use stackgw_streams::Rules;
+use stackgw_streams::StreamLimits;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -48,7 +48,7 @@
 
 /// What a front and its back are told.
 #[derive(Debug, Clone)]
-pub struct Settings {
+pub struct ServerConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// What seals tickets and prepared statements: the same on all instances.
@@ -64,9 +64,9 @@
     /// Threads that serve it.
     pub threads: usize,
     /// What bulk answers may take.
-    pub bulk: Rules,
+    pub bulk: StreamLimits,
     /// How members that speak Flight SQL are reached.
-    pub members: Members,
+    pub members: BackendConfig,
     /// Groups all of whose members do; their answers bring their own schema.
     pub groups: Vec<u32>,
     /// An answer is on its way this long before its client's time is over, in milliseconds.
@@ -94,7 +94,7 @@
 }
 
 /// Starts the front. A port in use is one plain line.
-pub fn start(set: Settings, door: Door, behind: Behind, log: Logger) -> Result<Running, String> {
+pub fn start(set: ServerConfig, door: Door, behind: Behind, log: Logger) -> Result<Running, String> {
     let listen = set.listen;
     let wrong = |e: std::io::Error| format!("flight.listen: {listen}: {e}");
     let listener = TcpListener::bind(listen).map_err(wrong)?;
@@ -146,7 +146,7 @@
 }
 
 pub(crate) struct Front {
-    pub(crate) set: Settings,
+    pub(crate) set: ServerConfig,
     door: Door,
     gate: Arc<Semaphore>,
     sql: Result<SqlInfoData, FlightError>,
--- a/crates/stackgw-flight/src/status.rs
+++ b/crates/stackgw-flight/src/status.rs
@@ -6,7 +6,7 @@
 use tonic_types::{ErrorDetails, StatusExt};
 
 /// The last of what caused an error: the first says little more than that there was one.
-pub fn root(error: &dyn std::error::Error) -> String {
+pub fn root_cause(error: &dyn std::error::Error) -> String {
     let mut last = error;
     while let Some(next) = last.source() {
         last = next;
--- a/crates/stackgw-flight/src/users.rs
+++ b/crates/stackgw-flight/src/users.rs
@@ -10,7 +10,7 @@
 
 /// How clients show who they are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum AuthScheme {
     /// By name and secret; a handshake gives a token for the calls after it.
     Basic,
     /// By a token of the file.
@@ -20,7 +20,7 @@
 /// The users of a file. Secrets are kept as hashes, which compare in the same time whatever differs.
 #[derive(Debug, Clone)]
 pub struct Users {
-    way: Way,
+    way: AuthScheme,
     known: BTreeMap<String, blake3::Hash>,
 }
 
@@ -31,7 +31,7 @@
 
 impl Users {
     /// Reads a file of lines `name:secret`; empty ones and those that begin with `#` are skipped.
-    pub fn read(way: Way, file: &Path) -> Result<Self, String> {
+    pub fn read(way: AuthScheme, file: &Path) -> Result<Self, String> {
         let wrong = |why: &dyn std::fmt::Display| format!("flight.auth: {}: {why}", file.display());
         let about = std::fs::metadata(file).map_err(|e| wrong(&e))?;
         if !about.is_file() || about.len() > MOST {
@@ -65,7 +65,7 @@
         let header = headers.get("authorization").and_then(|value| value.to_str().ok());
         let (scheme, word) = header.and_then(|text| text.split_once(' ')).ok_or_else(unknown)?;
         let word = word.trim();
-        if self.way == Way::Bearer {
+        if self.way == AuthScheme::Bearer {
             let hash = blake3::hash(word.as_bytes());
             let by_token = self.known.iter().find(|(_, known)| **known == hash);
             return by_token
--- a/crates/stackgw-flight/tests/asked.rs
+++ b/crates/stackgw-flight/tests/asked.rs
@@ -126,9 +126,9 @@
         ("a:12345678\na:87654321\n", "line 2: names a user twice"),
     ] {
         std::fs::write(&file, text).expect("a file");
-        let told = stackgw_flight::Users::read(stackgw_flight::Way::Basic, &file).expect_err(text);
+        let told = stackgw_flight::Users::read(stackgw_flight::AuthScheme::Basic, &file).expect_err(text);
         assert!(told.ends_with(problem) && told.contains(&file.display().to_string()), "{told}");
     }
     std::fs::remove_file(&file).expect("it was there");
-    assert!(stackgw_flight::Users::read(stackgw_flight::Way::Bearer, &file).is_err());
+    assert!(stackgw_flight::Users::read(stackgw_flight::AuthScheme::Bearer, &file).is_err());
 }
--- a/crates/stackgw-flight/tests/wire_fixtures.rs
+++ b/crates/stackgw-flight/tests/wire_fixtures.rs
@@ -3,7 +3,7 @@
 //! The files under `tests/fixtures/` are never written by these tests. One that differs is printed whole.
 
 use stackgw_cluster::{Key, Ring};
-use stackgw_flight::{root, status, Asked, Headers, Sealed, Unusable, Value};
+use stackgw_flight::{root_cause, status, Asked, Headers, Sealed, Unusable, Value};
 use stackgw_gateway::reducer::Final;
 use std::fmt::Write;
 use std::path::Path;
@@ -116,7 +116,7 @@
     }
     let inner = std::io::Error::other("the innermost");
     let outer = std::io::Error::other(inner);
-    writeln!(actual, "root text={:?}", root(&outer)).expect("room");
+    writeln!(actual, "root text={:?}", root_cause(&outer)).expect("room");
     assert_equals_fixture("statuses.txt", &actual);
 }
 
--- a/crates/stackgw-standin/src/trial.rs
+++ b/crates/stackgw-standin/src/audit.rs
@@ -1,8 +1,8 @@
 //! Clients that write and then read through whichever gateway, while gateways are killed; and the verdict.
 
-use crate::client::{Answer, Client};
-use crate::gateways::Gateways;
-use crate::store::{lock, Store};
+use crate::client::{Client, RequestOutcome};
+use crate::gateways::GatewayFleet;
+use crate::replica_group::{lock, ReplicaGroup};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
@@ -13,7 +13,7 @@
 
 /// What is done to the gateways and members meanwhile.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Troubles {
+pub struct Faults {
     /// A gateway is killed and started anew this often.
     pub kill_every: Duration,
     /// Now and then all are, at once.
@@ -30,7 +30,7 @@
 
 /// What a run is to do.
 #[derive(Debug, Clone)]
-pub struct Trial {
+pub struct SessionAudit {
     /// Clients at once.
     pub clients: usize,
     /// Write-read pairs to be completed in all.
@@ -43,15 +43,15 @@
     pub roam: bool,
     /// The seed.
     pub seed: u64,
-    /// Troubles, if there are any.
-    pub troubles: Option<Troubles>,
+    /// Faults, if there are any.
+    pub troubles: Option<Faults>,
     /// It ends after this whatever was completed.
     pub most: Duration,
 }
 
 /// What clients saw.
 #[derive(Debug, Default, Clone, Serialize)]
-pub struct Tally {
+pub struct OutcomeCounts {
     /// Pairs of a served write and a served read.
     pub pairs: u64,
     /// Reads that missed their session's own write.
@@ -73,7 +73,7 @@
     pub seed: u64,
     /// What clients saw.
     #[serde(flatten)]
-    pub tally: Tally,
+    pub tally: OutcomeCounts,
     /// Writes that ran more than once.
     pub doubled: u64,
     /// Writes that were refused as harmless and ran all the same.
@@ -97,25 +97,30 @@
 impl Verdict {
     /// Nothing was missed, lost or doubled.
     pub fn good(&self) -> bool {
-        let Tally { misses, lost, twice, .. } = self.tally;
+        let OutcomeCounts { misses, lost, twice, .. } = self.tally;
         misses + lost + twice + self.doubled + self.refused_and_ran + self.served_and_never_ran == 0
     }
 }
 
 #[derive(Default)]
 struct Shared {
-    tally: Mutex<Tally>,
+    tally: Mutex<OutcomeCounts>,
     /// By a write's id: what its client was told.
-    told: Mutex<HashMap<String, Answer>>,
+    told: Mutex<HashMap<String, RequestOutcome>>,
     times: Mutex<[Vec<u64>; 2]>,
     misses: Mutex<Vec<String>>,
     done: AtomicBool,
     kills: AtomicU64,
 }
 
-impl Trial {
+impl SessionAudit {
     /// Runs it; `progress` is told the pairs completed, now and then.
-    pub fn run(&self, store: &Store, gateways: &Gateways, progress: impl Fn(&Tally) + Sync) -> Verdict {
+    pub fn run(
+        &self,
+        store: &ReplicaGroup,
+        gateways: &GatewayFleet,
+        progress: impl Fn(&OutcomeCounts) + Sync,
+    ) -> Verdict {
         let (shared, since) = (Shared::default(), Instant::now());
         let before = store.audit();
         std::thread::scope(|scope| {
@@ -138,7 +143,7 @@
         let audit = store.audit();
         let told = lock(&shared.told);
         let ran = |id: &String| audit.writes.get(id).copied().unwrap_or(0);
-        let count = |test: &dyn Fn(&String, &Answer) -> bool| {
+        let count = |test: &dyn Fn(&String, &RequestOutcome) -> bool| {
             told.iter().filter(|(id, answer)| test(id, answer)).count() as u64
         };
         let mut times = lock(&shared.times);
@@ -148,8 +153,10 @@
             seed: self.seed,
             tally,
             doubled: audit.writes.values().filter(|n| **n > 1).count() as u64,
-            refused_and_ran: count(&|id, answer| *answer == Answer::Refused && ran(id) > 0),
-            served_and_never_ran: count(&|id, answer| matches!(answer, Answer::Served(_)) && ran(id) == 0),
+            refused_and_ran: count(&|id, answer| *answer == RequestOutcome::Rejected && ran(id) > 0),
+            served_and_never_ran: count(&|id, answer| {
+                matches!(answer, RequestOutcome::Served(_)) && ran(id) == 0
+            }),
             kills: shared.kills.load(Ordering::Relaxed),
             reads_at: [0, 1].map(|n| audit.reads[n] - before.reads[n]),
             write_us,
@@ -159,7 +166,7 @@
         }
     }
 
-    fn client(&self, n: usize, gateways: &Gateways, shared: &Shared, since: Instant) {
+    fn client(&self, n: usize, gateways: &GatewayFleet, shared: &Shared, since: Instant) {
         let mut rng = SmallRng::seed_from_u64(self.seed.wrapping_mul(1_000_003).wrapping_add(n as u64));
         let mut open: HashMap<usize, Client> = HashMap::new();
         let (mut value, mut session, mut home) = (0u64, 0u64, n % gateways.len());
@@ -183,28 +190,31 @@
                 None => client.select(&id, key),
             };
             let took = u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX);
-            if matches!(answer, Answer::Cut | Answer::Late | Answer::Twice) {
+            if matches!(
+                answer,
+                RequestOutcome::Disconnected | RequestOutcome::TimedOut | RequestOutcome::DuplicateReply
+            ) {
                 open.remove(&at);
             }
             let kind = usize::from(value.is_none());
             let mut tally = lock(&shared.tally);
             let ends = if kind == 0 { &mut tally.writes } else { &mut tally.reads };
             match &answer {
-                Answer::Served(_) => {
+                RequestOutcome::Served(_) => {
                     ends[0] += 1;
                     lock(&shared.times)[kind].push(took);
                 }
-                Answer::Refused => ends[1] += 1,
-                Answer::Failed | Answer::Malformed => ends[2] += 1,
-                Answer::Cut => ends[3] += 1,
-                Answer::Late => tally.lost += 1,
-                Answer::Twice => tally.twice += 1,
+                RequestOutcome::Rejected => ends[1] += 1,
+                RequestOutcome::Failed | RequestOutcome::Malformed => ends[2] += 1,
+                RequestOutcome::Disconnected => ends[3] += 1,
+                RequestOutcome::TimedOut => tally.lost += 1,
+                RequestOutcome::DuplicateReply => tally.twice += 1,
             }
             drop(tally);
             if kind == 0 {
                 lock(&shared.told).insert(id, answer.clone());
             }
-            if matches!(answer, Answer::Refused | Answer::Failed) {
+            if matches!(answer, RequestOutcome::Rejected | RequestOutcome::Failed) {
                 std::thread::sleep(Duration::from_millis(5));
             }
             Some((answer, at, took))
@@ -218,7 +228,8 @@
             let next = value + 1;
             // A write that was cut or failed may have run: a later value is never taken for it.
             value = next;
-            let Some((Answer::Served(_), wrote_at, _)) = ask(&mut rng, &mut home, &key, Some(next)) else {
+            let Some((RequestOutcome::Served(_), wrote_at, _)) = ask(&mut rng, &mut home, &key, Some(next))
+            else {
                 continue;
             };
             for read in 0..=self.reads {
@@ -227,7 +238,8 @@
                 }
                 let tries = if read == 0 { 20 } else { 1 };
                 for _ in 0..tries {
-                    let Some((Answer::Served(seen), at, _)) = ask(&mut rng, &mut home, &key, None) else {
+                    let Some((RequestOutcome::Served(seen), at, _)) = ask(&mut rng, &mut home, &key, None)
+                    else {
                         continue;
                     };
                     let seen =
@@ -249,7 +261,7 @@
         }
     }
 
-    fn trouble(&self, store: &Store, gateways: &Gateways, shared: &Shared) {
+    fn trouble(&self, store: &ReplicaGroup, gateways: &GatewayFleet, shared: &Shared) {
         let Some(troubles) = self.troubles else { return };
         let mut rng = SmallRng::seed_from_u64(self.seed ^ 0x5eed);
         let done = || shared.done.load(Ordering::Relaxed);
--- a/crates/stackgw-standin/src/client.rs
+++ b/crates/stackgw-standin/src/client.rs
@@ -8,21 +8,21 @@
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answer {
+pub enum RequestOutcome {
     /// A value.
     Served(Vec<u8>),
     /// Trying again is harmless.
-    Refused,
+    Rejected,
     /// Nothing is promised.
     Failed,
     /// The request itself is at fault.
     Malformed,
     /// The connection ended first: the gateway was killed.
-    Cut,
+    Disconnected,
     /// No answer came in time.
-    Late,
+    TimedOut,
     /// More came than was asked for.
-    Twice,
+    DuplicateReply,
 }
 
 /// A client's connection.
@@ -48,19 +48,19 @@
         Some(client)
     }
 
-    pub(crate) fn insert(&mut self, id: &str, key: &str, value: u64) -> Answer {
+    pub(crate) fn insert(&mut self, id: &str, key: &str, value: u64) -> RequestOutcome {
         let comment = format!("/* id={id},c=buy,d=3000,cluster={} */", group());
         self.ask(&format!(
             "INSERT INTO state (uid, val) VALUES ('{key}', '\\x{value:016x}') RETURNING val {comment}"
         ))
     }
 
-    pub(crate) fn select(&mut self, id: &str, key: &str) -> Answer {
+    pub(crate) fn select(&mut self, id: &str, key: &str) -> RequestOutcome {
         let comment = format!("/* id={id},c=mine,d=1000,cluster={} */", group());
         self.ask(&format!("SELECT val FROM state WHERE uid = '{key}' {comment}"))
     }
 
-    pub(crate) fn look(&mut self, id: &str, key: &str) -> Answer {
+    pub(crate) fn look(&mut self, id: &str, key: &str) -> RequestOutcome {
         let comment = format!("/* id={id},c=look,d=1000,cluster={} */", group());
         self.ask(&format!("SELECT val FROM state WHERE uid = '{key}' {comment}"))
     }
@@ -79,38 +79,38 @@
     }
 
     /// Asks, and waits for the one answer.
-    pub fn ask(&mut self, text: &str) -> Answer {
+    pub fn ask(&mut self, text: &str) -> RequestOutcome {
         let mut bytes = Vec::new();
         write::query(&mut bytes, text);
         if self.socket.write_all(&bytes).is_err() {
-            return Answer::Cut;
+            return RequestOutcome::Disconnected;
         }
         let reply = match self.reply() {
             Ok(reply) => reply,
             Err(ended) => return ended,
         };
         if self.frames.next_frame().is_some() {
-            return Answer::Twice;
+            return RequestOutcome::DuplicateReply;
         }
         if let Some(error) = reply.iter().find(|f| f.kind == b'E') {
             let fields = error.body().split(|b| *b == 0);
             let code = fields.filter_map(|f| f.strip_prefix(b"C")).next().unwrap_or_default();
             return match code {
-                b"53300" | b"57P03" => Answer::Refused,
-                b"42601" => Answer::Malformed,
-                _ => Answer::Failed,
+                b"53300" | b"57P03" => RequestOutcome::Rejected,
+                b"42601" => RequestOutcome::Malformed,
+                _ => RequestOutcome::Failed,
             };
         }
         let row = reply.iter().find(|f| f.kind == b'D').and_then(|f| f.body().get(6..));
-        row.map_or(Answer::Failed, |value| Answer::Served(value.to_vec()))
+        row.map_or(RequestOutcome::Failed, |value| RequestOutcome::Served(value.to_vec()))
     }
 
     /// Everything up to ReadyForQuery.
-    fn reply(&mut self) -> Result<Vec<Frame>, Answer> {
+    fn reply(&mut self) -> Result<Vec<Frame>, RequestOutcome> {
         let (mut reply, mut buffer) = (Vec::new(), [0; 4096]);
         loop {
             while let Some(frame) = self.frames.next_frame() {
-                let frame = frame.map_err(|_| Answer::Cut)?;
+                let frame = frame.map_err(|_| RequestOutcome::Disconnected)?;
                 let last = frame.kind == b'Z';
                 reply.push(frame);
                 if last {
@@ -123,9 +123,9 @@
                 Err(e)
                     if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) =>
                 {
-                    return Err(Answer::Late);
+                    return Err(RequestOutcome::TimedOut);
                 }
-                _ => return Err(Answer::Cut),
+                _ => return Err(RequestOutcome::Disconnected),
             }
         }
     }
--- a/crates/stackgw-standin/src/opening.rs
+++ b/crates/stackgw-standin/src/cold_connect.rs
@@ -1,11 +1,11 @@
 //! The first seconds of a fleet: clients come to each gateway as soon as it says that it is ready, and ask at a steady pace
 //! whatever becomes of it; what they got, and what list service and members had to bear for it.
 
-use crate::bearing::Borne;
-use crate::client::{Answer, Client};
-use crate::gateways::Gateways;
-use crate::lists::worst;
-use crate::store::{lock, Store};
+use crate::client::{Client, RequestOutcome};
+use crate::gateways::GatewayFleet;
+use crate::list_service::worst;
+use crate::replica_group::{lock, ReplicaGroup};
+use crate::slow_start_model::ObservedLoad;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
@@ -15,7 +15,7 @@
 
 /// What clients do.
 #[derive(Debug, Clone)]
-pub struct Opening {
+pub struct ColdConnectLoad {
     /// Requests a second at each gateway, from when it is ready.
     pub rate: f64,
     /// Of a hundred requests so many are writes.
@@ -28,7 +28,7 @@
 
 /// What became of it.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Opened {
+pub struct ColdConnectReport {
     /// When each gateway answered that it is ready, in milliseconds from the beginning, in order; those that never did are not
     /// among them.
     pub ready_ms: Vec<u64>,
@@ -58,7 +58,7 @@
 /// The aim of the class that reads are of.
 const AIM: Duration = Duration::from_millis(200);
 
-impl Opened {
+impl ColdConnectReport {
     /// When this share of a fleet was ready.
     pub fn ready(&self, share: f64, fleet: usize) -> Option<Duration> {
         let n = (share * fleet as f64).ceil() as usize;
@@ -77,19 +77,19 @@
     }
 }
 
-impl Opening {
+impl ColdConnectLoad {
     /// Plays it from `since` on; `meanwhile` runs beside the clients and may break what it likes. A gateway that ends is
     /// waited for and taken in again once it is ready.
     pub fn run(
         &self,
-        store: &Store,
-        gateways: &Gateways,
+        store: &ReplicaGroup,
+        gateways: &GatewayFleet,
         since: Instant,
         meanwhile: impl FnOnce() + Send,
-    ) -> Opened {
+    ) -> ColdConnectReport {
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let (all, told, over) =
-            (Mutex::new(Opened::default()), Mutex::new(Vec::new()), AtomicBool::new(false));
+            (Mutex::new(ColdConnectReport::default()), Mutex::new(Vec::new()), AtomicBool::new(false));
         std::thread::scope(|scope| {
             scope.spawn(meanwhile);
             for n in 0..gateways.len() {
@@ -111,9 +111,9 @@
     fn client(
         &self,
         (run, n): (u64, usize),
-        gateways: &Gateways,
+        gateways: &GatewayFleet,
         since: Instant,
-        all: &Mutex<Opened>,
+        all: &Mutex<ColdConnectReport>,
         told: &Mutex<Vec<(String, bool)>>,
         over: &AtomicBool,
     ) {
@@ -156,22 +156,25 @@
                 }
                 all.seconds[second][0] += 1;
                 let late = started.elapsed() > AIM;
-                if matches!(answer, Answer::Served(_)) {
+                if matches!(answer, RequestOutcome::Served(_)) {
                     all.seconds[second][1 + usize::from(late)] += 1;
                 }
                 match &answer {
-                    Answer::Served(_) if late => all.late += 1,
-                    Answer::Served(_) => all.served += 1,
-                    Answer::Refused => all.refused += 1,
-                    Answer::Failed | Answer::Malformed => all.failed += 1,
-                    Answer::Cut => all.cut += 1,
-                    Answer::Late | Answer::Twice => all.lost += 1,
+                    RequestOutcome::Served(_) if late => all.late += 1,
+                    RequestOutcome::Served(_) => all.served += 1,
+                    RequestOutcome::Rejected => all.refused += 1,
+                    RequestOutcome::Failed | RequestOutcome::Malformed => all.failed += 1,
+                    RequestOutcome::Disconnected => all.cut += 1,
+                    RequestOutcome::TimedOut | RequestOutcome::DuplicateReply => all.lost += 1,
                 }
                 drop(all);
                 if writes {
-                    lock(told).push((id, answer == Answer::Refused));
+                    lock(told).push((id, answer == RequestOutcome::Rejected));
                 }
-                if matches!(answer, Answer::Cut | Answer::Late | Answer::Twice) {
+                if matches!(
+                    answer,
+                    RequestOutcome::Disconnected | RequestOutcome::TimedOut | RequestOutcome::DuplicateReply
+                ) {
                     break;
                 }
             }
@@ -184,7 +187,7 @@
 
 /// What all members of a store were asked to bear from a moment on (counted from the store's start).
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Burden {
+pub struct FleetLoad {
     /// New connections at all of them.
     pub handshakes: usize,
     /// At the busiest one in its worst 100 ms.
@@ -201,12 +204,12 @@
     pub members: Vec<[u64; 3]>,
 }
 
-impl Burden {
+impl FleetLoad {
     /// Adds up what members bore.
-    pub fn of(store: &Store, from: Duration) -> Self {
-        let mut all = Burden::default();
+    pub fn of(store: &ReplicaGroup, from: Duration) -> Self {
+        let mut all = FleetLoad::default();
         for n in 0..store.members.len() {
-            let Borne { handshakes, worst: cold, fell, taken, shed, probes } = store.borne(n);
+            let ObservedLoad { handshakes, worst: cold, fell, taken, shed, probes } = store.borne(n);
             let since: Vec<_> = handshakes.into_iter().filter(|at| *at >= from).collect();
             all.handshakes += since.len();
             all.members.push([since.len() as u64, taken, shed]);
--- a/crates/stackgw-standin/src/cold_start.rs
+++ b/crates/stackgw-standin/src/cold_start.rs
@@ -1,11 +1,11 @@
 //! A fleet that starts all at once, loses its list service, starts without it, and starts before members that are all cold:
 //! what the service and the members have to bear for it, and how soon clients are served.
 
-use crate::bearing::Bearing;
-use crate::gateways::{Gateways, Mode, Setup, StartPart};
-use crate::lists::{worst, Asked, Bears, Fate, Mood};
-use crate::opening::{Burden, Opening};
-use crate::store::{Speaks, Store};
+use crate::cold_connect::{ColdConnectLoad, FleetLoad};
+use crate::gateways::{BootstrapConfig, FleetConfig, FleetMode, GatewayFleet};
+use crate::list_service::{worst, PollOutcome, PollRecord, ServiceCapacity, ServiceState};
+use crate::replica_group::{Protocol, ReplicaGroup};
+use crate::slow_start_model::SlowStartModel;
 use serde::Serialize;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
     /// How many gateways.
     pub fleet: usize,
     /// How they come to know the list; `None`: as the platform has it.
-    pub start: Option<StartPart>,
+    pub start: Option<BootstrapConfig>,
     /// Requests a second that the list service bears.
     pub bears: f64,
     /// Requests a second at each gateway.
@@ -33,7 +33,7 @@
 
 /// What the list service was asked.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-pub struct Asks {
+pub struct PollCounts {
     /// Requests that found it there.
     pub all: usize,
     /// In the worst 100 ms.
@@ -42,19 +42,24 @@
     pub refused: usize,
 }
 
-impl Asks {
-    fn of(asked: &[Asked], from: Duration) -> Self {
-        let here: Vec<_> = asked.iter().filter(|a| a.at >= from && a.fate != Fate::Dead).collect();
-        let refused = here.iter().filter(|a| a.fate == Fate::Refused).count();
-        Asks { all: here.len(), worst: worst(here.iter().map(|a| a.at), Duration::from_millis(100)), refused }
+impl PollCounts {
+    fn of(asked: &[PollRecord], from: Duration) -> Self {
+        let here: Vec<_> =
+            asked.iter().filter(|a| a.at >= from && a.fate != PollOutcome::Unreachable).collect();
+        let refused = here.iter().filter(|a| a.fate == PollOutcome::Rejected).count();
+        PollCounts {
+            all: here.len(),
+            worst: worst(here.iter().map(|a| a.at), Duration::from_millis(100)),
+            refused,
+        }
     }
 }
 
 /// One part of it.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Part {
+pub struct PhaseReport {
     /// What the list service was asked.
-    pub asks: Asks,
+    pub asks: PollCounts,
     /// When 99 in 100 gateways were ready, in milliseconds.
     pub ready_ms: Option<u64>,
     /// Requests served in time, of those asked.
@@ -68,33 +73,33 @@
     /// The same with late ones counted too.
     pub answered: f64,
     /// What members bore.
-    pub burden: Burden,
+    pub burden: FleetLoad,
     /// Requests lost, doubled, or stale.
     pub broken: u64,
 }
 
 /// The whole of it.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Line {
+pub struct ColdStartReport {
     /// How many gateways.
     pub fleet: usize,
     /// All start at once.
-    pub boot: Part,
+    pub boot: PhaseReport,
     /// The same load once all is warm.
-    pub warm: Part,
+    pub warm: PhaseReport,
     /// The list service is dead for six seconds and comes back.
-    pub outage: Part,
+    pub outage: PhaseReport,
     /// All are killed and started at once while it is dead.
-    pub dark: Part,
+    pub dark: PhaseReport,
     /// All are killed and started at once, and so are all members.
-    pub cold: Part,
+    pub cold: PhaseReport,
 }
 
 /// Seconds that each part lasts.
 const LASTS: f64 = 10.0;
 
 /// What happens in each part, in their order.
-pub const PARTS: [&str; 5] = [
+pub const PHASE_NAMES: [&str; 5] = [
     "all start at once",
     "warm",
     "list service dead for 6 s",
@@ -102,56 +107,56 @@
     "all start, members cold",
 ];
 
-impl Line {
+impl ColdStartReport {
     /// Its parts, in their order.
-    pub fn parts(&self) -> [&Part; 5] {
+    pub fn parts(&self) -> [&PhaseReport; 5] {
         [&self.boot, &self.warm, &self.outage, &self.dark, &self.cold]
     }
 }
 
 impl ColdStart {
     /// Plays it; `told` hears of each part as it ends.
-    pub fn play(&self, mut told: impl FnMut(&'static str, &Part)) -> Result<Line, String> {
+    pub fn play(&self, mut told: impl FnMut(&'static str, &PhaseReport)) -> Result<ColdStartReport, String> {
         let wrong = |e: std::io::Error| e.to_string();
-        let (store, agent) = Store::start_speaking(&[10, 20], Speaks::First).map_err(wrong)?;
-        store.lists().bear(Some(Bears { per_second: self.bears, line: Duration::from_secs(1) }));
-        let mut setup = Setup::new(self.program.clone(), self.folder.clone(), vec![agent]);
+        let (store, agent) = ReplicaGroup::start_speaking(&[10, 20], Protocol::Postgres).map_err(wrong)?;
+        store.lists().bear(Some(ServiceCapacity { per_second: self.bears, line: Duration::from_secs(1) }));
+        let mut setup = FleetConfig::new(self.program.clone(), self.folder.clone(), vec![agent]);
         (setup.gateways, setup.keepers) = (self.fleet, 3.min(self.fleet));
-        setup.mode = if self.start.is_some() { Mode::Start } else { Mode::Off };
+        setup.mode = if self.start.is_some() { FleetMode::Bootstrap } else { FleetMode::LocalSessions };
         setup.start = self.start.clone().unwrap_or_default();
-        let gateways = Gateways::prepare(setup)?;
+        let gateways = GatewayFleet::prepare(setup)?;
         let all = || drop(gateways.restart_all(0..self.fleet, Duration::ZERO));
         let bear = |cold| (0..store.members.len()).for_each(|n| store.bear(n, self.bearing(), cold));
         bear(false);
-        let mut line = Line { fleet: self.fleet, ..Line::default() };
+        let mut line = ColdStartReport { fleet: self.fleet, ..ColdStartReport::default() };
         line.boot = self.part(&store, &gateways, false, &all);
-        told(PARTS[0], &line.boot);
+        told(PHASE_NAMES[0], &line.boot);
         bear(false);
         line.warm = self.part(&store, &gateways, false, &|| {});
-        told(PARTS[1], &line.warm);
+        told(PHASE_NAMES[1], &line.warm);
         bear(false);
         line.outage = self.part(&store, &gateways, false, &|| {
-            store.lists().mood(None, Mood::Dead);
+            store.lists().mood(None, ServiceState::Down);
             std::thread::sleep(Duration::from_secs(6));
-            store.lists().mood(None, Mood::Up);
+            store.lists().mood(None, ServiceState::Up);
         });
-        told(PARTS[2], &line.outage);
+        told(PHASE_NAMES[2], &line.outage);
         // What was put off for the outage is over.
         std::thread::sleep(Duration::from_secs(4));
         bear(false);
-        store.lists().mood(None, Mood::Dead);
+        store.lists().mood(None, ServiceState::Down);
         line.dark = self.part(&store, &gateways, false, &all);
-        told(PARTS[3], &line.dark);
-        store.lists().mood(None, Mood::Up);
+        told(PHASE_NAMES[3], &line.dark);
+        store.lists().mood(None, ServiceState::Up);
         bear(true);
         (0..store.members.len()).for_each(|n| store.announce_start(n));
         line.cold = self.part(&store, &gateways, true, &all);
-        told(PARTS[4], &line.cold);
+        told(PHASE_NAMES[4], &line.cold);
         Ok(line)
     }
 
     /// What each member can do.
-    fn bearing(&self) -> Bearing {
+    fn bearing(&self) -> SlowStartModel {
         Self::can(self.member)
     }
 
@@ -161,8 +166,8 @@
         (can.per_second * can.cold_share / can.handshake * share).max(1.0) as u32
     }
 
-    fn can(per_second: f64) -> Bearing {
-        Bearing {
+    fn can(per_second: f64) -> SlowStartModel {
+        SlowStartModel {
             per_second,
             cold_share: 0.25,
             warm_within: Duration::from_secs(10),
@@ -186,23 +191,33 @@
         (0..steps).map(share).sum::<f64>() / f64::from(steps)
     }
 
-    fn part(&self, store: &Store, gateways: &Gateways, cold: bool, meanwhile: &(dyn Fn() + Sync)) -> Part {
+    fn part(
+        &self,
+        store: &ReplicaGroup,
+        gateways: &GatewayFleet,
+        cold: bool,
+        meanwhile: &(dyn Fn() + Sync),
+    ) -> PhaseReport {
         let (lists_from, store_from) = (store.lists().elapsed(), store.elapsed());
         let before = store.audit().stale;
-        let opening =
-            Opening { rate: self.rate, writes: 10, lasts: Duration::from_secs_f64(LASTS), seed: self.seed };
+        let opening = ColdConnectLoad {
+            rate: self.rate,
+            writes: 10,
+            lasts: Duration::from_secs_f64(LASTS),
+            seed: self.seed,
+        };
         let opened = opening.run(store, gateways, Instant::now(), meanwhile);
         gateways.report();
         let ready = opened.ready(0.99, self.fleet);
-        Part {
-            asks: Asks::of(&store.lists().asked(), lists_from),
+        PhaseReport {
+            asks: PollCounts::of(&store.lists().asked(), lists_from),
             ready_ms: ready.and_then(|at| u64::try_from(at.as_millis()).ok()),
             worth: opened.worth(),
             worth_first: opened.worth_within(5),
             could: [LASTS, 5.0].map(|seconds| self.could(store.members.len(), cold, seconds)),
             seconds: opened.seconds.clone(),
             answered: (opened.served + opened.late) as f64 / opened.asked.max(1) as f64,
-            burden: Burden::of(store, store_from),
+            burden: FleetLoad::of(store, store_from),
             broken: opened.lost + opened.doubled + store.audit().stale - before,
         }
     }
--- a/crates/stackgw-standin/src/flight.rs
+++ b/crates/stackgw-standin/src/flight.rs
@@ -1,7 +1,7 @@
 //! A member that speaks Arrow Flight SQL, over the same log, troubles and audit as one of our first protocol. A read of a key
 //! `bulk-N-BYTES` is a stream of N batches of so many bytes.
 
-use crate::store::{Done, Store};
+use crate::replica_group::{Done, ReplicaGroup};
 use arrow_array::{BinaryArray, RecordBatch};
 use arrow_flight::encode::FlightDataEncoderBuilder;
 use arrow_flight::error::FlightError;
@@ -26,7 +26,7 @@
 use tonic::{Request, Response, Status};
 
 /// Serves the connections that it is handed, on a thread of its own.
-pub(crate) fn serve(store: Arc<Store>, n: usize) -> std::io::Result<mpsc::UnboundedSender<TcpStream>> {
+pub(crate) fn serve(store: Arc<ReplicaGroup>, n: usize) -> std::io::Result<mpsc::UnboundedSender<TcpStream>> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let (sockets, handed) = mpsc::unbounded_channel::<TcpStream>();
     let incoming = UnboundedReceiverStream::new(handed).map(|socket| {
@@ -41,7 +41,7 @@
 }
 
 struct Host {
-    store: Arc<Store>,
+    store: Arc<ReplicaGroup>,
     n: usize,
 }
 
--- a/crates/stackgw-standin/src/gateways.rs
+++ b/crates/stackgw-standin/src/gateways.rs
@@ -1,7 +1,7 @@
-//! Gateways as real processes, with their configuration, their keys and their disks in a folder of their own.
+//! GatewayFleet as real processes, with their configuration, their keys and their disks in a folder of their own.
 
-use crate::net::Net;
-use crate::store::{lock, Speaks, BOUND_MS, GROUP};
+use crate::network::FaultyNetwork;
+use crate::replica_group::{lock, Protocol, BOUND_MS, GROUP};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
 use std::fs::File;
@@ -14,18 +14,18 @@
 
 /// What sessions rest on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
+pub enum FleetMode {
     /// Marks across instances.
-    Shared,
+    SharedSessions,
     /// Marks in each process alone.
-    Off,
-    /// The same, beside what [`Setup::start`] says.
-    Start,
+    LocalSessions,
+    /// The same, beside what [`FleetConfig::start`] says.
+    Bootstrap,
 }
 
 /// How gateways come to know the list, where not as the platform has it.
 #[derive(Debug, Clone, Default)]
-pub struct StartPart {
+pub struct BootstrapConfig {
     /// They talk to each other; the keepers are the seeds.
     pub cluster: bool,
     /// The lines of the operator's file below `start:`, without their indent; `{n}` is the gateway's number and `{folder}`
@@ -35,7 +35,7 @@
 
 /// What gateways are set up as.
 #[derive(Debug, Clone)]
-pub struct Setup {
+pub struct FleetConfig {
     /// The program.
     pub program: PathBuf,
     /// Where files go; it must be there.
@@ -47,7 +47,7 @@
     /// So many of them are keepers.
     pub keepers: usize,
     /// What sessions rest on.
-    pub mode: Mode,
+    pub mode: FleetMode,
     /// Keepers have disks.
     pub disks: bool,
     /// The lease, in milliseconds.
@@ -59,31 +59,31 @@
     /// They speak Flight SQL too.
     pub flight: bool,
     /// What the members speak.
-    pub speaks: Speaks,
+    pub speaks: Protocol,
     /// Flight SQL clients show who they are, `basic` or `bearer`: the one user is [`USER`].
     pub auth: Option<&'static str>,
     /// How they come to know the list.
-    pub start: StartPart,
+    pub start: BootstrapConfig,
 }
 
-impl Setup {
-    /// Gateways of a program with their files in a folder, two of them, both keepers with disks; nothing else is on.
+impl FleetConfig {
+    /// GatewayFleet of a program with their files in a folder, two of them, both keepers with disks; nothing else is on.
     pub fn new(program: PathBuf, folder: PathBuf, agents: Vec<SocketAddr>) -> Self {
-        Setup {
+        FleetConfig {
             program,
             folder,
             agents,
             gateways: 2,
             keepers: 2,
-            mode: Mode::Shared,
+            mode: FleetMode::SharedSessions,
             disks: true,
             lease_ms: 400,
             horizon_ms: 5_000,
             relays: false,
             flight: false,
-            speaks: Speaks::First,
+            speaks: Protocol::Postgres,
             auth: None,
-            start: StartPart::default(),
+            start: BootstrapConfig::default(),
         }
     }
 }
@@ -98,9 +98,9 @@
 }
 
 /// All of them.
-pub struct Gateways {
-    setup: Setup,
-    net: Option<Arc<Net>>,
+pub struct GatewayFleet {
+    setup: FleetConfig,
+    net: Option<Arc<FaultyNetwork>>,
     gateways: Mutex<Vec<Gateway>>,
     /// The ports of those that have not started yet; each is let go just before its gateway binds it.
     ports: Mutex<Vec<Option<UdpSocket>>>,
@@ -108,11 +108,11 @@
 
 const START: Duration = Duration::from_secs(20);
 
-impl Gateways {
+impl GatewayFleet {
     /// Writes their files and starts them all.
-    pub fn start(setup: Setup) -> Result<Self, String> {
+    pub fn start(setup: FleetConfig) -> Result<Self, String> {
         let gateways = Self::prepare(setup)?;
-        if gateways.setup.mode == Mode::Start {
+        if gateways.setup.mode == FleetMode::Bootstrap {
             gateways.restart_all(0..gateways.len(), Duration::ZERO)?;
         } else {
             (0..gateways.len()).try_for_each(|n| gateways.restart(n))?;
@@ -121,7 +121,7 @@
     }
 
     /// Writes their files.
-    pub fn prepare(setup: Setup) -> Result<Self, String> {
+    pub fn prepare(setup: FleetConfig) -> Result<Self, String> {
         let wrong = |e: std::io::Error| format!("{}: {e}", setup.folder.display());
         // Ports that are free now.
         let sockets: Vec<_> = (0..setup.gateways)
@@ -131,7 +131,7 @@
         let ports: Vec<_> =
             sockets.iter().map(|s| s.local_addr()).collect::<Result<_, _>>().map_err(wrong)?;
         let (net, reached) = match setup.relays {
-            true => Net::start(&ports).map(|(net, reached)| (Some(net), reached)).map_err(wrong)?,
+            true => FaultyNetwork::start(&ports).map(|(net, reached)| (Some(net), reached)).map_err(wrong)?,
             false => (None, ports.clone()),
         };
         let key = setup.folder.join("cluster.key");
@@ -153,7 +153,7 @@
                 setup.horizon_ms,
                 if setup.disks && n < setup.keepers { store.as_str() } else { "" },
             );
-            let file = if setup.mode == Mode::Start {
+            let file = if setup.mode == FleetMode::Bootstrap {
                 started(&setup, n, *port, reached[n], &seeds, &key)
             } else {
                 shared
@@ -169,7 +169,7 @@
                 }
                 None => file,
             };
-            let back = setup.speaks != Speaks::First;
+            let back = setup.speaks != Protocol::Postgres;
             let file = if back {
                 // Short, so that tests see their ends.
                 let bulk = "  bulk: {stall: 1500ms, silence: 700ms, each_kib: 256, all_kib: 4096, message_kib: 2048}";
@@ -181,7 +181,7 @@
         }
         let empty = || Gateway { child: None, address: Arc::default(), flight: Arc::default() };
         let gateways = Mutex::new((0..setup.gateways).map(|_| empty()).collect());
-        Ok(Gateways { gateways, net, setup, ports: Mutex::new(sockets.into_iter().map(Some).collect()) })
+        Ok(GatewayFleet { gateways, net, setup, ports: Mutex::new(sockets.into_iter().map(Some).collect()) })
     }
 
     /// Starts these at once, or this far apart, anew where they ran, and waits until all listen.
@@ -225,7 +225,7 @@
     }
 
     /// The network between them, where it can be broken.
-    pub fn net(&self) -> Option<&Net> {
+    pub fn net(&self) -> Option<&FaultyNetwork> {
         self.net.as_deref()
     }
 
@@ -302,12 +302,12 @@
 
     /// Starts a gateway's process.
     fn spawn(&self, n: usize) -> Result<(), String> {
-        let Setup { program, folder, mode, .. } = &self.setup;
+        let FleetConfig { program, folder, mode, .. } = &self.setup;
         let wrong = |e: std::io::Error| format!("{}: {e}", program.display());
         drop(lock(&self.ports).get_mut(n).and_then(Option::take));
         let mut command = Command::new(program);
         command.arg("run").arg("--config").arg(folder.join(format!("g{n}.json")));
-        if *mode != Mode::Off {
+        if *mode != FleetMode::LocalSessions {
             command.arg("--file").arg(folder.join(format!("g{n}.yaml")));
         }
         let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().map_err(wrong)?;
@@ -352,7 +352,7 @@
     }
 }
 
-impl Drop for Gateways {
+impl Drop for GatewayFleet {
     fn drop(&mut self) {
         (0..self.len()).for_each(|n| self.kill(n));
         if let Some(net) = &self.net {
@@ -368,7 +368,7 @@
 
 /// The operator's file of one gateway that knows no sessions across instances.
 fn started(
-    setup: &Setup,
+    setup: &FleetConfig,
     n: usize,
     port: SocketAddr,
     reached: SocketAddr,
@@ -396,14 +396,14 @@
 }
 
 /// The platform's document for one gateway.
-fn platform(n: usize, setup: &Setup) -> serde_json::Value {
+fn platform(n: usize, setup: &FleetConfig) -> serde_json::Value {
     let (fleet, agent) = (setup.gateways, setup.agents[n % setup.agents.len()]);
     const MS: i64 = 1_000_000;
     let class = |name: &str, effect: &str, deadline_ms: i64| {
         json!({"Name": name, "Effect": effect, "Group": "all", "AimNs": 200 * MS, "DeadlineNs": deadline_ms * MS,
             "DedupWindowNs": 0, "LateWorth": 0.5, "Worth": 1.0})
     };
-    let marks = if setup.mode == Mode::Shared { "client" } else { "router" };
+    let marks = if setup.mode == FleetMode::SharedSessions { "client" } else { "router" };
     json!({
         "name": format!("g{n}"), "listen": "127.0.0.1:0", "discovery": agent.to_string(), "seed": format!("{:x}", 77 + n),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
--- a/crates/stackgw-standin/src/lists.rs
+++ b/crates/stackgw-standin/src/list_service.rs
@@ -2,7 +2,7 @@
 //! then. Unless it is bounded it answers everybody at once, as an agent on the gateway's own machine does; bounded, it is one
 //! service of a fixed capacity for a whole fleet, and it can fail in the ways that such services do.
 
-use crate::store::{lock, GROUP};
+use crate::replica_group::{lock, GROUP};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -10,25 +10,25 @@
 
 /// How the service, or one door to it, behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Mood {
+pub enum ServiceState {
     /// It serves.
     #[default]
     Up,
     /// It is dead: connections break, new ones are closed unread.
-    Dead,
+    Down,
     /// It takes requests and says nothing; watches stay open and silent.
     Silent,
     /// It says the first byte of an answer and no more.
-    FirstByte,
+    FirstByteOnly,
     /// It answers with half a list, then ends.
-    Half,
+    Truncated,
     /// It has fallen behind: what it tells, in answers and watches, ends at this version; its blank lines go on.
-    Behind(u64),
+    Stale(u64),
 }
 
 /// What a bounded service can do.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bears {
+pub struct ServiceCapacity {
     /// Requests a second; more wait in line.
     pub per_second: f64,
     /// Whoever would wait longer than this is told 503 at once, with a time to come back.
@@ -37,27 +37,27 @@
 
 /// What became of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum PollOutcome {
     /// Answered, as far as the door's mood has it.
     Answered,
     /// Told to come back later.
-    Refused,
+    Rejected,
     /// Nobody was there.
-    Dead,
+    Unreachable,
 }
 
 /// One request, as the service saw it.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked {
+pub struct PollRecord {
     /// When, from the service's start on.
     pub at: Duration,
     /// What became of it.
-    pub fate: Fate,
+    pub fate: PollOutcome,
 }
 
 /// One member as the list has it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Entry {
+struct ListedMember {
     phase: &'static str,
     /// In Unix milliseconds; 0: long ago.
     up_since_ms: u64,
@@ -66,16 +66,16 @@
 
 struct State {
     /// The list after each version, from 1 on.
-    versions: Vec<Vec<Entry>>,
-    moods: Vec<Mood>,
-    bears: Option<Bears>,
+    versions: Vec<Vec<ListedMember>>,
+    moods: Vec<ServiceState>,
+    bears: Option<ServiceCapacity>,
     /// When the line that waits now will have been served.
     free_at: Duration,
-    asked: Vec<Asked>,
+    asked: Vec<PollRecord>,
 }
 
 /// The service.
-pub struct Lists {
+pub struct ListService {
     addresses: Vec<SocketAddr>,
     since: Instant,
     state: Mutex<State>,
@@ -86,19 +86,19 @@
 /// Between empty lines of a watch.
 const BLANK: Duration = Duration::from_secs(2);
 
-impl Lists {
-    /// Lists members at these addresses, the first one as the primary, behind so many doors: gateways that come by different
+impl ListService {
+    /// ListService members at these addresses, the first one as the primary, behind so many doors: gateways that come by different
     /// ones can be treated differently.
     pub fn start(addresses: &[SocketAddr], doors: usize) -> std::io::Result<Arc<Self>> {
-        let entry = |n| Entry { phase: "ready", up_since_ms: 0, leads: n == 0 };
+        let entry = |n| ListedMember { phase: "ready", up_since_ms: 0, leads: n == 0 };
         let listeners: Vec<_> =
             (0..doors).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
-        let lists = Arc::new(Lists {
+        let lists = Arc::new(ListService {
             addresses: addresses.to_vec(),
             since: Instant::now(),
             state: Mutex::new(State {
                 versions: vec![(0..addresses.len()).map(entry).collect()],
-                moods: vec![Mood::Up; doors],
+                moods: vec![ServiceState::Up; doors],
                 bears: None,
                 free_at: Duration::ZERO,
                 asked: Vec::new(),
@@ -129,12 +129,12 @@
     }
 
     /// From now on it bears no more than this.
-    pub fn bear(&self, bears: Option<Bears>) {
+    pub fn bear(&self, bears: Option<ServiceCapacity>) {
         lock(&self.state).bears = bears;
     }
 
     /// A door's mood from now on; `None`: all doors'.
-    pub fn mood(&self, door: Option<usize>, mood: Mood) {
+    pub fn mood(&self, door: Option<usize>, mood: ServiceState) {
         let mut state = lock(&self.state);
         match door {
             Some(door) => state.moods[door] = mood,
@@ -150,7 +150,7 @@
     }
 
     /// Every request so far.
-    pub fn asked(&self) -> Vec<Asked> {
+    pub fn asked(&self) -> Vec<PollRecord> {
         lock(&self.state).asked.clone()
     }
 
@@ -172,7 +172,7 @@
         self.change(|entries| entries.iter_mut().enumerate().for_each(|(at, entry)| entry.leads = at == n));
     }
 
-    fn change(&self, change: impl FnOnce(&mut Vec<Entry>)) {
+    fn change(&self, change: impl FnOnce(&mut Vec<ListedMember>)) {
         let mut state = lock(&self.state);
         let mut entries = state.versions.last().cloned().unwrap_or_default();
         change(&mut entries);
@@ -184,11 +184,12 @@
     /// What a door tells of the list after a version (0: all of it), and the version it is then.
     fn list(&self, state: &State, door: usize, after: u64) -> (u64, String) {
         let newest = state.versions.len() as u64;
-        let now = if let Mood::Behind(version) = state.moods[door] { version.min(newest) } else { newest };
+        let now =
+            if let ServiceState::Stale(version) = state.moods[door] { version.min(newest) } else { newest };
         let at =
             |version: u64| version.checked_sub(1).and_then(|n| state.versions.get(usize::try_from(n).ok()?));
         let before = at(after).filter(|_| after <= now);
-        let entry = |(n, entry): (usize, &Entry)| {
+        let entry = |(n, entry): (usize, &ListedMember)| {
             // All that changed since, be it there and back.
             let same =
                 before.is_some() && (after..=now).filter_map(at).all(|entries| entries.get(n) == Some(entry));
@@ -206,33 +207,33 @@
     }
 
     /// Takes a request in: what becomes of it, and how long it waits in line.
-    fn admit(&self, door: usize) -> (Fate, Duration) {
+    fn admit(&self, door: usize) -> (PollOutcome, Duration) {
         let mut state = lock(&self.state);
         let at = self.since.elapsed();
-        let (mut fate, mut wait) = (Fate::Answered, Duration::ZERO);
-        if state.moods[door] == Mood::Dead {
-            fate = Fate::Dead;
+        let (mut fate, mut wait) = (PollOutcome::Answered, Duration::ZERO);
+        if state.moods[door] == ServiceState::Down {
+            fate = PollOutcome::Unreachable;
         } else if let Some(bears) = state.bears {
             let free_at = state.free_at.max(at);
             if free_at - at > bears.line {
-                (fate, wait) = (Fate::Refused, free_at - at);
+                (fate, wait) = (PollOutcome::Rejected, free_at - at);
             } else {
                 state.free_at = free_at + Duration::from_secs_f64(1.0 / bears.per_second);
                 wait = state.free_at - at;
             }
         }
-        state.asked.push(Asked { at, fate });
+        state.asked.push(PollRecord { at, fate });
         (fate, wait)
     }
 
     fn serve(&self, door: usize, mut socket: TcpStream) {
         let mut line = String::new();
         let (fate, wait) = self.admit(door);
-        if fate == Fate::Dead {
+        if fate == PollOutcome::Unreachable {
             return;
         }
         let _ = BufReader::new(&socket).read_line(&mut line);
-        if fate == Fate::Refused {
+        if fate == PollOutcome::Rejected {
             let seconds = wait.as_secs() + 1;
             let text = format!(
                 "HTTP/1.1 503 Service Unavailable\r\nRetry-After: {seconds}\r\nContent-Length: 0\r\n\r\n"
@@ -251,17 +252,17 @@
             (state.moods[door], self.list(&state, door, after))
         };
         let whole = match mood {
-            Mood::Silent => String::new(),
-            Mood::FirstByte => "H".to_owned(),
-            Mood::Half => format!("{head}{}", chunk(&list[..list.len() / 2])),
+            ServiceState::Silent => String::new(),
+            ServiceState::FirstByteOnly => "H".to_owned(),
+            ServiceState::Truncated => format!("{head}{}", chunk(&list[..list.len() / 2])),
             _ if watches => format!("{head}{}", chunk(&format!("{list}\n"))),
             _ => format!("{head}{}0\r\n\r\n", chunk(&format!("{list}\n"))),
         };
         let sent = socket.write_all(whole.as_bytes());
-        if sent.is_err() || mood == Mood::Half {
+        if sent.is_err() || mood == ServiceState::Truncated {
             return;
         }
-        let hangs = matches!(mood, Mood::Silent | Mood::FirstByte);
+        let hangs = matches!(mood, ServiceState::Silent | ServiceState::FirstByteOnly);
         if !watches && !hangs {
             return;
         }
@@ -271,11 +272,12 @@
                 let waited = self.changed.wait_timeout(state, BLANK);
                 let (now_state, over) = waited.unwrap_or_else(PoisonError::into_inner);
                 state = now_state;
-                if state.moods[door] == Mood::Dead {
+                if state.moods[door] == ServiceState::Down {
                     return;
                 }
                 let told = self.list(&state, door, version);
-                let quiet = hangs || matches!(state.moods[door], Mood::Silent | Mood::FirstByte);
+                let quiet =
+                    hangs || matches!(state.moods[door], ServiceState::Silent | ServiceState::FirstByteOnly);
                 if !quiet && (told.0 > version || over.timed_out()) {
                     break told;
                 }
--- a/crates/stackgw-standin/src/net.rs
+++ b/crates/stackgw-standin/src/network.rs
@@ -1,6 +1,6 @@
 //! A broken network between gateways: a relay before each one's datagrams, which cuts and loses.
 
-use crate::store::lock;
+use crate::replica_group::lock;
 use std::collections::{BTreeSet, HashMap};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -9,17 +9,17 @@
 
 /// The relays of all gateways.
 #[derive(Debug, Default)]
-pub struct Net {
+pub struct FaultyNetwork {
     cut: Mutex<BTreeSet<(usize, usize)>>,
     /// Of a thousand datagrams so many are lost.
     pub loss: AtomicU32,
     over: AtomicBool,
 }
 
-impl Net {
+impl FaultyNetwork {
     /// Relays before gateways that listen at these addresses; gives the relays'.
-    pub fn start(listen: &[SocketAddr]) -> std::io::Result<(Arc<Net>, Vec<SocketAddr>)> {
-        let net = Arc::new(Net::default());
+    pub fn start(listen: &[SocketAddr]) -> std::io::Result<(Arc<FaultyNetwork>, Vec<SocketAddr>)> {
+        let net = Arc::new(FaultyNetwork::default());
         let from: HashMap<_, _> = listen.iter().copied().enumerate().map(|(n, at)| (at, n)).collect();
         let mut relays = Vec::new();
         for (to, at) in listen.iter().copied().enumerate() {
@@ -56,7 +56,7 @@
     }
 }
 
-impl Net {
+impl FaultyNetwork {
     /// The relays end.
     pub(crate) fn end(&self) {
         self.over.store(true, Ordering::Relaxed);
--- a/crates/stackgw-standin/src/store.rs
+++ b/crates/stackgw-standin/src/replica_group.rs
@@ -2,8 +2,8 @@
 //! connection; only what is committed and has reached a replica is seen there. Its members speak our first protocol, or
 //! Arrow Flight SQL: the log, the troubles and the audit are the same.
 
-use crate::bearing::{Bearing, Borne, Load, Took};
-use crate::lists::Lists;
+use crate::list_service::ListService;
+use crate::slow_start_model::{Load, ObservedLoad, SlowStartModel, Took};
 use stackgw_gateway::pg::{code, write, Frame, Frames, Statement};
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -26,17 +26,17 @@
 
 /// What members speak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Speaks {
+pub enum Protocol {
     /// Our first protocol.
-    First,
+    Postgres,
     /// Arrow Flight SQL.
     #[cfg(feature = "flight")]
-    Flight,
+    FlightSql,
 }
 
 /// What ran.
 #[derive(Debug, Default, Clone)]
-pub struct Audit {
+pub struct ExecutionLog {
     /// Executions of each write, by its request's id.
     pub writes: HashMap<String, u32>,
     /// Executions of each read, by its request's id.
@@ -53,7 +53,7 @@
 
 /// One member's state, changed by the trial while it runs.
 #[derive(Debug, Default)]
-pub struct Member {
+pub struct FakeMember {
     /// How far it is behind, in milliseconds; the primary never is.
     pub lag_ms: AtomicU64,
     /// Each answer takes this much longer, in milliseconds.
@@ -83,7 +83,7 @@
 /// Counts one piece of work for as long as it is there.
 pub(crate) struct Running(Arc<AtomicUsize>);
 
-impl Member {
+impl FakeMember {
     /// It is the primary.
     pub(crate) fn leads(&self) -> bool {
         self.primary.load(Ordering::SeqCst)
@@ -134,16 +134,16 @@
     /// By key: commit in Unix milliseconds, and the value.
     log: HashMap<String, Vec<(u64, Vec<u8>)>>,
     last: u64,
-    audit: Audit,
+    audit: ExecutionLog,
 }
 
 /// The whole group.
-pub struct Store {
+pub struct ReplicaGroup {
     data: Mutex<Data>,
-    lists: Arc<Lists>,
+    lists: Arc<ListService>,
     since: Instant,
     /// The members; the first one is the primary.
-    pub members: Vec<Member>,
+    pub members: Vec<FakeMember>,
 }
 
 /// How a statement ended at a member.
@@ -163,36 +163,39 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Store {
+impl ReplicaGroup {
     /// Starts a primary and replicas that are so far behind, and the agent that lists them; gives the agent's address.
-    pub fn start(lags_ms: &[u64]) -> std::io::Result<(Arc<Store>, SocketAddr)> {
-        Store::start_speaking(lags_ms, Speaks::First)
+    pub fn start(lags_ms: &[u64]) -> std::io::Result<(Arc<ReplicaGroup>, SocketAddr)> {
+        ReplicaGroup::start_speaking(lags_ms, Protocol::Postgres)
     }
 
     /// The same with members that speak this.
-    pub fn start_speaking(lags_ms: &[u64], speaks: Speaks) -> std::io::Result<(Arc<Store>, SocketAddr)> {
-        Store::start_behind(lags_ms, speaks, 1)
+    pub fn start_speaking(
+        lags_ms: &[u64],
+        speaks: Protocol,
+    ) -> std::io::Result<(Arc<ReplicaGroup>, SocketAddr)> {
+        ReplicaGroup::start_behind(lags_ms, speaks, 1)
     }
 
     /// The same with a list that has so many doors.
     pub fn start_behind(
         lags_ms: &[u64],
-        speaks: Speaks,
+        speaks: Protocol,
         doors: usize,
-    ) -> std::io::Result<(Arc<Store>, SocketAddr)> {
-        let replica = |lag: &u64| Member { lag_ms: (*lag).into(), ..Member::default() };
-        let primary = Member { primary: true.into(), ..Member::default() };
+    ) -> std::io::Result<(Arc<ReplicaGroup>, SocketAddr)> {
+        let replica = |lag: &u64| FakeMember { lag_ms: (*lag).into(), ..FakeMember::default() };
+        let primary = FakeMember { primary: true.into(), ..FakeMember::default() };
         let members: Vec<_> = std::iter::once(primary).chain(lags_ms.iter().map(replica)).collect();
         let listeners: Vec<_> =
             members.iter().map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
         let addresses: Vec<_> = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        let lists = Lists::start(&addresses, doors)?;
+        let lists = ListService::start(&addresses, doors)?;
         let (at, since) = (lists.door(0), Instant::now());
-        let store = Arc::new(Store { data: Mutex::default(), lists, since, members });
+        let store = Arc::new(ReplicaGroup { data: Mutex::default(), lists, since, members });
         for (n, listener) in listeners.into_iter().enumerate() {
             let store = store.clone();
             let hand: Box<dyn Fn(TcpStream) + Send> = match speaks {
-                Speaks::First => {
+                Protocol::Postgres => {
                     let store = store.clone();
                     Box::new(move |socket| {
                         let store = store.clone();
@@ -204,7 +207,7 @@
                     })
                 }
                 #[cfg(feature = "flight")]
-                Speaks::Flight => {
+                Protocol::FlightSql => {
                     let sockets = crate::flight::serve(store.clone(), n)?;
                     Box::new(move |socket| drop(sockets.send(socket)))
                 }
@@ -217,7 +220,7 @@
     }
 
     /// What ran so far.
-    pub fn audit(&self) -> Audit {
+    pub fn audit(&self) -> ExecutionLog {
         lock(&self.data).audit.clone()
     }
 
@@ -227,12 +230,12 @@
     }
 
     /// The service that lists the members.
-    pub fn lists(&self) -> &Lists {
+    pub fn lists(&self) -> &ListService {
         &self.lists
     }
 
     /// A member can bear no more than this from now on; where `cold`, its process has just started.
-    pub fn bear(&self, n: usize, can: Bearing, cold: bool) {
+    pub fn bear(&self, n: usize, can: SlowStartModel, cold: bool) {
         let mut load = Load::new(can);
         if cold {
             load.start(self.since.elapsed());
@@ -241,7 +244,7 @@
     }
 
     /// What a member was asked to bear since then, its moments counted from the store's start.
-    pub fn borne(&self, n: usize) -> Borne {
+    pub fn borne(&self, n: usize) -> ObservedLoad {
         lock(&self.members[n].load).as_ref().map(Load::borne).unwrap_or_default()
     }
 
@@ -364,7 +367,7 @@
     }
 
     /// Every commit up to this is seen there.
-    fn position(&self, member: &Member) -> u64 {
+    fn position(&self, member: &FakeMember) -> u64 {
         let lag = if member.leads() { 0 } else { member.lag_ms.load(Ordering::Relaxed) };
         unix_ms().saturating_sub(lag)
     }
--- a/crates/stackgw-standin/src/bearing.rs
+++ b/crates/stackgw-standin/src/slow_start_model.rs
@@ -6,7 +6,7 @@
 
 /// What a member can do. Work is counted in requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bearing {
+pub struct SlowStartModel {
     /// Requests a second, warm.
     pub per_second: f64,
     /// Share of that right after a start ...
@@ -27,7 +27,7 @@
     pub down: Duration,
 }
 
-impl Bearing {
+impl SlowStartModel {
     /// Requests a second that a member of this age can do; `None`: it has been up for long.
     pub(crate) fn at(&self, age: Option<Duration>) -> f64 {
         let age = age.map_or(1.0, |age| age.as_secs_f64() / self.warm_within.as_secs_f64());
@@ -37,7 +37,7 @@
 
 /// What one member was asked to bear.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Borne {
+pub struct ObservedLoad {
     /// When connections were opened to it.
     pub handshakes: Vec<Duration>,
     /// Probes.
@@ -55,13 +55,13 @@
 /// A member under load.
 #[derive(Debug, Clone)]
 pub(crate) struct Load {
-    can: Bearing,
+    can: SlowStartModel,
     started: Option<Duration>,
     free_at: Duration,
     down_until: Duration,
     window: VecDeque<(Duration, f64)>,
     within: f64,
-    borne: Borne,
+    borne: ObservedLoad,
 }
 
 /// What becomes of a piece of work.
@@ -77,7 +77,7 @@
 
 impl Load {
     /// A member that is warm.
-    pub(crate) fn new(can: Bearing) -> Self {
+    pub(crate) fn new(can: SlowStartModel) -> Self {
         Load {
             can,
             started: None,
@@ -85,7 +85,7 @@
             down_until: Duration::ZERO,
             window: VecDeque::new(),
             within: 0.0,
-            borne: Borne::default(),
+            borne: ObservedLoad::default(),
         }
     }
 
@@ -96,7 +96,7 @@
         (self.within, self.free_at) = (0.0, now);
     }
 
-    pub(crate) fn borne(&self) -> Borne {
+    pub(crate) fn borne(&self) -> ObservedLoad {
         self.borne.clone()
     }
 
@@ -157,5 +157,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/bearing.rs"]
+#[path = "../tests/unit/slow_start_model.rs"]
 mod tests;
--- a/crates/stackgw-standin/tests/unit/bearing.rs
+++ b/crates/stackgw-standin/tests/unit/slow_start_model.rs
@@ -1,10 +1,10 @@
-//! What of `bearing.rs` is seen from inside only.
+//! What of `slow_start_model.rs` is seen from inside only.
 
 use super::*;
 
-fn can() -> Bearing {
+fn can() -> SlowStartModel {
     let ms = Duration::from_millis;
-    Bearing {
+    SlowStartModel {
         per_second: 100.0,
         cold_share: 0.25,
         warm_within: ms(10_000),
--- a/crates/stackgw-streams/src/flow.rs
+++ b/crates/stackgw-streams/src/flow.rs
@@ -10,7 +10,7 @@
 
 /// What streams may take. Sizes in bytes, times in nanoseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rules {
+pub struct StreamLimits {
     /// Streams open together.
     pub streams: usize,
     /// One stream that holds so much is read no further.
@@ -77,7 +77,7 @@
 /// All bulk streams of a gateway.
 #[derive(Debug)]
 pub struct Flow {
-    rules: Rules,
+    rules: StreamLimits,
     streams: BTreeMap<StreamId, Stream>,
     next: u64,
     held: usize,
@@ -90,7 +90,7 @@
 
 impl Flow {
     /// No stream yet.
-    pub fn new(rules: Rules) -> Self {
+    pub fn new(rules: StreamLimits) -> Self {
         Flow {
             rules,
             streams: BTreeMap::new(),
--- a/crates/stackgw-streams/src/lib.rs
+++ b/crates/stackgw-streams/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! What holds at all times, and is asserted by the random histories under `tests/`:
 //!
-//! - A stream holds at most [`Rules::each`] and one message; all of them together hold at most [`Rules::all`] and one message
+//! - A stream holds at most [`StreamLimits::each`] and one message; all of them together hold at most [`StreamLimits::all`] and one message
 //!   for each stream.
 //! - A stream whose reader has taken all that came is always read on, whatever the others hold: no reader waits for another
 //!   one's.
@@ -18,4 +18,4 @@
 mod flow;
 
 pub use channels::{ChannelId, Channels};
-pub use flow::{End, Flow, Full, Rules, StreamId};
+pub use flow::{End, Flow, Full, StreamId, StreamLimits};
--- a/crates/stackgw-streams/tests/digest.rs
+++ b/crates/stackgw-streams/tests/digest.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use stackgw_router::api::{Time, MS};
-use stackgw_streams::{ChannelId, Channels, End, Flow, Rules, StreamId};
+use stackgw_streams::{ChannelId, Channels, End, Flow, StreamId, StreamLimits};
 use std::collections::BTreeMap;
 
 const HISTORIES: u64 = 600;
@@ -51,8 +51,8 @@
     }
 }
 
-fn random_rules(random: &mut SmallRng) -> Rules {
-    Rules {
+fn random_rules(random: &mut SmallRng) -> StreamLimits {
+    StreamLimits {
         streams: random.random_range(1..12),
         each: random.random_range(0..200),
         all: random.random_range(0..600),
--- a/crates/stackgw-streams/tests/histories.rs
+++ b/crates/stackgw-streams/tests/histories.rs
@@ -3,10 +3,11 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use stackgw_router::api::{Time, MS};
-use stackgw_streams::{Channels, End, Flow, Full, Rules, StreamId};
+use stackgw_streams::{Channels, End, Flow, Full, StreamId, StreamLimits};
 use std::collections::BTreeMap;
 
-const RULES: Rules = Rules { streams: 8, each: 100, all: 300, stall: 50 * MS, silence: 20 * MS };
+const RULES: StreamLimits =
+    StreamLimits { streams: 8, each: 100, all: 300, stall: 50 * MS, silence: 20 * MS };
 const MESSAGE: usize = 60;
 
 #[derive(Default)]
@@ -96,7 +97,7 @@
 
 #[test]
 fn room_goes_to_whoever_waited_longest() {
-    let mut flow = Flow::new(Rules { all: 100, each: 80, ..RULES });
+    let mut flow = Flow::new(StreamLimits { all: 100, each: 80, ..RULES });
     let [a, b, c] = [0; 3].map(|_| flow.open().expect("room"));
     for id in [a, b, c] {
         assert!(flow.asks(0, id));
