--- a/crates/stackgw-cli/src/cmd/run.rs
+++ b/crates/stackgw-cli/src/cmd/run.rs
@@ -30,13 +30,13 @@
             None => config,
         };
         let front = front(&config)?;
-        stackgw_gateway::run_with(config, front)
+        stackgw_gateway::run_with_frontend(config, front)
     }
 }
 
 /// The front beside the first protocol's, and the back, that the operator's file turns on.
 #[cfg(feature = "flight")]
-fn front(config: &Config) -> Result<Option<stackgw_gateway::Front>, String> {
+fn front(config: &Config) -> Result<Option<stackgw_gateway::FrontendFactory>, String> {
     let Some((file, ring)) = config.operator.flight.clone() else { return Ok(None) };
     let ms =
         |duration: stackgw_config::Duration| i64::try_from(duration.as_millis()).unwrap_or(i64::MAX) * MS;
@@ -63,7 +63,7 @@
             silence: ms(bulk.silence),
         },
         members: stackgw_flight::BackendConfig {
-            connect_ms: u64::try_from(config.limits.connect / MS).unwrap_or(1).max(1),
+            connect_ms: u64::try_from(config.limits.connect_timeout / MS).unwrap_or(1).max(1),
             per_channel: bulk.per_channel,
             message_bytes: bulk.message_kib << 10,
             value_bytes: config.limits.answer_bytes,
@@ -81,7 +81,7 @@
 
 /// A build without Flight SQL says so where it is asked for.
 #[cfg(not(feature = "flight"))]
-fn front(config: &Config) -> Result<Option<stackgw_gateway::Front>, String> {
+fn front(config: &Config) -> Result<Option<stackgw_gateway::FrontendFactory>, String> {
     match config.operator.flight {
         Some(_) => Err("flight: this build has no Arrow Flight SQL".to_owned()),
         None => Ok(None),
--- a/crates/stackgw-flight/src/back.rs
+++ b/crates/stackgw-flight/src/back.rs
@@ -19,9 +19,9 @@
 use futures::StreamExt;
 use prost::Message;
 use slog::{info, Logger};
-use stackgw_gateway::pg::{write, Frame, Frames, Reply};
+use stackgw_gateway::pg::{write, Frame, FrameDecoder, Reply};
 use stackgw_gateway::reducer::{Asked, Closed, ConnId, Said};
-use stackgw_gateway::{Behind, FromBack, ToBack};
+use stackgw_gateway::{BackendChannels, BackendCommand, BackendEvent};
 use stackgw_router::api::Outcome;
 use stackgw_streams::{ChannelId, Channels};
 use std::collections::HashMap;
@@ -59,7 +59,7 @@
 
 pub(crate) struct Back {
     set: BackendConfig,
-    behind: Behind,
+    behind: BackendChannels,
     streams: Arc<Streams>,
     channels: Mutex<Channels<SocketAddr>>,
     links: Mutex<HashMap<ChannelId, Arc<OnceCell<Channel>>>>,
@@ -86,7 +86,12 @@
 }
 
 impl Back {
-    pub(crate) fn new(set: BackendConfig, behind: Behind, streams: Arc<Streams>, log: Logger) -> Arc<Self> {
+    pub(crate) fn new(
+        set: BackendConfig,
+        behind: BackendChannels,
+        streams: Arc<Streams>,
+        log: Logger,
+    ) -> Arc<Self> {
         let channels = Mutex::new(Channels::new(set.per_channel));
         Arc::new(Back {
             set,
@@ -103,26 +108,26 @@
     /// Does what the gateway asks, until it ends.
     pub(crate) async fn run(self: Arc<Self>) {
         let mut handles: HashMap<ConnId, Handle> = HashMap::new();
-        while let Ok(word) = self.behind.asked.recv().await {
+        while let Ok(word) = self.behind.commands.recv().await {
             match word {
-                ToBack::Open(id, at) => {
+                BackendCommand::Open(id, at) => {
                     let (asks, asked) = mpsc::unbounded_channel();
                     let (open, gone) = oneshot::channel();
                     handles.insert(id, Handle { asks, _open: open });
                     tokio::spawn(self.clone().carry(id, at, asked, gone));
                 }
-                ToBack::Ask(id, ask) => {
+                BackendCommand::Execute(id, ask) => {
                     if let Some(handle) = handles.get(&id) {
                         let _ = handle.asks.send(ask);
                     }
                 }
-                ToBack::Close(id) => drop(handles.remove(&id)),
+                BackendCommand::Close(id) => drop(handles.remove(&id)),
             }
         }
     }
 
-    async fn tell(&self, word: FromBack) {
-        let _ = self.behind.tells.send(word).await;
+    async fn tell(&self, word: BackendEvent) {
+        let _ = self.behind.events.send(word).await;
     }
 
     /// One connection, from its opening to its end.
@@ -140,7 +145,7 @@
         };
         match up {
             Ok(channel) => {
-                self.tell(FromBack::Up(id)).await;
+                self.tell(BackendEvent::Connected(id)).await;
                 while let Some(ask) = asked.recv().await {
                     match self.ask(id, channel.clone(), ask, &mut gone).await {
                         Some(Ended::Ready) => {}
@@ -148,7 +153,7 @@
                             // What broke under one request is given no others.
                             lock(&self.channels).broke(on);
                             self.broke(at, &said);
-                            self.tell(FromBack::Closed(id, why)).await;
+                            self.tell(BackendEvent::Closed(id, why)).await;
                             break;
                         }
                         None => break,
@@ -158,7 +163,7 @@
             Err(why) => {
                 lock(&self.channels).broke(on);
                 if let Some(why) = why {
-                    self.tell(FromBack::Closed(id, why)).await;
+                    self.tell(BackendEvent::Closed(id, why)).await;
                 }
             }
         }
@@ -319,18 +324,18 @@
         let told = told(&said);
         let Some((writer, reader)) = self.streams.open() else {
             // The member has done nothing wrong, and neither is it asked again: its client is told.
-            self.tell(FromBack::Streams(id, told, Box::new(None::<Reader>))).await;
-            self.tell(FromBack::StreamOver(id, Outcome::Cancelled)).await;
+            self.tell(BackendEvent::StreamStarted(id, told, Box::new(None::<Reader>))).await;
+            self.tell(BackendEvent::StreamEnded(id, Outcome::Cancelled)).await;
             return Ended::Closed(Closed::Lost, String::new());
         };
         writer.put(first);
-        self.tell(FromBack::Streams(id, told, Box::new(Some(reader)))).await;
+        self.tell(BackendEvent::StreamStarted(id, told, Box::new(Some(reader)))).await;
         let outcome = self.pump(id, writer, &mut stream).await;
         drop(stream);
         if outcome != Outcome::Served {
             call_off(client.clone(), lock(info).take());
         }
-        self.tell(FromBack::StreamOver(id, outcome)).await;
+        self.tell(BackendEvent::StreamEnded(id, outcome)).await;
         match outcome {
             Outcome::Served => Ended::Ready,
             // What was ended from here is nothing to complain of.
@@ -348,7 +353,7 @@
                 Ok(true) => {}
                 Ok(false) => {
                     if !std::mem::replace(&mut waited, true) {
-                        self.tell(FromBack::StreamWaits(id)).await;
+                        self.tell(BackendEvent::StreamStalled(id)).await;
                     }
                     if let Err(outcome) = writer.ready().await {
                         return outcome;
@@ -382,7 +387,7 @@
     async fn answer(&self, id: ConnId, mut answer: Vec<u8>) -> Ended {
         write::ready(&mut answer);
         for frame in frames(&answer) {
-            self.tell(FromBack::Frame(id, frame)).await;
+            self.tell(BackendEvent::Frame(id, frame)).await;
         }
         Ended::Ready
     }
@@ -464,7 +469,7 @@
 }
 
 fn frames(bytes: &[u8]) -> Vec<Frame> {
-    let mut frames = Frames::typed(bytes.len());
+    let mut frames = FrameDecoder::server(bytes.len());
     frames.feed(bytes);
     std::iter::from_fn(|| frames.next_frame()?.ok()).collect()
 }
--- a/crates/stackgw-flight/src/lib.rs
+++ b/crates/stackgw-flight/src/lib.rs
@@ -1,7 +1,7 @@
 //! Arrow Flight SQL as a front of the gateway, and the back to members that speak it.
 //!
 //! Nothing is decided here: that is the router's, the reducer's and, for bulk streams, `stackgw_streams`'. A statement and its headers become one statement of our first protocol ([`Asked`]), which goes
-//! through the same reducer and router by a [`stackgw_gateway::Door`]; the one final answer becomes a stream or a status
+//! through the same reducer and router by a [`stackgw_gateway::RequestHandle`]; the one final answer becomes a stream or a status
 //! ([`status`]). Tickets and prepared statements are sealed and hold all that is needed ([`Sealed`]), so that any instance
 //! serves them, also after a restart. `docs/design/flight.md` says why it is built so.
 
--- a/crates/stackgw-flight/src/pass.rs
+++ b/crates/stackgw-flight/src/pass.rs
@@ -4,7 +4,7 @@
 use crate::running::Place;
 use arrow_flight::FlightData;
 use futures::Stream;
-use stackgw_gateway::Waits;
+use stackgw_gateway::RequestGuard;
 use stackgw_router::api::{Outcome, Time};
 use stackgw_streams::{End, Flow, StreamId, StreamLimits};
 use std::collections::{HashMap, VecDeque};
@@ -218,7 +218,7 @@
 
 /// What a reader keeps for as long as it reads: its places among the requests, and the word that it has gone.
 pub(crate) struct Keeps {
-    pub(crate) _waits: Waits,
+    pub(crate) _waits: RequestGuard,
     pub(crate) _permit: OwnedSemaphorePermit,
     pub(crate) _place: Place,
 }
--- a/crates/stackgw-flight/src/server.rs
+++ b/crates/stackgw-flight/src/server.rs
@@ -27,9 +27,9 @@
 use prost::Message;
 use slog::{info, Logger};
 use stackgw_cluster::Ring;
-use stackgw_gateway::pg::value;
+use stackgw_gateway::pg::column_value;
 use stackgw_gateway::reducer::Final;
-use stackgw_gateway::{Answered, Behind, Door};
+use stackgw_gateway::{BackendChannels, FrontendResponse, RequestHandle};
 use stackgw_streams::StreamLimits;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -94,7 +94,12 @@
 }
 
 /// Starts the front. A port in use is one plain line.
-pub fn start(set: ServerConfig, door: Door, behind: Behind, log: Logger) -> Result<Running, String> {
+pub fn start(
+    set: ServerConfig,
+    door: RequestHandle,
+    behind: BackendChannels,
+    log: Logger,
+) -> Result<Running, String> {
     let listen = set.listen;
     let wrong = |e: std::io::Error| format!("flight.listen: {listen}: {e}");
     let listener = TcpListener::bind(listen).map_err(wrong)?;
@@ -147,7 +152,7 @@
 
 pub(crate) struct Front {
     pub(crate) set: ServerConfig,
-    door: Door,
+    door: RequestHandle,
     gate: Arc<Semaphore>,
     sql: Result<SqlInfoData, FlightError>,
     runs: Arc<Runs>,
@@ -240,7 +245,7 @@
 /// The value of a served request; else its status.
 fn served(ended: Final) -> Result<Option<Vec<u8>>, Status> {
     match ended {
-        Final::Served(row) => match value(&row) {
+        Final::Served(row) => match column_value(&row) {
             Some(value) => Ok(value.map(<[u8]>::to_vec)),
             None => Err(Status::aborted("the member's row has no value")),
         },
@@ -377,7 +382,7 @@
     async fn run(&self, asked: &Asked, wait_ms: Option<u64>) -> Result<Option<Vec<u8>>, Status> {
         bound(asked)?;
         let _permit = self.permit()?;
-        served(self.door.ask(self.statement(asked, wait_ms)).await)
+        served(self.door.execute(self.statement(asked, wait_ms)).await)
     }
 
     fn permit(&self) -> Result<OwnedSemaphorePermit, Status> {
@@ -400,12 +405,12 @@
         bound(asked)?;
         let permit = self.permit()?;
         let (answer, waits) = tokio::select! {
-            answered = self.door.ask_streaming(self.statement(asked, wait_ms)) => answered,
+            answered = self.door.execute_streaming(self.statement(asked, wait_ms)) => answered,
             () = place.stopped() => return Err(Status::cancelled("cancelled on the client's request")),
         };
         let value = match answer {
-            Answered::Final(ended) => served(ended)?,
-            Answered::Stream(passed) => {
+            FrontendResponse::Final(ended) => served(ended)?,
+            FrontendResponse::Stream(passed) => {
                 let reader = passed.downcast::<Option<Reader>>().ok().and_then(|reader| *reader);
                 let full = || status(&Final::Refused("too many streams are open", None));
                 let mut reader = reader.ok_or_else(full)?;
--- a/crates/stackgw-gateway/src/config.rs
+++ b/crates/stackgw-gateway/src/config.rs
@@ -27,7 +27,7 @@
     /// Reaches them all.
     pub peers_all: Option<SocketAddr>,
     /// The list as this gateway last had it.
-    pub known: Option<ListUpdate>,
+    pub initial_endpoints: Option<ListUpdate>,
     /// The settings, for the router and for its host.
     pub settings: HostSettings,
     /// Every size, count and time.
@@ -37,11 +37,11 @@
     /// The operator's file; without one everything in it is off.
     pub operator: Operator,
     /// What the operator's file says of sessions across instances, with the keys that it names.
-    pub together: Option<Together>,
+    pub session_sharing: Option<SessionSharingConfig>,
     /// The other instances, as either part of the operator's file names them.
-    pub others: Option<Others>,
+    pub cluster: Option<ClusterConfig>,
     /// How this instance comes to know the list, where not as the platform has it.
-    pub start: Option<stackgw_config::Start>,
+    pub bootstrap: Option<stackgw_config::Start>,
 }
 
 /// The operator's file as far as a gateway has it.
@@ -59,25 +59,28 @@
 
 /// Sessions across instances: the file's part, and the keys that it names.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Together {
+pub struct SessionSharingConfig {
     /// The file's part.
-    pub file: stackgw_config::Sessions,
+    pub options: stackgw_config::Sessions,
     /// The keys.
-    pub ring: Ring,
+    pub key_ring: Ring,
 }
 
 /// The other instances, and the keys that they share.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Others {
+pub struct ClusterConfig {
     /// The file's part.
-    pub file: stackgw_config::Cluster,
+    pub options: stackgw_config::Cluster,
     /// The keys.
-    pub ring: Ring,
+    pub key_ring: Ring,
 }
 
-impl From<&Together> for Others {
-    fn from(together: &Together) -> Self {
-        Others { file: together.file.others(), ring: together.ring.clone() }
+impl From<&SessionSharingConfig> for ClusterConfig {
+    fn from(session_sharing: &SessionSharingConfig) -> Self {
+        ClusterConfig {
+            options: session_sharing.options.others(),
+            key_ring: session_sharing.key_ring.clone(),
+        }
     }
 }
 
@@ -100,10 +103,10 @@
     Ring::new(keys).ok_or_else(|| format!("{field}: names no file"))
 }
 
-impl Together {
+impl SessionSharingConfig {
     fn read(file: stackgw_config::Sessions) -> Result<Self, String> {
         let ring = ring("sessions.keys", &file.cluster, &file.keys)?;
-        Ok(Together { file, ring })
+        Ok(SessionSharingConfig { options: file, key_ring: ring })
     }
 }
 
@@ -162,13 +165,13 @@
     pub fn with_operator(self, file: &Path) -> Result<Self, String> {
         let read = stackgw_config::read(file).map_err(|problem| problem.to_string())?;
         let named = |why| format!("{}: {why}", file.display());
-        let together = read.sessions.map(Together::read).transpose().map_err(named)?;
-        let others = match (read.cluster, &together) {
+        let session_sharing = read.sessions.map(SessionSharingConfig::read).transpose().map_err(named)?;
+        let others = match (read.cluster, &session_sharing) {
             (Some(file), _) => {
                 let ring = ring("cluster.keys", &file.name, &file.keys).map_err(named)?;
-                Some(Others { file, ring })
+                Some(ClusterConfig { options: file, key_ring: ring })
             }
-            (None, together) => together.as_ref().map(Others::from),
+            (None, session_sharing) => session_sharing.as_ref().map(ClusterConfig::from),
         };
         let flight = match read.flight {
             Some(flight) => Some((ring("flight.keys", "flight", &flight.keys).map_err(named)?, flight)),
@@ -180,7 +183,7 @@
             control: read.control,
             flight: flight.map(|(ring, flight)| (flight, ring)),
         };
-        Ok(Config { operator, together, others, start: read.start, ..self })
+        Ok(Config { operator, session_sharing, cluster: others, bootstrap: read.start, ..self })
     }
 
     /// Reads the document's text; variables override its fields.
@@ -243,14 +246,14 @@
             peer_listen: optional("peer_listen")?,
             peers,
             peers_all: optional("peers_all")?,
-            known,
+            initial_endpoints: known,
             limits: Limits::new(platform, &settings),
             settings,
             file: None,
             operator: Operator::default(),
-            together: None,
-            others: None,
-            start: None,
+            session_sharing: None,
+            cluster: None,
+            bootstrap: None,
         })
     }
 }
--- a/crates/stackgw-gateway/src/discovery.rs
+++ b/crates/stackgw-gateway/src/discovery.rs
@@ -29,27 +29,27 @@
 
 /// Why an answer of the list's agent is over.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Lost {
+pub struct WatchError {
     /// In words.
-    pub why: String,
+    pub reason: String,
     /// The service says that it is overloaded, and for how long it wants to be left alone, as far as it says.
-    pub put_off: Option<Span>,
+    pub retry_after: Option<Span>,
 }
 
-impl From<String> for Lost {
-    fn from(why: String) -> Self {
-        Lost { why, put_off: None }
+impl From<String> for WatchError {
+    fn from(reason: String) -> Self {
+        WatchError { reason, retry_after: None }
     }
 }
 
-impl From<&str> for Lost {
+impl From<&str> for WatchError {
     fn from(why: &str) -> Self {
         why.to_owned().into()
     }
 }
 
 /// Reads a list from its bytes.
-pub fn list_from_bytes(bytes: &[u8]) -> Result<ListUpdate, Malformed> {
+pub fn parse_endpoint_list(bytes: &[u8]) -> Result<ListUpdate, Malformed> {
     match serde_json::from_slice(bytes) {
         Ok(value) => list(&value),
         Err(e) => wrong(format!("no JSON: {e}")),
@@ -102,7 +102,7 @@
 }
 
 /// The request for the whole list, or for a watch of what changes after a version.
-pub fn request(host: SocketAddr, watch_after: Option<Option<u64>>) -> Vec<u8> {
+pub fn endpoint_request(host: SocketAddr, watch_after: Option<Option<u64>>) -> Vec<u8> {
     let query = match watch_after {
         None => String::new(),
         Some(None) => "?watch=1".to_owned(),
@@ -131,7 +131,7 @@
 
 /// Reads one HTTP answer whose body holds one JSON document a line.
 #[derive(Debug)]
-pub struct HttpLines {
+pub struct HttpLineReader {
     stage: Stage,
     /// Bytes as they came, not yet read.
     raw: Vec<u8>,
@@ -139,38 +139,38 @@
     line: Vec<u8>,
     head_most: usize,
     line_most: usize,
-    put_off: Option<Span>,
+    retry_after: Option<Span>,
 }
 
 /// What an answer's bytes amount to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Piece {
+pub enum HttpEvent {
     /// A line of the body, which may be empty.
     Line(Vec<u8>),
     /// The answer is over.
     End,
 }
 
-impl HttpLines {
+impl HttpLineReader {
     /// Heads and lines of the body keep within these.
     pub fn new(head_most: usize, line_most: usize) -> Self {
-        HttpLines {
+        HttpLineReader {
             stage: Stage::Head,
             raw: Vec::new(),
             line: Vec::new(),
             head_most,
             line_most,
-            put_off: None,
+            retry_after: None,
         }
     }
 
     /// The answer says that whoever gave it is overloaded, and for how long it wants to be left alone (0: it does not say).
-    pub fn put_off(&self) -> Option<Span> {
-        self.put_off
+    pub fn retry_after(&self) -> Option<Span> {
+        self.retry_after
     }
 
     /// Takes bytes as they come; returns what they complete.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Piece>, Malformed> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<HttpEvent>, Malformed> {
         self.raw.extend_from_slice(bytes);
         let raw = std::mem::take(&mut self.raw);
         let mut rest = &raw[..];
@@ -186,7 +186,7 @@
     }
 
     /// The connection ended: an answer without a length is whole.
-    pub fn end(&mut self) -> Result<Vec<Piece>, Malformed> {
+    pub fn end(&mut self) -> Result<Vec<HttpEvent>, Malformed> {
         match self.stage {
             Stage::Done => Ok(Vec::new()),
             Stage::Rest => {
@@ -198,14 +198,18 @@
         }
     }
 
-    fn step<'a>(&mut self, rest: &'a [u8], pieces: &mut Vec<Piece>) -> Result<Option<&'a [u8]>, Malformed> {
+    fn step<'a>(
+        &mut self,
+        rest: &'a [u8],
+        pieces: &mut Vec<HttpEvent>,
+    ) -> Result<Option<&'a [u8]>, Malformed> {
         match self.stage {
             Stage::Head => {
                 let Some(end) = rest.windows(4).position(|w| w == b"\r\n\r\n") else { return Ok(None) };
                 if end > self.head_most {
                     return wrong("the head is too long");
                 }
-                self.put_off = overloaded(&rest[..end]);
+                self.retry_after = overloaded(&rest[..end]);
                 self.stage = head(&rest[..end])?;
                 if self.stage == Stage::Body(0, false) {
                     self.finish(pieces);
@@ -266,7 +270,7 @@
         }
     }
 
-    fn body(&mut self, mut bytes: &[u8], pieces: &mut Vec<Piece>) -> Result<(), Malformed> {
+    fn body(&mut self, mut bytes: &[u8], pieces: &mut Vec<HttpEvent>) -> Result<(), Malformed> {
         while let Some(end) = bytes.iter().position(|b| *b == b'\n') {
             self.line.extend_from_slice(&bytes[..end]);
             if self.line.len() > self.line_most {
@@ -275,7 +279,7 @@
             if self.line.last() == Some(&b'\r') {
                 self.line.pop();
             }
-            pieces.push(Piece::Line(std::mem::take(&mut self.line)));
+            pieces.push(HttpEvent::Line(std::mem::take(&mut self.line)));
             bytes = &bytes[end + 1..];
         }
         self.line.extend_from_slice(bytes);
@@ -285,18 +289,18 @@
         Ok(())
     }
 
-    fn finish(&mut self, pieces: &mut Vec<Piece>) {
+    fn finish(&mut self, pieces: &mut Vec<HttpEvent>) {
         self.stage = Stage::Done;
         if !self.line.is_empty() {
-            pieces.push(Piece::Line(std::mem::take(&mut self.line)));
+            pieces.push(HttpEvent::Line(std::mem::take(&mut self.line)));
         }
-        pieces.push(Piece::End);
+        pieces.push(HttpEvent::End);
     }
 }
 
 /// Puts the lines of a watch together to lists. Most come one a line; one may come indented, over many.
 #[derive(Debug)]
-pub struct Objects {
+pub struct WatchParser {
     /// The list so far.
     begun: Vec<u8>,
     /// Brackets that are open, and whether the bytes so far end inside a text, or there behind a backslash.
@@ -308,29 +312,29 @@
 
 /// What a line of a watch amounts to.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Word {
+pub enum WatchEvent {
     /// Nothing is new.
-    Alive,
+    Heartbeat,
     /// A list.
     List(ListUpdate),
     /// More is to come before it means anything.
-    More,
+    Incomplete,
 }
 
-impl Objects {
+impl WatchParser {
     /// No list is longer than this.
     pub fn new(most: usize) -> Self {
-        Objects { begun: Vec::new(), depth: 0, text: false, escaped: false, most }
+        WatchParser { begun: Vec::new(), depth: 0, text: false, escaped: false, most }
     }
 
     /// Takes the next line. Danger: a list that was cut off must not swallow those behind it, so that a line that is one, or
     /// says that nothing is new, ends the watch inside one.
-    pub fn line(&mut self, line: Vec<u8>) -> Result<Word, Malformed> {
+    pub fn push_line(&mut self, line: Vec<u8>) -> Result<WatchEvent, Malformed> {
         let begins = line.trim_ascii_start().first() == Some(&b'{');
         match (self.begun.is_empty(), line.trim_ascii().is_empty()) {
-            (true, true) => return Ok(Word::Alive),
+            (true, true) => return Ok(WatchEvent::Heartbeat),
             (true, false) if !begins => return wrong("a line of the watch is no list"),
-            (false, blank) if blank || begins && list_from_bytes(&line).is_ok() => {
+            (false, blank) if blank || begins && parse_endpoint_list(&line).is_ok() => {
                 return wrong("a list is cut off")
             }
             _ => {}
@@ -354,9 +358,9 @@
             self.begun.extend(line);
         }
         if self.depth > 0 {
-            return Ok(Word::More);
+            return Ok(WatchEvent::Incomplete);
         }
-        list_from_bytes(&std::mem::take(&mut self.begun)).map(Word::List)
+        parse_endpoint_list(&std::mem::take(&mut self.begun)).map(WatchEvent::List)
     }
 }
 
--- a/crates/stackgw-gateway/src/io/backs.rs
+++ b/crates/stackgw-gateway/src/io/backs.rs
@@ -11,78 +11,78 @@
 use std::rc::Rc;
 
 /// A stream on its way from the side that has it to the side that wants it: both know what it is, the gateway does not.
-pub type Passed = Box<dyn Any + Send>;
+pub type RelayedStream = Box<dyn Any + Send>;
 
 /// What the gateway asks of a back.
 #[derive(Debug)]
-pub enum ToBack {
+pub enum BackendCommand {
     /// A connection to a member.
     Open(ConnId, SocketAddr),
     /// A request on it, one at a time.
-    Ask(ConnId, Asked),
+    Execute(ConnId, Asked),
     /// The end of a connection and of what is asked on it; a write that has been asked runs to its end all the same.
     Close(ConnId),
 }
 
 /// What a back tells the gateway.
-pub enum FromBack {
+pub enum BackendEvent {
     /// A connection is up.
-    Up(ConnId),
+    Connected(ConnId),
     /// A message of an answer, in our first protocol.
     Frame(ConnId, Frame),
     /// The answer comes as a stream, and this is it.
-    Streams(ConnId, Said, Passed),
+    StreamStarted(ConnId, Said, RelayedStream),
     /// That stream waits for its reader.
-    StreamWaits(ConnId),
+    StreamStalled(ConnId),
     /// That stream is over.
-    StreamOver(ConnId, Outcome),
+    StreamEnded(ConnId, Outcome),
     /// A connection is over, or never came up.
     Closed(ConnId, Closed),
 }
 
 /// A back's end of the two lines.
-pub struct Behind {
+pub struct BackendChannels {
     /// What it is asked.
-    pub asked: Receiver<ToBack>,
+    pub commands: Receiver<BackendCommand>,
     /// Where it tells.
-    pub tells: Sender<FromBack>,
+    pub events: Sender<BackendEvent>,
 }
 
 /// Word of members that waits to be taken; past it the back does.
 const WAITING: usize = 256;
 
 /// Both lines: the back's ends, then the gateway's.
-pub(super) fn lines() -> (Behind, Sender<ToBack>, Receiver<FromBack>) {
+pub(super) fn lines() -> (BackendChannels, Sender<BackendCommand>, Receiver<BackendEvent>) {
     // As many questions as there are connections to members, and these are bounded.
     let (asks, asked) = async_channel::unbounded();
     let (tells, told) = async_channel::bounded(WAITING);
-    (Behind { asked, tells }, asks, told)
+    (BackendChannels { commands: asked, events: tells }, asks, told)
 }
 
 /// Hands over what members say.
-pub(super) async fn run(shell: Rc<Shell>, told: Receiver<FromBack>) {
+pub(super) async fn run(shell: Rc<Shell>, told: Receiver<BackendEvent>) {
     while let Ok(word) = told.recv().await {
-        let (FromBack::Up(id)
-        | FromBack::Frame(id, _)
-        | FromBack::Streams(id, ..)
-        | FromBack::StreamWaits(id)
-        | FromBack::StreamOver(id, _)
-        | FromBack::Closed(id, _)) = &word;
+        let (BackendEvent::Connected(id)
+        | BackendEvent::Frame(id, _)
+        | BackendEvent::StreamStarted(id, ..)
+        | BackendEvent::StreamStalled(id)
+        | BackendEvent::StreamEnded(id, _)
+        | BackendEvent::Closed(id, _)) = &word;
         // What it says of a connection that has been closed here is no news.
         if !shell.backs.borrow().contains(id) {
             continue;
         }
         match word {
-            FromBack::Up(id) => shell.input(Input::MemberUp(id)),
-            FromBack::Frame(id, frame) => shell.input(Input::MemberFrame(id, frame)),
-            FromBack::Streams(id, said, stream) => {
+            BackendEvent::Connected(id) => shell.input(Input::MemberUp(id)),
+            BackendEvent::Frame(id, frame) => shell.input(Input::MemberFrame(id, frame)),
+            BackendEvent::StreamStarted(id, said, stream) => {
                 shell.streams.borrow_mut().insert(id, stream);
                 shell.input(Input::MemberStreams(id, said));
                 shell.streams.borrow_mut().remove(&id);
             }
-            FromBack::StreamWaits(id) => shell.input(Input::MemberStreamWaits(id)),
-            FromBack::StreamOver(id, outcome) => shell.input(Input::MemberStreamOver(id, outcome)),
-            FromBack::Closed(id, why) => {
+            BackendEvent::StreamStalled(id) => shell.input(Input::MemberStreamWaits(id)),
+            BackendEvent::StreamEnded(id, outcome) => shell.input(Input::MemberStreamOver(id, outcome)),
+            BackendEvent::Closed(id, why) => {
                 shell.backs.borrow_mut().remove(&id);
                 shell.input(Input::MemberClosed(id, why));
             }
@@ -92,20 +92,20 @@
 
 impl Shell {
     /// Tells the back; whether there is one.
-    pub(super) fn ask_back(&self, word: ToBack) -> bool {
+    pub(super) fn ask_back(&self, word: BackendCommand) -> bool {
         self.to_back.as_ref().is_some_and(|back| back.try_send(word).is_ok())
     }
 
     /// Closes a connection that the back has.
     pub(super) fn close_back(&self, conn: ConnId) {
         if self.backs.borrow_mut().remove(&conn) {
-            self.ask_back(ToBack::Close(conn));
+            self.ask_back(BackendCommand::Close(conn));
         }
     }
 
     /// Opens a connection by the back; where there is none it never comes up.
     pub(super) fn open_back(&self, conn: ConnId, address: SocketAddr) {
-        if self.ask_back(ToBack::Open(conn, address)) {
+        if self.ask_back(BackendCommand::Open(conn, address)) {
             self.backs.borrow_mut().insert(conn);
         } else {
             self.later(Input::MemberClosed(conn, Closed::Lost));
--- a/crates/stackgw-gateway/src/io/calls.rs
+++ b/crates/stackgw-gateway/src/io/calls.rs
@@ -1,6 +1,6 @@
 //! Other fronts' requests: from threads of their own, through a door, to the reducer and back.
 
-use super::{Passed, Shell};
+use super::{RelayedStream, Shell};
 use crate::pg::{write, Frame};
 use crate::reducer::{CallId, Final, Input};
 use async_channel::{Receiver, Sender};
@@ -10,32 +10,32 @@
 
 /// What comes through the door.
 pub(super) enum Knock {
-    Ask(CallId, String, bool, Sender<Answered>),
+    Ask(CallId, String, bool, Sender<FrontendResponse>),
     Gone(CallId),
 }
 
 /// How another front's request is answered.
-pub enum Answered {
+pub enum FrontendResponse {
     /// By its one final answer.
     Final(Final),
     /// By a stream, which is its own from here on.
-    Stream(Passed),
+    Stream(RelayedStream),
 }
 
 /// The way to the reducer for another front. Clones lead to the same one.
 #[derive(Clone)]
-pub struct Door {
+pub struct RequestHandle {
     knocks: Sender<Knock>,
     next: Arc<AtomicU64>,
 }
 
 /// Dropped, it tells the reducer that nobody waits any more, unless the answer has come and was no stream.
-pub struct Waits {
-    door: Door,
+pub struct RequestGuard {
+    door: RequestHandle,
     call: Option<CallId>,
 }
 
-impl Drop for Waits {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         if let Some(call) = self.call.take() {
             let _ = self.door.knocks.try_send(Knock::Gone(call));
@@ -43,37 +43,37 @@
     }
 }
 
-impl Door {
-    pub(super) fn new() -> (Door, Receiver<Knock>) {
+impl RequestHandle {
+    pub(super) fn new() -> (RequestHandle, Receiver<Knock>) {
         let (knocks, line) = async_channel::unbounded();
-        (Door { knocks, next: Arc::default() }, line)
+        (RequestHandle { knocks, next: Arc::default() }, line)
     }
 
     /// Asks with a statement in the form of our first protocol; gives its one final answer. Dropped before that, the client
     /// is gone. How many may ask at once is the caller's to bound.
-    pub async fn ask(&self, statement: String) -> Final {
+    pub async fn execute(&self, statement: String) -> Final {
         match self.knock(statement, false).await {
-            (Answered::Final(ended), _) => ended,
-            (Answered::Stream(_), _) => Final::Failed("a stream came where one value was asked for"),
+            (FrontendResponse::Final(ended), _) => ended,
+            (FrontendResponse::Stream(_), _) => Final::Failed("a stream came where one value was asked for"),
         }
     }
 
     /// The same where the answer may be a stream. What comes beside it is kept for as long as the stream is read.
-    pub async fn ask_streaming(&self, statement: String) -> (Answered, Waits) {
+    pub async fn execute_streaming(&self, statement: String) -> (FrontendResponse, RequestGuard) {
         self.knock(statement, true).await
     }
 
-    async fn knock(&self, statement: String, streams: bool) -> (Answered, Waits) {
-        const OVER: Answered = Answered::Final(Final::NotYet("the gateway ends"));
+    async fn knock(&self, statement: String, streams: bool) -> (FrontendResponse, RequestGuard) {
+        const OVER: FrontendResponse = FrontendResponse::Final(Final::NotYet("the gateway ends"));
         let call = CallId(self.next.fetch_add(1, Ordering::Relaxed));
         let (told, word) = async_channel::bounded(1);
-        let mut waits = Waits { door: self.clone(), call: None };
+        let mut waits = RequestGuard { door: self.clone(), call: None };
         if self.knocks.send(Knock::Ask(call, statement, streams, told)).await.is_err() {
             return (OVER, waits);
         }
         waits.call = Some(call);
         let ended = word.recv().await.unwrap_or(OVER);
-        if matches!(ended, Answered::Final(_)) {
+        if matches!(ended, FrontendResponse::Final(_)) {
             waits.call = None;
         }
         (ended, waits)
--- a/crates/stackgw-gateway/src/io/clients.rs
+++ b/crates/stackgw-gateway/src/io/clients.rs
@@ -2,7 +2,7 @@
 
 use super::link::{Link, Turn, Turns};
 use super::{Client, Shell};
-use crate::pg::Frames;
+use crate::pg::FrameDecoder;
 use crate::reducer::{ClientId, Closed, Input};
 use async_io::{Async, Timer};
 use futures_lite::{future, StreamExt};
@@ -16,7 +16,7 @@
     // Danger: hundreds may connect at once; past the line's end the kernel lets the usual ones wait for seconds.
     let _ = rustix::net::listen(listener.get_ref(), shell.limits.backlog);
     let (mut next, mut turn) = (0, 0);
-    let pause = Duration::from_nanos(shell.limits.error_pause as u64);
+    let pause = Duration::from_nanos(shell.limits.error_backoff as u64);
     loop {
         let stopped = async {
             shell.stops_listening.wait(true).await;
@@ -30,7 +30,7 @@
             Some(Ok((socket, _))) => {
                 open(&shell, &mut next, socket);
                 turn += 1;
-                if turn % shell.limits.accept_turn == 0 {
+                if turn % shell.limits.accept_batch == 0 {
                     future::yield_now().await;
                 }
             }
@@ -51,7 +51,7 @@
 
 fn open(shell: &Rc<Shell>, next: &mut u64, socket: Async<TcpStream>) {
     let limits = &shell.limits;
-    let link = Link::new(socket, limits.ahead_bytes, limits.linger_bytes, &shell.client_budget);
+    let link = Link::new(socket, limits.read_ahead_bytes, limits.linger_bytes, &shell.client_budget);
     let id = ClientId(*next);
     *next += 1;
     let task = shell.executor.spawn(serve(shell.clone(), id, link.clone()));
@@ -64,13 +64,13 @@
 /// Danger: the end of a connection is read behind its last byte. One whose bytes wait for room, for the statements before
 /// them or for the rest of a message would be served, statement by statement, long after it has gone.
 pub(super) async fn see_leave(shell: Rc<Shell>) {
-    let pace = Duration::from_nanos(shell.limits.leave_pace as u64);
+    let pace = Duration::from_nanos(shell.limits.disconnect_poll_interval as u64);
     let now = Timespec { tv_sec: 0, tv_nsec: 0 };
     loop {
         shell.holds.wait(true).await;
         Timer::after(pace).await;
         let holding: Vec<_> = shell.holding.borrow().iter().copied().collect();
-        for some in holding.chunks(shell.limits.leave_turn) {
+        for some in holding.chunks(shell.limits.disconnect_poll_batch) {
             let link = |id: &ClientId| Some((*id, shell.clients.borrow().get(id)?.link.clone()));
             let links: Vec<_> = some.iter().filter_map(link).collect();
             let mut asked: Vec<_> = links.iter().map(|(_, link)| link.closes()).collect();
@@ -91,7 +91,7 @@
 
 async fn serve(shell: Rc<Shell>, id: ClientId, link: Rc<Link>) {
     let limits = &shell.limits;
-    let mut frames = Frames::client(limits.startup_bytes, limits.statement_bytes);
+    let mut frames = FrameDecoder::client(limits.startup_bytes, limits.statement_bytes);
     let mut turns = Turns { link: link.clone(), buffer: shell.buffer.clone() };
     while let Some(turn) = turns.next().await {
         match turn {
@@ -105,7 +105,7 @@
         }
         let mut taken = 0;
         while shell.takes(id) {
-            if taken == limits.client_turn {
+            if taken == limits.messages_per_turn {
                 // Danger: one that sends hundreds of messages at once would keep all others waiting.
                 taken = 0;
                 future::yield_now().await;
@@ -125,7 +125,7 @@
         if link.is_closing() {
             frames.clear();
         }
-        let held = frames.held();
+        let held = frames.pending_bytes();
         link.hold(held);
         if held == 0 {
             shell.holding.borrow_mut().remove(&id);
--- a/crates/stackgw-gateway/src/io/cluster.rs
+++ b/crates/stackgw-gateway/src/io/cluster.rs
@@ -23,15 +23,15 @@
 /// Binds the socket and opens the store, if the operator's file asks for them. A store that another process has, or that can
 /// neither be used nor set aside, ends the start: a later life would take it for whole.
 pub(super) fn start(config: &Config, log: &Logger) -> Result<Option<Start>, String> {
-    let Some(others) = &config.others else { return Ok(None) };
-    let at = others.file.listen;
-    let field = if config.together.is_some() { "sessions.listen" } else { "cluster.listen" };
+    let Some(others) = &config.cluster else { return Ok(None) };
+    let at = others.options.listen;
+    let field = if config.session_sharing.is_some() { "sessions.listen" } else { "cluster.listen" };
     let socket = Async::<UdpSocket>::bind(at).map_err(|e| format!("{field}: {at}: {e}"))?;
     let socket = Rc::new(socket);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let mut life = Life { incarnation: u64::try_from(now).unwrap_or(u64::MAX), recovered: None };
     let (mut writer, mut disk) = (None, None);
-    let file = config.together.as_ref().map(|together| &together.file);
+    let file = config.session_sharing.as_ref().map(|together| &together.options);
     if let Some((file, path)) = file.and_then(|file| Some((file, file.store.as_ref()?))) {
         let node = NodeId::of(&config.name);
         let owner = Owner { cluster: file.cluster.clone(), node, horizon_ms: file.horizon.as_millis() };
--- a/crates/stackgw-gateway/src/io/discovery.rs
+++ b/crates/stackgw-gateway/src/io/discovery.rs
@@ -1,7 +1,10 @@
 //! The list's agent: the watch, and single calls.
 
 use super::Shell;
-use crate::discovery::{list_from_bytes, request, HttpLines, Lost, Malformed, Objects, Piece, Word};
+use crate::discovery::{
+    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, Malformed, WatchError, WatchEvent,
+    WatchParser,
+};
 use crate::reducer::Input;
 use async_io::{Async, Timer};
 use futures_lite::{future, stream, AsyncReadExt, AsyncWriteExt, Stream, StreamExt};
@@ -17,17 +20,17 @@
     shell: Rc<Shell>,
     at: SocketAddr,
     watch_after: Option<Option<u64>>,
-) -> impl Stream<Item = Result<Piece, Lost>> {
+) -> impl Stream<Item = Result<HttpEvent, WatchError>> {
     let limits = &shell.limits;
-    let http = HttpLines::new(limits.head_bytes, limits.list_bytes);
+    let http = HttpLineReader::new(limits.head_bytes, limits.list_bytes);
     let state = (shell, None::<Async<TcpStream>>, http, VecDeque::new());
     stream::try_unfold(state, move |(shell, socket, mut http, mut pieces)| async move {
         let mut socket = match socket {
             Some(socket) => socket,
             None => {
-                let io = |e: std::io::Error| Lost::from(e.to_string());
+                let io = |e: std::io::Error| WatchError::from(e.to_string());
                 let mut socket = Async::<TcpStream>::connect(at).await.map_err(io)?;
-                socket.write_all(&request(at, watch_after)).await.map_err(io)?;
+                socket.write_all(&endpoint_request(at, watch_after)).await.map_err(io)?;
                 if watch_after.is_some() {
                     shell.input(Input::WatchUp);
                 }
@@ -39,11 +42,14 @@
             match socket.read(&mut buffer).await {
                 Ok(0) => {
                     pieces.extend(http.end().map_err(|e: Malformed| e.to_string())?);
-                    pieces.push_back(Piece::End);
+                    pieces.push_back(HttpEvent::End);
                 }
                 Ok(n) => {
                     let fed = http.feed(&buffer[..n]);
-                    pieces.extend(fed.map_err(|e| Lost { why: e.to_string(), put_off: http.put_off() })?);
+                    pieces.extend(fed.map_err(|e| WatchError {
+                        reason: e.to_string(),
+                        retry_after: http.retry_after(),
+                    })?);
                 }
                 // Nothing has been read; the watch goes on.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -57,16 +63,16 @@
 /// Hands over each line of a watch until it ends.
 pub(super) async fn watch(shell: Rc<Shell>, at: SocketAddr, after: Option<u64>) {
     let mut pieces = pin!(answer(shell.clone(), at, Some(after)));
-    let mut objects = Objects::new(shell.limits.list_bytes);
+    let mut objects = WatchParser::new(shell.limits.list_bytes);
     let why = loop {
         match pieces.next().await {
-            Some(Ok(Piece::Line(line))) => match objects.line(line) {
-                Ok(Word::Alive) => shell.input(Input::WatchAlive),
-                Ok(Word::List(list)) => shell.input(Input::List(list)),
-                Ok(Word::More) => {}
+            Some(Ok(HttpEvent::Line(line))) => match objects.push_line(line) {
+                Ok(WatchEvent::Heartbeat) => shell.input(Input::WatchAlive),
+                Ok(WatchEvent::List(list)) => shell.input(Input::List(list)),
+                Ok(WatchEvent::Incomplete) => {}
                 Err(e) => break e.to_string().into(),
             },
-            Some(Ok(Piece::End)) | None => break "ended".into(),
+            Some(Ok(HttpEvent::End)) | None => break "ended".into(),
             Some(Err(e)) => break e,
         }
     };
@@ -80,14 +86,14 @@
         let mut body = Vec::new();
         loop {
             match pieces.next().await? {
-                Ok(Piece::Line(line)) => body.extend(line),
-                Ok(Piece::End) => break list_from_bytes(&body).ok(),
+                Ok(HttpEvent::Line(line)) => body.extend(line),
+                Ok(HttpEvent::End) => break parse_endpoint_list(&body).ok(),
                 Err(_) => break None,
             }
         }
     };
     let late = async {
-        Timer::after(Duration::from_nanos(shell.limits.watch_silence as u64)).await;
+        Timer::after(Duration::from_nanos(shell.limits.watch_idle_timeout as u64)).await;
         None
     };
     match future::or(whole, late).await {
--- a/crates/stackgw-gateway/src/io/members.rs
+++ b/crates/stackgw-gateway/src/io/members.rs
@@ -2,7 +2,7 @@
 
 use super::link::{Link, Turn, Turns};
 use super::{Member, Shell};
-use crate::pg::Frames;
+use crate::pg::FrameDecoder;
 use crate::reducer::{Closed, ConnId, Input};
 use async_io::Async;
 use futures_lite::StreamExt;
@@ -34,7 +34,7 @@
         None => return Closed::Lost,
     }
     shell.input(Input::MemberUp(id));
-    let mut frames = Frames::typed(shell.limits.answer_bytes);
+    let mut frames = FrameDecoder::server(shell.limits.answer_bytes);
     let mut turns = Turns { link: link.clone(), buffer: shell.buffer.clone() };
     while let Some(turn) = turns.next().await {
         match turn {
@@ -47,7 +47,7 @@
         while let Some(frame) = frames.next_frame() {
             // Danger: the answer's last message may bring the next request onto this connection at once. What is left
             // here must be seen by then.
-            link.hold(frames.held());
+            link.hold(frames.pending_bytes());
             match frame {
                 Ok(frame) => {
                     whole = frame.kind == b'Z';
@@ -56,8 +56,8 @@
                 Err(_) => return Closed::Bad,
             }
         }
-        link.hold(frames.held());
-        if !whole || frames.held() > 0 {
+        link.hold(frames.pending_bytes());
+        if !whole || frames.pending_bytes() > 0 {
             shell.input(Input::MemberPartial(id));
         }
     }
--- a/crates/stackgw-gateway/src/io/mod.rs
+++ b/crates/stackgw-gateway/src/io/mod.rs
@@ -18,8 +18,8 @@
 use crate::reducer::{CallId, ClientId, Closed, ConnId, Effect, Input, Reducer};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
-pub use backs::{Behind, FromBack, Passed, ToBack};
-pub use calls::{Answered, Door, Waits};
+pub use backs::{BackendChannels, BackendCommand, BackendEvent, RelayedStream};
+pub use calls::{FrontendResponse, RequestGuard, RequestHandle};
 use futures_lite::future;
 use link::{Budget, Link, Written};
 use slog::{info, Logger};
@@ -123,12 +123,12 @@
     keeper: Option<stackgw_store::ListWriter>,
     askers: control::Askers,
     /// Other fronts' requests that are open, and who waits for each.
-    calls: RefCell<HashMap<CallId, async_channel::Sender<Answered>>>,
+    calls: RefCell<HashMap<CallId, async_channel::Sender<FrontendResponse>>>,
     /// Members that speak another front's protocol: the way to them, the connections to them, and the stream that has just
     /// begun on one.
-    to_back: Option<async_channel::Sender<ToBack>>,
+    to_back: Option<async_channel::Sender<BackendCommand>>,
     backs: RefCell<HashSet<ConnId>>,
-    streams: RefCell<HashMap<ConnId, Passed>>,
+    streams: RefCell<HashMap<ConnId, RelayedStream>>,
     accepts: Gate,
     stops_listening: Gate,
     alarm: timers::Alarm,
@@ -220,7 +220,7 @@
             Effect::BackOpen(conn, address) => self.open_back(conn, address),
             Effect::BackAsk(conn, asked) => {
                 // From here on it may have run; what is known not to have left says so itself.
-                self.ask_back(ToBack::Ask(conn, asked));
+                self.ask_back(BackendCommand::Execute(conn, asked));
                 self.later(Input::MemberWritten(conn));
             }
             Effect::MemberClose(conn) => {
@@ -255,14 +255,14 @@
             Effect::CallEnded(call, ended) => {
                 let told = self.calls.borrow_mut().remove(&call);
                 if let Some(told) = told {
-                    let _ = told.try_send(Answered::Final(ended));
+                    let _ = told.try_send(FrontendResponse::Final(ended));
                 }
             }
             Effect::CallStreams(call, conn) => {
                 let told = self.calls.borrow_mut().remove(&call);
                 let stream = self.streams.borrow_mut().remove(&conn);
                 if let (Some(told), Some(stream)) = (told, stream) {
-                    let _ = told.try_send(Answered::Stream(stream));
+                    let _ = told.try_send(FrontendResponse::Stream(stream));
                 }
             }
             Effect::Keep(kept) => {
@@ -291,14 +291,18 @@
 }
 
 /// Serves until told to end.
-pub(crate) fn serve(config: Config, front: Option<crate::Front>, log: Logger) -> Result<(), String> {
+pub(crate) fn serve(
+    config: Config,
+    front: Option<crate::FrontendFactory>,
+    log: Logger,
+) -> Result<(), String> {
     // First of all: a signal that came before would end the program.
     let signals = signals::listen().map_err(|e| format!("signals: {e}"))?;
     let control = config.operator.control.as_deref().map(control::listen).transpose()?;
     let mut shared = cluster::start(&config, &log)?;
     let (mut running, mut line, mut to_back) = (None, None, None);
     if let Some(front) = front {
-        let (door, knocks) = calls::Door::new();
+        let (door, knocks) = calls::RequestHandle::new();
         let (behind, asks, told) = backs::lines();
         running = Some(front(door, behind, log.clone())?);
         (line, to_back) = (Some((knocks, told)), Some(asks));
@@ -317,8 +321,8 @@
     let executor = Rc::new(LocalExecutor::new());
     let limits = config.limits.clone();
     let clock = Clock::new();
-    let (together, reread) = (config.together.clone(), config.reread());
-    let (others, start, name) = (config.others.clone(), config.start.clone(), config.name.clone());
+    let (together, reread) = (config.session_sharing.clone(), config.reread());
+    let (others, start, name) = (config.cluster.clone(), config.bootstrap.clone(), config.name.clone());
     let mut reducer = Reducer::new(config);
     let mut effects = Vec::new();
     if let (Some(together), Some(shared)) = (&together, &mut shared) {
@@ -331,7 +335,7 @@
     let kept = start.as_ref().and_then(|start| cluster::kept(start, &log));
     let (kept, keeper) = kept.map_or((None, None), |(kept, writer)| (kept, Some(writer)));
     if let Some(start) = &start {
-        reducer.start_by(clock.now(), start, others.as_ref().map(|o| &o.file), kept, &mut effects);
+        reducer.start_by(clock.now(), start, others.as_ref().map(|o| &o.options), kept, &mut effects);
     }
     let (cluster, store, disk) = match shared {
         Some(shared) => (Some(shared.socket), shared.writer, shared.disk),
--- a/crates/stackgw-gateway/src/io/peers.rs
+++ b/crates/stackgw-gateway/src/io/peers.rs
@@ -14,7 +14,7 @@
     most: usize,
     input: fn(SocketAddr, Vec<u8>) -> Input,
 ) {
-    let pause = Duration::from_nanos(shell.limits.error_pause as u64);
+    let pause = Duration::from_nanos(shell.limits.error_backoff as u64);
     // One byte more than allowed shows that one is too long.
     let mut buffer = vec![0; most + 1];
     loop {
--- a/crates/stackgw-gateway/src/lib.rs
+++ b/crates/stackgw-gateway/src/lib.rs
@@ -14,19 +14,23 @@
 
 use slog::{o, Drain, Logger};
 
-pub use io::{Answered, Behind, Door, FromBack, Passed, ToBack, Waits};
+pub use io::{
+    BackendChannels, BackendCommand, BackendEvent, FrontendResponse, RelayedStream, RequestGuard,
+    RequestHandle,
+};
 
 /// Another front, and the back to members that speak its protocol: it is given the way to the reducer, the lines to what is
 /// asked of such members, and a log, and runs until what it gives back is dropped.
-pub type Front = Box<dyn FnOnce(Door, Behind, Logger) -> Result<Box<dyn std::any::Any>, String>>;
+pub type FrontendFactory =
+    Box<dyn FnOnce(RequestHandle, BackendChannels, Logger) -> Result<Box<dyn std::any::Any>, String>>;
 
 /// Serves until SIGTERM has been seen through. Logs go to standard error without ever holding the gateway up.
 pub fn run(config: config::Config) -> Result<(), String> {
-    run_with(config, None)
+    run_with_frontend(config, None)
 }
 
 /// The same with another front beside the first protocol's.
-pub fn run_with(config: config::Config, front: Option<Front>) -> Result<(), String> {
+pub fn run_with_frontend(config: config::Config, front: Option<FrontendFactory>) -> Result<(), String> {
     let (log, flush) = logger(&config);
     let ended = io::serve(config, front, log);
     drop(flush);
--- a/crates/stackgw-gateway/src/limits.rs
+++ b/crates/stackgw-gateway/src/limits.rs
@@ -21,15 +21,15 @@
     pub client_reserve: usize,
     /// Connections to members held together, idle ones included.
     pub member_connections: usize,
-    /// With more of them than this open, one that has been idle for `linger_idle` is closed.
-    pub clients_wanted: usize,
-    /// See `clients_wanted`.
-    pub linger_idle: Span,
+    /// With more of them than this open, one that has been idle for `soft_limit_idle` is closed.
+    pub client_soft_limit: usize,
+    /// See `client_soft_limit`.
+    pub soft_limit_idle: Span,
     /// Where all places are taken, a client idle for this long may be closed for another.
-    pub evict_after: Span,
+    pub eviction_idle: Span,
     /// One that has not asked anything yet goes before all others, but what it came with may be on its way: it is spared
     /// for this long.
-    pub evict_fresh: Span,
+    pub eviction_grace: Span,
     /// Requests held open together.
     pub requests: usize,
     /// Members that lists may name together.
@@ -40,7 +40,7 @@
     pub statement_bytes: usize,
     /// What one client may have read ahead of what is taken. Danger: the end of a connection stands behind all that was sent
     /// before it, and what is not read here keeps it back on the way.
-    pub ahead_bytes: usize,
+    pub read_ahead_bytes: usize,
     /// One message of a member's answer, and a whole answer. Members may hold larger values than clients write here.
     pub answer_bytes: usize,
     /// The head of an HTTP answer.
@@ -56,78 +56,78 @@
     /// Partial answers of all members together; past it reads pause.
     pub member_bytes: usize,
     /// What all clients together have left unread; past it the one that stands still longest is let go.
-    pub unread_bytes: usize,
+    pub pending_write_bytes: usize,
     /// Nothing new goes to a member later than this after word that it drains or is gone ...
     pub drain_grace: Span,
     /// ... or, where this is set, that it drains.
-    pub only_drains_bind: bool,
+    pub removal_is_advisory: bool,
     /// A connection to a member that is not up by then has failed.
-    pub connect: Span,
+    pub connect_timeout: Span,
     /// One that a member has begun to shake hands on may come up by then after that, for whoever asks next.
-    pub connect_late: Span,
+    pub late_connect_timeout: Span,
     /// A probe without an answer by then has failed.
-    pub probe: Span,
+    pub health_check_timeout: Span,
     /// An answer that has begun and then stands still for this long is spoilt.
-    pub answer_stall: Span,
+    pub answer_stall_timeout: Span,
     /// A member's clock may be ahead of this one's by so much; a position later than that cannot be.
-    pub clock_slack: Span,
+    pub max_clock_skew: Span,
     /// Idle connections to members are retired after this, ahead of the members' own limit.
-    pub idle: Span,
+    pub member_idle_timeout: Span,
     /// Pace of the look at idle connections.
-    pub sweep: Span,
+    pub sweep_interval: Span,
     /// A client that has asked nothing by then, counted from its connecting, is let go.
-    pub client_first: Span,
+    pub first_request_timeout: Span,
     /// A message that has begun must be whole by then.
-    pub client_partial: Span,
+    pub partial_message_timeout: Span,
     /// A client that has not read an answer by then is let go.
-    pub client_stall: Span,
+    pub client_write_timeout: Span,
     /// So long may a client that has been told why its connection ends go on sending ...
-    pub linger: Span,
+    pub linger_timeout: Span,
     /// ... and so much; it is read and dropped, as unread bytes would take the error with them.
     pub linger_bytes: usize,
     /// Malformed statements in a row, at most, before the connection ends.
-    pub client_malformed: u32,
+    pub max_consecutive_malformed: u32,
     /// Statements of one client in hand together, where it writes several before it reads. Danger: the time of those that
     /// stand behind them counts only from when they are taken, and their answers would come too late.
-    pub client_line: usize,
+    pub max_pipelined_statements: usize,
     /// Messages of one client taken before all others have had their turn.
-    pub client_turn: usize,
+    pub messages_per_turn: usize,
     /// Pace of the look at clients that may have left while their bytes wait: a third of the tenth of a second after which nothing
     /// may begin for them.
-    pub leave_pace: Span,
+    pub disconnect_poll_interval: Span,
     /// So many of them are looked at before others have had their turn.
-    pub leave_turn: usize,
+    pub disconnect_poll_batch: usize,
     /// New connections taken before others have had their turn.
-    pub accept_turn: usize,
+    pub accept_batch: usize,
     /// Connections that may stand in line before they are taken.
     pub backlog: i32,
     /// No request waits longer for its answer, whatever its `d` says.
-    pub wait_most: Span,
+    pub max_request_wait: Span,
     /// A watch whose connection is not up by then is opened anew.
-    pub watch_dial: Span,
+    pub watch_connect_timeout: Span,
     /// One that is up has brought its first whole line by then.
-    pub watch_first: Span,
+    pub watch_first_line_timeout: Span,
     /// One without a whole line for this long after that is opened anew: two of its blank lines.
     ///
     /// Danger: a change counts as told 6 s after the agent had it and could be reached, whatever the watch was doing then.
     /// Each of these three, the longest pause and one more dial stay within that together.
-    pub watch_silence: Span,
+    pub watch_idle_timeout: Span,
     /// Shortest pause before the list's agent is asked again.
-    pub watch_pause: Span,
+    pub watch_min_backoff: Span,
     /// Longest such pause.
-    pub watch_pause_most: Span,
+    pub watch_max_backoff: Span,
     /// Pause before the listener or the datagrams' socket is tried again after an error.
-    pub error_pause: Span,
+    pub error_backoff: Span,
     /// After SIGTERM new connections are taken for this long.
-    pub drain_accept: Span,
+    pub shutdown_accept: Span,
     /// After SIGTERM clients keep the connections that they have for this long, and are served.
-    pub drain_serve: Span,
+    pub shutdown_serve: Span,
     /// Pace at which clients are then looked at, and closed between requests.
-    pub drain_pace: Span,
+    pub shutdown_sweep_interval: Span,
     /// After SIGTERM whatever is still in hand then is answered at once, and so is all that is asked from then on.
-    pub drain_refuse: Span,
+    pub shutdown_reject: Span,
     /// After SIGTERM the gateway ends by then, whatever is left: ahead of a SIGKILL.
-    pub drain_end: Span,
+    pub shutdown_deadline: Span,
 }
 
 /// With fewer descriptors a gateway is of no use.
@@ -160,15 +160,15 @@
             clients,
             client_reserve,
             member_connections,
-            clients_wanted: clients / 2,
-            linger_idle: 250 * MS,
-            evict_after: 100 * MS,
-            evict_fresh: 50 * MS,
+            client_soft_limit: clients / 2,
+            soft_limit_idle: 250 * MS,
+            eviction_idle: 100 * MS,
+            eviction_grace: 50 * MS,
             requests: settings.max_open,
             members: 16 << 10,
             startup_bytes: 10_000,
             statement_bytes: 2 * VALUE_BYTES + ROOM,
-            ahead_bytes: 4 * (2 * VALUE_BYTES + ROOM),
+            read_ahead_bytes: 4 * (2 * VALUE_BYTES + ROOM),
             answer_bytes: VALUE_BYTES.max(memory / ANSWER_PART) + ROOM,
             head_bytes: 16 << 10,
             list_bytes: 8 << 20,
@@ -176,41 +176,41 @@
             read_bytes: 16 << 10,
             client_bytes: memory / 6,
             member_bytes: memory / 6,
-            unread_bytes: memory / 5,
+            pending_write_bytes: memory / 5,
             drain_grace: settings.router.obligations.drain_grace,
-            only_drains_bind: settings.router.obligations.removal_is_advisory,
-            connect: settings.router.limits.connect_timeout,
+            removal_is_advisory: settings.router.obligations.removal_is_advisory,
+            connect_timeout: settings.router.limits.connect_timeout,
             // As long again as a line of a few such limits takes.
-            connect_late: settings.router.limits.connect_timeout * 4,
-            probe: settings.router.limits.connect_timeout,
-            answer_stall: 150 * MS,
-            clock_slack: 20 * MS,
-            idle: idle / 5 * 4,
-            sweep: SECOND / 2,
-            client_first: SECOND + SECOND / 2,
-            client_partial: 2 * SECOND,
-            client_stall: 5 * SECOND,
-            linger: SECOND,
+            late_connect_timeout: settings.router.limits.connect_timeout * 4,
+            health_check_timeout: settings.router.limits.connect_timeout,
+            answer_stall_timeout: 150 * MS,
+            max_clock_skew: 20 * MS,
+            member_idle_timeout: idle / 5 * 4,
+            sweep_interval: SECOND / 2,
+            first_request_timeout: SECOND + SECOND / 2,
+            partial_message_timeout: 2 * SECOND,
+            client_write_timeout: 5 * SECOND,
+            linger_timeout: SECOND,
             linger_bytes: 1 << 20,
-            client_malformed: 10,
-            client_line: 64,
-            client_turn: 4,
-            leave_pace: 30 * MS,
-            leave_turn: 512,
-            accept_turn: 8,
+            max_consecutive_malformed: 10,
+            max_pipelined_statements: 64,
+            messages_per_turn: 4,
+            disconnect_poll_interval: 30 * MS,
+            disconnect_poll_batch: 512,
+            accept_batch: 8,
             backlog: 4096,
-            wait_most: longest.max(30 * SECOND),
-            watch_dial: SECOND,
-            watch_first: 3 * SECOND,
-            watch_silence: 4 * SECOND,
-            watch_pause: 100 * MS,
-            watch_pause_most: SECOND,
-            error_pause: 5 * MS,
-            drain_accept: 500 * MS,
-            drain_serve: longest.min(3 * SECOND) + 200 * MS,
-            drain_pace: 100 * MS,
-            drain_refuse: longest.min(3 * SECOND) + 420 * MS,
-            drain_end: longest.min(3 * SECOND) + 580 * MS,
+            max_request_wait: longest.max(30 * SECOND),
+            watch_connect_timeout: SECOND,
+            watch_first_line_timeout: 3 * SECOND,
+            watch_idle_timeout: 4 * SECOND,
+            watch_min_backoff: 100 * MS,
+            watch_max_backoff: SECOND,
+            error_backoff: 5 * MS,
+            shutdown_accept: 500 * MS,
+            shutdown_serve: longest.min(3 * SECOND) + 200 * MS,
+            shutdown_sweep_interval: 100 * MS,
+            shutdown_reject: longest.min(3 * SECOND) + 420 * MS,
+            shutdown_deadline: longest.min(3 * SECOND) + 580 * MS,
         }
     }
 }
--- a/crates/stackgw-gateway/src/pg/frame.rs
+++ b/crates/stackgw-gateway/src/pg/frame.rs
@@ -53,7 +53,7 @@
 
 /// Bytes of one connection that are not yet whole messages, or not yet asked for.
 #[derive(Debug)]
-pub struct Frames {
+pub struct FrameDecoder {
     buffer: Vec<u8>,
     start: usize,
     /// The next packet has no type byte.
@@ -69,15 +69,22 @@
 /// What a client sends, the copy protocol's included.
 const OF_CLIENTS: &[u8] = b"QXSPBDECHFdcfp";
 
-impl Frames {
+impl FrameDecoder {
     /// A server's stream: every message has a type.
-    pub fn typed(most: usize) -> Self {
-        Frames { buffer: Vec::new(), start: 0, untyped: false, most, startup_most: 0, kinds: OF_SERVERS }
+    pub fn server(most: usize) -> Self {
+        FrameDecoder {
+            buffer: Vec::new(),
+            start: 0,
+            untyped: false,
+            most,
+            startup_most: 0,
+            kinds: OF_SERVERS,
+        }
     }
 
     /// A client's stream: packets without a type until the startup is done.
     pub fn client(startup_most: usize, most: usize) -> Self {
-        Frames { buffer: Vec::new(), start: 0, untyped: true, most, startup_most, kinds: OF_CLIENTS }
+        FrameDecoder { buffer: Vec::new(), start: 0, untyped: true, most, startup_most, kinds: OF_CLIENTS }
     }
 
     /// Whether a message of this type can have this length, as far as its first bytes tell.
@@ -111,12 +118,12 @@
     }
 
     /// Bytes held.
-    pub fn held(&self) -> usize {
+    pub fn pending_bytes(&self) -> usize {
         self.buffer.len() - self.start
     }
 
     /// Bytes that the buffer takes, those of messages already handed out included.
-    pub fn buffered(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
--- a/crates/stackgw-gateway/src/pg/mod.rs
+++ b/crates/stackgw-gateway/src/pg/mod.rs
@@ -6,8 +6,8 @@
 mod statement;
 pub mod write;
 
-pub use frame::{BadFrame, Frame, Frames};
-pub use reply::{load_report, value, Ended, OutOfPlace, Reply};
+pub use frame::{BadFrame, Frame, FrameDecoder};
+pub use reply::{column_value, parse_load_report, OutOfPlace, Reply, ReplyOutcome};
 pub use statement::{Malformed, Statement};
 
 /// Codes that stand where a startup packet has its version.
--- a/crates/stackgw-gateway/src/pg/reply.rs
+++ b/crates/stackgw-gateway/src/pg/reply.rs
@@ -18,13 +18,13 @@
 
 /// What a reply amounts to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum ReplyOutcome {
     /// One row, whole.
     Row,
     /// An error with this SQLSTATE.
     Error([u8; 5]),
     /// Neither: complete, but without a row, or an answer to nothing.
-    Nothing,
+    NoRow,
 }
 
 /// A reply as far as it has come.
@@ -81,23 +81,23 @@
     }
 
     /// The member is ready again behind it: the reply is whole.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ready
     }
 
     /// How it ended, once the member is ready again or has closed; `None`: it had not come so far.
-    pub fn ended(&self) -> Option<Ended> {
+    pub fn ended(&self) -> Option<ReplyOutcome> {
         match (self.failed, self.complete) {
-            (Some(code), _) => Some(Ended::Error(code)),
-            (None, true) if self.rows == 1 => Some(Ended::Row),
-            (None, true) => Some(Ended::Nothing),
+            (Some(code), _) => Some(ReplyOutcome::Error(code)),
+            (None, true) if self.rows == 1 => Some(ReplyOutcome::Row),
+            (None, true) => Some(ReplyOutcome::NoRow),
             (None, false) => None,
         }
     }
 
     /// The text of the one column of the row, as probes get it.
     pub fn column(&self) -> Option<&str> {
-        std::str::from_utf8(value(&self.row)??).ok()
+        std::str::from_utf8(column_value(&self.row)??).ok()
     }
 
     /// A value that cannot be read tells nothing; it is no reason to drop the row beside it.
@@ -110,14 +110,14 @@
                 let ms = at.parse::<i64>().ok().filter(|ms| (1..1 << 43).contains(ms));
                 self.position = ms.map(|ms| ms * MS);
             }
-            ("server_load", load) => self.report = load_report(load).unwrap_or_default(),
+            ("server_load", load) => self.report = parse_load_report(load).unwrap_or_default(),
             _ => {}
         }
     }
 }
 
 /// The one column of a row whose description stands before it; `Some(None)`: it is null.
-pub fn value(row: &[u8]) -> Option<Option<&[u8]>> {
+pub fn column_value(row: &[u8]) -> Option<Option<&[u8]>> {
     let description = 1 + u32::from_be_bytes(*row.get(1..)?.first_chunk()?) as usize;
     // Type, length, number of columns, length of the column.
     let row = row.get(description..)?;
@@ -169,7 +169,7 @@
 
 /// Reads `name=value` pairs; names without a meaning here are skipped. One that cannot be read spoils them all, and so
 /// does one named twice or one that no member can have.
-pub fn load_report(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     let mut named = Vec::new();
     for pair in text.split(',').filter(|p| !p.is_empty()) {
--- a/crates/stackgw-gateway/src/pg/statement.rs
+++ b/crates/stackgw-gateway/src/pg/statement.rs
@@ -114,12 +114,12 @@
     }
 
     /// Bytes held, those of the names that are kept beside the message included.
-    pub fn held(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         self.bytes.len() + 2 * self.id.len() + self.key.len() + self.class.len()
     }
 
     /// The message as it came, `d` set to the time that this attempt may take.
-    pub fn with_wait(&self, wait_ms: u64) -> Vec<u8> {
+    pub fn with_timeout(&self, wait_ms: u64) -> Vec<u8> {
         let digits = wait_ms.to_string();
         let mut out = Vec::with_capacity(self.bytes.len() + digits.len());
         out.extend_from_slice(&self.bytes[..self.d.start]);
--- a/crates/stackgw-gateway/src/reducer/clients.rs
+++ b/crates/stackgw-gateway/src/reducer/clients.rs
@@ -155,11 +155,11 @@
         let (open, limits) = (self.clients.len(), &self.limits);
         let full = open >= limits.clients;
         let spared = |used| match (full, used) {
-            (false, _) => limits.linger_idle,
-            (true, true) => limits.evict_after,
-            (true, false) => limits.evict_fresh,
+            (false, _) => limits.soft_limit_idle,
+            (true, true) => limits.eviction_idle,
+            (true, false) => limits.eviction_grace,
         };
-        if !self.listener_closed && (full || open > limits.clients_wanted) {
+        if !self.listener_closed && (full || open > limits.client_soft_limit) {
             let first = |used| self.idle_clients.range((used, Time::MIN, ClientId(0))..).next().copied();
             let due = [first(false).filter(|(used, ..)| full && !used), first(true)];
             let due = due.into_iter().flatten();
@@ -227,7 +227,7 @@
 
     /// Danger: clients that ask for large values and do not read them would together take all memory.
     fn unread_most(&mut self, writes: ClientId, out: &mut Vec<Effect>) {
-        if self.unread <= self.limits.unread_bytes {
+        if self.unread <= self.limits.pending_write_bytes {
             return;
         }
         let others = self.clients.iter().filter(|(id, c)| **id != writes && c.unread > 0);
@@ -551,7 +551,7 @@
         }
         let request = RequestId(self.next_request);
         self.next_request += 1;
-        let deadline = came + (statement.wait_ms as Span * MS).min(self.limits.wait_most);
+        let deadline = came + (statement.wait_ms as Span * MS).min(self.limits.max_request_wait);
         let sessions = matches!(need, Consistency::Write | Consistency::ReadYourWrites);
         let asked = Request {
             id: request,
@@ -563,7 +563,7 @@
             is_retry: statement.repeat,
             requires_strong_read: false,
         };
-        self.counters.held_bytes += statement.held() as u64;
+        self.counters.held_bytes += statement.size_bytes() as u64;
         self.open_ids.insert(statement.id.clone());
         let open = Open {
             asker: Some(asker),
@@ -608,7 +608,7 @@
         let Some(client) = self.clients.get_mut(&id) else { return };
         client.malformed += 1;
         // One that goes on and on is not worth its turns.
-        let fatal = client.malformed >= self.limits.client_malformed;
+        let fatal = client.malformed >= self.limits.max_consecutive_malformed;
         self.client_error(now, id, fatal, "42601", why, out);
     }
 
@@ -659,7 +659,7 @@
         if self.requests.get(&request).is_some_and(|o| o.ended && o.out.is_empty() && o.held.is_none()) {
             if let Some(open) = self.requests.remove(&request) {
                 let before = self.counters.held_bytes;
-                self.counters.held_bytes = before - open.statement.held() as u64;
+                self.counters.held_bytes = before - open.statement.size_bytes() as u64;
                 self.open_ids.remove(&open.statement.id);
             }
         }
--- a/crates/stackgw-gateway/src/reducer/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/cluster.rs
@@ -1,7 +1,7 @@
 //! The other instances of the operator's cluster: who is there, and what comes from them, handed on to whom it is for.
 
 use super::*;
-use crate::config::Others;
+use crate::config::ClusterConfig;
 use stackgw_cluster::{Cluster, Event as Word, Identity};
 use stackgw_sessions::Peer;
 
@@ -31,16 +31,16 @@
 
 impl Reducer {
     /// Looks for the other instances from now on, as this life of this one; before [`Input::Start`].
-    pub fn join(&mut self, now: Time, others: &Others, me: Peer) {
+    pub fn join(&mut self, now: Time, others: &ClusterConfig, me: Peer) {
         let settings = stackgw_cluster::Settings {
-            me: Identity { peer: me, address: others.file.reached_at(), turn: 0 },
-            seeds: others.file.seeds.clone(),
-            ring: others.ring.clone(),
+            me: Identity { peer: me, address: others.options.reached_at(), turn: 0 },
+            seeds: others.options.seeds.clone(),
+            ring: others.key_ring.clone(),
             seed: self.secret,
-            expected: others.file.expected,
+            expected: others.options.expected,
         };
         let cluster = Cluster::new(now, settings);
-        self.cluster = Some(Box::new(Membership { cluster, file: others.file.clone(), due: None }));
+        self.cluster = Some(Box::new(Membership { cluster, file: others.options.clone(), due: None }));
         self.cluster_due_set();
     }
 
@@ -129,16 +129,21 @@
         self.set_timer(due, what)
     }
 
-    pub(super) fn cluster_reload(&mut self, now: Time, others: Option<&Others>, out: &mut Vec<Effect>) {
+    pub(super) fn cluster_reload(
+        &mut self,
+        now: Time,
+        others: Option<&ClusterConfig>,
+        out: &mut Vec<Effect>,
+    ) {
         let (member, others) = match (self.cluster.as_mut(), others) {
             (Some(member), Some(others)) => (member, others),
             (None, None) => return,
             _ => return out.push(Effect::Log("the cluster is joined or left by a restart alone".to_owned())),
         };
-        let fixed = differs(&member.file, &others.file);
+        let fixed = differs(&member.file, &others.options);
         if !fixed.is_empty() {
             out.push(Effect::Log(format!("cluster: unchanged until a restart: {}", fixed.join(", "))));
         }
-        member.cluster.reload(now, others.ring.clone(), others.file.seeds.clone());
+        member.cluster.reload(now, others.key_ring.clone(), others.options.seeds.clone());
     }
 }
--- a/crates/stackgw-gateway/src/reducer/ending.rs
+++ b/crates/stackgw-gateway/src/reducer/ending.rs
@@ -5,11 +5,11 @@
 impl Reducer {
     pub(super) fn terminate(&mut self, now: Time, out: &mut Vec<Effect>) {
         if !std::mem::replace(&mut self.ending, true) {
-            self.set_timer(now + self.limits.drain_accept, Due::StopListening);
-            self.retire_at = now + self.limits.drain_serve;
+            self.set_timer(now + self.limits.shutdown_accept, Due::StopListening);
+            self.retire_at = now + self.limits.shutdown_serve;
             self.set_timer(self.retire_at, Due::Retire);
-            self.set_timer(now + self.limits.drain_refuse, Due::Refuse);
-            self.set_timer(now + self.limits.drain_end, Due::End);
+            self.set_timer(now + self.limits.shutdown_reject, Due::Refuse);
+            self.set_timer(now + self.limits.shutdown_deadline, Due::End);
             out.push(Effect::Log(format!("ending, {} requests in hand", self.requests.len())));
         }
     }
@@ -23,7 +23,7 @@
         let idle = self.clients.iter().filter(|(_, c)| c.idle() || c.awaits_ready);
         out.extend(idle.map(|(id, _)| Effect::ClientRetire(*id)));
         if !self.clients.is_empty() {
-            self.set_timer(now + self.limits.drain_pace, Due::Retire);
+            self.set_timer(now + self.limits.shutdown_sweep_interval, Due::Retire);
         }
     }
 
--- a/crates/stackgw-gateway/src/reducer/list.rs
+++ b/crates/stackgw-gateway/src/reducer/list.rs
@@ -27,7 +27,7 @@
     pub(super) fn open_watch(&mut self, now: Time, after: Option<u64>, out: &mut Vec<Effect>) {
         self.counters.watches += 1;
         out.push(Effect::Watch(self.discovery, after));
-        self.set_watch_timer(now + self.limits.watch_dial);
+        self.set_watch_timer(now + self.limits.watch_connect_timeout);
     }
 
     /// Closes the watch.
@@ -57,21 +57,26 @@
         }
     }
 
-    pub(super) fn watch_lost(&mut self, now: Time, lost: Lost, out: &mut Vec<Effect>) {
+    pub(super) fn watch_lost(&mut self, now: Time, lost: WatchError, out: &mut Vec<Effect>) {
         self.unwatch_waits();
         if self.starting.is_some() {
             self.counters.watches_lost += 1;
-            log_rarely(self.counters.watches_lost, &format!("watch of the list lost ({}),", lost.why), out);
-            return self
-                .with_start(now, out, |start, outputs| start.handle_watch_lost(now, lost.put_off, outputs));
+            log_rarely(
+                self.counters.watches_lost,
+                &format!("watch of the list lost ({}),", lost.reason),
+                out,
+            );
+            return self.with_start(now, out, |start, outputs| {
+                start.handle_watch_lost(now, lost.retry_after, outputs)
+            });
         }
         if !std::mem::replace(&mut self.watching, false) {
             return;
         }
         self.counters.watches_lost += 1;
-        log_rarely(self.counters.watches_lost, &format!("watch of the list lost ({}),", lost.why), out);
+        log_rarely(self.counters.watches_lost, &format!("watch of the list lost ({}),", lost.reason), out);
         self.watch_pause =
-            (self.watch_pause * 2).clamp(self.limits.watch_pause, self.limits.watch_pause_most);
+            (self.watch_pause * 2).clamp(self.limits.watch_min_backoff, self.limits.watch_max_backoff);
         self.set_timer(now + self.watch_pause, Due::Watch);
         self.list_failed();
     }
@@ -82,7 +87,7 @@
     }
 
     pub(super) fn list(&mut self, now: Time, list: ListUpdate, out: &mut Vec<Effect>) {
-        self.watch_wait(now + self.limits.watch_silence);
+        self.watch_wait(now + self.limits.watch_idle_timeout);
         if self.starting.is_some() {
             return self.with_start(now, out, |start, outputs| start.handle_watch_update(now, list, outputs));
         }
@@ -101,7 +106,7 @@
         self.counters.lists += 1;
         let members: Vec<_> = list.iter().filter_map(|e| self.listed(now, e, out)).collect();
         self.start_listed(now, list);
-        if scope == ListScope::Full && !self.limits.only_drains_bind {
+        if scope == ListScope::Full && !self.limits.removal_is_advisory {
             let named: BTreeSet<_> = members.iter().map(|m| m.id).collect();
             let missing = self.members.iter_mut().filter(|(id, _)| !named.contains(id));
             missing.for_each(|(_, known)| known.told = known.told.or(Some(now)));
@@ -169,7 +174,7 @@
             let binds = match entry.phase {
                 Lifecycle::Serving => false,
                 Lifecycle::Draining => true,
-                Lifecycle::Removed => !self.limits.only_drains_bind || known.told.is_some(),
+                Lifecycle::Removed => !self.limits.removal_is_advisory || known.told.is_some(),
             };
             known.told = if binds { known.told.or(Some(now)) } else { None };
         }
--- a/crates/stackgw-gateway/src/reducer/members.rs
+++ b/crates/stackgw-gateway/src/reducer/members.rs
@@ -97,7 +97,7 @@
         }
         if let Some(id) = self.coming.remove(&member) {
             self.bind(id, job);
-            return self.set_conn_timer(id, now + self.limits.connect);
+            return self.set_conn_timer(id, now + self.limits.connect_timeout);
         }
         if !self.may_open(now, member) {
             return self.job_ended(now, member, job, Outcome::NotSent, Reply::default(), out);
@@ -117,7 +117,7 @@
         self.counters.members_opened += 1;
         self.counters.members_open += 1;
         self.deal(|deal| deal.record_attempt(now, member));
-        let timer = Some(self.set_timer(now + self.limits.connect, Due::Conn(id)));
+        let timer = Some(self.set_timer(now + self.limits.connect_timeout, Due::Conn(id)));
         let phase = Phase::Connecting;
         let reply = Reply::default();
         let conn =
@@ -181,13 +181,13 @@
                 let Some(open) = self.requests.get(&request) else { return };
                 let wait_ms = ((give_up - now) / MS).max(1) as u64;
                 asked = Asked { wait_ms, writes: open.statement.write, streams: open.streams, ..asked };
-                (open.statement.with_wait(wait_ms), give_up)
+                (open.statement.with_timeout(wait_ms), give_up)
             }
             Some(Job::Probe { sent }) => {
                 let mut bytes = Vec::new();
                 write::query(&mut bytes, "SHOW server_load");
-                asked.wait_ms = (self.limits.probe / MS).max(1) as u64;
-                (bytes, sent + self.limits.probe)
+                asked.wait_ms = (self.limits.health_check_timeout / MS).max(1) as u64;
+                (bytes, sent + self.limits.health_check_timeout)
             }
             None => return,
         };
@@ -294,7 +294,7 @@
             Phase::Waiting => {
                 // Danger: a length beyond what follows would hold its request until the client's time is over.
                 conn.partial = true;
-                let until = conn.until.min(now + self.limits.answer_stall);
+                let until = conn.until.min(now + self.limits.answer_stall_timeout);
                 self.set_conn_timer(id, until);
             }
             _ => {}
@@ -315,7 +315,8 @@
             log_rarely(self.counters.members_unasked, "connections with more than was asked for:", out);
         }
         // An error may be a member's last word; a row counts only once the member is ready again behind it.
-        let ended = outcome(&conn.reply).filter(|ended| *ended != Outcome::Served || conn.reply.is_whole());
+        let ended =
+            outcome(&conn.reply).filter(|ended| *ended != Outcome::Served || conn.reply.is_complete());
         let outcome = match conn.phase {
             Phase::Idle => {
                 self.counters.members_closed += u64::from(why == Closed::Lost);
@@ -391,7 +392,7 @@
         };
         self.coming.insert(member, id);
         self.counters.members_late += 1;
-        self.set_conn_timer(id, now + self.limits.connect_late);
+        self.set_conn_timer(id, now + self.limits.late_connect_timeout);
         if let Some(job) = self.unbind(id) {
             self.job_ended(now, member, job, outcome, Reply::default(), out);
         }
@@ -425,7 +426,7 @@
         let job = self.unbind(id);
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let (member, mut reply) = (conn.member, std::mem::take(&mut conn.reply));
-        if !reply.is_whole() || outcome == Outcome::MalformedResponse {
+        if !reply.is_complete() || outcome == Outcome::MalformedResponse {
             reply = Reply::default(); // What is not whole tells nothing of its member.
         }
         if conn.phase != Phase::Idle {
@@ -448,7 +449,8 @@
         let (request, attempt, sent) = match job {
             Job::Attempt { request, number, sent, .. } => (request, number, sent),
             Job::Probe { sent } => {
-                let told = reply.column().filter(|_| outcome == Outcome::Served).and_then(pg::load_report);
+                let told =
+                    reply.column().filter(|_| outcome == Outcome::Served).and_then(pg::parse_load_report);
                 let told = told.filter(|report| self.can_be(now, report.position));
                 self.counters.probes_failed += u64::from(told.is_none());
                 let (answered, report) = (told.is_some(), told.unwrap_or_default());
@@ -500,7 +502,7 @@
 
     /// Danger: a position in the future would make its member the freshest for as long as it lasts.
     pub(super) fn can_be(&mut self, now: Time, position: Option<Time>) -> bool {
-        let can = position.is_none_or(|at| at <= now + self.limits.clock_slack);
+        let can = position.is_none_or(|at| at <= now + self.limits.max_clock_skew);
         self.counters.members_disbelieved += u64::from(!can);
         can
     }
@@ -525,12 +527,12 @@
 /// What a reply that is over means for its attempt; `None`: it is not over.
 fn outcome(reply: &Reply) -> Option<Outcome> {
     Some(match reply.ended()? {
-        Ended::Row => Outcome::Served,
-        Ended::Error(code) => match &code {
+        ReplyOutcome::Row => Outcome::Served,
+        ReplyOutcome::Error(code) => match &code {
             b"25006" | b"72000" => Outcome::Misrouted,
             b"53300" => Outcome::Overloaded,
             _ => Outcome::Error,
         },
-        Ended::Nothing => Outcome::MalformedResponse,
+        ReplyOutcome::NoRow => Outcome::MalformedResponse,
     })
 }
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -14,9 +14,9 @@
 
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::discovery::{ListEntry, ListUpdate, Lost};
+use crate::discovery::{ListEntry, ListUpdate, WatchError};
 use crate::limits::Limits;
-use crate::pg::{self, code, write, Ended, Frame, Reply, Statement};
+use crate::pg::{self, code, write, Frame, Reply, ReplyOutcome, Statement};
 use crate::pool::Pool;
 use stackgw_router::{api::*, Router};
 use stackgw_settings::{Digests, HostSettings, Names};
@@ -129,7 +129,7 @@
     /// The watch brought a line without news.
     WatchAlive,
     /// The watch ended, or could not be opened; the text says why.
-    WatchLost(Lost),
+    WatchLost(WatchError),
     /// The list could not be had.
     FetchFailed,
     /// A datagram.
@@ -361,15 +361,15 @@
     pub fn new(config: Config) -> Self {
         let fixed = Fixed::of(&config);
         let mut settings = config.settings.router;
-        if config.together.is_some() {
+        if config.session_sharing.is_some() {
             // What a session wrote is found out here, so the router is told with each read.
             settings.session_tracking = SessionTracking::Client;
         }
         // Where the file says how the list comes to be known, a watch brings it.
-        settings.polls_endpoint_list &= config.start.is_none();
+        settings.polls_endpoint_list &= config.bootstrap.is_none();
         // What members tell is carried beside the list where the platform has no messages for it.
         settings.limits.host_gossip =
-            config.start.is_some() && config.others.is_some() && !settings.limits.gossip;
+            config.bootstrap.is_some() && config.cluster.is_some() && !settings.limits.gossip;
         Reducer {
             fixed,
             discovery: config.discovery,
@@ -382,7 +382,7 @@
             peers: config.peers,
             peers_all: config.peers_all,
             me: settings.instance_index as usize,
-            known: config.known,
+            known: config.initial_endpoints,
             moments: Moments::new(settings.tick),
             router: Router::new(settings, config.seed),
             members: BTreeMap::new(),
@@ -434,7 +434,8 @@
     pub fn takes(&self, client: ClientId) -> bool {
         let room = self.counters.held_bytes < self.limits.client_bytes as u64;
         // Danger: a cancel that waited for the room that its own request takes would come too late.
-        let takes = |c: &Client| c.has_room(self.limits.client_line) && (room || c.started.is_none());
+        let takes =
+            |c: &Client| c.has_room(self.limits.max_pipelined_statements) && (room || c.started.is_none());
         self.clients.get(&client).is_some_and(takes)
     }
 
@@ -471,9 +472,9 @@
             Input::MemberStreamWaits(id) => self.member_stream_waits(id),
             Input::MemberStreamOver(id, outcome) => self.member_stream_over(now, id, outcome, out),
             Input::List(list) => self.list(now, list, out),
-            Input::WatchUp => self.watch_wait(now + self.limits.watch_first),
+            Input::WatchUp => self.watch_wait(now + self.limits.watch_first_line_timeout),
             Input::WatchAlive => {
-                self.watch_wait(now + self.limits.watch_silence);
+                self.watch_wait(now + self.limits.watch_idle_timeout);
                 self.with_start(now, out, |start, outputs| start.handle_watch_heartbeat(now, outputs));
             }
             Input::WatchLost(why) => self.watch_lost(now, why, out),
@@ -526,7 +527,7 @@
             let members = known.members.iter().filter_map(|e| self.listed(now, e, out)).collect();
             self.events.push_back(Event::EndpointList { scope: ListScope::Cached, members });
         }
-        self.set_timer(now + self.limits.sweep, Due::Sweep);
+        self.set_timer(now + self.limits.sweep_interval, Due::Sweep);
         if self.subscribed && self.starting.is_none() {
             self.watch(now, out);
         }
@@ -619,7 +620,7 @@
                 Due::Conn(id) => self.conn_due(now, id, out),
                 Due::Sweep => {
                     self.sweep(now, out);
-                    self.set_timer(now + self.limits.sweep, Due::Sweep);
+                    self.set_timer(now + self.limits.sweep_interval, Due::Sweep);
                 }
                 Due::Watch => {
                     if self.subscribed && !self.watching {
@@ -648,7 +649,7 @@
     fn sweep(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.shared_look(now, out);
         self.ways_aged();
-        for conn in self.pool.expired(now - self.limits.idle) {
+        for conn in self.pool.expired(now - self.limits.member_idle_timeout) {
             self.counters.members_retired += 1;
             out.push(Effect::MemberClose(conn));
             self.forget(conn);
@@ -661,9 +662,11 @@
         }
         let limits = &self.limits;
         let late = |since: Option<Time>, most| since.is_some_and(|t| now - t > most);
-        let stuck = |c: &Client| late(c.unsent, limits.client_stall) || late(c.closing, limits.linger);
-        let half = |c: &Client| late(c.partial, limits.client_partial);
-        let silent = |c: &Client| !c.used && c.idle() && now - c.opened > limits.client_first;
+        let stuck = |c: &Client| {
+            late(c.unsent, limits.client_write_timeout) || late(c.closing, limits.linger_timeout)
+        };
+        let half = |c: &Client| late(c.partial, limits.partial_message_timeout);
+        let silent = |c: &Client| !c.used && c.idle() && now - c.opened > limits.first_request_timeout;
         let which = |which: &dyn Fn(&Client) -> bool| -> Vec<ClientId> {
             self.clients.iter().filter(|(_, c)| which(c)).map(|(id, _)| *id).collect()
         };
--- a/crates/stackgw-gateway/src/reducer/reload.rs
+++ b/crates/stackgw-gateway/src/reducer/reload.rs
@@ -58,12 +58,12 @@
             said += &format!("; unchanged until a restart: {}", fixed.join(", "));
         }
         out.push(Effect::Log(said));
-        self.cluster_reload(now, config.others.as_ref(), out);
-        self.shared_reload(now, config.together, out);
+        self.cluster_reload(now, config.cluster.as_ref(), out);
+        self.shared_reload(now, config.session_sharing, out);
         (self.peers, self.peers_all) = (config.peers, config.peers_all);
         let moved = std::mem::replace(&mut self.discovery, config.discovery) != config.discovery;
-        let seeds = config.others.map(|others| others.file.seeds).unwrap_or_default();
-        self.start_reload(now, config.start.as_ref(), &seeds, moved, out);
+        let seeds = config.cluster.map(|others| others.options.seeds).unwrap_or_default();
+        self.start_reload(now, config.bootstrap.as_ref(), &seeds, moved, out);
         if !moved || self.starting.is_some() {
             return;
         }
--- a/crates/stackgw-gateway/src/reducer/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/sessions.rs
@@ -2,7 +2,7 @@
 //! What a read must see and when a write's answer may leave is decided there; which member then serves is the router's.
 
 use super::*;
-use crate::config::{Others, Together};
+use crate::config::{ClusterConfig, SessionSharingConfig};
 use serde_json::{json, Value};
 use stackgw_cluster::Cluster;
 use stackgw_sessions::{
@@ -56,8 +56,14 @@
 }
 
 impl Shared {
-    fn new(now: Time, config: &Together, name: &str, life: Life, outputs: &mut Vec<Output>) -> Self {
-        let file = &config.file;
+    fn new(
+        now: Time,
+        config: &SessionSharingConfig,
+        name: &str,
+        life: Life,
+        outputs: &mut Vec<Output>,
+    ) -> Self {
+        let file = &config.options;
         let me = life.peer(name);
         let settings = Settings {
             me,
@@ -165,9 +171,15 @@
 
 impl Reducer {
     /// Turns sessions across instances on, before [`Input::Start`].
-    pub fn share_sessions(&mut self, now: Time, config: &Together, life: Life, out: &mut Vec<Effect>) {
+    pub fn share_sessions(
+        &mut self,
+        now: Time,
+        config: &SessionSharingConfig,
+        life: Life,
+        out: &mut Vec<Effect>,
+    ) {
         let mut outputs = Vec::new();
-        self.join(now, &Others::from(config), life.peer(&self.fixed.name));
+        self.join(now, &ClusterConfig::from(config), life.peer(&self.fixed.name));
         let shared = Shared::new(now, config, &self.fixed.name, life, &mut outputs);
         self.shared = Some(Box::new(shared));
         self.shared_outputs(now, outputs, out);
@@ -264,18 +276,23 @@
         }));
     }
 
-    pub(super) fn shared_reload(&mut self, now: Time, config: Option<Together>, out: &mut Vec<Effect>) {
+    pub(super) fn shared_reload(
+        &mut self,
+        now: Time,
+        config: Option<SessionSharingConfig>,
+        out: &mut Vec<Effect>,
+    ) {
         let (shared, config) = match (self.shared.as_mut(), config) {
             (Some(shared), Some(config)) => (shared, config),
             (None, None) => return,
             _ => return out.push(Effect::Log("sessions are turned on or off by a restart alone".to_owned())),
         };
-        let fixed = differs(&shared.file, &config.file);
+        let fixed = differs(&shared.file, &config.options);
         if !fixed.is_empty() {
             out.push(Effect::Log(format!("sessions: unchanged until a restart: {}", fixed.join(", "))));
         }
-        shared.names = names_of(&config.file.keepers, &self.fixed.name);
-        let keepers = config.file.keepers.iter().map(|name| NodeId::of(name)).collect();
+        shared.names = names_of(&config.options.keepers, &self.fixed.name);
+        let keepers = config.options.keepers.iter().map(|name| NodeId::of(name)).collect();
         self.with_shared(now, out, |sessions, outputs| sessions.take_keepers(now, keepers, outputs));
     }
 
--- a/crates/stackgw-gateway/src/reducer/start.rs
+++ b/crates/stackgw-gateway/src/reducer/start.rs
@@ -92,7 +92,7 @@
             instance_number: self.me as u32,
             fleet_size: self.fixed.settings.router.fleet_size.max(others.map_or(0, |o| o.expected)),
             service_capacity: f64::from(file.bears),
-            min_pause: self.limits.watch_pause,
+            min_pause: self.limits.watch_min_backoff,
         };
         let set = BootstrapSettings {
             poll_rate: pace,
@@ -100,7 +100,7 @@
             min_watch_leaders: stackgw_start::MIN_WATCH_LEADERS,
             service_id: stackgw_start::service_id(&file.service),
             drain_grace: self.limits.drain_grace,
-            watch_timeout: self.limits.watch_silence,
+            watch_timeout: self.limits.watch_idle_timeout,
             cached_list_wait: file.kept_wait.as_nanos(),
             service_reset_after: file.reset_after.as_nanos(),
             seed: self.secret,
--- a/crates/stackgw-gateway/tests/common/mod.rs
+++ b/crates/stackgw-gateway/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use stackgw_gateway::config::Config;
-use stackgw_gateway::discovery::{list_from_bytes, ListUpdate};
+use stackgw_gateway::discovery::{parse_endpoint_list, ListUpdate};
 use stackgw_gateway::pg::{write, Frame};
 use stackgw_gateway::reducer::{ClientId, Closed, ConnId, Effect, Input, Reducer};
 use stackgw_router::api::{Span, Time, MS, SECOND};
@@ -26,7 +26,7 @@
 }
 
 pub fn list(revision: u64, complete: bool, entries: &[String]) -> ListUpdate {
-    list_from_bytes(list_text(revision, complete, entries).as_bytes()).expect("a list")
+    parse_endpoint_list(list_text(revision, complete, entries).as_bytes()).expect("a list")
 }
 
 /// A configuration with two reading classes, `look` (bounded) and `mine` (session), and one writing, `buy`.
--- a/crates/stackgw-gateway/tests/config.rs
+++ b/crates/stackgw-gateway/tests/config.rs
@@ -15,11 +15,14 @@
     assert_eq!(config.settings.names.zones, ["room"]);
     assert_eq!((config.peers.len(), config.peer_listen), (2, None));
     assert_eq!(config.peers_all.map(|a| a.port()), Some(7999));
-    assert_eq!(config.known.map(|k| (k.revision, k.complete, k.members.len())), Some((1, true, 3)));
-    assert_eq!(config.limits.connect, 250 * MS);
+    assert_eq!(
+        config.initial_endpoints.map(|k| (k.revision, k.complete, k.members.len())),
+        Some((1, true, 3))
+    );
+    assert_eq!(config.limits.connect_timeout, 250 * MS);
     let var = |name: &str| (name == "ROUTER_NAME").then(|| "other".to_owned());
     let config = Config::from_text(&config_text("null"), var).expect("a configuration");
-    assert_eq!((config.name.as_str(), config.known), ("other", None));
+    assert_eq!((config.name.as_str(), config.initial_endpoints), ("other", None));
 }
 
 #[test]
@@ -54,14 +57,16 @@
             // Statements in hand, bytes not yet handed over, and partial answers.
             assert!(2 * limits.client_bytes + limits.member_bytes <= (memory_mb << 20) / 2);
             // What clients leave unread comes on top.
-            assert!(limits.unread_bytes <= (memory_mb << 20) / 4 && limits.answer_bytes > 64 << 10);
-            assert!(8 * limits.answer_bytes < limits.unread_bytes);
+            assert!(limits.pending_write_bytes <= (memory_mb << 20) / 4 && limits.answer_bytes > 64 << 10);
+            assert!(8 * limits.answer_bytes < limits.pending_write_bytes);
         }
     }
     let limits = Limits::new(Platform { memory_mb: 192, sockets: 1024 }, &settings);
-    assert!(limits.idle < 20 * SECOND && limits.drain_accept > 400 * MS);
+    assert!(limits.member_idle_timeout < 20 * SECOND && limits.shutdown_accept > 400 * MS);
     // Killed no sooner than the longest deadline (2 s here) and 0.7 s after SIGTERM.
-    assert!(limits.drain_end > 2 * SECOND + 500 * MS && limits.drain_end < 2 * SECOND + 700 * MS);
+    assert!(
+        limits.shutdown_deadline > 2 * SECOND + 500 * MS && limits.shutdown_deadline < 2 * SECOND + 700 * MS
+    );
 }
 
 /// Found by reading: figures that no gateway can honour were taken as they came; a bound of nothing ended the process where gateways
--- a/crates/stackgw-gateway/tests/dealt.rs
+++ b/crates/stackgw-gateway/tests/dealt.rs
@@ -22,7 +22,7 @@
         kept_wait: Duration::from_millis(0),
         reset_after: Duration::from_millis(60_000),
     };
-    config.start = Some(file.clone());
+    config.bootstrap = Some(file.clone());
     let mut rig = Rig::with(config);
     let mut effects = Vec::new();
     rig.reducer.start_by(rig.now, &file, None, None, &mut effects);
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -5,8 +5,8 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use stackgw_gateway::discovery::{list_from_bytes, HttpLines, Piece};
-use stackgw_gateway::pg::{load_report, write, Ended, Frame, Frames, Reply, Statement};
+use stackgw_gateway::discovery::{parse_endpoint_list, HttpEvent, HttpLineReader};
+use stackgw_gateway::pg::{parse_load_report, write, Frame, FrameDecoder, Reply, ReplyOutcome, Statement};
 use stackgw_router::api::{MS, SECOND};
 
 const MOST: usize = 4096;
@@ -20,7 +20,7 @@
     ends.into_iter().map(|end| &bytes[std::mem::replace(&mut from, end)..end]).collect()
 }
 
-fn frames(mut parser: Frames, bytes: &[u8], cuts: &[usize]) -> (Vec<Frame>, bool) {
+fn frames(mut parser: FrameDecoder, bytes: &[u8], cuts: &[usize]) -> (Vec<Frame>, bool) {
     let (mut all, mut bad) = (Vec::new(), false);
     for piece in pieces(bytes, cuts) {
         parser.feed(piece);
@@ -34,8 +34,8 @@
     (all, bad)
 }
 
-fn http(bytes: &[u8], cuts: &[usize]) -> Result<Vec<Piece>, String> {
-    let mut parser = HttpLines::new(512, MOST);
+fn http(bytes: &[u8], cuts: &[usize]) -> Result<Vec<HttpEvent>, String> {
+    let mut parser = HttpLineReader::new(512, MOST);
     let mut all = Vec::new();
     for piece in pieces(bytes, cuts) {
         all.extend(parser.feed(piece).map_err(|e| e.to_string())?);
@@ -75,10 +75,10 @@
         };
         let joined = |frames: &[Frame]| -> Vec<u8> { frames.iter().flat_map(|f| f.bytes.clone()).collect() };
         let wanted = of(b"RSKTCENAv");
-        prop_assert_eq!(&frames(Frames::typed(MOST), &joined(&wanted), &cuts).0, &wanted);
+        prop_assert_eq!(&frames(FrameDecoder::server(MOST), &joined(&wanted), &cuts).0, &wanted);
         let wanted = of(b"QPBDECFdfp");
         let bytes = [startup().bytes, joined(&wanted)].concat();
-        let (got, bad) = frames(Frames::client(MOST, MOST), &bytes, &cuts);
+        let (got, bad) = frames(FrameDecoder::client(MOST, MOST), &bytes, &cuts);
         prop_assert!(!bad);
         prop_assert_eq!(&got[0], &startup());
         prop_assert_eq!(&got[1..], &wanted[..]);
@@ -86,8 +86,8 @@
 
     #[test]
     fn any_bytes_give_the_same_frames_however_they_are_split(bytes in a_body(), cuts in cuts()) {
-        let whole = frames(Frames::client(64, 100), &bytes, &[]);
-        prop_assert_eq!(&frames(Frames::client(64, 100), &bytes, &cuts), &whole);
+        let whole = frames(FrameDecoder::client(64, 100), &bytes, &[]);
+        prop_assert_eq!(&frames(FrameDecoder::client(64, 100), &bytes, &cuts), &whole);
         prop_assert!(whole.0.iter().all(|f| f.bytes.len() <= 101));
     }
 
@@ -103,7 +103,7 @@
         prop_assert_eq!((&read.key, read.wait_ms, read.cluster), (&key, d, 2));
         prop_assert_eq!((read.after_ms, read.repeat, read.write), (after, repeat, value.is_some()));
         let wanted = query(&statement(&key, value.as_deref(), left, &extra));
-        prop_assert_eq!(read.with_wait(left), wanted.bytes);
+        prop_assert_eq!(read.with_timeout(left), wanted.bytes);
     }
 
     #[test]
@@ -112,7 +112,7 @@
         let at = 5 + at % (bytes.len() - 5);
         bytes[at] = byte;
         if let Ok(read) = Statement::parse(frame(bytes.clone())) {
-            let passed = Statement::parse(frame(read.with_wait(7))).expect("what is passed on is well formed");
+            let passed = Statement::parse(frame(read.with_timeout(7))).expect("what is passed on is well formed");
             prop_assert_eq!(passed.wait_ms, 7);
             prop_assert_eq!(passed.key, read.key);
         }
@@ -142,8 +142,8 @@
             bytes.extend(b"\r\n");
         }
         bytes.extend(b"0\r\n\r\n");
-        let mut wanted: Vec<_> = lines.iter().map(|l| Piece::Line(l.as_bytes().to_vec())).collect();
-        wanted.push(Piece::End);
+        let mut wanted: Vec<_> = lines.iter().map(|l| HttpEvent::Line(l.as_bytes().to_vec())).collect();
+        wanted.push(HttpEvent::End);
         prop_assert_eq!(http(&bytes, &cuts), Ok(wanted));
     }
 
@@ -163,7 +163,7 @@
         let mut bytes = three().into_bytes();
         let at = at % bytes.len();
         bytes[at] = byte;
-        if let Ok(list) = list_from_bytes(&bytes) {
+        if let Ok(list) = parse_endpoint_list(&bytes) {
             prop_assert!(list.members.iter().all(|m| m.size >= 0.0 && m.up_since_ms >= 0));
         }
     }
@@ -173,27 +173,27 @@
 fn a_length_out_of_range_is_bad_before_its_bytes_have_come() {
     let mut bytes = vec![b'Q'];
     bytes.extend(((MOST + 1) as u32).to_be_bytes());
-    assert!(frames(Frames::typed(MOST), &bytes, &[]).1);
-    assert!(frames(Frames::typed(MOST), b"Q\0\0\0\x03", &[]).1);
-    assert!(frames(Frames::client(MOST, MOST), &[0, 0, 0, 7], &[]).1);
-    assert!(frames(Frames::client(MOST, MOST), &[0xff, 0, 0, 7], &[]).1);
+    assert!(frames(FrameDecoder::server(MOST), &bytes, &[]).1);
+    assert!(frames(FrameDecoder::server(MOST), b"Q\0\0\0\x03", &[]).1);
+    assert!(frames(FrameDecoder::client(MOST, MOST), &[0, 0, 0, 7], &[]).1);
+    assert!(frames(FrameDecoder::client(MOST, MOST), &[0xff, 0, 0, 7], &[]).1);
 }
 
 #[test]
 fn a_buffer_that_is_never_empty_does_not_grow() {
-    let (mut parser, bytes) = (Frames::typed(MOST), message(b'C', &[7; 100]).bytes);
+    let (mut parser, bytes) = (FrameDecoder::server(MOST), message(b'C', &[7; 100]).bytes);
     parser.feed(&bytes[..50]);
     for _ in 0..1000 {
         parser.feed(&bytes[50..]);
         parser.feed(&bytes[..50]);
         assert!(parser.next_frame().is_some_and(|f| f.is_ok()) && parser.next_frame().is_none());
-        assert!(parser.buffered() < 400, "{}", parser.buffered());
+        assert!(parser.buffered_bytes() < 400, "{}", parser.buffered_bytes());
     }
 }
 
 #[test]
 fn a_body_with_a_length_is_one_document() {
-    let wanted = vec![Piece::Line(b"{}".to_vec()), Piece::End];
+    let wanted = vec![HttpEvent::Line(b"{}".to_vec()), HttpEvent::End];
     assert_eq!(http(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", &[5, 20, 41]), Ok(wanted));
     assert!(http(b"HTTP/1.1 503 Busy\r\n\r\n", &[]).is_err());
     assert!(http(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", &[]).is_err());
@@ -215,7 +215,7 @@
     ]);
     assert!(all.iter().all(|f| reply.take(f, MOST) == Ok(false)));
     assert_eq!(reply.take(&ready(), MOST), Ok(true));
-    assert_eq!((reply.ended(), reply.primary), (Some(Ended::Row), Some(true)));
+    assert_eq!((reply.ended(), reply.primary), (Some(ReplyOutcome::Row), Some(true)));
     assert_eq!(reply.position, Some(1_767_225_600_123 * MS));
     assert_eq!(reply.report.position, Some(1_767_225_600 * SECOND + 123_900_000));
     assert_eq!((reply.report.is_primary, reply.report.in_flight), (Some(true), Some(7.0)));
@@ -226,13 +226,13 @@
 
 #[test]
 fn a_position_of_a_report_is_never_rounded_up() {
-    let position = |text: &str| load_report(text).and_then(|r| r.position);
+    let position = |text: &str| parse_load_report(text).and_then(|r| r.position);
     assert_eq!(position("x0=1767225600.9999999999"), Some(1_767_225_600_999_999_999));
     assert_eq!(position("x0=1767225600"), Some(1_767_225_600 * SECOND));
     assert_eq!(position("x0=soon"), None);
     assert_eq!(position("x0=9999999999.9"), None, "later than a clock can tell");
     assert_eq!(position("x0=1e300"), None);
-    assert_eq!(load_report("x0=1,x1"), None);
+    assert_eq!(parse_load_report("x0=1,x1"), None);
 }
 
 #[test]
@@ -241,13 +241,13 @@
     let spoilt = [status("node_role", "?"), status("replay_position", "-"), status("server_load", "x0=,x1")];
     let all = [row(b"v"), spoilt.to_vec(), vec![message(b'S', &[0xff, 0, 0xfe])]].concat();
     assert!(all.iter().all(|f| reply.take(f, MOST) == Ok(false)));
-    assert_eq!((reply.ended(), reply.primary, reply.position), (Some(Ended::Row), None, None));
+    assert_eq!((reply.ended(), reply.primary, reply.position), (Some(ReplyOutcome::Row), None, None));
 }
 
 #[test]
 fn a_start_that_no_clock_can_tell_is_no_list() {
     let text = three().replacen("\"up_since_ms\":0", "\"up_since_ms\":1e14", 1);
-    assert!(list_from_bytes(text.as_bytes()).is_err());
+    assert!(parse_endpoint_list(text.as_bytes()).is_err());
 }
 
 #[test]
@@ -256,14 +256,14 @@
         frames.iter().try_fold(Reply::default(), |mut reply, frame| reply.take(frame, MOST).map(|_| reply))
     };
     let good = row(b"abc");
-    assert_eq!(take(&good).expect("a row").ended(), Some(Ended::Row));
+    assert_eq!(take(&good).expect("a row").ended(), Some(ReplyOutcome::Row));
     assert_eq!(take(&good[..2]).expect("so far").ended(), None, "not complete");
     assert!(take(&[good[0].clone(), good[1].clone(), good[1].clone()]).is_err(), "two rows");
     assert!(take(&good[1..]).is_err(), "no description");
     let short = message(b'D', &[0, 1, 0, 0, 0, 9, b'a']);
     assert!(take(&[good[0].clone(), short]).is_err(), "shorter than it says");
-    assert_eq!(take(&[good[0].clone(), good[2].clone()]).expect("no row").ended(), Some(Ended::Nothing));
-    assert_eq!(take(&[error("25006")]).expect("an error").ended(), Some(Ended::Error(*b"25006")));
+    assert_eq!(take(&[good[0].clone(), good[2].clone()]).expect("no row").ended(), Some(ReplyOutcome::NoRow));
+    assert_eq!(take(&[error("25006")]).expect("an error").ended(), Some(ReplyOutcome::Error(*b"25006")));
     let long = Frame { kind: b'D', bytes: row(&[7; MOST]).remove(1).bytes };
     assert!(take(&[good[0].clone(), long]).is_err(), "over the limit");
 }
@@ -280,11 +280,11 @@
 /// Judged before its bytes have come: one that waits for them waits for as long as the other side likes.
 #[test]
 fn a_message_is_judged_by_its_type_and_length_at_once() {
-    let bad = |mut parser: Frames, bytes: &[u8]| {
+    let bad = |mut parser: FrameDecoder, bytes: &[u8]| {
         parser.feed(bytes);
         parser.next_frame().is_some_and(|frame| frame.is_err())
     };
-    let server = || Frames::typed(1 << 16);
+    let server = || FrameDecoder::server(1 << 16);
     assert!(bad(server(), b"?"), "a type that no server sends");
     assert!(bad(server(), b"Q"), "a client's message");
     assert!(bad(server(), b"Z\0\0\0\x09"));
@@ -296,7 +296,7 @@
     assert!(!bad(server(), b"D\0\0\0\x0c\0\x01\0\0\0\x02"));
     assert!(!bad(server(), b"D\0\0\0\x0a\0\x01\xff\xff\xff\xff"), "no value");
     let client = || {
-        let mut parser = Frames::client(100, 1 << 16);
+        let mut parser = FrameDecoder::client(100, 1 << 16);
         parser.feed(&startup().bytes);
         assert!(parser.next_frame().is_some_and(|frame| frame.is_ok()));
         parser
@@ -311,7 +311,7 @@
 #[test]
 fn a_load_that_cannot_be_spoils_its_report() {
     for text in ["x0=1,x0=2", "x1=7", "inflight=-1", "util=1e9", "queue=inf", "x0=1,x1=", "x0=-5"] {
-        assert_eq!(load_report(text), None, "{text}");
+        assert_eq!(parse_load_report(text), None, "{text}");
     }
-    assert!(load_report("x0=1767225600.1,x1=0,inflight=7,util=0.61").is_some());
+    assert!(parse_load_report("x0=1767225600.1,x1=0,inflight=7,util=0.61").is_some());
 }
--- a/crates/stackgw-gateway/tests/reducer.rs
+++ b/crates/stackgw-gateway/tests/reducer.rs
@@ -292,7 +292,7 @@
 #[test]
 fn a_clients_line_has_an_end() {
     let mut config = config(&three());
-    config.limits.client_line = 3;
+    config.limits.max_pipelined_statements = 3;
     let mut rig = Rig::with(config);
     let client = rig.client(1);
     for n in 0..3 {
@@ -373,7 +373,7 @@
 #[test]
 fn past_the_room_for_what_is_left_unread_the_client_still_longest_is_let_go() {
     let mut config = config(&three());
-    config.limits.unread_bytes = 2500;
+    config.limits.pending_write_bytes = 2500;
     let mut rig = Rig::with(config);
     let clients = [1, 2, 3].map(|n| rig.client(n));
     rig.clients_stuck = true;
@@ -1025,7 +1025,7 @@
 #[test]
 fn connections_that_stay_idle_are_closed_before_all_places_are_taken() {
     let mut config = config(&three());
-    (config.limits.clients, config.limits.clients_wanted) = (10, 3);
+    (config.limits.clients, config.limits.client_soft_limit) = (10, 3);
     let mut rig = Rig::with(config);
     let mut asked = Vec::new();
     for n in 0..3 {
--- a/crates/stackgw-gateway/tests/shared.rs
+++ b/crates/stackgw-gateway/tests/shared.rs
@@ -5,7 +5,7 @@
 use common::*;
 use stackgw_cluster::{Key, Ring};
 use stackgw_config::{Duration, Sessions};
-use stackgw_gateway::config::Together;
+use stackgw_gateway::config::SessionSharingConfig;
 use stackgw_gateway::pg::Frame;
 use stackgw_gateway::reducer::{ConnId, Effect, Input, Life, Question};
 use stackgw_router::api::{Span, MS, SECOND};
@@ -15,7 +15,7 @@
 const BOUND: Span = LEASE + LEASE / 8;
 
 /// One of two keepers; the other one is nowhere.
-fn together(keepers: &[&str]) -> Together {
+fn together(keepers: &[&str]) -> SessionSharingConfig {
     let file = Sessions {
         cluster: "test".to_owned(),
         listen: "127.0.0.1:7300".parse().expect("an address"),
@@ -35,17 +35,17 @@
         expected: 2,
     };
     let key = Key::new("test", b"a secret of this test alone").expect("a secret");
-    Together { file, ring: Ring::new(vec![key]).expect("keys") }
+    SessionSharingConfig { options: file, key_ring: Ring::new(vec![key]).expect("keys") }
 }
 
 fn rig(keepers: &[&str]) -> Rig {
     rig_with(together(keepers))
 }
 
-fn rig_with(together: Together) -> Rig {
+fn rig_with(together: SessionSharingConfig) -> Rig {
     let mut config = config(&three());
-    config.together = Some(together);
-    let together = config.together.clone().expect("it is there");
+    config.session_sharing = Some(together);
+    let together = config.session_sharing.clone().expect("it is there");
     let mut rig = Rig::with(config);
     let life = Life { incarnation: 5, recovered: None };
     let mut effects = Vec::new();
@@ -110,7 +110,7 @@
 #[test]
 fn at_the_end_what_is_held_is_failed() {
     let mut together = together(&["g0", "g1"]);
-    together.file.lease = Duration::from_millis(9_000);
+    together.options.lease = Duration::from_millis(9_000);
     let mut rig = rig_with(together);
     rig.input(Input::Terminate);
     rig.pass(SECOND);
--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use stackgw_gateway::discovery::{Objects, Word};
+use stackgw_gateway::discovery::{WatchEvent, WatchParser};
 use stackgw_gateway::reducer::{Effect, Input};
 use stackgw_router::api::{Span, Time, MS, SECOND};
 
@@ -171,26 +171,26 @@
     let value: serde_json::Value = serde_json::from_str(&one).expect("a list");
     let wanted = list(3, true, &[entry(1, "ready", "leader")]);
     let indented = serde_json::to_string_pretty(&value).expect("text");
-    let mut objects = Objects::new(1 << 20);
+    let mut objects = WatchParser::new(1 << 20);
     let mut words: Vec<_> =
-        indented.lines().map(|line| objects.line(line.as_bytes().to_vec()).expect("a line")).collect();
-    assert_eq!(words.pop(), Some(Word::List(wanted.clone())));
-    assert!(words.iter().all(|word| *word == Word::More));
-    assert_eq!(objects.line(b"  ".to_vec()), Ok(Word::Alive));
-    assert_eq!(objects.line(one.clone().into_bytes()), Ok(Word::List(wanted)));
+        indented.lines().map(|line| objects.push_line(line.as_bytes().to_vec()).expect("a line")).collect();
+    assert_eq!(words.pop(), Some(WatchEvent::List(wanted.clone())));
+    assert!(words.iter().all(|word| *word == WatchEvent::Incomplete));
+    assert_eq!(objects.push_line(b"  ".to_vec()), Ok(WatchEvent::Heartbeat));
+    assert_eq!(objects.push_line(one.clone().into_bytes()), Ok(WatchEvent::List(wanted)));
     // Brackets and quotes inside a text are text.
     let odd = one.replace("\"room\"", r#""a }]\"{""#);
-    assert!(matches!(objects.line(odd.into_bytes()), Ok(Word::List(_))));
+    assert!(matches!(objects.push_line(odd.into_bytes()), Ok(WatchEvent::List(_))));
     // Nor does it matter how far the lines are indented.
     let flat: Vec<_> =
-        indented.lines().map(|line| objects.line(line.trim().into()).expect("a line")).collect();
-    assert!(matches!(flat.last(), Some(Word::List(_))));
-    assert!(matches!(objects.line(format!("  {one}").into_bytes()), Ok(Word::List(_))));
+        indented.lines().map(|line| objects.push_line(line.trim().into()).expect("a line")).collect();
+    assert!(matches!(flat.last(), Some(WatchEvent::List(_))));
+    assert!(matches!(objects.push_line(format!("  {one}").into_bytes()), Ok(WatchEvent::List(_))));
     for behind in ["", &one, "x"] {
-        let mut objects = Objects::new(1 << 20);
-        assert_eq!(objects.line(one.as_bytes()[..40].to_vec()), Ok(Word::More));
-        assert_eq!(objects.line(behind.into()).is_err(), behind != "x", "'{behind}'");
+        let mut objects = WatchParser::new(1 << 20);
+        assert_eq!(objects.push_line(one.as_bytes()[..40].to_vec()), Ok(WatchEvent::Incomplete));
+        assert_eq!(objects.push_line(behind.into()).is_err(), behind != "x", "'{behind}'");
     }
-    assert!(Objects::new(20).line(one.into_bytes()).is_err(), "a list has its bound");
-    assert!(Objects::new(1 << 20).line(b"nonsense".to_vec()).is_err());
+    assert!(WatchParser::new(20).push_line(one.into_bytes()).is_err(), "a list has its bound");
+    assert!(WatchParser::new(1 << 20).push_line(b"nonsense".to_vec()).is_err());
 }
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -4,12 +4,15 @@
 mod common;
 
 use common::*;
-use stackgw_gateway::config::{Config, Others, Together};
+use stackgw_gateway::config::{ClusterConfig, Config, SessionSharingConfig};
 use stackgw_gateway::discovery::{
-    list_from_bytes, request, HttpLines, ListUpdate, Lost, Objects, Piece, Word,
+    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, ListUpdate, WatchError, WatchEvent,
+    WatchParser,
 };
 use stackgw_gateway::limits::{Limits, Platform};
-use stackgw_gateway::pg::{code, load_report, value, write, Ended, Frame, Frames, Reply, Statement};
+use stackgw_gateway::pg::{
+    code, column_value, parse_load_report, write, Frame, FrameDecoder, Reply, ReplyOutcome, Statement,
+};
 use stackgw_gateway::reducer::{ClientId, Effect, Input};
 use stackgw_router::api::Lifecycle;
 use std::fmt::{Display, Write};
@@ -136,8 +139,8 @@
                 read.cluster,
                 read.repeat,
                 read.write,
-                read.held(),
-                hex(&read.with_wait(12_345))
+                read.size_bytes(),
+                hex(&read.with_timeout(12_345))
             )
         }
         Err(malformed) => format!("error: {malformed}"),
@@ -209,20 +212,20 @@
 }
 
 /// All frames that come out when the bytes are fed three at a time, and what is left.
-fn frames_text(mut parser: Frames, bytes: &[u8]) -> String {
+fn frames_text(mut parser: FrameDecoder, bytes: &[u8]) -> String {
     let mut all = Vec::new();
     for piece in bytes.chunks(3) {
         parser.feed(piece);
         while let Some(next) = parser.next_frame() {
             match next {
                 Ok(frame) => all.push(frame_text(&frame)),
-                Err(bad) => return format!("{} error: {bad} left {}", all.join(" "), parser.held()),
+                Err(bad) => return format!("{} error: {bad} left {}", all.join(" "), parser.pending_bytes()),
             }
         }
     }
-    let left = format!("{} left {}/{}", all.join(" "), parser.held(), parser.buffered());
+    let left = format!("{} left {}/{}", all.join(" "), parser.pending_bytes(), parser.buffered_bytes());
     parser.clear();
-    assert_eq!((parser.held(), parser.buffered()), (0, 0));
+    assert_eq!((parser.pending_bytes(), parser.buffered_bytes()), (0, 0));
     left
 }
 
@@ -263,18 +266,18 @@
 fn bytes_are_split_into_the_same_messages() {
     let mut out = String::new();
     for (number, bytes) in frame_inputs().iter().enumerate() {
-        line(&mut out, &format!("server {number}"), frames_text(Frames::typed(4096), bytes));
-        line(&mut out, &format!("client {number}"), frames_text(Frames::client(100, 4096), bytes));
+        line(&mut out, &format!("server {number}"), frames_text(FrameDecoder::server(4096), bytes));
+        line(&mut out, &format!("client {number}"), frames_text(FrameDecoder::client(100, 4096), bytes));
     }
     compare("frames.txt", &out);
 }
 
-fn ended_text(ended: Option<Ended>) -> String {
+fn ended_text(ended: Option<ReplyOutcome>) -> String {
     match ended {
         None => "open".to_owned(),
-        Some(Ended::Row) => "row".to_owned(),
-        Some(Ended::Error(code)) => format!("error {}", String::from_utf8_lossy(&code)),
-        Some(Ended::Nothing) => "nothing".to_owned(),
+        Some(ReplyOutcome::Row) => "row".to_owned(),
+        Some(ReplyOutcome::Error(code)) => format!("error {}", String::from_utf8_lossy(&code)),
+        Some(ReplyOutcome::NoRow) => "nothing".to_owned(),
     }
 }
 
@@ -296,7 +299,7 @@
         "{} | {} whole={} {primary} {} {} {} | {} {} {} {} {}",
         taken.join(","),
         ended_text(reply.ended()),
-        reply.is_whole(),
+        reply.is_complete(),
         reply.position.unwrap_or(-1),
         reply.column().unwrap_or("-"),
         hex(&reply.row),
@@ -347,7 +350,7 @@
         "x0=1767225600.99999999999",
         "x0=-5",
     ] {
-        let position = load_report(text).map(|report| report.position.unwrap_or(-1));
+        let position = parse_load_report(text).map(|report| report.position.unwrap_or(-1));
         line(
             &mut out,
             &format!("load {text}"),
@@ -358,7 +361,7 @@
         |frames: &[Frame]| -> Vec<u8> { frames.iter().flat_map(|frame| frame.bytes.clone()).collect() };
     let null = [good[0].clone(), message(b'D', &[0, 1, 0xff, 0xff, 0xff, 0xff])];
     for row in [bytes(&good), bytes(&null), bytes(&good[..1]), Vec::new()] {
-        let column = value(&row).map(|value| value.map_or("null".to_owned(), hex));
+        let column = column_value(&row).map(|value| value.map_or("null".to_owned(), hex));
         line(&mut out, "value", column.unwrap_or("none".to_owned()));
     }
     compare("replies.txt", &out);
@@ -370,18 +373,18 @@
     for host in ["127.0.0.1:8500", "[::1]:80"] {
         let host = host.parse().expect("an address");
         for watch_after in [None, Some(None), Some(Some(0)), Some(Some(u64::MAX))] {
-            line(&mut out, "request", hex(&request(host, watch_after)));
+            line(&mut out, "request", hex(&endpoint_request(host, watch_after)));
         }
     }
     compare("list_requests.txt", &out);
 }
 
 fn http_text(answer: &[u8], size: usize) -> String {
-    let mut parser = HttpLines::new(100, 40);
+    let mut parser = HttpLineReader::new(100, 40);
     let mut all = Vec::new();
-    let name = |piece: &Piece| match piece {
-        Piece::Line(line) => format!("line {}", String::from_utf8_lossy(line)),
-        Piece::End => "end".to_owned(),
+    let name = |piece: &HttpEvent| match piece {
+        HttpEvent::Line(line) => format!("line {}", String::from_utf8_lossy(line)),
+        HttpEvent::End => "end".to_owned(),
     };
     for bytes in answer.chunks(size) {
         match parser.feed(bytes) {
@@ -390,7 +393,7 @@
                 return format!(
                     "{} error: {malformed}, off {}",
                     all.join(", "),
-                    parser.put_off().unwrap_or(-1)
+                    parser.retry_after().unwrap_or(-1)
                 );
             }
         }
@@ -399,7 +402,7 @@
         Ok(pieces) => pieces.iter().map(name).collect::<Vec<_>>().join(", "),
         Err(malformed) => format!("error: {malformed}"),
     };
-    format!("{} then {ended}, off {}", all.join(", "), parser.put_off().unwrap_or(-1))
+    format!("{} then {ended}, off {}", all.join(", "), parser.retry_after().unwrap_or(-1))
 }
 
 #[test]
@@ -492,7 +495,7 @@
 #[test]
 fn lists_are_read_the_same() {
     let mut out = String::new();
-    let read = |text: &str| match list_from_bytes(text.as_bytes()) {
+    let read = |text: &str| match parse_endpoint_list(text.as_bytes()) {
         Ok(list) => list_text_of(&list),
         Err(malformed) => format!("error: {malformed}"),
     };
@@ -505,11 +508,11 @@
 }
 
 fn watch_text(lines: &[&str], most: usize) -> String {
-    let mut objects = Objects::new(most);
-    let read = lines.iter().map(|line| match objects.line(line.as_bytes().to_vec()) {
-        Ok(Word::Alive) => "alive".to_owned(),
-        Ok(Word::List(list)) => format!("list {}", list_text_of(&list)),
-        Ok(Word::More) => "more".to_owned(),
+    let mut objects = WatchParser::new(most);
+    let read = lines.iter().map(|line| match objects.push_line(line.as_bytes().to_vec()) {
+        Ok(WatchEvent::Heartbeat) => "alive".to_owned(),
+        Ok(WatchEvent::List(list)) => format!("list {}", list_text_of(&list)),
+        Ok(WatchEvent::Incomplete) => "more".to_owned(),
         Err(malformed) => format!("error: {malformed}"),
     });
     read.collect::<Vec<_>>().join("; ")
@@ -530,10 +533,13 @@
     line(&mut out, "no JSON", watch_text(&["{]"], 1 << 20));
     line(&mut out, "wrong list", watch_text(&["{}"], 1 << 20));
     line(&mut out, "too long", watch_text(&[&one], 20));
-    let lost =
-        [Lost::from("ended"), Lost::from("reset".to_owned()), Lost { why: "busy".into(), put_off: Some(7) }];
+    let lost = [
+        WatchError::from("ended"),
+        WatchError::from("reset".to_owned()),
+        WatchError { reason: "busy".into(), retry_after: Some(7) },
+    ];
     for lost in lost {
-        line(&mut out, "lost", format!("{} {}", lost.why, lost.put_off.unwrap_or(-1)));
+        line(&mut out, "lost", format!("{} {}", lost.reason, lost.retry_after.unwrap_or(-1)));
     }
     compare("watch.txt", &out);
 }
@@ -596,7 +602,7 @@
         config.seed,
         config.peer_listen.map_or("-".to_owned(), |at| at.to_string()),
         config.peers_all.map_or("-".to_owned(), |at| at.to_string()),
-        config.known.as_ref().map_or("-".to_owned(), list_text_of),
+        config.initial_endpoints.as_ref().map_or("-".to_owned(), list_text_of),
         config.limits.clients,
     )
 }
@@ -707,17 +713,20 @@
         let read = config("null").with_operator(&path);
         let said = match read {
             Err(problem) => format!("error: {problem}"),
-            Ok(Config { operator, together, others, start, .. }) => {
-                let sessions = together.as_ref().map(|Together { file, .. }| file.cluster.clone());
-                let cluster =
-                    others.as_ref().map(|Others { file, .. }| format!("{} {}", file.name, file.listen));
+            Ok(Config { operator, session_sharing, cluster, bootstrap, .. }) => {
+                let sessions = session_sharing
+                    .as_ref()
+                    .map(|SessionSharingConfig { options: file, .. }| file.cluster.clone());
+                let cluster = cluster
+                    .as_ref()
+                    .map(|ClusterConfig { options: file, .. }| format!("{} {}", file.name, file.listen));
                 format!(
                     "{} {} {} {} {}",
                     operator.control.map_or("-".to_owned(), |path| path.display().to_string()),
                     operator.flight.map_or("-".to_owned(), |(file, _)| file.listen.to_string()),
                     sessions.unwrap_or("-".to_owned()),
                     cluster.unwrap_or("-".to_owned()),
-                    start.is_some(),
+                    bootstrap.is_some(),
                 )
             }
         };
@@ -738,12 +747,12 @@
         ("clients", limits.clients),
         ("client_reserve", limits.client_reserve),
         ("member_connections", limits.member_connections),
-        ("clients_wanted", limits.clients_wanted),
+        ("clients_wanted", limits.client_soft_limit),
         ("requests", limits.requests),
         ("members", limits.members),
         ("startup_bytes", limits.startup_bytes),
         ("statement_bytes", limits.statement_bytes),
-        ("ahead_bytes", limits.ahead_bytes),
+        ("ahead_bytes", limits.read_ahead_bytes),
         ("answer_bytes", limits.answer_bytes),
         ("head_bytes", limits.head_bytes),
         ("list_bytes", limits.list_bytes),
@@ -751,45 +760,45 @@
         ("read_bytes", limits.read_bytes),
         ("client_bytes", limits.client_bytes),
         ("member_bytes", limits.member_bytes),
-        ("unread_bytes", limits.unread_bytes),
+        ("unread_bytes", limits.pending_write_bytes),
         ("linger_bytes", limits.linger_bytes),
-        ("client_malformed", limits.client_malformed as usize),
-        ("client_line", limits.client_line),
-        ("client_turn", limits.client_turn),
-        ("leave_turn", limits.leave_turn),
-        ("accept_turn", limits.accept_turn),
+        ("client_malformed", limits.max_consecutive_malformed as usize),
+        ("client_line", limits.max_pipelined_statements),
+        ("client_turn", limits.messages_per_turn),
+        ("leave_turn", limits.disconnect_poll_batch),
+        ("accept_turn", limits.accept_batch),
         ("backlog", limits.backlog as usize),
     ];
     let spans = [
-        ("linger_idle", limits.linger_idle),
-        ("evict_after", limits.evict_after),
-        ("evict_fresh", limits.evict_fresh),
+        ("linger_idle", limits.soft_limit_idle),
+        ("evict_after", limits.eviction_idle),
+        ("evict_fresh", limits.eviction_grace),
         ("drain_grace", limits.drain_grace),
-        ("only_drains_bind", i64::from(limits.only_drains_bind)),
-        ("connect", limits.connect),
-        ("connect_late", limits.connect_late),
-        ("probe", limits.probe),
-        ("answer_stall", limits.answer_stall),
-        ("clock_slack", limits.clock_slack),
-        ("idle", limits.idle),
-        ("sweep", limits.sweep),
-        ("client_first", limits.client_first),
-        ("client_partial", limits.client_partial),
-        ("client_stall", limits.client_stall),
-        ("linger", limits.linger),
-        ("leave_pace", limits.leave_pace),
-        ("wait_most", limits.wait_most),
-        ("watch_dial", limits.watch_dial),
-        ("watch_first", limits.watch_first),
-        ("watch_silence", limits.watch_silence),
-        ("watch_pause", limits.watch_pause),
-        ("watch_pause_most", limits.watch_pause_most),
-        ("error_pause", limits.error_pause),
-        ("drain_accept", limits.drain_accept),
-        ("drain_serve", limits.drain_serve),
-        ("drain_pace", limits.drain_pace),
-        ("drain_refuse", limits.drain_refuse),
-        ("drain_end", limits.drain_end),
+        ("only_drains_bind", i64::from(limits.removal_is_advisory)),
+        ("connect", limits.connect_timeout),
+        ("connect_late", limits.late_connect_timeout),
+        ("probe", limits.health_check_timeout),
+        ("answer_stall", limits.answer_stall_timeout),
+        ("clock_slack", limits.max_clock_skew),
+        ("idle", limits.member_idle_timeout),
+        ("sweep", limits.sweep_interval),
+        ("client_first", limits.first_request_timeout),
+        ("client_partial", limits.partial_message_timeout),
+        ("client_stall", limits.client_write_timeout),
+        ("linger", limits.linger_timeout),
+        ("leave_pace", limits.disconnect_poll_interval),
+        ("wait_most", limits.max_request_wait),
+        ("watch_dial", limits.watch_connect_timeout),
+        ("watch_first", limits.watch_first_line_timeout),
+        ("watch_silence", limits.watch_idle_timeout),
+        ("watch_pause", limits.watch_min_backoff),
+        ("watch_pause_most", limits.watch_max_backoff),
+        ("error_pause", limits.error_backoff),
+        ("drain_accept", limits.shutdown_accept),
+        ("drain_serve", limits.shutdown_serve),
+        ("drain_pace", limits.shutdown_sweep_interval),
+        ("drain_refuse", limits.shutdown_reject),
+        ("drain_end", limits.shutdown_deadline),
     ];
     let counts = counts.map(|(name, count)| format!("{name}={count}"));
     let spans = spans.map(|(name, span)| format!("{name}={span}"));
--- a/crates/stackgw-standin/src/client.rs
+++ b/crates/stackgw-standin/src/client.rs
@@ -1,7 +1,7 @@
 //! One client's connection to a gateway.
 
 use crate::gateways::group;
-use stackgw_gateway::pg::{write, Frame, Frames};
+use stackgw_gateway::pg::{write, Frame, FrameDecoder};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -28,7 +28,7 @@
 /// A client's connection.
 pub struct Client {
     socket: TcpStream,
-    frames: Frames,
+    frames: FrameDecoder,
 }
 
 /// Beyond any request's time; what is not answered by then is lost.
@@ -40,7 +40,7 @@
         let socket = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
         socket.set_read_timeout(Some(PATIENCE)).ok()?;
         socket.set_nodelay(true).ok()?;
-        let mut client = Client { socket, frames: Frames::typed(1 << 20) };
+        let mut client = Client { socket, frames: FrameDecoder::server(1 << 20) };
         let mut bytes = Vec::new();
         write::startup(&mut bytes, "client", "core");
         client.socket.write_all(&bytes).ok()?;
--- a/crates/stackgw-standin/src/replica_group.rs
+++ b/crates/stackgw-standin/src/replica_group.rs
@@ -4,7 +4,7 @@
 
 use crate::list_service::ListService;
 use crate::slow_start_model::{Load, ObservedLoad, SlowStartModel, Took};
-use stackgw_gateway::pg::{code, write, Frame, Frames, Statement};
+use stackgw_gateway::pg::{code, write, Frame, FrameDecoder, Statement};
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -291,7 +291,7 @@
     }
 
     fn serve(&self, n: usize, mut socket: TcpStream) {
-        let mut frames = Frames::client(1 << 16, 1 << 20);
+        let mut frames = FrameDecoder::client(1 << 16, 1 << 20);
         let mut buffer = [0; 8192];
         loop {
             while let Some(frame) = frames.next_frame() {
