--- a/crates/stackgw-cli/src/cmd/demo.rs
+++ b/crates/stackgw-cli/src/cmd/demo.rs
@@ -131,11 +131,11 @@
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let gateways = GatewayFleet::start(FleetConfig {
             gateways,
-            keepers,
+            session_replicas: keepers,
             mode: if self.off { FleetMode::LocalSessions } else { FleetMode::SharedSessions },
             disks: !self.no_disks,
             lease_ms: self.lease_ms,
-            horizon_ms: self.horizon_ms,
+            retention_ms: self.horizon_ms,
             relays: true,
             flight,
             speaks,
--- a/crates/stackgw-cli/src/cmd/measure.rs
+++ b/crates/stackgw-cli/src/cmd/measure.rs
@@ -80,8 +80,8 @@
         let mut lines = Vec::new();
         for instances in &self.instances {
             for round in 0..self.rounds {
-                for (case, mode, disks, horizon_ms) in CASES {
-                    let line = self.case(*instances, round, case, (mode, disks, horizon_ms))?;
+                for (case, mode, disks, retention_ms) in CASES {
+                    let line = self.case(*instances, round, case, (mode, disks, retention_ms))?;
                     if self.json {
                         println!("{}", serde_json::to_string(&line).map_err(|e| e.to_string())?);
                     }
@@ -102,11 +102,11 @@
         instances: u16,
         round: u64,
         case: &'static str,
-        (mode, disks, horizon_ms): (FleetMode, bool, u64),
+        (mode, disks, retention_ms): (FleetMode, bool, u64),
     ) -> Result<Line, String> {
         let folder = std::env::temp_dir().join(format!("stackgw-measure-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let line = self.play(&folder, instances, round, case, (mode, disks, horizon_ms));
+        let line = self.play(&folder, instances, round, case, (mode, disks, retention_ms));
         let _ = std::fs::remove_dir_all(&folder);
         line
     }
@@ -117,16 +117,16 @@
         instances: u16,
         round: u64,
         case: &'static str,
-        (mode, disks, horizon_ms): (FleetMode, bool, u64),
+        (mode, disks, retention_ms): (FleetMode, bool, u64),
     ) -> Result<Line, String> {
         let (store, agent) = ReplicaGroup::start(&[10, 20]).map_err(|e| e.to_string())?;
         let count = usize::from(instances);
         let gateways = GatewayFleet::start(FleetConfig {
             gateways: count,
-            keepers: count,
+            session_replicas: count,
             mode,
             disks,
-            horizon_ms,
+            retention_ms,
             ..FleetConfig::new(
                 std::env::current_exe().map_err(|e| e.to_string())?,
                 folder.to_owned(),
--- a/crates/stackgw-cli/src/cmd/measure_flight.rs
+++ b/crates/stackgw-cli/src/cmd/measure_flight.rs
@@ -65,9 +65,9 @@
         let (store, agent) = ReplicaGroup::start_speaking(&[10, 20], speaks).map_err(|e| e.to_string())?;
         let gateways = GatewayFleet::start(FleetConfig {
             gateways: 1,
-            keepers: 1,
+            session_replicas: 1,
             disks: false,
-            horizon_ms: 2_000,
+            retention_ms: 2_000,
             flight: true,
             speaks,
             ..FleetConfig::new(
--- a/crates/stackgw-cli/tests/driver/mod.rs
+++ b/crates/stackgw-cli/tests/driver/mod.rs
@@ -38,7 +38,7 @@
         let gateways = GatewayFleet::start(FleetConfig {
             disks: false,
             lease_ms: 300,
-            horizon_ms: 2_000,
+            retention_ms: 2_000,
             flight: true,
             speaks,
             auth,
--- a/crates/stackgw-cli/tests/sessions.rs
+++ b/crates/stackgw-cli/tests/sessions.rs
@@ -10,7 +10,7 @@
 
 /// Longer than a busy machine keeps a process waiting.
 const LEASE_MS: u64 = 500;
-const HORIZON_MS: u64 = 4_000;
+const RETENTION_MS: u64 = 4_000;
 
 struct Fixture {
     store: Arc<ReplicaGroup>,
@@ -25,11 +25,11 @@
         let (store, agent) = ReplicaGroup::start(&[20, 1_500]).expect("members");
         let gateways = GatewayFleet::start(FleetConfig {
             gateways,
-            keepers,
+            session_replicas: keepers,
             mode,
             disks,
             lease_ms: LEASE_MS,
-            horizon_ms: HORIZON_MS,
+            retention_ms: RETENTION_MS,
             relays: true,
             ..FleetConfig::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), vec![agent])
         });
@@ -136,14 +136,14 @@
         (0..2).for_each(|n| fixture.gateways.kill(n));
         (0..2).for_each(|n| fixture.gateways.restart(n).expect("it starts"));
         let took = fixture.sure(2);
-        assert!(took < Duration::from_millis(HORIZON_MS), "{took:?}");
+        assert!(took < Duration::from_millis(RETENTION_MS), "{took:?}");
         assert!(fixture.run(&trial(20)).good());
     }
     // Without them, a horizon.
     (0..2).for_each(|n| fixture.gateways.kill(n));
     (0..2).for_each(|n| fixture.gateways.lose_disk(n));
     (0..2).for_each(|n| fixture.gateways.restart(n).expect("it starts"));
-    assert!(fixture.sure(2) > Duration::from_millis(HORIZON_MS / 2));
+    assert!(fixture.sure(2) > Duration::from_millis(RETENTION_MS / 2));
 }
 
 #[test]
--- a/crates/stackgw-cli/tests/start.rs
+++ b/crates/stackgw-cli/tests/start.rs
@@ -41,7 +41,7 @@
         let (store, _) = ReplicaGroup::start_behind(&[20, 20], Protocol::Postgres, 2).expect("members");
         let doors = vec![store.lists().door(0), store.lists().door(1)];
         let mut setup = FleetConfig::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), doors);
-        (setup.gateways, setup.keepers, setup.mode, setup.relays) =
+        (setup.gateways, setup.session_replicas, setup.mode, setup.relays) =
             (gateways, 3, FleetMode::Bootstrap, cluster);
         let mut lines = vec![format!("bears: {bears}"), "list: \"{folder}/g{n}.list\"".to_owned()];
         lines.extend(further.iter().map(|line| (*line).to_owned()));
--- a/crates/stackgw-cluster/tests/cluster.rs
+++ b/crates/stackgw-cluster/tests/cluster.rs
@@ -98,7 +98,7 @@
     let mut net = Net::new();
     (1..=2).for_each(|n| net.start(n, 7, ring(&[OLD])));
     net.pass(3 * SECOND);
-    let message = Message::Look { nonce: 9, key: SessionKey(3) };
+    let message = Message::PositionQuery { nonce: 9, key: SessionKey(3) };
     net.say(1, 2, &message);
     net.pass(100 * MS);
     let peer = |node, incarnation| Peer { node: NodeId(node), incarnation };
--- a/crates/stackgw-gateway/src/io/cluster.rs
+++ b/crates/stackgw-gateway/src/io/cluster.rs
@@ -34,7 +34,7 @@
     let file = config.session_sharing.as_ref().map(|together| &together.options);
     if let Some((file, path)) = file.and_then(|file| Some((file, file.store.as_ref()?))) {
         let node = NodeId::of(&config.name);
-        let owner = Owner { cluster: file.cluster.clone(), node, horizon_ms: file.horizon.as_millis() };
+        let owner = Owner { cluster: file.cluster.clone(), node, retention_ms: file.horizon.as_millis() };
         let opened = File::open(path, &owner).map_err(|failed| failed.to_string())?;
         if let Some(said) = opened.set_aside {
             info!(log, "{said}; starting cautiously");
--- a/crates/stackgw-gateway/src/reducer/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/cluster.rs
@@ -88,7 +88,7 @@
                 ))),
                 Word::Sessions(from, to, message) => {
                     self.with_shared(now, out, |sessions, outputs| {
-                        sessions.heard(now, from, to, message, outputs);
+                        sessions.handle_message(now, from, to, message, outputs);
                     });
                 }
                 Word::Start(body) => self.start_heard(now, &body, out),
--- a/crates/stackgw-gateway/src/reducer/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/sessions.rs
@@ -6,7 +6,8 @@
 use serde_json::{json, Value};
 use stackgw_cluster::Cluster;
 use stackgw_sessions::{
-    Knowledge, NodeId, Output, Peer, Recovered, SessionKey, Sessions, Settings, Standing, Why,
+    NodeId, Output, Peer, PeerStatus, ReadRequirement, Recovered, SessionKey, Sessions, Settings,
+    StoreFailure, UncertaintyReason, WriteAdmission,
 };
 use stackgw_store::Done;
 use std::collections::BTreeMap as Map;
@@ -45,9 +46,9 @@
     due: Option<TimerKey>,
     disk_failed: bool,
     /// Reads that had to be cautious, by reason.
-    cautious: Map<Why, u64>,
+    cautious: Map<UncertaintyReason, u64>,
     /// What was last said of whether reads can be sure, and when.
-    said: Option<(Option<Why>, Time)>,
+    said: Option<(Option<UncertaintyReason>, Time)>,
     in_doubt: u64,
 }
 
@@ -66,17 +67,17 @@
         let file = &config.options;
         let me = life.peer(name);
         let settings = Settings {
-            me,
-            keepers: file.keepers.iter().map(|name| NodeId::of(name)).collect(),
-            homes: file.homes,
+            local: me,
+            replicas: file.keepers.iter().map(|name| NodeId::of(name)).collect(),
+            owners_per_session: file.homes,
             lease: file.lease.as_nanos(),
-            horizon: file.horizon.as_nanos(),
-            resend: file.resend.as_nanos(),
-            lookup: file.lookup.as_nanos(),
-            marks_most: file.marks,
-            own_most: file.own_marks,
-            waits_most: file.waits,
-            disk: life.recovered,
+            retention: file.horizon.as_nanos(),
+            resend_interval: file.resend.as_nanos(),
+            lookup_timeout: file.lookup.as_nanos(),
+            max_positions: file.marks,
+            max_local_writes: file.own_marks,
+            max_pending: file.waits,
+            recovered: life.recovered,
         };
         Shared {
             sessions: Sessions::new(now, settings, outputs),
@@ -97,20 +98,20 @@
     }
 
     /// A reason, in the operator's names.
-    fn why(&self, why: Why) -> String {
-        why.text(|node| self.name(node))
+    fn why(&self, why: UncertaintyReason) -> String {
+        why.describe(|node| self.name(node))
     }
 
     /// One line for the log.
     pub(super) fn line(&self, now: Time, met: stackgw_cluster::Counts) -> String {
         let status = self.sessions.status(now);
-        let counts = status.counts;
-        let sure = status.unsure.map_or("sure".to_owned(), |why| self.why(why));
+        let counts = status.counters;
+        let sure = status.uncertainty.map_or("sure".to_owned(), |why| self.why(why));
         format!(
             "sessions {sure}: marks={} own={} waiting={} pushed_out={} sure_here={} sure_there={} cautious={} released={} \
              released_owed={} in_doubt={} sent={} disregarded={} unknown_key={} forged={} malformed={}",
-            status.marks, status.own, status.waiting, status.pushed_out, counts.sure_here, counts.sure_there,
-            counts.cautious, counts.released, counts.released_owed, self.in_doubt, met.sent, counts.disregarded,
+            status.positions, status.local_writes, status.pending, status.evicted, counts.answered_locally, counts.answered_by_owner,
+            counts.strong_reads, counts.writes_released, counts.released_unacknowledged, self.in_doubt, met.sent, counts.messages_ignored,
             met.unknown_key, met.forged, met.malformed
         )
     }
@@ -118,29 +119,29 @@
     fn tell(&self, now: Time, cluster: &Cluster) -> Value {
         let status = self.sessions.status(now);
         let name = |node: &NodeId| self.name(node);
-        let other = |other: &Standing| {
+        let other = |other: &PeerStatus| {
             json!({"name": name(&other.node), "incarnation": other.incarnation,
-                "pledged_for_ms": other.pledged_for / MS, "bound_for_ms": other.bound_for / MS, "owed": other.owed})
+                "pledged_for_ms": other.lease_held_for / MS, "bound_for_ms": other.lease_granted_for / MS, "owed": other.unacknowledged})
         };
         let seen = |seen: &stackgw_cluster::Seen| {
             json!({"name": name(&seen.identity.peer.node), "incarnation": seen.identity.peer.incarnation,
                 "address": seen.identity.address.to_string(), "up": seen.up})
         };
-        let (counts, met) = (status.counts, cluster.counts());
+        let (counts, met) = (status.counters, cluster.counts());
         let cautious: serde_json::Map<String, Value> =
             self.cautious.iter().map(|(why, n)| (self.why(*why), json!(n))).collect();
         json!({
-            "name": name(&status.me.node), "incarnation": status.me.incarnation, "keeper": status.keeper,
-            "sure": status.unsure.is_none(),
-            "unsure_because": status.unsure.map(|why| self.why(why)),
-            "keepers": status.others.iter().map(other).collect::<Vec<_>>(),
+            "name": name(&status.local.node), "incarnation": status.local.incarnation, "keeper": status.is_replica,
+            "sure": status.uncertainty.is_none(),
+            "unsure_because": status.uncertainty.map(|why| self.why(why)),
+            "keepers": status.peers.iter().map(other).collect::<Vec<_>>(),
             "instances": cluster.known().map(seen).collect::<Vec<_>>(), "epoch": cluster.epoch(),
-            "marks": status.marks, "marks_pushed_out": status.pushed_out, "own_marks": status.own,
-            "waiting": status.waiting, "cautious_because": cautious,
-            "counts": {"sure_here": counts.sure_here, "sure_there": counts.sure_there, "cautious": counts.cautious,
-                "released": counts.released, "released_owed": counts.released_owed, "in_doubt": self.in_doubt,
-                "messages": counts.sent, "disregarded": counts.disregarded, "full": counts.full,
-                "own_pushed_out": counts.own_pushed_out, "disks_old": counts.disks_old,
+            "marks": status.positions, "marks_pushed_out": status.evicted, "own_marks": status.local_writes,
+            "waiting": status.pending, "cautious_because": cautious,
+            "counts": {"sure_here": counts.answered_locally, "sure_there": counts.answered_by_owner, "cautious": counts.strong_reads,
+                "released": counts.writes_released, "released_owed": counts.released_unacknowledged, "in_doubt": self.in_doubt,
+                "messages": counts.messages_sent, "disregarded": counts.messages_ignored, "full": counts.rejected,
+                "own_pushed_out": counts.local_writes_evicted, "disks_old": counts.outdated_stores,
                 "datagrams_sent": met.sent, "datagrams_taken": met.received, "foreign": met.foreign,
                 "unknown_key": met.unknown_key, "forged": met.forged, "malformed": met.malformed,
                 "unreachable": met.unreachable},
@@ -206,7 +207,9 @@
                 }
                 Output::Store(record) => out.push(Effect::Store(record)),
                 Output::Release(ticket) => self.release(now, RequestId(ticket), out),
-                Output::Need(ticket, knowledge) => self.session_known(now, RequestId(ticket), knowledge),
+                Output::ReadRequirement(ticket, knowledge) => {
+                    self.session_known(now, RequestId(ticket), knowledge)
+                }
             }
         }
         if let Some(shared) = self.shared.as_mut() {
@@ -216,7 +219,9 @@
 
     pub(super) fn disk(&mut self, now: Time, done: Done, out: &mut Vec<Effect>) {
         match done {
-            Done::Stored(records) => self.with_shared(now, out, |s, outputs| s.stored(now, records, outputs)),
+            Done::Stored(records) => {
+                self.with_shared(now, out, |s, outputs| s.handle_records_stored(now, records, outputs))
+            }
             Done::Failed { why, void } => {
                 let what = if void {
                     "it was set aside; a restart will be cautious"
@@ -227,7 +232,8 @@
                 if let Some(shared) = self.shared.as_mut() {
                     shared.disk_failed = true;
                 }
-                self.with_shared(now, out, |s, outputs| s.disk_failed(now, void, outputs));
+                let failure = if void { StoreFailure::SetAside } else { StoreFailure::LeftInPlace };
+                self.with_shared(now, out, |s, outputs| s.handle_store_failure(now, failure, outputs));
             }
         }
     }
@@ -235,19 +241,19 @@
     /// Why no write is taken now, if none is: its answer could not leave.
     pub(super) fn shut(&self) -> Option<&'static str> {
         let (shared, member) = (self.shared.as_ref()?, self.cluster.as_ref()?);
-        let roster = shared.sessions.roster();
-        let keeper = |seen: &stackgw_cluster::Seen| seen.up && roster.has(seen.identity.peer.node);
-        if !shared.sessions.lets_out() {
+        let roster = shared.sessions.replica_set();
+        let keeper = |seen: &stackgw_cluster::Seen| seen.up && roster.contains(seen.identity.peer.node);
+        if !shared.sessions.can_release() {
             return Some("this gateway's disk failed, another one takes writes");
         }
-        let cut = !shared.sessions.is_keeper() && !member.cluster.known().any(keeper);
+        let cut = !shared.sessions.is_replica() && !member.cluster.known().any(keeper);
         cut.then_some("no keeper of sessions is known here, another gateway takes writes")
     }
 
     /// Sets their timer anew where its moment has changed.
     pub(super) fn shared_due_set(&mut self) {
         let Some(shared) = self.shared.as_ref() else { return };
-        let key = self.moved(shared.due, shared.sessions.next_due(), Due::Shared);
+        let key = self.moved(shared.due, shared.sessions.next_deadline(), Due::Shared);
         if let Some(shared) = self.shared.as_mut() {
             shared.due = Some(key);
         }
@@ -256,7 +262,7 @@
     pub(super) fn shared_due(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(shared) = self.shared.as_mut() else { return };
         shared.due = None;
-        self.with_shared(now, out, |sessions, outputs| sessions.due(now, outputs));
+        self.with_shared(now, out, |sessions, outputs| sessions.handle_timeout(now, outputs));
         self.shared_due_set();
     }
 
@@ -264,13 +270,13 @@
     pub(super) fn shared_look(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(shared) = self.shared.as_mut() else { return };
         let status = shared.sessions.status(now);
-        if !status.keeper
-            || shared.said.is_some_and(|(said, at)| said == status.unsure || now - at < SAID_EVERY)
+        if !status.is_replica
+            || shared.said.is_some_and(|(said, at)| said == status.uncertainty || now - at < SAID_EVERY)
         {
             return;
         }
-        shared.said = Some((status.unsure, now));
-        out.push(Effect::Log(match status.unsure {
+        shared.said = Some((status.uncertainty, now));
+        out.push(Effect::Log(match status.uncertainty {
             None => "session reads are sure".to_owned(),
             Some(why) => format!("session reads are cautious: {}", shared.why(why)),
         }));
@@ -293,7 +299,7 @@
         }
         shared.names = names_of(&config.options.keepers, &self.fixed.name);
         let keepers = config.options.keepers.iter().map(|name| NodeId::of(name)).collect();
-        self.with_shared(now, out, |sessions, outputs| sessions.take_keepers(now, keepers, outputs));
+        self.with_shared(now, out, |sessions, outputs| sessions.set_replicas(now, keepers, outputs));
     }
 
     // Reads and writes.
@@ -303,19 +309,19 @@
         let Some(open) = self.requests.get_mut(&request.id) else { return };
         let (ticket, key) = (request.id.0, key_of(&open.statement));
         open.asks = Some(Box::new(request));
-        self.with_shared(now, out, |sessions, outputs| sessions.read(now, ticket, key, outputs));
+        self.with_shared(now, out, |sessions, outputs| sessions.begin_read(now, ticket, key, outputs));
     }
 
-    fn session_known(&mut self, now: Time, id: RequestId, knowledge: Knowledge) {
+    fn session_known(&mut self, now: Time, id: RequestId, knowledge: ReadRequirement) {
         let Some(mut request) = self.requests.get_mut(&id).and_then(|open| open.asks.take()) else { return };
         match knowledge {
             // Danger: a position that cannot be, from a peer or an old file, would overflow or be waited for in vain.
-            Knowledge::Sure(Some(position)) if !(0..now + FUTURE_MOST).contains(&position) => {
+            ReadRequirement::Position(Some(position)) if !(0..now + FUTURE_MOST).contains(&position) => {
                 request.requires_strong_read = true;
             }
             // The client's own word counts too, where it carries one.
-            Knowledge::Sure(position) => request.last_write = request.last_write.max(position),
-            Knowledge::Cautious(why) => {
+            ReadRequirement::Position(position) => request.last_write = request.last_write.max(position),
+            ReadRequirement::Strong(why) => {
                 request.requires_strong_read = true;
                 if let Some(shared) = self.shared.as_mut() {
                     *shared.cautious.entry(why).or_default() += 1;
@@ -340,12 +346,12 @@
         let (key, deadline) = (key_of(&open.statement), open.deadline);
         (open.ended, open.held) = (true, Some(row));
         self.counters.held_bytes += open.held.as_ref().map_or(0, |row| row.len() as u64);
-        let mut waits = true;
+        let mut admission = WriteAdmission::Accepted;
         self.with_shared(now, out, |sessions, outputs| {
-            waits = sessions.wrote(now, request.0, key, position, outputs);
+            admission = sessions.record_write(now, request.0, key, position, outputs);
         });
         let held = self.requests.get(&request).is_some_and(|open| open.held.is_some());
-        if !waits {
+        if admission == WriteAdmission::Rejected {
             self.held_too_long(now, request, out);
         } else if held {
             let tick = self.fixed.settings.router.tick.max(MS);
@@ -392,8 +398,8 @@
     /// Nobody waits for this request's session any more.
     pub(super) fn unshared(&mut self, request: RequestId) {
         if let Some(shared) = self.shared.as_mut() {
-            shared.sessions.unread(request.0);
-            shared.sessions.withdrawn(request.0);
+            shared.sessions.cancel_read(request.0);
+            shared.sessions.cancel_write(request.0);
         }
     }
 
@@ -406,20 +412,21 @@
             (Question::Session(group, session), Some((shared, _))) => {
                 let key = SessionKey::of(group, &session);
                 let name = |node| shared.name(&node);
-                let (seen, sure) = shared.sessions.held(now, key);
+                let inspection = shared.sessions.inspect_session(now, key);
+                let (seen, sure) = (inspection.position, inspection.certainty);
                 let position = |at: Time| {
-                    if at == stackgw_sessions::UNKNOWN {
+                    if at == stackgw_sessions::UNKNOWN_POSITION {
                         json!("unknown")
                     } else {
                         json!(at / MS)
                     }
                 };
                 json!({
-                    "group": group, "homes": shared.sessions.roster().homes(key).map(name).collect::<Vec<_>>(),
+                    "group": group, "homes": shared.sessions.replica_set().owners(key).map(name).collect::<Vec<_>>(),
                     "sure_here": sure.is_ok(),
                     "unsure_because": sure.err().map(|why| shared.why(why)),
                     "mark": seen.map(|seen| json!({"position_ms": position(seen.position),
-                        "age_ms": (now - seen.at) / MS, "pushed_out": seen.pushed_out})),
+                        "age_ms": (now - seen.at) / MS, "pushed_out": seen.evicted})),
                 })
             }
         }
--- a/crates/stackgw-sessions/benches/scale.rs
+++ b/crates/stackgw-sessions/benches/scale.rs
@@ -7,7 +7,7 @@
 use common::*;
 use rand::Rng;
 use stackgw_router::api::{MS, SECOND};
-use stackgw_sessions::{Marks, Roster, SessionKey};
+use stackgw_sessions::{Marks, ReplicaSet, SessionKey};
 
 const FAIR: Weather = Weather { loss: 0.0, repeat: 0.0, delay: MS, sync: MS, off: false };
 
@@ -52,14 +52,14 @@
     println!("| keepers before and after | homes that move | fair share |");
     println!("| --- | --- | --- |");
     for (before, after) in [(2, 3), (5, 6), (6, 5), (15, 16), (199, 200), (200, 199)] {
-        let roster = |n: usize| Roster::new((0..n).map(node), 2, &[]);
+        let roster = |n: usize| ReplicaSet::new((0..n).map(node), 2, &[]);
         let (old, new) = (roster(before), roster(after));
         let keys = 100_000u64;
         let moved: usize = (0..keys)
             .map(|n| {
                 let key = SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-                let old: Vec<_> = old.homes(key).collect();
-                new.homes(key).filter(|home| !old.contains(home)).count()
+                let old: Vec<_> = old.owners(key).collect();
+                new.owners(key).filter(|home| !old.contains(home)).count()
             })
             .sum();
         let share = 1.0 / before.max(after) as f64;
--- a/crates/stackgw-sessions/src/keeper.rs
+++ b/crates/stackgw-sessions/src/keeper.rs
@@ -1,8 +1,8 @@
 //! An instance as a keeper: the marks that it holds for others, and from whom it would have heard.
 
 use crate::marks::Marks;
-use crate::roster::{NodeId, Peer, Roster};
-use crate::sessions::Why;
+use crate::roster::{NodeId, Peer, ReplicaSet};
+use crate::sessions::UncertaintyReason;
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -63,9 +63,9 @@
         }
     }
 
-    pub(crate) fn take_roster(&mut self, now: Time, me: NodeId, roster: &Roster) {
-        self.heard.retain(|node, _| roster.has(*node));
-        for node in roster.keepers().iter().filter(|node| **node != me) {
+    pub(crate) fn take_roster(&mut self, now: Time, me: NodeId, roster: &ReplicaSet) {
+        self.heard.retain(|node, _| roster.contains(*node));
+        for node in roster.replicas().iter().filter(|node| **node != me) {
             let heard = self.heard.entry(*node).or_insert_with(|| Heard {
                 incarnation: 0,
                 until: now,
@@ -139,19 +139,23 @@
     }
 
     /// Whether every write that has left is known here; else why not.
-    pub(crate) fn sure(&self, now: Time, horizon: Span) -> Result<(), Why> {
+    pub(crate) fn sure(&self, now: Time, horizon: Span) -> Result<(), UncertaintyReason> {
         let young = |known_from: Time| known_from > now.saturating_sub(horizon);
         if self.broken {
-            return Err(Why::DiskFailed);
+            return Err(UncertaintyReason::StoreFailed);
         }
         for (node, heard) in &self.heard {
             if heard.until <= now {
-                return Err(if heard.differs { Why::OtherRoster(*node) } else { Why::NotPledged(*node) });
+                return Err(if heard.differs {
+                    UncertaintyReason::ReplicaSetMismatch(*node)
+                } else {
+                    UncertaintyReason::NoLease(*node)
+                });
             }
         }
         match self.heard.iter().find(|(_, heard)| young(heard.known_from)) {
-            Some((node, _)) => Err(Why::TooShort(*node)),
-            None if young(self.own_from) => Err(Why::Started),
+            Some((node, _)) => Err(UncertaintyReason::IncompleteHistory(*node)),
+            None if young(self.own_from) => Err(UncertaintyReason::RecentlyStarted),
             None => Ok(()),
         }
     }
--- a/crates/stackgw-sessions/src/marks.rs
+++ b/crates/stackgw-sessions/src/marks.rs
@@ -15,13 +15,13 @@
 
 /// What is held of one session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Seen {
-    /// Its reads must see this; [`crate::UNKNOWN`]: every commit.
+pub struct RecordedPosition {
+    /// Its reads must see this; [`crate::UNKNOWN_POSITION`]: every commit.
     pub position: Time,
     /// When the mark came, or for a pushed out one when its cell last grew.
     pub at: Time,
     /// It was pushed out, and others' marks stand for it: it may see later data than it must.
-    pub pushed_out: bool,
+    pub evicted: bool,
 }
 
 /// Positions by session. A mark goes once its horizon is over, when every replica holds its write; one that there is no
@@ -103,14 +103,14 @@
     }
 
     /// What is held of a session.
-    pub fn get(&self, now: Time, key: SessionKey) -> Option<Seen> {
+    pub fn get(&self, now: Time, key: SessionKey) -> Option<RecordedPosition> {
         let live = |mark: &&Mark| mark.at >= now.saturating_sub(self.horizon);
         let own = self.marks.get(&key).filter(live);
         let cell = self.cells.get(&Self::cell(key)).filter(live);
         let position = own.into_iter().chain(cell).map(|mark| mark.position).max()?;
         let at = own.into_iter().chain(cell).map(|mark| mark.at).max()?;
         let pushed_out = own.is_none_or(|mark| mark.position < position);
-        Some(Seen { position, at, pushed_out })
+        Some(RecordedPosition { position, at, evicted: pushed_out })
     }
 
     /// Marks held.
--- a/crates/stackgw-sessions/src/message.rs
+++ b/crates/stackgw-sessions/src/message.rs
@@ -13,13 +13,13 @@
 
 /// How far a disk has come. A disk that is put back from an old copy comes with fewer records than its instance had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct StoreVersion {
     /// Which disk: another one for each that was begun anew.
-    pub disk: u64,
+    pub store_id: u64,
     /// Records on it since then.
     pub records: u64,
     /// The life before this one that wrote to it; 0: none.
-    pub last: u64,
+    pub last_incarnation: u64,
 }
 
 /// A message between two instances.
@@ -32,7 +32,7 @@
         /// The asker's roster.
         roster: u64,
         /// How far its disk has come, if it has one.
-        stamp: Option<Stamp>,
+        stamp: Option<StoreVersion>,
     },
     /// A source's promise to a home: until the lease is over, counted from the sending of the question, no answer to a write
     /// of a session of that home leaves without that home's acknowledgement; and all that have left before are
@@ -47,10 +47,10 @@
         /// All incarnations of the source from this one on left nothing that this one does not know of.
         unbroken_since: u64,
         /// How far its disk has come, if it has one.
-        stamp: Option<Stamp>,
+        stamp: Option<StoreVersion>,
     },
     /// The other side's disk is older than what it has said of it before: a copy put back, say.
-    Stale(Stamp),
+    Stale(StoreVersion),
     /// A keeper's roster is another one than the asker's: no pledge.
     Differs {
         /// The question's.
@@ -63,7 +63,7 @@
     /// A home holds these marks, by the source's numbers.
     Held(Vec<u64>),
     /// A reader asks a home what a session must see.
-    Look {
+    PositionQuery {
         /// Comes back with the answer.
         nonce: u64,
         /// Whose.
--- a/crates/stackgw-sessions/src/reader.rs
+++ b/crates/stackgw-sessions/src/reader.rs
@@ -1,14 +1,14 @@
 //! An instance as a reader: what its session reads must see, asked of their homes.
 
 use crate::roster::{NodeId, SessionKey};
-use crate::sessions::Ticket;
+use crate::sessions::RequestNumber;
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A read that waits for a home's word.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Lookup {
-    pub(crate) ticket: Ticket,
+    pub(crate) ticket: RequestNumber,
     pub(crate) key: SessionKey,
     pub(crate) asked: NodeId,
     /// Homes that may be asked next.
--- a/crates/stackgw-sessions/src/roster.rs
+++ b/crates/stackgw-sessions/src/roster.rs
@@ -44,13 +44,13 @@
 
 /// The keepers, as the operator's file names them. All of them must have the same one for any to be sure.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub struct Roster {
+pub struct ReplicaSet {
     keepers: Vec<NodeId>,
     homes: usize,
     digest: u64,
 }
 
-impl Roster {
+impl ReplicaSet {
     /// These keepers, so many of which hold each session's marks. `terms` are the times that all must share.
     pub fn new(keepers: impl IntoIterator<Item = NodeId>, homes: usize, terms: &[i64]) -> Self {
         let mut keepers: Vec<_> = keepers.into_iter().collect();
@@ -59,7 +59,7 @@
         let homes = homes.clamp(1, keepers.len().max(1));
         let words = keepers.iter().map(|k| k.0).chain([homes as u64]).chain(terms.iter().map(|t| *t as u64));
         let bytes: Vec<u8> = words.flat_map(u64::to_le_bytes).collect();
-        Roster { homes, digest: xxh3_64(&bytes), keepers }
+        ReplicaSet { homes, digest: xxh3_64(&bytes), keepers }
     }
 
     /// Tells one roster, its homes and its times from any other.
@@ -68,18 +68,18 @@
     }
 
     /// All keepers, in the order of their ids.
-    pub fn keepers(&self) -> &[NodeId] {
+    pub fn replicas(&self) -> &[NodeId] {
         &self.keepers
     }
 
     /// Whether this instance is a keeper.
-    pub fn has(&self, node: NodeId) -> bool {
+    pub fn contains(&self, node: NodeId) -> bool {
         self.keepers.binary_search(&node).is_ok()
     }
 
     /// The homes of a session, first of all the one to ask. By rendezvous hashing: when a keeper joins or leaves, only those
     /// sessions move that it takes or had.
-    pub fn homes(&self, key: SessionKey) -> impl Iterator<Item = NodeId> {
+    pub fn owners(&self, key: SessionKey) -> impl Iterator<Item = NodeId> {
         let score = |node: &NodeId| xxh3_64_with_seed(&key.0.to_le_bytes(), node.0);
         let mut best: Vec<(u64, NodeId)> = Vec::with_capacity(self.homes + 1);
         for node in &self.keepers {
@@ -94,7 +94,7 @@
     }
 
     /// Whether this keeper is one of a session's homes.
-    pub fn is_home(&self, key: SessionKey, node: NodeId) -> bool {
-        self.homes(key).any(|home| home == node)
+    pub fn is_owner(&self, key: SessionKey, node: NodeId) -> bool {
+        self.owners(key).any(|home| home == node)
     }
 }
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -2,16 +2,16 @@
 
 use crate::keeper::{Ack, Keeper, ALWAYS};
 use crate::marks::Marks;
-use crate::message::{Message, Stamp, MARKS_PER_MESSAGE};
+use crate::message::{Message, StoreVersion, MARKS_PER_MESSAGE};
 use crate::reader::{Lookup, Reader};
-use crate::roster::{NodeId, Peer, Roster, SessionKey};
+use crate::roster::{NodeId, Peer, ReplicaSet, SessionKey};
 use crate::source::{Gate, Own, Source};
-use crate::UNKNOWN;
+use crate::UNKNOWN_POSITION;
 use stackgw_router::api::{Span, Time};
 use std::collections::BTreeMap;
 
 /// A write's answer or a read that waits, by the host's number.
-pub type Ticket = u64;
+pub type RequestNumber = u64;
 
 /// Questions for pledges go out so many times in a lease.
 const ASKS_PER_LEASE: Span = 4;
@@ -24,32 +24,32 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// Itself, in this life. A later life has a higher incarnation.
-    pub me: Peer,
+    pub local: Peer,
     /// The keepers' names, hashed; one that is not among them is a guest.
-    pub keepers: Vec<NodeId>,
+    pub replicas: Vec<NodeId>,
     /// So many keepers hold each session's marks.
-    pub homes: usize,
+    pub owners_per_session: usize,
     /// How long a pledge binds. A write waits this long at most for a keeper that is not there.
     pub lease: Span,
     /// After this long every replica holds a write.
-    pub horizon: Span,
+    pub retention: Span,
     /// A message without an answer is sent again after this.
-    pub resend: Span,
+    pub resend_interval: Span,
     /// How long a home's word is waited for.
-    pub lookup: Span,
+    pub lookup_timeout: Span,
     /// Marks that a keeper holds at most.
-    pub marks_most: usize,
+    pub max_positions: usize,
     /// Own marks that are kept for keepers that lose theirs.
-    pub own_most: usize,
+    pub max_local_writes: usize,
     /// Writes that wait, and reads that wait, at most.
-    pub waits_most: usize,
+    pub max_pending: usize,
     /// There is a disk; what it had.
-    pub disk: Option<Recovered>,
+    pub recovered: Option<Recovered>,
 }
 
 impl Settings {
-    fn roster(&self) -> Roster {
-        Roster::new(self.keepers.iter().copied(), self.homes, &[self.lease, self.horizon])
+    fn replica_set(&self) -> ReplicaSet {
+        ReplicaSet::new(self.replicas.iter().copied(), self.owners_per_session, &[self.lease, self.retention])
     }
 
     fn bound(&self) -> Span {
@@ -63,45 +63,46 @@
     /// The incarnations from this one on wrote to this disk without a break; this life's for a new one.
     pub unbroken_since: u64,
     /// How far it has come.
-    pub stamp: Stamp,
+    pub store_version: StoreVersion,
     /// How far others' disks had come, and in which of their lives.
-    pub seen: Vec<(Peer, Stamp)>,
+    pub peer_stores: Vec<(Peer, StoreVersion)>,
     /// The last roster that was recorded.
-    pub roster: Option<u64>,
+    pub replica_set: Option<u64>,
     /// Marks held for others.
-    pub held: Vec<(SessionKey, Time)>,
+    pub positions: Vec<(SessionKey, Time)>,
     /// Own marks that some home had not acknowledged.
-    pub owed: Vec<(SessionKey, Time)>,
+    pub unacknowledged: Vec<(SessionKey, Time)>,
     /// Under that roster: sources of which nothing was missing, itself perhaps among them.
-    pub whole: Vec<Peer>,
+    pub complete_peers: Vec<Peer>,
 }
 
 impl Recovered {
     /// What was recorded before this, and this.
     pub fn apply(&mut self, record: Record) {
         match record {
-            Record::Roster(digest) if self.roster != Some(digest) => {
-                (self.roster, self.whole) = (Some(digest), Vec::new());
+            Record::ReplicaSet(digest) if self.replica_set != Some(digest) => {
+                (self.replica_set, self.complete_peers) = (Some(digest), Vec::new());
             }
-            Record::Roster(_) => {}
-            Record::Held(key, position) => self.held.push((key, position)),
-            Record::Owed(key, position) => self.owed.push((key, position)),
-            Record::Seen(peer, stamp) => {
-                self.seen.retain(|(known, _)| known.node != peer.node);
-                self.seen.push((peer, stamp));
+            Record::ReplicaSet(_) => {}
+            Record::Position(key, position) => self.positions.push((key, position)),
+            Record::Unacknowledged(key, position) => self.unacknowledged.push((key, position)),
+            Record::PeerStore(peer, stamp) => {
+                self.peer_stores.retain(|(known, _)| known.node != peer.node);
+                self.peer_stores.push((peer, stamp));
             }
-            Record::Void(stamp, unbroken_since) => {
+            Record::Invalidated(stamp, unbroken_since) => {
                 // The life that wrote to it last stays the same one.
-                self.stamp = Stamp { last: self.stamp.last, ..stamp };
-                (self.unbroken_since, self.whole) = (unbroken_since, Vec::new());
+                self.store_version =
+                    StoreVersion { last_incarnation: self.store_version.last_incarnation, ..stamp };
+                (self.unbroken_since, self.complete_peers) = (unbroken_since, Vec::new());
                 return;
             }
-            Record::Whole(peer) => {
-                self.whole.retain(|known| known.node != peer.node);
-                self.whole.push(peer);
+            Record::CompletePeer(peer) => {
+                self.complete_peers.retain(|known| known.node != peer.node);
+                self.complete_peers.push(peer);
             }
         }
-        self.stamp.records = self.stamp.records.saturating_add(1);
+        self.store_version.records = self.store_version.records.saturating_add(1);
     }
 }
 
@@ -109,67 +110,100 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Record {
     /// The roster from now on; what was recorded of sources under another one is void.
-    Roster(u64),
+    ReplicaSet(u64),
     /// A mark held for others, or for itself as a home.
-    Held(SessionKey, Time),
+    Position(SessionKey, Time),
     /// An own mark that some home has not acknowledged.
-    Owed(SessionKey, Time),
+    Unacknowledged(SessionKey, Time),
     /// Nothing is missing of this source.
-    Whole(Peer),
+    CompletePeer(Peer),
     /// So far another one's disk has come.
-    Seen(Peer, Stamp),
+    PeerStore(Peer, StoreVersion),
     /// The disk begins anew from here, as it turned out to be an old copy: no records, this stamp, unbroken since this
     /// incarnation.
-    Void(Stamp, u64),
+    Invalidated(StoreVersion, u64),
 }
 
 /// Why a read must see every commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Why {
+pub enum UncertaintyReason {
     /// This keeper has not pledged: it is down, cut off or slow.
-    NotPledged(NodeId),
+    NoLease(NodeId),
     /// This keeper has another list of keepers, or other times.
-    OtherRoster(NodeId),
+    ReplicaSetMismatch(NodeId),
     /// This keeper pledges, but writes of less than a horizon ago may be missing.
-    TooShort(NodeId),
+    IncompleteHistory(NodeId),
     /// This instance started less than a horizon ago, without what it held before.
-    Started,
+    RecentlyStarted,
     /// Its disk failed.
-    DiskFailed,
+    StoreFailed,
     /// No home gave its word in time.
-    Silent,
+    OwnersUnresponsive,
     /// The homes that answered are not sure themselves.
-    Unsure,
+    OwnersUncertain,
     /// The session has written, but the write's position is not known.
-    NoPosition,
+    UnknownPosition,
     /// Too many reads wait.
-    Full,
+    TooManyReads,
 }
 
-impl Why {
+impl UncertaintyReason {
     /// It in words, with the names that the host has for keepers.
-    pub fn text(&self, name: impl Fn(&NodeId) -> String) -> String {
+    pub fn describe(&self, name: impl Fn(&NodeId) -> String) -> String {
         match self {
-            Why::NotPledged(node) => format!("no pledge from {}", name(node)),
-            Why::OtherRoster(node) => format!("{} has other keepers or times in its file", name(node)),
-            Why::TooShort(node) => format!("less than a horizon known of {}", name(node)),
-            Why::Started => "started less than a horizon ago without what it held".to_owned(),
-            Why::DiskFailed => "the disk failed".to_owned(),
-            Why::Silent => "no home answered in time".to_owned(),
-            Why::Unsure => "the homes are not sure".to_owned(),
-            Why::NoPosition => "the session's write has no known position".to_owned(),
-            Why::Full => "too many reads wait for their homes".to_owned(),
+            UncertaintyReason::NoLease(node) => format!("no pledge from {}", name(node)),
+            UncertaintyReason::ReplicaSetMismatch(node) => {
+                format!("{} has other keepers or times in its file", name(node))
+            }
+            UncertaintyReason::IncompleteHistory(node) => {
+                format!("less than a horizon known of {}", name(node))
+            }
+            UncertaintyReason::RecentlyStarted => {
+                "started less than a horizon ago without what it held".to_owned()
+            }
+            UncertaintyReason::StoreFailed => "the disk failed".to_owned(),
+            UncertaintyReason::OwnersUnresponsive => "no home answered in time".to_owned(),
+            UncertaintyReason::OwnersUncertain => "the homes are not sure".to_owned(),
+            UncertaintyReason::UnknownPosition => "the session's write has no known position".to_owned(),
+            UncertaintyReason::TooManyReads => "too many reads wait for their homes".to_owned(),
         }
     }
 }
 
 /// What a session read must see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Knowledge {
+pub enum ReadRequirement {
     /// This position, or nothing in particular: the session has not written within the horizon.
-    Sure(Option<Time>),
+    Position(Option<Time>),
     /// Every commit made before the read came in.
-    Cautious(Why),
+    Strong(UncertaintyReason),
+}
+
+/// Whether a write that a member served may wait for its release.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub enum WriteAdmission {
+    /// [`Output::Release`] follows once the response may be sent.
+    Accepted,
+    /// Too many writes are pending: the response must not be sent.
+    Rejected,
+}
+
+/// What became of the file of a store that accepts no more records.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub enum StoreFailure {
+    /// It was moved away: no later incarnation reads it.
+    SetAside,
+    /// It could not be moved: a later incarnation would take it for complete.
+    LeftInPlace,
+}
+
+/// What this instance by itself knows of a session.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub struct SessionInspection {
+    /// The recorded position, if there is one.
+    pub position: Option<crate::marks::RecordedPosition>,
+    /// Whether every write whose response was sent is known here, else why not.
+    pub certainty: Result<(), UncertaintyReason>,
 }
 
 /// What is to be done outside.
@@ -178,79 +212,79 @@
     /// Send a message; an incarnation of 0 means whichever life is there.
     Send(Peer, Message),
     /// The answer of this write may leave.
-    Release(Ticket),
+    Release(RequestNumber),
     /// What this read must see.
-    Need(Ticket, Knowledge),
+    ReadRequirement(RequestNumber, ReadRequirement),
     /// Keep this on the disk, and say when it is there.
     Store(Record),
 }
 
 /// What was done, and what stood in the way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub struct Counts {
+pub struct Counters {
     /// Reads answered for sure, by this instance's own marks or another's.
-    pub sure_here: u64,
+    pub answered_locally: u64,
     /// Reads answered for sure by another home.
-    pub sure_there: u64,
+    pub answered_by_owner: u64,
     /// Reads that must see every commit.
-    pub cautious: u64,
+    pub strong_reads: u64,
     /// Writes let out.
-    pub released: u64,
+    pub writes_released: u64,
     /// Writes let out though a home had not acknowledged them, as its pledge was over.
-    pub released_owed: u64,
+    pub released_unacknowledged: u64,
     /// Messages that were for another life, from an earlier one, or told something that cannot be.
-    pub disregarded: u64,
+    pub messages_ignored: u64,
     /// Messages sent.
-    pub sent: u64,
+    pub messages_sent: u64,
     /// Own marks dropped for room.
-    pub own_pushed_out: u64,
+    pub local_writes_evicted: u64,
     /// Writes and reads turned away for room.
-    pub full: u64,
+    pub rejected: u64,
     /// Times that the disk turned out to be an old copy.
-    pub disks_old: u64,
+    pub outdated_stores: u64,
 }
 
 /// Another keeper, as this instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct PeerStatus {
     /// Which.
     pub node: NodeId,
     /// The life last heard; 0: never heard.
     pub incarnation: u64,
     /// How long its pledge still holds, where this instance is a keeper.
-    pub pledged_for: Span,
+    pub lease_held_for: Span,
     /// How long a pledge to it still binds.
-    pub bound_for: Span,
+    pub lease_granted_for: Span,
     /// Marks that it has not acknowledged.
-    pub owed: usize,
+    pub unacknowledged: usize,
 }
 
 /// What an instance can tell of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
     /// Itself.
-    pub me: Peer,
+    pub local: Peer,
     /// It is a keeper; else a guest.
-    pub keeper: bool,
+    pub is_replica: bool,
     /// Why it is not sure, if it is not; a guest never is by itself.
-    pub unsure: Option<Why>,
+    pub uncertainty: Option<UncertaintyReason>,
     /// The other keepers.
-    pub others: Vec<Standing>,
+    pub peers: Vec<PeerStatus>,
     /// Marks held.
-    pub marks: usize,
+    pub positions: usize,
     /// Marks pushed out since the start.
-    pub pushed_out: u64,
+    pub evicted: u64,
     /// Own marks kept.
-    pub own: usize,
+    pub local_writes: usize,
     /// Writes that wait.
-    pub waiting: usize,
+    pub pending: usize,
     /// What was done.
-    pub counts: Counts,
+    pub counters: Counters,
 }
 
-/// Counts tell nothing of what an instance will do: two that differ in them alone are the same to a model checker.
+/// Counters tell nothing of what an instance will do: two that differ in them alone are the same to a model checker.
 #[derive(Debug, Clone, Copy, Default)]
-struct Counted(Counts);
+struct Counted(Counters);
 
 impl PartialEq for Counted {
     fn eq(&self, _: &Self) -> bool {
@@ -265,15 +299,15 @@
 }
 
 impl std::ops::Deref for Counted {
-    type Target = Counts;
+    type Target = Counters;
 
-    fn deref(&self) -> &Counts {
+    fn deref(&self) -> &Counters {
         &self.0
     }
 }
 
 impl std::ops::DerefMut for Counted {
-    fn deref_mut(&mut self) -> &mut Counts {
+    fn deref_mut(&mut self) -> &mut Counters {
         &mut self.0
     }
 }
@@ -281,7 +315,7 @@
 /// A write that a guest hands to a keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Errand {
-    ticket: Ticket,
+    ticket: RequestNumber,
     key: SessionKey,
     position: Time,
     tries: u32,
@@ -292,8 +326,8 @@
 pub struct Sessions {
     set: Settings,
     /// The disk, as far as it had come when this life or the disk itself began; `None`: there is none, or no more.
-    disk: Option<Stamp>,
-    roster: Roster,
+    disk: Option<StoreVersion>,
+    roster: ReplicaSet,
     /// The record of the roster; no pledge before it is on the disk.
     roster_record: u64,
     source: Source,
@@ -309,7 +343,7 @@
     stored: u64,
     voided: u64,
     /// How far others' disks had come when last heard of, in which life, and when that was put on this one's.
-    stamps: BTreeMap<NodeId, (Peer, Option<Stamp>)>,
+    stamps: BTreeMap<NodeId, (Peer, Option<StoreVersion>)>,
     stamps_at: Time,
     tick_at: Time,
     counts: Counted,
@@ -318,26 +352,26 @@
 impl Sessions {
     /// An instance that starts now.
     pub fn new(now: Time, mut set: Settings, out: &mut Vec<Output>) -> Self {
-        let roster = set.roster();
-        let me = set.me.node;
-        let mut keeper = Keeper::new(now, Marks::new(set.marks_most, set.horizon));
-        let disk = set.disk.as_ref().map(|disk| disk.stamp);
+        let roster = set.replica_set();
+        let me = set.local.node;
+        let mut keeper = Keeper::new(now, Marks::new(set.max_positions, set.retention));
+        let disk = set.recovered.as_ref().map(|recovered| recovered.store_version);
         // Danger: kept beside the marks made of it, what the disk had would stand in memory twice.
-        let recovered = set.disk.take().unwrap_or_default();
-        let unbroken = if disk.is_some() { recovered.unbroken_since } else { set.me.incarnation };
+        let recovered = set.recovered.take().unwrap_or_default();
+        let unbroken = if disk.is_some() { recovered.unbroken_since } else { set.local.incarnation };
         let mut source = Source::new(now, unbroken, now + set.bound());
-        let same = recovered.roster == Some(roster.digest());
+        let same = recovered.replica_set == Some(roster.digest());
         // A guest pledges nothing, so no earlier life of it binds this one. Where the disk shows the same roster, the homes
         // are those that an earlier life pledged to, and their links are bound; else nobody knows whom it pledged to.
-        if same || !roster.has(me) {
+        if same || !roster.contains(me) {
             source.quiet_until = now;
         }
         source.take_roster(now, me, &roster);
         keeper.take_roster(now, me, &roster);
-        for (key, position) in recovered.held {
+        for (key, position) in recovered.positions {
             keeper.marks.add(now, key, position);
         }
-        for peer in recovered.whole.iter().filter(|_| same) {
+        for peer in recovered.complete_peers.iter().filter(|_| same) {
             if peer.node == me {
                 (keeper.own_from, keeper.own_on_disk) = (ALWAYS, true);
             } else if let Some(heard) = keeper.heard.get_mut(&peer.node) {
@@ -358,87 +392,91 @@
             records: 0,
             stored: 0,
             voided: 0,
-            stamps: recovered.seen.iter().map(|(peer, stamp)| (peer.node, (*peer, Some(*stamp)))).collect(),
+            stamps: recovered
+                .peer_stores
+                .iter()
+                .map(|(peer, stamp)| (peer.node, (*peer, Some(*stamp))))
+                .collect(),
             stamps_at: now,
             tick_at: now,
             counts: Counted::default(),
             set,
         };
-        for (key, position) in recovered.owed {
+        for (key, position) in recovered.unacknowledged {
             sessions.keep_own(now, key, position, None, true, out);
         }
         if !same {
             sessions.record_roster(out);
         }
-        sessions.due(now, out);
+        sessions.handle_timeout(now, out);
         sessions
     }
 
     /// Whether this instance is a keeper.
-    pub fn is_keeper(&self) -> bool {
-        self.roster.has(self.set.me.node)
+    pub fn is_replica(&self) -> bool {
+        self.roster.contains(self.set.local.node)
     }
 
     /// The roster in force.
-    pub fn roster(&self) -> &Roster {
+    pub fn replica_set(&self) -> &ReplicaSet {
         &self.roster
     }
 
     /// A new list of keepers. What is known under the old one holds no longer.
-    pub fn take_keepers(&mut self, now: Time, keepers: Vec<NodeId>, out: &mut Vec<Output>) {
-        let was = self.is_keeper();
-        self.set.keepers = keepers;
-        let roster = self.set.roster();
+    pub fn set_replicas(&mut self, now: Time, keepers: Vec<NodeId>, out: &mut Vec<Output>) {
+        let was = self.is_replica();
+        self.set.replicas = keepers;
+        let roster = self.set.replica_set();
         if roster == self.roster {
             return;
         }
         self.roster = roster;
-        let me = self.set.me.node;
+        let me = self.set.local.node;
         self.source.take_roster(now, me, &self.roster);
         self.keeper.take_roster(now, me, &self.roster);
         // Of sessions whose home this has become, it knows its own writes as far back as it has kept them.
         (self.keeper.own_from, self.keeper.own_on_disk) =
             (self.keeper.own_from.max(self.source.covered_from), false);
-        for own in self.source.own.values().filter(|own| self.roster.is_home(own.key, me)) {
+        for own in self.source.own.values().filter(|own| self.roster.is_owner(own.key, me)) {
             self.keeper.marks.add(now, own.key, own.position);
         }
-        if !was && self.is_keeper() {
+        if !was && self.is_replica() {
             self.keeper.own_from = self.keeper.own_from.max(now);
         }
         self.record_roster(out);
-        self.due(now, out);
+        self.handle_timeout(now, out);
     }
 
     /// A member served a write of this session and gave its position, if it did. Its answer waits for
-    /// [`Output::Release`]; where this gives `false` there is no room to wait, and the answer must not leave.
-    pub fn wrote(
+    /// [`Output::Release`]; where it is [`WriteAdmission::Rejected`] the answer must not leave.
+    pub fn record_write(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        ticket: RequestNumber,
         key: SessionKey,
         position: Option<Time>,
         out: &mut Vec<Output>,
-    ) -> bool {
-        let position = position.unwrap_or(UNKNOWN);
-        if self.source.waiting.len() + self.errands.len() >= self.set.waits_most {
-            self.counts.full += 1;
-            return false;
+    ) -> WriteAdmission {
+        let position = position.unwrap_or(UNKNOWN_POSITION);
+        if self.source.waiting.len() + self.errands.len() >= self.set.max_pending {
+            self.counts.rejected += 1;
+            return WriteAdmission::Rejected;
         }
-        if !self.is_keeper() {
+        if !self.is_replica() {
             self.nonce += 1;
             self.errands.insert(self.nonce, Errand { ticket, key, position, tries: 0 });
             self.run_errand(self.nonce, out);
-            self.tick_at = self.tick_at.min(now + self.set.resend);
-            return true;
+            self.tick_at = self.tick_at.min(now + self.set.resend_interval);
+            return WriteAdmission::Accepted;
         }
         let seq = self.keep_own(now, key, position, Some(ticket), false, out);
         self.tell(seq, out);
         self.try_release(now, seq, out);
-        true
+        WriteAdmission::Accepted
     }
 
     /// The answer of this write will not leave through here: it failed, or its client has gone.
-    pub fn withdrawn(&mut self, ticket: Ticket) {
+    pub fn cancel_write(&mut self, ticket: RequestNumber) {
         self.errands.retain(|_, errand| errand.ticket != ticket);
         let waits = |seq: &&u64| self.source.own.get(*seq).is_some_and(|own| own.waits == Some(ticket));
         let seq =
@@ -448,46 +486,56 @@
         }
     }
 
-    /// A session read has come in. What it must see follows as [`Output::Need`], at once or within the lookups' time.
-    pub fn read(&mut self, now: Time, ticket: Ticket, key: SessionKey, out: &mut Vec<Output>) {
-        let me = self.set.me.node;
-        let home = self.roster.is_home(key, me);
-        let here = if home { self.known_here(now, key) } else { Err(Why::Unsure) };
+    /// A session read has come in. What it must see follows as [`Output::ReadRequirement`], at once or within the lookups' time.
+    pub fn begin_read(&mut self, now: Time, ticket: RequestNumber, key: SessionKey, out: &mut Vec<Output>) {
+        let me = self.set.local.node;
+        let home = self.roster.is_owner(key, me);
+        let here = if home { self.known_here(now, key) } else { Err(UncertaintyReason::OwnersUncertain) };
         if let Ok(position) = here {
-            self.counts.sure_here += 1;
+            self.counts.answered_locally += 1;
             return self.need(ticket, position, out);
         }
-        if self.reader.lookups.len() >= self.set.waits_most {
-            self.counts.full += 1;
-            return self.cautious(ticket, Why::Full, out);
+        if self.reader.lookups.len() >= self.set.max_pending {
+            self.counts.rejected += 1;
+            return self.cautious(ticket, UncertaintyReason::TooManyReads, out);
         }
-        let homes = self.roster.homes(key).filter(|home| *home != me);
+        let homes = self.roster.owners(key).filter(|home| *home != me);
         let next = self.reader.worth_asking(now, homes);
-        self.look(now, ticket, key, next, here.err().unwrap_or(Why::Unsure), out);
+        self.look(now, ticket, key, next, here.err().unwrap_or(UncertaintyReason::OwnersUncertain), out);
     }
 
     /// The read is no longer waited for.
-    pub fn unread(&mut self, ticket: Ticket) {
+    pub fn cancel_read(&mut self, ticket: RequestNumber) {
         self.reader.lookups.retain(|_, lookup| lookup.ticket != ticket);
     }
 
     /// What this instance itself holds of a session, sure or not; for people.
-    pub fn held(&self, now: Time, key: SessionKey) -> (Option<crate::marks::Seen>, Result<(), Why>) {
-        (self.keeper.marks.get(now, key), self.keeper.sure(now, self.set.horizon))
+    pub fn inspect_session(&self, now: Time, key: SessionKey) -> SessionInspection {
+        SessionInspection {
+            position: self.keeper.marks.get(now, key),
+            certainty: self.keeper.sure(now, self.set.retention),
+        }
     }
 
     /// A message has come, from this life of an instance to that life of this one.
-    pub fn heard(&mut self, now: Time, from: Peer, to: Peer, message: Message, out: &mut Vec<Output>) {
-        let me = self.set.me;
+    pub fn handle_message(
+        &mut self,
+        now: Time,
+        from: Peer,
+        to: Peer,
+        message: Message,
+        out: &mut Vec<Output>,
+    ) {
+        let me = self.set.local;
         let meant = to.node == me.node && (to.incarnation == 0 || to.incarnation == me.incarnation);
         if !meant || from.node == me.node || from.incarnation == 0 {
-            self.counts.disregarded += 1;
+            self.counts.messages_ignored += 1;
             return;
         }
         // Danger: word from a life that is over would stand for the one that came after it.
         let alive = self.keeper.met(now, from) && self.source.met(from);
         if !alive {
-            self.counts.disregarded += 1;
+            self.counts.messages_ignored += 1;
             return;
         }
         match message {
@@ -517,9 +565,10 @@
                     }
                 }
             }
-            Message::Look { nonce, key } => {
-                let home = self.roster.is_home(key, me.node);
-                let known = if home { self.known_here(now, key) } else { Err(Why::Unsure) };
+            Message::PositionQuery { nonce, key } => {
+                let home = self.roster.is_owner(key, me.node);
+                let known =
+                    if home { self.known_here(now, key) } else { Err(UncertaintyReason::OwnersUncertain) };
                 let word = match known {
                     Ok(position) => Message::Sure { nonce, position },
                     Err(_) => Message::Unsure { nonce },
@@ -528,21 +577,28 @@
             }
             Message::Sure { nonce, position } => {
                 if let Some(lookup) = self.reader.answered(nonce, from.node) {
-                    self.counts.sure_there += 1;
+                    self.counts.answered_by_owner += 1;
                     self.reader.forgive(from.node);
                     self.need(lookup.ticket, position, out);
                 }
             }
             Message::Unsure { nonce } => {
                 if let Some(lookup) = self.reader.answered(nonce, from.node) {
-                    self.reader.shun(now, from.node, self.set.resend);
-                    self.look(now, lookup.ticket, lookup.key, lookup.next, Why::Unsure, out);
+                    self.reader.shun(now, from.node, self.set.resend_interval);
+                    self.look(
+                        now,
+                        lookup.ticket,
+                        lookup.key,
+                        lookup.next,
+                        UncertaintyReason::OwnersUncertain,
+                        out,
+                    );
                 }
             }
             Message::Carry { ticket, key, position } => self.carry(now, from, ticket, key, position, out),
             Message::Carried { ticket } => {
                 if let Some(errand) = self.errands.remove(&ticket) {
-                    self.counts.released += 1;
+                    self.counts.writes_released += 1;
                     out.push(Output::Release(errand.ticket));
                 }
             }
@@ -550,7 +606,7 @@
     }
 
     /// So many records are on the disk.
-    pub fn stored(&mut self, now: Time, records: u64, out: &mut Vec<Output>) {
+    pub fn handle_records_stored(&mut self, now: Time, records: u64, out: &mut Vec<Output>) {
         self.stored = self.stored.max(records.min(self.records));
         while let Some(ack) = self.keeper.acks.pop_front_if(|ack| ack.record <= self.stored) {
             self.send(ack.to, Message::Held(ack.seqs), out);
@@ -559,10 +615,10 @@
     }
 
     /// The disk takes nothing more. Where its file has been set aside, so that no later life reads it, this one goes on as
-    /// one without a disk. Where it could not be (`void` is false), a later life would take the file for whole: then nothing
+    /// one without a disk. Where it could not be, a later life would take the file for whole: then nothing
     /// is acknowledged, known for sure or let out any more.
-    pub fn disk_failed(&mut self, now: Time, void: bool, out: &mut Vec<Output>) {
-        if !void {
+    pub fn handle_store_failure(&mut self, now: Time, failure: StoreFailure, out: &mut Vec<Output>) {
+        if failure == StoreFailure::LeftInPlace {
             self.keeper.broken = true;
             self.keeper.acks.clear();
             return;
@@ -580,37 +636,48 @@
 
     /// Whether answers of writes can leave at all: not after a disk failed whose file stayed in place. A host does better
     /// to turn writes away before they run.
-    pub fn lets_out(&self) -> bool {
-        !(self.keeper.broken && self.is_keeper())
+    pub fn can_release(&self) -> bool {
+        !(self.keeper.broken && self.is_replica())
     }
 
-    /// When [`Sessions::due`] is wanted next.
-    pub fn next_due(&self) -> Time {
+    /// When [`Sessions::handle_timeout`] is wanted next.
+    pub fn next_deadline(&self) -> Time {
         let lookup = self.reader.lookups.values().next().map_or(Time::MAX, |l| l.until);
-        let ask = if self.is_keeper() { self.keeper.ask_at } else { Time::MAX };
+        let ask = if self.is_replica() { self.keeper.ask_at } else { Time::MAX };
         let waits = !self.source.waiting.is_empty() || !self.errands.is_empty();
         ask.min(lookup).min(if waits { self.tick_at } else { Time::MAX })
     }
 
     /// Time has come for what waits for it.
-    pub fn due(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn handle_timeout(&mut self, now: Time, out: &mut Vec<Output>) {
         for nonce in self.reader.overdue(now) {
             let Some(lookup) = self.reader.lookups.remove(&nonce) else { continue };
             self.reader.shun(now, lookup.asked, self.set.lease / ASKS_PER_LEASE);
-            self.look(now, lookup.ticket, lookup.key, lookup.next, Why::Silent, out);
+            self.look(
+                now,
+                lookup.ticket,
+                lookup.key,
+                lookup.next,
+                UncertaintyReason::OwnersUnresponsive,
+                out,
+            );
         }
-        if self.is_keeper() && self.keeper.ask_at <= now {
+        if self.is_replica() && self.keeper.ask_at <= now {
             self.keeper.ask_at = now + self.set.lease / ASKS_PER_LEASE;
             self.keeper.marks.expire(now);
-            let pushed =
-                self.source.expire(now, self.set.horizon, self.set.own_most, self.set.me.incarnation);
-            self.counts.own_pushed_out += pushed;
+            let pushed = self.source.expire(
+                now,
+                self.set.retention,
+                self.set.max_local_writes,
+                self.set.local.incarnation,
+            );
+            self.counts.local_writes_evicted += pushed;
             self.ask(now, out);
             self.note_whole(now, out);
         }
         if self.tick_at <= now {
-            self.tick_at = now + self.set.resend;
-            self.tell_again(now, now - self.set.resend, out);
+            self.tick_at = now + self.set.resend_interval;
+            self.tell_again(now, now - self.set.resend_interval, out);
             for nonce in self.errands.keys().copied().collect::<Vec<_>>() {
                 self.run_errand(nonce, out);
             }
@@ -620,28 +687,28 @@
 
     /// What it can tell of itself.
     pub fn status(&self, now: Time) -> Status {
-        let others = self.source.links.iter().map(|(node, link)| Standing {
+        let others = self.source.links.iter().map(|(node, link)| PeerStatus {
             node: *node,
             incarnation: link.peer.incarnation,
-            pledged_for: self.keeper.heard.get(node).map_or(0, |h| (h.until - now).max(0)),
-            bound_for: (link.until - now).max(0),
-            owed: link.owes.len(),
+            lease_held_for: self.keeper.heard.get(node).map_or(0, |h| (h.until - now).max(0)),
+            lease_granted_for: (link.until - now).max(0),
+            unacknowledged: link.owes.len(),
         });
         Status {
-            me: self.set.me,
-            keeper: self.is_keeper(),
-            unsure: self.keeper.sure(now, self.set.horizon).err(),
-            others: others.collect(),
-            marks: self.keeper.marks.len(),
-            pushed_out: self.keeper.marks.pushed_out(),
-            own: self.source.own.len(),
-            waiting: self.source.waiting.len() + self.errands.len(),
-            counts: *self.counts,
+            local: self.set.local,
+            is_replica: self.is_replica(),
+            uncertainty: self.keeper.sure(now, self.set.retention).err(),
+            peers: others.collect(),
+            positions: self.keeper.marks.len(),
+            evicted: self.keeper.marks.pushed_out(),
+            local_writes: self.source.own.len(),
+            pending: self.source.waiting.len() + self.errands.len(),
+            counters: *self.counts,
         }
     }
 
     fn send(&mut self, to: Peer, message: Message, out: &mut Vec<Output>) {
-        self.counts.sent += 1;
+        self.counts.messages_sent += 1;
         out.push(Output::Send(to, message));
     }
 
@@ -653,7 +720,7 @@
 
     fn record_roster(&mut self, out: &mut Vec<Output>) {
         if self.disk.is_some() {
-            self.roster_record = self.store(Record::Roster(self.roster.digest()), out);
+            self.roster_record = self.store(Record::ReplicaSet(self.roster.digest()), out);
         }
     }
 
@@ -669,18 +736,18 @@
         now: Time,
         key: SessionKey,
         position: Time,
-        waits: Option<Ticket>,
+        waits: Option<RequestNumber>,
         owed: bool,
         out: &mut Vec<Output>,
     ) -> u64 {
         let mut record = None;
-        if self.roster.is_home(key, self.set.me.node) {
+        if self.roster.is_owner(key, self.set.local.node) {
             self.keeper.marks.add(now, key, position);
             if self.disk.is_some() && !owed {
-                record = Some(self.store(Record::Held(key, position), out));
+                record = Some(self.store(Record::Position(key, position), out));
             }
         }
-        self.tick_at = self.tick_at.min(now + self.set.resend);
+        self.tick_at = self.tick_at.min(now + self.set.resend_interval);
         self.source.add(now, &self.roster, Own { key, position, waits, at: now, told: now, record, owed })
     }
 
@@ -719,14 +786,14 @@
 
     fn try_release(&mut self, now: Time, seq: u64, out: &mut Vec<Output>) {
         let disk = self.disk.is_some();
-        if !self.lets_out() {
+        if !self.can_release() {
             return;
         }
         match self.source.gate(now, seq, self.stored, disk) {
             Gate::Open => {
-                self.counts.released += 1;
+                self.counts.writes_released += 1;
                 let owed = self.source.links.values().any(|link| link.owes.contains(&seq));
-                self.counts.released_owed += u64::from(owed);
+                self.counts.released_unacknowledged += u64::from(owed);
                 let Some(ticket) = self.source.let_out(now, seq) else { return };
                 match self.carries.remove(&seq) {
                     Some((guest, ticket)) => {
@@ -740,7 +807,7 @@
                 let Some((key, position)) = self.source.own.get(&seq).map(|o| (o.key, o.position)) else {
                     return;
                 };
-                let record = self.store(Record::Owed(key, position), out);
+                let record = self.store(Record::Unacknowledged(key, position), out);
                 if let Some(own) = self.source.own.get_mut(&seq) {
                     (own.record, own.owed) = (Some(record), true);
                 }
@@ -752,7 +819,7 @@
     /// Another keeper asks for a pledge. Danger: given before it holds all that has left, it would make that keeper sure of
     /// what it does not know.
     fn asked(&mut self, now: Time, from: Peer, nonce: u64, roster: u64, out: &mut Vec<Output>) {
-        if !self.roster.has(from.node) || !self.is_keeper() || roster != self.roster.digest() {
+        if !self.roster.contains(from.node) || !self.is_replica() || roster != self.roster.digest() {
             let roster = self.roster.digest();
             return self.send(from, Message::Differs { nonce, roster }, out);
         }
@@ -801,7 +868,7 @@
         if self.disk.is_none() || self.keeper.broken || self.roster_record > self.stored {
             return;
         }
-        let before = now - self.set.horizon;
+        let before = now - self.set.retention;
         let mut peers = Vec::new();
         for (node, heard) in &mut self.keeper.heard {
             if heard.known_from <= before && !heard.on_disk && heard.incarnation != 0 {
@@ -811,36 +878,37 @@
         }
         if self.keeper.own_from <= before && !self.keeper.own_on_disk {
             self.keeper.own_on_disk = true;
-            peers.push(self.set.me);
+            peers.push(self.set.local);
         }
         for peer in peers {
-            self.store(Record::Whole(peer), out);
+            self.store(Record::CompletePeer(peer), out);
         }
         if self.stamps_at <= before {
             self.stamps_at = now;
             for (peer, stamp) in self.stamps.values().copied().collect::<Vec<_>>() {
-                self.store(Record::Seen(peer, stamp.unwrap_or_default()), out);
+                self.store(Record::PeerStore(peer, stamp.unwrap_or_default()), out);
             }
         }
     }
 
-    fn stamp(&self) -> Option<Stamp> {
+    fn stamp(&self) -> Option<StoreVersion> {
         let disk = self.disk?;
         let records = disk.records.saturating_add(self.stored.saturating_sub(self.voided));
-        Some(Stamp { records, ..disk })
+        Some(StoreVersion { records, ..disk })
     }
 
     /// Whether a keeper comes with a disk that an earlier life of it had brought further, or had left unused. Danger: it
     /// would vouch for what is not on it, as a source and as a home.
-    fn is_old(&mut self, from: Peer, stamp: Option<Stamp>) -> bool {
-        if !self.roster.has(from.node) {
+    fn is_old(&mut self, from: Peer, stamp: Option<StoreVersion>) -> bool {
+        if !self.roster.contains(from.node) {
             return false;
         }
         let known = self.stamps.get(&from.node).copied();
         let before = known.filter(|(peer, _)| peer.incarnation < from.incarnation);
-        if let (Some((peer, seen)), Some(stamp)) = (before, stamp.filter(|s| s.disk != from.incarnation)) {
-            let shorter = |s: Stamp| s.disk == stamp.disk && s.records > stamp.records;
-            if stamp.last < peer.incarnation || seen.is_some_and(shorter) {
+        if let (Some((peer, seen)), Some(stamp)) = (before, stamp.filter(|s| s.store_id != from.incarnation))
+        {
+            let shorter = |s: StoreVersion| s.store_id == stamp.store_id && s.records > stamp.records;
+            if stamp.last_incarnation < peer.incarnation || seen.is_some_and(shorter) {
                 return true;
             }
         }
@@ -853,16 +921,16 @@
     }
 
     /// Others know this disk to be older than it was: it begins anew, and so does what this instance can be sure of.
-    fn void(&mut self, now: Time, told: Stamp, out: &mut Vec<Output>) {
-        let Some(disk) = self.disk.as_mut().filter(|disk| disk.disk == told.disk) else { return };
-        let incarnation = self.set.me.incarnation;
-        *disk = Stamp { disk: incarnation, records: 0, last: 0 };
+    fn void(&mut self, now: Time, told: StoreVersion, out: &mut Vec<Output>) {
+        let Some(disk) = self.disk.as_mut().filter(|disk| disk.store_id == told.store_id) else { return };
+        let incarnation = self.set.local.incarnation;
+        *disk = StoreVersion { store_id: incarnation, records: 0, last_incarnation: 0 };
         let begun = *disk;
         // Those that have believed this life already must not go on from that.
         self.source.unbroken_since = incarnation.saturating_add(1);
         self.keeper.void(now);
-        self.counts.disks_old += 1;
-        self.voided = self.store(Record::Void(begun, self.source.unbroken_since), out);
+        self.counts.outdated_stores += 1;
+        self.voided = self.store(Record::Invalidated(begun, self.source.unbroken_since), out);
     }
 
     fn marks(&mut self, now: Time, from: Peer, marks: Vec<(u64, SessionKey, Time)>, out: &mut Vec<Output>) {
@@ -874,21 +942,21 @@
         for (_, key, position) in marks {
             self.keeper.marks.add(now, key, position);
             if self.disk.is_some() {
-                record = Some(self.store(Record::Held(key, position), out));
+                record = Some(self.store(Record::Position(key, position), out));
             }
         }
         match record {
             // What finds no room here is sent once more.
-            Some(record) if self.keeper.acks.len() < self.set.waits_most => {
+            Some(record) if self.keeper.acks.len() < self.set.max_pending => {
                 self.keeper.acks.push_back(Ack { record, to: from, seqs });
             }
-            Some(_) => self.counts.full += 1,
+            Some(_) => self.counts.rejected += 1,
             None => self.send(from, Message::Held(seqs), out),
         }
     }
 
-    fn known_here(&self, now: Time, key: SessionKey) -> Result<Option<Time>, Why> {
-        self.keeper.sure(now, self.set.horizon)?;
+    fn known_here(&self, now: Time, key: SessionKey) -> Result<Option<Time>, UncertaintyReason> {
+        self.keeper.sure(now, self.set.retention)?;
         Ok(self.keeper.marks.get(now, key).map(|seen| seen.position))
     }
 
@@ -897,42 +965,42 @@
     fn look(
         &mut self,
         now: Time,
-        ticket: Ticket,
+        ticket: RequestNumber,
         key: SessionKey,
         mut next: std::collections::VecDeque<NodeId>,
-        why: Why,
+        why: UncertaintyReason,
         out: &mut Vec<Output>,
     ) {
         let Some(asked) = next.pop_front() else { return self.cautious(ticket, why, out) };
         self.nonce += 1;
-        let until = now + self.set.lookup;
+        let until = now + self.set.lookup_timeout;
         self.reader.lookups.insert(self.nonce, Lookup { ticket, key, asked, next, until });
-        let look = Message::Look { nonce: self.nonce, key };
+        let look = Message::PositionQuery { nonce: self.nonce, key };
         self.send(Peer { node: asked, incarnation: 0 }, look, out);
     }
 
-    fn need(&mut self, ticket: Ticket, position: Option<Time>, out: &mut Vec<Output>) {
+    fn need(&mut self, ticket: RequestNumber, position: Option<Time>, out: &mut Vec<Output>) {
         match position {
-            Some(UNKNOWN) => self.cautious(ticket, Why::NoPosition, out),
-            position => out.push(Output::Need(ticket, Knowledge::Sure(position))),
+            Some(UNKNOWN_POSITION) => self.cautious(ticket, UncertaintyReason::UnknownPosition, out),
+            position => out.push(Output::ReadRequirement(ticket, ReadRequirement::Position(position))),
         }
     }
 
-    fn cautious(&mut self, ticket: Ticket, why: Why, out: &mut Vec<Output>) {
-        self.counts.cautious += 1;
-        out.push(Output::Need(ticket, Knowledge::Cautious(why)));
+    fn cautious(&mut self, ticket: RequestNumber, why: UncertaintyReason, out: &mut Vec<Output>) {
+        self.counts.strong_reads += 1;
+        out.push(Output::ReadRequirement(ticket, ReadRequirement::Strong(why)));
     }
 
     // Guests.
 
     /// A guest asks one keeper after another to carry its write.
     fn run_errand(&mut self, nonce: u64, out: &mut Vec<Output>) {
-        let keepers = self.roster.keepers().len();
+        let keepers = self.roster.replicas().len();
         let Some(errand) = self.errands.get_mut(&nonce).filter(|_| keepers > 0) else { return };
         let turn = (errand.key.0 as usize).wrapping_add((errand.tries / CARRY_TRIES) as usize) % keepers;
         errand.tries += 1;
         let carry = Message::Carry { ticket: nonce, key: errand.key, position: errand.position };
-        let node = self.roster.keepers()[turn];
+        let node = self.roster.replicas()[turn];
         self.send(Peer { node, incarnation: 0 }, carry, out);
     }
 
@@ -946,11 +1014,11 @@
         position: Time,
         out: &mut Vec<Output>,
     ) {
-        if !self.is_keeper() || self.carried.contains_key(&(from, ticket)) {
+        if !self.is_replica() || self.carried.contains_key(&(from, ticket)) {
             return;
         }
-        if self.source.waiting.len() >= self.set.waits_most {
-            self.counts.full += 1;
+        if self.source.waiting.len() >= self.set.max_pending {
+            self.counts.rejected += 1;
             return;
         }
         let seq = self.keep_own(now, key, position, Some(ticket), false, out);
--- a/crates/stackgw-sessions/src/source.rs
+++ b/crates/stackgw-sessions/src/source.rs
@@ -1,7 +1,7 @@
 //! An instance as a source of writes: its own marks, to whom they are owed, and what it has pledged.
 
-use crate::roster::{NodeId, Peer, Roster, SessionKey};
-use crate::sessions::Ticket;
+use crate::roster::{NodeId, Peer, ReplicaSet, SessionKey};
+use crate::sessions::RequestNumber;
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,7 +14,7 @@
     pub(crate) key: SessionKey,
     pub(crate) position: Time,
     /// Whose answer waits for it; `None`: it has left, at `at`.
-    pub(crate) waits: Option<Ticket>,
+    pub(crate) waits: Option<RequestNumber>,
     /// When the write was served, then when its answer left.
     pub(crate) at: Time,
     pub(crate) told: Time,
@@ -31,7 +31,7 @@
     pub(crate) peer: Peer,
     /// The last pledge given to it binds until then, by the roster it was given under.
     pub(crate) until: Time,
-    pub(crate) roster: Roster,
+    pub(crate) roster: ReplicaSet,
     /// Own marks that it has not acknowledged.
     pub(crate) owes: BTreeSet<u64>,
     /// Of those that have left, the last one sent since it last asked.
@@ -85,10 +85,10 @@
     }
 
     /// A new roster: links to new keepers, none to old ones but as long as a pledge binds.
-    pub(crate) fn take_roster(&mut self, now: Time, me: NodeId, roster: &Roster) {
+    pub(crate) fn take_roster(&mut self, now: Time, me: NodeId, roster: &ReplicaSet) {
         let bound_until = self.bound_until;
-        self.links.retain(|node, link| roster.has(*node) || link.until > now);
-        for node in roster.keepers().iter().filter(|node| **node != me) {
+        self.links.retain(|node, link| roster.contains(*node) || link.until > now);
+        for node in roster.replicas().iter().filter(|node| **node != me) {
             self.links.entry(*node).or_insert_with(|| Link {
                 peer: Peer { node: *node, incarnation: 0 },
                 until: bound_until,
@@ -98,20 +98,20 @@
             });
         }
         for (seq, own) in &self.own {
-            for link in self.links.values_mut().filter(|l| roster.is_home(own.key, l.peer.node)) {
+            for link in self.links.values_mut().filter(|l| roster.is_owner(own.key, l.peer.node)) {
                 link.owes.insert(*seq);
             }
         }
     }
 
     /// A served write, whose answer waits. Gives its number.
-    pub(crate) fn add(&mut self, now: Time, roster: &Roster, own: Own) -> u64 {
+    pub(crate) fn add(&mut self, now: Time, roster: &ReplicaSet, own: Own) -> u64 {
         let seq = self.next;
         self.next += 1;
         for link in self.links.values_mut() {
             let node = link.peer.node;
-            let bound = link.until > now && link.roster.is_home(own.key, node);
-            if bound || roster.is_home(own.key, node) {
+            let bound = link.until > now && link.roster.is_owner(own.key, node);
+            if bound || roster.is_owner(own.key, node) {
                 link.owes.insert(seq);
             }
         }
@@ -154,7 +154,7 @@
     }
 
     /// The answer leaves now.
-    pub(crate) fn let_out(&mut self, now: Time, seq: u64) -> Option<Ticket> {
+    pub(crate) fn let_out(&mut self, now: Time, seq: u64) -> Option<RequestNumber> {
         self.waiting.remove(&seq);
         let own = self.own.get_mut(&seq)?;
         own.at = now;
@@ -202,7 +202,7 @@
     }
 
     /// Gives a keeper a pledge.
-    pub(crate) fn pledge(&mut self, now: Time, node: NodeId, lease: Span, roster: &Roster) {
+    pub(crate) fn pledge(&mut self, now: Time, node: NodeId, lease: Span, roster: &ReplicaSet) {
         let Some(link) = self.links.get_mut(&node) else { return };
         link.until = link.until.max(now + lease + lease / DRIFT_PART);
         // Those that wait were owed under the old one too, and stay so.
--- a/crates/stackgw-sessions/tests/common/mod.rs
+++ b/crates/stackgw-sessions/tests/common/mod.rs
@@ -13,17 +13,17 @@
 
 pub fn settings(me: usize, incarnation: u64, keepers: usize) -> Settings {
     Settings {
-        me: Peer { node: node(me), incarnation },
-        keepers: (0..keepers).map(node).collect(),
-        homes: 2,
+        local: Peer { node: node(me), incarnation },
+        replicas: (0..keepers).map(node).collect(),
+        owners_per_session: 2,
         lease: LEASE,
-        horizon: HORIZON,
-        resend: 20 * MS,
-        lookup: 15 * MS,
-        marks_most: 10_000,
-        own_most: 10_000,
-        waits_most: 1_000,
-        disk: None,
+        retention: HORIZON,
+        resend_interval: 20 * MS,
+        lookup_timeout: 15 * MS,
+        max_positions: 10_000,
+        max_local_writes: 10_000,
+        max_pending: 1_000,
+        recovered: None,
     }
 }
 
@@ -71,12 +71,12 @@
     agenda: BTreeMap<(Time, u64), Happens>,
     next: u64,
     tickets: u64,
-    writes: BTreeMap<(usize, Ticket), (SessionKey, Time, Time)>,
-    reads: BTreeMap<(usize, Ticket), (SessionKey, Time)>,
+    writes: BTreeMap<(usize, RequestNumber), (SessionKey, Time, Time)>,
+    reads: BTreeMap<(usize, RequestNumber), (SessionKey, Time)>,
     /// By session: each write whose answer has left, its position, when it was committed and when its answer left.
     left: BTreeMap<SessionKey, Vec<(Time, Time, Time)>>,
     pub sure: u64,
-    pub cautious: BTreeMap<Why, u64>,
+    pub cautious: BTreeMap<UncertaintyReason, u64>,
     pub released: u64,
     pub missed: Vec<String>,
     pub messages: u64,
@@ -163,11 +163,12 @@
         if i.has_disk {
             let (unbroken_since, records) = i.disk.get_or_insert((i.incarnation, Vec::new()));
             records.truncate(i.synced);
-            let stamp = Stamp { disk: *unbroken_since, records: 0, last };
-            let mut recovered = Recovered { unbroken_since: *unbroken_since, stamp, ..Recovered::default() };
+            let stamp = StoreVersion { store_id: *unbroken_since, records: 0, last_incarnation: last };
+            let mut recovered =
+                Recovered { unbroken_since: *unbroken_since, store_version: stamp, ..Recovered::default() };
             records.iter().cloned().for_each(|record| recovered.apply(record));
             i.base = i.synced as u64;
-            set.disk = Some(recovered);
+            set.recovered = Some(recovered);
         }
         let mut out = Vec::new();
         let sessions = Sessions::new(now, set, &mut out);
@@ -214,7 +215,7 @@
         let (ticket, key, position) = (self.tickets, SessionKey(session), self.positions);
         self.writes.insert((n, ticket), (key, position, self.now));
         self.with(n, |s, now, out| {
-            s.wrote(now, ticket, key, Some(position), out);
+            s.record_write(now, ticket, key, Some(position), out);
         });
     }
 
@@ -225,7 +226,7 @@
         self.tickets += 1;
         let (ticket, key) = (self.tickets, SessionKey(session));
         self.reads.insert((n, ticket), (key, self.now));
-        self.with(n, |s, now, out| s.read(now, ticket, key, out));
+        self.with(n, |s, now, out| s.begin_read(now, ticket, key, out));
     }
 
     fn carry_out(&mut self, n: usize, out: Vec<Output>) {
@@ -261,7 +262,7 @@
                         self.left.entry(key).or_default().push((position, at, self.now));
                     }
                 }
-                Output::Need(ticket, knowledge) => {
+                Output::ReadRequirement(ticket, knowledge) => {
                     let Some((key, came)) = self.reads.remove(&(n, ticket)) else { continue };
                     self.judge(n, key, came, knowledge);
                 }
@@ -276,13 +277,13 @@
         }
     }
 
-    fn judge(&mut self, n: usize, key: SessionKey, came: Time, knowledge: Knowledge) {
+    fn judge(&mut self, n: usize, key: SessionKey, came: Time, knowledge: ReadRequirement) {
         let known = match knowledge {
-            Knowledge::Cautious(why) if !self.weather.off => {
+            ReadRequirement::Strong(why) if !self.weather.off => {
                 *self.cautious.entry(why).or_default() += 1;
                 return;
             }
-            Knowledge::Sure(known) if !self.weather.off => known,
+            ReadRequirement::Position(known) if !self.weather.off => known,
             _ => None,
         };
         self.sure += 1;
@@ -305,7 +306,7 @@
                 .filter(|n| !self.instances[*n].paused)
                 .filter_map(|n| {
                     let i = &self.instances[n];
-                    let wanted = i.up.as_ref()?.next_due();
+                    let wanted = i.up.as_ref()?.next_deadline();
                     let at = ((wanted.saturating_sub(i.offset)) as f64 / i.rate) as Time;
                     let at = at.saturating_add(1);
                     Some((at.max(self.now), n))
@@ -318,7 +319,7 @@
             if due_at < arrival {
                 let Some((at, n)) = due else { break };
                 self.now = at.max(self.now);
-                self.with(n, |s, now, out| s.due(now, out));
+                self.with(n, |s, now, out| s.handle_timeout(now, out));
                 continue;
             }
             let Some(((at, _), what)) = self.agenda.pop_first() else { break };
@@ -329,14 +330,14 @@
                     self.at(self.now + 20 * MS, what);
                 }
                 Happens::Arrives(n, from, to, message) => {
-                    self.with(n, |s, now, out| s.heard(now, from, to, message, out));
+                    self.with(n, |s, now, out| s.handle_message(now, from, to, message, out));
                 }
                 Happens::Synced(n, life, upto) if self.instances[n].incarnation == life => {
                     let i = &mut self.instances[n];
                     if i.up.is_some() && i.disk.as_ref().is_some_and(|(_, records)| records.len() >= upto) {
                         i.synced = i.synced.max(upto);
                         let count = upto as u64 - i.base;
-                        self.with(n, |s, now, out| s.stored(now, count, out));
+                        self.with(n, |s, now, out| s.handle_records_stored(now, count, out));
                     }
                 }
                 Happens::Synced(..) => {}
--- a/crates/stackgw-sessions/tests/digest.rs
+++ b/crates/stackgw-sessions/tests/digest.rs
@@ -55,61 +55,61 @@
         self.number(peer.incarnation);
     }
 
-    fn stamp(&mut self, stamp: Stamp) {
-        [stamp.disk, stamp.records, stamp.last].into_iter().for_each(|n| self.number(n));
+    fn stamp(&mut self, stamp: StoreVersion) {
+        [stamp.store_id, stamp.records, stamp.last_incarnation].into_iter().for_each(|n| self.number(n));
     }
 
-    fn why(&mut self, why: Option<Why>) {
+    fn why(&mut self, why: Option<UncertaintyReason>) {
         let (code, node) = match why {
             None => (0, None),
-            Some(Why::NotPledged(node)) => (1, Some(node)),
-            Some(Why::OtherRoster(node)) => (2, Some(node)),
-            Some(Why::TooShort(node)) => (3, Some(node)),
-            Some(Why::Started) => (4, None),
-            Some(Why::DiskFailed) => (5, None),
-            Some(Why::Silent) => (6, None),
-            Some(Why::Unsure) => (7, None),
-            Some(Why::NoPosition) => (8, None),
-            Some(Why::Full) => (9, None),
+            Some(UncertaintyReason::NoLease(node)) => (1, Some(node)),
+            Some(UncertaintyReason::ReplicaSetMismatch(node)) => (2, Some(node)),
+            Some(UncertaintyReason::IncompleteHistory(node)) => (3, Some(node)),
+            Some(UncertaintyReason::RecentlyStarted) => (4, None),
+            Some(UncertaintyReason::StoreFailed) => (5, None),
+            Some(UncertaintyReason::OwnersUnresponsive) => (6, None),
+            Some(UncertaintyReason::OwnersUncertain) => (7, None),
+            Some(UncertaintyReason::UnknownPosition) => (8, None),
+            Some(UncertaintyReason::TooManyReads) => (9, None),
         };
         self.reasons.insert(code);
         self.number(code);
         self.number(node.map_or(0, |node| node.0));
-        let text = why.map_or(String::new(), |why| why.text(|node| node.0.to_string()));
+        let text = why.map_or(String::new(), |why| why.describe(|node| node.0.to_string()));
         text.bytes().for_each(|byte| self.byte(byte));
     }
 
     fn record(&mut self, record: &Record) {
         let code = match record {
-            Record::Roster(_) => 1,
-            Record::Held(..) => 2,
-            Record::Owed(..) => 3,
-            Record::Whole(_) => 4,
-            Record::Seen(..) => 5,
-            Record::Void(..) => 6,
+            Record::ReplicaSet(_) => 1,
+            Record::Position(..) => 2,
+            Record::Unacknowledged(..) => 3,
+            Record::CompletePeer(_) => 4,
+            Record::PeerStore(..) => 5,
+            Record::Invalidated(..) => 6,
         };
         self.records.insert(code);
         self.number(code);
         match record {
-            Record::Roster(digest) => {
+            Record::ReplicaSet(digest) => {
                 self.number(*digest);
             }
-            Record::Held(key, position) => {
+            Record::Position(key, position) => {
                 self.number(key.0);
                 self.signed(*position);
             }
-            Record::Owed(key, position) => {
+            Record::Unacknowledged(key, position) => {
                 self.number(key.0);
                 self.signed(*position);
             }
-            Record::Whole(peer) => {
+            Record::CompletePeer(peer) => {
                 self.peer(*peer);
             }
-            Record::Seen(peer, stamp) => {
+            Record::PeerStore(peer, stamp) => {
                 self.peer(*peer);
                 self.stamp(*stamp);
             }
-            Record::Void(stamp, unbroken_since) => {
+            Record::Invalidated(stamp, unbroken_since) => {
                 self.stamp(*stamp);
                 self.number(*unbroken_since);
             }
@@ -130,12 +130,12 @@
                 self.number(2);
                 self.number(*ticket);
             }
-            Output::Need(ticket, Knowledge::Sure(position)) => {
+            Output::ReadRequirement(ticket, ReadRequirement::Position(position)) => {
                 self.number(3);
                 self.number(*ticket);
                 self.optional(*position);
             }
-            Output::Need(ticket, Knowledge::Cautious(why)) => {
+            Output::ReadRequirement(ticket, ReadRequirement::Strong(why)) => {
                 self.number(4);
                 self.number(*ticket);
                 self.why(Some(*why));
@@ -148,29 +148,31 @@
     }
 
     fn status(&mut self, status: &Status) {
-        self.peer(status.me);
-        self.number(u64::from(status.keeper));
-        self.why(status.unsure);
-        for other in &status.others {
+        self.peer(status.local);
+        self.number(u64::from(status.is_replica));
+        self.why(status.uncertainty);
+        for other in &status.peers {
             self.peer(Peer { node: other.node, incarnation: other.incarnation });
-            self.signed(other.pledged_for);
-            self.signed(other.bound_for);
-            self.number(other.owed as u64);
+            self.signed(other.lease_held_for);
+            self.signed(other.lease_granted_for);
+            self.number(other.unacknowledged as u64);
         }
-        [status.marks, status.own, status.waiting].into_iter().for_each(|n| self.number(n as u64));
-        self.number(status.pushed_out);
-        let counts = status.counts;
+        [status.positions, status.local_writes, status.pending]
+            .into_iter()
+            .for_each(|n| self.number(n as u64));
+        self.number(status.evicted);
+        let counts = status.counters;
         let counts = [
-            counts.sure_here,
-            counts.sure_there,
-            counts.cautious,
-            counts.released,
-            counts.released_owed,
-            counts.disregarded,
-            counts.sent,
-            counts.own_pushed_out,
-            counts.full,
-            counts.disks_old,
+            counts.answered_locally,
+            counts.answered_by_owner,
+            counts.strong_reads,
+            counts.writes_released,
+            counts.released_unacknowledged,
+            counts.messages_ignored,
+            counts.messages_sent,
+            counts.local_writes_evicted,
+            counts.rejected,
+            counts.outdated_stores,
         ];
         counts.into_iter().for_each(|n| self.number(n));
     }
@@ -180,15 +182,16 @@
         let Some(up) = world.instances[n].up.as_ref() else { return };
         let now = world.clock(n);
         self.status(&up.status(now));
-        self.signed(up.next_due());
-        self.number(u64::from(up.lets_out()) + 2 * u64::from(up.is_keeper()));
-        self.number(up.roster().digest());
-        up.roster().keepers().iter().for_each(|node| self.number(node.0));
-        up.roster().homes(key).for_each(|node| self.number(node.0));
-        let (seen, sure) = up.held(now, key);
+        self.signed(up.next_deadline());
+        self.number(u64::from(up.can_release()) + 2 * u64::from(up.is_replica()));
+        self.number(up.replica_set().digest());
+        up.replica_set().replicas().iter().for_each(|node| self.number(node.0));
+        up.replica_set().owners(key).for_each(|node| self.number(node.0));
+        let inspection = up.inspect_session(now, key);
+        let (seen, sure) = (inspection.position, inspection.certainty);
         self.optional(seen.map(|seen| seen.position));
         self.optional(seen.map(|seen| seen.at));
-        self.number(seen.map_or(2, |seen| u64::from(seen.pushed_out)));
+        self.number(seen.map_or(2, |seen| u64::from(seen.evicted)));
         self.why(sure.err());
     }
 }
@@ -196,11 +199,11 @@
 fn usual(_: &mut Settings) {}
 
 fn tight(set: &mut Settings) {
-    (set.marks_most, set.own_most, set.waits_most) = (6, 12, 4);
+    (set.max_positions, set.max_local_writes, set.max_pending) = (6, 12, 4);
 }
 
 fn single_owner(set: &mut Settings) {
-    set.homes = 1;
+    set.owners_per_session = 1;
 }
 
 /// One history: the world, what it has put out so far, and the numbers given out.
@@ -260,16 +263,16 @@
         let position = (self.below(20) > 0).then_some(self.world.now + self.below(1_000) as Time);
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let mut accepted = false;
-        self.world.with(n, |s, now, out| accepted = s.wrote(now, ticket, key, position, out));
-        self.digest.number(u64::from(accepted));
+        let mut admission = WriteAdmission::Rejected;
+        self.world.with(n, |s, now, out| admission = s.record_write(now, ticket, key, position, out));
+        self.digest.number(u64::from(admission == WriteAdmission::Accepted));
     }
 
     fn read(&mut self, n: usize) {
         let key = SessionKey(self.below(SESSIONS));
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        self.world.with(n, |s, now, out| s.read(now, ticket, key, out));
+        self.world.with(n, |s, now, out| s.begin_read(now, ticket, key, out));
     }
 
     fn recent_ticket(&mut self) -> u64 {
@@ -318,7 +321,7 @@
         let only = (self.below(3) == 0).then(|| self.instance());
         for n in (0..self.members).filter(|n| only.is_none_or(|only| only == *n)) {
             let list = list.clone();
-            self.world.with(n, |s, now, out| s.take_keepers(now, list, out));
+            self.world.with(n, |s, now, out| s.set_replicas(now, list, out));
         }
     }
 
@@ -331,8 +334,9 @@
         }
     }
 
-    fn wild_stamp(&mut self) -> Option<Stamp> {
-        let stamp = Stamp { disk: self.wild(), records: self.wild(), last: self.wild() };
+    fn wild_stamp(&mut self) -> Option<StoreVersion> {
+        let stamp =
+            StoreVersion { store_id: self.wild(), records: self.wild(), last_incarnation: self.wild() };
         (self.below(2) == 0).then_some(stamp)
     }
 
@@ -349,7 +353,7 @@
             3 => Message::Differs { nonce, roster },
             4 => Message::Marks(vec![(nonce, key, position), (number, key, position)]),
             5 => Message::Held(vec![nonce, number]),
-            6 => Message::Look { nonce, key },
+            6 => Message::PositionQuery { nonce, key },
             7 => Message::Sure { nonce, position: (number % 2 == 0).then_some(position) },
             8 => Message::Unsure { nonce },
             9 => Message::Carry { ticket: nonce, key, position },
@@ -359,11 +363,11 @@
         let incarnation = self.world.instances[other].incarnation + self.below(40) / 39;
         let from = Peer { node: node(other), incarnation };
         let to = Peer { node: node(n), incarnation: self.below(2) * self.world.instances[n].incarnation };
-        self.world.with(n, |s, now, out| s.heard(now, from, to, message, out));
+        self.world.with(n, |s, now, out| s.handle_message(now, from, to, message, out));
     }
 
     fn roster_of(&self, n: usize) -> u64 {
-        self.world.instances[n].up.as_ref().map_or(0, |up| up.roster().digest())
+        self.world.instances[n].up.as_ref().map_or(0, |up| up.replica_set().digest())
     }
 
     fn step(&mut self) {
@@ -386,8 +390,9 @@
             10..=17 => self.world.cut.clear(),
             18..=20 => self.change_keepers(),
             21 => {
-                let void = self.below(3) > 0;
-                self.world.with(n, |s, now, out| s.disk_failed(now, void, out));
+                let failure =
+                    if self.below(3) > 0 { StoreFailure::SetAside } else { StoreFailure::LeftInPlace };
+                self.world.with(n, |s, now, out| s.handle_store_failure(now, failure, out));
             }
             22..=27 => {
                 let span = self.below(1_500) as Span * HORIZON / 1_000;
@@ -395,11 +400,11 @@
             }
             28..=45 if self.ready(n) => {
                 let ticket = self.recent_ticket();
-                self.world.with(n, |s, _, _| s.withdrawn(ticket));
+                self.world.with(n, |s, _, _| s.cancel_write(ticket));
             }
             46..=60 if self.ready(n) => {
                 let ticket = self.recent_ticket();
-                self.world.with(n, |s, _, _| s.unread(ticket));
+                self.world.with(n, |s, _, _| s.cancel_read(ticket));
             }
             61..=66 if self.ready(n) => (0..6).for_each(|_| self.read(n)),
             67..=130 if self.hostile && self.ready(n) => self.forge(n),
--- a/crates/stackgw-sessions/tests/histories.rs
+++ b/crates/stackgw-sessions/tests/histories.rs
@@ -5,7 +5,7 @@
 use common::*;
 use rand::Rng;
 use stackgw_router::api::{MS, SECOND};
-use stackgw_sessions::{Message, Peer, SessionKey, Why};
+use stackgw_sessions::{Message, Peer, SessionKey, StoreFailure, UncertaintyReason};
 
 const FAIR: Weather = Weather { loss: 0.0, repeat: 0.0, delay: 2 * MS, sync: 3 * MS, off: false };
 const FOUL: Weather = Weather { loss: 0.1, repeat: 0.2, delay: 30 * MS, sync: 10 * MS, off: false };
@@ -83,8 +83,8 @@
     world
 }
 
-fn why(world: &World, n: usize) -> Option<Why> {
-    world.instances[n].up.as_ref().and_then(|up| up.status(world.clock(n)).unsure)
+fn why(world: &World, n: usize) -> Option<UncertaintyReason> {
+    world.instances[n].up.as_ref().and_then(|up| up.status(world.clock(n)).uncertainty)
 }
 
 #[test]
@@ -206,17 +206,20 @@
 #[test]
 fn keepers_with_other_lists_are_cautious() {
     let mut world = settled(3, 0, true);
-    world.with(0, |s, now, out| s.take_keepers(now, vec![node(0), node(1)], out));
+    world.with(0, |s, now, out| s.set_replicas(now, vec![node(0), node(1)], out));
     world.pass(2 * LEASE);
     for n in 0..3 {
         assert!(
-            matches!(why(&world, n), Some(Why::OtherRoster(_) | Why::NotPledged(_))),
+            matches!(
+                why(&world, n),
+                Some(UncertaintyReason::ReplicaSetMismatch(_) | UncertaintyReason::NoLease(_))
+            ),
             "{n}: {:?}",
             why(&world, n)
         );
     }
     world.kill(2);
-    world.with(1, |s, now, out| s.take_keepers(now, vec![node(0), node(1)], out));
+    world.with(1, |s, now, out| s.set_replicas(now, vec![node(0), node(1)], out));
     world.pass(2 * LEASE);
     assert_eq!(
         (why(&world, 0), why(&world, 1)),
@@ -244,7 +247,7 @@
 #[test]
 fn a_disk_that_fails_leaves_no_claim_behind() {
     let mut world = settled(2, 0, true);
-    world.with(0, |s, now, out| s.disk_failed(now, true, out));
+    world.with(0, |s, now, out| s.handle_store_failure(now, StoreFailure::SetAside, out));
     world.lose_disk(0);
     world.write(0, 1);
     world.pass(50 * MS);
@@ -254,7 +257,7 @@
     world.pass(2 * LEASE);
     assert!(why(&world, 1).is_some(), "its writes of before are not vouched for");
     let mut stuck = settled(2, 0, true);
-    stuck.with(0, |s, now, out| s.disk_failed(now, false, out));
+    stuck.with(0, |s, now, out| s.handle_store_failure(now, StoreFailure::LeftInPlace, out));
     stuck.write(0, 1);
     stuck.pass(3 * LEASE);
     assert_eq!(stuck.released, 0, "a later life would take that file for whole");
@@ -283,8 +286,8 @@
     let life = world.instances[1].incarnation;
     for incarnation in [life, life + 1] {
         let (from, to) = (Peer { node: node(1), incarnation }, Peer { node: node(0), incarnation: 0 });
-        let look = Message::Look { nonce: 1, key: SessionKey(1) };
-        world.with(0, |s, now, out| s.heard(now, from, to, look, out));
+        let look = Message::PositionQuery { nonce: 1, key: SessionKey(1) };
+        world.with(0, |s, now, out| s.handle_message(now, from, to, look, out));
     }
     world.write(0, 1);
     world.pass(LEASE / 2);
@@ -322,7 +325,7 @@
         for step in 0..1_600 {
             while turns.first().is_some_and(|(at, _)| *at == step) {
                 let (_, n) = turns.remove(0);
-                world.with(n, |s, now, out| s.take_keepers(now, vec![node(0), node(1), node(2)], out));
+                world.with(n, |s, now, out| s.set_replicas(now, vec![node(0), node(1), node(2)], out));
             }
             let (n, session) = (world.rng.random_range(0..4), world.rng.random_range(0..30));
             if step % 3 == 0 {
@@ -352,7 +355,7 @@
             let incarnation = world.instances[from].incarnation;
             let to = Peer { node: node(3), incarnation: world.instances[3].incarnation };
             let from = Peer { node: node(from), incarnation };
-            world.with(3, |s, now, out| s.heard(now, from, to, Message::Unsure { nonce }, out));
+            world.with(3, |s, now, out| s.handle_message(now, from, to, Message::Unsure { nonce }, out));
         }
     }
     world.pass(SECOND);
--- a/crates/stackgw-sessions/tests/model.rs
+++ b/crates/stackgw-sessions/tests/model.rs
@@ -92,30 +92,34 @@
     fn settings(&self, n: usize, node: &Node) -> Settings {
         let mut recovered = Recovered {
             unbroken_since: node.unbroken_since,
-            stamp: Stamp { disk: node.unbroken_since, records: 0, last: node.last },
+            store_version: StoreVersion {
+                store_id: node.unbroken_since,
+                records: 0,
+                last_incarnation: node.last,
+            },
             ..Recovered::default()
         };
         node.disk[..node.synced].iter().cloned().for_each(|record| recovered.apply(record));
         Settings {
-            me: Peer { node: id(n), incarnation: node.incarnation },
-            keepers: (0..self.nodes).map(id).collect(),
-            homes: 2,
+            local: Peer { node: id(n), incarnation: node.incarnation },
+            replicas: (0..self.nodes).map(id).collect(),
+            owners_per_session: 2,
             lease: LEASE,
-            horizon: self.horizon,
-            resend: 2 * TICK,
-            lookup: TICK,
-            marks_most: 100,
-            own_most: 100,
-            waits_most: 10,
-            disk: Some(recovered),
+            retention: self.horizon,
+            resend_interval: 2 * TICK,
+            lookup_timeout: TICK,
+            max_positions: 100,
+            max_local_writes: 100,
+            max_pending: 10,
+            recovered: Some(recovered),
         }
     }
 
     /// Instances that have lived long: each one's disk says that nothing is missing.
     fn first(&self) -> World {
-        let roster = Roster::new((0..self.nodes).map(id), 2, &[LEASE, self.horizon]);
-        let whole = (0..self.nodes).map(|n| Record::Whole(Peer { node: id(n), incarnation: 1 }));
-        let disk: Vec<_> = std::iter::once(Record::Roster(roster.digest())).chain(whole).collect();
+        let roster = ReplicaSet::new((0..self.nodes).map(id), 2, &[LEASE, self.horizon]);
+        let whole = (0..self.nodes).map(|n| Record::CompletePeer(Peer { node: id(n), incarnation: 1 }));
+        let disk: Vec<_> = std::iter::once(Record::ReplicaSet(roster.digest())).chain(whole).collect();
         let node = |_| Node {
             up: None,
             incarnation: 2,
@@ -144,7 +148,7 @@
         // Their bounds from before are over, and they have each other's pledges.
         for _ in 0..6 {
             world.now += TICK;
-            (0..self.nodes).for_each(|n| self.with(&mut world, n, |s, now, out| s.due(now, out)));
+            (0..self.nodes).for_each(|n| self.with(&mut world, n, |s, now, out| s.handle_timeout(now, out)));
             while let Some(flying) = world.net.pop_first() {
                 self.deliver(&mut world, &flying);
             }
@@ -170,7 +174,7 @@
     fn deliver(&self, world: &mut World, flying: &Flying) {
         let Some(n) = (0..self.nodes).find(|n| id(*n) == flying.to.node) else { return };
         let Flying { from, to, message, .. } = flying.clone();
-        self.with(world, n, |s, now, out| s.heard(now, from, to, message, out));
+        self.with(world, n, |s, now, out| s.handle_message(now, from, to, message, out));
     }
 
     fn carry_out(&self, world: &mut World, n: usize, out: Vec<Output>) {
@@ -189,9 +193,9 @@
                     world.written[ticket as usize].1 = true;
                     world.released += 1;
                 }
-                Output::Need(ticket, knowledge) => {
+                Output::ReadRequirement(ticket, knowledge) => {
                     let (_, left) = world.reading[ticket as usize];
-                    if let Knowledge::Sure(position) = knowledge {
+                    if let ReadRequirement::Position(position) = knowledge {
                         world.sure = true;
                         let recent = |at: Time| at > world.now - self.horizon;
                         let must = world.written.iter().any(|(at, out)| *out && recent(*at)) && left > 0;
@@ -202,7 +206,7 @@
         }
         if kept && self.early {
             let count = (world.nodes[n].disk.len() - world.nodes[n].base) as u64;
-            self.with(world, n, |s, now, out| s.stored(now, count, out));
+            self.with(world, n, |s, now, out| s.handle_records_stored(now, count, out));
         }
     }
 }
@@ -234,7 +238,7 @@
                 }
                 continue;
             };
-            if up.next_due() <= world.now {
+            if up.next_deadline() <= world.now {
                 acts.push(Act::Due(n));
             }
             if node.synced < node.disk.len() {
@@ -262,7 +266,7 @@
                 let since = world.now - self.late * TICK;
                 world.net.retain(|flying| flying.sent > since);
             }
-            Act::Due(n) => self.with(&mut world, n, |s, now, out| s.due(now, out)),
+            Act::Due(n) => self.with(&mut world, n, |s, now, out| s.handle_timeout(now, out)),
             Act::Deliver(flying) => {
                 world.net.remove(&flying);
                 self.deliver(&mut world, &flying);
@@ -274,7 +278,7 @@
             Act::Sync(n) => {
                 world.nodes[n].synced = world.nodes[n].disk.len();
                 let count = (world.nodes[n].synced - world.nodes[n].base) as u64;
-                self.with(&mut world, n, |s, now, out| s.stored(now, count, out));
+                self.with(&mut world, n, |s, now, out| s.handle_records_stored(now, count, out));
             }
             Act::Crash(n) => {
                 world.crashes += 1;
@@ -300,14 +304,14 @@
                 world.written.push((world.now, false));
                 world.writes += 1;
                 self.with(&mut world, n, |s, now, out| {
-                    s.wrote(now, ticket, KEY, Some(POSITION), out);
+                    s.record_write(now, ticket, KEY, Some(POSITION), out);
                 });
             }
             Act::Read(n) => {
                 let ticket = world.reading.len() as u64;
                 world.reading.push((n, world.released));
                 world.reads += 1;
-                self.with(&mut world, n, |s, now, out| s.read(now, ticket, KEY, out));
+                self.with(&mut world, n, |s, now, out| s.begin_read(now, ticket, KEY, out));
             }
         }
         Some(world)
--- a/crates/stackgw-sessions/tests/peers.rs
+++ b/crates/stackgw-sessions/tests/peers.rs
@@ -16,8 +16,12 @@
     prop_oneof![0..5i64, any::<i64>(), Just(i64::MAX), Just(i64::MIN)]
 }
 
-fn stamp() -> impl Strategy<Value = Stamp> + Clone {
-    (number(), number(), number()).prop_map(|(disk, records, last)| Stamp { disk, records, last })
+fn stamp() -> impl Strategy<Value = StoreVersion> + Clone {
+    (number(), number(), number()).prop_map(|(disk, records, last)| StoreVersion {
+        store_id: disk,
+        records,
+        last_incarnation: last,
+    })
 }
 
 fn message(roster: u64) -> impl Strategy<Value = Message> {
@@ -44,7 +48,7 @@
         (number(), roster).prop_map(|(nonce, roster)| Message::Differs { nonce, roster }),
         marks.prop_map(Message::Marks),
         prop::collection::vec(number(), 0..5).prop_map(Message::Held),
-        (number(), key.clone()).prop_map(|(nonce, key)| Message::Look { nonce, key }),
+        (number(), key.clone()).prop_map(|(nonce, key)| Message::PositionQuery { nonce, key }),
         (number(), prop::option::of(signed()))
             .prop_map(|(nonce, position)| Message::Sure { nonce, position }),
         number().prop_map(|nonce| Message::Unsure { nonce }),
@@ -61,29 +65,29 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(5), cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn nonsense_breaks_nothing(disk in any::<bool>(), said in prop::collection::vec((0..4usize, number(), number(), message(Roster::new((0..3).map(node), 2, &[common::LEASE, HORIZON]).digest()), 0..100i64), 1..150)) {
+    fn nonsense_breaks_nothing(disk in any::<bool>(), said in prop::collection::vec((0..4usize, number(), number(), message(ReplicaSet::new((0..3).map(node), 2, &[common::LEASE, HORIZON]).digest()), 0..100i64), 1..150)) {
         let mut set = settings(0, 50, 3);
-        (set.waits_most, set.marks_most, set.own_most) = (20, 30, 30);
-        set.disk = disk.then(Recovered::default);
+        (set.max_pending, set.max_positions, set.max_local_writes) = (20, 30, 30);
+        set.recovered = disk.then(Recovered::default);
         let (mut now, mut out, mut records) = (1_000 * SECOND, Vec::new(), 0);
-        let me = set.me;
+        let me = set.local;
         let mut sessions = Sessions::new(now, set, &mut out);
         for (n, incarnation, to, message, span) in said {
             now += span * MS;
             let from = Peer { node: node(n), incarnation };
             let to = Peer { node: me.node, incarnation: if to % 2 == 0 { 0 } else { me.incarnation } };
-            sessions.heard(now, from, to, message, &mut out);
-            sessions.wrote(now, records, SessionKey(records % 9), Some(now), &mut out);
-            sessions.read(now, records, SessionKey(records % 9), &mut out);
-            sessions.due(now, &mut out);
+            sessions.handle_message(now, from, to, message, &mut out);
+            sessions.record_write(now, records, SessionKey(records % 9), Some(now), &mut out);
+            sessions.begin_read(now, records, SessionKey(records % 9), &mut out);
+            sessions.handle_timeout(now, &mut out);
             records += out.iter().filter(|o| matches!(o, Output::Store(_))).count() as u64;
             if span % 3 == 0 {
-                sessions.stored(now, records, &mut out);
+                sessions.handle_records_stored(now, records, &mut out);
             }
             let status = sessions.status(now);
-            prop_assert!(status.marks <= 30 && status.waiting <= 20, "{status:?}");
+            prop_assert!(status.positions <= 30 && status.pending <= 20, "{status:?}");
             // Its own start is less than a horizon ago, and no word of others can change that.
-            prop_assert!(now - 1_000 * SECOND >= HORIZON || status.unsure.is_some());
+            prop_assert!(now - 1_000 * SECOND >= HORIZON || status.uncertainty.is_some());
             for output in out.drain(..) {
                 if let Output::Send(to, message) = output {
                     prop_assert!(message.encode(to).len() <= MOST_BYTES);
--- a/crates/stackgw-sessions/tests/stored_and_sent.rs
+++ b/crates/stackgw-sessions/tests/stored_and_sent.rs
@@ -10,7 +10,8 @@
 const TO: Peer = Peer { node: NodeId(0xfedc_ba98_7654_3210), incarnation: 1_764_633_600_123 };
 const KEY: SessionKey = SessionKey(0x0123_4567_89ab_cdef);
 const POSITION: i64 = 1_764_633_600_123_456_789;
-const STAMP: Stamp = Stamp { disk: 1_764_633_500_000, records: 300, last: 1_764_633_550_000 };
+const STAMP: StoreVersion =
+    StoreVersion { store_id: 1_764_633_500_000, records: 300, last_incarnation: 1_764_633_550_000 };
 
 fn messages() -> Vec<(&'static str, Message)> {
     let (nonce, roster) = (77, 0xdead_beef_0bad_cafe);
@@ -29,9 +30,12 @@
         ),
         ("store_outdated", Message::Stale(STAMP)),
         ("replica_set_mismatch", Message::Differs { nonce, roster }),
-        ("replicate", Message::Marks(vec![(1, KEY, POSITION), (2, SessionKey(3), UNKNOWN), (300, KEY, -5)])),
+        (
+            "replicate",
+            Message::Marks(vec![(1, KEY, POSITION), (2, SessionKey(3), UNKNOWN_POSITION), (300, KEY, -5)]),
+        ),
         ("acknowledge", Message::Held(vec![1, 2, 300])),
-        ("position_query", Message::Look { nonce, key: KEY }),
+        ("position_query", Message::PositionQuery { nonce, key: KEY }),
         ("position_reply", Message::Sure { nonce, position: Some(POSITION) }),
         ("position_reply_none", Message::Sure { nonce, position: None }),
         ("position_uncertain", Message::Unsure { nonce }),
@@ -72,10 +76,10 @@
     let nodes = ["g0", "g1", "g2"].map(NodeId::of);
     assert_eq!(nodes.map(|node| node.0), [NODES[0], NODES[1], NODES[2]]);
     assert_eq!(SessionKey::of(2, "7f3a9c21e0b4d655").0, SESSION);
-    let roster = Roster::new(nodes, 2, &[800_000_000, 60 * SECOND]);
+    let roster = ReplicaSet::new(nodes, 2, &[800_000_000, 60 * SECOND]);
     assert_eq!(roster.digest(), ROSTER);
     let place = |node: NodeId| nodes.iter().position(|known| *known == node).expect("one of the three");
-    let homes = |n| roster.homes(SessionKey(n)).map(place).collect::<Vec<_>>();
+    let homes = |n| roster.owners(SessionKey(n)).map(place).collect::<Vec<_>>();
     let homes: Vec<_> = (0..6).map(homes).collect();
     assert_eq!(homes, HOMES.map(|homes| homes.to_vec()));
 }
@@ -91,34 +95,35 @@
 fn records_of_each_kind_come_back_as_what_they_say() {
     let peer = |node, incarnation| Peer { node: NodeId(node), incarnation };
     let records = [
-        Record::Roster(5),
-        Record::Held(KEY, POSITION),
-        Record::Owed(SessionKey(3), UNKNOWN),
-        Record::Whole(peer(7, 3)),
-        Record::Whole(peer(8, 3)),
-        Record::Whole(peer(7, 4)),
-        Record::Seen(peer(7, 3), STAMP),
-        Record::Seen(peer(7, 4), STAMP),
-        Record::Roster(5),
+        Record::ReplicaSet(5),
+        Record::Position(KEY, POSITION),
+        Record::Unacknowledged(SessionKey(3), UNKNOWN_POSITION),
+        Record::CompletePeer(peer(7, 3)),
+        Record::CompletePeer(peer(8, 3)),
+        Record::CompletePeer(peer(7, 4)),
+        Record::PeerStore(peer(7, 3), STAMP),
+        Record::PeerStore(peer(7, 4), STAMP),
+        Record::ReplicaSet(5),
     ];
-    let mut recovered = Recovered { unbroken_since: 2, stamp: STAMP, ..Recovered::default() };
+    let mut recovered = Recovered { unbroken_since: 2, store_version: STAMP, ..Recovered::default() };
     records.into_iter().for_each(|record| recovered.apply(record));
     let expected = Recovered {
         unbroken_since: 2,
-        stamp: Stamp { records: 309, ..STAMP },
-        seen: vec![(peer(7, 4), STAMP)],
-        roster: Some(5),
-        held: vec![(KEY, POSITION)],
-        owed: vec![(SessionKey(3), UNKNOWN)],
-        whole: vec![peer(8, 3), peer(7, 4)],
+        store_version: StoreVersion { records: 309, ..STAMP },
+        peer_stores: vec![(peer(7, 4), STAMP)],
+        replica_set: Some(5),
+        positions: vec![(KEY, POSITION)],
+        unacknowledged: vec![(SessionKey(3), UNKNOWN_POSITION)],
+        complete_peers: vec![peer(8, 3), peer(7, 4)],
     };
     assert_eq!(recovered, expected);
-    let begun = Stamp { disk: 9, records: 0, last: 0 };
-    recovered.apply(Record::Void(begun, 10));
-    let begun = Stamp { last: STAMP.last, ..begun };
-    let expected = Recovered { unbroken_since: 10, stamp: begun, whole: Vec::new(), ..expected };
+    let begun = StoreVersion { store_id: 9, records: 0, last_incarnation: 0 };
+    recovered.apply(Record::Invalidated(begun, 10));
+    let begun = StoreVersion { last_incarnation: STAMP.last_incarnation, ..begun };
+    let expected =
+        Recovered { unbroken_since: 10, store_version: begun, complete_peers: Vec::new(), ..expected };
     assert_eq!(recovered, expected);
-    recovered.apply(Record::Roster(6));
-    let stamp = Stamp { records: 1, ..begun };
-    assert_eq!(recovered, Recovered { roster: Some(6), stamp, ..expected });
+    recovered.apply(Record::ReplicaSet(6));
+    let stamp = StoreVersion { records: 1, ..begun };
+    assert_eq!(recovered, Recovered { replica_set: Some(6), store_version: stamp, ..expected });
 }
--- a/crates/stackgw-standin/src/cold_start.rs
+++ b/crates/stackgw-standin/src/cold_start.rs
@@ -121,7 +121,7 @@
         let (store, agent) = ReplicaGroup::start_speaking(&[10, 20], Protocol::Postgres).map_err(wrong)?;
         store.lists().bear(Some(ServiceCapacity { per_second: self.bears, line: Duration::from_secs(1) }));
         let mut setup = FleetConfig::new(self.program.clone(), self.folder.clone(), vec![agent]);
-        (setup.gateways, setup.keepers) = (self.fleet, 3.min(self.fleet));
+        (setup.gateways, setup.session_replicas) = (self.fleet, 3.min(self.fleet));
         setup.mode = if self.start.is_some() { FleetMode::Bootstrap } else { FleetMode::LocalSessions };
         setup.start = self.start.clone().unwrap_or_default();
         let gateways = GatewayFleet::prepare(setup)?;
--- a/crates/stackgw-standin/src/gateways.rs
+++ b/crates/stackgw-standin/src/gateways.rs
@@ -45,7 +45,7 @@
     /// How many gateways.
     pub gateways: usize,
     /// So many of them are keepers.
-    pub keepers: usize,
+    pub session_replicas: usize,
     /// What sessions rest on.
     pub mode: FleetMode,
     /// Keepers have disks.
@@ -53,7 +53,7 @@
     /// The lease, in milliseconds.
     pub lease_ms: u64,
     /// The horizon, in milliseconds.
-    pub horizon_ms: u64,
+    pub retention_ms: u64,
     /// Their datagrams pass through relays that can cut and lose.
     pub relays: bool,
     /// They speak Flight SQL too.
@@ -74,11 +74,11 @@
             folder,
             agents,
             gateways: 2,
-            keepers: 2,
+            session_replicas: 2,
             mode: FleetMode::SharedSessions,
             disks: true,
             lease_ms: 400,
-            horizon_ms: 5_000,
+            retention_ms: 5_000,
             relays: false,
             flight: false,
             speaks: Protocol::Postgres,
@@ -136,8 +136,9 @@
         };
         let key = setup.folder.join("cluster.key");
         std::fs::write(&key, format!("a key of this trial alone, {}", std::process::id())).map_err(wrong)?;
-        let seeds: Vec<_> = reached.iter().take(setup.keepers).map(|port| format!("\"{port}\"")).collect();
-        let keepers: Vec<_> = (0..setup.keepers).map(|n| format!("g{n}")).collect();
+        let seeds: Vec<_> =
+            reached.iter().take(setup.session_replicas).map(|port| format!("\"{port}\"")).collect();
+        let keepers: Vec<_> = (0..setup.session_replicas).map(|n| format!("g{n}")).collect();
         for (n, port) in ports.iter().enumerate() {
             let document = platform(n, &setup);
             std::fs::write(setup.folder.join(format!("g{n}.json")), document.to_string()).map_err(wrong)?;
@@ -150,8 +151,8 @@
                 key.display(),
                 keepers.join(", "),
                 setup.lease_ms,
-                setup.horizon_ms,
-                if setup.disks && n < setup.keepers { store.as_str() } else { "" },
+                setup.retention_ms,
+                if setup.disks && n < setup.session_replicas { store.as_str() } else { "" },
             );
             let file = if setup.mode == FleetMode::Bootstrap {
                 started(&setup, n, *port, reached[n], &seeds, &key)
--- a/crates/stackgw-store/src/file.rs
+++ b/crates/stackgw-store/src/file.rs
@@ -2,7 +2,7 @@
 
 use crate::{Disk, Failed};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use stackgw_sessions::{NodeId, Peer, Record, Recovered, SessionKey, Stamp};
+use stackgw_sessions::{NodeId, Peer, Record, Recovered, SessionKey, StoreVersion};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -30,7 +30,7 @@
     /// The instance.
     pub node: NodeId,
     /// The horizon, in milliseconds.
-    pub horizon_ms: u64,
+    pub retention_ms: u64,
 }
 
 /// A file ready for this life of its instance.
@@ -51,7 +51,7 @@
 pub struct File {
     path: PathBuf,
     database: Database,
-    horizon_ms: u64,
+    retention_ms: u64,
     pruned_ms: u64,
 }
 
@@ -129,7 +129,7 @@
         let incarnation = unix_ms().max(last + 1);
         if !there {
             recovered.unbroken_since = incarnation;
-            recovered.stamp = Stamp { disk: incarnation, records: 0, last: 0 };
+            recovered.store_version = StoreVersion { store_id: incarnation, records: 0, last_incarnation: 0 };
         }
         let begin = || -> Result<(), redb::Error> {
             let write = database.begin_write()?;
@@ -140,8 +140,8 @@
                 meta.insert("node", owner.node.0)?;
                 meta.insert("incarnation", incarnation)?;
                 meta.insert("unbroken_since", recovered.unbroken_since)?;
-                meta.insert("disk", recovered.stamp.disk)?;
-                meta.insert("records", recovered.stamp.records)?;
+                meta.insert("disk", recovered.store_version.store_id)?;
+                meta.insert("records", recovered.store_version.records)?;
                 write.open_table(HELD)?;
                 write.open_table(OWED)?;
                 write.open_table(WHOLE)?;
@@ -151,7 +151,7 @@
             Ok(())
         };
         begin().map_err(|e| Unusable::Failed(Failed(e.to_string())))?;
-        let file = File { path: path.to_owned(), database, horizon_ms: owner.horizon_ms, pruned_ms: 0 };
+        let file = File { path: path.to_owned(), database, retention_ms: owner.retention_ms, pruned_ms: 0 };
         Ok(Opened { file, incarnation, recovered, set_aside: None })
     }
 
@@ -168,29 +168,29 @@
             for record in records {
                 count += 1;
                 match record {
-                    Record::Roster(digest) => {
+                    Record::ReplicaSet(digest) => {
                         let same = meta.get("roster")?.is_some_and(|known| known.value() == *digest);
                         if !same {
                             meta.insert("roster", *digest)?;
                             whole.retain(|_, _| false)?;
                         }
                     }
-                    Record::Held(key, position) => {
+                    Record::Position(key, position) => {
                         let known = held.get(key.0)?.map(|mark| mark.value().0);
                         held.insert(key.0, (known.map_or(*position, |p| p.max(*position)), now))?;
                     }
-                    Record::Owed(key, position) => {
+                    Record::Unacknowledged(key, position) => {
                         let known = owed.get(key.0)?.map(|mark| mark.value().0);
                         owed.insert(key.0, (known.map_or(*position, |p| p.max(*position)), now))?;
                     }
-                    Record::Whole(peer) => {
+                    Record::CompletePeer(peer) => {
                         whole.insert(peer.node.0, peer.incarnation)?;
                     }
-                    Record::Seen(peer, stamp) => {
-                        seen.insert(peer.node.0, (peer.incarnation, stamp.disk, stamp.records))?;
+                    Record::PeerStore(peer, stamp) => {
+                        seen.insert(peer.node.0, (peer.incarnation, stamp.store_id, stamp.records))?;
                     }
-                    Record::Void(stamp, unbroken_since) => {
-                        meta.insert("disk", stamp.disk)?;
+                    Record::Invalidated(stamp, unbroken_since) => {
+                        meta.insert("disk", stamp.store_id)?;
                         meta.insert("unbroken_since", *unbroken_since)?;
                         whole.retain(|_, _| false)?;
                         count = stamp.records;
@@ -198,9 +198,9 @@
                 }
             }
             meta.insert("records", count)?;
-            if now.saturating_sub(self.pruned_ms) > self.horizon_ms {
+            if now.saturating_sub(self.pruned_ms) > self.retention_ms {
                 self.pruned_ms = now;
-                let kept = self.horizon_ms.saturating_mul(KEPT_HORIZONS);
+                let kept = self.retention_ms.saturating_mul(KEPT_HORIZONS);
                 let young = |_: u64, (_, at): (i64, u64)| at.saturating_add(kept) >= now;
                 held.retain(young)?;
                 owed.retain(young)?;
@@ -231,9 +231,10 @@
     }
     recovered.unbroken_since = must("unbroken_since")?;
     let last = must("incarnation")?;
-    recovered.stamp = Stamp { disk: must("disk")?, records: must("records")?, last };
-    recovered.roster = number("roster")?;
-    for (table, marks) in [(HELD, &mut recovered.held), (OWED, &mut recovered.owed)] {
+    recovered.store_version =
+        StoreVersion { store_id: must("disk")?, records: must("records")?, last_incarnation: last };
+    recovered.replica_set = number("roster")?;
+    for (table, marks) in [(HELD, &mut recovered.positions), (OWED, &mut recovered.unacknowledged)] {
         let table = read.open_table(table).map_err(refused)?;
         for entry in table.iter().map_err(refused)? {
             let (key, mark) = entry.map_err(refused)?;
@@ -242,13 +243,13 @@
     }
     for entry in read.open_table(WHOLE).map_err(refused)?.iter().map_err(refused)? {
         let (node, incarnation) = entry.map_err(refused)?;
-        recovered.whole.push(Peer { node: NodeId(node.value()), incarnation: incarnation.value() });
+        recovered.complete_peers.push(Peer { node: NodeId(node.value()), incarnation: incarnation.value() });
     }
     for entry in read.open_table(SEEN).map_err(refused)?.iter().map_err(refused)? {
         let (node, seen) = entry.map_err(refused)?;
         let (incarnation, disk, records) = seen.value();
         let peer = Peer { node: NodeId(node.value()), incarnation };
-        recovered.seen.push((peer, Stamp { disk, records, last: 0 }));
+        recovered.peer_stores.push((peer, StoreVersion { store_id: disk, records, last_incarnation: 0 }));
     }
     if recovered.unbroken_since > last.saturating_add(1) {
         return Err(refused("its lives are out of order"));
--- a/crates/stackgw-store/tests/store.rs
+++ b/crates/stackgw-store/tests/store.rs
@@ -1,6 +1,6 @@
 //! What lasts, what is refused, and what a torn write leaves.
 
-use stackgw_sessions::{NodeId, Peer, Record, SessionKey, Stamp};
+use stackgw_sessions::{NodeId, Peer, Record, SessionKey, StoreVersion};
 use stackgw_store::*;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::channel;
@@ -31,7 +31,7 @@
 }
 
 fn owner() -> Owner {
-    Owner { cluster: "depots".to_owned(), node: NodeId::of("g0"), horizon_ms: 60_000 }
+    Owner { cluster: "depots".to_owned(), node: NodeId::of("g0"), retention_ms: 60_000 }
 }
 
 fn open(path: &Path) -> Opened {
@@ -39,7 +39,7 @@
 }
 
 fn mark(n: u64) -> Record {
-    Record::Held(SessionKey(n), n as i64 * 1_000)
+    Record::Position(SessionKey(n), n as i64 * 1_000)
 }
 
 #[test]
@@ -47,45 +47,51 @@
     let folder = Folder::new("lasts");
     let mut first = open(&folder.file());
     let peer = Peer { node: NodeId(7), incarnation: 3 };
-    let stamp = Stamp { disk: 9, records: 4, last: 0 };
+    let stamp = StoreVersion { store_id: 9, records: 4, last_incarnation: 0 };
     let records = [
-        Record::Roster(5),
+        Record::ReplicaSet(5),
         mark(1),
         mark(2),
-        Record::Owed(SessionKey(3), 30),
-        Record::Whole(peer),
-        Record::Seen(peer, stamp),
+        Record::Unacknowledged(SessionKey(3), 30),
+        Record::CompletePeer(peer),
+        Record::PeerStore(peer, stamp),
     ];
     first.file.commit(&records).expect("room");
-    first.file.commit(&[Record::Held(SessionKey(2), 1)]).expect("room");
+    first.file.commit(&[Record::Position(SessionKey(2), 1)]).expect("room");
     assert_eq!(first.recovered.unbroken_since, first.incarnation);
     drop(first.file);
     let second = open(&folder.file());
     assert!(second.incarnation > first.incarnation);
     let found = second.recovered;
     assert_eq!(found.unbroken_since, first.incarnation);
-    assert_eq!(found.held, [(SessionKey(1), 1_000), (SessionKey(2), 2_000)], "positions never go back");
+    assert_eq!(found.positions, [(SessionKey(1), 1_000), (SessionKey(2), 2_000)], "positions never go back");
     assert_eq!(
-        (found.owed, found.whole, found.seen),
+        (found.unacknowledged, found.complete_peers, found.peer_stores),
         (vec![(SessionKey(3), 30)], vec![peer], vec![(peer, stamp)])
     );
-    assert_eq!((found.roster, found.stamp.records), (Some(5), 7));
+    assert_eq!((found.replica_set, found.store_version.records), (Some(5), 7));
     assert_eq!(second.set_aside, None);
 }
 
 #[test]
 fn another_roster_or_a_void_disk_takes_back_what_was_whole() {
-    for record in [Record::Roster(6), Record::Void(Stamp { disk: 4, records: 0, last: 0 }, 2)] {
+    for record in [
+        Record::ReplicaSet(6),
+        Record::Invalidated(StoreVersion { store_id: 4, records: 0, last_incarnation: 0 }, 2),
+    ] {
         let folder = Folder::new(&format!("whole-{record:?}").replace(|c: char| !c.is_alphanumeric(), ""));
         let mut first = open(&folder.file());
-        let whole = Record::Whole(Peer { node: NodeId(7), incarnation: 3 });
-        first.file.commit(&[Record::Roster(5), whole]).expect("room");
+        let whole = Record::CompletePeer(Peer { node: NodeId(7), incarnation: 3 });
+        first.file.commit(&[Record::ReplicaSet(5), whole]).expect("room");
         first.file.commit(std::slice::from_ref(&record)).expect("room");
         drop(first);
         let found = open(&folder.file()).recovered;
-        assert!(found.whole.is_empty());
-        if let Record::Void(stamp, since) = record {
-            assert_eq!((found.stamp.disk, found.stamp.records, found.unbroken_since), (stamp.disk, 0, since));
+        assert!(found.complete_peers.is_empty());
+        if let Record::Invalidated(stamp, since) = record {
+            assert_eq!(
+                (found.store_version.store_id, found.store_version.records, found.unbroken_since),
+                (stamp.store_id, 0, since)
+            );
         }
     }
 }
@@ -95,20 +101,20 @@
     let folder = Folder::new("same");
     let mut first = open(&folder.file());
     let mut wanted = first.recovered.clone();
-    wanted.stamp.last = first.incarnation;
+    wanted.store_version.last_incarnation = first.incarnation;
     let peer = |incarnation| Peer { node: NodeId(7), incarnation };
-    let stamp = |records| Stamp { disk: 9, records, last: 0 };
+    let stamp = |records| StoreVersion { store_id: 9, records, last_incarnation: 0 };
     let records = [
-        Record::Roster(5),
+        Record::ReplicaSet(5),
         mark(1),
-        Record::Whole(peer(3)),
-        Record::Roster(5),
-        Record::Owed(SessionKey(4), 9),
-        Record::Seen(peer(3), stamp(4)),
-        Record::Void(stamp(0), first.incarnation),
+        Record::CompletePeer(peer(3)),
+        Record::ReplicaSet(5),
+        Record::Unacknowledged(SessionKey(4), 9),
+        Record::PeerStore(peer(3), stamp(4)),
+        Record::Invalidated(stamp(0), first.incarnation),
         mark(2),
-        Record::Whole(peer(4)),
-        Record::Seen(peer(4), stamp(8)),
+        Record::CompletePeer(peer(4)),
+        Record::PeerStore(peer(4), stamp(8)),
     ];
     for record in records {
         first.file.commit(std::slice::from_ref(&record)).expect("room");
@@ -132,7 +138,7 @@
         let opened = File::open(&folder.file(), other).expect("a new store");
         let said = opened.set_aside.expect("it says so");
         assert!(!said.contains('\n') && said.contains("g0.redb"), "{said}");
-        assert_eq!((opened.recovered.held.len(), folder.set_aside()), (0, n + 1));
+        assert_eq!((opened.recovered.positions.len(), folder.set_aside()), (0, n + 1));
     }
     std::fs::write(folder.file(), b"no store at all").expect("a file");
     assert!(open(&folder.file()).set_aside.is_some());
@@ -173,7 +179,7 @@
             torn[written.clone()].copy_from_slice(&after[written]);
             std::fs::write(folder.file(), &torn).expect("a file");
             let found = open(&folder.file());
-            match (found.set_aside, found.recovered.held.len()) {
+            match (found.set_aside, found.recovered.positions.len()) {
                 (None, 50) => old += 1,
                 (None, 60) => new += 1,
                 (Some(_), 0) => refused += 1,
@@ -208,9 +214,9 @@
         bytes.truncate(if state.is_multiple_of(5) { at } else { whole.len() });
         std::fs::write(folder.file(), &bytes).expect("a file");
         let found = open(&folder.file());
-        let wrong = found.recovered.held.iter().any(|(key, position)| *position != key.0 as i64 * 1_000);
-        let part = found.set_aside.is_none() && found.recovered.held.len() != 50;
-        assert!(!wrong && !part, "byte {at}: {} marks", found.recovered.held.len());
+        let wrong = found.recovered.positions.iter().any(|(key, position)| *position != key.0 as i64 * 1_000);
+        let part = found.set_aside.is_none() && found.recovered.positions.len() != 50;
+        assert!(!wrong && !part, "byte {at}: {} marks", found.recovered.positions.len());
     }
 }
 
@@ -263,5 +269,5 @@
     (0..5_000).for_each(|n| writer.put(mark(n)));
     drop(writer);
     assert_eq!(done.iter().last(), Some(Done::Stored(5_000)));
-    assert_eq!(open(&folder.file()).recovered.held.len(), 5_000);
+    assert_eq!(open(&folder.file()).recovered.positions.len(), 5_000);
 }
