--- a/crates/stackgw-adapter/src/host.rs
+++ b/crates/stackgw-adapter/src/host.rs
@@ -3,7 +3,7 @@
 use crate::wire::{Line, Malformed};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use stackgw_router::{api::*, Router};
-use stackgw_settings::{note_load, Digests, HostSettings};
+use stackgw_settings::{record_load_field, GossipCodec, PlatformSettings};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -33,7 +33,7 @@
     classes: usize,
     members: HashMap<MemberId, String>,
     next_member: u32,
-    digests: Digests,
+    gossip_codec: GossipCodec,
     member_ids: HashMap<String, MemberId>,
     requests: BTreeMap<RequestId, Open>,
     request_ids: HashMap<String, RequestId>,
@@ -99,14 +99,14 @@
                 let seed = text.parse::<u64>().or_else(|_| text.parse::<i64>().map(|s| s as u64));
                 let seed = seed.map_err(|_| line.wrong("Seed", format!("'{text}' is no whole number")))?;
                 let conf = line.text("Conf")?;
-                let host = HostSettings::from_text(conf).map_err(|e| line.wrong("Conf", e))?;
+                let host = PlatformSettings::from_text(conf).map_err(|e| line.wrong("Conf", e))?;
                 let instance = Instance {
                     position_zero: host.position_zero,
                     classes: host.router.classes.len(),
                     router: Router::new(host.router, seed),
                     members: HashMap::new(),
                     next_member: 0,
-                    digests: Digests::default(),
+                    gossip_codec: GossipCodec::default(),
                     member_ids: HashMap::new(),
                     requests: BTreeMap::new(),
                     request_ids: HashMap::new(),
@@ -192,7 +192,7 @@
         for (name, value) in line.pairs("Stats")? {
             match name {
                 "x0" => report.position = Some(self.position_zero + (value * 1e9).floor() as Time),
-                _ => note_load(&mut report, name, value),
+                _ => record_load_field(&mut report, name, value),
             }
         }
         Ok(report)
@@ -266,7 +266,7 @@
                 };
                 line.need_index("From")?;
                 // Another version's message is no fault of the input.
-                let Some((told, relay, news)) = self.digests.unpack(now, &body) else {
+                let Some((told, relay, news)) = self.gossip_codec.decode(now, &body) else {
                     return Ok(None);
                 };
                 Event::Gossip { sent_at: told, relay, updates: news }
@@ -282,7 +282,7 @@
         if id == next {
             self.next_member += 1;
             self.members.insert(id, entry.name.clone());
-            self.digests.add(id, &entry.name);
+            self.gossip_codec.add(id, &entry.name);
         }
         Member { id, ..entry.member.clone() }
     }
@@ -418,7 +418,7 @@
             }
             Action::SendGossip { to, updates: news } => {
                 let target = to.map_or("all".to_owned(), |n| n.to_string());
-                let bodies = self.digests.pack(now, to.is_some(), news);
+                let bodies = self.gossip_codec.encode(now, to.is_some(), news);
                 bodies.iter().try_for_each(|body| {
                     writeln!(out, "say GatewayId={gateway} Target={target} Body={}", STANDARD.encode(body))
                 })
@@ -438,7 +438,7 @@
             }
             Action::Reject { request, .. } | Action::Fail(request) => self.close(*request),
             Action::ForgetMember(member) => {
-                self.digests.remove(*member);
+                self.gossip_codec.remove(*member);
                 if let Some(name) = self.members.remove(member) {
                     self.member_ids.remove(&name);
                 }
--- a/crates/stackgw-cluster/src/cluster.rs
+++ b/crates/stackgw-cluster/src/cluster.rs
@@ -1,7 +1,7 @@
 //! The membership of one instance.
 
 use crate::identity::Identity;
-use crate::seal::{Ring, Unsealed, SEAL_BYTES};
+use crate::seal::{Keyring, Unsealed, SEAL_BYTES};
 use foca::{AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -13,7 +13,7 @@
 
 const KIND_MEMBERSHIP: u8 = 1;
 const KIND_SESSIONS: u8 = 2;
-const KIND_START: u8 = 3;
+const KIND_BOOTSTRAP: u8 = 3;
 /// Instances that are remembered at most, those that are gone included.
 const KNOWN_MOST: usize = 4_096;
 /// Seeds that are no known member are asked again after this.
@@ -23,17 +23,17 @@
 
 /// What an instance is told of its cluster.
 #[derive(Debug, Clone)]
-pub struct Settings {
+pub struct ClusterSettings {
     /// Itself.
-    pub me: Identity,
+    pub identity: Identity,
     /// Where others may be found.
     pub seeds: Vec<SocketAddr>,
     /// The keys.
-    pub ring: Ring,
+    pub keyring: Keyring,
     /// For the order in which others are probed.
-    pub seed: u64,
+    pub rng_seed: u64,
     /// How many instances there are about; sets how long suspicion lasts.
-    pub expected: u32,
+    pub expected_instances: u32,
 }
 
 /// What is to be done outside.
@@ -55,7 +55,7 @@
     /// A message between sessions, from this life of an instance to that one of this.
     Sessions(Peer, Peer, Message),
     /// What an instance tells of the list, still to be read.
-    Start(Vec<u8>),
+    Bootstrap(Vec<u8>),
 }
 
 /// Why a datagram was dropped.
@@ -69,7 +69,7 @@
 
 /// An instance that is or was there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct InstanceStatus {
     /// Who.
     pub identity: Identity,
     /// It seems to be there.
@@ -80,7 +80,7 @@
 
 /// What came and went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct DatagramCounters {
     /// Datagrams sent.
     pub sent: u64,
     /// Datagrams taken.
@@ -99,22 +99,22 @@
 
 /// The membership, as one instance sees it.
 pub struct Cluster {
-    set: Settings,
+    set: ClusterSettings,
     foca: Foca<Identity, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Identity>,
     timers: BTreeMap<(Time, u64), Timer<Identity>>,
     next_timer: u64,
-    known: BTreeMap<NodeId, Seen>,
+    known: BTreeMap<NodeId, InstanceStatus>,
     epoch: u64,
     seek_at: Time,
-    counts: Counts,
+    counts: DatagramCounters,
 }
 
 impl Cluster {
     /// An instance that looks for the others from now on.
-    pub fn new(now: Time, set: Settings) -> Self {
-        let rng = Pcg64Mcg::seed_from_u64(set.seed);
-        let foca = Foca::new(set.me, config(set.expected), rng, PostcardCodec);
+    pub fn new(now: Time, set: ClusterSettings) -> Self {
+        let rng = Pcg64Mcg::seed_from_u64(set.rng_seed);
+        let foca = Foca::new(set.identity, config(set.expected_instances), rng, PostcardCodec);
         Cluster {
             foca,
             set,
@@ -124,12 +124,12 @@
             known: BTreeMap::new(),
             epoch: 0,
             seek_at: now,
-            counts: Counts::default(),
+            counts: DatagramCounters::default(),
         }
     }
 
     /// Everyone that is or was there, this instance not included.
-    pub fn known(&self) -> impl Iterator<Item = &Seen> {
+    pub fn instances(&self) -> impl Iterator<Item = &InstanceStatus> {
         self.known.values()
     }
 
@@ -139,24 +139,24 @@
     }
 
     /// What came and went.
-    pub fn counts(&self) -> Counts {
+    pub fn counters(&self) -> DatagramCounters {
         self.counts
     }
 
     /// Other keys and seeds from now on.
-    pub fn reload(&mut self, now: Time, ring: Ring, seeds: Vec<SocketAddr>) {
-        (self.set.ring, self.set.seeds, self.seek_at) = (ring, seeds, now);
+    pub fn reload(&mut self, now: Time, ring: Keyring, seeds: Vec<SocketAddr>) {
+        (self.set.keyring, self.set.seeds, self.seek_at) = (ring, seeds, now);
     }
 
     /// A datagram has come.
-    pub fn receive(
+    pub fn handle_datagram(
         &mut self,
         now: Time,
         bytes: &[u8],
         effects: &mut Vec<Effect>,
         events: &mut Vec<Event>,
     ) -> Result<(), Refused> {
-        let opened = self.set.ring.open(bytes).map_err(|why| {
+        let opened = self.set.keyring.verify(bytes).map_err(|why| {
             match why {
                 Unsealed::Foreign => self.counts.foreign += 1,
                 Unsealed::UnknownKey => self.counts.unknown_key += 1,
@@ -175,8 +175,8 @@
                 }
                 None => false,
             },
-            KIND_START => {
-                events.push(Event::Start(body.to_vec()));
+            KIND_BOOTSTRAP => {
+                events.push(Event::Bootstrap(body.to_vec()));
                 true
             }
             _ => false,
@@ -192,26 +192,26 @@
             self.counts.unreachable += 1;
             return;
         };
-        let from = postcard::to_allocvec(&self.set.me.peer).unwrap_or_default();
-        let bytes = self.set.ring.seal(KIND_SESSIONS, &[from, message.encode(to)].concat());
+        let from = postcard::to_allocvec(&self.set.identity.peer).unwrap_or_default();
+        let bytes = self.set.keyring.sign(KIND_SESSIONS, &[from, message.encode(to)].concat());
         self.counts.sent += 1;
         effects.push(Effect::Send(seen.identity.address, bytes));
     }
 
     /// Sends word of the list to an address, whether or not it is known who is there.
-    pub fn tell(&mut self, to: SocketAddr, body: &[u8], effects: &mut Vec<Effect>) {
+    pub fn send_bootstrap(&mut self, to: SocketAddr, body: &[u8], effects: &mut Vec<Effect>) {
         self.counts.sent += 1;
-        effects.push(Effect::Send(to, self.set.ring.seal(KIND_START, body)));
+        effects.push(Effect::Send(to, self.set.keyring.sign(KIND_BOOTSTRAP, body)));
     }
 
-    /// When [`Cluster::due`] is wanted next.
-    pub fn next_due(&self) -> Time {
+    /// When [`Cluster::handle_timeout`] is wanted next.
+    pub fn next_timeout(&self) -> Time {
         let timer = self.timers.first_key_value().map_or(Time::MAX, |((at, _), _)| *at);
         timer.min(self.seek_at)
     }
 
     /// Time has come for what waits for it.
-    pub fn due(&mut self, now: Time, effects: &mut Vec<Effect>, events: &mut Vec<Event>) {
+    pub fn handle_timeout(&mut self, now: Time, effects: &mut Vec<Effect>, events: &mut Vec<Event>) {
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             // Errors here mean that a timer came too late for what it was for; foca goes on with the next one.
             let _ = self.foca.handle_timer(entry.remove(), &mut self.runtime);
@@ -220,7 +220,7 @@
         if self.seek_at <= now {
             self.seek_at = now + SEEK;
             let up: BTreeSet<_> = self.foca.iter_members().map(|member| member.id().address).collect();
-            let mine = self.set.me.address;
+            let mine = self.set.identity.address;
             for seed in self.set.seeds.iter().filter(|seed| **seed != mine && !up.contains(seed)) {
                 let _ = self.foca.announce(Identity::at(*seed), &mut self.runtime);
             }
@@ -235,7 +235,7 @@
     fn settle(&mut self, now: Time, effects: &mut Vec<Effect>, events: &mut Vec<Event>) {
         while let Some((to, body)) = self.runtime.to_send() {
             self.counts.sent += 1;
-            effects.push(Effect::Send(to.address, self.set.ring.seal(KIND_MEMBERSHIP, &body)));
+            effects.push(Effect::Send(to.address, self.set.keyring.sign(KIND_MEMBERSHIP, &body)));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.next_timer += 1;
@@ -255,19 +255,19 @@
 
     fn note(&mut self, now: Time, identity: Identity, up: bool, events: &mut Vec<Event>) {
         let node = identity.peer.node;
-        if node == self.set.me.peer.node {
-            if identity.peer.incarnation > self.set.me.peer.incarnation {
+        if node == self.set.identity.peer.node {
+            if identity.peer.incarnation > self.set.identity.peer.incarnation {
                 events.push(Event::Superseded(identity));
             }
             return;
         }
-        let later = |seen: &Seen| seen.identity.peer.incarnation > identity.peer.incarnation;
+        let later = |seen: &InstanceStatus| seen.identity.peer.incarnation > identity.peer.incarnation;
         // Word of a life that is over, or more instances than anybody has.
         let full = self.known.len() >= KNOWN_MOST && !self.known.contains_key(&node);
         if node == NodeId(0) || full || self.known.get(&node).is_some_and(later) {
             return;
         }
-        let seen = Seen { identity, up, since: now };
+        let seen = InstanceStatus { identity, up, since: now };
         let before = self.known.insert(node, seen);
         if before.is_none_or(|before| (before.up, before.identity.peer) != (up, identity.peer)) {
             self.epoch += 1;
@@ -280,7 +280,7 @@
 fn config(expected: u32) -> Config {
     let mut config = Config::new_lan(NonZeroU32::new(expected.max(2)).unwrap_or(NonZeroU32::MIN));
     config.max_packet_size =
-        std::num::NonZeroUsize::new(crate::MOST_BYTES - SEAL_BYTES).unwrap_or(config.max_packet_size);
+        std::num::NonZeroUsize::new(crate::MAX_DATAGRAM_BYTES - SEAL_BYTES).unwrap_or(config.max_packet_size);
     config
 }
 
--- a/crates/stackgw-cluster/src/identity.rs
+++ b/crates/stackgw-cluster/src/identity.rs
@@ -12,13 +12,13 @@
     /// Where its datagrams arrive.
     pub address: SocketAddr,
     /// Rises when others have taken it for gone and it comes back in the same life.
-    pub turn: u16,
+    pub rejoin_count: u16,
 }
 
 impl Identity {
     /// Whoever is at an address, to be asked for the others.
     pub(crate) fn at(address: SocketAddr) -> Self {
-        Identity { peer: Peer { node: NodeId(0), incarnation: 0 }, address, turn: 0 }
+        Identity { peer: Peer { node: NodeId(0), incarnation: 0 }, address, rejoin_count: 0 }
     }
 }
 
@@ -26,7 +26,7 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Identity { turn: self.turn.checked_add(1)?, ..*self })
+        Some(Identity { rejoin_count: self.rejoin_count.checked_add(1)?, ..*self })
     }
 
     fn addr(&self) -> SocketAddr {
@@ -34,6 +34,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.peer.incarnation, self.turn) > (other.peer.incarnation, other.turn)
+        (self.peer.incarnation, self.rejoin_count) > (other.peer.incarnation, other.rejoin_count)
     }
 }
--- a/crates/stackgw-cluster/src/lib.rs
+++ b/crates/stackgw-cluster/src/lib.rs
@@ -8,9 +8,9 @@
 mod identity;
 mod seal;
 
-pub use cluster::{Cluster, Counts, Effect, Event, Refused, Seen, Settings};
+pub use cluster::{Cluster, ClusterSettings, DatagramCounters, Effect, Event, InstanceStatus, Refused};
 pub use identity::Identity;
-pub use seal::{Key, Ring, Unsealed, SEAL_BYTES};
+pub use seal::{Key, Keyring, Unsealed, SEAL_BYTES};
 
 /// No datagram is longer.
-pub const MOST_BYTES: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
--- a/crates/stackgw-cluster/src/seal.rs
+++ b/crates/stackgw-cluster/src/seal.rs
@@ -51,7 +51,7 @@
 /// The keys that are valid now: the first one seals, all of them open. To change one, add the new one behind the old one
 /// everywhere, then swap them everywhere, then drop the old one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ring {
+pub struct Keyring {
     keys: Vec<Key>,
 }
 
@@ -66,14 +66,14 @@
     Forged,
 }
 
-impl Ring {
+impl Keyring {
     /// These keys; `None` where there is none.
     pub fn new(keys: Vec<Key>) -> Option<Self> {
-        (!keys.is_empty()).then_some(Ring { keys })
+        (!keys.is_empty()).then_some(Keyring { keys })
     }
 
     /// Seals a body.
-    pub fn seal(&self, kind: u8, body: &[u8]) -> Vec<u8> {
+    pub fn sign(&self, kind: u8, body: &[u8]) -> Vec<u8> {
         let Some(key) = self.keys.first() else { return Vec::new() };
         let mut bytes = Vec::with_capacity(SEAL_BYTES + body.len());
         bytes.extend([VERSION, kind]);
@@ -85,12 +85,12 @@
     }
 
     /// Opens a datagram: its kind and its body.
-    pub fn open<'a>(&self, bytes: &'a [u8]) -> Result<(u8, &'a [u8]), Unsealed> {
-        self.open_sized(bytes, crate::MOST_BYTES)
+    pub fn verify<'a>(&self, bytes: &'a [u8]) -> Result<(u8, &'a [u8]), Unsealed> {
+        self.verify_sized(bytes, crate::MAX_DATAGRAM_BYTES)
     }
 
     /// Opens what is no datagram and may be longer.
-    pub fn open_sized<'a>(&self, bytes: &'a [u8], most: usize) -> Result<(u8, &'a [u8]), Unsealed> {
+    pub fn verify_sized<'a>(&self, bytes: &'a [u8], most: usize) -> Result<(u8, &'a [u8]), Unsealed> {
         if bytes.len() < SEAL_BYTES || bytes.len() > most || bytes[0] != VERSION {
             return Err(Unsealed::Foreign);
         }
--- a/crates/stackgw-cluster/tests/cluster.rs
+++ b/crates/stackgw-cluster/tests/cluster.rs
@@ -12,9 +12,9 @@
     ([127, 0, 0, 1], 7_000 + n).into()
 }
 
-fn ring(secrets: &[&str]) -> Ring {
+fn ring(secrets: &[&str]) -> Keyring {
     let keys = secrets.iter().map(|s| Key::new("depots", s.as_bytes()).expect("a secret")).collect();
-    Ring::new(keys).expect("keys")
+    Keyring::new(keys).expect("keys")
 }
 
 const OLD: &str = "an old secret of some length";
@@ -33,10 +33,16 @@
         Net { now: 0, up: BTreeMap::new(), flying: Vec::new(), events: Vec::new(), refused: Vec::new() }
     }
 
-    fn start(&mut self, n: u16, incarnation: u64, ring: Ring) {
+    fn start(&mut self, n: u16, incarnation: u64, ring: Keyring) {
         let peer = Peer { node: NodeId(u64::from(n)), incarnation };
-        let me = Identity { peer, address: address(n), turn: 0 };
-        let set = Settings { me, seeds: vec![address(1), address(2)], ring, seed: u64::from(n), expected: 3 };
+        let me = Identity { peer, address: address(n), rejoin_count: 0 };
+        let set = ClusterSettings {
+            identity: me,
+            seeds: vec![address(1), address(2)],
+            keyring: ring,
+            rng_seed: u64::from(n),
+            expected_instances: 3,
+        };
         self.up.insert(n, Cluster::new(self.now, set));
     }
 
@@ -46,16 +52,17 @@
             self.now += 10 * MS;
             for (n, cluster) in &mut self.up {
                 let (mut effects, mut events) = (Vec::new(), Vec::new());
-                cluster.due(self.now, &mut effects, &mut events);
+                cluster.handle_timeout(self.now, &mut effects, &mut events);
                 self.flying.extend(effects.into_iter().map(|Effect::Send(to, bytes)| (to, bytes)));
                 self.events.extend(events.into_iter().map(|event| (*n, event)));
             }
             for (to, bytes) in std::mem::take(&mut self.flying) {
-                assert!(bytes.len() <= MOST_BYTES);
+                assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                 let n = to.port() - 7_000;
                 let Some(cluster) = self.up.get_mut(&n) else { continue };
                 let (mut effects, mut events) = (Vec::new(), Vec::new());
-                self.refused.extend(cluster.receive(self.now, &bytes, &mut effects, &mut events).err());
+                self.refused
+                    .extend(cluster.handle_datagram(self.now, &bytes, &mut effects, &mut events).err());
                 self.flying.extend(effects.into_iter().map(|Effect::Send(to, bytes)| (to, bytes)));
                 self.events.extend(events.into_iter().map(|event| (n, event)));
             }
@@ -63,7 +70,7 @@
     }
 
     fn sees(&self, n: u16) -> Vec<(u64, u64)> {
-        let up = self.up[&n].known().filter(|seen| seen.up).map(|seen| seen.identity.peer);
+        let up = self.up[&n].instances().filter(|seen| seen.up).map(|seen| seen.identity.peer);
         up.map(|peer| (peer.node.0, peer.incarnation)).collect()
     }
 
@@ -127,10 +134,10 @@
     net.start(2, 7, ring(&[NEW]));
     net.pass(5 * SECOND);
     assert!(net.sees(1).is_empty() && net.sees(2).is_empty());
-    assert!(net.up[&1].counts().unknown_key > 0 && net.up[&2].counts().unknown_key > 0);
+    assert!(net.up[&1].counters().unknown_key > 0 && net.up[&2].counters().unknown_key > 0);
     // The same secret in another cluster is another key.
-    let elsewhere = Ring::new(vec![Key::new("other", OLD.as_bytes()).expect("a secret")]).expect("keys");
-    assert_eq!(ring(&[OLD]).open(&elsewhere.seal(1, b"x")), Err(Unsealed::UnknownKey));
+    let elsewhere = Keyring::new(vec![Key::new("other", OLD.as_bytes()).expect("a secret")]).expect("keys");
+    assert_eq!(ring(&[OLD]).verify(&elsewhere.sign(1, b"x")), Err(Unsealed::UnknownKey));
     assert!(Key::new("depots", b"short").is_none());
 }
 
@@ -140,12 +147,12 @@
     (1..=2).for_each(|n| net.start(n, 7, ring(&[OLD])));
     net.pass(3 * SECOND);
     let peer = Peer { node: NodeId(1), incarnation: 8 };
-    let set = Settings {
-        me: Identity { peer, address: address(9), turn: 0 },
+    let set = ClusterSettings {
+        identity: Identity { peer, address: address(9), rejoin_count: 0 },
         seeds: vec![address(2)],
-        ring: ring(&[OLD]),
-        seed: 3,
-        expected: 3,
+        keyring: ring(&[OLD]),
+        rng_seed: 3,
+        expected_instances: 3,
     };
     net.up.insert(9, Cluster::new(net.now, set));
     net.pass(10 * SECOND);
@@ -164,12 +171,12 @@
         let before = net.sees(1);
         if sealed {
             bytes.truncate(1_000);
-            bytes = ring(&[OLD]).seal(kind, &bytes);
+            bytes = ring(&[OLD]).sign(kind, &bytes);
         }
         let cluster = net.up.get_mut(&1).expect("it runs");
-        let _ = cluster.receive(0, &bytes, &mut Vec::new(), &mut Vec::new());
+        let _ = cluster.handle_datagram(0, &bytes, &mut Vec::new(), &mut Vec::new());
         if !sealed {
-            prop_assert_eq!(cluster.counts().received, 0);
+            prop_assert_eq!(cluster.counters().received, 0);
             prop_assert_eq!(net.sees(1), before);
         }
     }
@@ -177,10 +184,10 @@
     #[test]
     fn a_datagram_changed_in_any_place_is_refused(body in prop::collection::vec(any::<u8>(), 0..200), at in any::<prop::sample::Index>(), flip in 1..=255u8) {
         let ring = ring(&[OLD, NEW]);
-        let mut bytes = ring.seal(2, &body);
-        prop_assert_eq!(ring.open(&bytes), Ok((2, &body[..])));
+        let mut bytes = ring.sign(2, &body);
+        prop_assert_eq!(ring.verify(&bytes), Ok((2, &body[..])));
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
-        prop_assert!(ring.open(&bytes).is_err());
+        prop_assert!(ring.verify(&bytes).is_err());
     }
 }
--- a/crates/stackgw-config/src/lib.rs
+++ b/crates/stackgw-config/src/lib.rs
@@ -1,13 +1,13 @@
 //! The operator's file. What the platform says stays in its own JSON document; this file turns on what other installations
 //! have: talk among instances, a lasting disk, a local socket. All of it is off where there is no file or no such part.
 //!
-//! One type, [`Operator`], is read, validated and handed down. An error is one plain line that names file, line and field.
+//! One type, [`OperatorConfig`], is read, validated and handed down. An error is one plain line that names file, line and field.
 
 mod duration;
 mod read;
 
 pub use duration::Duration;
-pub use read::{read, schema, Problem};
+pub use read::{read, schema, ConfigError};
 
 use garde::Validate;
 use schemars::JsonSchema;
@@ -19,7 +19,8 @@
 /// The whole file.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
+#[serde(rename = "Operator")]
+pub struct OperatorConfig {
     /// How the log is written.
     #[serde(default)]
     #[garde(dive)]
@@ -44,7 +45,7 @@
     /// itself.
     #[serde(default)]
     #[garde(dive)]
-    pub start: Option<Start>,
+    pub start: Option<Bootstrap>,
 }
 
 /// The other instances.
@@ -76,7 +77,7 @@
 
 impl Cluster {
     /// The address that the others send to.
-    pub fn reached_at(&self) -> SocketAddr {
+    pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 }
@@ -85,7 +86,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[garde(allow_unvalidated)]
-pub struct Start {
+#[serde(rename = "Start")]
+pub struct Bootstrap {
     /// Requests a second that the list service bears from all gateways together.
     #[garde(range(min = 1, max = 1_000_000))]
     pub bears: u32,
@@ -254,13 +256,14 @@
     /// Lines for people, or JSON objects for programs.
     #[serde(default)]
     #[garde(skip)]
-    pub format: Format,
+    pub format: LogFormat,
 }
 
 /// The log's form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-pub enum Format {
+#[serde(rename = "Format")]
+pub enum LogFormat {
     /// Lines for people.
     #[default]
     Text,
@@ -335,7 +338,7 @@
 
 impl Sessions {
     /// The other instances, as it names them.
-    pub fn others(&self) -> Cluster {
+    pub fn cluster(&self) -> Cluster {
         Cluster {
             name: self.cluster.clone(),
             listen: self.listen,
--- a/crates/stackgw-config/src/read.rs
+++ b/crates/stackgw-config/src/read.rs
@@ -1,6 +1,6 @@
-//! From a file's bytes to a valid [`Operator`], or one line that says what is wrong and where.
+//! From a file's bytes to a valid [`OperatorConfig`], or one line that says what is wrong and where.
 
-use crate::Operator;
+use crate::OperatorConfig;
 use std::fmt;
 use std::path::{Path, PathBuf};
 
@@ -9,7 +9,7 @@
 
 /// Why a file cannot be used, in one line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Problem {
+pub struct ConfigError {
     /// The file.
     pub file: PathBuf,
     /// Where in it, from 1, if that is known.
@@ -18,7 +18,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
         if let Some(line) = self.line {
@@ -28,11 +28,11 @@
     }
 }
 
-impl std::error::Error for Problem {}
+impl std::error::Error for ConfigError {}
 
 /// Reads and validates a file.
-pub fn read(file: &Path) -> Result<Operator, Problem> {
-    let problem = |line, what| Problem { file: file.to_owned(), line, what };
+pub fn read(file: &Path) -> Result<OperatorConfig, ConfigError> {
+    let problem = |line, what| ConfigError { file: file.to_owned(), line, what };
     let about = std::fs::metadata(file).map_err(|e| problem(None, e.to_string()))?;
     // Danger: a pipe in its place would hold up the whole gateway.
     if !about.is_file() || about.len() > FILE_MOST {
@@ -40,7 +40,7 @@
     }
     let text = std::fs::read_to_string(file).map_err(|e| problem(None, e.to_string()))?;
     if text.lines().all(|line| line.trim().is_empty() || line.trim_start().starts_with('#')) {
-        return Ok(Operator::default());
+        return Ok(OperatorConfig::default());
     }
     serde_saphyr::from_str_valid(&text).map_err(|e| {
         let line = e.location().map(|at| at.line());
@@ -69,5 +69,5 @@
 
 /// The file's JSON Schema, for editors and checks.
 pub fn schema() -> serde_json::Value {
-    schemars::schema_for!(Operator).to_value()
+    schemars::schema_for!(OperatorConfig).to_value()
 }
--- a/crates/stackgw-config/tests/file.rs
+++ b/crates/stackgw-config/tests/file.rs
@@ -1,6 +1,6 @@
 //! What the operator's file may hold, and what is said of one that cannot be used.
 
-use stackgw_config::{read, schema, Duration, Operator};
+use stackgw_config::{read, schema, Duration, OperatorConfig};
 use std::path::{Path, PathBuf};
 
 const WHOLE: &str = r#"
@@ -17,7 +17,7 @@
   store: /var/lib/stackgw/g0.redb
 "#;
 
-fn from(name: &str, text: &str) -> Result<Operator, String> {
+fn from(name: &str, text: &str) -> Result<OperatorConfig, String> {
     let file = std::env::temp_dir().join(format!("stackgw-config-{}-{name}.yaml", std::process::id()));
     std::fs::write(&file, text).expect("a file");
     let read = read(&file).map_err(|problem| {
@@ -37,8 +37,8 @@
         (sessions.lease, sessions.horizon),
         (Duration::from_millis(500), Duration::from_millis(60_000))
     );
-    assert_eq!((sessions.homes, sessions.others().reached_at().port()), (2, 7101));
-    assert_eq!(from("empty", "# nothing\n"), Ok(Operator::default()));
+    assert_eq!((sessions.homes, sessions.cluster().advertised_address().port()), (2, 7101));
+    assert_eq!(from("empty", "# nothing\n"), Ok(OperatorConfig::default()));
 }
 
 #[test]
--- /dev/null
+++ b/crates/stackgw-config/tests/fixtures.rs
@@ -0,0 +1,356 @@
+//! What installations have in their files: parsed to the same configuration, and refused in the same words.
+
+use serde_json::Value;
+use stackgw_config::*;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+
+/// `file <tab> line <tab> what replaces it <tab> the error, or "accepted"`.
+const ERRORS: &str = include_str!("fixtures/errors.txt");
+/// The schema's keys and types, without its descriptions and the names of its parts.
+const SCHEMA: &str = include_str!("fixtures/schema.json");
+const FULL: [&str; 2] = ["sessions.full.yaml", "cluster.full.yaml"];
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn text_of(name: &str) -> String {
+    std::fs::read_to_string(fixture(name)).expect("the fixture is there")
+}
+
+/// What is said of a file with this text, or "accepted".
+fn result_text(text: &str) -> String {
+    let thread = std::thread::current().id();
+    let name = format!("stackgw-config-{}-{thread:?}.yaml", std::process::id());
+    let file = std::env::temp_dir().join(name.replace(['(', ')'], ""));
+    std::fs::write(&file, text).expect("a file");
+    let result = read(&file).map_or_else(|problem| problem.to_string(), |_| "accepted".to_owned());
+    std::fs::remove_file(&file).expect("it was there");
+    result.replace(&file.display().to_string(), "FILE")
+}
+
+fn address(text: &str) -> std::net::SocketAddr {
+    text.parse().expect("an address")
+}
+
+fn paths(texts: &[&str]) -> Vec<PathBuf> {
+    texts.iter().map(PathBuf::from).collect()
+}
+
+fn local_seeds(ports: &[u16]) -> Vec<std::net::SocketAddr> {
+    ports.iter().map(|port| ([127, 0, 0, 1], *port).into()).collect()
+}
+
+fn default_flight() -> Flight {
+    Flight {
+        listen: address("127.0.0.1:7300"),
+        keys: paths(&["/etc/stackgw/flight.key"]),
+        ticket: Duration::from_millis(600_000),
+        wait: Duration::from_millis(3_000),
+        requests: 1_000,
+        streams: 100,
+        threads: 2,
+        groups: Vec::new(),
+        members: Vec::new(),
+        bulk: Bulk {
+            streams: 200,
+            per_channel: 64,
+            each_kib: 1_024,
+            all_kib: 32_768,
+            message_kib: 4_096,
+            stall: Duration::from_millis(10_000),
+            silence: Duration::from_millis(3_000),
+        },
+        auth: None,
+    }
+}
+
+fn default_sessions() -> Sessions {
+    Sessions {
+        cluster: "depots".to_owned(),
+        listen: address("127.0.0.1:7101"),
+        advertise: None,
+        seeds: local_seeds(&[7_101, 7_102]),
+        keys: paths(&["/etc/stackgw/cluster.key"]),
+        keepers: vec!["g0".to_owned(), "g1".to_owned()],
+        homes: 2,
+        lease: Duration::from_millis(800),
+        horizon: Duration::from_millis(60_000),
+        resend: Duration::from_millis(20),
+        lookup: Duration::from_millis(20),
+        marks: 1_000_000,
+        own_marks: 100_000,
+        waits: 20_000,
+        store: Some(PathBuf::from("/var/lib/stackgw/g0.redb")),
+        expected: 8,
+    }
+}
+
+fn default_start() -> Bootstrap {
+    Bootstrap {
+        bears: 200,
+        opens: None,
+        service: String::new(),
+        list: None,
+        kept_wait: Duration::from_millis(300),
+        reset_after: Duration::from_millis(60_000),
+    }
+}
+
+fn examples() -> [(&'static str, OperatorConfig); 3] {
+    let control = Some(PathBuf::from("/run/stackgw/g0.sock"));
+    let flight = OperatorConfig { flight: Some(default_flight()), ..OperatorConfig::default() };
+    let sessions = OperatorConfig {
+        control: control.clone(),
+        sessions: Some(default_sessions()),
+        ..OperatorConfig::default()
+    };
+    let cluster = Cluster {
+        name: "depots".to_owned(),
+        listen: address("127.0.0.1:7101"),
+        advertise: None,
+        seeds: local_seeds(&[7_101, 7_102, 7_103]),
+        keys: paths(&["/etc/stackgw/cluster.key"]),
+        expected: 300,
+    };
+    let start = Bootstrap {
+        opens: Some(20),
+        service: "nottingham-1".to_owned(),
+        list: Some(PathBuf::from("/var/lib/stackgw/g0.list")),
+        ..default_start()
+    };
+    let start =
+        OperatorConfig { control, cluster: Some(cluster), start: Some(start), ..OperatorConfig::default() };
+    [("flight.example.yaml", flight), ("sessions.example.yaml", sessions), ("start.example.yaml", start)]
+}
+
+fn full_sessions() -> Sessions {
+    Sessions {
+        advertise: Some(address("10.0.0.1:7101")),
+        keys: paths(&["/etc/stackgw/cluster.key", "/etc/stackgw/cluster.old"]),
+        keepers: ["g0", "g1", "g2"].map(str::to_owned).to_vec(),
+        homes: 3,
+        lease: Duration::from_millis(900),
+        horizon: Duration::from_millis(61_000),
+        resend: Duration::from_millis(21),
+        lookup: Duration::from_millis(22),
+        marks: 1_000_001,
+        own_marks: 100_001,
+        waits: 20_001,
+        expected: 9,
+        ..default_sessions()
+    }
+}
+
+fn full_flight() -> Flight {
+    Flight {
+        ticket: Duration::from_millis(660_000),
+        wait: Duration::from_millis(4_000),
+        requests: 1_001,
+        streams: 101,
+        threads: 3,
+        groups: vec![1, 2],
+        members: vec!["m0".to_owned(), "m1".to_owned()],
+        bulk: Bulk {
+            streams: 201,
+            per_channel: 65,
+            each_kib: 1_025,
+            all_kib: 32_769,
+            message_kib: 4_097,
+            stall: Duration::from_millis(11_000),
+            silence: Duration::from_millis(4_000),
+        },
+        auth: Some(Auth::Basic(PathBuf::from("/etc/stackgw/users"))),
+        ..default_flight()
+    }
+}
+
+fn full() -> [(&'static str, OperatorConfig); 2] {
+    let sessions = OperatorConfig {
+        log: Log { format: LogFormat::Json },
+        control: Some(PathBuf::from("/run/stackgw/g0.sock")),
+        sessions: Some(full_sessions()),
+        flight: Some(full_flight()),
+        cluster: None,
+        start: Some(Bootstrap {
+            opens: Some(20),
+            service: "nottingham-1".to_owned(),
+            list: Some(PathBuf::from("/var/lib/stackgw/g0.list")),
+            kept_wait: Duration::from_millis(301),
+            reset_after: Duration::from_millis(61_000),
+            ..default_start()
+        }),
+    };
+    let bearer = Some(Auth::Bearer(PathBuf::from("/etc/stackgw/tokens")));
+    let cluster = OperatorConfig {
+        cluster: Some(Cluster {
+            name: "depots".to_owned(),
+            listen: address("127.0.0.1:7101"),
+            advertise: Some(address("10.0.0.1:7101")),
+            seeds: local_seeds(&[7_101, 7_102]),
+            keys: paths(&["/etc/stackgw/cluster.key"]),
+            expected: 9,
+        }),
+        flight: Some(Flight { auth: bearer, ..default_flight() }),
+        start: Some(default_start()),
+        ..OperatorConfig::default()
+    };
+    [(FULL[0], sessions), (FULL[1], cluster)]
+}
+
+#[test]
+fn the_examples_of_deploy_are_parsed_to_the_same_configuration() {
+    let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
+    for (name, wanted) in examples() {
+        assert_eq!(read(&fixture(name)).expect("a good file"), wanted, "{name}");
+        assert_eq!(read(&deploy.join(name)).expect("a good file"), wanted, "deploy/{name}");
+    }
+}
+
+#[test]
+fn files_with_every_key_are_parsed_to_the_same_configuration() {
+    for (name, wanted) in full() {
+        assert_eq!(read(&fixture(name)).expect("a good file"), wanted, "{name}");
+    }
+}
+
+#[test]
+fn sessions_name_the_same_cluster() {
+    let cluster = full_sessions().cluster();
+    let wanted = Cluster {
+        name: "depots".to_owned(),
+        listen: address("127.0.0.1:7101"),
+        advertise: Some(address("10.0.0.1:7101")),
+        seeds: local_seeds(&[7_101, 7_102]),
+        keys: paths(&["/etc/stackgw/cluster.key", "/etc/stackgw/cluster.old"]),
+        expected: 9,
+    };
+    assert_eq!(cluster, wanted);
+    assert_eq!(cluster.advertised_address(), address("10.0.0.1:7101"));
+}
+
+/// The line with what replaces it, for each way of getting it wrong that is tried.
+fn mistakes(line: &str) -> Vec<String> {
+    let (key, value) = line.split_once(':').expect("a key");
+    let values = [
+        "",
+        " null",
+        " x",
+        " -1",
+        " 0",
+        " 1.5",
+        " true",
+        " 99999999999",
+        " 4ms",
+        " 100h",
+        " []",
+        " {}",
+        " [x, x]",
+        " ['', \"1:1\"]",
+        " {a: b}",
+        " [",
+        " 'x",
+    ];
+    let mut wrong: Vec<_> = values.iter().map(|value| format!("{key}:{value}")).collect();
+    wrong.push(String::new());
+    wrong.push(format!("{key}s:{value}"));
+    wrong.push(format!("{line}\\n{line}"));
+    wrong.push(format!("{key}{value}"));
+    wrong.push(format!("\\t{line}"));
+    wrong
+}
+
+fn replaced(name: &str, number: usize, replacement: &str) -> String {
+    let text = text_of(name);
+    let mut lines: Vec<_> = text.lines().map(str::to_owned).collect();
+    lines[number] = replacement.replace("\\n", "\n").replace("\\t", "\t");
+    lines.join("\n") + "\n"
+}
+
+/// Writes the table of errors. `cargo test -p stackgw-config --test fixtures -- --ignored`
+#[test]
+#[ignore = "writes the fixture"]
+fn write_the_error_table() {
+    let mut table = String::new();
+    for name in FULL {
+        for (number, line) in text_of(name).lines().enumerate() {
+            for wrong in mistakes(line) {
+                let result = result_text(&replaced(name, number, &wrong));
+                writeln!(table, "{name}\t{number}\t{wrong}\t{result}").expect("memory");
+            }
+        }
+    }
+    std::fs::write(fixture("errors.txt"), table).expect("the fixture is written");
+}
+
+#[test]
+fn each_file_at_fault_gives_the_same_error() {
+    let mut rejected = 0;
+    for line in ERRORS.lines() {
+        let fields: Vec<_> = line.split('\t').collect();
+        let [name, number, replacement, wanted] = fields[..] else { panic!("'{line}' has other fields") };
+        let result = result_text(&replaced(name, number.parse().expect("a number"), replacement));
+        assert_eq!(result, wanted, "{name} line {number} '{replacement}'");
+        rejected += usize::from(wanted != "accepted");
+    }
+    assert!(rejected > 500, "{rejected}");
+}
+
+#[test]
+fn a_file_that_cannot_be_read_gives_the_same_error() {
+    let said = |path: &Path| read(path).expect_err("it cannot be read").to_string();
+    assert_eq!(
+        said(Path::new("/nowhere/at/all.yaml")),
+        "/nowhere/at/all.yaml: No such file or directory (os error 2)"
+    );
+    let folder = std::env::temp_dir();
+    assert_eq!(said(&folder), format!("{}: is no plain file, or too large a one", folder.display()));
+    let both = text_of(FULL[0]) + "cluster: {name: x, listen: '127.0.0.1:1', keys: [k]}\n";
+    assert_eq!(
+        result_text(&both),
+        "FILE:48: validation error: sessions name the cluster already for `cluster`"
+    );
+}
+
+/// The schema with each reference replaced by what it names, without descriptions and titles.
+fn outline(at: &Value, definitions: &Value) -> Value {
+    match at {
+        Value::Object(object) => {
+            let mut kept = BTreeMap::new();
+            if let Some(target) = object.get("$ref").and_then(Value::as_str) {
+                let name = target.rsplit('/').next().expect("a name");
+                kept.insert("is".to_owned(), outline(&definitions[name], definitions));
+            }
+            for (key, value) in object {
+                if !(["$ref", "$defs", "$schema"].contains(&key.as_str()) || is_text(key, value)) {
+                    kept.insert(key.clone(), outline(value, definitions));
+                }
+            }
+            kept.into_iter().collect()
+        }
+        Value::Array(list) => list.iter().map(|item| outline(item, definitions)).collect(),
+        other => other.clone(),
+    }
+}
+
+fn is_text(key: &str, value: &Value) -> bool {
+    ["description", "title"].contains(&key) && value.is_string()
+}
+
+/// Writes the outline. `cargo test -p stackgw-config --test fixtures -- --ignored`
+#[test]
+#[ignore = "writes the fixture"]
+fn write_the_outline_of_the_schema() {
+    let schema = schema();
+    let text = format!("{:#}\n", outline(&schema, &schema["$defs"]));
+    std::fs::write(fixture("schema.json"), text).expect("the fixture is written");
+}
+
+#[test]
+fn the_schema_has_the_same_keys_and_types() {
+    let schema = schema();
+    let wanted: Value = serde_json::from_str(SCHEMA).expect("the fixture is JSON");
+    assert_eq!(outline(&schema, &schema["$defs"]), wanted);
+}
--- a/crates/stackgw-flight/src/back.rs
+++ b/crates/stackgw-flight/src/back.rs
@@ -20,7 +20,7 @@
 use prost::Message;
 use slog::{info, Logger};
 use stackgw_gateway::pg::{write, Frame, FrameDecoder, Reply};
-use stackgw_gateway::reducer::{Asked, Closed, ConnId, Said};
+use stackgw_gateway::reducer::{BackendRequest, CloseReason, ConnectionId, StreamHeader};
 use stackgw_gateway::{BackendChannels, BackendCommand, BackendEvent};
 use stackgw_router::api::Outcome;
 use stackgw_streams::{ChannelId, Channels};
@@ -72,7 +72,7 @@
 
 /// One connection as the gateway sees it.
 struct Handle {
-    asks: mpsc::UnboundedSender<Asked>,
+    asks: mpsc::UnboundedSender<BackendRequest>,
     /// Dropped, it is closed.
     _open: oneshot::Sender<()>,
 }
@@ -82,7 +82,7 @@
     /// The connection takes another one.
     Ready,
     /// It takes none, and why not; nothing where that was asked for.
-    Closed(Closed, String),
+    Closed(CloseReason, String),
 }
 
 impl Back {
@@ -107,7 +107,7 @@
 
     /// Does what the gateway asks, until it ends.
     pub(crate) async fn run(self: Arc<Self>) {
-        let mut handles: HashMap<ConnId, Handle> = HashMap::new();
+        let mut handles: HashMap<ConnectionId, Handle> = HashMap::new();
         while let Ok(word) = self.behind.commands.recv().await {
             match word {
                 BackendCommand::Open(id, at) => {
@@ -133,9 +133,9 @@
     /// One connection, from its opening to its end.
     async fn carry(
         self: Arc<Self>,
-        id: ConnId,
+        id: ConnectionId,
         at: SocketAddr,
-        mut asked: mpsc::UnboundedReceiver<Asked>,
+        mut asked: mpsc::UnboundedReceiver<BackendRequest>,
         mut gone: oneshot::Receiver<()>,
     ) {
         let on = lock(&self.channels).place(&at);
@@ -183,7 +183,7 @@
         }
     }
 
-    async fn connect(&self, on: ChannelId, at: SocketAddr) -> Result<Channel, Option<Closed>> {
+    async fn connect(&self, on: ChannelId, at: SocketAddr) -> Result<Channel, Option<CloseReason>> {
         let link = lock(&self.links).entry(on).or_default().clone();
         let wait = Duration::from_millis(self.set.connect_ms);
         let opens = async {
@@ -203,23 +203,23 @@
             Ok(Err(why)) => self.broke(at, &root_cause(&why)),
             Err(_) => self.broke(at, "not up in time"),
         }
-        Err(Some(Closed::Lost))
+        Err(Some(CloseReason::Disconnected))
     }
 
     /// One request; `None`: the connection is closed from the gateway's side.
     async fn ask(
         self: &Arc<Self>,
-        id: ConnId,
+        id: ConnectionId,
         channel: Channel,
-        ask: Asked,
+        ask: BackendRequest,
         gone: &mut oneshot::Receiver<()>,
     ) -> Option<Ended> {
         let info = Mutex::new(None);
         let mut client =
             FlightServiceClient::new(channel.clone()).max_decoding_message_size(self.set.message_bytes);
-        if !ask.writes {
+        if !ask.is_write {
             let work = async {
-                match ask.streams {
+                match ask.may_stream {
                     true => self.stream(id, &mut client, &ask, &info).await,
                     false => self.value(id, &mut client, &ask, &info).await,
                 }
@@ -238,7 +238,7 @@
             ended = &mut work => return Some(ended),
             _ = gone => {}
         }
-        let wait = Duration::from_millis(ask.wait_ms.max(self.set.outcome_ms));
+        let wait = Duration::from_millis(ask.timeout_ms.max(self.set.outcome_ms));
         let count = self.alone.fetch_add(1, Ordering::Relaxed) + 1;
         let known = tokio::time::timeout(wait, work).await.is_ok();
         if count.is_power_of_two() {
@@ -252,19 +252,19 @@
     async fn begin(
         &self,
         client: &mut FlightServiceClient<Channel>,
-        ask: &Asked,
+        ask: &BackendRequest,
         kept: &Mutex<Option<FlightInfo>>,
     ) -> Result<(MetadataMap, Streaming<FlightData>), Status> {
         let command = CommandStatementQuery { query: ask.statement.clone(), transaction_id: None };
         let asked = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         let mut request = Request::new(asked);
-        request.set_timeout(Duration::from_millis(ask.wait_ms));
+        request.set_timeout(Duration::from_millis(ask.timeout_ms));
         let info = client.get_flight_info(request).await?.into_inner();
         let ticket = ticket(&info).ok_or_else(|| Status::internal("the answer is not in one place"))?;
         *lock(kept) = Some(info);
         let mut request = Request::new(ticket);
-        if !ask.streams {
-            request.set_timeout(Duration::from_millis(ask.wait_ms));
+        if !ask.may_stream {
+            request.set_timeout(Duration::from_millis(ask.timeout_ms));
         }
         let response = client.do_get(request).await?;
         let (said, stream, _) = response.into_parts();
@@ -274,9 +274,9 @@
     /// A request whose answer is one value.
     async fn value(
         &self,
-        id: ConnId,
+        id: ConnectionId,
         client: &mut FlightServiceClient<Channel>,
-        ask: &Asked,
+        ask: &BackendRequest,
         info: &Mutex<Option<FlightInfo>>,
     ) -> Ended {
         let gathered = async {
@@ -304,9 +304,9 @@
     /// A request whose answer passes through.
     async fn stream(
         self: &Arc<Self>,
-        id: ConnId,
+        id: ConnectionId,
         client: &mut FlightServiceClient<Channel>,
-        ask: &Asked,
+        ask: &BackendRequest,
         info: &Mutex<Option<FlightInfo>>,
     ) -> Ended {
         let begun = async {
@@ -326,7 +326,7 @@
             // The member has done nothing wrong, and neither is it asked again: its client is told.
             self.tell(BackendEvent::StreamStarted(id, told, Box::new(None::<Reader>))).await;
             self.tell(BackendEvent::StreamEnded(id, Outcome::Cancelled)).await;
-            return Ended::Closed(Closed::Lost, String::new());
+            return Ended::Closed(CloseReason::Disconnected, String::new());
         };
         writer.put(first);
         self.tell(BackendEvent::StreamStarted(id, told, Box::new(Some(reader)))).await;
@@ -339,13 +339,13 @@
         match outcome {
             Outcome::Served => Ended::Ready,
             // What was ended from here is nothing to complain of.
-            Outcome::Cancelled => Ended::Closed(Closed::Lost, String::new()),
-            _ => Ended::Closed(Closed::Lost, format!("a stream ended as {outcome:?}")),
+            Outcome::Cancelled => Ended::Closed(CloseReason::Disconnected, String::new()),
+            _ => Ended::Closed(CloseReason::Disconnected, format!("a stream ended as {outcome:?}")),
         }
     }
 
     /// Reads on as the flow allows, until the stream has ended one way or another.
-    async fn pump(&self, id: ConnId, writer: Writer, stream: &mut Streaming<FlightData>) -> Outcome {
+    async fn pump(&self, id: ConnectionId, writer: Writer, stream: &mut Streaming<FlightData>) -> Outcome {
         let mut waited = false;
         loop {
             match writer.asks() {
@@ -384,7 +384,7 @@
     }
 
     /// Hands over an answer in the messages of our first protocol.
-    async fn answer(&self, id: ConnId, mut answer: Vec<u8>) -> Ended {
+    async fn answer(&self, id: ConnectionId, mut answer: Vec<u8>) -> Ended {
         write::ready(&mut answer);
         for frame in frames(&answer) {
             self.tell(BackendEvent::Frame(id, frame)).await;
@@ -393,7 +393,7 @@
     }
 
     /// What a status of the member means: see the table in `docs/design/flight.md`.
-    async fn failed(&self, id: ConnId, status: &Status) -> Ended {
+    async fn failed(&self, id: ConnectionId, status: &Status) -> Ended {
         if let Some(lost) = lost(status) {
             return Ended::Closed(lost, root_cause(status));
         }
@@ -433,16 +433,16 @@
 }
 
 /// Whether a status was made here because the connection is no more: a member's own have no source.
-fn lost(status: &Status) -> Option<Closed> {
+fn lost(status: &Status) -> Option<CloseReason> {
     let mut next = std::error::Error::source(status);
     next?;
     while let Some(error) = next {
         if error.is::<ConnectError>() {
-            return Some(Closed::Unsent);
+            return Some(CloseReason::NotSent);
         }
         next = error.source();
     }
-    Some(Closed::Lost)
+    Some(CloseReason::Disconnected)
 }
 
 /// What a member says of itself beside an answer, as parameters of our first protocol.
@@ -459,13 +459,13 @@
 }
 
 /// The same as the reducer takes it, read by the one reader that there is.
-fn told(said: &MetadataMap) -> Said {
+fn told(said: &MetadataMap) -> StreamHeader {
     let (mut bytes, mut reply) = (Vec::new(), Reply::default());
     statuses(&mut bytes, said);
     for frame in frames(&bytes) {
         let _ = reply.take(&frame, usize::MAX);
     }
-    Said { primary: reply.primary, position: reply.position, report: reply.report }
+    StreamHeader { primary: reply.primary, position: reply.position, report: reply.report }
 }
 
 fn frames(bytes: &[u8]) -> Vec<Frame> {
--- a/crates/stackgw-flight/src/sealed.rs
+++ b/crates/stackgw-flight/src/sealed.rs
@@ -2,7 +2,7 @@
 
 use crate::asked::Asked;
 use serde::{Deserialize, Serialize};
-use stackgw_cluster::Ring;
+use stackgw_cluster::Keyring;
 use std::fmt;
 
 /// Marks a seal as one of ours and not of a datagram between instances.
@@ -44,13 +44,13 @@
 
 impl Sealed {
     /// Seals it until a moment, in Unix milliseconds.
-    pub fn seal(&self, ring: &Ring, until_ms: u64) -> Vec<u8> {
-        ring.seal(KIND, &postcard::to_allocvec(&(until_ms, self)).unwrap_or_default())
+    pub fn seal(&self, ring: &Keyring, until_ms: u64) -> Vec<u8> {
+        ring.sign(KIND, &postcard::to_allocvec(&(until_ms, self)).unwrap_or_default())
     }
 
     /// Opens a handle.
-    pub fn open(ring: &Ring, handle: &[u8], now_ms: u64) -> Result<Self, Unusable> {
-        let (kind, body) = ring.open_sized(handle, usize::MAX).map_err(|_| Unusable::Foreign)?;
+    pub fn open(ring: &Keyring, handle: &[u8], now_ms: u64) -> Result<Self, Unusable> {
+        let (kind, body) = ring.verify_sized(handle, usize::MAX).map_err(|_| Unusable::Foreign)?;
         if kind != KIND {
             return Err(Unusable::Foreign);
         }
--- a/crates/stackgw-flight/src/server.rs
+++ b/crates/stackgw-flight/src/server.rs
@@ -26,9 +26,9 @@
 use futures::{StreamExt, TryStreamExt};
 use prost::Message;
 use slog::{info, Logger};
-use stackgw_cluster::Ring;
+use stackgw_cluster::Keyring;
 use stackgw_gateway::pg::column_value;
-use stackgw_gateway::reducer::Final;
+use stackgw_gateway::reducer::FinalResponse;
 use stackgw_gateway::{BackendChannels, FrontendResponse, RequestHandle};
 use stackgw_streams::StreamLimits;
 use std::net::{SocketAddr, TcpListener};
@@ -52,7 +52,7 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// What seals tickets and prepared statements: the same on all instances.
-    pub ring: Ring,
+    pub ring: Keyring,
     /// How long a ticket or a prepared statement is good, in milliseconds.
     pub ticket_ms: u64,
     /// How long a request may take where its client names no time, and at most, in milliseconds.
@@ -243,9 +243,9 @@
 }
 
 /// The value of a served request; else its status.
-fn served(ended: Final) -> Result<Option<Vec<u8>>, Status> {
+fn served(ended: FinalResponse) -> Result<Option<Vec<u8>>, Status> {
     match ended {
-        Final::Served(row) => match column_value(&row) {
+        FinalResponse::Served(row) => match column_value(&row) {
             Some(value) => Ok(value.map(<[u8]>::to_vec)),
             None => Err(Status::aborted("the member's row has no value")),
         },
@@ -386,7 +386,7 @@
     }
 
     fn permit(&self) -> Result<OwnedSemaphorePermit, Status> {
-        let full = |_| status(&Final::Refused("too many requests are open", None));
+        let full = |_| status(&FinalResponse::Rejected("too many requests are open", None));
         self.gate.clone().try_acquire_owned().map_err(full)
     }
 
@@ -412,7 +412,7 @@
             FrontendResponse::Final(ended) => served(ended)?,
             FrontendResponse::Stream(passed) => {
                 let reader = passed.downcast::<Option<Reader>>().ok().and_then(|reader| *reader);
-                let full = || status(&Final::Refused("too many streams are open", None));
+                let full = || status(&FinalResponse::Rejected("too many streams are open", None));
                 let mut reader = reader.ok_or_else(full)?;
                 // A client that named no time reads for as long as it goes on.
                 if let Some(wait) = asked.wait_ms(wait_ms) {
--- a/crates/stackgw-flight/src/status.rs
+++ b/crates/stackgw-flight/src/status.rs
@@ -1,6 +1,6 @@
 //! How the one final answer is worded: the table in `docs/design/flight.md`.
 
-use stackgw_gateway::reducer::Final;
+use stackgw_gateway::reducer::FinalResponse;
 use std::time::Duration;
 use tonic::{Code, Status};
 use tonic_types::{ErrorDetails, StatusExt};
@@ -15,10 +15,10 @@
 }
 
 /// The status of an answer that is no row.
-pub fn status(ended: &Final) -> Status {
+pub fn status(ended: &FinalResponse) -> Status {
     match ended {
-        Final::Served(_) => Status::ok(""),
-        Final::Refused(why, wait) => match wait {
+        FinalResponse::Served(_) => Status::ok(""),
+        FinalResponse::Rejected(why, wait) => match wait {
             Some(ms) => {
                 let wait = Duration::from_millis(u64::try_from(*ms).unwrap_or(0));
                 let details = ErrorDetails::with_retry_info(Some(wait));
@@ -26,8 +26,8 @@
             }
             None => Status::unavailable(*why),
         },
-        Final::NotYet(why) => Status::unavailable(*why),
-        Final::Failed(why) => Status::aborted(*why),
-        Final::Malformed(why) => Status::invalid_argument(*why),
+        FinalResponse::Unavailable(why) => Status::unavailable(*why),
+        FinalResponse::Failed(why) => Status::aborted(*why),
+        FinalResponse::Malformed(why) => Status::invalid_argument(*why),
     }
 }
--- a/crates/stackgw-flight/src/users.rs
+++ b/crates/stackgw-flight/src/users.rs
@@ -2,7 +2,7 @@
 
 use crate::sealed::Sealed;
 use base64::prelude::{Engine, BASE64_STANDARD};
-use stackgw_cluster::Ring;
+use stackgw_cluster::Keyring;
 use std::collections::BTreeMap;
 use std::path::Path;
 use tonic::metadata::MetadataMap;
@@ -60,7 +60,7 @@
     }
 
     /// Who asks, by the header `authorization`.
-    pub(crate) fn who(&self, ring: &Ring, headers: &MetadataMap, now_ms: u64) -> Result<String, Status> {
+    pub(crate) fn who(&self, ring: &Keyring, headers: &MetadataMap, now_ms: u64) -> Result<String, Status> {
         let unknown = || Status::unauthenticated("who asks is not known");
         let header = headers.get("authorization").and_then(|value| value.to_str().ok());
         let (scheme, word) = header.and_then(|text| text.split_once(' ')).ok_or_else(unknown)?;
@@ -88,7 +88,7 @@
     }
 
     /// The token that a handshake gives.
-    pub(crate) fn token(&self, ring: &Ring, name: &str, until_ms: u64) -> String {
+    pub(crate) fn token(&self, ring: &Keyring, name: &str, until_ms: u64) -> String {
         BASE64_STANDARD.encode(Sealed::Bearer(name.to_owned()).seal(ring, until_ms))
     }
 }
--- a/crates/stackgw-flight/tests/asked.rs
+++ b/crates/stackgw-flight/tests/asked.rs
@@ -1,9 +1,9 @@
 //! Statements with headers, tickets and statuses, without a server.
 
-use stackgw_cluster::{Key, Ring};
+use stackgw_cluster::{Key, Keyring};
 use stackgw_flight::*;
 use stackgw_gateway::pg::{write, Frame, Statement};
-use stackgw_gateway::reducer::Final;
+use stackgw_gateway::reducer::FinalResponse;
 use tonic::Code;
 use tonic_types::StatusExt;
 
@@ -78,7 +78,7 @@
 #[test]
 fn a_handle_is_ours_whole_and_in_time_or_refused() {
     let ring = |secret: &str| {
-        Ring::new(vec![Key::new("flight", secret.as_bytes()).expect("a secret")]).expect("keys")
+        Keyring::new(vec![Key::new("flight", secret.as_bytes()).expect("a secret")]).expect("keys")
     };
     let (ours, theirs) = (ring("a secret of this test"), ring("another secret of it"));
     let ticket = Sealed::Ticket(
@@ -96,20 +96,20 @@
         assert_eq!(Sealed::open(&ours, &sealed[..at], 1), Err(Unusable::Foreign));
     }
     // A datagram between instances under the same key is no handle.
-    assert_eq!(Sealed::open(&ours, &ours.seal(1, &sealed), 1), Err(Unusable::Foreign));
+    assert_eq!(Sealed::open(&ours, &ours.sign(1, &sealed), 1), Err(Unusable::Foreign));
 }
 
 #[test]
 fn each_answer_has_its_status() {
-    let refused = status(&Final::Refused("not now", Some(250)));
+    let refused = status(&FinalResponse::Rejected("not now", Some(250)));
     assert_eq!(refused.code(), Code::Unavailable);
     let wait = refused.get_details_retry_info().and_then(|info| info.retry_delay);
     assert_eq!(wait.map(|wait| wait.as_millis()), Some(250));
     let codes = [
-        (Final::Refused("no", None), Code::Unavailable),
-        (Final::NotYet("no"), Code::Unavailable),
-        (Final::Failed("no"), Code::Aborted),
-        (Final::Malformed("no"), Code::InvalidArgument),
+        (FinalResponse::Rejected("no", None), Code::Unavailable),
+        (FinalResponse::Unavailable("no"), Code::Unavailable),
+        (FinalResponse::Failed("no"), Code::Aborted),
+        (FinalResponse::Malformed("no"), Code::InvalidArgument),
     ];
     for (ended, code) in codes {
         assert_eq!(status(&ended).code(), code);
--- a/crates/stackgw-flight/tests/wire_fixtures.rs
+++ b/crates/stackgw-flight/tests/wire_fixtures.rs
@@ -2,9 +2,9 @@
 //!
 //! The files under `tests/fixtures/` are never written by these tests. One that differs is printed whole.
 
-use stackgw_cluster::{Key, Ring};
+use stackgw_cluster::{Key, Keyring};
 use stackgw_flight::{root_cause, status, Asked, Headers, Sealed, Unusable, Value};
-use stackgw_gateway::reducer::Final;
+use stackgw_gateway::reducer::FinalResponse;
 use std::fmt::Write;
 use std::path::Path;
 
@@ -39,9 +39,9 @@
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
-fn ring() -> Ring {
+fn ring() -> Keyring {
     let key = |secret: &str| Key::new("flight", secret.as_bytes()).expect("a secret");
-    Ring::new(vec![key("the first secret of the fixtures"), key("the second secret of the fixtures")])
+    Keyring::new(vec![key("the first secret of the fixtures"), key("the second secret of the fixtures")])
         .expect("keys")
 }
 
@@ -95,13 +95,13 @@
 #[test]
 fn statuses_keep_their_codes_texts_and_details() {
     let outcomes = [
-        ("served", Final::Served(b"row".to_vec())),
-        ("refused", Final::Refused("too many requests are open", None)),
-        ("refused-with-a-time", Final::Refused("too many requests are open", Some(250))),
-        ("refused-with-a-negative-time", Final::Refused("not now", Some(-1))),
-        ("not-yet", Final::NotYet("the gateway ends")),
-        ("failed", Final::Failed("nothing is promised")),
-        ("malformed", Final::Malformed("the class is not known")),
+        ("served", FinalResponse::Served(b"row".to_vec())),
+        ("refused", FinalResponse::Rejected("too many requests are open", None)),
+        ("refused-with-a-time", FinalResponse::Rejected("too many requests are open", Some(250))),
+        ("refused-with-a-negative-time", FinalResponse::Rejected("not now", Some(-1))),
+        ("not-yet", FinalResponse::Unavailable("the gateway ends")),
+        ("failed", FinalResponse::Failed("nothing is promised")),
+        ("malformed", FinalResponse::Malformed("the class is not known")),
     ];
     let mut actual = String::new();
     for (name, ended) in outcomes {
--- a/crates/stackgw-gateway/src/config.rs
+++ b/crates/stackgw-gateway/src/config.rs
@@ -4,8 +4,8 @@
 use crate::discovery::{self, ListUpdate};
 use crate::limits::{Limits, Platform, LEAST_DESCRIPTORS};
 use serde_json::Value;
-use stackgw_cluster::{Key, Ring};
-use stackgw_settings::HostSettings;
+use stackgw_cluster::{Key, Keyring};
+use stackgw_settings::PlatformSettings;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -29,7 +29,7 @@
     /// The list as this gateway last had it.
     pub initial_endpoints: Option<ListUpdate>,
     /// The settings, for the router and for its host.
-    pub settings: HostSettings,
+    pub settings: PlatformSettings,
     /// Every size, count and time.
     pub limits: Limits,
     /// The file that it was read from.
@@ -41,7 +41,7 @@
     /// The other instances, as either part of the operator's file names them.
     pub cluster: Option<ClusterConfig>,
     /// How this instance comes to know the list, where not as the platform has it.
-    pub bootstrap: Option<stackgw_config::Start>,
+    pub bootstrap: Option<stackgw_config::Bootstrap>,
 }
 
 /// The operator's file as far as a gateway has it.
@@ -50,11 +50,11 @@
     /// Where it is.
     pub file: Option<PathBuf>,
     /// The log's form.
-    pub format: stackgw_config::Format,
+    pub format: stackgw_config::LogFormat,
     /// The local socket.
     pub control: Option<PathBuf>,
     /// Arrow Flight SQL, with the keys that the file names.
-    pub flight: Option<(stackgw_config::Flight, Ring)>,
+    pub flight: Option<(stackgw_config::Flight, Keyring)>,
 }
 
 /// Sessions across instances: the file's part, and the keys that it names.
@@ -63,7 +63,7 @@
     /// The file's part.
     pub options: stackgw_config::Sessions,
     /// The keys.
-    pub key_ring: Ring,
+    pub keyring: Keyring,
 }
 
 /// The other instances, and the keys that they share.
@@ -72,15 +72,12 @@
     /// The file's part.
     pub options: stackgw_config::Cluster,
     /// The keys.
-    pub key_ring: Ring,
+    pub keyring: Keyring,
 }
 
 impl From<&SessionSharingConfig> for ClusterConfig {
     fn from(session_sharing: &SessionSharingConfig) -> Self {
-        ClusterConfig {
-            options: session_sharing.options.others(),
-            key_ring: session_sharing.key_ring.clone(),
-        }
+        ClusterConfig { options: session_sharing.options.cluster(), keyring: session_sharing.keyring.clone() }
     }
 }
 
@@ -88,7 +85,7 @@
 const KEY_MOST: u64 = 4 << 10;
 
 /// The keys of a cluster from the files that hold their secrets.
-fn ring(field: &str, cluster: &str, files: &[PathBuf]) -> Result<Ring, String> {
+fn read_keyring(field: &str, cluster: &str, files: &[PathBuf]) -> Result<Keyring, String> {
     let mut keys = Vec::new();
     for path in files {
         let wrong = |why: &dyn std::fmt::Display| format!("{field}: {}: {why}", path.display());
@@ -100,13 +97,13 @@
         let key = Key::new(cluster, secret.trim_ascii());
         keys.push(key.ok_or_else(|| wrong(&"holds fewer than 16 bytes"))?);
     }
-    Ring::new(keys).ok_or_else(|| format!("{field}: names no file"))
+    Keyring::new(keys).ok_or_else(|| format!("{field}: names no file"))
 }
 
 impl SessionSharingConfig {
     fn read(file: stackgw_config::Sessions) -> Result<Self, String> {
-        let ring = ring("sessions.keys", &file.cluster, &file.keys)?;
-        Ok(SessionSharingConfig { options: file, key_ring: ring })
+        let keyring = read_keyring("sessions.keys", &file.cluster, &file.keys)?;
+        Ok(SessionSharingConfig { options: file, keyring })
     }
 }
 
@@ -166,24 +163,26 @@
         let read = stackgw_config::read(file).map_err(|problem| problem.to_string())?;
         let named = |why| format!("{}: {why}", file.display());
         let session_sharing = read.sessions.map(SessionSharingConfig::read).transpose().map_err(named)?;
-        let others = match (read.cluster, &session_sharing) {
+        let cluster = match (read.cluster, &session_sharing) {
             (Some(file), _) => {
-                let ring = ring("cluster.keys", &file.name, &file.keys).map_err(named)?;
-                Some(ClusterConfig { options: file, key_ring: ring })
+                let keyring = read_keyring("cluster.keys", &file.name, &file.keys).map_err(named)?;
+                Some(ClusterConfig { options: file, keyring })
             }
             (None, session_sharing) => session_sharing.as_ref().map(ClusterConfig::from),
         };
         let flight = match read.flight {
-            Some(flight) => Some((ring("flight.keys", "flight", &flight.keys).map_err(named)?, flight)),
+            Some(flight) => {
+                Some((read_keyring("flight.keys", "flight", &flight.keys).map_err(named)?, flight))
+            }
             None => None,
         };
         let operator = Operator {
             file: Some(file.to_owned()),
             format: read.log.format,
             control: read.control,
-            flight: flight.map(|(ring, flight)| (flight, ring)),
+            flight: flight.map(|(keyring, flight)| (flight, keyring)),
         };
-        Ok(Config { operator, session_sharing, cluster: others, bootstrap: read.start, ..self })
+        Ok(Config { operator, session_sharing, cluster: cluster, bootstrap: read.start, ..self })
     }
 
     /// Reads the document's text; variables override its fields.
@@ -233,7 +232,7 @@
             return Err(format!("limits.sockets: {} are fewer than {LEAST_DESCRIPTORS}", platform.sockets));
         }
         let settings = doc.get("settings").ok_or("settings is missing")?;
-        let settings = HostSettings::from_json(settings).map_err(|e| format!("settings: {e}"))?;
+        let settings = PlatformSettings::from_json(settings).map_err(|e| format!("settings: {e}"))?;
         let known = match doc.get("known") {
             None | Some(Value::Null) => None,
             Some(list) => Some(discovery::list(list).map_err(|e| format!("known: {e}"))?),
--- a/crates/stackgw-gateway/src/io/backs.rs
+++ b/crates/stackgw-gateway/src/io/backs.rs
@@ -3,7 +3,7 @@
 
 use super::Shell;
 use crate::pg::Frame;
-use crate::reducer::{Asked, Closed, ConnId, Input, Said};
+use crate::reducer::{BackendRequest, CloseReason, ConnectionId, Input, StreamHeader};
 use async_channel::{Receiver, Sender};
 use stackgw_router::api::Outcome;
 use std::any::Any;
@@ -17,27 +17,27 @@
 #[derive(Debug)]
 pub enum BackendCommand {
     /// A connection to a member.
-    Open(ConnId, SocketAddr),
+    Open(ConnectionId, SocketAddr),
     /// A request on it, one at a time.
-    Execute(ConnId, Asked),
+    Execute(ConnectionId, BackendRequest),
     /// The end of a connection and of what is asked on it; a write that has been asked runs to its end all the same.
-    Close(ConnId),
+    Close(ConnectionId),
 }
 
 /// What a back tells the gateway.
 pub enum BackendEvent {
     /// A connection is up.
-    Connected(ConnId),
+    Connected(ConnectionId),
     /// A message of an answer, in our first protocol.
-    Frame(ConnId, Frame),
+    Frame(ConnectionId, Frame),
     /// The answer comes as a stream, and this is it.
-    StreamStarted(ConnId, Said, RelayedStream),
+    StreamStarted(ConnectionId, StreamHeader, RelayedStream),
     /// That stream waits for its reader.
-    StreamStalled(ConnId),
+    StreamStalled(ConnectionId),
     /// That stream is over.
-    StreamEnded(ConnId, Outcome),
+    StreamEnded(ConnectionId, Outcome),
     /// A connection is over, or never came up.
-    Closed(ConnId, Closed),
+    Closed(ConnectionId, CloseReason),
 }
 
 /// A back's end of the two lines.
@@ -73,15 +73,15 @@
             continue;
         }
         match word {
-            BackendEvent::Connected(id) => shell.input(Input::MemberUp(id)),
+            BackendEvent::Connected(id) => shell.input(Input::MemberConnected(id)),
             BackendEvent::Frame(id, frame) => shell.input(Input::MemberFrame(id, frame)),
             BackendEvent::StreamStarted(id, said, stream) => {
                 shell.streams.borrow_mut().insert(id, stream);
-                shell.input(Input::MemberStreams(id, said));
+                shell.input(Input::StreamStarted(id, said));
                 shell.streams.borrow_mut().remove(&id);
             }
-            BackendEvent::StreamStalled(id) => shell.input(Input::MemberStreamWaits(id)),
-            BackendEvent::StreamEnded(id, outcome) => shell.input(Input::MemberStreamOver(id, outcome)),
+            BackendEvent::StreamStalled(id) => shell.input(Input::StreamPaused(id)),
+            BackendEvent::StreamEnded(id, outcome) => shell.input(Input::StreamEnded(id, outcome)),
             BackendEvent::Closed(id, why) => {
                 shell.backs.borrow_mut().remove(&id);
                 shell.input(Input::MemberClosed(id, why));
@@ -97,18 +97,18 @@
     }
 
     /// Closes a connection that the back has.
-    pub(super) fn close_back(&self, conn: ConnId) {
+    pub(super) fn close_back(&self, conn: ConnectionId) {
         if self.backs.borrow_mut().remove(&conn) {
             self.ask_back(BackendCommand::Close(conn));
         }
     }
 
     /// Opens a connection by the back; where there is none it never comes up.
-    pub(super) fn open_back(&self, conn: ConnId, address: SocketAddr) {
+    pub(super) fn open_back(&self, conn: ConnectionId, address: SocketAddr) {
         if self.ask_back(BackendCommand::Open(conn, address)) {
             self.backs.borrow_mut().insert(conn);
         } else {
-            self.later(Input::MemberClosed(conn, Closed::Lost));
+            self.later(Input::MemberClosed(conn, CloseReason::Disconnected));
         }
     }
 }
--- a/crates/stackgw-gateway/src/io/calls.rs
+++ b/crates/stackgw-gateway/src/io/calls.rs
@@ -2,7 +2,7 @@
 
 use super::{RelayedStream, Shell};
 use crate::pg::{write, Frame};
-use crate::reducer::{CallId, Final, Input};
+use crate::reducer::{CallId, FinalResponse, Input};
 use async_channel::{Receiver, Sender};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,7 +17,7 @@
 /// How another front's request is answered.
 pub enum FrontendResponse {
     /// By its one final answer.
-    Final(Final),
+    Final(FinalResponse),
     /// By a stream, which is its own from here on.
     Stream(RelayedStream),
 }
@@ -51,10 +51,12 @@
 
     /// Asks with a statement in the form of our first protocol; gives its one final answer. Dropped before that, the client
     /// is gone. How many may ask at once is the caller's to bound.
-    pub async fn execute(&self, statement: String) -> Final {
+    pub async fn execute(&self, statement: String) -> FinalResponse {
         match self.knock(statement, false).await {
             (FrontendResponse::Final(ended), _) => ended,
-            (FrontendResponse::Stream(_), _) => Final::Failed("a stream came where one value was asked for"),
+            (FrontendResponse::Stream(_), _) => {
+                FinalResponse::Failed("a stream came where one value was asked for")
+            }
         }
     }
 
@@ -64,7 +66,8 @@
     }
 
     async fn knock(&self, statement: String, streams: bool) -> (FrontendResponse, RequestGuard) {
-        const OVER: FrontendResponse = FrontendResponse::Final(Final::NotYet("the gateway ends"));
+        const OVER: FrontendResponse =
+            FrontendResponse::Final(FinalResponse::Unavailable("the gateway ends"));
         let call = CallId(self.next.fetch_add(1, Ordering::Relaxed));
         let (told, word) = async_channel::bounded(1);
         let mut waits = RequestGuard { door: self.clone(), call: None };
@@ -92,7 +95,7 @@
             }
             Knock::Gone(call) => {
                 shell.calls.borrow_mut().remove(&call);
-                shell.input(Input::CallGone(call));
+                shell.input(Input::CallCancelled(call));
             }
         }
     }
--- a/crates/stackgw-gateway/src/io/clients.rs
+++ b/crates/stackgw-gateway/src/io/clients.rs
@@ -3,7 +3,7 @@
 use super::link::{Link, Turn, Turns};
 use super::{Client, Shell};
 use crate::pg::FrameDecoder;
-use crate::reducer::{ClientId, Closed, Input};
+use crate::reducer::{ClientId, CloseReason, Input};
 use async_io::{Async, Timer};
 use futures_lite::{future, StreamExt};
 use rustix::event::{poll, PollFd, Timespec};
@@ -56,7 +56,7 @@
     *next += 1;
     let task = shell.executor.spawn(serve(shell.clone(), id, link.clone()));
     shell.clients.borrow_mut().insert(id, Client { link, _task: task });
-    shell.input(Input::ClientOpened(id));
+    shell.input(Input::ClientConnected(id));
 }
 
 /// Tells the reducer of clients that leave while what they have sent is not read on.
@@ -81,7 +81,7 @@
                 links.iter().zip(&asked).filter(|(_, a)| over(a)).map(|((id, _), _)| *id).collect();
             for id in gone {
                 shell.close_client(id, false);
-                shell.input(Input::ClientClosed(id, Closed::Lost));
+                shell.input(Input::ClientClosed(id, CloseReason::Disconnected));
             }
             future::yield_now().await;
         }
@@ -100,7 +100,7 @@
             Turn::Woken => {}
             Turn::Closed => {
                 shell.close_client(id, false);
-                return shell.input(Input::ClientClosed(id, Closed::Lost));
+                return shell.input(Input::ClientClosed(id, CloseReason::Disconnected));
             }
         }
         let mut taken = 0;
@@ -115,7 +115,7 @@
             match frames.next_frame() {
                 Some(Ok(frame)) => shell.input(Input::ClientFrame(id, frame)),
                 // The stream ends once the reducer's last word to this client is written.
-                Some(Err(_)) => shell.input(Input::ClientClosed(id, Closed::Bad)),
+                Some(Err(_)) => shell.input(Input::ClientClosed(id, CloseReason::ProtocolError)),
                 None => break,
             }
         }
@@ -132,7 +132,7 @@
         } else {
             shell.holding.borrow_mut().insert(id);
             shell.holds.set(true);
-            shell.input(Input::ClientHolds(id, held));
+            shell.input(Input::ClientReadAhead(id, held));
             if !shell.takes(id) {
                 shell.waiting.borrow_mut().insert(id);
             }
--- a/crates/stackgw-gateway/src/io/control.rs
+++ b/crates/stackgw-gateway/src/io/control.rs
@@ -1,7 +1,7 @@
 //! The local socket: one question a connection, a line of JSON each way.
 
 use super::Shell;
-use crate::reducer::{Input, Question};
+use crate::reducer::{Input, StatusQuery};
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use serde_json::{json, Value};
@@ -83,7 +83,7 @@
         Some(question) => {
             let asker = shell.askers.next.get();
             shell.askers.next.set(asker + 1);
-            shell.input(Input::Question(asker, question));
+            shell.input(Input::StatusQuery(asker, question));
             // An input from outside the reducer's own turn is handled by the time this returns.
             shell.askers.told.borrow_mut().remove(&asker)
         }
@@ -93,15 +93,15 @@
     let _ = socket.write_all(format!("{answer}\n").as_bytes()).await;
 }
 
-fn question(asked: &[u8]) -> Option<Question> {
+fn question(asked: &[u8]) -> Option<StatusQuery> {
     let line = asked.split(|b| *b == b'\n').next()?;
     let asked: Value = serde_json::from_slice(line).ok()?;
     match asked.get("ask")?.as_str()? {
-        "sessions" => Some(Question::Sessions),
-        "list" => Some(Question::List),
+        "sessions" => Some(StatusQuery::Sessions),
+        "list" => Some(StatusQuery::EndpointList),
         "session" => {
             let group = u32::try_from(asked.get("group")?.as_u64()?).ok()?;
-            Some(Question::Session(group, asked.get("session")?.as_str()?.to_owned()))
+            Some(StatusQuery::Session(group, asked.get("session")?.as_str()?.to_owned()))
         }
         _ => None,
     }
--- a/crates/stackgw-gateway/src/io/discovery.rs
+++ b/crates/stackgw-gateway/src/io/discovery.rs
@@ -32,7 +32,7 @@
                 let mut socket = Async::<TcpStream>::connect(at).await.map_err(io)?;
                 socket.write_all(&endpoint_request(at, watch_after)).await.map_err(io)?;
                 if watch_after.is_some() {
-                    shell.input(Input::WatchUp);
+                    shell.input(Input::WatchConnected);
                 }
                 socket
             }
@@ -67,8 +67,8 @@
     let why = loop {
         match pieces.next().await {
             Some(Ok(HttpEvent::Line(line))) => match objects.push_line(line) {
-                Ok(WatchEvent::Heartbeat) => shell.input(Input::WatchAlive),
-                Ok(WatchEvent::List(list)) => shell.input(Input::List(list)),
+                Ok(WatchEvent::Heartbeat) => shell.input(Input::WatchKeepalive),
+                Ok(WatchEvent::List(list)) => shell.input(Input::EndpointList(list)),
                 Ok(WatchEvent::Incomplete) => {}
                 Err(e) => break e.to_string().into(),
             },
@@ -97,7 +97,7 @@
         None
     };
     match future::or(whole, late).await {
-        Some(list) => shell.input(Input::List(list)),
+        Some(list) => shell.input(Input::EndpointList(list)),
         None => shell.input(Input::FetchFailed),
     }
 }
--- a/crates/stackgw-gateway/src/io/link.rs
+++ b/crates/stackgw-gateway/src/io/link.rs
@@ -1,6 +1,6 @@
 //! One TCP connection: what is to be written to it, and the stream of what happens on it.
 
-use crate::reducer::Closed;
+use crate::reducer::CloseReason;
 use async_io::Async;
 use futures_lite::stream::Stream;
 use rustix::event::{PollFd, PollFlags};
@@ -199,13 +199,13 @@
 
     /// Why nothing may be written to a connection on which nothing is due: the other side has closed or broken it, or
     /// something has come, whether its task has read it yet or not.
-    pub(super) fn unusable(&self) -> Option<Closed> {
+    pub(super) fn unusable(&self) -> Option<CloseReason> {
         match self.peek() {
-            _ if self.held.get() > 0 => Some(Closed::Unasked),
-            Ok(0) => Some(Closed::Lost),
-            Ok(_) => Some(Closed::Unasked),
+            _ if self.held.get() > 0 => Some(CloseReason::UnexpectedData),
+            Ok(0) => Some(CloseReason::Disconnected),
+            Ok(_) => Some(CloseReason::UnexpectedData),
             Err(e) if e.kind() == ErrorKind::WouldBlock => None,
-            Err(_) => Some(Closed::Lost),
+            Err(_) => Some(CloseReason::Disconnected),
         }
     }
 
--- a/crates/stackgw-gateway/src/io/members.rs
+++ b/crates/stackgw-gateway/src/io/members.rs
@@ -3,24 +3,24 @@
 use super::link::{Link, Turn, Turns};
 use super::{Member, Shell};
 use crate::pg::FrameDecoder;
-use crate::reducer::{Closed, ConnId, Input};
+use crate::reducer::{CloseReason, ConnectionId, Input};
 use async_io::Async;
 use futures_lite::StreamExt;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
 /// Opens a connection; the reducer ends it where that takes too long.
-pub(super) fn open(shell: &Rc<Shell>, id: ConnId, address: SocketAddr) {
+pub(super) fn open(shell: &Rc<Shell>, id: ConnectionId, address: SocketAddr) {
     let task = shell.executor.spawn(serve(shell.clone(), id, address));
     shell.members.borrow_mut().insert(id, Member { link: None, _task: task });
 }
 
-async fn serve(shell: Rc<Shell>, id: ConnId, address: SocketAddr) {
+async fn serve(shell: Rc<Shell>, id: ConnectionId, address: SocketAddr) {
     let why = match Async::<TcpStream>::connect(address).await {
         Ok(socket) => {
             talk(&shell, id, Link::new(socket, shell.limits.answer_bytes, 0, &shell.member_budget)).await
         }
-        Err(_) => Closed::Lost,
+        Err(_) => CloseReason::Disconnected,
     };
     let known = shell.members.borrow_mut().remove(&id);
     if known.is_some() {
@@ -28,20 +28,20 @@
     }
 }
 
-async fn talk(shell: &Rc<Shell>, id: ConnId, link: Rc<Link>) -> Closed {
+async fn talk(shell: &Rc<Shell>, id: ConnectionId, link: Rc<Link>) -> CloseReason {
     match shell.members.borrow_mut().get_mut(&id) {
         Some(member) => member.link = Some(link.clone()),
-        None => return Closed::Lost,
+        None => return CloseReason::Disconnected,
     }
-    shell.input(Input::MemberUp(id));
+    shell.input(Input::MemberConnected(id));
     let mut frames = FrameDecoder::server(shell.limits.answer_bytes);
     let mut turns = Turns { link: link.clone(), buffer: shell.buffer.clone() };
     while let Some(turn) = turns.next().await {
         match turn {
             Turn::Bytes(bytes) => frames.feed(&bytes),
-            Turn::Written => shell.input(Input::MemberWritten(id)),
+            Turn::Written => shell.input(Input::MemberFlushed(id)),
             Turn::Woken => {}
-            Turn::Closed => return Closed::Lost,
+            Turn::Closed => return CloseReason::Disconnected,
         }
         let mut whole = true;
         while let Some(frame) = frames.next_frame() {
@@ -53,13 +53,13 @@
                     whole = frame.kind == b'Z';
                     shell.input(Input::MemberFrame(id, frame));
                 }
-                Err(_) => return Closed::Bad,
+                Err(_) => return CloseReason::ProtocolError,
             }
         }
         link.hold(frames.pending_bytes());
         if !whole || frames.pending_bytes() > 0 {
-            shell.input(Input::MemberPartial(id));
+            shell.input(Input::MemberPartialFrame(id));
         }
     }
-    Closed::Lost
+    CloseReason::Disconnected
 }
--- a/crates/stackgw-gateway/src/io/mod.rs
+++ b/crates/stackgw-gateway/src/io/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::config::{Config, Reread};
 use crate::limits::Limits;
-use crate::reducer::{CallId, ClientId, Closed, ConnId, Effect, Input, Reducer};
+use crate::reducer::{CallId, ClientId, CloseReason, ConnectionId, Effect, Input, Reducer};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
 pub use backs::{BackendChannels, BackendCommand, BackendEvent, RelayedStream};
@@ -112,23 +112,23 @@
     /// Bytes that the clients' and the members' tasks hold.
     client_budget: Rc<Budget>,
     member_budget: Rc<Budget>,
-    members: RefCell<HashMap<ConnId, Member>>,
+    members: RefCell<HashMap<ConnectionId, Member>>,
     watch: RefCell<Option<Task<()>>>,
     fetch: RefCell<Option<Task<()>>>,
     datagrams: Option<Rc<Async<UdpSocket>>>,
     /// Where the operator's cluster talks, and what keeps its records.
     cluster: Option<Rc<Async<UdpSocket>>>,
-    store: Option<stackgw_store::Writer>,
+    store: Option<stackgw_store::RecordWriter>,
     /// What keeps the list.
-    keeper: Option<stackgw_store::ListWriter>,
+    keeper: Option<stackgw_store::EndpointListWriter>,
     askers: control::Askers,
     /// Other fronts' requests that are open, and who waits for each.
     calls: RefCell<HashMap<CallId, async_channel::Sender<FrontendResponse>>>,
     /// Members that speak another front's protocol: the way to them, the connections to them, and the stream that has just
     /// begun on one.
     to_back: Option<async_channel::Sender<BackendCommand>>,
-    backs: RefCell<HashSet<ConnId>>,
-    streams: RefCell<HashMap<ConnId, RelayedStream>>,
+    backs: RefCell<HashSet<ConnectionId>>,
+    streams: RefCell<HashMap<ConnectionId, RelayedStream>>,
     accepts: Gate,
     stops_listening: Gate,
     alarm: timers::Alarm,
@@ -162,13 +162,13 @@
     }
 
     fn takes(&self, client: ClientId) -> bool {
-        self.reducer.borrow().takes(client)
+        self.reducer.borrow().accepts_frame(client)
     }
 
     fn resume_waiting(&self) {
         let reducer = self.reducer.borrow();
         self.waiting.borrow_mut().retain(|id| {
-            let taken = reducer.takes(*id);
+            let taken = reducer.accepts_frame(*id);
             if let Some(client) = self.clients.borrow().get(id).filter(|_| taken) {
                 client.link.wake();
             }
@@ -178,7 +178,7 @@
 
     fn carry_out(self: &Rc<Self>, effect: Effect) {
         match effect {
-            Effect::Accept(on) => self.accepts.set(on),
+            Effect::AcceptClients(on) => self.accepts.set(on),
             Effect::ClientWrite { client, bytes, close } => {
                 let Some(link) = self.clients.borrow().get(&client).map(|c| c.link.clone()) else { return };
                 if close {
@@ -192,13 +192,13 @@
                 }
             }
             Effect::ClientClose(client) => self.close_client(client, false),
-            Effect::ClientRetire(client) => {
+            Effect::ClientCloseIfIdle(client) => {
                 let ended = self.clients.borrow().get(&client).is_some_and(|c| c.link.end_if_quiet());
                 if ended {
                     self.close_client(client, true);
                 }
             }
-            Effect::MemberOpen(conn, address) => members::open(self, conn, address),
+            Effect::MemberConnect(conn, address) => members::open(self, conn, address),
             Effect::MemberWrite(conn, bytes) => {
                 let link = self.members.borrow().get(&conn).and_then(|m| m.link.clone());
                 let Some(link) = link else { return };
@@ -207,9 +207,9 @@
                 let closed = match link.unusable() {
                     Some(why) => Some(why),
                     None => match link.write(bytes) {
-                        Written::All => return self.later(Input::MemberWritten(conn)),
+                        Written::All => return self.later(Input::MemberFlushed(conn)),
                         Written::Part => None,
-                        Written::Broken => Some(Closed::Lost),
+                        Written::Broken => Some(CloseReason::Disconnected),
                     },
                 };
                 if let Some(why) = closed {
@@ -217,60 +217,60 @@
                     self.later(Input::MemberClosed(conn, why));
                 }
             }
-            Effect::BackOpen(conn, address) => self.open_back(conn, address),
-            Effect::BackAsk(conn, asked) => {
+            Effect::BackendConnect(conn, address) => self.open_back(conn, address),
+            Effect::BackendSend(conn, asked) => {
                 // From here on it may have run; what is known not to have left says so itself.
                 self.ask_back(BackendCommand::Execute(conn, asked));
-                self.later(Input::MemberWritten(conn));
+                self.later(Input::MemberFlushed(conn));
             }
             Effect::MemberClose(conn) => {
                 drop(self.members.borrow_mut().remove(&conn));
                 self.close_back(conn);
             }
-            Effect::Watch(at, after) => {
+            Effect::OpenWatch(at, after) => {
                 let task = self.executor.spawn(discovery::watch(self.clone(), at, after));
                 *self.watch.borrow_mut() = Some(task);
             }
-            Effect::Unwatch => drop(self.watch.borrow_mut().take()),
-            Effect::Fetch(at) => {
+            Effect::CloseWatch => drop(self.watch.borrow_mut().take()),
+            Effect::FetchEndpoints(at) => {
                 *self.fetch.borrow_mut() = Some(self.executor.spawn(discovery::fetch(self.clone(), at)));
             }
-            Effect::Datagram(to, bytes) => {
+            Effect::GossipDatagram(to, bytes) => {
                 if let Some(socket) = &self.datagrams {
                     // A datagram that cannot leave now is lost, as any may be.
                     let _ = socket.get_ref().send_to(&bytes, to);
                 }
             }
-            Effect::Cluster(to, bytes) => {
+            Effect::ClusterDatagram(to, bytes) => {
                 if let Some(socket) = &self.cluster {
                     // As above; what matters is sent again.
                     let _ = socket.get_ref().send_to(&bytes, to);
                 }
             }
-            Effect::Store(record) => {
+            Effect::StoreRecord(record) => {
                 if let Some(store) = &self.store {
                     store.put(record);
                 }
             }
-            Effect::CallEnded(call, ended) => {
+            Effect::CallCompleted(call, ended) => {
                 let told = self.calls.borrow_mut().remove(&call);
                 if let Some(told) = told {
                     let _ = told.try_send(FrontendResponse::Final(ended));
                 }
             }
-            Effect::CallStreams(call, conn) => {
+            Effect::CallStreaming(call, conn) => {
                 let told = self.calls.borrow_mut().remove(&call);
                 let stream = self.streams.borrow_mut().remove(&conn);
                 if let (Some(told), Some(stream)) = (told, stream) {
                     let _ = told.try_send(FrontendResponse::Stream(stream));
                 }
             }
-            Effect::Keep(kept) => {
+            Effect::StoreEndpoints(kept) => {
                 if let Some(keeper) = &self.keeper {
                     keeper.put(*kept);
                 }
             }
-            Effect::Told(asker, answer) => self.askers.tell(asker, answer),
+            Effect::StatusReply(asker, answer) => self.askers.tell(asker, answer),
             Effect::StopListening => self.stops_listening.set(true),
             Effect::Log(text) => info!(self.log, "{text}"),
             Effect::Report(counters) => info!(self.log, "{counters}"),
@@ -285,7 +285,7 @@
         let known = self.clients.borrow_mut().remove(&client);
         self.holding.borrow_mut().remove(&client);
         if known.is_some() && tell {
-            self.later(Input::ClientClosed(client, Closed::Lost));
+            self.later(Input::ClientClosed(client, CloseReason::Disconnected));
         }
     }
 }
@@ -321,21 +321,28 @@
     let executor = Rc::new(LocalExecutor::new());
     let limits = config.limits.clone();
     let clock = Clock::new();
-    let (together, reread) = (config.session_sharing.clone(), config.reread());
-    let (others, start, name) = (config.cluster.clone(), config.bootstrap.clone(), config.name.clone());
+    let (session_sharing, reread) = (config.session_sharing.clone(), config.reread());
+    let (cluster_config, start, name) =
+        (config.cluster.clone(), config.bootstrap.clone(), config.name.clone());
     let mut reducer = Reducer::new(config);
     let mut effects = Vec::new();
-    if let (Some(together), Some(shared)) = (&together, &mut shared) {
+    if let (Some(session_sharing), Some(shared)) = (&session_sharing, &mut shared) {
         let life = shared.life.clone();
-        reducer.share_sessions(clock.now(), together, life, &mut effects);
+        reducer.enable_session_sharing(clock.now(), session_sharing, life, &mut effects);
     }
-    if let (Some(others), Some(shared), None) = (&others, &shared, &together) {
-        reducer.join(clock.now(), others, shared.life.peer(&name));
+    if let (Some(cluster_config), Some(shared), None) = (&cluster_config, &shared, &session_sharing) {
+        reducer.join_cluster(clock.now(), cluster_config, shared.life.peer(&name));
     }
     let kept = start.as_ref().and_then(|start| cluster::kept(start, &log));
     let (kept, keeper) = kept.map_or((None, None), |(kept, writer)| (kept, Some(writer)));
     if let Some(start) = &start {
-        reducer.start_by(clock.now(), start, others.as_ref().map(|o| &o.options), kept, &mut effects);
+        reducer.enable_bootstrap(
+            clock.now(),
+            start,
+            cluster_config.as_ref().map(|o| &o.options),
+            kept,
+            &mut effects,
+        );
     }
     let (cluster, store, disk) = match shared {
         Some(shared) => (Some(shared.socket), shared.writer, shared.disk),
@@ -378,12 +385,14 @@
     executor.spawn(timers::run(shell.clone())).detach();
     if let Some(socket) = shell.datagrams.clone() {
         executor
-            .spawn(peers::run(shell.clone(), socket, shell.limits.datagram_bytes, Input::Datagram))
+            .spawn(peers::run(shell.clone(), socket, shell.limits.datagram_bytes, Input::GossipDatagram))
             .detach();
     }
     if let Some(socket) = shell.cluster.clone() {
-        let input = |_, bytes| Input::Cluster(bytes);
-        executor.spawn(peers::run(shell.clone(), socket, stackgw_cluster::MOST_BYTES, input)).detach();
+        let input = |_, bytes| Input::ClusterDatagram(bytes);
+        executor
+            .spawn(peers::run(shell.clone(), socket, stackgw_cluster::MAX_DATAGRAM_BYTES, input))
+            .detach();
     }
     if let Some(word) = disk {
         executor.spawn(cluster::disk(shell.clone(), word)).detach();
--- a/crates/stackgw-gateway/src/io/timers.rs
+++ b/crates/stackgw-gateway/src/io/timers.rs
@@ -65,6 +65,6 @@
     while rings.next().await.is_some() {
         // What has come goes first: after a pause, answers that are here already are not given up for time.
         future::yield_now().await;
-        shell.input(Input::Due);
+        shell.input(Input::TimerDue);
     }
 }
--- a/crates/stackgw-gateway/src/lib.rs
+++ b/crates/stackgw-gateway/src/lib.rs
@@ -40,8 +40,8 @@
 /// Lines for people, or JSON objects for programs where the operator's file says so.
 fn logger(config: &config::Config) -> (Logger, slog_async::AsyncGuard) {
     let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = match config.operator.format {
-        stackgw_config::Format::Json => Box::new(slog_json::Json::default(std::io::stderr()).fuse()),
-        stackgw_config::Format::Text => {
+        stackgw_config::LogFormat::Json => Box::new(slog_json::Json::default(std::io::stderr()).fuse()),
+        stackgw_config::LogFormat::Text => {
             let plain = slog_term::PlainSyncDecorator::new(std::io::stderr());
             Box::new(slog_term::FullFormat::new(plain).use_utc_timestamp().build().fuse())
         }
--- a/crates/stackgw-gateway/src/limits.rs
+++ b/crates/stackgw-gateway/src/limits.rs
@@ -1,7 +1,7 @@
 //! Every size, count and time of the gateway, filled once at start and handed down.
 
 use stackgw_router::api::{Span, MS, SECOND};
-use stackgw_settings::HostSettings;
+use stackgw_settings::PlatformSettings;
 
 /// What the platform gives one gateway.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -148,14 +148,14 @@
 
 impl Limits {
     /// The limits that this platform and these settings allow.
-    pub fn new(platform: Platform, settings: &HostSettings) -> Self {
+    pub fn new(platform: Platform, settings: &PlatformSettings) -> Self {
         let usable = platform.sockets.saturating_sub(OWN_DESCRIPTORS).max(OWN_DESCRIPTORS);
         let member_connections = (usable as f64 * MEMBER_SHARE) as usize;
         let client_reserve = (usable as f64 * RESERVE_SHARE).ceil() as usize;
         let clients = usable - member_connections - client_reserve;
         let memory = platform.memory_mb << 20;
         let longest = settings.router.classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
-        let idle = if settings.conn_idle > 0 { settings.conn_idle } else { 30 * SECOND };
+        let idle = if settings.member_idle_timeout > 0 { settings.member_idle_timeout } else { 30 * SECOND };
         Limits {
             clients,
             client_reserve,
@@ -164,7 +164,7 @@
             soft_limit_idle: 250 * MS,
             eviction_idle: 100 * MS,
             eviction_grace: 50 * MS,
-            requests: settings.max_open,
+            requests: settings.max_open_requests,
             members: 16 << 10,
             startup_bytes: 10_000,
             statement_bytes: 2 * VALUE_BYTES + ROOM,
@@ -172,7 +172,7 @@
             answer_bytes: VALUE_BYTES.max(memory / ANSWER_PART) + ROOM,
             head_bytes: 16 << 10,
             list_bytes: 8 << 20,
-            datagram_bytes: stackgw_settings::MOST_BYTES,
+            datagram_bytes: stackgw_settings::MAX_GOSSIP_BYTES,
             read_bytes: 16 << 10,
             client_bytes: memory / 6,
             member_bytes: memory / 6,
--- a/crates/stackgw-gateway/src/pg/reply.rs
+++ b/crates/stackgw-gateway/src/pg/reply.rs
@@ -2,7 +2,7 @@
 
 use super::Frame;
 use stackgw_router::api::{LoadReport, Time, MS};
-use stackgw_settings::note_load;
+use stackgw_settings::record_load_field;
 
 /// A message that has no place in a reply, or too many of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -183,7 +183,7 @@
             "x0" => report.position = Some(nanoseconds(value)?),
             "x1" if number != 0.0 && number != 1.0 => return None,
             "inflight" | "queue" | "util" if !(0.0..LOAD_MOST).contains(&number) => return None,
-            _ => note_load(&mut report, name, number),
+            _ => record_load_field(&mut report, name, number),
         }
     }
     Some(report)
--- a/crates/stackgw-gateway/src/reducer/clients.rs
+++ b/crates/stackgw-gateway/src/reducer/clients.rs
@@ -72,11 +72,11 @@
 #[derive(Debug)]
 pub(super) struct Open {
     /// Who is still to be told.
-    pub(super) asker: Option<Asker>,
+    pub(super) asker: Option<Requester>,
     pub(super) statement: Statement,
     pub(super) deadline: Time,
     pub(super) sent: u32,
-    pub(super) out: Vec<(u32, ConnId)>,
+    pub(super) out: Vec<(u32, ConnectionId)>,
     pub(super) ended: bool,
     /// It waits for word of what its session wrote, before the router hears of it.
     pub(super) asks: Option<Box<Request>>,
@@ -99,7 +99,7 @@
         }
         self.counters.clients_silent += 1;
         log_rarely(self.counters.clients_silent, "clients that asked nothing:", out);
-        out.push(Effect::ClientRetire(id));
+        out.push(Effect::ClientCloseIfIdle(id));
     }
 
     pub(super) fn client_opened(&mut self, now: Time, id: ClientId) {
@@ -129,7 +129,7 @@
     /// What a client has sent ahead takes room from all: past its share whoever holds most of it, those first that have
     /// asked nothing yet, is told so and ends. One with a request in hand keeps its connection for the answer.
     pub(super) fn client_holds(&mut self, now: Time, id: ClientId, bytes: usize, out: &mut Vec<Effect>) {
-        let takes = self.takes(id);
+        let takes = self.accepts_frame(id);
         let Some(client) = self.clients.get_mut(&id) else { return };
         self.ahead = self.ahead - client.ahead + bytes;
         client.ahead = bytes;
@@ -169,7 +169,7 @@
                 self.evicting = Some(oldest);
                 // Danger: one that has sent something stays, and would keep all others from making room.
                 self.note_idle(now, oldest);
-                out.push(Effect::ClientRetire(oldest));
+                out.push(Effect::ClientCloseIfIdle(oldest));
             } else if let Some(at) = green.iter().map(|(used, since, _)| since + spared(*used)).min() {
                 if !std::mem::replace(&mut self.admits, true) {
                     self.set_timer(at, Due::Admit);
@@ -180,7 +180,7 @@
         let wanted = self.clients.len() < places && !self.listener_closed;
         if wanted != self.accepting {
             self.accepting = wanted;
-            out.push(Effect::Accept(wanted));
+            out.push(Effect::AcceptClients(wanted));
         }
     }
 
@@ -273,7 +273,7 @@
         self.unread -= std::mem::replace(&mut client.unread, in_line) - in_line;
         self.note_idle(now, id);
         if self.ending && now >= self.retire_at && self.clients.get(&id).is_some_and(Client::idle) {
-            out.push(Effect::ClientRetire(id));
+            out.push(Effect::ClientCloseIfIdle(id));
         }
     }
 
@@ -446,8 +446,8 @@
             self.counters.turned_away += 1;
             return;
         }
-        let asked = Statement::parse(frame).map_err(|why| Final::Malformed(why.0));
-        match asked.and_then(|statement| self.ask(now, came, Asker::Client(id), statement, out)) {
+        let asked = Statement::parse(frame).map_err(|why| FinalResponse::Malformed(why.0));
+        match asked.and_then(|statement| self.ask(now, came, Requester::Client(id), statement, out)) {
             Ok(request) => {
                 self.client_used(id);
                 if let Some(client) = self.clients.get_mut(&id) {
@@ -456,7 +456,7 @@
                 }
                 self.note_idle(now, id);
             }
-            Err(Final::Malformed(why)) => self.reject(now, id, why, out),
+            Err(FinalResponse::Malformed(why)) => self.reject(now, id, why, out),
             Err(declined) => self.client_write(now, id, declined.worded(), false, out),
         }
     }
@@ -470,7 +470,7 @@
         let silent = self.idle_clients.iter().take_while(|(used, ..)| !used).find(|(.., other)| *other != id);
         if let Some(&(.., silent)) = silent.filter(|_| surplus && full) {
             self.evicting = Some(silent);
-            out.push(Effect::ClientRetire(silent));
+            out.push(Effect::ClientCloseIfIdle(silent));
         } else if surplus && full {
             // Danger: waiting for a place, in line or here, would cost its time; it has not run, so it may go elsewhere.
             self.client_error(now, id, true, "53300", "too many connections", out);
@@ -489,11 +489,11 @@
         out: &mut Vec<Effect>,
     ) {
         if self.listener_closed {
-            return out.push(Effect::CallEnded(call, Final::NotYet("the gateway ends")));
+            return out.push(Effect::CallCompleted(call, FinalResponse::Unavailable("the gateway ends")));
         }
         self.counters.taken += 1;
-        let asked = Statement::parse(frame).map_err(|why| Final::Malformed(why.0));
-        match asked.and_then(|statement| self.ask(now, now, Asker::Call(call), statement, out)) {
+        let asked = Statement::parse(frame).map_err(|why| FinalResponse::Malformed(why.0));
+        match asked.and_then(|statement| self.ask(now, now, Requester::Call(call), statement, out)) {
             Ok(request) => {
                 if let Some(open) = self.requests.get_mut(&request) {
                     open.streams = streams && !open.statement.write;
@@ -501,8 +501,8 @@
                 self.calls.insert(call, request);
             }
             Err(declined) => {
-                self.counters.malformed += u64::from(matches!(declined, Final::Malformed(_)));
-                out.push(Effect::CallEnded(call, declined));
+                self.counters.malformed += u64::from(matches!(declined, FinalResponse::Malformed(_)));
+                out.push(Effect::CallCompleted(call, declined));
             }
         }
     }
@@ -512,42 +512,42 @@
         &mut self,
         now: Time,
         came: Time,
-        asker: Asker,
+        asker: Requester,
         statement: Statement,
         out: &mut Vec<Effect>,
-    ) -> Result<RequestId, Final> {
+    ) -> Result<RequestId, FinalResponse> {
         if self.refuses {
-            return self.decline(Final::NotYet("the gateway ends"));
+            return self.decline(FinalResponse::Unavailable("the gateway ends"));
         }
         let class = self.names.classes.iter().position(|name| *name == statement.class);
-        let class = class.ok_or(Final::Malformed("the class is unknown"))?;
+        let class = class.ok_or(FinalResponse::Malformed("the class is unknown"))?;
         if self.members.is_empty() {
             let hint = self.fixed.settings.router.limits.retry_after;
             let wait = self.starting.as_ref().filter(|_| hint).map(|s| s.start.retry_after(now));
             let text = "no list of members is known yet";
             return self.decline(match wait {
-                Some(wait) => Final::Refused(text, Some((wait + MS - 1) / MS)),
-                None => Final::NotYet(text),
+                Some(wait) => FinalResponse::Rejected(text, Some((wait + MS - 1) / MS)),
+                None => FinalResponse::Unavailable(text),
             });
         }
         if !self.members.values().any(|m| m.group == statement.cluster) {
-            return Err(Final::Malformed("the cluster is unknown"));
+            return Err(FinalResponse::Malformed("the cluster is unknown"));
         }
         let need = self.classes[class].consistency;
         if (need == Consistency::Write) != statement.write {
-            return Err(Final::Malformed("the class and the statement do not go together"));
+            return Err(FinalResponse::Malformed("the class and the statement do not go together"));
         }
         if self.open_ids.contains(&statement.id) {
             // Danger: two requests under one id are one to the members, and the owner would get the other's answer.
             self.counters.ids_taken += 1;
             log_rarely(self.counters.ids_taken, "statements under the id of an open request:", out);
-            return Err(Final::Malformed("a request with this id is open"));
+            return Err(FinalResponse::Malformed("a request with this id is open"));
         }
         if self.requests.len() >= self.limits.requests {
-            return self.decline(Final::Refused("too many requests are open", None));
+            return self.decline(FinalResponse::Rejected("too many requests are open", None));
         }
         if let Some(why) = self.shut().filter(|_| need == Consistency::Write) {
-            return self.decline(Final::Refused(why, None));
+            return self.decline(FinalResponse::Rejected(why, None));
         }
         let request = RequestId(self.next_request);
         self.next_request += 1;
@@ -587,7 +587,7 @@
     }
 
     /// Turned away before the router has seen it.
-    fn decline<T>(&mut self, declined: Final) -> Result<T, Final> {
+    fn decline<T>(&mut self, declined: FinalResponse) -> Result<T, FinalResponse> {
         self.counters.turned_away += 1;
         Err(declined)
     }
@@ -617,7 +617,7 @@
         &mut self,
         now: Time,
         request: RequestId,
-        ended: Final,
+        ended: FinalResponse,
         out: &mut Vec<Effect>,
     ) -> bool {
         let Some(open) = self.requests.get_mut(&request) else { return false };
@@ -629,10 +629,10 @@
             self.unshared(request);
         }
         match asker {
-            Some(Asker::Client(id)) => self.fill(now, id, request, ended.worded(), out),
-            Some(Asker::Call(call)) => {
+            Some(Requester::Client(id)) => self.fill(now, id, request, ended.worded(), out),
+            Some(Requester::Call(call)) => {
                 self.calls.remove(&call);
-                out.push(Effect::CallEnded(call, ended));
+                out.push(Effect::CallCompleted(call, ended));
             }
             None => {}
         }
--- a/crates/stackgw-gateway/src/reducer/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/cluster.rs
@@ -26,21 +26,21 @@
 
 pub(super) fn datagram(effect: stackgw_cluster::Effect) -> Effect {
     let stackgw_cluster::Effect::Send(to, bytes) = effect;
-    Effect::Cluster(to, bytes)
+    Effect::ClusterDatagram(to, bytes)
 }
 
 impl Reducer {
     /// Looks for the other instances from now on, as this life of this one; before [`Input::Start`].
-    pub fn join(&mut self, now: Time, others: &ClusterConfig, me: Peer) {
-        let settings = stackgw_cluster::Settings {
-            me: Identity { peer: me, address: others.options.reached_at(), turn: 0 },
-            seeds: others.options.seeds.clone(),
-            ring: others.key_ring.clone(),
-            seed: self.secret,
-            expected: others.options.expected,
+    pub fn join_cluster(&mut self, now: Time, config: &ClusterConfig, me: Peer) {
+        let settings = stackgw_cluster::ClusterSettings {
+            identity: Identity { peer: me, address: config.options.advertised_address(), rejoin_count: 0 },
+            seeds: config.options.seeds.clone(),
+            keyring: config.keyring.clone(),
+            rng_seed: self.secret,
+            expected_instances: config.options.expected,
         };
         let cluster = Cluster::new(now, settings);
-        self.cluster = Some(Box::new(Membership { cluster, file: others.options.clone(), due: None }));
+        self.cluster = Some(Box::new(Membership { cluster, file: config.options.clone(), due: None }));
         self.cluster_due_set();
     }
 
@@ -59,8 +59,8 @@
     pub(super) fn cluster_datagram(&mut self, now: Time, bytes: &[u8], out: &mut Vec<Effect>) {
         let Some(member) = self.cluster.as_mut() else { return };
         let (mut effects, mut events) = (Vec::new(), Vec::new());
-        if member.cluster.receive(now, bytes, &mut effects, &mut events).is_err() {
-            let counts = member.cluster.counts();
+        if member.cluster.handle_datagram(now, bytes, &mut effects, &mut events).is_err() {
+            let counts = member.cluster.counters();
             let refused = counts.foreign + counts.unknown_key + counts.forged + counts.malformed;
             log_rarely(refused, "datagrams refused that claim to be of this cluster:", out);
         }
@@ -91,7 +91,7 @@
                         sessions.handle_message(now, from, to, message, outputs);
                     });
                 }
-                Word::Start(body) => self.start_heard(now, &body, out),
+                Word::Bootstrap(body) => self.start_heard(now, &body, out),
             }
         }
         if met {
@@ -103,7 +103,7 @@
         let Some(member) = self.cluster.as_mut() else { return };
         member.due = None;
         let (mut effects, mut events) = (Vec::new(), Vec::new());
-        member.cluster.due(now, &mut effects, &mut events);
+        member.cluster.handle_timeout(now, &mut effects, &mut events);
         out.extend(effects.into_iter().map(datagram));
         self.cluster_events(now, events, out);
         self.cluster_due_set();
@@ -112,7 +112,7 @@
     /// Sets the membership's timer anew where its moment has changed.
     pub(super) fn cluster_due_set(&mut self) {
         let Some(member) = self.cluster.as_ref() else { return };
-        let key = self.moved(member.due, member.cluster.next_due(), Due::Cluster);
+        let key = self.moved(member.due, member.cluster.next_timeout(), Due::Cluster);
         if let Some(member) = self.cluster.as_mut() {
             member.due = Some(key);
         }
@@ -132,18 +132,18 @@
     pub(super) fn cluster_reload(
         &mut self,
         now: Time,
-        others: Option<&ClusterConfig>,
+        config: Option<&ClusterConfig>,
         out: &mut Vec<Effect>,
     ) {
-        let (member, others) = match (self.cluster.as_mut(), others) {
-            (Some(member), Some(others)) => (member, others),
+        let (member, config) = match (self.cluster.as_mut(), config) {
+            (Some(member), Some(config)) => (member, config),
             (None, None) => return,
             _ => return out.push(Effect::Log("the cluster is joined or left by a restart alone".to_owned())),
         };
-        let fixed = differs(&member.file, &others.options);
+        let fixed = differs(&member.file, &config.options);
         if !fixed.is_empty() {
             out.push(Effect::Log(format!("cluster: unchanged until a restart: {}", fixed.join(", "))));
         }
-        member.cluster.reload(now, others.key_ring.clone(), others.options.seeds.clone());
+        member.cluster.reload(now, config.keyring.clone(), config.options.seeds.clone());
     }
 }
--- a/crates/stackgw-gateway/src/reducer/ending.rs
+++ b/crates/stackgw-gateway/src/reducer/ending.rs
@@ -21,7 +21,7 @@
             return;
         }
         let idle = self.clients.iter().filter(|(_, c)| c.idle() || c.awaits_ready);
-        out.extend(idle.map(|(id, _)| Effect::ClientRetire(*id)));
+        out.extend(idle.map(|(id, _)| Effect::ClientCloseIfIdle(*id)));
         if !self.clients.is_empty() {
             self.set_timer(now + self.limits.shutdown_sweep_interval, Due::Retire);
         }
@@ -41,7 +41,7 @@
             // What was never sent may be asked for elsewhere.
             let sent = self.requests.get(&request).is_some_and(|open| open.sent > 0);
             let text = "the gateway ends";
-            let ended = if sent { Final::Failed(text) } else { Final::NotYet(text) };
+            let ended = if sent { FinalResponse::Failed(text) } else { FinalResponse::Unavailable(text) };
             let answered = self.answer(now, request, ended, out);
             self.counters.answered_failed += u64::from(answered && sent);
             self.counters.answered_refused += u64::from(answered && !sent);
--- a/crates/stackgw-gateway/src/reducer/list.rs
+++ b/crates/stackgw-gateway/src/reducer/list.rs
@@ -26,7 +26,7 @@
     /// Opens a watch, whoever wants it, and sets its clock.
     pub(super) fn open_watch(&mut self, now: Time, after: Option<u64>, out: &mut Vec<Effect>) {
         self.counters.watches += 1;
-        out.push(Effect::Watch(self.discovery, after));
+        out.push(Effect::OpenWatch(self.discovery, after));
         self.set_watch_timer(now + self.limits.watch_connect_timeout);
     }
 
@@ -34,7 +34,7 @@
     pub(super) fn unwatch(&mut self, out: &mut Vec<Effect>) {
         self.watching = false;
         self.unwatch_waits();
-        out.push(Effect::Unwatch);
+        out.push(Effect::CloseWatch);
     }
 
     /// The watch goes on, and has until then for its next word. One that is over has no clock to be set.
@@ -138,7 +138,7 @@
     pub(super) fn forget_member(&mut self, member: MemberId, out: &mut Vec<Effect>) {
         let Some(Listed { name, .. }) = self.members.remove(&member) else { return };
         self.member_ids.remove(&name);
-        self.digests.remove(member);
+        self.gossip_codec.remove(member);
         self.start_forgets(member, &name);
         self.counters.members_known -= 1;
         self.counters.members_forgotten += 1;
@@ -157,7 +157,7 @@
                 let back = self.backs.speaks(entry);
                 let known = Listed { name, group, address: entry.address, back, started: None, told: None };
                 self.members.insert(id, known);
-                self.digests.add(id, &entry.id);
+                self.gossip_codec.add(id, &entry.id);
                 self.counters.members_known += 1;
                 id
             }
@@ -192,7 +192,7 @@
     pub(super) fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         let sender = self.peers.iter().position(|peer| *peer == from);
         let known = sender.is_some_and(|n| n != self.me) && bytes.len() <= self.limits.datagram_bytes;
-        match self.digests.unpack(now, bytes).filter(|_| known) {
+        match self.gossip_codec.decode(now, bytes).filter(|_| known) {
             Some((told, relay, news)) => {
                 self.counters.words_heard += 1;
                 self.events.push_back(Event::Gossip { sent_at: told, relay, updates: news });
--- a/crates/stackgw-gateway/src/reducer/members.rs
+++ b/crates/stackgw-gateway/src/reducer/members.rs
@@ -112,7 +112,7 @@
                 None => return self.job_ended(now, member, job, Outcome::NotSent, Reply::default(), out),
             }
         }
-        let id = ConnId(self.next_conn);
+        let id = ConnectionId(self.next_conn);
         self.next_conn += 1;
         self.counters.members_opened += 1;
         self.counters.members_open += 1;
@@ -124,7 +124,7 @@
             Conn { member, phase, back, job: None, reused: false, reply, partial: false, until: 0, timer };
         self.conns.insert(id, conn);
         self.bind(id, job);
-        out.push(if back { Effect::BackOpen(id, address) } else { Effect::MemberOpen(id, address) });
+        out.push(if back { Effect::BackendConnect(id, address) } else { Effect::MemberConnect(id, address) });
     }
 
     /// Closes the idle connections to a member.
@@ -135,7 +135,7 @@
         }
     }
 
-    pub(super) fn bind(&mut self, id: ConnId, job: Job) {
+    pub(super) fn bind(&mut self, id: ConnectionId, job: Job) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.job = Some(job);
         }
@@ -146,7 +146,7 @@
         }
     }
 
-    pub(super) fn member_up(&mut self, now: Time, id: ConnId, out: &mut Vec<Effect>) {
+    pub(super) fn member_up(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Effect>) {
         let Some(conn) = self.conns.get_mut(&id).filter(|c| c.phase == Phase::Connecting) else { return };
         conn.phase = Phase::Starting;
         if conn.back {
@@ -159,7 +159,7 @@
     }
 
     /// Writes the connection's job; its time to answer begins.
-    pub(super) fn write_job(&mut self, now: Time, id: ConnId, out: &mut Vec<Effect>) {
+    pub(super) fn write_job(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Effect>) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let told = self.members.get(&conn.member).and_then(|m| m.told);
         if told.is_some_and(|told| now - told > self.limits.drain_grace) {
@@ -175,18 +175,23 @@
         }
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let back = conn.back;
-        let mut asked = Asked::default();
+        let mut asked = BackendRequest::default();
         let (bytes, until) = match conn.job {
             Some(Job::Attempt { request, give_up, .. }) => {
                 let Some(open) = self.requests.get(&request) else { return };
                 let wait_ms = ((give_up - now) / MS).max(1) as u64;
-                asked = Asked { wait_ms, writes: open.statement.write, streams: open.streams, ..asked };
+                asked = BackendRequest {
+                    timeout_ms: wait_ms,
+                    is_write: open.statement.write,
+                    may_stream: open.streams,
+                    ..asked
+                };
                 (open.statement.with_timeout(wait_ms), give_up)
             }
             Some(Job::Probe { sent }) => {
                 let mut bytes = Vec::new();
                 write::query(&mut bytes, "SHOW server_load");
-                asked.wait_ms = (self.limits.health_check_timeout / MS).max(1) as u64;
+                asked.timeout_ms = (self.limits.health_check_timeout / MS).max(1) as u64;
                 (bytes, sent + self.limits.health_check_timeout)
             }
             None => return,
@@ -195,7 +200,7 @@
         conn.until = until;
         self.set_conn_timer(id, until);
         out.push(match back {
-            true => Effect::BackAsk(id, asked.with(&bytes)),
+            true => Effect::BackendSend(id, asked.with(&bytes)),
             false => Effect::MemberWrite(id, bytes),
         });
     }
@@ -207,7 +212,7 @@
     }
 
     /// A connection that is up has its job behind it, be it answered or no longer wanted, and stands idle.
-    fn rest(&mut self, now: Time, id: ConnId, outcome: Outcome, out: &mut Vec<Effect>) {
+    fn rest(&mut self, now: Time, id: ConnectionId, outcome: Outcome, out: &mut Vec<Effect>) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.phase = Phase::Idle;
         let (member, timer) = (conn.member, conn.timer.take());
@@ -218,7 +223,7 @@
     }
 
     /// Sets a connection's one timer.
-    pub(super) fn set_conn_timer(&mut self, id: ConnId, at: Time) {
+    pub(super) fn set_conn_timer(&mut self, id: ConnectionId, at: Time) {
         let timer = self.set_timer(at, Due::Conn(id));
         let old = self.conns.get_mut(&id).and_then(|conn| conn.timer.replace(timer));
         if let Some(old) = old {
@@ -226,7 +231,7 @@
         }
     }
 
-    pub(super) fn member_written(&mut self, id: ConnId) {
+    pub(super) fn member_written(&mut self, id: ConnectionId) {
         let Some(conn) = self.conns.get_mut(&id).filter(|c| c.phase == Phase::Writing) else { return };
         conn.phase = Phase::Waiting;
         if matches!(conn.job, Some(Job::Attempt { .. })) {
@@ -234,7 +239,7 @@
         }
     }
 
-    pub(super) fn member_frame(&mut self, now: Time, id: ConnId, frame: &Frame, out: &mut Vec<Effect>) {
+    pub(super) fn member_frame(&mut self, now: Time, id: ConnectionId, frame: &Frame, out: &mut Vec<Effect>) {
         let most = self.limits.answer_bytes;
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let greeting = |kind| matches!(kind, b'R' | b'S' | b'K' | b'N' | b'v' | b'E' | b'Z');
@@ -243,17 +248,18 @@
             // Danger: a second copy or noise behind an answer would be taken for the next request's answer. Nothing
             // is in place between requests, but a member that closes an idle connection may say why.
             (Phase::Idle, _) => {
-                let why = if frame.kind == b'E' { Closed::Lost } else { Closed::Unasked };
+                let why =
+                    if frame.kind == b'E' { CloseReason::Disconnected } else { CloseReason::UnexpectedData };
                 out.push(Effect::MemberClose(id));
                 self.member_closed(now, id, why, out);
             }
             (Phase::Starting, Ok(_)) if !greeting(frame.kind) => {
                 out.push(Effect::MemberClose(id));
-                self.member_closed(now, id, Closed::Bad, out);
+                self.member_closed(now, id, CloseReason::ProtocolError, out);
             }
             (Phase::Connecting, _) | (_, Err(_)) => {
                 out.push(Effect::MemberClose(id));
-                self.member_closed(now, id, Closed::Bad, out);
+                self.member_closed(now, id, CloseReason::ProtocolError, out);
             }
             (_, Ok(false)) => {}
             (Phase::Starting, Ok(true)) => {
@@ -284,12 +290,12 @@
     }
 
     /// Part of a message is no answer yet. On an idle connection nobody asked for it; an answer that has begun goes on.
-    pub(super) fn member_partial(&mut self, now: Time, id: ConnId, out: &mut Vec<Effect>) {
+    pub(super) fn member_partial(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Effect>) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         match conn.phase {
             Phase::Idle => {
                 out.push(Effect::MemberClose(id));
-                self.member_closed(now, id, Closed::Unasked, out);
+                self.member_closed(now, id, CloseReason::UnexpectedData, out);
             }
             Phase::Waiting => {
                 // Danger: a length beyond what follows would hold its request until the client's time is over.
@@ -302,15 +308,21 @@
     }
 
     /// A connection is over. Whether its request's last byte was written tells what that means.
-    pub(super) fn member_closed(&mut self, now: Time, id: ConnId, why: Closed, out: &mut Vec<Effect>) {
+    pub(super) fn member_closed(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        why: CloseReason,
+        out: &mut Vec<Effect>,
+    ) {
         self.handshake_failed(now, id);
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        if why == Closed::Bad {
+        if why == CloseReason::ProtocolError {
             self.counters.members_bad += 1;
             log_rarely(self.counters.members_bad, "bad bytes from members:", out);
         }
         let job = conn.job;
-        if why == Closed::Unasked {
+        if why == CloseReason::UnexpectedData {
             self.counters.members_unasked += 1;
             log_rarely(self.counters.members_unasked, "connections with more than was asked for:", out);
         }
@@ -319,15 +331,17 @@
             outcome(&conn.reply).filter(|ended| *ended != Outcome::Served || conn.reply.is_complete());
         let outcome = match conn.phase {
             Phase::Idle => {
-                self.counters.members_closed += u64::from(why == Closed::Lost);
+                self.counters.members_closed += u64::from(why == CloseReason::Disconnected);
                 self.pool.remove(id);
                 return self.forget(id);
             }
-            Phase::Writing if conn.reused && why != Closed::Bad && ended.is_none() => {
+            Phase::Writing if conn.reused && why != CloseReason::ProtocolError && ended.is_none() => {
                 // It had closed while idle, so this request has not been sent at all yet.
                 return self.reopen(now, id, job, out);
             }
-            Phase::Starting if why == Closed::Lost && ended.is_none() && !job.is_some_and(Job::is_again) => {
+            Phase::Starting
+                if why == CloseReason::Disconnected && ended.is_none() && !job.is_some_and(Job::is_again) =>
+            {
                 // It came up, so somebody listens; what broke is this connection.
                 return self.reopen(now, id, job.map(Job::once_more), out);
             }
@@ -335,17 +349,17 @@
             Phase::Streaming { .. } => {
                 return self.member_stream_over(now, id, Outcome::ConnectionReset, out)
             }
-            Phase::Waiting if why == Closed::Unsent && ended.is_none() => Outcome::ConnectFailed,
+            Phase::Waiting if why == CloseReason::NotSent && ended.is_none() => Outcome::ConnectFailed,
             Phase::Starting | Phase::Writing if ended == Some(Outcome::Overloaded) => Outcome::Overloaded,
             Phase::Starting | Phase::Writing => Outcome::ConnectFailed,
-            Phase::Waiting if why == Closed::Bad => Outcome::MalformedResponse,
+            Phase::Waiting if why == CloseReason::ProtocolError => Outcome::MalformedResponse,
             Phase::Waiting => ended.unwrap_or(Outcome::ConnectionReset),
         };
         self.end_job(now, id, outcome, out);
     }
 
     /// Gives a job whose bytes have not been sent at all another connection.
-    fn reopen(&mut self, now: Time, id: ConnId, job: Option<Job>, out: &mut Vec<Effect>) {
+    fn reopen(&mut self, now: Time, id: ConnectionId, job: Option<Job>, out: &mut Vec<Effect>) {
         let Some(member) = self.conns.get(&id).map(|conn| conn.member) else { return };
         self.counters.members_reopened += 1;
         self.unbind(id);
@@ -356,7 +370,7 @@
     }
 
     /// A connection ends, or its time is up: where it was still coming up, that turn has brought nothing.
-    fn handshake_failed(&mut self, now: Time, id: ConnId) {
+    fn handshake_failed(&mut self, now: Time, id: ConnectionId) {
         let coming = |c: &&Conn| matches!(c.phase, Phase::Connecting | Phase::Starting);
         if let Some(member) = self.conns.get(&id).filter(coming).map(|conn| conn.member) {
             self.deal(|deal| deal.record_failure(now, member));
@@ -364,7 +378,7 @@
     }
 
     /// A connection's time is up: it did not come up, or its attempt or probe is given up.
-    pub(super) fn conn_due(&mut self, now: Time, id: ConnId, out: &mut Vec<Effect>) {
+    pub(super) fn conn_due(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Effect>) {
         self.handshake_failed(now, id);
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.timer = None;
@@ -382,7 +396,13 @@
     /// Danger: a handshake that a member has begun costs it the same whether or not somebody still waits. Thrown away, it is
     /// asked for again by the next attempt, and a fleet that starts before busy members does nothing but shake hands. One for
     /// each member is let come up for whoever asks next.
-    pub(super) fn give_up_conn(&mut self, now: Time, id: ConnId, outcome: Outcome, out: &mut Vec<Effect>) {
+    pub(super) fn give_up_conn(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        outcome: Outcome,
+        out: &mut Vec<Effect>,
+    ) {
         let begun = |c: &&Conn| c.phase == Phase::Starting && !c.back && c.job.is_some();
         let member = self.conns.get(&id).filter(begun).map(|conn| conn.member);
         let serves = |m: &MemberId| self.members.get(m).is_some_and(|known| known.told.is_none());
@@ -398,7 +418,7 @@
         }
     }
 
-    pub(super) fn unbind(&mut self, id: ConnId) -> Option<Job> {
+    pub(super) fn unbind(&mut self, id: ConnectionId) -> Option<Job> {
         let job = self.conns.get_mut(&id)?.job.take()?;
         if let Job::Attempt { request, .. } = job {
             if let Some(open) = self.requests.get_mut(&request) {
@@ -408,7 +428,7 @@
         Some(job)
     }
 
-    pub(super) fn forget(&mut self, id: ConnId) {
+    pub(super) fn forget(&mut self, id: ConnectionId) {
         if let Some(conn) = self.conns.remove(&id) {
             self.counters.members_open -= 1;
             self.ways_changed(conn.member);
@@ -422,7 +442,7 @@
     }
 
     /// Ends the job of a connection, which is forgotten unless it stands idle again.
-    pub(super) fn end_job(&mut self, now: Time, id: ConnId, outcome: Outcome, out: &mut Vec<Effect>) {
+    pub(super) fn end_job(&mut self, now: Time, id: ConnectionId, outcome: Outcome, out: &mut Vec<Effect>) {
         let job = self.unbind(id);
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let (member, mut reply) = (conn.member, std::mem::take(&mut conn.reply));
@@ -469,7 +489,7 @@
         if outcome == Outcome::Served && !ended {
             let row = std::mem::take(&mut reply.row);
             if let Some(row) = self.hold_write(now, request, reply.position, row, out) {
-                let answered = self.answer(now, request, Final::Served(row), out);
+                let answered = self.answer(now, request, FinalResponse::Served(row), out);
                 self.counters.answered_served += u64::from(answered);
             }
         }
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -19,7 +19,7 @@
 use crate::pg::{self, code, write, Frame, Reply, ReplyOutcome, Statement};
 use crate::pool::Pool;
 use stackgw_router::{api::*, Router};
-use stackgw_settings::{Digests, HostSettings, Names};
+use stackgw_settings::{GossipCodec, NameTable, PlatformSettings};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -28,10 +28,10 @@
 use list::Listed;
 use members::{Conn, Job, Phase};
 use reload::Fixed;
-pub use sessions::Life;
+pub use sessions::Incarnation;
 use sessions::Shared;
 use start::Starting;
-pub use streams::{Asked, Said};
+pub use streams::{BackendRequest, StreamHeader};
 
 /// A client's connection, numbered by the I/O side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -41,7 +41,7 @@
 pub struct CallId(pub u64);
 /// Who is to be told how a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Asker {
+pub enum Requester {
     /// A client of our first protocol, in its place in that client's line.
     Client(ClientId),
     /// Another front.
@@ -50,31 +50,31 @@
 
 /// A request's one final answer, before any protocol has worded it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalResponse {
     /// The row's description, the row and its completion, as the member gave them.
     Served(Vec<u8>),
     /// Trying again is harmless; perhaps after so many milliseconds.
-    Refused(&'static str, Option<i64>),
+    Rejected(&'static str, Option<i64>),
     /// No list of members is known, or the gateway ends; the same otherwise.
-    NotYet(&'static str),
+    Unavailable(&'static str),
     /// Nothing is promised.
     Failed(&'static str),
     /// The request itself is at fault.
     Malformed(&'static str),
 }
 
-impl Final {
+impl FinalResponse {
     /// The messages of our first protocol.
     fn worded(self) -> Vec<u8> {
         let (code, text, wait) = match self {
-            Final::Served(mut row) => {
+            FinalResponse::Served(mut row) => {
                 write::ready(&mut row);
                 return row;
             }
-            Final::Refused(text, wait) => ("53300", text, wait),
-            Final::NotYet(text) => ("57P03", text, None),
-            Final::Failed(text) => ("58000", text, None),
-            Final::Malformed(text) => ("42601", text, None),
+            FinalResponse::Rejected(text, wait) => ("53300", text, wait),
+            FinalResponse::Unavailable(text) => ("57P03", text, None),
+            FinalResponse::Failed(text) => ("58000", text, None),
+            FinalResponse::Malformed(text) => ("42601", text, None),
         };
         clients::error_reply(false, code, text, wait.map(|ms| ms.to_string()).as_deref())
     }
@@ -82,19 +82,19 @@
 
 /// A connection to a member, numbered here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// Why a connection is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Closed {
+pub enum CloseReason {
     /// The other side closed or broke it, or it never came up.
-    Lost,
+    Disconnected,
     /// The same, and what was asked on it is known never to have left.
-    Unsent,
+    NotSent,
     /// Its bytes are no protocol.
-    Bad,
+    ProtocolError,
     /// Something was on it that nobody had asked for.
-    Unasked,
+    UnexpectedData,
 }
 
 /// What happened outside.
@@ -103,55 +103,55 @@
     /// The gateway starts.
     Start,
     /// A client connected.
-    ClientOpened(ClientId),
+    ClientConnected(ClientId),
     /// A client's whole message; handed over only where [`Reducer::takes`] says so.
     ClientFrame(ClientId, Frame),
     /// A client has sent so much that has not been taken yet, be it half a message or more than one.
-    ClientHolds(ClientId, usize),
+    ClientReadAhead(ClientId, usize),
     /// All that was to be written to a client is written.
     ClientFlushed(ClientId),
     /// A client's connection is over.
-    ClientClosed(ClientId, Closed),
+    ClientClosed(ClientId, CloseReason),
     /// A connection to a member came up.
-    MemberUp(ConnId),
+    MemberConnected(ConnectionId),
     /// The last byte of what was to be written to a member is written.
-    MemberWritten(ConnId),
+    MemberFlushed(ConnectionId),
     /// A member's whole message.
-    MemberFrame(ConnId, Frame),
+    MemberFrame(ConnectionId, Frame),
     /// What a member has sent so far ends inside an answer or a message.
-    MemberPartial(ConnId),
+    MemberPartialFrame(ConnectionId),
     /// A connection to a member is over, or never came up.
-    MemberClosed(ConnId, Closed),
+    MemberClosed(ConnectionId, CloseReason),
     /// The watch brought a list, or the whole list that was asked for came.
-    List(ListUpdate),
+    EndpointList(ListUpdate),
     /// The watch's connection is up, and it has been asked for.
-    WatchUp,
+    WatchConnected,
     /// The watch brought a line without news.
-    WatchAlive,
+    WatchKeepalive,
     /// The watch ended, or could not be opened; the text says why.
     WatchLost(WatchError),
     /// The list could not be had.
     FetchFailed,
     /// A datagram.
-    Datagram(SocketAddr, Vec<u8>),
+    GossipDatagram(SocketAddr, Vec<u8>),
     /// A datagram from another instance of the operator's cluster.
-    Cluster(Vec<u8>),
+    ClusterDatagram(Vec<u8>),
     /// A member's answer comes as a stream and has begun; what it says of the member came before it.
-    MemberStreams(ConnId, Said),
+    StreamStarted(ConnectionId, StreamHeader),
     /// A member's stream waits for its reader.
-    MemberStreamWaits(ConnId),
+    StreamPaused(ConnectionId),
     /// A member's stream is over; its connection is idle again where it is [`Outcome::Served`].
-    MemberStreamOver(ConnId, Outcome),
+    StreamEnded(ConnectionId, Outcome),
     /// A request by another front, whose statement is in the form of our first protocol; whether its answer may be a stream.
     Call(CallId, Frame, bool),
     /// Nobody waits for that request any more.
-    CallGone(CallId),
+    CallCancelled(CallId),
     /// Word of the disk.
-    Disk(stackgw_store::Done),
+    StoreEvent(stackgw_store::CommitOutcome),
     /// Somebody at the local socket asks.
-    Question(u64, Question),
+    StatusQuery(u64, StatusQuery),
     /// The time that [`Reducer::next_due`] named has come.
-    Due,
+    TimerDue,
     /// The configuration as it stands now, or why it cannot be used.
     Reload(Result<Box<Config>, String>),
     /// Finish what was taken and end.
@@ -164,20 +164,20 @@
 
 /// What somebody at the local socket wants to know.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Question {
+pub enum StatusQuery {
     /// What is known of sessions, and why not for sure.
     Sessions,
     /// What is held of one session of a group.
     Session(u32, String),
     /// Where the list is from.
-    List,
+    EndpointList,
 }
 
 /// What is to be done outside.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Take new clients, or leave them waiting.
-    Accept(bool),
+    AcceptClients(bool),
     /// Write to a client; then, if `close`, close.
     ClientWrite {
         /// Whom.
@@ -190,37 +190,37 @@
     /// Close a client's connection at once.
     ClientClose(ClientId),
     /// Close a client's connection unless it has sent something by now, which is then to be handed over.
-    ClientRetire(ClientId),
+    ClientCloseIfIdle(ClientId),
     /// Open a connection to a member.
-    MemberOpen(ConnId, SocketAddr),
+    MemberConnect(ConnectionId, SocketAddr),
     /// Open a connection to a member that speaks another front's protocol.
-    BackOpen(ConnId, SocketAddr),
+    BackendConnect(ConnectionId, SocketAddr),
     /// Ask on such a connection. It counts as written at once.
-    BackAsk(ConnId, Asked),
+    BackendSend(ConnectionId, BackendRequest),
     /// Write to a member.
-    MemberWrite(ConnId, Vec<u8>),
+    MemberWrite(ConnectionId, Vec<u8>),
     /// Close a connection to a member.
-    MemberClose(ConnId),
+    MemberClose(ConnectionId),
     /// Open a watch, at this address, of what changes after this version, in place of any other.
-    Watch(SocketAddr, Option<u64>),
+    OpenWatch(SocketAddr, Option<u64>),
     /// Close the watch.
-    Unwatch,
+    CloseWatch,
     /// Ask for the whole list at this address, in place of any other such question.
-    Fetch(SocketAddr),
+    FetchEndpoints(SocketAddr),
     /// Send a datagram.
-    Datagram(SocketAddr, Vec<u8>),
+    GossipDatagram(SocketAddr, Vec<u8>),
     /// Send a datagram to another instance of the operator's cluster.
-    Cluster(SocketAddr, Vec<u8>),
+    ClusterDatagram(SocketAddr, Vec<u8>),
     /// The end of another front's request.
-    CallEnded(CallId, Final),
-    /// Another front's request is answered by the stream on this connection; [`Input::CallGone`] ends it.
-    CallStreams(CallId, ConnId),
+    CallCompleted(CallId, FinalResponse),
+    /// Another front's request is answered by the stream on this connection; [`Input::CallCancelled`] ends it.
+    CallStreaming(CallId, ConnectionId),
     /// Keep a record on the disk.
-    Store(stackgw_sessions::Record),
+    StoreRecord(stackgw_sessions::Record),
     /// Keep the list on the disk.
-    Keep(Box<stackgw_start::CachedEndpoints>),
+    StoreEndpoints(Box<stackgw_start::CachedEndpoints>),
     /// The answer to a question at the local socket.
-    Told(u64, serde_json::Value),
+    StatusReply(u64, serde_json::Value),
     /// Take what waits in line, then close the listener.
     StopListening,
     /// A line for the log.
@@ -236,7 +236,7 @@
 enum Due {
     Router(u64),
     /// A connection's connect limit, or the time that its attempt or probe may take.
-    Conn(ConnId),
+    Conn(ConnectionId),
     /// A look at what stands idle or still.
     Sweep,
     Watch,
@@ -263,19 +263,19 @@
 /// The router's clock. Its interface promises events no closer together than a tick; what comes closer is of the same
 /// moment. Danger: after a pause of this process the first of many late answers would alone count as late through it.
 #[derive(Debug, Clone, Copy)]
-pub struct Moments {
+pub struct TickClock {
     tick: Span,
     at: Option<Time>,
 }
 
-impl Moments {
-    /// Moments at least this far apart.
+impl TickClock {
+    /// Ticks at least this far apart.
     pub fn new(tick: Span) -> Self {
-        Moments { tick, at: None }
+        TickClock { tick, at: None }
     }
 
     /// The moment that this time belongs to.
-    pub fn of(&mut self, now: Time) -> Time {
+    pub fn tick_of(&mut self, now: Time) -> Time {
         match self.at {
             Some(at) if now - at < self.tick => at,
             _ => *self.at.insert(now),
@@ -287,7 +287,7 @@
 pub struct Reducer {
     router: Router,
     limits: Limits,
-    names: Names,
+    names: NameTable,
     classes: Vec<Class>,
     subscribed: bool,
     peers: Vec<SocketAddr>,
@@ -297,7 +297,7 @@
     members: BTreeMap<MemberId, Listed>,
     member_ids: HashMap<String, MemberId>,
     next_member: u32,
-    digests: Digests,
+    gossip_codec: GossipCodec,
     /// Who has the list, and whether it has been asked for and not come.
     discovery: SocketAddr,
     fetching: bool,
@@ -324,14 +324,14 @@
     /// The ids of these requests.
     open_ids: HashSet<String>,
     next_request: u64,
-    conns: HashMap<ConnId, Conn>,
+    conns: HashMap<ConnectionId, Conn>,
     next_conn: u64,
     pool: Pool,
     /// For each member the connection that comes up with nobody waiting for it.
-    coming: BTreeMap<MemberId, ConnId>,
+    coming: BTreeMap<MemberId, ConnectionId>,
     /// Which members speak another front's protocol.
     backs: streams::Backs,
-    moments: Moments,
+    moments: TickClock,
     timers: BTreeMap<TimerKey, Due>,
     next_timer: u64,
     events: VecDeque<Event>,
@@ -383,12 +383,12 @@
             peers_all: config.peers_all,
             me: settings.instance_index as usize,
             known: config.initial_endpoints,
-            moments: Moments::new(settings.tick),
+            moments: TickClock::new(settings.tick),
             router: Router::new(settings, config.seed),
             members: BTreeMap::new(),
             member_ids: HashMap::new(),
             next_member: 0,
-            digests: Digests::default(),
+            gossip_codec: GossipCodec::default(),
             revision: None,
             watching: false,
             watch_until: None,
@@ -425,13 +425,13 @@
         }
     }
 
-    /// When [`Input::Due`] is wanted next.
+    /// When [`Input::TimerDue`] is wanted next.
     pub fn next_due(&self) -> Option<Time> {
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
     /// Whether a client's next message is taken now; else it waits where it is.
-    pub fn takes(&self, client: ClientId) -> bool {
+    pub fn accepts_frame(&self, client: ClientId) -> bool {
         let room = self.counters.held_bytes < self.limits.client_bytes as u64;
         // Danger: a cancel that waited for the room that its own request takes would come too late.
         let takes =
@@ -445,11 +445,11 @@
     }
 
     /// Each member that the router keeps: what it believes of it, and what the connections show.
-    pub fn seen(&self) -> impl Iterator<Item = Seen> + '_ {
+    pub fn member_statuses(&self) -> impl Iterator<Item = MemberStatus> + '_ {
         self.router.member_snapshots().map(|(id, belief)| {
             let name = self.members.get(&id).map_or("?", |m| m.name.as_str()).to_owned();
             let on = |c: &&Conn| c.member == id && matches!(c.job, Some(Job::Attempt { .. }));
-            Seen { name, belief, out: self.conns.values().filter(on).count() as u32 }
+            MemberStatus { name, snapshot: belief, attempts: self.conns.values().filter(on).count() as u32 }
         })
     }
 
@@ -457,23 +457,23 @@
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
         match input {
             Input::Start => self.start(now, out),
-            Input::ClientOpened(id) => self.client_opened(now, id),
+            Input::ClientConnected(id) => self.client_opened(now, id),
             Input::ClientFrame(id, frame) => self.client_frame(now, id, frame, out),
-            Input::ClientHolds(id, bytes) => self.client_holds(now, id, bytes, out),
+            Input::ClientReadAhead(id, bytes) => self.client_holds(now, id, bytes, out),
             Input::ClientFlushed(id) => self.client_flushed(now, id, out),
-            Input::ClientClosed(id, Closed::Bad) => self.client_bad(now, id, out),
+            Input::ClientClosed(id, CloseReason::ProtocolError) => self.client_bad(now, id, out),
             Input::ClientClosed(id, _) => self.client_gone(id),
-            Input::MemberUp(id) => self.member_up(now, id, out),
-            Input::MemberWritten(id) => self.member_written(id),
+            Input::MemberConnected(id) => self.member_up(now, id, out),
+            Input::MemberFlushed(id) => self.member_written(id),
             Input::MemberFrame(id, frame) => self.member_frame(now, id, &frame, out),
-            Input::MemberPartial(id) => self.member_partial(now, id, out),
+            Input::MemberPartialFrame(id) => self.member_partial(now, id, out),
             Input::MemberClosed(id, why) => self.member_closed(now, id, why, out),
-            Input::MemberStreams(id, said) => self.member_streams(now, id, said, out),
-            Input::MemberStreamWaits(id) => self.member_stream_waits(id),
-            Input::MemberStreamOver(id, outcome) => self.member_stream_over(now, id, outcome, out),
-            Input::List(list) => self.list(now, list, out),
-            Input::WatchUp => self.watch_wait(now + self.limits.watch_first_line_timeout),
-            Input::WatchAlive => {
+            Input::StreamStarted(id, said) => self.member_streams(now, id, said, out),
+            Input::StreamPaused(id) => self.member_stream_waits(id),
+            Input::StreamEnded(id, outcome) => self.member_stream_over(now, id, outcome, out),
+            Input::EndpointList(list) => self.list(now, list, out),
+            Input::WatchConnected => self.watch_wait(now + self.limits.watch_first_line_timeout),
+            Input::WatchKeepalive => {
                 self.watch_wait(now + self.limits.watch_idle_timeout);
                 self.with_start(now, out, |start, outputs| start.handle_watch_heartbeat(now, outputs));
             }
@@ -482,16 +482,16 @@
                 self.fetching = false;
                 self.list_failed();
             }
-            Input::Datagram(from, bytes) => self.datagram(now, from, &bytes),
-            Input::Cluster(bytes) => self.cluster_datagram(now, &bytes, out),
+            Input::GossipDatagram(from, bytes) => self.datagram(now, from, &bytes),
+            Input::ClusterDatagram(bytes) => self.cluster_datagram(now, &bytes, out),
             Input::Call(call, frame, streams) => self.call(now, call, frame, streams, out),
-            Input::CallGone(call) => self.call_gone(now, call, out),
-            Input::Disk(done) => self.disk(now, done, out),
-            Input::Question(asker, question) => {
+            Input::CallCancelled(call) => self.call_gone(now, call, out),
+            Input::StoreEvent(done) => self.disk(now, done, out),
+            Input::StatusQuery(asker, question) => {
                 let told = self.tell(now, question);
-                out.push(Effect::Told(asker, told));
+                out.push(Effect::StatusReply(asker, told));
             }
-            Input::Due => self.due(now, out),
+            Input::TimerDue => self.due(now, out),
             Input::Reload(config) => self.reload(now, config, out),
             Input::Terminate => self.terminate(now, out),
             Input::ListenerClosed => {
@@ -503,8 +503,8 @@
             }
             Input::Report => {
                 out.push(Effect::Report(Box::new(self.counters.clone())));
-                out.extend(self.seen().map(|seen| Effect::Log(seen.line(now))));
-                let met = self.cluster.as_ref().map(|member| member.cluster.counts()).unwrap_or_default();
+                out.extend(self.member_statuses().map(|seen| Effect::Log(seen.line(now))));
+                let met = self.cluster.as_ref().map(|member| member.cluster.counters()).unwrap_or_default();
                 out.extend(self.shared.iter().map(|shared| Effect::Log(shared.line(now, met))));
                 out.extend(self.starting.iter().map(|starting| Effect::Log(starting.line(now))));
             }
@@ -540,7 +540,7 @@
             self.tell_ways(now);
             let Some(event) = self.events.pop_front() else { return };
             let mut actions = std::mem::take(&mut self.actions);
-            self.router.handle(self.moments.of(now), event, &mut actions);
+            self.router.handle(self.moments.tick_of(now), event, &mut actions);
             for action in actions.drain(..) {
                 self.act(now, action, out);
             }
@@ -560,12 +560,12 @@
             }
             Action::Reject { request, retry_after } => {
                 let wait = retry_after.map(|wait| (wait + MS - 1) / MS);
-                let refused = Final::Refused("not now, trying again is harmless", wait);
+                let refused = FinalResponse::Rejected("not now, trying again is harmless", wait);
                 let answered = self.answer(now, request, refused, out);
                 self.counters.answered_refused += u64::from(answered);
             }
             Action::Fail(request) => {
-                let answered = self.answer(now, request, Final::Failed("the request failed"), out);
+                let answered = self.answer(now, request, FinalResponse::Failed("the request failed"), out);
                 self.counters.answered_failed += u64::from(answered);
             }
             Action::SetTimer { after, token } => {
@@ -579,10 +579,10 @@
             Action::ForgetMember(member) => self.forget_member(member, out),
             Action::SendGossip { to, updates: news } => {
                 let address = to.map_or(self.peers_all, |n| self.peers.get(n as usize).copied());
-                for body in self.digests.pack(now, to.is_some(), &news) {
+                for body in self.gossip_codec.encode(now, to.is_some(), &news) {
                     if let Some(address) = address {
                         self.counters.words_sent += 1;
-                        out.push(Effect::Datagram(address, body));
+                        out.push(Effect::GossipDatagram(address, body));
                     }
                 }
             }
@@ -598,7 +598,7 @@
             }
             Action::FetchEndpointList => {
                 self.fetching = true;
-                out.push(Effect::Fetch(self.discovery));
+                out.push(Effect::FetchEndpoints(self.discovery));
             }
             Action::Log(text) => out.push(Effect::Log(text)),
         }
@@ -629,7 +629,7 @@
                 }
                 Due::WatchSilent => {
                     self.unwatch_waits();
-                    out.push(Effect::Unwatch);
+                    out.push(Effect::CloseWatch);
                     self.watch_lost(now, "silent".into(), out);
                 }
                 Due::Admit => self.admits = false,
@@ -685,16 +685,16 @@
 
 /// A member as the router takes it to be, beside what is out to it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
+pub struct MemberStatus {
     /// Its name.
     pub name: String,
     /// What the router believes.
-    pub belief: MemberSnapshot,
+    pub snapshot: MemberSnapshot,
     /// Attempts on connections to it.
-    pub out: u32,
+    pub attempts: u32,
 }
 
-impl Seen {
+impl MemberStatus {
     fn line(&self, now: Time) -> String {
         let MemberSnapshot {
             in_flight,
@@ -702,10 +702,10 @@
             latency_ratio: strain,
             concurrency_limit: limit,
             position,
-        } = self.belief;
+        } = self.snapshot;
         let age = position.map_or("never heard".to_owned(), |at| format!("{} ms old", (now - at) / MS));
         let left = if out { ", left out but for trials" } else { "" };
-        let (name, here) = (&self.name, self.out);
+        let (name, here) = (&self.name, self.attempts);
         format!("member {name}: {in_flight} in flight ({here} on connections), limit {limit:.1}, strain {strain:.2}, position {age}{left}")
     }
 }
--- a/crates/stackgw-gateway/src/reducer/reload.rs
+++ b/crates/stackgw-gateway/src/reducer/reload.rs
@@ -8,10 +8,10 @@
     pub(super) name: String,
     pub(super) listen: SocketAddr,
     pub(super) peer_listen: Option<SocketAddr>,
-    pub(super) settings: HostSettings,
+    pub(super) settings: PlatformSettings,
     pub(super) limits: Limits,
     /// What another front runs by: its thread has it from its start on.
-    flight: Option<(stackgw_config::Flight, stackgw_cluster::Ring)>,
+    flight: Option<(stackgw_config::Flight, stackgw_cluster::Keyring)>,
 }
 
 impl Fixed {
@@ -62,7 +62,7 @@
         self.shared_reload(now, config.session_sharing, out);
         (self.peers, self.peers_all) = (config.peers, config.peers_all);
         let moved = std::mem::replace(&mut self.discovery, config.discovery) != config.discovery;
-        let seeds = config.cluster.map(|others| others.options.seeds).unwrap_or_default();
+        let seeds = config.cluster.map(|cluster| cluster.options.seeds).unwrap_or_default();
         self.start_reload(now, config.bootstrap.as_ref(), &seeds, moved, out);
         if !moved || self.starting.is_some() {
             return;
@@ -74,7 +74,7 @@
             self.watch(now, out);
         }
         if self.fetching {
-            out.push(Effect::Fetch(self.discovery));
+            out.push(Effect::FetchEndpoints(self.discovery));
         }
     }
 }
--- a/crates/stackgw-gateway/src/reducer/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/sessions.rs
@@ -9,7 +9,7 @@
     NodeId, Output, Peer, PeerStatus, ReadRequirement, Recovered, SessionKey, Sessions, Settings,
     StoreFailure, UncertaintyReason, WriteAdmission,
 };
-use stackgw_store::Done;
+use stackgw_store::CommitOutcome;
 use std::collections::BTreeMap as Map;
 
 /// A held write is given up this many ticks before its client's time is over, so that the word still arrives.
@@ -22,17 +22,17 @@
 
 /// One life of an instance: what its disk gave it at start.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Life {
+pub struct Incarnation {
     /// Higher than that of any life before.
-    pub incarnation: u64,
+    pub number: u64,
     /// What the disk had; `None`: there is no disk.
     pub recovered: Option<Recovered>,
 }
 
-impl Life {
+impl Incarnation {
     /// The instance of this name in this life.
     pub fn peer(&self, name: &str) -> Peer {
-        Peer { node: NodeId::of(name), incarnation: self.incarnation }
+        Peer { node: NodeId::of(name), incarnation: self.number }
     }
 }
 
@@ -61,7 +61,7 @@
         now: Time,
         config: &SessionSharingConfig,
         name: &str,
-        life: Life,
+        life: Incarnation,
         outputs: &mut Vec<Output>,
     ) -> Self {
         let file = &config.options;
@@ -103,7 +103,7 @@
     }
 
     /// One line for the log.
-    pub(super) fn line(&self, now: Time, met: stackgw_cluster::Counts) -> String {
+    pub(super) fn line(&self, now: Time, met: stackgw_cluster::DatagramCounters) -> String {
         let status = self.sessions.status(now);
         let counts = status.counters;
         let sure = status.uncertainty.map_or("sure".to_owned(), |why| self.why(why));
@@ -123,11 +123,11 @@
             json!({"name": name(&other.node), "incarnation": other.incarnation,
                 "pledged_for_ms": other.lease_held_for / MS, "bound_for_ms": other.lease_granted_for / MS, "owed": other.unacknowledged})
         };
-        let seen = |seen: &stackgw_cluster::Seen| {
+        let seen = |seen: &stackgw_cluster::InstanceStatus| {
             json!({"name": name(&seen.identity.peer.node), "incarnation": seen.identity.peer.incarnation,
                 "address": seen.identity.address.to_string(), "up": seen.up})
         };
-        let (counts, met) = (status.counters, cluster.counts());
+        let (counts, met) = (status.counters, cluster.counters());
         let cautious: serde_json::Map<String, Value> =
             self.cautious.iter().map(|(why, n)| (self.why(*why), json!(n))).collect();
         json!({
@@ -135,7 +135,7 @@
             "sure": status.uncertainty.is_none(),
             "unsure_because": status.uncertainty.map(|why| self.why(why)),
             "keepers": status.peers.iter().map(other).collect::<Vec<_>>(),
-            "instances": cluster.known().map(seen).collect::<Vec<_>>(), "epoch": cluster.epoch(),
+            "instances": cluster.instances().map(seen).collect::<Vec<_>>(), "epoch": cluster.epoch(),
             "marks": status.positions, "marks_pushed_out": status.evicted, "own_marks": status.local_writes,
             "waiting": status.pending, "cautious_because": cautious,
             "counts": {"sure_here": counts.answered_locally, "sure_there": counts.answered_by_owner, "cautious": counts.strong_reads,
@@ -172,15 +172,15 @@
 
 impl Reducer {
     /// Turns sessions across instances on, before [`Input::Start`].
-    pub fn share_sessions(
+    pub fn enable_session_sharing(
         &mut self,
         now: Time,
         config: &SessionSharingConfig,
-        life: Life,
+        life: Incarnation,
         out: &mut Vec<Effect>,
     ) {
         let mut outputs = Vec::new();
-        self.join(now, &ClusterConfig::from(config), life.peer(&self.fixed.name));
+        self.join_cluster(now, &ClusterConfig::from(config), life.peer(&self.fixed.name));
         let shared = Shared::new(now, config, &self.fixed.name, life, &mut outputs);
         self.shared = Some(Box::new(shared));
         self.shared_outputs(now, outputs, out);
@@ -205,7 +205,7 @@
                 Output::Send(to, message) => {
                     self.cluster_send(out, |cluster, effects| cluster.send(to, &message, effects));
                 }
-                Output::Store(record) => out.push(Effect::Store(record)),
+                Output::Store(record) => out.push(Effect::StoreRecord(record)),
                 Output::Release(ticket) => self.release(now, RequestId(ticket), out),
                 Output::ReadRequirement(ticket, knowledge) => {
                     self.session_known(now, RequestId(ticket), knowledge)
@@ -217,22 +217,22 @@
         }
     }
 
-    pub(super) fn disk(&mut self, now: Time, done: Done, out: &mut Vec<Effect>) {
+    pub(super) fn disk(&mut self, now: Time, done: CommitOutcome, out: &mut Vec<Effect>) {
         match done {
-            Done::Stored(records) => {
+            CommitOutcome::Stored(records) => {
                 self.with_shared(now, out, |s, outputs| s.handle_records_stored(now, records, outputs))
             }
-            Done::Failed { why, void } => {
-                let what = if void {
+            CommitOutcome::Failed { error, quarantined } => {
+                let what = if quarantined {
                     "it was set aside; a restart will be cautious"
                 } else {
                     "writes are turned away"
                 };
-                out.push(Effect::Log(format!("{why}; {what}")));
+                out.push(Effect::Log(format!("{error}; {what}")));
                 if let Some(shared) = self.shared.as_mut() {
                     shared.disk_failed = true;
                 }
-                let failure = if void { StoreFailure::SetAside } else { StoreFailure::LeftInPlace };
+                let failure = if quarantined { StoreFailure::SetAside } else { StoreFailure::LeftInPlace };
                 self.with_shared(now, out, |s, outputs| s.handle_store_failure(now, failure, outputs));
             }
         }
@@ -242,11 +242,12 @@
     pub(super) fn shut(&self) -> Option<&'static str> {
         let (shared, member) = (self.shared.as_ref()?, self.cluster.as_ref()?);
         let roster = shared.sessions.replica_set();
-        let keeper = |seen: &stackgw_cluster::Seen| seen.up && roster.contains(seen.identity.peer.node);
+        let keeper =
+            |seen: &stackgw_cluster::InstanceStatus| seen.up && roster.contains(seen.identity.peer.node);
         if !shared.sessions.can_release() {
             return Some("this gateway's disk failed, another one takes writes");
         }
-        let cut = !shared.sessions.is_replica() && !member.cluster.known().any(keeper);
+        let cut = !shared.sessions.is_replica() && !member.cluster.instances().any(keeper);
         cut.then_some("no keeper of sessions is known here, another gateway takes writes")
     }
 
@@ -376,7 +377,7 @@
 
     fn release(&mut self, now: Time, request: RequestId, out: &mut Vec<Effect>) {
         let Some(row) = self.take_held(request) else { return };
-        let answered = self.answer(now, request, Final::Served(row), out);
+        let answered = self.answer(now, request, FinalResponse::Served(row), out);
         self.counters.answered_served += u64::from(answered);
     }
 
@@ -391,7 +392,7 @@
             log_rarely(shared.in_doubt, "writes served whose session could not be told in time:", out);
         }
         let text = "the write was sent and may have run, its answer could not be confirmed";
-        let answered = self.answer(now, request, Final::Failed(text), out);
+        let answered = self.answer(now, request, FinalResponse::Failed(text), out);
         self.counters.answered_failed += u64::from(answered);
     }
 
@@ -404,12 +405,12 @@
     }
 
     /// Answers somebody at the local socket.
-    pub(super) fn tell(&self, now: Time, question: Question) -> Value {
+    pub(super) fn tell(&self, now: Time, question: StatusQuery) -> Value {
         match (question, self.shared.as_ref().zip(self.cluster.as_ref())) {
-            (Question::List, _) => self.tell_list(now),
+            (StatusQuery::EndpointList, _) => self.tell_list(now),
             (_, None) => json!({"error": "sessions across instances are off"}),
-            (Question::Sessions, Some((shared, member))) => shared.tell(now, &member.cluster),
-            (Question::Session(group, session), Some((shared, _))) => {
+            (StatusQuery::Sessions, Some((shared, member))) => shared.tell(now, &member.cluster),
+            (StatusQuery::Session(group, session), Some((shared, _))) => {
                 let key = SessionKey::of(group, &session);
                 let name = |node| shared.name(&node);
                 let inspection = shared.sessions.inspect_session(now, key);
--- a/crates/stackgw-gateway/src/reducer/start.rs
+++ b/crates/stackgw-gateway/src/reducer/start.rs
@@ -79,11 +79,11 @@
 
 impl Reducer {
     /// Comes to know the list as the operator's file says, from what the disk kept; before [`Input::Start`], and after
-    /// [`Reducer::join`] where others are talked to.
-    pub fn start_by(
+    /// [`Reducer::join_cluster`] where others are talked to.
+    pub fn enable_bootstrap(
         &mut self,
         now: Time,
-        file: &stackgw_config::Start,
+        file: &stackgw_config::Bootstrap,
         others: Option<&stackgw_config::Cluster>,
         kept: Option<CachedEndpoints>,
         out: &mut Vec<Effect>,
@@ -96,7 +96,7 @@
         };
         let set = BootstrapSettings {
             poll_rate: pace,
-            peers: others.map(|others| (others.reached_at(), others.seeds.clone())),
+            peers: others.map(|others| (others.advertised_address(), others.seeds.clone())),
             min_watch_leaders: stackgw_start::MIN_WATCH_LEADERS,
             service_id: stackgw_start::service_id(&file.service),
             drain_grace: self.limits.drain_grace,
@@ -153,11 +153,11 @@
                 Output::CloseWatch => self.unwatch(out),
                 Output::Send(to, message) => {
                     let body = message.encode();
-                    self.cluster_send(out, |cluster, effects| cluster.tell(to, &body, effects));
+                    self.cluster_send(out, |cluster, effects| cluster.send_bootstrap(to, &body, effects));
                 }
                 Output::SeedWarmThroughput(rate) => self.router.seed_warm_throughput(rate),
                 Output::Observations(seen) => self.sighted(now, &seen),
-                Output::Persist(kept) => out.push(Effect::Keep(Box::new(kept))),
+                Output::Persist(kept) => out.push(Effect::StoreEndpoints(Box::new(kept))),
                 Output::Endpoints(MergeOutcome::Complete(entries)) => {
                     self.told(now, ListScope::Full, &entries, out)
                 }
@@ -339,7 +339,8 @@
 
     pub(super) fn start_met(&mut self, now: Time, out: &mut Vec<Effect>) {
         let Some(member) = self.cluster.as_ref().filter(|_| self.starting.is_some()) else { return };
-        let up = member.cluster.known().filter(|seen| seen.up).map(|seen| seen.identity.address).collect();
+        let up =
+            member.cluster.instances().filter(|seen| seen.up).map(|seen| seen.identity.address).collect();
         self.with_start(now, out, |start, outputs| start.update_membership(now, up, outputs));
     }
 
@@ -347,7 +348,7 @@
     pub(super) fn start_reload(
         &mut self,
         now: Time,
-        file: Option<&stackgw_config::Start>,
+        file: Option<&stackgw_config::Bootstrap>,
         seeds: &[SocketAddr],
         moved: bool,
         out: &mut Vec<Effect>,
--- a/crates/stackgw-gateway/src/reducer/streams.rs
+++ b/crates/stackgw-gateway/src/reducer/streams.rs
@@ -6,28 +6,28 @@
 
 /// What is asked of a member that speaks another front's protocol.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct BackendRequest {
     /// The statement with its comment, as our first protocol has it.
     pub statement: String,
     /// How long this gateway will wait, in milliseconds.
-    pub wait_ms: u64,
+    pub timeout_ms: u64,
     /// It writes: once asked it runs to its end, whoever leaves.
-    pub writes: bool,
+    pub is_write: bool,
     /// Its answer may come as a stream; else it is one value.
-    pub streams: bool,
+    pub may_stream: bool,
 }
 
-impl Asked {
+impl BackendRequest {
     /// The same with the statement of a query message.
     pub(super) fn with(self, query: &[u8]) -> Self {
         let text = query.get(5..).and_then(|body| body.strip_suffix(b"\0")).unwrap_or_default();
-        Asked { statement: String::from_utf8_lossy(text).into_owned(), ..self }
+        BackendRequest { statement: String::from_utf8_lossy(text).into_owned(), ..self }
     }
 }
 
 /// What a stream's beginning says of its member.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Said {
+pub struct StreamHeader {
     /// It is the primary, or it is not.
     pub primary: Option<bool>,
     /// Its position.
@@ -60,7 +60,13 @@
 impl Reducer {
     /// An answer has begun. It is its client's from here on: what else is out for it is called off, the router is told that
     /// nothing is owed any more, and nothing of it is asked for again.
-    pub(super) fn member_streams(&mut self, now: Time, id: ConnId, said: Said, out: &mut Vec<Effect>) {
+    pub(super) fn member_streams(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        said: StreamHeader,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(conn) = self.conns.get_mut(&id).filter(|c| c.phase == Phase::Waiting) else { return };
         let (member, job) = (conn.member, conn.job);
         let Some(Job::Attempt { request, sent, .. }) = job else {
@@ -69,8 +75,8 @@
             return self.end_job(now, id, Outcome::MalformedResponse, out);
         };
         let open = self.requests.get_mut(&request).filter(|open| !open.ended && open.streams);
-        let asker = open.and_then(|open| open.asker.filter(|asker| matches!(asker, Asker::Call(_))));
-        let Some(Asker::Call(call)) = asker else {
+        let asker = open.and_then(|open| open.asker.filter(|asker| matches!(asker, Requester::Call(_))));
+        let Some(Requester::Call(call)) = asker else {
             out.push(Effect::MemberClose(id));
             return self.end_job(now, id, Outcome::Cancelled, out);
         };
@@ -80,7 +86,7 @@
             self.timers.remove(&timer);
         }
         // Kept until the router is told how the attempt went.
-        let Said { primary, position, report } = said;
+        let StreamHeader { primary, position, report } = said;
         let mut reply = Reply::default();
         (reply.primary, reply.position, reply.report) = (primary, position, report);
         self.disbelieve(now, &mut reply);
@@ -94,7 +100,7 @@
         }
         self.counters.answered_served += 1;
         self.counters.streams_begun += 1;
-        out.push(Effect::CallStreams(call, id));
+        out.push(Effect::CallStreaming(call, id));
         self.events.push_back(Event::StreamStarted { request, member });
         for other in others {
             out.push(Effect::MemberClose(other));
@@ -105,7 +111,7 @@
     /// A stream waits for its reader: what it is from here on is no load at its member.
     ///
     /// Danger: streams that nobody reads would else count against their member's limit, and close it for all others.
-    pub(super) fn member_stream_waits(&mut self, id: ConnId) {
+    pub(super) fn member_stream_waits(&mut self, id: ConnectionId) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if let Phase::Streaming { load, .. } = &mut conn.phase {
             if std::mem::replace(load, false) {
@@ -115,7 +121,7 @@
     }
 
     /// Tells the router how an attempt went whose answer is a stream, by the time until that began.
-    fn stream_told(&mut self, id: ConnId, outcome: Outcome) {
+    fn stream_told(&mut self, id: ConnectionId, outcome: Outcome) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let Phase::Streaming { began: took, .. } = conn.phase else { return };
         let (member, Reply { primary, position, report, .. }) =
@@ -140,7 +146,7 @@
     pub(super) fn member_stream_over(
         &mut self,
         now: Time,
-        id: ConnId,
+        id: ConnectionId,
         outcome: Outcome,
         out: &mut Vec<Effect>,
     ) {
@@ -169,7 +175,7 @@
     /// Nobody waits for another front's request any more. A read's stream ends at its member; a write runs to its end there.
     pub(super) fn call_gone(&mut self, now: Time, call: CallId, out: &mut Vec<Effect>) {
         let Some(request) = self.calls.remove(&call) else { return };
-        let streaming = |id: &ConnId| {
+        let streaming = |id: &ConnectionId| {
             self.conns.get(id).is_some_and(|conn| matches!(conn.phase, Phase::Streaming { .. }))
         };
         let open = self.requests.get(&request);
--- a/crates/stackgw-gateway/tests/common/mod.rs
+++ b/crates/stackgw-gateway/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use stackgw_gateway::config::Config;
 use stackgw_gateway::discovery::{parse_endpoint_list, ListUpdate};
 use stackgw_gateway::pg::{write, Frame};
-use stackgw_gateway::reducer::{ClientId, Closed, ConnId, Effect, Input, Reducer};
+use stackgw_gateway::reducer::{ClientId, CloseReason, ConnectionId, Effect, Input, Reducer};
 use stackgw_router::api::{Span, Time, MS, SECOND};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -203,14 +203,14 @@
                     Effect::ClientWrite { client, .. } if !self.clients_stuck => {
                         inputs.push_back(Input::ClientFlushed(*client))
                     }
-                    Effect::MemberOpen(conn, _) if self.connects => {
-                        inputs.push_back(Input::MemberUp(*conn));
-                        inputs.push_back(Input::MemberWritten(*conn));
+                    Effect::MemberConnect(conn, _) if self.connects => {
+                        inputs.push_back(Input::MemberConnected(*conn));
+                        inputs.push_back(Input::MemberFlushed(*conn));
                         inputs.push_back(Input::MemberFrame(*conn, message(b'R', &[0; 4])));
                         inputs.push_back(Input::MemberFrame(*conn, ready()));
                     }
                     Effect::MemberWrite(conn, bytes) if !self.members_stuck && bytes[0] == b'Q' => {
-                        inputs.push_back(Input::MemberWritten(*conn));
+                        inputs.push_back(Input::MemberFlushed(*conn));
                         if self.probes && bytes[5..].starts_with(b"SHOW") {
                             inputs.extend(self.report().into_iter().map(|f| Input::MemberFrame(*conn, f)));
                         }
@@ -228,7 +228,7 @@
         let (until, mut effects) = (self.now + span, Vec::new());
         while let Some(due) = self.reducer.next_due().filter(|due| *due <= until) {
             self.now = due.max(self.now);
-            effects.extend(self.input(Input::Due));
+            effects.extend(self.input(Input::TimerDue));
         }
         self.now = until;
         effects
@@ -236,17 +236,17 @@
 
     pub fn client(&mut self, n: u64) -> ClientId {
         let id = ClientId(n);
-        self.input(Input::ClientOpened(id));
+        self.input(Input::ClientConnected(id));
         self.input(Input::ClientFrame(id, startup()));
         id
     }
 
     pub fn ask(&mut self, client: ClientId, frame: Frame) -> Vec<Effect> {
-        assert!(self.reducer.takes(client), "the client's message is not taken");
+        assert!(self.reducer.accepts_frame(client), "the client's message is not taken");
         self.input(Input::ClientFrame(client, frame))
     }
 
-    pub fn reply(&mut self, conn: ConnId, frames: Vec<Frame>) -> Vec<Effect> {
+    pub fn reply(&mut self, conn: ConnectionId, frames: Vec<Frame>) -> Vec<Effect> {
         let mut effects = Vec::new();
         for frame in frames {
             effects.extend(self.input(Input::MemberFrame(conn, frame)));
@@ -255,7 +255,7 @@
     }
 
     /// A member's whole answer, with its role and position.
-    pub fn serve(&mut self, conn: ConnId, value: &[u8]) -> Vec<Effect> {
+    pub fn serve(&mut self, conn: ConnectionId, value: &[u8]) -> Vec<Effect> {
         let mut frames = row(value);
         let position = (self.now / MS).to_string();
         frames.extend([status("node_role", "follower"), status("replay_position", &position), ready()]);
@@ -263,15 +263,15 @@
     }
 
     /// The statement that a connection carries, now or once it is up.
-    pub fn written(&mut self, conn: ConnId, mut effects: Vec<Effect>) -> String {
+    pub fn written(&mut self, conn: ConnectionId, mut effects: Vec<Effect>) -> String {
         if statements(&effects).is_empty() {
             effects = self.reply(conn, vec![message(b'R', &[0; 4]), ready()]);
         }
         statements(&effects).into_iter().map(|(_, text)| text).collect()
     }
 
-    pub fn lose(&mut self, conn: ConnId) -> Vec<Effect> {
-        self.input(Input::MemberClosed(conn, Closed::Lost))
+    pub fn lose(&mut self, conn: ConnectionId) -> Vec<Effect> {
+        self.input(Input::MemberClosed(conn, CloseReason::Disconnected))
     }
 }
 
@@ -285,7 +285,7 @@
 }
 
 /// Statements written to members.
-pub fn statements(effects: &[Effect]) -> Vec<(ConnId, String)> {
+pub fn statements(effects: &[Effect]) -> Vec<(ConnectionId, String)> {
     let written = effects.iter().filter_map(|e| match e {
         Effect::MemberWrite(conn, bytes) if bytes[0] == b'Q' => {
             let text = String::from_utf8_lossy(&bytes[5..bytes.len() - 1]).into_owned();
@@ -297,16 +297,16 @@
 }
 
 /// Connections opened to members.
-pub fn opened(effects: &[Effect]) -> Vec<(ConnId, u32)> {
+pub fn opened(effects: &[Effect]) -> Vec<(ConnectionId, u32)> {
     let opened = effects.iter().filter_map(|e| match e {
-        Effect::MemberOpen(conn, address) => Some((*conn, u32::from(address.port()) - 7000)),
+        Effect::MemberConnect(conn, address) => Some((*conn, u32::from(address.port()) - 7000)),
         _ => None,
     });
     opened.collect()
 }
 
 /// Connections closed to members.
-pub fn closed(effects: &[Effect]) -> Vec<ConnId> {
+pub fn closed(effects: &[Effect]) -> Vec<ConnectionId> {
     let closed = effects.iter().filter_map(|e| match e {
         Effect::MemberClose(conn) => Some(*conn),
         _ => None,
--- a/crates/stackgw-gateway/tests/dealt.rs
+++ b/crates/stackgw-gateway/tests/dealt.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use stackgw_config::{Duration, Start};
+use stackgw_config::{Bootstrap, Duration};
 use stackgw_gateway::reducer::{Effect, Input};
 use stackgw_router::api::{Time, MS, SECOND};
 
@@ -14,7 +14,7 @@
 fn rig(since_ms: i64, opens: Option<u32>) -> Rig {
     let mut config = config("null");
     config.settings.router.fleet_size = 10;
-    let file = Start {
+    let file = Bootstrap {
         bears: 100,
         opens,
         service: String::new(),
@@ -25,7 +25,7 @@
     config.bootstrap = Some(file.clone());
     let mut rig = Rig::with(config);
     let mut effects = Vec::new();
-    rig.reducer.start_by(rig.now, &file, None, None, &mut effects);
+    rig.reducer.enable_bootstrap(rig.now, &file, None, None, &mut effects);
     rig.pass(SECOND / 10);
     told(&mut rig, 1, since_ms);
     rig
@@ -35,7 +35,7 @@
     let entries = [entry(1, "ready", "leader"), entry(2, "ready", "follower"), entry(3, "ready", "follower")];
     let since = format!("\"up_since_ms\":{since_ms}");
     let entries = entries.map(|entry| entry.replace("\"up_since_ms\":0", &since));
-    rig.input(Input::List(list(revision, true, &entries)));
+    rig.input(Input::EndpointList(list(revision, true, &entries)));
 }
 
 /// Asks for writes again and again, while members close each connection after its answer; when one was opened.
--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use stackgw_gateway::pg::Frame;
-use stackgw_gateway::reducer::{ClientId, Closed, ConnId, Effect, Input};
+use stackgw_gateway::reducer::{ClientId, CloseReason, ConnectionId, Effect, Input};
 use stackgw_router::api::{MS, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -57,7 +57,7 @@
     clients: BTreeSet<ClientId>,
     next_client: u64,
     /// Connections to members, with whether a request is on them.
-    conns: BTreeMap<ConnId, bool>,
+    conns: BTreeMap<ConnectionId, bool>,
     /// Statements of each client that have no answer yet.
     owed: BTreeMap<ClientId, u32>,
     revision: u64,
@@ -83,13 +83,13 @@
                     assert!(self.clients.remove(client), "a client closed twice");
                     self.owed.remove(client);
                 }
-                Effect::MemberOpen(conn, _) => assert!(self.conns.insert(*conn, false).is_none()),
+                Effect::MemberConnect(conn, _) => assert!(self.conns.insert(*conn, false).is_none()),
                 Effect::MemberClose(conn) => assert!(self.conns.remove(conn).is_some(), "closed twice"),
                 Effect::MemberWrite(conn, bytes) if bytes[0] == b'Q' => {
                     let busy = self.conns.get_mut(conn).expect("an open connection");
                     assert!(!std::mem::replace(busy, true), "two requests on one connection");
                 }
-                Effect::ClientRetire(client) => self.retired.push(*client),
+                Effect::ClientCloseIfIdle(client) => self.retired.push(*client),
                 Effect::Exit => self.ended = true,
                 _ => {}
             }
@@ -138,7 +138,7 @@
                 let id = ClientId(world.next_client);
                 world.next_client += 1;
                 world.clients.insert(id);
-                world.see(&rig.input(Input::ClientOpened(id)));
+                world.see(&rig.input(Input::ClientConnected(id)));
                 // The welcome is no answer to a statement.
                 rig.input(Input::ClientFrame(id, startup()));
             }
@@ -146,19 +146,20 @@
                 if let Some(id) = World::nth(world.clients.iter().copied(), n) {
                     world.clients.remove(&id);
                     world.owed.remove(&id);
-                    world.see(&rig.input(Input::ClientClosed(id, Closed::Lost)));
+                    world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
                 }
             }
             Step::BadClient(n) => {
                 if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-                    world.see(&rig.input(Input::ClientClosed(id, Closed::Bad)));
+                    world.see(&rig.input(Input::ClientClosed(id, CloseReason::ProtocolError)));
                     world.clients.remove(&id);
                     world.owed.remove(&id);
-                    world.see(&rig.input(Input::ClientClosed(id, Closed::Lost)));
+                    world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
                 }
             }
             Step::Ask(n, d, kind) => {
-                let id = World::nth(world.clients.iter().copied(), n).filter(|id| rig.reducer.takes(*id));
+                let id =
+                    World::nth(world.clients.iter().copied(), n).filter(|id| rig.reducer.accepts_frame(*id));
                 if let Some(id) = id {
                     *world.owed.entry(id).or_insert(0) += 1;
                     let frame = match kind % 5 {
@@ -188,7 +189,7 @@
             Step::Lose(n, bad) => {
                 if let Some(id) = World::nth(world.conns.keys().copied(), n) {
                     world.conns.remove(&id);
-                    let why = if bad { Closed::Bad } else { Closed::Lost };
+                    let why = if bad { CloseReason::ProtocolError } else { CloseReason::Disconnected };
                     world.see(&rig.input(Input::MemberClosed(id, why)));
                 }
             }
@@ -197,21 +198,21 @@
                 world.revision += 1;
                 let phase = |n: u32| ["ready", "ready", "draining", "gone"][usize::from(bits >> (2 * n)) & 3];
                 let entries: Vec<_> = (0..3).map(|n| entry(n + 1, phase(n), "follower")).collect();
-                world.see(&rig.input(Input::List(list(world.revision, full, &entries))));
+                world.see(&rig.input(Input::EndpointList(list(world.revision, full, &entries))));
             }
             Step::WatchLost => world.see(&rig.input(Input::WatchLost("ended".into()))),
             Step::Datagram(bytes) => {
                 let from = "127.0.0.1:7901".parse().expect("an address");
-                world.see(&rig.input(Input::Datagram(from, bytes)));
+                world.see(&rig.input(Input::GossipDatagram(from, bytes)));
             }
             Step::Holds(n, bytes) => {
                 if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-                    world.see(&rig.input(Input::ClientHolds(id, bytes)));
+                    world.see(&rig.input(Input::ClientReadAhead(id, bytes)));
                 }
             }
             Step::Partial(n) => {
                 if let Some(id) = World::nth(world.conns.keys().copied(), n) {
-                    world.see(&rig.input(Input::MemberPartial(id)));
+                    world.see(&rig.input(Input::MemberPartialFrame(id)));
                 }
             }
             Step::Reload(good, port) => {
@@ -227,7 +228,7 @@
                     world.see(&rig.input(Input::ClientFlushed(id)));
                 }
                 for id in world.conns.keys().copied().collect::<Vec<_>>() {
-                    world.see(&rig.input(Input::MemberWritten(id)));
+                    world.see(&rig.input(Input::MemberFlushed(id)));
                 }
                 (rig.clients_stuck, rig.members_stuck) = (clients, members);
             }
@@ -236,7 +237,7 @@
         while let Some(id) = world.retired.pop() {
             if world.clients.remove(&id) {
                 assert_eq!(world.owed.remove(&id).unwrap_or(0), 0, "closed inside a request");
-                world.see(&rig.input(Input::ClientClosed(id, Closed::Lost)));
+                world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
             }
         }
         rig.effects.truncate(before);
@@ -245,8 +246,8 @@
         assert_eq!(counters.members_open, world.conns.len() as u64);
         assert!(counters.members_open <= 4);
         // What the router believes to be in flight is what is out on connections.
-        for seen in rig.reducer.seen() {
-            assert_eq!(seen.belief.in_flight, seen.out, "{seen:?}");
+        for seen in rig.reducer.member_statuses() {
+            assert_eq!(seen.snapshot.in_flight, seen.attempts, "{seen:?}");
         }
     }
     // In the end nothing is owed and nothing is kept.
