--- a/crates/stackgw-gateway/tests/reducer.rs
+++ b/crates/stackgw-gateway/tests/reducer.rs
@@ -4,11 +4,11 @@
 
 use common::*;
 use stackgw_gateway::pg::write;
-use stackgw_gateway::reducer::{ClientId, Closed, ConnId, Effect, Input, Moments};
+use stackgw_gateway::reducer::{ClientId, CloseReason, ConnectionId, Effect, Input, TickClock};
 use stackgw_router::api::{MS, SECOND};
 
 /// A rig with one client whose request is out on the connection that is returned.
-fn asked(frame: stackgw_gateway::pg::Frame) -> (Rig, ClientId, ConnId) {
+fn asked(frame: stackgw_gateway::pg::Frame) -> (Rig, ClientId, ConnectionId) {
     let mut rig = Rig::new(&three());
     let client = rig.client(1);
     let effects = rig.ask(client, frame);
@@ -24,7 +24,7 @@
     let (client, eager) = (rig.client(1), rig.client(2));
     assert!(answers(&rig.ask(client, query(""))).is_empty());
     assert_eq!(sqlstate(&answers(&rig.ask(eager, read(900)))[0]).as_deref(), Some("57P03"), "try again");
-    let effects = rig.input(Input::List(list(1, true, &[entry(1, "ready", "leader")])));
+    let effects = rig.input(Input::EndpointList(list(1, true, &[entry(1, "ready", "leader")])));
     let answer = &answers(&effects)[0];
     assert_eq!((answer[0], answer[5]), (b'I', b'Z'));
     assert_eq!(answers(&rig.ask(client, query(" ; ")))[0][0], b'I');
@@ -138,7 +138,7 @@
     rig.connects = false;
     let client = rig.client(1);
     let (conn, _) = opened(&rig.ask(client, buy(900)))[0];
-    rig.input(Input::MemberUp(conn));
+    rig.input(Input::MemberConnected(conn));
     rig.input(Input::MemberFrame(conn, error("53300")));
     rig.lose(conn);
     assert_eq!(rig.reducer.counters().ended_shed, 1);
@@ -155,7 +155,7 @@
     let (fresh, _) = statements(&effects)[0].clone();
     assert_ne!(fresh, conn);
     assert_eq!(rig.reducer.counters().members_reopened, 1);
-    rig.input(Input::MemberWritten(fresh));
+    rig.input(Input::MemberFlushed(fresh));
     assert_eq!(answers(&rig.serve(fresh, b"y")).len(), 1);
     assert_eq!(rig.reducer.counters().attempts, 2, "it was one attempt all along");
 }
@@ -231,7 +231,7 @@
         assert!(statements(&effects).is_empty(), "{text} was passed on");
     }
     assert_eq!(rig.reducer.counters().malformed, 8);
-    assert!(rig.reducer.takes(client));
+    assert!(rig.reducer.accepts_frame(client));
 }
 
 /// Statements written together run together and are answered in their order; where one of two writes, those of one key
@@ -247,7 +247,7 @@
     let first = place(&rig.ask(client, read(900)));
     let second = place(&rig.ask(client, read(900)));
     assert_ne!(first, second, "both are on their way");
-    assert!(rig.reducer.takes(client));
+    assert!(rig.reducer.accepts_frame(client));
     let effects = rig.ask(client, buy(900));
     assert!(
         statements(&effects).is_empty() && opened(&effects).is_empty(),
@@ -275,8 +275,8 @@
     assert_eq!(answers(&rig.reply(write, [row(b"four"), leads()].concat())).len(), 2);
     // Bytes that are no protocol end the connection behind the answers that are owed.
     let third = place(&rig.ask(client, read(900)));
-    assert!(answers(&rig.input(Input::ClientClosed(client, Closed::Bad))).is_empty());
-    assert!(!rig.reducer.takes(client));
+    assert!(answers(&rig.input(Input::ClientClosed(client, CloseReason::ProtocolError))).is_empty());
+    assert!(!rig.reducer.accepts_frame(client));
     let told = answers(&rig.serve(third, b"four"));
     assert_eq!((told.len(), told[0][0], told[1][0]), (2, b'T', b'E'));
     // A client that goes takes all of its line with it.
@@ -284,7 +284,7 @@
     rig.ask(client, read(900));
     rig.ask(client, read(900));
     rig.ask(client, buy(900));
-    rig.input(Input::ClientClosed(client, Closed::Lost));
+    rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
     rig.pass(SECOND);
     assert_eq!(rig.reducer.counters().held_bytes, 0);
 }
@@ -296,20 +296,20 @@
     let mut rig = Rig::with(config);
     let client = rig.client(1);
     for n in 0..3 {
-        assert!(rig.reducer.takes(client), "{n}");
+        assert!(rig.reducer.accepts_frame(client), "{n}");
         // The write waits for the reads before it, and counts as well.
         rig.ask(client, if n < 2 { read(900) } else { buy(900) });
     }
-    assert!(!rig.reducer.takes(client));
+    assert!(!rig.reducer.accepts_frame(client));
     rig.pass(2 * SECOND);
-    assert!(rig.reducer.takes(client), "all have their answers");
+    assert!(rig.reducer.accepts_frame(client), "all have their answers");
 }
 
 #[test]
 fn tls_is_declined_and_what_is_not_spoken_gets_one_error() {
     let mut rig = Rig::new(&three());
     let id = ClientId(1);
-    rig.input(Input::ClientOpened(id));
+    rig.input(Input::ClientConnected(id));
     let mut ssl = 8u32.to_be_bytes().to_vec();
     ssl.extend(80_877_103u32.to_be_bytes());
     let ssl = stackgw_gateway::pg::Frame { kind: 0, bytes: ssl };
@@ -337,21 +337,21 @@
         stackgw_gateway::pg::Frame { kind: 0, bytes }
     };
     let other = ClientId(9);
-    rig.input(Input::ClientOpened(other));
+    rig.input(Input::ClientConnected(other));
     let wrong: Vec<u8> = key.iter().map(|b| b ^ 1).collect();
     assert!(answers(&rig.input(Input::ClientFrame(other, cancel(&wrong)))).is_empty());
     let other = ClientId(10);
-    rig.input(Input::ClientOpened(other));
+    rig.input(Input::ClientConnected(other));
     let effects = rig.input(Input::ClientFrame(other, cancel(&key)));
     assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("57014"));
     assert_eq!(closed(&effects), [conn]);
-    assert!(rig.reducer.takes(client));
+    assert!(rig.reducer.accepts_frame(client));
 }
 
 #[test]
 fn a_client_that_leaves_takes_its_attempt_with_it() {
     let (mut rig, client, conn) = asked(read(900));
-    let effects = rig.input(Input::ClientClosed(client, Closed::Lost));
+    let effects = rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
     assert_eq!(closed(&effects), [conn]);
     let counters = rig.reducer.counters();
     assert_eq!((counters.answered_gone, counters.held_bytes, counters.clients_open), (1, 0, 0));
@@ -363,7 +363,7 @@
     let (mut rig, client, conn) = asked(read(900));
     rig.clients_stuck = true;
     assert_eq!(answers(&rig.serve(conn, b"x")).len(), 1);
-    assert!(!rig.reducer.takes(client));
+    assert!(!rig.reducer.accepts_frame(client));
     let effects = rig.pass(20 * SECOND);
     assert!(effects.contains(&Effect::ClientClose(client)));
     assert_eq!(rig.reducer.counters().clients_stalled, 1);
@@ -393,7 +393,7 @@
     assert_eq!((rig.reducer.counters().clients_greedy, rig.reducer.counters().clients_open), (1, 2));
     rig.input(Input::ClientFlushed(clients[1]));
     rig.input(Input::ClientFlushed(clients[2]));
-    assert!(rig.reducer.takes(clients[1]) && rig.reducer.takes(clients[2]));
+    assert!(rig.reducer.accepts_frame(clients[1]) && rig.reducer.accepts_frame(clients[2]));
 }
 
 #[test]
@@ -401,12 +401,12 @@
     let mut rig = Rig::new(&three());
     let (idle, partial) = (rig.client(1), rig.client(2));
     rig.ask(idle, query(""));
-    rig.input(Input::ClientHolds(partial, 7));
+    rig.input(Input::ClientReadAhead(partial, 7));
     let effects = rig.pass(2 * SECOND + 600 * MS);
     let told = |e: &Effect| matches!(e, Effect::ClientWrite { client, close: true, bytes } if *client == partial && bytes[0] == b'E');
     assert!(effects.iter().any(told), "told why");
     assert!(rig.pass(2 * SECOND).contains(&Effect::ClientClose(partial)), "and let go, though it sends on");
-    let ended = |e: &Effect| matches!(e, Effect::ClientClose(c) | Effect::ClientRetire(c) if *c == idle);
+    let ended = |e: &Effect| matches!(e, Effect::ClientClose(c) | Effect::ClientCloseIfIdle(c) if *c == idle);
     assert!(!rig.effects.iter().any(ended), "one that is merely idle stays");
 }
 
@@ -420,23 +420,23 @@
     let (idle, fresh) = (rig.client(2), rig.client(3));
     rig.ask(idle, query(""));
     // Found on sockets: a newcomer closed before its first request had come lost it.
-    let retired = |effects: &[Effect], client| effects.contains(&Effect::ClientRetire(client));
+    let retired = |effects: &[Effect], client| effects.contains(&Effect::ClientCloseIfIdle(client));
     assert!(!retired(&rig.pass(30 * MS), fresh));
     // Whoever has asked nothing goes before one that has, however long that one has been idle.
     let effects = rig.pass(200 * MS);
-    let asked_to = |client| effects.iter().position(|e| *e == Effect::ClientRetire(client));
+    let asked_to = |client| effects.iter().position(|e| *e == Effect::ClientCloseIfIdle(client));
     assert!(asked_to(fresh).is_some(), "closed unless it has just sent something");
     assert!(asked_to(fresh) < asked_to(idle), "the next, where that one has sent something");
-    rig.input(Input::ClientClosed(idle, Closed::Lost));
+    rig.input(Input::ClientClosed(idle, CloseReason::Disconnected));
     assert_eq!(rig.reducer.counters().clients_evicted, 1);
     // A place is freed as soon as one falls idle, not only when somebody connects.
     let (conn, _) = statements(&rig.ask(fresh, read(900)))[0].clone();
     rig.client(4);
     rig.ask(ClientId(4), buy(1900));
-    let retired = |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::ClientRetire(_)));
+    let retired = |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::ClientCloseIfIdle(_)));
     assert!(!retired(&rig.pass(150 * MS)), "none is idle");
     rig.serve(conn, b"x");
-    assert!(rig.pass(150 * MS).contains(&Effect::ClientRetire(fresh)));
+    assert!(rig.pass(150 * MS).contains(&Effect::ClientCloseIfIdle(fresh)));
 }
 
 /// Found on sockets with few descriptors: requests of clients that were left in line were lost, 0 attempts made.
@@ -450,10 +450,10 @@
         rig.ask(client, buy(1900));
     }
     let (late, later) = (rig.client(3), rig.client(4));
-    assert!(rig.effects.contains(&Effect::Accept(false)), "the reserve is taken too");
+    assert!(rig.effects.contains(&Effect::AcceptClients(false)), "the reserve is taken too");
     // Whoever has asked nothing yet gives way to one that asks.
     let effects = rig.ask(late, read(900));
-    assert!(effects.contains(&Effect::ClientRetire(later)));
+    assert!(effects.contains(&Effect::ClientCloseIfIdle(later)));
     assert_eq!(statements(&effects).len(), 1);
     // It had asked by then, and there is no other.
     let effects = rig.ask(later, read(900));
@@ -462,12 +462,12 @@
         .iter()
         .any(|e| matches!(e, Effect::ClientWrite { client, close: true, .. } if *client == later)));
     assert!(statements(&effects).is_empty());
-    let effects = rig.input(Input::ClientClosed(later, Closed::Lost));
-    assert!(effects.contains(&Effect::Accept(true)));
+    let effects = rig.input(Input::ClientClosed(later, CloseReason::Disconnected));
+    assert!(effects.contains(&Effect::AcceptClients(true)));
     // Where there is room by the time it asks, it is a client like any other.
     let next = rig.client(5);
-    rig.input(Input::ClientClosed(ClientId(1), Closed::Lost));
-    rig.input(Input::ClientClosed(ClientId(2), Closed::Lost));
+    rig.input(Input::ClientClosed(ClientId(1), CloseReason::Disconnected));
+    rig.input(Input::ClientClosed(ClientId(2), CloseReason::Disconnected));
     assert_eq!(statements(&rig.ask(next, read(900))).len(), 1);
 }
 
@@ -498,9 +498,9 @@
     let mut rig = Rig::with(config);
     let (one, two) = (rig.client(1), rig.client(2));
     rig.ask(one, read(900));
-    assert!(!rig.reducer.takes(two));
-    rig.input(Input::ClientClosed(one, Closed::Lost));
-    assert!(rig.reducer.takes(two));
+    assert!(!rig.reducer.accepts_frame(two));
+    rig.input(Input::ClientClosed(one, CloseReason::Disconnected));
+    assert!(rig.reducer.accepts_frame(two));
 }
 
 #[test]
@@ -530,7 +530,11 @@
 fn an_unanswered_probe_ends_by_its_limit() {
     let mut rig = Rig::with(config("null"));
     rig.probes = false;
-    rig.input(Input::List(list(1, true, &[entry(1, "ready", "leader"), entry(2, "ready", "follower")])));
+    rig.input(Input::EndpointList(list(
+        1,
+        true,
+        &[entry(1, "ready", "leader"), entry(2, "ready", "follower")],
+    )));
     let client = rig.client(1);
     rig.ask(client, read(400));
     rig.pass(240 * MS);
@@ -543,8 +547,8 @@
 #[test]
 fn the_watch_starts_after_the_known_version_and_is_opened_anew_with_pauses() {
     let mut rig = Rig::new(&three());
-    assert!(rig.effects.contains(&Effect::Watch("127.0.0.1:8500".parse().expect("an address"), Some(1))));
-    let count = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::Watch(..))).count();
+    assert!(rig.effects.contains(&Effect::OpenWatch("127.0.0.1:8500".parse().expect("an address"), Some(1))));
+    let count = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::OpenWatch(..))).count();
     let effects = rig.input(Input::WatchLost("ended".into()));
     assert_eq!(count(&effects), 0, "not at once");
     assert_eq!(count(&rig.pass(150 * MS)), 1);
@@ -552,22 +556,22 @@
     assert_eq!(count(&rig.pass(150 * MS)), 0, "the second pause is longer");
     assert_eq!(count(&rig.pass(SECOND)), 1);
     // Blank lines keep it; silence does not, for longer than two of them.
-    rig.input(Input::WatchUp);
+    rig.input(Input::WatchConnected);
     for _ in 0..5 {
         rig.pass(2 * SECOND);
-        rig.input(Input::WatchAlive);
+        rig.input(Input::WatchKeepalive);
     }
     let lost = rig.reducer.counters().watches_lost;
     assert_eq!(lost, 2);
     let effects = rig.pass(4500 * MS);
-    assert!(effects.contains(&Effect::Unwatch) && count(&effects) == 1);
+    assert!(effects.contains(&Effect::CloseWatch) && count(&effects) == 1);
 }
 
 #[test]
 fn a_drain_reaches_the_router_at_once() {
     let mut rig = Rig::new(&three());
     let client = rig.client(1);
-    rig.input(Input::List(list(
+    rig.input(Input::EndpointList(list(
         2,
         false,
         &[entry(1, "draining", "leader"), entry(2, "draining", "follower")],
@@ -579,7 +583,7 @@
         assert!(opened(&effects).iter().all(|(_, member)| *member == 3), "a draining member was sent to");
     }
     let text = list(1, false, &[entry(1, "ready", "leader")]);
-    rig.input(Input::List(text));
+    rig.input(Input::EndpointList(text));
     assert_eq!(rig.reducer.counters().lists, 1, "older word undoes no newer");
 }
 
@@ -589,12 +593,12 @@
         let mut rig = Rig::new(&three());
         let client = rig.client(1);
         let drains = entry(1, "draining", "leader");
-        rig.input(Input::List(list(2, false, &[drains])));
+        rig.input(Input::EndpointList(list(2, false, &[drains])));
         rig.connects = false;
         rig.pass(790 * MS);
         let (conn, member) = opened(&rig.ask(client, buy(900)))[0];
         assert_eq!(member, 1, "no other primary is known yet");
-        rig.input(Input::MemberUp(conn));
+        rig.input(Input::MemberConnected(conn));
         rig.pass((late - 790) * MS);
         let effects = rig.reply(conn, vec![message(b'R', &[0; 4]), ready()]);
         assert_eq!(statements(&effects).len(), sent, "{late} ms after the word");
@@ -608,7 +612,7 @@
 fn idle_connections_to_a_member_that_is_gone_are_closed_after_its_grace() {
     let (mut rig, _, conn) = asked(buy(900));
     rig.reply(conn, [row(b"x"), vec![status("node_role", "leader"), ready()]].concat());
-    rig.input(Input::List(list(2, false, &[entry(1, "draining", "leader")])));
+    rig.input(Input::EndpointList(list(2, false, &[entry(1, "draining", "leader")])));
     let early = closed(&rig.pass(900 * MS));
     assert!(!early.contains(&conn), "it may still be asked");
     assert!(closed(&rig.pass(SECOND)).contains(&conn));
@@ -619,7 +623,7 @@
     let (mut rig, client, conn) = asked(buy(900));
     rig.reply(conn, [row(b"x"), vec![status("node_role", "leader"), ready()]].concat());
     let moved = entry(1, "ready", "leader").replace(":7001", ":7041");
-    let effects = rig.input(Input::List(list(2, false, &[moved])));
+    let effects = rig.input(Input::EndpointList(list(2, false, &[moved])));
     assert_eq!(closed(&effects), [conn]);
     let effects = rig.ask(client, buy(900));
     assert_eq!(opened(&effects)[0].1, 41);
@@ -628,10 +632,10 @@
 #[test]
 fn words_are_heard_from_gateways_of_the_tier_alone() {
     let mut rig = Rig::new(&three());
-    rig.input(Input::Datagram("127.0.0.1:7901".parse().expect("an address"), vec![0, 0, 0, 0, 0]));
-    rig.input(Input::Datagram("127.0.0.1:7902".parse().expect("an address"), vec![0, 0, 0, 0, 0]));
-    rig.input(Input::Datagram("127.0.0.1:7901".parse().expect("an address"), vec![9; 11]));
-    rig.input(Input::Datagram("127.0.0.1:7901".parse().expect("an address"), vec![0; 257]));
+    rig.input(Input::GossipDatagram("127.0.0.1:7901".parse().expect("an address"), vec![0, 0, 0, 0, 0]));
+    rig.input(Input::GossipDatagram("127.0.0.1:7902".parse().expect("an address"), vec![0, 0, 0, 0, 0]));
+    rig.input(Input::GossipDatagram("127.0.0.1:7901".parse().expect("an address"), vec![9; 11]));
+    rig.input(Input::GossipDatagram("127.0.0.1:7901".parse().expect("an address"), vec![0; 257]));
     let counters = rig.reducer.counters();
     assert_eq!((counters.words_heard, counters.words_dropped), (1, 3));
 }
@@ -644,7 +648,7 @@
     let sent: Vec<_> = effects
         .iter()
         .filter_map(|e| match e {
-            Effect::Datagram(to, bytes) => Some((to.port(), bytes.len())),
+            Effect::GossipDatagram(to, bytes) => Some((to.port(), bytes.len())),
             _ => None,
         })
         .collect();
@@ -659,7 +663,7 @@
     let (mut rig, busy, conn) = asked(buy(9000));
     let idle = rig.client(2);
     let effects = rig.input(Input::Terminate);
-    assert!(!effects.iter().any(|e| matches!(e, Effect::StopListening | Effect::ClientRetire(_))));
+    assert!(!effects.iter().any(|e| matches!(e, Effect::StopListening | Effect::ClientCloseIfIdle(_))));
     let late = rig.client(3);
     let effects = rig.pass(450 * MS);
     assert!(!effects.contains(&Effect::StopListening), "new clients come for 0.4 s");
@@ -670,19 +674,22 @@
     let mut effects = rig.input(Input::ListenerClosed);
     effects.extend(rig.pass(SECOND));
     // Found on sockets: closed then, they would have nobody to go to where this gateway is the only one.
-    assert!(!effects.iter().any(|e| matches!(e, Effect::ClientRetire(_))), "connections are kept and served");
+    assert!(
+        !effects.iter().any(|e| matches!(e, Effect::ClientCloseIfIdle(_))),
+        "connections are kept and served"
+    );
     assert_eq!(answers(&rig.ask(idle, query("")))[0][0], b'I');
     effects.extend(rig.pass(700 * MS));
     for client in [idle, late, other] {
-        assert!(effects.contains(&Effect::ClientRetire(client)), "{client:?}");
-        rig.input(Input::ClientClosed(client, Closed::Lost));
+        assert!(effects.contains(&Effect::ClientCloseIfIdle(client)), "{client:?}");
+        rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
     }
-    assert!(!effects.contains(&Effect::ClientRetire(busy)), "its request is in hand");
+    assert!(!effects.contains(&Effect::ClientCloseIfIdle(busy)), "its request is in hand");
     assert!(!effects.contains(&Effect::Exit));
     let effects = rig.serve(conn, b"x");
     assert_eq!(answers(&effects)[0][0], b'T');
-    assert!(effects.contains(&Effect::ClientRetire(busy)));
-    let effects = rig.input(Input::ClientClosed(busy, Closed::Lost));
+    assert!(effects.contains(&Effect::ClientCloseIfIdle(busy)));
+    let effects = rig.input(Input::ClientClosed(busy, CloseReason::Disconnected));
     assert!(effects.contains(&Effect::Exit));
     assert!(effects.iter().any(|e| matches!(e, Effect::Report(_))));
 }
@@ -718,12 +725,15 @@
 
 #[test]
 fn events_closer_than_a_tick_are_of_one_moment_for_the_router() {
-    let mut moments = Moments::new(5 * MS);
-    assert_eq!(moments.of(START), START);
-    assert_eq!(moments.of(START + 4 * MS), START);
+    let mut moments = TickClock::new(5 * MS);
+    assert_eq!(moments.tick_of(START), START);
+    assert_eq!(moments.tick_of(START + 4 * MS), START);
     let late = START + 300 * MS;
-    assert_eq!([moments.of(late), moments.of(late + 1), moments.of(late + 5 * MS - 1)], [late; 3]);
-    assert_eq!(moments.of(late + 5 * MS), late + 5 * MS);
+    assert_eq!(
+        [moments.tick_of(late), moments.tick_of(late + 1), moments.tick_of(late + 5 * MS - 1)],
+        [late; 3]
+    );
+    assert_eq!(moments.tick_of(late + 5 * MS), late + 5 * MS);
 }
 
 /// Danger: a process that stood still finds all answers late. Its members must not pay for that.
@@ -769,13 +779,17 @@
     }
     let (mut rig, client, conn) = asked(buy(900));
     rig.reply(conn, second());
-    assert_eq!(closed(&rig.input(Input::MemberPartial(conn))), [conn], "half a message is unasked-for too");
+    assert_eq!(
+        closed(&rig.input(Input::MemberPartialFrame(conn))),
+        [conn],
+        "half a message is unasked-for too"
+    );
     // Found only when the next request is to be written: it has not been sent, and goes to another connection.
     let (conn, _) = statements(&rig.ask(client, buy(900)))[0].clone();
     rig.reply(conn, second());
     rig.members_stuck = true;
     assert_eq!(statements(&rig.ask(client, buy(900)))[0].0, conn);
-    let effects = rig.input(Input::MemberClosed(conn, Closed::Unasked));
+    let effects = rig.input(Input::MemberClosed(conn, CloseReason::UnexpectedData));
     assert_ne!(statements(&effects)[0].0, conn);
     assert_eq!((rig.reducer.counters().members_unasked, rig.reducer.counters().members_reopened), (2, 1));
 }
@@ -816,7 +830,7 @@
     for _ in 0..20 {
         let effects = rig.ask(client, buy(900));
         let (conn, _) = statements(&effects)[0].clone();
-        rig.input(Input::MemberClosed(conn, Closed::Bad));
+        rig.input(Input::MemberClosed(conn, CloseReason::ProtocolError));
     }
     assert_eq!(rig.reducer.counters().ended_spoilt, 20);
     assert_eq!(statements(&rig.ask(client, buy(900))).len(), 1, "the primary is asked as before");
@@ -826,10 +840,10 @@
 #[test]
 fn an_answer_that_stands_still_inside_is_spoilt_well_before_the_clients_deadline() {
     let (mut rig, _, conn) = asked(read(900));
-    rig.input(Input::MemberPartial(conn));
+    rig.input(Input::MemberPartialFrame(conn));
     let effects = rig.pass(140 * MS);
     assert!(!closed(&effects).contains(&conn));
-    rig.input(Input::MemberPartial(conn));
+    rig.input(Input::MemberPartialFrame(conn));
     let effects = rig.pass(140 * MS);
     assert!(!closed(&effects).contains(&conn), "it goes on");
     let effects = rig.pass(20 * MS);
@@ -842,7 +856,11 @@
 fn a_position_in_the_future_is_not_believed() {
     let mut rig = Rig::new("null");
     rig.probes = false;
-    rig.input(Input::List(list(1, true, &[entry(1, "ready", "leader"), entry(2, "ready", "follower")])));
+    rig.input(Input::EndpointList(list(
+        1,
+        true,
+        &[entry(1, "ready", "leader"), entry(2, "ready", "follower")],
+    )));
     let client = rig.client(1);
     let tell = |rig: &mut Rig, conn, ahead: i64| {
         let at = ((rig.now + ahead) / MS).to_string();
@@ -880,20 +898,27 @@
     let moved = || config_text("null").replace("127.0.0.1:8500", "127.0.0.1:8600");
     let effects = rig.input(Input::Reload(Ok(config(moved()))));
     let new = "127.0.0.1:8600".parse().expect("an address");
-    assert!(effects.contains(&Effect::Unwatch) && effects.contains(&Effect::Watch(new, None)), "{effects:?}");
+    assert!(
+        effects.contains(&Effect::CloseWatch) && effects.contains(&Effect::OpenWatch(new, None)),
+        "{effects:?}"
+    );
     // Its versions are lower, and count all the same.
-    rig.input(Input::List(list(3, true, &[entry(2, "draining", "follower"), entry(3, "ready", "leader")])));
-    rig.input(Input::List(list(4, false, &[entry(2, "gone", "follower")])));
+    rig.input(Input::EndpointList(list(
+        3,
+        true,
+        &[entry(2, "draining", "follower"), entry(3, "ready", "leader")],
+    )));
+    rig.input(Input::EndpointList(list(4, false, &[entry(2, "gone", "follower")])));
     assert_eq!(rig.reducer.counters().lists, 2);
     rig.pass(2 * SECOND);
     let effects = rig.ask(client, read(400));
     assert!(opened(&effects).iter().all(|(_, member)| *member == 3), "what it tells binds");
     // Lost, it is asked for at the new address after the new versions.
     rig.input(Input::WatchLost("ended".into()));
-    assert!(rig.pass(SECOND).contains(&Effect::Watch(new, Some(4))));
+    assert!(rig.pass(SECOND).contains(&Effect::OpenWatch(new, Some(4))));
     // The same once more changes nothing; one that cannot be used neither, and is one line.
     let effects = rig.input(Input::Reload(Ok(config(moved()))));
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Watch(..) | Effect::Unwatch)));
+    assert!(!effects.iter().any(|e| matches!(e, Effect::OpenWatch(..) | Effect::CloseWatch)));
     let effects = rig.input(Input::Reload(Err("ROUTER_CONFIG: no JSON".into())));
     assert!(matches!(&effects[..], [Effect::Log(line)] if line.contains("no JSON")), "{effects:?}");
     // What cannot change while running is said.
@@ -908,11 +933,11 @@
 fn a_client_that_asks_nothing_is_let_go_in_time() {
     let mut rig = Rig::new(&three());
     let (mute, started, used) = (ClientId(1), rig.client(2), rig.client(3));
-    rig.input(Input::ClientOpened(mute));
+    rig.input(Input::ClientConnected(mute));
     rig.ask(used, query(""));
     let effects = rig.pass(2 * SECOND + 100 * MS);
     let retired: Vec<_> =
-        [mute, started, used].map(|id| effects.contains(&Effect::ClientRetire(id))).to_vec();
+        [mute, started, used].map(|id| effects.contains(&Effect::ClientCloseIfIdle(id))).to_vec();
     assert_eq!(retired, [true, true, false]);
     // A request may be on its way: no word may meet it that is not its answer.
     assert_eq!(answers(&effects).len(), 0);
@@ -939,8 +964,8 @@
 fn malformed_statements_without_end_end_the_connection() {
     let mut rig = Rig::new(&three());
     let client = rig.client(1);
-    let asked =
-        (1..100).take_while(|_| rig.reducer.takes(client) && !rig.ask(client, query("SELECT 1")).is_empty());
+    let asked = (1..100)
+        .take_while(|_| rig.reducer.accepts_frame(client) && !rig.ask(client, query("SELECT 1")).is_empty());
     let asked = asked.count();
     assert!((3..30).contains(&asked), "{asked} in a row");
     let fatal = |e: &Effect| matches!(e, Effect::ClientWrite { close: true, .. });
@@ -956,13 +981,13 @@
     let mut rig = Rig::with(config);
     let (used, greedy, small) = (rig.client(1), rig.client(2), rig.client(3));
     rig.ask(used, query(""));
-    assert!(answers(&rig.input(Input::ClientHolds(used, 150))).is_empty());
-    assert!(answers(&rig.input(Input::ClientHolds(small, 20))).is_empty());
-    let effects = rig.input(Input::ClientHolds(greedy, 140));
+    assert!(answers(&rig.input(Input::ClientReadAhead(used, 150))).is_empty());
+    assert!(answers(&rig.input(Input::ClientReadAhead(small, 20))).is_empty());
+    let effects = rig.input(Input::ClientReadAhead(greedy, 140));
     let ends = |e: &Effect| matches!(e, Effect::ClientWrite { client, close: true, .. } if *client == greedy);
     assert!(effects.iter().any(ends), "one that has asked nothing goes first");
     assert_eq!(rig.reducer.counters().clients_greedy, 1);
-    assert!(answers(&rig.input(Input::ClientHolds(small, 100))).is_empty(), "its bytes no longer count");
+    assert!(answers(&rig.input(Input::ClientReadAhead(small, 100))).is_empty(), "its bytes no longer count");
 }
 
 /// The long day: members are replaced throughout under new ids, clients and sessions are always new. What is kept of
@@ -974,7 +999,7 @@
     for n in 0..400u32 {
         let (old, new) = (1 + n, 2 + n);
         let ready = |m| entry(m, "ready", if m == new { "leader" } else { "follower" });
-        rig.input(Input::List(list(
+        rig.input(Input::EndpointList(list(
             u64::from(n) * 2 + 2,
             false,
             &[ready(new), entry(old, "gone", "follower")],
@@ -987,7 +1012,7 @@
             rig.reply(*conn, [row(b"x"), vec![status("node_role", "leader"), message(b'Z', b"I")]].concat());
         }
         rig.pass(SECOND);
-        rig.input(Input::ClientClosed(client, Closed::Lost));
+        rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
         let counters = rig.reducer.counters();
         let kept = counters.members_known;
         let half = usize::from(n >= 200);
@@ -999,7 +1024,7 @@
     assert!(counters.members_forgotten > 300, "{counters}");
     assert!(most[1] <= most[0], "{most:?}");
     // One that comes back is a member like any other.
-    rig.input(Input::List(list(9000, false, &[entry(3, "ready", "follower")])));
+    rig.input(Input::EndpointList(list(9000, false, &[entry(3, "ready", "follower")])));
     assert!(rig.reducer.counters().members_known < 60);
 }
 
@@ -1010,11 +1035,11 @@
     rig.connects = false;
     let client = rig.client(1);
     let (conn, _) = opened(&rig.ask(client, buy(900)))[0];
-    rig.input(Input::MemberUp(conn));
+    rig.input(Input::MemberConnected(conn));
     let (next, member) = opened(&rig.lose(conn))[0];
     assert_eq!((member, rig.reducer.counters().ended_no_connection), (1, 0));
     // Once: a member that breaks them all is one without a connection.
-    rig.input(Input::MemberUp(next));
+    rig.input(Input::MemberConnected(next));
     rig.lose(next);
     let counters = rig.reducer.counters();
     assert_eq!((counters.ended_no_connection, counters.members_reopened, counters.attempts), (1, 1, 1));
@@ -1036,7 +1061,7 @@
     let retired = |effects: &[Effect]| -> Vec<ClientId> {
         effects
             .iter()
-            .filter_map(|e| if let Effect::ClientRetire(id) = e { Some(*id) } else { None })
+            .filter_map(|e| if let Effect::ClientCloseIfIdle(id) = e { Some(*id) } else { None })
             .collect()
     };
     assert!(retired(&rig.pass(SECOND)).is_empty(), "few may stay for as long as they like");
@@ -1047,7 +1072,7 @@
     let effects = rig.effects[before..].to_vec();
     assert_eq!(retired(&effects).first(), Some(&asked[0]), "the one idle longest");
     assert!(!retired(&effects).contains(&busy));
-    rig.input(Input::ClientClosed(asked[0], Closed::Lost));
+    rig.input(Input::ClientClosed(asked[0], CloseReason::Disconnected));
     // One that has just been answered often asks again.
     let new = rig.client(8);
     rig.ask(new, query(""));
@@ -1064,7 +1089,7 @@
     rig.connects = false;
     let client = rig.client(1);
     let (conn, member) = opened(&rig.ask(client, buy(900)))[0];
-    rig.input(Input::MemberUp(conn));
+    rig.input(Input::MemberConnected(conn));
     // It is too late for the attempt, which was never sent ...
     let effects = rig.pass(251 * MS);
     assert!(!closed(&effects).contains(&conn));
@@ -1083,7 +1108,7 @@
         rig.connects = false;
         let client = rig.client(n);
         let (conn, _) = opened(&rig.ask(client, buy(300)))[0];
-        rig.input(Input::MemberUp(conn));
+        rig.input(Input::MemberConnected(conn));
         (client, conn)
     };
     let mut rig = Rig::new(&three());
@@ -1098,7 +1123,7 @@
     // A member that drains is not waited for.
     let mut rig = Rig::new(&three());
     let (_, conn) = late(&mut rig, 1);
-    rig.input(Input::List(list(2, false, &[entry(1, "draining", "leader")])));
+    rig.input(Input::EndpointList(list(2, false, &[entry(1, "draining", "leader")])));
     assert!(closed(&rig.pass(251 * MS)).contains(&conn));
 }
 
@@ -1114,8 +1139,8 @@
     let effects = rig.ask(client, read(900));
     assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("57P03"));
     assert!(statements(&effects).is_empty() && opened(&effects).is_empty(), "nothing is sent on");
-    assert!(effects.contains(&Effect::ClientRetire(client)), "it is closed between requests, as before");
-    let effects = rig.input(Input::ClientClosed(client, Closed::Lost));
+    assert!(effects.contains(&Effect::ClientCloseIfIdle(client)), "it is closed between requests, as before");
+    let effects = rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
     assert!(effects.contains(&Effect::Exit));
     assert!(!rig.pass(SECOND).contains(&Effect::Exit), "once");
 }
--- a/crates/stackgw-gateway/tests/shared.rs
+++ b/crates/stackgw-gateway/tests/shared.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::*;
-use stackgw_cluster::{Key, Ring};
+use stackgw_cluster::{Key, Keyring};
 use stackgw_config::{Duration, Sessions};
 use stackgw_gateway::config::SessionSharingConfig;
 use stackgw_gateway::pg::Frame;
-use stackgw_gateway::reducer::{ConnId, Effect, Input, Life, Question};
+use stackgw_gateway::reducer::{ConnectionId, Effect, Incarnation, Input, StatusQuery};
 use stackgw_router::api::{Span, MS, SECOND};
 
 const LEASE: Span = 400 * MS;
@@ -15,7 +15,7 @@
 const BOUND: Span = LEASE + LEASE / 8;
 
 /// One of two keepers; the other one is nowhere.
-fn together(keepers: &[&str]) -> SessionSharingConfig {
+fn session_sharing(keepers: &[&str]) -> SessionSharingConfig {
     let file = Sessions {
         cluster: "test".to_owned(),
         listen: "127.0.0.1:7300".parse().expect("an address"),
@@ -35,22 +35,22 @@
         expected: 2,
     };
     let key = Key::new("test", b"a secret of this test alone").expect("a secret");
-    SessionSharingConfig { options: file, key_ring: Ring::new(vec![key]).expect("keys") }
+    SessionSharingConfig { options: file, keyring: Keyring::new(vec![key]).expect("keys") }
 }
 
 fn rig(keepers: &[&str]) -> Rig {
-    rig_with(together(keepers))
+    rig_with(session_sharing(keepers))
 }
 
-fn rig_with(together: SessionSharingConfig) -> Rig {
+fn rig_with(session_sharing: SessionSharingConfig) -> Rig {
     let mut config = config(&three());
-    config.session_sharing = Some(together);
-    let together = config.session_sharing.clone().expect("it is there");
+    config.session_sharing = Some(session_sharing);
+    let session_sharing = config.session_sharing.clone().expect("it is there");
     let mut rig = Rig::with(config);
-    let life = Life { incarnation: 5, recovered: None };
+    let life = Incarnation { number: 5, recovered: None };
     let mut effects = Vec::new();
-    rig.reducer.share_sessions(rig.now, &together, life, &mut effects);
-    rig.input(Input::Due);
+    rig.reducer.enable_session_sharing(rig.now, &session_sharing, life, &mut effects);
+    rig.input(Input::TimerDue);
     rig
 }
 
@@ -68,7 +68,7 @@
     serve_as(rig, conn, "leader")
 }
 
-fn serve_as(rig: &mut Rig, conn: ConnId, role: &str) -> Vec<Effect> {
+fn serve_as(rig: &mut Rig, conn: ConnectionId, role: &str) -> Vec<Effect> {
     let mut frames = row(b"v");
     let position = (rig.now / MS).to_string();
     frames.extend([status("node_role", role), status("replay_position", &position), ready()]);
@@ -102,16 +102,16 @@
     let mut rig = rig(&["g0", "g1"]);
     written(&mut rig, 3_000);
     let client = stackgw_gateway::reducer::ClientId(1);
-    rig.input(Input::ClientClosed(client, stackgw_gateway::reducer::Closed::Lost));
+    rig.input(Input::ClientClosed(client, stackgw_gateway::reducer::CloseReason::Disconnected));
     assert!(answers(&rig.pass(3 * SECOND)).is_empty());
     assert_eq!((rig.reducer.counters().held_bytes, rig.reducer.counters().answered_gone), (0, 1));
 }
 
 #[test]
 fn at_the_end_what_is_held_is_failed() {
-    let mut together = together(&["g0", "g1"]);
-    together.options.lease = Duration::from_millis(9_000);
-    let mut rig = rig_with(together);
+    let mut session_sharing = session_sharing(&["g0", "g1"]);
+    session_sharing.options.lease = Duration::from_millis(9_000);
+    let mut rig = rig_with(session_sharing);
     rig.input(Input::Terminate);
     rig.pass(SECOND);
     assert!(answers(&written(&mut rig, 3_000)).is_empty());
@@ -160,7 +160,7 @@
 fn strangers_datagrams_are_counted_and_change_nothing() {
     let mut rig = rig(&["g0", "g1"]);
     for length in [0, 1, 30, 1_200, 1_300] {
-        rig.input(Input::Cluster(vec![1; length]));
+        rig.input(Input::ClusterDatagram(vec![1; length]));
     }
     let told = rig.reducer_told();
     let counts = &told["counts"];
@@ -175,9 +175,9 @@
 
 impl Told for Rig {
     fn reducer_told(&mut self) -> serde_json::Value {
-        let effects = self.input(Input::Question(1, Question::Sessions));
+        let effects = self.input(Input::StatusQuery(1, StatusQuery::Sessions));
         let told = effects.into_iter().find_map(|effect| match effect {
-            Effect::Told(1, value) => Some(value),
+            Effect::StatusReply(1, value) => Some(value),
             _ => None,
         });
         told.expect("an answer")
--- a/crates/stackgw-gateway/tests/streams.rs
+++ b/crates/stackgw-gateway/tests/streams.rs
@@ -3,9 +3,11 @@
 mod common;
 
 use common::*;
-use stackgw_cluster::{Key, Ring};
+use stackgw_cluster::{Key, Keyring};
 use stackgw_gateway::config::Config;
-use stackgw_gateway::reducer::{Asked, CallId, Closed, ConnId, Effect, Final, Input, Said};
+use stackgw_gateway::reducer::{
+    BackendRequest, CallId, CloseReason, ConnectionId, Effect, FinalResponse, Input, StreamHeader,
+};
 use stackgw_router::api::{Outcome, MS, SECOND};
 
 /// A reducer whose members all speak another front's protocol, with connections that come up at once.
@@ -16,7 +18,8 @@
 fn configured(listen: &str) -> Config {
     let mut config = config(&three());
     let file = format!(r#"{{"listen": "{listen}", "keys": ["k"], "groups": [2]}}"#);
-    let ring = Ring::new(vec![Key::new("flight", b"a secret of this test").expect("a key")]).expect("keys");
+    let ring =
+        Keyring::new(vec![Key::new("flight", b"a secret of this test").expect("a key")]).expect("keys");
     config.operator.flight = Some((serde_json::from_str(&file).expect("a part"), ring));
     config
 }
@@ -32,22 +35,22 @@
 }
 
 /// Brings connections up and answers probes until a statement is asked; gives it.
-fn asked(rig: &mut Rig, mut effects: Vec<Effect>) -> (ConnId, Asked) {
+fn asked(rig: &mut Rig, mut effects: Vec<Effect>) -> (ConnectionId, BackendRequest) {
     for _ in 0..200 {
         let mut next = Vec::new();
         for effect in effects {
             match effect {
-                Effect::BackOpen(conn, _) => next.extend(rig.input(Input::MemberUp(conn))),
-                Effect::BackAsk(conn, asked) if asked.statement.starts_with("SHOW") => {
-                    rig.input(Input::MemberWritten(conn));
+                Effect::BackendConnect(conn, _) => next.extend(rig.input(Input::MemberConnected(conn))),
+                Effect::BackendSend(conn, asked) if asked.statement.starts_with("SHOW") => {
+                    rig.input(Input::MemberFlushed(conn));
                     let text = format!("x0={}.0", rig.now / SECOND);
                     next.extend(rig.reply(conn, [row(text.as_bytes()), vec![ready()]].concat()));
                 }
-                Effect::BackAsk(conn, asked) => {
-                    rig.input(Input::MemberWritten(conn));
+                Effect::BackendSend(conn, asked) => {
+                    rig.input(Input::MemberFlushed(conn));
                     return (conn, asked);
                 }
-                Effect::MemberOpen(..) | Effect::MemberWrite(..) => panic!("they do not speak that"),
+                Effect::MemberConnect(..) | Effect::MemberWrite(..) => panic!("they do not speak that"),
                 _ => {}
             }
         }
@@ -56,23 +59,24 @@
     panic!("nothing was asked");
 }
 
-fn begin(rig: &mut Rig, call: u64) -> ConnId {
+fn begin(rig: &mut Rig, call: u64) -> ConnectionId {
     let effects = rig.input(Input::Call(CallId(call), read(900), true));
     let (conn, asked) = asked(rig, effects);
-    assert!(asked.streams && !asked.writes && asked.wait_ms <= 900, "{asked:?}");
+    assert!(asked.may_stream && !asked.is_write && asked.timeout_ms <= 900, "{asked:?}");
     let position = Some(rig.now - 10 * MS);
-    let effects = rig.input(Input::MemberStreams(conn, Said { position, ..Said::default() }));
-    assert!(effects.contains(&Effect::CallStreams(CallId(call), conn)), "{effects:?}");
+    let effects = rig.input(Input::StreamStarted(conn, StreamHeader { position, ..StreamHeader::default() }));
+    assert!(effects.contains(&Effect::CallStreaming(CallId(call), conn)), "{effects:?}");
     conn
 }
 
 /// Requests that the router takes members to hold.
 fn in_flight(rig: &Rig) -> u32 {
-    rig.reducer.seen().map(|seen| seen.belief.in_flight).sum()
+    rig.reducer.member_statuses().map(|seen| seen.snapshot.in_flight).sum()
 }
 
 fn asks(effects: &[Effect]) -> usize {
-    let asks = |e: &&Effect| matches!(e, Effect::BackAsk(_, asked) if !asked.statement.starts_with("SHOW"));
+    let asks =
+        |e: &&Effect| matches!(e, Effect::BackendSend(_, asked) if !asked.statement.starts_with("SHOW"));
     effects.iter().filter(asks).count()
 }
 
@@ -82,20 +86,23 @@
     let conn = begin(&mut rig, 1);
     rig.pass(3 * SECOND);
     assert_eq!(in_flight(&rig), 1, "long after its time to begin");
-    let effects = rig.input(Input::MemberStreamOver(conn, Outcome::Served));
+    let effects = rig.input(Input::StreamEnded(conn, Outcome::Served));
     assert!(!closed(&effects).contains(&conn));
     assert_eq!((in_flight(&rig), rig.reducer.counters().streams_begun), (0, 1));
-    assert!(rig.reducer.seen().all(|seen| seen.belief.latency_ratio < 1.0), "its length is no strain");
+    assert!(
+        rig.reducer.member_statuses().all(|seen| seen.snapshot.latency_ratio < 1.0),
+        "its length is no strain"
+    );
 }
 
 #[test]
 fn a_stream_that_waits_for_its_reader_is_no_load() {
     let mut rig = rig();
     let conn = begin(&mut rig, 1);
-    rig.input(Input::MemberStreamWaits(conn));
-    rig.input(Input::MemberStreamWaits(conn));
+    rig.input(Input::StreamPaused(conn));
+    rig.input(Input::StreamPaused(conn));
     assert_eq!(in_flight(&rig), 0);
-    rig.input(Input::MemberStreamOver(conn, Outcome::Cancelled));
+    rig.input(Input::StreamEnded(conn, Outcome::Cancelled));
     assert_eq!((in_flight(&rig), rig.reducer.counters().streams_broken), (0, 1));
 }
 
@@ -103,7 +110,7 @@
 fn a_stream_that_breaks_is_not_begun_again() {
     let mut rig = rig();
     let conn = begin(&mut rig, 1);
-    let mut effects = rig.input(Input::MemberClosed(conn, Closed::Lost));
+    let mut effects = rig.input(Input::MemberClosed(conn, CloseReason::Disconnected));
     effects.extend(rig.pass(2 * SECOND));
     assert_eq!(asks(&effects), 0, "{effects:?}");
     assert_eq!(in_flight(&rig), 0);
@@ -113,10 +120,10 @@
 fn a_client_that_leaves_halfway_ends_its_stream_and_leaves_nothing() {
     let mut rig = rig();
     let conn = begin(&mut rig, 1);
-    let effects = rig.input(Input::CallGone(CallId(1)));
+    let effects = rig.input(Input::CallCancelled(CallId(1)));
     assert_eq!(closed(&effects), [conn]);
-    rig.input(Input::MemberStreamOver(conn, Outcome::Cancelled));
-    rig.input(Input::CallGone(CallId(1)));
+    rig.input(Input::StreamEnded(conn, Outcome::Cancelled));
+    rig.input(Input::CallCancelled(CallId(1)));
     let counters = rig.reducer.counters();
     assert_eq!((counters.held_bytes, counters.ended_cancelled, in_flight(&rig)), (0, 1, 0));
 }
@@ -126,28 +133,28 @@
     let mut rig = rig();
     let effects = rig.input(Input::Call(CallId(1), read(900), true));
     let (conn, _) = asked(&mut rig, effects);
-    let mut effects = rig.input(Input::CallGone(CallId(1)));
-    effects.extend(rig.input(Input::MemberStreams(conn, Said::default())));
+    let mut effects = rig.input(Input::CallCancelled(CallId(1)));
+    effects.extend(rig.input(Input::StreamStarted(conn, StreamHeader::default())));
     assert!(closed(&effects).contains(&conn));
-    assert!(!effects.iter().any(|e| matches!(e, Effect::CallStreams(..))));
+    assert!(!effects.iter().any(|e| matches!(e, Effect::CallStreaming(..))));
 }
 
 #[test]
 fn a_write_is_no_stream_and_never_asked_again_once_it_may_have_run() {
-    for (why, harmless) in [(Closed::Lost, false), (Closed::Unsent, true)] {
+    for (why, harmless) in [(CloseReason::Disconnected, false), (CloseReason::NotSent, true)] {
         let mut rig = rig();
         let effects = rig.input(Input::Call(CallId(1), buy(900), true));
         let (conn, first) = asked(&mut rig, effects);
-        assert!(first.writes && !first.streams, "{first:?}");
+        assert!(first.is_write && !first.may_stream, "{first:?}");
         let mut effects = rig.input(Input::MemberClosed(conn, why));
         effects.extend(rig.pass(2 * SECOND));
         assert!(harmless || asks(&effects) == 0, "{effects:?}");
         let ended = effects.iter().find_map(|e| match e {
-            Effect::CallEnded(_, ended) => Some(ended.clone()),
+            Effect::CallCompleted(_, ended) => Some(ended.clone()),
             _ => None,
         });
-        assert_eq!(matches!(ended, Some(Final::Refused(..))), harmless, "{ended:?}");
-        assert_eq!(matches!(ended, Some(Final::Failed(_))), !harmless, "{ended:?}");
+        assert_eq!(matches!(ended, Some(FinalResponse::Rejected(..))), harmless, "{ended:?}");
+        assert_eq!(matches!(ended, Some(FinalResponse::Failed(_))), !harmless, "{ended:?}");
     }
 }
 
@@ -155,13 +162,17 @@
 fn a_probe_is_never_answered_by_a_stream() {
     let mut rig = rig();
     let opened = |effects: Vec<Effect>| {
-        effects.into_iter().find_map(|e| if let Effect::BackOpen(conn, _) = e { Some(conn) } else { None })
+        effects
+            .into_iter()
+            .find_map(|e| if let Effect::BackendConnect(conn, _) = e { Some(conn) } else { None })
     };
     let conn = (0..200).find_map(|_| opened(rig.pass(10 * MS))).expect("a probe");
-    let effects = rig.input(Input::MemberUp(conn));
-    assert!(matches!(&effects[..], [Effect::BackAsk(_, asked), ..] if asked.statement.starts_with("SHOW")));
-    rig.input(Input::MemberWritten(conn));
-    let effects = rig.input(Input::MemberStreams(conn, Said::default()));
+    let effects = rig.input(Input::MemberConnected(conn));
+    assert!(
+        matches!(&effects[..], [Effect::BackendSend(_, asked), ..] if asked.statement.starts_with("SHOW"))
+    );
+    rig.input(Input::MemberFlushed(conn));
+    let effects = rig.input(Input::StreamStarted(conn, StreamHeader::default()));
     assert!(closed(&effects).contains(&conn));
     assert!(rig.reducer.counters().probes_failed > 0);
 }
--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -44,19 +44,19 @@
     fn opened(&mut self, now: Time, rig: &mut Rig) {
         self.next = None;
         if now < self.from {
-            rig.input(Input::WatchUp);
-            self.next = Some((now + 2 * SECOND, Input::WatchAlive));
+            rig.input(Input::WatchConnected);
+            self.next = Some((now + 2 * SECOND, Input::WatchKeepalive));
         } else if now >= self.back {
-            rig.input(Input::WatchUp);
+            rig.input(Input::WatchConnected);
             let drains = list(2, false, &[entry(2, "draining", "follower")]);
-            self.next = Some((now + MS, Input::List(drains)));
+            self.next = Some((now + MS, Input::EndpointList(drains)));
         } else {
             match self.down {
                 Down::Refuses => self.next = Some((now, Input::WatchLost("refused".into()))),
                 Down::Swallows => {}
-                Down::Stalls => drop(rig.input(Input::WatchUp)),
+                Down::Stalls => drop(rig.input(Input::WatchConnected)),
                 Down::Cuts(after) => {
-                    rig.input(Input::WatchUp);
+                    rig.input(Input::WatchConnected);
                     self.next = Some((now + after, Input::WatchLost("cut off".into())));
                 }
             }
@@ -90,14 +90,14 @@
         let mut effects = rig.pass((until - rig.now).max(0));
         if agent.next.as_ref().is_some_and(|(at, _)| *at <= rig.now) {
             let (at, input) = agent.next.take().expect("a word");
-            if matches!(input, Input::WatchAlive) {
+            if matches!(input, Input::WatchKeepalive) {
                 let before = match agent.open {
                     Open::FellSilent(before) => before,
                     Open::Ends => 0,
                 };
                 let next = at + 2 * SECOND;
                 let last = next > from - before;
-                agent.next = (!last).then_some((next, Input::WatchAlive));
+                agent.next = (!last).then_some((next, Input::WatchKeepalive));
             }
             effects.extend(rig.input(input));
         }
@@ -105,7 +105,7 @@
             return rig.now - agent.back.max(from);
         }
         assert!(rig.now < agent.back + 20 * SECOND, "never told");
-        opens = effects.iter().filter(|e| matches!(e, Effect::Watch(..))).count();
+        opens = effects.iter().filter(|e| matches!(e, Effect::OpenWatch(..))).count();
     }
 }
 
@@ -140,13 +140,13 @@
 #[test]
 fn a_silent_watch_is_opened_anew_at_once_and_only_whole_lines_count() {
     let mut rig = Rig::new(&three());
-    rig.input(Input::WatchUp);
+    rig.input(Input::WatchConnected);
     rig.pass(2 * SECOND);
-    rig.input(Input::WatchAlive);
-    let opened = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::Watch(..))).count();
+    rig.input(Input::WatchKeepalive);
+    let opened = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::OpenWatch(..))).count();
     assert_eq!(opened(&rig.pass(3990 * MS)), 0, "two blank lines may be late");
     let effects = rig.pass(150 * MS);
-    assert!(effects.contains(&Effect::Unwatch) && opened(&effects) == 1);
+    assert!(effects.contains(&Effect::CloseWatch) && opened(&effects) == 1);
 }
 
 /// Where the list is at a new address it counts four seconds after the signal, whatever the first try there meets.
@@ -158,10 +158,10 @@
         let config = stackgw_gateway::config::Config::from_text(&text, |_| None).expect("a configuration");
         rig.input(Input::Reload(Ok(Box::new(config))));
         if up {
-            rig.input(Input::WatchUp);
+            rig.input(Input::WatchConnected);
         }
         let effects = rig.pass(3500 * MS);
-        assert!(effects.iter().any(|e| matches!(e, Effect::Watch(..))), "up: {up}");
+        assert!(effects.iter().any(|e| matches!(e, Effect::OpenWatch(..))), "up: {up}");
     }
 }
 
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -172,7 +172,7 @@
 fn clients_are_answered_with_the_same_bytes() {
     let mut out = String::new();
     let mut rig = Rig::new(&three());
-    rig.input(Input::ClientOpened(ClientId(1)));
+    rig.input(Input::ClientConnected(ClientId(1)));
     let welcome = client_writes(&rig.input(Input::ClientFrame(ClientId(1), startup())));
     // What follows is a key for cancelling, drawn at random.
     line(&mut out, "startup", &welcome[..welcome.len().saturating_sub(2 * (8 + 6))]);
@@ -193,7 +193,7 @@
         let mut bytes = 9u32.to_be_bytes().to_vec();
         bytes.extend(startup_code.to_be_bytes());
         bytes.push(7);
-        rig.input(Input::ClientOpened(ClientId(1)));
+        rig.input(Input::ClientConnected(ClientId(1)));
         let effects = rig.input(Input::ClientFrame(ClientId(1), Frame { kind: 0, bytes }));
         line(&mut out, &format!("startup {startup_code}"), client_writes(&effects));
     }
@@ -815,7 +815,7 @@
     }
     let mut none = settings.clone();
     none.router.classes.clear();
-    none.conn_idle = 0;
+    none.member_idle_timeout = 0;
     line(&mut out, "no classes", limits_text(&Limits::new(Platform { memory_mb: 64, sockets: 128 }, &none)));
     compare("limits.txt", &out);
 }
--- a/crates/stackgw-settings/src/document.rs
+++ b/crates/stackgw-settings/src/document.rs
@@ -5,7 +5,7 @@
 
 /// What the document calls things; requests and lists name them so on some wires.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Names {
+pub struct NameTable {
     /// The classes, by index.
     pub classes: Vec<String>,
     /// The zones, by index.
@@ -14,20 +14,20 @@
 
 /// The whole document, told apart into the router's part and its host's.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct HostSettings {
+pub struct PlatformSettings {
     /// What the router is told.
     pub router: Settings,
     /// What the document calls things.
-    pub names: Names,
+    pub names: NameTable,
     /// The moment that positions are counted from, where a wire counts them from one.
     pub position_zero: Time,
     /// A member closes a connection that has stood idle for this long.
-    pub conn_idle: Span,
+    pub member_idle_timeout: Span,
     /// Requests that one router may hold open.
-    pub max_open: usize,
+    pub max_open_requests: usize,
 }
 
-impl HostSettings {
+impl PlatformSettings {
     /// Reads the document from its text; an error names the key at fault.
     pub fn from_text(text: &str) -> Result<Self, String> {
         Self::from_json(&serde_json::from_str(text).map_err(|e| format!("no JSON object: {e}"))?)
@@ -42,22 +42,22 @@
         let zones = conf.get("Zones").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
         let classes = conf.get("Classes").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
         let class = |c: &Value| called(c.get("Name").unwrap_or(&Value::Null), "Classes");
-        Ok(HostSettings {
+        Ok(PlatformSettings {
             router: settings(conf)?,
-            names: Names {
+            names: NameTable {
                 classes: classes.iter().map(class).collect::<Result<_, _>>()?,
                 zones: zones.iter().map(|z| called(z, "Zones")).collect::<Result<_, _>>()?,
             },
             position_zero: int(part(conf, "Domain")?, "CountedFromNs")?,
-            conn_idle: span_or(limits, "ConnIdleNs", 0)?,
-            max_open: span_or(limits, "MaxOpen", i64::from(u32::MAX))? as usize,
+            member_idle_timeout: span_or(limits, "ConnIdleNs", 0)?,
+            max_open_requests: span_or(limits, "MaxOpen", i64::from(u32::MAX))? as usize,
         })
     }
 }
 
 /// Notes one field of a load report under the settings' name for it. The position (`x0`) is not among them: its zero
 /// and its precision are the wire's. Names without a meaning here are skipped.
-pub fn note_load(report: &mut LoadReport, name: &str, value: f64) {
+pub fn record_load_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "x1" => report.is_primary = Some(value > 0.5),
         "inflight" => report.in_flight = Some(value),
--- a/crates/stackgw-settings/src/lib.rs
+++ b/crates/stackgw-settings/src/lib.rs
@@ -4,5 +4,5 @@
 mod document;
 mod words;
 
-pub use document::{note_load, HostSettings, Names};
-pub use words::{Digests, MOST_BYTES};
+pub use document::{record_load_field, NameTable, PlatformSettings};
+pub use words::{GossipCodec, MAX_GOSSIP_BYTES};
--- a/crates/stackgw-settings/src/words.rs
+++ b/crates/stackgw-settings/src/words.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 /// No message is longer.
-pub const MOST_BYTES: usize = 256;
+pub const MAX_GOSSIP_BYTES: usize = 256;
 const HEAD: usize = 5;
 const ENTRY: usize = 6;
 /// Ages of positions come in steps of this, rounded up so that a position is never told too new.
@@ -18,13 +18,13 @@
 
 /// The digests of the members that an instance knows.
 #[derive(Debug, Default)]
-pub struct Digests {
+pub struct GossipCodec {
     /// `None` where two members share a digest: word of either could be the other's, so none is taken.
     members: HashMap<[u8; 3], Option<MemberId>>,
     digests: HashMap<MemberId, [u8; 3]>,
 }
 
-impl Digests {
+impl GossipCodec {
     /// Adds a member.
     pub fn add(&mut self, id: MemberId, name: &str) {
         let [a, b, c, _] = crc32fast::hash(name.as_bytes()).to_le_bytes();
@@ -44,7 +44,7 @@
     }
 
     /// The messages that carry this news.
-    pub fn pack(&self, now: Time, relay: bool, news: &[GossipUpdate]) -> Vec<Vec<u8>> {
+    pub fn encode(&self, now: Time, relay: bool, news: &[GossipUpdate]) -> Vec<Vec<u8>> {
         let known: Vec<_> = news.iter().filter(|n| self.digests.contains_key(&n.member)).collect();
         let pack = |part: &[&GossipUpdate]| {
             let mut body = vec![u8::from(relay)];
@@ -60,12 +60,12 @@
             }
             body
         };
-        known.chunks((MOST_BYTES - HEAD) / ENTRY).map(pack).collect()
+        known.chunks((MAX_GOSSIP_BYTES - HEAD) / ENTRY).map(pack).collect()
     }
 
     /// What a message says, when it was sent by the common clock, and whether it is to be passed on. `None`:
     /// the bytes are no such message.
-    pub fn unpack(&self, now: Time, body: &[u8]) -> Option<(Time, bool, Vec<GossipUpdate>)> {
+    pub fn decode(&self, now: Time, body: &[u8]) -> Option<(Time, bool, Vec<GossipUpdate>)> {
         let (&[relay, a, b, c, d], entries) = body.split_first_chunk::<HEAD>()?;
         if relay > 1 || entries.len() % ENTRY != 0 {
             return None;
--- a/crates/stackgw-settings/tests/unit/words.rs
+++ b/crates/stackgw-settings/tests/unit/words.rs
@@ -3,8 +3,8 @@
 use super::*;
 use stackgw_router::api::SECOND;
 
-fn known(names: &[&str]) -> Digests {
-    let mut digests = Digests::default();
+fn known(names: &[&str]) -> GossipCodec {
+    let mut digests = GossipCodec::default();
     names.iter().zip(0..).for_each(|(name, n)| digests.add(MemberId(n), name));
     digests
 }
@@ -20,8 +20,8 @@
         latency_ratio: 0.4,
         samples: 3,
     };
-    let bodies = here.pack(now, true, &[news]);
-    let (told, relay, heard) = there.unpack(now + 20 * MS, &bodies[0]).expect("a message");
+    let bodies = here.encode(now, true, &[news]);
+    let (told, relay, heard) = there.decode(now + 20 * MS, &bodies[0]).expect("a message");
     assert!(relay && told <= now && now - told < MS);
     let heard = &heard[0];
     assert_eq!((heard.member, heard.is_primary, heard.samples), (MemberId(1), Some(false), 3));
@@ -40,9 +40,9 @@
         latency_ratio: 0.0,
         samples: 0,
     };
-    let bodies = digests.pack(90 * SECOND, false, &vec![old; 100]);
-    assert!(bodies.iter().all(|body| body.len() <= MOST_BYTES));
-    let heard: Vec<_> = bodies.iter().filter_map(|b| digests.unpack(90 * SECOND, b)).collect();
+    let bodies = digests.encode(90 * SECOND, false, &vec![old; 100]);
+    assert!(bodies.iter().all(|body| body.len() <= MAX_GOSSIP_BYTES));
+    let heard: Vec<_> = bodies.iter().filter_map(|b| digests.decode(90 * SECOND, b)).collect();
     assert_eq!(heard.iter().map(|(_, _, news)| news.len()).sum::<usize>(), 100);
     assert!(heard.iter().all(|(_, relay, news)| !relay && news[0].position.is_none()));
 }
@@ -58,21 +58,21 @@
         samples: 1,
     };
     digests.remove(MemberId(0));
-    let bodies = digests.pack(SECOND, false, &[news(0), news(1)]);
-    let (_, _, heard) = there.unpack(SECOND, &bodies[0]).expect("a message");
+    let bodies = digests.encode(SECOND, false, &[news(0), news(1)]);
+    let (_, _, heard) = there.decode(SECOND, &bodies[0]).expect("a message");
     assert_eq!(heard.iter().map(|n| n.member).collect::<Vec<_>>(), [MemberId(1)]);
-    let bodies = there.pack(SECOND, false, &[news(0), news(1)]);
-    let (_, _, heard) = digests.unpack(SECOND, &bodies[0]).expect("a message");
+    let bodies = there.encode(SECOND, false, &[news(0), news(1)]);
+    let (_, _, heard) = digests.decode(SECOND, &bodies[0]).expect("a message");
     assert_eq!(heard.iter().map(|n| n.member).collect::<Vec<_>>(), [MemberId(1)]);
     // Two that share a digest are none; once one is dropped the other is known again.
     let mut twins = known(&["a", "a"]);
-    assert!(twins.unpack(SECOND, &bodies[0]).expect("a message").2.is_empty());
+    assert!(twins.decode(SECOND, &bodies[0]).expect("a message").2.is_empty());
     twins.remove(MemberId(1));
-    assert_eq!(twins.unpack(SECOND, &bodies[0]).expect("a message").2.len(), 1);
+    assert_eq!(twins.decode(SECOND, &bodies[0]).expect("a message").2.len(), 1);
 }
 
 #[test]
 fn strange_bytes_are_no_message() {
-    assert!(known(&["a"]).unpack(0, &[1, 2, 3]).is_none());
-    assert!(known(&["a"]).unpack(0, &[7; 11]).is_none());
+    assert!(known(&["a"]).decode(0, &[1, 2, 3]).is_none());
+    assert!(known(&["a"]).decode(0, &[7; 11]).is_none());
 }
--- a/crates/stackgw-store/src/file.rs
+++ b/crates/stackgw-store/src/file.rs
@@ -1,6 +1,6 @@
 //! The file, by `redb`: one writer, checksums on all pages, commits that are whole or not there.
 
-use crate::{Disk, Failed};
+use crate::{Disk, StoreError};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use stackgw_sessions::{NodeId, Peer, Record, Recovered, SessionKey, StoreVersion};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -24,7 +24,7 @@
 
 /// Whose file it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Owner {
+pub struct StoreOwner {
     /// The cluster's name.
     pub cluster: String,
     /// The instance.
@@ -35,20 +35,20 @@
 
 /// A file ready for this life of its instance.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedStore {
     /// Where records go.
-    pub file: File,
+    pub store: StoreFile,
     /// This life's incarnation, which is on the disk.
     pub incarnation: u64,
     /// What earlier lives left.
     pub recovered: Recovered,
     /// What was there could not be believed: why, and where it is now.
-    pub set_aside: Option<String>,
+    pub quarantined: Option<String>,
 }
 
 /// An open file.
 #[derive(Debug)]
-pub struct File {
+pub struct StoreFile {
     path: PathBuf,
     database: Database,
     retention_ms: u64,
@@ -65,47 +65,47 @@
     /// It is not to be believed, and is to be set aside.
     Refused(String),
     /// Nothing can be done about it here: another process has it, or the folder takes no files.
-    Failed(Failed),
+    Failed(StoreError),
 }
 
 fn refused(e: impl std::fmt::Display) -> Unusable {
     Unusable::Refused(e.to_string())
 }
 
-impl File {
+impl StoreFile {
     /// Opens an instance's file, or begins one, and starts a new life in it. An error leaves the file where it was.
-    pub fn open(path: &Path, owner: &Owner) -> Result<Opened, Failed> {
-        let named = |Failed(why)| Failed(format!("store: {}: {why}", path.display()));
+    pub fn open(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, StoreError> {
+        let named = |StoreError(why)| StoreError(format!("store: {}: {why}", path.display()));
         match Self::start(path, owner) {
             Ok(opened) => Ok(opened),
             Err(Unusable::Failed(failed)) => Err(named(failed)),
             Err(Unusable::Refused(why)) => {
                 let aside = free_name(path);
-                std::fs::rename(path, &aside).map_err(|e| named(Failed(format!("{why}; {e}"))))?;
+                std::fs::rename(path, &aside).map_err(|e| named(StoreError(format!("{why}; {e}"))))?;
                 let said = format!("store: {}: {why}; set aside as {}", path.display(), aside.display());
                 match Self::start(path, owner) {
-                    Ok(opened) => Ok(Opened { set_aside: Some(said), ..opened }),
-                    Err(Unusable::Refused(why)) => Err(named(Failed(why))),
+                    Ok(opened) => Ok(OpenedStore { quarantined: Some(said), ..opened }),
+                    Err(Unusable::Refused(why)) => Err(named(StoreError(why))),
                     Err(Unusable::Failed(failed)) => Err(named(failed)),
                 }
             }
         }
     }
 
-    fn start(path: &Path, owner: &Owner) -> Result<Opened, Unusable> {
+    fn start(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, Unusable> {
         let there = path.exists();
         // Danger: the library asserts what a damaged file may break; that must not end the gateway.
         let opened = catch_unwind(AssertUnwindSafe(|| Self::read(path, owner, there)));
         opened.unwrap_or_else(|_| Err(refused("the file is damaged beyond reading")))
     }
 
-    fn read(path: &Path, owner: &Owner, there: bool) -> Result<Opened, Unusable> {
+    fn read(path: &Path, owner: &StoreOwner, there: bool) -> Result<OpenedStore, Unusable> {
         let mut builder = Database::builder();
         builder.set_cache_size(CACHE);
         let database = if there { builder.open(path) } else { builder.create(path) };
         let mut database = database.map_err(|e| match e {
             redb::DatabaseError::DatabaseAlreadyOpen => {
-                Unusable::Failed(Failed("another process has it open".to_owned()))
+                Unusable::Failed(StoreError("another process has it open".to_owned()))
             }
             redb::DatabaseError::Storage(redb::StorageError::Io(io))
                 if !matches!(
@@ -113,7 +113,7 @@
                     std::io::ErrorKind::InvalidData | std::io::ErrorKind::UnexpectedEof
                 ) =>
             {
-                Unusable::Failed(Failed(io.to_string()))
+                Unusable::Failed(StoreError(io.to_string()))
             }
             other => refused(other),
         })?;
@@ -150,9 +150,10 @@
             write.commit()?;
             Ok(())
         };
-        begin().map_err(|e| Unusable::Failed(Failed(e.to_string())))?;
-        let file = File { path: path.to_owned(), database, retention_ms: owner.retention_ms, pruned_ms: 0 };
-        Ok(Opened { file, incarnation, recovered, set_aside: None })
+        begin().map_err(|e| Unusable::Failed(StoreError(e.to_string())))?;
+        let file =
+            StoreFile { path: path.to_owned(), database, retention_ms: owner.retention_ms, pruned_ms: 0 };
+        Ok(OpenedStore { store: file, incarnation, recovered, quarantined: None })
     }
 
     fn write(&mut self, records: &[Record]) -> Result<(), redb::Error> {
@@ -212,7 +213,7 @@
 }
 
 /// Reads what earlier lives left; gives the last one's incarnation.
-fn recover(database: &Database, owner: &Owner, recovered: &mut Recovered) -> Result<u64, Unusable> {
+fn recover(database: &Database, owner: &StoreOwner, recovered: &mut Recovered) -> Result<u64, Unusable> {
     let read = database.begin_read().map_err(refused)?;
     let meta = read.open_table(META).map_err(refused)?;
     let number = |name: &str| -> Result<Option<u64>, Unusable> {
@@ -257,11 +258,11 @@
     Ok(last)
 }
 
-impl Disk for File {
-    fn commit(&mut self, records: &[Record]) -> Result<(), Failed> {
+impl Disk for StoreFile {
+    fn commit(&mut self, records: &[Record]) -> Result<(), StoreError> {
         let done = catch_unwind(AssertUnwindSafe(|| self.write(records)));
         let done = done.unwrap_or_else(|_| Err(redb::Error::Corrupted("the library gave up".to_owned())));
-        done.map_err(|e| Failed(format!("store: {}: {e}", self.path.display())))
+        done.map_err(|e| StoreError(format!("store: {}: {e}", self.path.display())))
     }
 
     fn set_aside(&mut self) -> bool {
--- a/crates/stackgw-store/src/lib.rs
+++ b/crates/stackgw-store/src/lib.rs
@@ -2,35 +2,35 @@
 //!
 //! A file is judged before it is believed: one that is damaged, of another cluster, instance or version is set aside under
 //! another name, never written over, and the instance starts without one, cautiously. Commits are whole or not there, each on
-//! the disk before it is said to be ([`Disk::commit`]); [`Writer`] does them in batches on a thread of its own.
+//! the disk before it is said to be ([`Disk::commit`]); [`RecordWriter`] does them in batches on a thread of its own.
 
 mod file;
 mod list;
 mod worker;
 mod writer;
 
-pub use file::{File, Opened, Owner};
-pub use list::{read as read_list, ListWriter};
-pub use writer::{Done, Writer};
+pub use file::{OpenedStore, StoreFile, StoreOwner};
+pub use list::{read as read_endpoint_list, EndpointListWriter};
+pub use writer::{CommitOutcome, RecordWriter};
 
 use stackgw_sessions::Record;
 
 /// Why something did not get onto the disk, in one line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Failed(pub String);
+pub struct StoreError(pub String);
 
-impl std::fmt::Display for Failed {
+impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Failed {}
+impl std::error::Error for StoreError {}
 
 /// Somewhere that records last.
 pub trait Disk: Send {
     /// Keeps these records; they last once this returns.
-    fn commit(&mut self, records: &[Record]) -> Result<(), Failed>;
+    fn commit(&mut self, records: &[Record]) -> Result<(), StoreError>;
 
     /// Gives up: what is there must not be read by a later life. Whether that could be done.
     fn set_aside(&mut self) -> bool;
--- a/crates/stackgw-store/src/list.rs
+++ b/crates/stackgw-store/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::file::{free_name, unix_ms};
 use crate::worker::Worker;
-use crate::Failed;
+use crate::StoreError;
 use serde::{Deserialize, Serialize};
 use stackgw_router::api::{Time, MS};
 use stackgw_start::{CachedEndpoints, EndpointUpdate};
@@ -31,8 +31,8 @@
 }
 
 /// What a file kept of this service's list; `None`: there is none, or another service's. One that is damaged is set aside.
-pub fn read(path: &Path, service: &str) -> Result<Option<CachedEndpoints>, Failed> {
-    let wrong = |why: &dyn std::fmt::Display| Failed(format!("start.list: {}: {why}", path.display()));
+pub fn read(path: &Path, service: &str) -> Result<Option<CachedEndpoints>, StoreError> {
+    let wrong = |why: &dyn std::fmt::Display| StoreError(format!("start.list: {}: {why}", path.display()));
     let about = match std::fs::metadata(path) {
         Ok(about) => about,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -94,14 +94,18 @@
 /// A thread that keeps the newest list; what came while it wrote and is no longer the newest is passed over. Dropped, it writes
 /// the newest first.
 #[derive(Debug)]
-pub struct ListWriter(Worker<CachedEndpoints>);
+pub struct EndpointListWriter(Worker<CachedEndpoints>);
 
-impl ListWriter {
+impl EndpointListWriter {
     /// Starts the thread; `said` is told, on it, of the first failure in a row.
-    pub fn start(path: &Path, service: &str, said: impl Fn(Failed) + Send + 'static) -> Result<Self, Failed> {
+    pub fn start(
+        path: &Path,
+        service: &str,
+        said: impl Fn(StoreError) + Send + 'static,
+    ) -> Result<Self, StoreError> {
         let (path, service) = (path.to_owned(), service.to_owned());
         let worker = Worker::start("list", move |line| run(&path, &service, &line, &said));
-        worker.map(ListWriter).map_err(|e| Worker::<CachedEndpoints>::failed("start.list", &e))
+        worker.map(EndpointListWriter).map_err(|e| Worker::<CachedEndpoints>::failed("start.list", &e))
     }
 
     /// Keeps this one from now on.
@@ -110,13 +114,13 @@
     }
 }
 
-fn run(path: &Path, service: &str, line: &Receiver<CachedEndpoints>, said: &impl Fn(Failed)) {
+fn run(path: &Path, service: &str, line: &Receiver<CachedEndpoints>, said: &impl Fn(StoreError)) {
     let mut failing = false;
     while let Ok(first) = line.recv() {
         let newest = line.try_iter().last().unwrap_or(first);
         let done = write(path, service, &newest);
         if let (Err(e), false) = (&done, failing) {
-            said(Failed(format!("start.list: {}: {e}; the list is not kept", path.display())));
+            said(StoreError(format!("start.list: {}: {e}; the list is not kept", path.display())));
         }
         failing = done.is_err();
     }
--- a/crates/stackgw-store/src/worker.rs
+++ b/crates/stackgw-store/src/worker.rs
@@ -1,6 +1,6 @@
 //! A thread with a line before it.
 
-use crate::Failed;
+use crate::StoreError;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread::JoinHandle;
 
@@ -29,8 +29,8 @@
 
 impl<T> Worker<T> {
     /// What no thread was to be had for.
-    pub(crate) fn failed(field: &str, e: &std::io::Error) -> Failed {
-        Failed(format!("{field}: no thread: {e}"))
+    pub(crate) fn failed(field: &str, e: &std::io::Error) -> StoreError {
+        StoreError(format!("{field}: no thread: {e}"))
     }
 }
 
--- a/crates/stackgw-store/tests/store.rs
+++ b/crates/stackgw-store/tests/store.rs
@@ -30,12 +30,12 @@
     }
 }
 
-fn owner() -> Owner {
-    Owner { cluster: "depots".to_owned(), node: NodeId::of("g0"), retention_ms: 60_000 }
+fn owner() -> StoreOwner {
+    StoreOwner { cluster: "depots".to_owned(), node: NodeId::of("g0"), retention_ms: 60_000 }
 }
 
-fn open(path: &Path) -> Opened {
-    File::open(path, &owner()).expect("a store")
+fn open(path: &Path) -> OpenedStore {
+    StoreFile::open(path, &owner()).expect("a store")
 }
 
 fn mark(n: u64) -> Record {
@@ -56,10 +56,10 @@
         Record::CompletePeer(peer),
         Record::PeerStore(peer, stamp),
     ];
-    first.file.commit(&records).expect("room");
-    first.file.commit(&[Record::Position(SessionKey(2), 1)]).expect("room");
+    first.store.commit(&records).expect("room");
+    first.store.commit(&[Record::Position(SessionKey(2), 1)]).expect("room");
     assert_eq!(first.recovered.unbroken_since, first.incarnation);
-    drop(first.file);
+    drop(first.store);
     let second = open(&folder.file());
     assert!(second.incarnation > first.incarnation);
     let found = second.recovered;
@@ -70,7 +70,7 @@
         (vec![(SessionKey(3), 30)], vec![peer], vec![(peer, stamp)])
     );
     assert_eq!((found.replica_set, found.store_version.records), (Some(5), 7));
-    assert_eq!(second.set_aside, None);
+    assert_eq!(second.quarantined, None);
 }
 
 #[test]
@@ -82,8 +82,8 @@
         let folder = Folder::new(&format!("whole-{record:?}").replace(|c: char| !c.is_alphanumeric(), ""));
         let mut first = open(&folder.file());
         let whole = Record::CompletePeer(Peer { node: NodeId(7), incarnation: 3 });
-        first.file.commit(&[Record::ReplicaSet(5), whole]).expect("room");
-        first.file.commit(std::slice::from_ref(&record)).expect("room");
+        first.store.commit(&[Record::ReplicaSet(5), whole]).expect("room");
+        first.store.commit(std::slice::from_ref(&record)).expect("room");
         drop(first);
         let found = open(&folder.file()).recovered;
         assert!(found.complete_peers.is_empty());
@@ -117,10 +117,10 @@
         Record::PeerStore(peer(4), stamp(8)),
     ];
     for record in records {
-        first.file.commit(std::slice::from_ref(&record)).expect("room");
+        first.store.commit(std::slice::from_ref(&record)).expect("room");
         wanted.apply(record);
     }
-    drop(first.file);
+    drop(first.store);
     assert_eq!(open(&folder.file()).recovered, wanted);
 }
 
@@ -128,20 +128,22 @@
 fn a_file_that_is_not_its_own_is_set_aside_and_kept() {
     let folder = Folder::new("foreign");
     let mut first = open(&folder.file());
-    first.file.commit(&[mark(1)]).expect("room");
+    first.store.commit(&[mark(1)]).expect("room");
     drop(first);
     let bytes = std::fs::read(folder.file()).expect("a file");
-    let foreign =
-        [Owner { cluster: "other".to_owned(), ..owner() }, Owner { node: NodeId::of("g1"), ..owner() }];
+    let foreign = [
+        StoreOwner { cluster: "other".to_owned(), ..owner() },
+        StoreOwner { node: NodeId::of("g1"), ..owner() },
+    ];
     for (n, other) in foreign.iter().enumerate() {
         std::fs::write(folder.file(), &bytes).expect("a file");
-        let opened = File::open(&folder.file(), other).expect("a new store");
-        let said = opened.set_aside.expect("it says so");
+        let opened = StoreFile::open(&folder.file(), other).expect("a new store");
+        let said = opened.quarantined.expect("it says so");
         assert!(!said.contains('\n') && said.contains("g0.redb"), "{said}");
         assert_eq!((opened.recovered.positions.len(), folder.set_aside()), (0, n + 1));
     }
     std::fs::write(folder.file(), b"no store at all").expect("a file");
-    assert!(open(&folder.file()).set_aside.is_some());
+    assert!(open(&folder.file()).quarantined.is_some());
     assert_eq!(folder.set_aside(), 3);
 }
 
@@ -149,20 +151,20 @@
 fn two_processes_cannot_have_one_store() {
     let folder = Folder::new("twice");
     let _first = open(&folder.file());
-    let second = File::open(&folder.file(), &owner()).expect_err("it is in use");
+    let second = StoreFile::open(&folder.file(), &owner()).expect_err("it is in use");
     assert!(second.to_string().contains("another process"), "{second}");
     assert_eq!(folder.set_aside(), 0);
 }
 
-/// A commit that was under way when the power went: any part of its bytes may be there. Opened, the file holds what it held
+/// A commit that was under way when the power went: any part of its bytes may be there. OpenedStore, the file holds what it held
 /// before that commit or what it held after, or it is set aside; and nothing else.
 #[test]
 fn a_commit_torn_at_any_byte_is_there_or_not_or_refused() {
     let folder = Folder::new("torn");
     let mut opened = open(&folder.file());
-    opened.file.commit(&(0..50).map(mark).collect::<Vec<_>>()).expect("room");
+    opened.store.commit(&(0..50).map(mark).collect::<Vec<_>>()).expect("room");
     let before = std::fs::read(folder.file()).expect("a file");
-    opened.file.commit(&(50..60).map(mark).collect::<Vec<_>>()).expect("room");
+    opened.store.commit(&(50..60).map(mark).collect::<Vec<_>>()).expect("room");
     let after = std::fs::read(folder.file()).expect("a file");
     drop(opened);
     assert_eq!(before.len(), after.len(), "the file did not grow");
@@ -179,7 +181,7 @@
             torn[written.clone()].copy_from_slice(&after[written]);
             std::fs::write(folder.file(), &torn).expect("a file");
             let found = open(&folder.file());
-            match (found.set_aside, found.recovered.positions.len()) {
+            match (found.quarantined, found.recovered.positions.len()) {
                 (None, 50) => old += 1,
                 (None, 60) => new += 1,
                 (Some(_), 0) => refused += 1,
@@ -202,7 +204,7 @@
 fn a_file_damaged_anywhere_never_tells_other_marks() {
     let folder = Folder::new("damaged");
     let mut opened = open(&folder.file());
-    opened.file.commit(&(0..50).map(mark).collect::<Vec<_>>()).expect("room");
+    opened.store.commit(&(0..50).map(mark).collect::<Vec<_>>()).expect("room");
     drop(opened);
     let whole = std::fs::read(folder.file()).expect("a file");
     let mut state = 1u64;
@@ -215,7 +217,7 @@
         std::fs::write(folder.file(), &bytes).expect("a file");
         let found = open(&folder.file());
         let wrong = found.recovered.positions.iter().any(|(key, position)| *position != key.0 as i64 * 1_000);
-        let part = found.set_aside.is_none() && found.recovered.positions.len() != 50;
+        let part = found.quarantined.is_none() && found.recovered.positions.len() != 50;
         assert!(!wrong && !part, "byte {at}: {} marks", found.recovered.positions.len());
     }
 }
@@ -227,8 +229,8 @@
 }
 
 impl Disk for Short {
-    fn commit(&mut self, _: &[Record]) -> Result<(), Failed> {
-        self.left = self.left.checked_sub(1).ok_or(Failed("no space left".to_owned()))?;
+    fn commit(&mut self, _: &[Record]) -> Result<(), StoreError> {
+        self.left = self.left.checked_sub(1).ok_or(StoreError("no space left".to_owned()))?;
         Ok(())
     }
 
@@ -242,18 +244,21 @@
     for movable in [true, false] {
         let (told, done) = channel();
         let writer =
-            Writer::start(Short { left: 2, movable }, move |d| drop(told.send(d))).expect("a thread");
+            RecordWriter::start(Short { left: 2, movable }, move |d| drop(told.send(d))).expect("a thread");
         let mut stored = 0;
         let failed = loop {
             writer.put(mark(1));
             match done.recv().expect("word") {
-                Done::Stored(n) => stored = n,
+                CommitOutcome::Stored(n) => stored = n,
                 failed => break failed,
             }
         };
         assert_eq!(
             (stored, failed),
-            (2, Done::Failed { why: Failed("no space left".to_owned()), void: movable })
+            (
+                2,
+                CommitOutcome::Failed { error: StoreError("no space left".to_owned()), quarantined: movable }
+            )
         );
         writer.put(mark(2));
         drop(writer);
@@ -265,9 +270,10 @@
 fn the_writer_commits_all_before_it_ends() {
     let folder = Folder::new("writer");
     let (told, done) = channel();
-    let writer = Writer::start(open(&folder.file()).file, move |d| drop(told.send(d))).expect("a thread");
+    let writer =
+        RecordWriter::start(open(&folder.file()).store, move |d| drop(told.send(d))).expect("a thread");
     (0..5_000).for_each(|n| writer.put(mark(n)));
     drop(writer);
-    assert_eq!(done.iter().last(), Some(Done::Stored(5_000)));
+    assert_eq!(done.iter().last(), Some(CommitOutcome::Stored(5_000)));
     assert_eq!(open(&folder.file()).recovered.positions.len(), 5_000);
 }
