--- a/crates/stackgw-start/benches/scale.rs
+++ b/crates/stackgw-bootstrap/benches/scale.rs
@@ -1,12 +1,12 @@
 //! Sizes that sockets don't reach, in simulated time: what a list service is asked by fleets that start at once and lose it for six
-//! seconds, and when members that are cold are connected to. `cargo bench -p stackgw-start --bench scale`; seed 3.
+//! seconds, and when members that are cold are connected to. `cargo bench -p stackgw-bootstrap --bench scale`; seed 3.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use common::*;
 use stackgw_router::api::{GroupId, MemberId, Span, Time, MS, SECOND};
-use stackgw_start::{ConnectionPacer, PacerConfig};
+use stackgw_bootstrap::{ConnectionPacer, PacerConfig};
 
 const FLEETS: [usize; 4] = [100, 300, 500, 2_000];
 const SEED: u64 = 3;
--- a/crates/stackgw-start/tests/common/mod.rs
+++ b/crates/stackgw-bootstrap/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use stackgw_router::api::{Lifecycle, Span, Time, MS, SECOND};
-use stackgw_start::*;
+use stackgw_bootstrap::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/stackgw-start/tests/digest.rs
+++ b/crates/stackgw-bootstrap/tests/digest.rs
@@ -1,5 +1,5 @@
 //! Digests of what the package brings out over random histories by seed, to show that a change leaves all of it as it was:
-//! `cargo test -p stackgw-start --test digest -- --ignored --nocapture`, before and after. Variants and names are mapped to
+//! `cargo test -p stackgw-bootstrap --test digest -- --ignored --nocapture`, before and after. Variants and names are mapped to
 //! numbers here, so that renamed code gives the same digests. No digest is expected: they are compared by hand.
 
 mod common;
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use stackgw_router::api::{GroupId, Lifecycle, MemberId, Span, Time, MS, SECOND};
-use stackgw_start::*;
+use stackgw_bootstrap::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/crates/stackgw-start/tests/histories.rs
+++ b/crates/stackgw-bootstrap/tests/histories.rs
@@ -218,8 +218,8 @@
     /// Any bytes are refused or read, and never more than that.
     #[test]
     fn any_bytes_are_judged(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        if let Some(message) = stackgw_start::Message::decode(&bytes) {
-            prop_assert!(stackgw_start::Message::decode(&message.encode()).is_some());
+        if let Some(message) = stackgw_bootstrap::Message::decode(&bytes) {
+            prop_assert!(stackgw_bootstrap::Message::decode(&message.encode()).is_some());
         }
     }
 }
@@ -227,7 +227,7 @@
 #[test]
 fn those_that_were_put_off_together_do_not_come_back_together() {
     let now = 1_000 * SECOND;
-    let pace = |number| stackgw_start::PollRate {
+    let pace = |number| stackgw_bootstrap::PollRate {
         instance_number: number,
         fleet_size: 100,
         service_capacity: 50.0,
@@ -235,7 +235,7 @@
     };
     let mut back: Vec<_> = (0..100)
         .flat_map(|n| {
-            let mut turns = stackgw_start::PollSchedule::new(pace(n), u64::from(n));
+            let mut turns = stackgw_bootstrap::PollSchedule::new(pace(n), u64::from(n));
             turns.put_off(now, 2 * SECOND);
             [turns.again(now, 100), turns.first(now, 3)]
         })
@@ -249,14 +249,14 @@
 /// A change counts as told six seconds after the service had it and could be reached. An ask fails after three at the latest.
 #[test]
 fn no_history_of_failures_or_word_of_the_service_keeps_an_instance_away_for_long() {
-    let pace = |number| stackgw_start::PollRate {
+    let pace = |number| stackgw_bootstrap::PollRate {
         instance_number: number,
         fleet_size: 300,
         service_capacity: 300.0,
         min_pause: 100 * MS,
     };
     for number in 0..300 {
-        let mut turns = stackgw_start::PollSchedule::new(pace(number), u64::from(number));
+        let mut turns = stackgw_bootstrap::PollSchedule::new(pace(number), u64::from(number));
         let mut now = 1_000 * SECOND;
         for n in 0..40 {
             // Every third time the service says that it wants an hour for itself.
@@ -279,8 +279,8 @@
     let mut sim = Sim::new(30, 5, 100.0, true, 4);
     sim.start_all(0..30);
     sim.pass(5 * SECOND);
-    let seen = |now: i64, leads| stackgw_start::Observation {
-        member_hash: stackgw_start::Observation::hash_name("m1"),
+    let seen = |now: i64, leads| stackgw_bootstrap::Observation {
+        member_hash: stackgw_bootstrap::Observation::hash_name("m1"),
         position_ms: (now / MS) as u64,
         is_primary: Some(leads),
         observed_at_ms: (now / MS) as u64,
--- a/crates/stackgw-start/tests/model.rs
+++ b/crates/stackgw-bootstrap/tests/model.rs
@@ -3,7 +3,7 @@
 //! for a while, a service that falls behind, up to a bound.
 
 use stackgw_router::api::{Lifecycle, Time, MS, SECOND};
-use stackgw_start::*;
+use stackgw_bootstrap::*;
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
--- a/crates/stackgw-start/tests/stored_and_sent.rs
+++ b/crates/stackgw-bootstrap/tests/stored_and_sent.rs
@@ -4,7 +4,7 @@
 use serde::de::{DeserializeOwned, Deserializer, Error, Visitor};
 use serde::Serialize;
 use stackgw_router::api::Lifecycle;
-use stackgw_start::{service_id, Endpoint, EndpointSnapshot, EndpointUpdate, Message, Observation};
+use stackgw_bootstrap::{service_id, Endpoint, EndpointSnapshot, EndpointUpdate, Message, Observation};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
--- a/crates/stackgw-cli/src/cmd/demo.rs
+++ b/crates/stackgw-cli/src/cmd/demo.rs
@@ -3,7 +3,7 @@
 use super::measure_start::{play, Way, OPENS_USE};
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
-use stackgw_standin::{
+use stackgw_testkit::{
     Faults, FleetConfig, FleetMode, GatewayFleet, Protocol, ReplicaGroup, SessionAudit, Verdict, GROUP,
 };
 use std::time::Duration;
@@ -102,7 +102,7 @@
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let fleet = usize::from(self.gateways.max(3));
         println!("{fleet} gateways, three members, one list service; each part lasts ten seconds");
-        let said = |name: &'static str, part: &stackgw_standin::PhaseReport| {
+        let said = |name: &'static str, part: &stackgw_testkit::PhaseReport| {
             let ready = part.ready_ms.map_or("never".to_owned(), |ms| format!("after {ms} ms"));
             println!(
                 "{name}: {} list asks ({} in the worst 100 ms), ready {ready}, {:.1}% served in time, {} handshakes, \
--- a/crates/stackgw-cli/src/cmd/measure.rs
+++ b/crates/stackgw-cli/src/cmd/measure.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Subcommand};
 use serde::Serialize;
-use stackgw_standin::{FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, SessionAudit, Verdict};
+use stackgw_testkit::{FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, SessionAudit, Verdict};
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/stackgw-cli/src/cmd/measure_flight.rs
+++ b/crates/stackgw-cli/src/cmd/measure_flight.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use futures::{Stream, StreamExt};
 use serde::Serialize;
-use stackgw_standin::{Client, FleetConfig, GatewayFleet, Protocol, ReplicaGroup, GROUP};
+use stackgw_testkit::{Client, FleetConfig, GatewayFleet, Protocol, ReplicaGroup, GROUP};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
--- a/crates/stackgw-cli/src/cmd/measure_start.rs
+++ b/crates/stackgw-cli/src/cmd/measure_start.rs
@@ -2,7 +2,7 @@
 
 use super::measure::spread;
 use clap::Args;
-use stackgw_standin::{BootstrapConfig, ColdStart, ColdStartReport, PhaseReport, PHASE_NAMES};
+use stackgw_testkit::{BootstrapConfig, ColdStart, ColdStartReport, PhaseReport, PHASE_NAMES};
 use std::path::PathBuf;
 
 /// Fleets that start at once: what list service and members bear, how soon clients are served.
@@ -108,7 +108,7 @@
 ) -> Result<ColdStartReport, String> {
     let keep = kept.is_some();
     let folder = kept.unwrap_or_else(|| {
-        std::env::temp_dir().join(format!("stackgw-start-{}-{fleet}", std::process::id()))
+        std::env::temp_dir().join(format!("stackgw-bootstrap-{}-{fleet}", std::process::id()))
     });
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let bears = fleet as f64 / SERVICE_SIZE;
--- a/crates/stackgw-cli/tests/conformance.rs
+++ b/crates/stackgw-cli/tests/conformance.rs
@@ -5,7 +5,7 @@
 mod driver;
 
 use driver::{served, Ask, ClientOutcome, Driver, Fixture};
-use stackgw_standin::Protocol;
+use stackgw_testkit::Protocol;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 use ClientOutcome::{Failed, Left, Malformed, Refused};
--- a/crates/stackgw-cli/tests/driver/mod.rs
+++ b/crates/stackgw-cli/tests/driver/mod.rs
@@ -7,7 +7,7 @@
 use arrow_flight::sql::client::FlightSqlServiceClient;
 use arrow_flight::{FlightData, FlightInfo};
 use futures::{StreamExt, TryStreamExt};
-use stackgw_standin::{Client, FleetConfig, GatewayFleet, Protocol, ReplicaGroup, RequestOutcome, GROUP};
+use stackgw_testkit::{Client, FleetConfig, GatewayFleet, Protocol, ReplicaGroup, RequestOutcome, GROUP};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -62,7 +62,7 @@
 
     /// Requests that members work on now.
     pub fn running(&self) -> usize {
-        let running = |m: &stackgw_standin::FakeMember| m.running.load(std::sync::atomic::Ordering::Relaxed);
+        let running = |m: &stackgw_testkit::FakeMember| m.running.load(std::sync::atomic::Ordering::Relaxed);
         self.store.members.iter().map(running).sum()
     }
 
--- a/crates/stackgw-cli/tests/flight.rs
+++ b/crates/stackgw-cli/tests/flight.rs
@@ -10,7 +10,7 @@
 use arrow_schema::{DataType, Field, Schema};
 use driver::{code, fetch, sql, Fixture, Sql};
 use futures::TryStreamExt;
-use stackgw_standin::{Client, Protocol, USER};
+use stackgw_testkit::{Client, Protocol, USER};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/stackgw-cli/tests/floods.rs
+++ b/crates/stackgw-cli/tests/floods.rs
@@ -5,7 +5,7 @@
 mod driver;
 
 use driver::{served, Ask, Fixture};
-use stackgw_standin::Protocol;
+use stackgw_testkit::Protocol;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/stackgw-cli/tests/sessions.rs
+++ b/crates/stackgw-cli/tests/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions across real processes on loopback: gateways are killed, paused, started anew with and without their disks, between
 //! paired writes and reads. The stand-ins' audit is the judge. Every wait is for an event and bounded.
 
-use stackgw_standin::{Faults, FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, SessionAudit, Verdict};
+use stackgw_testkit::{Faults, FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, SessionAudit, Verdict};
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/stackgw-cli/tests/start.rs
+++ b/crates/stackgw-cli/tests/start.rs
@@ -2,7 +2,7 @@
 //! their members' warmth. The stand-ins' audit is the judge. Every wait is for an event and bounded.
 
 use serde_json::Value;
-use stackgw_standin::{
+use stackgw_testkit::{
     worst, BootstrapConfig, Client, ColdConnectLoad, ColdConnectReport, FleetConfig, FleetMode, GatewayFleet,
     ObservedLoad, PollOutcome, Protocol, ReplicaGroup, RequestOutcome, ServiceCapacity, ServiceState,
     SlowStartModel,
@@ -36,7 +36,7 @@
 
     /// As [`Fixture::new`], with further lines in the operator's file.
     fn with(name: &str, gateways: usize, cluster: bool, bears: u32, further: &[&str]) -> Self {
-        let folder = std::env::temp_dir().join(format!("stackgw-start-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("stackgw-bootstrap-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let (store, _) = ReplicaGroup::start_behind(&[20, 20], Protocol::Postgres, 2).expect("members");
         let doors = vec![store.lists().door(0), store.lists().door(1)];
--- a/crates/stackgw-cli/tests/streams.rs
+++ b/crates/stackgw-cli/tests/streams.rs
@@ -7,7 +7,7 @@
 use driver::{code, messages, served, sql, Ask, Fixture, Sql};
 use futures::{Stream, StreamExt};
 use prost::Message;
-use stackgw_standin::Protocol;
+use stackgw_testkit::Protocol;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 use tonic::{Code, Request, Status};
@@ -58,7 +58,7 @@
 }
 
 /// Sets a trouble of all members.
-fn all(fixture: &Fixture, trouble: impl Fn(&stackgw_standin::FakeMember) -> &AtomicU64, value: u64) {
+fn all(fixture: &Fixture, trouble: impl Fn(&stackgw_testkit::FakeMember) -> &AtomicU64, value: u64) {
     fixture.store.members.iter().for_each(|m| trouble(m).store(value, Ordering::Relaxed));
 }
 
--- a/crates/stackgw-gateway/src/discovery.rs
+++ b/crates/stackgw-gateway/src/discovery.rs
@@ -25,7 +25,7 @@
     Err(Malformed(problem.into()))
 }
 
-pub use stackgw_start::{Endpoint as ListEntry, EndpointUpdate as ListUpdate};
+pub use stackgw_bootstrap::{Endpoint as ListEntry, EndpointUpdate as ListUpdate};
 
 /// Why an answer of the list's agent is over.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
--- a/crates/stackgw-gateway/src/io/cluster.rs
+++ b/crates/stackgw-gateway/src/io/cluster.rs
@@ -54,7 +54,7 @@
 pub(super) fn kept(
     start: &stackgw_config::Bootstrap,
     log: &Logger,
-) -> Option<(Option<stackgw_start::CachedEndpoints>, EndpointListWriter)> {
+) -> Option<(Option<stackgw_bootstrap::CachedEndpoints>, EndpointListWriter)> {
     let path = start.list.as_ref()?;
     let kept = stackgw_store::read_endpoint_list(path, &start.service).unwrap_or_else(|failed| {
         info!(log, "{failed}; starting without it");
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -218,7 +218,7 @@
     /// Keep a record on the disk.
     StoreRecord(stackgw_sessions::Record),
     /// Keep the list on the disk.
-    StoreEndpoints(Box<stackgw_start::CachedEndpoints>),
+    StoreEndpoints(Box<stackgw_bootstrap::CachedEndpoints>),
     /// The answer to a question at the local socket.
     StatusReply(u64, serde_json::Value),
     /// Take what waits in line, then close the listener.
--- a/crates/stackgw-gateway/src/reducer/start.rs
+++ b/crates/stackgw-gateway/src/reducer/start.rs
@@ -1,9 +1,9 @@
-//! How this instance comes to know the list, where the operator's file says so: carries word between `stackgw-start`, the
+//! How this instance comes to know the list, where the operator's file says so: carries word between `stackgw-bootstrap`, the
 //! watch, the other instances, the disk and the router. Which source is believed for what is decided there.
 
 use super::*;
 use serde_json::{json, Value};
-use stackgw_start::{
+use stackgw_bootstrap::{
     Bootstrap, BootstrapSettings, CachedEndpoints, ConnectionPacer, LogEvent, MergeOutcome, Message,
     Observation, Origin, Output, PacerConfig, PollRate,
 };
@@ -97,8 +97,8 @@
         let set = BootstrapSettings {
             poll_rate: pace,
             peers: others.map(|others| (others.advertised_address(), others.seeds.clone())),
-            min_watch_leaders: stackgw_start::MIN_WATCH_LEADERS,
-            service_id: stackgw_start::service_id(&file.service),
+            min_watch_leaders: stackgw_bootstrap::MIN_WATCH_LEADERS,
+            service_id: stackgw_bootstrap::service_id(&file.service),
             drain_grace: self.limits.drain_grace,
             watch_timeout: self.limits.watch_idle_timeout,
             cached_list_wait: file.kept_wait.as_nanos(),
@@ -360,7 +360,7 @@
         };
         let moved = moved || starting.service != file.service;
         starting.service = file.service.clone();
-        let service = stackgw_start::service_id(&file.service);
+        let service = stackgw_bootstrap::service_id(&file.service);
         self.with_start(now, out, |start, outputs| start.reload(now, seeds, service, moved, outputs));
     }
 
--- a/crates/stackgw-gateway/tests/digest.rs
+++ b/crates/stackgw-gateway/tests/digest.rs
@@ -15,7 +15,7 @@
 };
 use stackgw_router::api::{LoadReport, Outcome, Span, Time, MS, SECOND};
 use stackgw_sessions::{Record, Recovered};
-use stackgw_start::CachedEndpoints;
+use stackgw_bootstrap::CachedEndpoints;
 use stackgw_store::CommitOutcome;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/stackgw-store/src/list.rs
+++ b/crates/stackgw-store/src/list.rs
@@ -5,7 +5,7 @@
 use crate::StoreError;
 use serde::{Deserialize, Serialize};
 use stackgw_router::api::{Time, MS};
-use stackgw_start::{CachedEndpoints, EndpointUpdate};
+use stackgw_bootstrap::{CachedEndpoints, EndpointUpdate};
 use std::io::Write;
 use std::path::Path;
 use std::sync::mpsc::Receiver;
--- a/crates/stackgw-store/tests/fixtures.rs
+++ b/crates/stackgw-store/tests/fixtures.rs
@@ -3,7 +3,7 @@
 use redb::{ReadableDatabase, ReadableTable, TableDefinition, TableHandle, Value};
 use stackgw_router::api::{Lifecycle, MS};
 use stackgw_sessions::{NodeId, Peer, Record, Recovered, SessionKey, StoreVersion};
-use stackgw_start::{CachedEndpoints, Endpoint, EndpointUpdate};
+use stackgw_bootstrap::{CachedEndpoints, Endpoint, EndpointUpdate};
 use stackgw_store::*;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
