--- a/crates/stackgw-adapter/src/host.rs
+++ b/crates/stackgw-adapter/src/host.rs
@@ -58,7 +58,10 @@
         let line = Line::parse(number, text)?;
         if let Some((buffer, left)) = self.filling {
             if line.name != "item" {
-                return Err(line.wrong("MembersList", format!("{left} more item lines were announced")));
+                return Err(line.wrong(
+                    "MembersList",
+                    format!("{left} more item lines were announced"),
+                ));
             }
             let entry = entry(&line)?;
             self.lists.entry(buffer).or_default().push(entry);
@@ -96,8 +99,11 @@
             "power_on" => {
                 let name = line.text("GatewayId")?.to_owned();
                 let text = line.text("Seed")?;
-                let seed = text.parse::<u64>().or_else(|_| text.parse::<i64>().map(|s| s as u64));
-                let seed = seed.map_err(|_| line.wrong("Seed", format!("'{text}' is no whole number")))?;
+                let seed = text
+                    .parse::<u64>()
+                    .or_else(|_| text.parse::<i64>().map(|s| s as u64));
+                let seed =
+                    seed.map_err(|_| line.wrong("Seed", format!("'{text}' is no whole number")))?;
                 let conf = line.text("Conf")?;
                 let host = PlatformSettings::from_text(conf).map_err(|e| line.wrong("Conf", e))?;
                 let instance = Instance {
@@ -137,7 +143,11 @@
         let open = self.now.is_some();
         let problem = format!("input ended inside batch {}", self.seq);
         if open {
-            Err(Malformed { line: number, field: "go".into(), problem })
+            Err(Malformed {
+                line: number,
+                field: "go".into(),
+                problem,
+            })
         } else {
             Ok(())
         }
@@ -158,13 +168,18 @@
     let member = Member {
         id: MemberId(0),
         group: GroupId(line.need_index("Shard")?),
-        zone: line.get("Area").map_or(Ok(0), |_| line.need_index("Area"))?,
+        zone: line
+            .get("Area")
+            .map_or(Ok(0), |_| line.need_index("Area"))?,
         weight,
         started_at: line.int("StartedAtNs")?.filter(|t| *t != 0),
         lifecycle: standing,
         listed_primary: line.number("Leads")?.unwrap_or(0.0) > 0.0,
     };
-    Ok(Entry { name: line.text("Server")?.to_owned(), member })
+    Ok(Entry {
+        name: line.text("Server")?.to_owned(),
+        member,
+    })
 }
 
 fn outcome(line: &Line) -> Result<Outcome, Malformed> {
@@ -246,7 +261,9 @@
             "ring" => {
                 let text = line.text("Cookie")?;
                 let token = text.parse();
-                Event::Timer(token.map_err(|_| line.wrong("Cookie", format!("'{text}' is no token")))?)
+                Event::Timer(
+                    token.map_err(|_| line.wrong("Cookie", format!("'{text}' is no token")))?,
+                )
             }
             "probe_done" => {
                 let answered = outcome(line)? == Outcome::Served;
@@ -255,21 +272,30 @@
                 let Some(member) = self.member(line)? else {
                     return Ok(None);
                 };
-                Event::HealthChecked { member, responded: answered, elapsed: took, load_report: report }
+                Event::HealthChecked {
+                    member,
+                    responded: answered,
+                    elapsed: took,
+                    load_report: report,
+                }
             }
             "heard" => {
                 let body = match line.text("Body")? {
                     "-" => Vec::new(),
-                    text => {
-                        STANDARD.decode(text).map_err(|e| line.wrong("Body", format!("no base64: {e}")))?
-                    }
+                    text => STANDARD
+                        .decode(text)
+                        .map_err(|e| line.wrong("Body", format!("no base64: {e}")))?,
                 };
                 line.need_index("From")?;
                 // Another version's message is no fault of the input.
                 let Some((told, relay, news)) = self.gossip_codec.decode(now, &body) else {
                     return Ok(None);
                 };
-                Event::Gossip { sent_at: told, relay, updates: news }
+                Event::Gossip {
+                    sent_at: told,
+                    relay,
+                    updates: news,
+                }
             }
             _ => return Err(line.wrong("message", format!("'{}' is unknown", line.name))),
         };
@@ -284,7 +310,10 @@
             self.members.insert(id, entry.name.clone());
             self.gossip_codec.add(id, &entry.name);
         }
-        Member { id, ..entry.member.clone() }
+        Member {
+            id,
+            ..entry.member.clone()
+        }
     }
 
     fn request(&mut self, line: &Line, now: Time) -> Result<Request, Malformed> {
@@ -309,7 +338,14 @@
         };
         self.next_request += 1;
         self.request_ids.insert(name.clone(), request.id);
-        self.requests.insert(request.id, Open { name, attempts_out: 0, ended: false });
+        self.requests.insert(
+            request.id,
+            Open {
+                name,
+                attempts_out: 0,
+                ended: false,
+            },
+        );
         Ok(request)
     }
 
@@ -320,7 +356,10 @@
             return Err(line.wrong("Note", "below 0"));
         }
         let role = note.map(|n| n % 4);
-        let position = note.map(|n| n / 4).filter(|p| *p > 0).map(|ms| self.position_zero + ms * MS);
+        let position = note
+            .map(|n| n / 4)
+            .filter(|p| *p > 0)
+            .map(|ms| self.position_zero + ms * MS);
         let request = self.request_ids.get(line.text("RequestId")?).copied();
         let attempt = line.need_index("Attempt")?;
         let took = line.need_int("TookNs")?;
@@ -365,7 +404,11 @@
 
     /// A name is needed until the request has ended and its last attempt has come back.
     fn forget_if_done(&mut self, request: RequestId) {
-        if self.requests.get(&request).is_some_and(|o| o.ended && o.attempts_out == 0) {
+        if self
+            .requests
+            .get(&request)
+            .is_some_and(|o| o.ended && o.attempts_out == 0)
+        {
             if let Some(open) = self.requests.remove(&request) {
                 self.request_ids.remove(&open.name);
             }
@@ -377,7 +420,9 @@
         let ran = catch_unwind(AssertUnwindSafe(|| router.handle(now, event, actions)));
         if let Err(panic) = ran {
             let said = panic.downcast_ref::<String>().map(String::as_str);
-            let text = said.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+            let text = said
+                .or(panic.downcast_ref::<&str>().copied())
+                .unwrap_or("panic");
             let text = text.replace(['\n', '\r'], " ");
             let _ = writeln!(out, "exception GatewayId={gateway} NoteText={text}");
             self.actions.clear();
@@ -392,39 +437,80 @@
         let name = |id: &RequestId| self.requests.get(id).map_or("", |o| o.name.as_str());
         let server = |id: &MemberId| self.members.get(id).map_or("", String::as_str);
         let _ = match action {
-            Action::Send { request, member, timeout } => {
+            Action::Send {
+                request,
+                member,
+                timeout,
+            } => {
                 let wait = timeout.map_or(String::new(), |t| format!(" GiveUpAfterNs={t}"));
                 let (id, to) = (name(request), server(member));
-                writeln!(out, "pass_on GatewayId={gateway} RequestId={id} Server={to}{wait}")
+                writeln!(
+                    out,
+                    "pass_on GatewayId={gateway} RequestId={id} Server={to}{wait}"
+                )
             }
             Action::Cancel { request, attempt } => {
-                writeln!(out, "undo_send GatewayId={gateway} RequestId={} Attempt={attempt}", name(request))
+                writeln!(
+                    out,
+                    "undo_send GatewayId={gateway} RequestId={} Attempt={attempt}",
+                    name(request)
+                )
             }
-            Action::Reject { request, retry_after } => {
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
                 let wait = retry_after.map_or(String::new(), |t| format!(" HoldOffNs={t}"));
-                writeln!(out, "not_now GatewayId={gateway} RequestId={}{wait}", name(request))
+                writeln!(
+                    out,
+                    "not_now GatewayId={gateway} RequestId={}{wait}",
+                    name(request)
+                )
             }
             Action::Fail(request) => {
-                writeln!(out, "drop_request GatewayId={gateway} RequestId={}", name(request))
+                writeln!(
+                    out,
+                    "drop_request GatewayId={gateway} RequestId={}",
+                    name(request)
+                )
             }
             Action::SetTimer { after, token } => {
-                writeln!(out, "defer GatewayId={gateway} WaitNs={after} Cookie={token}")
+                writeln!(
+                    out,
+                    "defer GatewayId={gateway} WaitNs={after} Cookie={token}"
+                )
             }
             Action::HealthCheck(member) => {
-                writeln!(out, "ask_load GatewayId={gateway} Server={}", server(member))
+                writeln!(
+                    out,
+                    "ask_load GatewayId={gateway} Server={}",
+                    server(member)
+                )
             }
             Action::CloseIdleConnections(member) => {
-                writeln!(out, "shut_idle GatewayId={gateway} Server={}", server(member))
+                writeln!(
+                    out,
+                    "shut_idle GatewayId={gateway} Server={}",
+                    server(member)
+                )
             }
             Action::SendGossip { to, updates: news } => {
                 let target = to.map_or("all".to_owned(), |n| n.to_string());
                 let bodies = self.gossip_codec.encode(now, to.is_some(), news);
                 bodies.iter().try_for_each(|body| {
-                    writeln!(out, "say GatewayId={gateway} Target={target} Body={}", STANDARD.encode(body))
+                    writeln!(
+                        out,
+                        "say GatewayId={gateway} Target={target} Body={}",
+                        STANDARD.encode(body)
+                    )
                 })
             }
             Action::Subscribe(on) => {
-                writeln!(out, "stream_changes GatewayId={gateway} On={}", u8::from(*on))
+                writeln!(
+                    out,
+                    "stream_changes GatewayId={gateway} On={}",
+                    u8::from(*on)
+                )
             }
             Action::ForgetMember(_) => Ok(()),
             Action::FetchEndpointList => writeln!(out, "lookup GatewayId={gateway}"),
--- a/crates/stackgw-adapter/src/main.rs
+++ b/crates/stackgw-adapter/src/main.rs
@@ -18,9 +18,15 @@
         if input.read_until(b'\n', &mut bytes)? == 0 {
             return Ok(host.end(number)?);
         }
-        let wrong = |problem: &str| Malformed { line: number, field: "text".into(), problem: problem.into() };
+        let wrong = |problem: &str| Malformed {
+            line: number,
+            field: "text".into(),
+            problem: problem.into(),
+        };
         let text = std::str::from_utf8(&bytes).map_err(|_| wrong("not UTF-8"))?;
-        let text = text.strip_suffix('\n').ok_or_else(|| wrong("the line is cut off"))?;
+        let text = text
+            .strip_suffix('\n')
+            .ok_or_else(|| wrong("the line is cut off"))?;
         if host.line(number, text.strip_suffix('\r').unwrap_or(text), &mut reply)? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
--- a/crates/stackgw-adapter/src/wire.rs
+++ b/crates/stackgw-adapter/src/wire.rs
@@ -41,7 +41,9 @@
             field: field.to_owned(),
             problem: problem.to_owned(),
         };
-        let (name, mut rest) = text.split_once(' ').map_or((text, None), |(n, r)| (n, Some(r)));
+        let (name, mut rest) = text
+            .split_once(' ')
+            .map_or((text, None), |(n, r)| (n, Some(r)));
         if name.is_empty() {
             return Err(wrong("message", "no name"));
         }
@@ -60,21 +62,34 @@
                 fields.push((key, after));
                 break;
             }
-            let (value, next) = after.split_once(' ').map_or((after, None), |(v, r)| (v, Some(r)));
+            let (value, next) = after
+                .split_once(' ')
+                .map_or((after, None), |(v, r)| (v, Some(r)));
             fields.push((key, value));
             rest = next;
         }
-        Ok(Line { number, name, fields })
+        Ok(Line {
+            number,
+            name,
+            fields,
+        })
     }
 
     /// An error about one field of this line.
     pub fn wrong(&self, field: &str, problem: impl Into<String>) -> Malformed {
-        Malformed { line: self.number, field: field.to_owned(), problem: problem.into() }
+        Malformed {
+            line: self.number,
+            field: field.to_owned(),
+            problem: problem.into(),
+        }
     }
 
     /// A field's text, if the line has it.
     pub fn get(&self, field: &str) -> Option<&'a str> {
-        self.fields.iter().find(|(k, _)| *k == field).map(|(_, v)| *v)
+        self.fields
+            .iter()
+            .find(|(k, _)| *k == field)
+            .map(|(_, v)| *v)
     }
 
     /// A field's text; absent or empty is an error.
@@ -88,7 +103,10 @@
 
     /// A whole number, if the line has it.
     pub fn int(&self, field: &str) -> Result<Option<i64>, Malformed> {
-        let parse = |v: &str| v.parse().map_err(|_| self.wrong(field, format!("'{v}' is no whole number")));
+        let parse = |v: &str| {
+            v.parse()
+                .map_err(|_| self.wrong(field, format!("'{v}' is no whole number")))
+        };
         self.get(field).map(parse).transpose()
     }
 
@@ -124,8 +142,9 @@
             return Ok(Vec::new());
         };
         let pair = |p: &'a str| {
-            let (name, value) =
-                p.split_once(':').ok_or_else(|| self.wrong(field, format!("'{p}' is not name:value")))?;
+            let (name, value) = p
+                .split_once(':')
+                .ok_or_else(|| self.wrong(field, format!("'{p}' is not name:value")))?;
             Ok((name, self.finite(field, value)?))
         };
         text.split(',').map(pair).collect()
--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -31,15 +31,23 @@
 }
 
 fn opening() -> String {
-    format!("clock NowNs=9000000000 seq=1\n{}go\n", power_on("gateway_0"))
+    format!(
+        "clock NowNs=9000000000 seq=1\n{}go\n",
+        power_on("gateway_0")
+    )
 }
 
 fn stdout(output: &Output) -> String {
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     String::from_utf8(output.stdout.clone()).expect("UTF-8")
 }
 
-const READ: &str = "query RequestId=r1 GatewayId=gateway_0 DropDeadNs=9750000000 Service=0 Cluster=4 New=1\n";
+const READ: &str =
+    "query RequestId=r1 GatewayId=gateway_0 DropDeadNs=9750000000 Service=0 Cluster=4 New=1\n";
 
 #[test]
 fn a_read_is_sent_on_answered_and_done_with() {
@@ -51,7 +59,10 @@
            resolved GatewayId=gateway_0 RequestId=r1 Attempt=0 Server=beta Status=delivered TookNs=50000000 \
            Finished=1 Note=32002\nabandoned GatewayId=gateway_0 RequestId=r1\ngo\n";
     let text = stdout(&run(&input));
-    assert!(text.contains("pass_on GatewayId=gateway_0 RequestId=r1 Server=beta"), "{text}");
+    assert!(
+        text.contains("pass_on GatewayId=gateway_0 RequestId=r1 Server=beta"),
+        "{text}"
+    );
     let replies: Vec<_> = text.lines().filter(|l| l.starts_with("done")).collect();
     assert_eq!(replies, ["done seq=1", "done seq=2", "done seq=3"]);
 }
@@ -66,12 +77,17 @@
         + "resolved GatewayId=gateway_0 RequestId=r1 Attempt=0 Server=alpha Status=dropped TookNs=1\ngo\n";
     let text = stdout(&run(&input));
     let after = text.split("done seq=1").nth(1).expect("a second reply");
-    assert_eq!(after.matches("RequestId=r1").count(), 1, "sent once, before the kill: {after}");
+    assert_eq!(
+        after.matches("RequestId=r1").count(),
+        1,
+        "sent once, before the kill: {after}"
+    );
 }
 
 #[test]
 fn numbered_lists_are_resolved_in_the_order_of_events() {
-    let entry = |name: &str| format!("item Server={name} Shard=4 Readiness=in_service Leads=1 Weight=1\n");
+    let entry =
+        |name: &str| format!("item Server={name} Shard=4 Readiness=in_service Leads=1 Weight=1\n");
     let input = format!(
         "clock NowNs=9000000000 seq=1\npower_on GatewayId=gateway_0 Seed=-3 Conf={CONF}\n\
          power_on GatewayId=gateway_1 Seed=4 Conf={CONF}\npage Buffer=0 MembersList=1\n{}\
@@ -103,7 +119,10 @@
     }
     input += "go\nclock NowNs=9115000000 seq=3\nring GatewayId=gateway_0 Cookie=0\ngo\n";
     let text = stdout(&run(&input));
-    let ends = text.lines().filter(|l| l.starts_with("not_now") || l.starts_with("drop_request")).count();
+    let ends = text
+        .lines()
+        .filter(|l| l.starts_with("not_now") || l.starts_with("drop_request"))
+        .count();
     assert_eq!(ends, 20_000);
     assert!(text.ends_with("done seq=3\n"));
 }
@@ -131,7 +150,10 @@
     };
     let lines_of = |text: &str, name: &str| -> Vec<String> {
         let part = format!("GatewayId={name} ");
-        text.lines().filter(|l| l.contains(&part)).map(str::to_owned).collect()
+        text.lines()
+            .filter(|l| l.contains(&part))
+            .map(str::to_owned)
+            .collect()
     };
     let together = day(&["gateway_0", "gateway_1"]);
     for name in ["gateway_0", "gateway_1"] {
@@ -197,13 +219,19 @@
     for (number, (line, recorded)) in replies.lines().zip(REPLIES.lines()).enumerate() {
         assert_eq!(line, recorded, "line {} of the replies", number + 1);
     }
-    assert!(replies == REPLIES, "{} bytes, {} recorded", replies.len(), REPLIES.len());
+    assert!(
+        replies == REPLIES,
+        "{} bytes, {} recorded",
+        replies.len(),
+        REPLIES.len()
+    );
 }
 
 #[test]
 fn the_recorded_conversation_has_every_message_and_every_status() {
     let has = |text: &str, line_starts: &str, field: &str| {
-        text.lines().any(|line| line.starts_with(line_starts) && line.contains(field))
+        text.lines()
+            .any(|line| line.starts_with(line_starts) && line.contains(field))
     };
     for message in [
         "clock",
@@ -223,13 +251,27 @@
     ] {
         assert!(has(CONVERSATION, message, ""), "{message}");
     }
-    for status in
-        ["delivered", "app_error", "shed", "empty", "expired", "dial_failed", "dropped", "revoked", "unused"]
-    {
-        assert!(has(CONVERSATION, "", &format!("Status={status} ")), "{status}");
+    for status in [
+        "delivered",
+        "app_error",
+        "shed",
+        "empty",
+        "expired",
+        "dial_failed",
+        "dropped",
+        "revoked",
+        "unused",
+    ] {
+        assert!(
+            has(CONVERSATION, "", &format!("Status={status} ")),
+            "{status}"
+        );
     }
     for scope in ["delta", "full", "cached", "failed"] {
-        assert!(has(CONVERSATION, "topology", &format!("Scope={scope}")), "{scope}");
+        assert!(
+            has(CONVERSATION, "topology", &format!("Scope={scope}")),
+            "{scope}"
+        );
     }
     for reply in [
         "pass_on",
--- a/crates/stackgw-bootstrap/benches/scale.rs
+++ b/crates/stackgw-bootstrap/benches/scale.rs
@@ -5,24 +5,36 @@
 mod common;
 
 use common::*;
-use stackgw_router::api::{GroupId, MemberId, Span, Time, MS, SECOND};
 use stackgw_bootstrap::{ConnectionPacer, PacerConfig};
+use stackgw_router::api::{GroupId, MemberId, Span, Time, MS, SECOND};
 
 const FLEETS: [usize; 4] = [100, 300, 500, 2_000];
 const SEED: u64 = 3;
 
 fn lists() {
-    println!("A service that bears two thirds of the fleet a second; all start within one moment.\n");
+    println!(
+        "A service that bears two thirds of the fleet a second; all start within one moment.\n"
+    );
     println!("| instances | cluster | asks at the start | worst 100 ms | 99% ready, ms | asks for an outage of 6 s | worst 100 ms | datagrams a second and instance |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (fleet, talks) in FLEETS.iter().flat_map(|fleet| [(*fleet, false), (*fleet, true)]) {
+    for (fleet, talks) in FLEETS
+        .iter()
+        .flat_map(|fleet| [(*fleet, false), (*fleet, true)])
+    {
         let mut sim = Sim::new(fleet, 10, fleet as f64 / 1.5, talks, SEED);
         let begun = sim.now;
         sim.start_all(0..fleet);
         sim.pass(10 * SECOND);
-        let mut ready: Vec<_> = sim.nodes.iter().filter_map(|n| n.ready_at).map(|at| at - begun).collect();
+        let mut ready: Vec<_> = sim
+            .nodes
+            .iter()
+            .filter_map(|n| n.ready_at)
+            .map(|at| at - begun)
+            .collect();
         ready.sort_unstable();
-        let ready = ready.get(fleet * 99 / 100).map_or("never".to_owned(), |at| (at / MS).to_string());
+        let ready = ready
+            .get(fleet * 99 / 100)
+            .map_or("never".to_owned(), |at| (at / MS).to_string());
         let (asks, worst) = (sim.asks.len(), sim.worst(0, 100 * MS));
         let before = sim.datagrams;
         sim.pass(5 * SECOND);
@@ -53,10 +65,18 @@
     let of = |number: usize| {
         let mut deal = ConnectionPacer::new(set(number as u32), SEED + number as u64);
         for n in 0..members {
-            deal.update_member(now, MemberId(n), &format!("m{n}"), GroupId(2), Some(Some(now)));
+            deal.update_member(
+                now,
+                MemberId(n),
+                &format!("m{n}"),
+                GroupId(2),
+                Some(Some(now)),
+            );
         }
         deal.schedule_new_members(now);
-        (0..members).map(|n| deal.next_connection_at(now, MemberId(n)).unwrap_or(now) - now).collect()
+        (0..members)
+            .map(|n| deal.next_connection_at(now, MemberId(n)).unwrap_or(now) - now)
+            .collect()
     };
     (0..fleet).map(of).collect()
 }
@@ -73,12 +93,19 @@
             let mut at: Vec<_> = turns.iter().map(|turns| turns[member]).collect();
             at.sort_unstable();
             first = first.max(at.iter().filter(|at| **at < 100 * MS).count());
-            let within =
-                |(n, from): (usize, &Span)| at[n..].iter().take_while(|at| **at < from + 100 * MS).count();
+            let within = |(n, from): (usize, &Span)| {
+                at[n..]
+                    .iter()
+                    .take_while(|at| **at < from + 100 * MS)
+                    .count()
+            };
             worst = worst.max(at.iter().enumerate().map(within).max().unwrap_or(0));
         }
         let seconds = |at: Option<Span>| at.unwrap_or(0) as f64 / SECOND as f64;
-        let last_first = turns.iter().filter_map(|turns| turns.iter().min().copied()).max();
+        let last_first = turns
+            .iter()
+            .filter_map(|turns| turns.iter().min().copied())
+            .max();
         let last = turns.iter().flatten().max().copied();
         println!(
             "| {fleet} | {members} | {:.0} | {first} | {worst} | {:.2} | {:.2} |",
--- a/crates/stackgw-bootstrap/src/bootstrap.rs
+++ b/crates/stackgw-bootstrap/src/bootstrap.rs
@@ -193,7 +193,12 @@
     ) -> Self {
         let others = set.peers.as_ref();
         let circle = others.map(|(me, seeds)| {
-            WatchLeaders::new(*me, seeds.iter().copied(), set.poll_rate.fleet_size, set.min_watch_leaders)
+            WatchLeaders::new(
+                *me,
+                seeds.iter().copied(),
+                set.poll_rate.fleet_size,
+                set.min_watch_leaders,
+            )
         });
         let mut start = Bootstrap {
             book: EndpointCache::new(set.service_reset_after),
@@ -220,9 +225,16 @@
             counts: BootstrapCounters::default(),
             set,
         };
-        if let Some(CachedEndpoints { list, confirmed_at, warm_throughput }) = kept {
+        if let Some(CachedEndpoints {
+            list,
+            confirmed_at,
+            warm_throughput,
+        }) = kept
+        {
             start.expect(warm_throughput, out);
-            let taken = start.book.take(now, list, Origin::Cached, confirmed_at.min(now), None);
+            let taken = start
+                .book
+                .take(now, list, Origin::Cached, confirmed_at.min(now), None);
             out.push(Output::Endpoints(taken));
         }
         start.look(now, out);
@@ -244,7 +256,10 @@
     /// What answers have shown elsewhere.
     fn sighted(&mut self, now: Time, seen: Vec<Observation>, out: &mut Vec<Output>) {
         let (keep, known) = (self.set.watch_timeout, &mut self.seen);
-        let news: Vec<_> = seen.into_iter().filter(|seen| known.take(now, *seen, keep)).collect();
+        let news: Vec<_> = seen
+            .into_iter()
+            .filter(|seen| known.take(now, *seen, keep))
+            .collect();
         self.counts.observations_merged += news.len() as u64;
         out.extend((!news.is_empty()).then_some(Output::Observations(news)));
     }
@@ -270,7 +285,13 @@
 
     /// Who should hold the watch, as seen from here, and whether this instance has one that hears the service.
     pub fn watch_leaders(&self) -> (Vec<SocketAddr>, bool) {
-        (self.circle.as_ref().map(WatchLeaders::chosen).unwrap_or_default(), self.live)
+        (
+            self.circle
+                .as_ref()
+                .map(WatchLeaders::chosen)
+                .unwrap_or_default(),
+            self.live,
+        )
     }
 
     /// The list may be gone by: it is there, and better word is no longer waited for.
@@ -284,8 +305,15 @@
 
     /// For how long a client that comes now had better stay away, while this is not ready.
     pub fn retry_after(&self, now: Time) -> Span {
-        let kept = self.book.origin().map(|_| self.started + self.set.cached_list_wait);
-        let turn = if let Watch::Due(at) = self.watch { at } else { now } + self.pace();
+        let kept = self
+            .book
+            .origin()
+            .map(|_| self.started + self.set.cached_list_wait);
+        let turn = if let Watch::Due(at) = self.watch {
+            at
+        } else {
+            now
+        } + self.pace();
         (kept.map_or(turn, |kept| kept.min(turn)) - now).max(self.set.poll_rate.min_pause)
     }
 
@@ -301,14 +329,17 @@
     /// So many may ask the service as this one would.
     fn askers(&self) -> u32 {
         match &self.circle {
-            Some(circle) if !self.alone => circle.holders().min(self.set.poll_rate.fleet_size.max(1)),
+            Some(circle) if !self.alone => {
+                circle.holders().min(self.set.poll_rate.fleet_size.max(1))
+            }
             _ => self.set.poll_rate.fleet_size.max(1),
         }
     }
 
     /// Somebody with a watch of its own has told lately.
     fn is_told(&self, now: Time) -> bool {
-        self.told_live.is_some_and(|at| now - at < self.set.watch_timeout)
+        self.told_live
+            .is_some_and(|at| now - at < self.set.watch_timeout)
     }
 
     /// Decides whether the watch is wanted, and sees to it.
@@ -321,7 +352,11 @@
         let holds = holds && (seed || settled);
         // Nobody has had word of the service for too long: whoever wants the list asks itself.
         let since = self.told.unwrap_or(self.started);
-        let patience = if self.told.is_some() { self.set.watch_timeout } else { SETTLE };
+        let patience = if self.told.is_some() {
+            self.set.watch_timeout
+        } else {
+            SETTLE
+        };
         let alone = !holds && now - since >= patience;
         match self.watch {
             Watch::Off if holds || alone => {
@@ -333,7 +368,10 @@
             Watch::Due(_) => self.alone = alone,
             Watch::Open(_) if holds => {
                 let was_alone = std::mem::take(&mut self.alone);
-                out.extend((was_alone && self.live).then_some(Output::Log(LogEvent::WatchEstablished(true))));
+                out.extend(
+                    (was_alone && self.live)
+                        .then_some(Output::Log(LogEvent::WatchEstablished(true))),
+                );
             }
             Watch::Open(at) if self.is_told(now) && now - at >= ALONE_LEAST => {
                 (self.watch, self.live, self.alone) = (Watch::Off, false, false);
@@ -357,10 +395,19 @@
         let watch = match self.watch {
             Watch::Due(at) => at,
             Watch::Open(_) => self.heard + self.set.watch_timeout,
-            Watch::Off => self.told.map_or(self.started + SETTLE, |at| at + self.set.watch_timeout),
+            Watch::Off => self
+                .told
+                .map_or(self.started + SETTLE, |at| at + self.set.watch_timeout),
         };
-        let later = [self.started + SETTLE, self.started + self.set.cached_list_wait];
-        let settle = later.into_iter().filter(|at| *at > now).min().unwrap_or(Time::MAX);
+        let later = [
+            self.started + SETTLE,
+            self.started + self.set.cached_list_wait,
+        ];
+        let settle = later
+            .into_iter()
+            .filter(|at| *at > now)
+            .min()
+            .unwrap_or(Time::MAX);
         let ask = match (&self.circle, &self.asking) {
             (None, _) => Time::MAX,
             (_, Some(asking)) => asking.sent + self.wait(),
@@ -375,7 +422,11 @@
             out.push(Output::CloseWatch);
             self.handle_watch_lost(now, None, out);
         }
-        if self.asking.as_ref().is_some_and(|asking| now - asking.sent >= self.wait()) {
+        if self
+            .asking
+            .as_ref()
+            .is_some_and(|asking| now - asking.sent >= self.wait())
+        {
             self.counts.polls_unanswered += 1;
             self.asking = None;
             self.ask_at = now;
@@ -392,12 +443,27 @@
         // Chance in every pause: those that started together do not go on together.
         let pace = self.pace() as f64 * (0.75 + 0.5 * self.rng.random::<f64>());
         self.ask_at = now + pace as Span;
-        let Some(circle) = self.circle.as_mut() else { return };
-        let Some((from, _)) = self.set.peers else { return };
-        let have = self.book.revision().filter(|_| self.book.origin() != Some(Origin::Cached));
+        let Some(circle) = self.circle.as_mut() else {
+            return;
+        };
+        let Some((from, _)) = self.set.peers else {
+            return;
+        };
+        let have = self
+            .book
+            .revision()
+            .filter(|_| self.book.origin() != Some(Origin::Cached));
         // Whoever has nothing is sent whole lists.
-        let most = if have.is_some() { WIDTH_MOST } else { WIDTH_WHOLE };
-        self.width = if circle.doubts() { (2 * self.width).min(most) } else { 1 };
+        let most = if have.is_some() {
+            WIDTH_MOST
+        } else {
+            WIDTH_WHOLE
+        };
+        self.width = if circle.doubts() {
+            (2 * self.width).min(most)
+        } else {
+            1
+        };
         let to = circle.asked(now, self.turn, self.width, AGAIN);
         if to.is_empty() {
             return;
@@ -409,15 +475,31 @@
         let nonce = self.rng.random::<u32>().max(1);
         self.counts.polls_sent += to.len() as u64;
         let seen = self.seen.news();
-        let ask = Message::Poll { from, nonce, service: self.set.service_id, have, seen };
+        let ask = Message::Poll {
+            from,
+            nonce,
+            service: self.set.service_id,
+            have,
+            seen,
+        };
         out.extend(to.iter().map(|to| Output::Send(*to, ask.clone())));
-        self.asking = Some(Asking { to, nonce, sent: now, gathered: None });
+        self.asking = Some(Asking {
+            to,
+            nonce,
+            sent: now,
+            gathered: None,
+        });
     }
 
     // The watch.
 
     /// The watch brought a list.
-    pub fn handle_watch_update(&mut self, now: Time, update: EndpointUpdate, out: &mut Vec<Output>) {
+    pub fn handle_watch_update(
+        &mut self,
+        now: Time,
+        update: EndpointUpdate,
+        out: &mut Vec<Output>,
+    ) {
         self.heard = now;
         let (had, behind) = (self.book.revision(), self.book.is_behind());
         let resets = self.book.resets();
@@ -429,7 +511,9 @@
         if taken == MergeOutcome::Stale {
             self.counts.stale_updates += 1;
             if self.book.is_behind() && !behind {
-                out.push(Output::Log(LogEvent::ServiceBehind(had.unwrap_or_default())));
+                out.push(Output::Log(LogEvent::ServiceBehind(
+                    had.unwrap_or_default(),
+                )));
             }
             return;
         }
@@ -478,7 +562,11 @@
             if self.book.origin() != Some(Origin::Cached) {
                 self.kept_at = Some(now);
                 let members = self.book.endpoints().cloned().collect();
-                let list = EndpointUpdate { revision, complete: true, members };
+                let list = EndpointUpdate {
+                    revision,
+                    complete: true,
+                    members,
+                };
                 out.push(Output::Persist(CachedEndpoints {
                     list,
                     confirmed_at: said,
@@ -491,7 +579,12 @@
     // Others.
 
     /// Who is there, by the membership.
-    pub fn update_membership(&mut self, now: Time, up: BTreeSet<SocketAddr>, out: &mut Vec<Output>) {
+    pub fn update_membership(
+        &mut self,
+        now: Time,
+        up: BTreeSet<SocketAddr>,
+        out: &mut Vec<Output>,
+    ) {
         if let Some(circle) = self.circle.as_mut() {
             circle.update_membership(up);
             self.look(now, out);
@@ -527,7 +620,13 @@
     /// Word of another instance.
     pub fn handle_message(&mut self, now: Time, message: Message, out: &mut Vec<Output>) {
         match message {
-            Message::Poll { from, nonce, service, have, seen } if service == self.set.service_id => {
+            Message::Poll {
+                from,
+                nonce,
+                service,
+                have,
+                seen,
+            } if service == self.set.service_id => {
                 self.sighted(now, seen, out);
                 self.answer(now, from, nonce, have, out);
             }
@@ -562,19 +661,38 @@
         })
     }
 
-    fn answer(&mut self, now: Time, to: SocketAddr, nonce: u32, have: Option<u64>, out: &mut Vec<Output>) {
+    fn answer(
+        &mut self,
+        now: Time,
+        to: SocketAddr,
+        nonce: u32,
+        have: Option<u64>,
+        out: &mut Vec<Output>,
+    ) {
         self.counts.polls_answered += 1;
-        let Some(tell) = self.tell(now, nonce) else { return };
-        if !self.live && (self.book.revision().is_none() || self.book.origin() == Some(Origin::Cached)) {
+        let Some(tell) = self.tell(now, nonce) else {
+            return;
+        };
+        if !self.live
+            && (self.book.revision().is_none() || self.book.origin() == Some(Origin::Cached))
+        {
             // Told as soon as there is something to tell.
             if self.waiting.len() < WAITING_MOST {
                 self.waiting.insert(to);
             }
         }
         let known = self.book.revision().is_some();
-        let parts = if known { self.parts(now, &tell, have) } else { None };
+        let parts = if known {
+            self.parts(now, &tell, have)
+        } else {
+            None
+        };
         let parts = parts.unwrap_or_else(|| vec![tell]);
-        out.extend(parts.into_iter().map(|part| Output::Send(to, Message::Snapshot(part))));
+        out.extend(
+            parts
+                .into_iter()
+                .map(|part| Output::Send(to, Message::Snapshot(part))),
+        );
     }
 
     /// What changed since a version, in parts; `None` where that is too much to be told now.
@@ -594,7 +712,11 @@
                 return None;
             }
         }
-        EndpointSnapshot { base, ..tell.clone() }.parts(entries)
+        EndpointSnapshot {
+            base,
+            ..tell.clone()
+        }
+        .parts(entries)
     }
 
     /// Tells all others what has changed since a version, and those that waited for it all of it.
@@ -602,16 +724,32 @@
         let waiting = std::mem::take(&mut self.waiting);
         let Some(circle) = &self.circle else { return };
         let others: BTreeSet<_> = circle.others().chain(waiting.iter().copied()).collect();
-        let Some(tell) = self.tell(now, 0) else { return };
+        let Some(tell) = self.tell(now, 0) else {
+            return;
+        };
         let (base, entries) = self.book.since(had);
-        let parts = EndpointSnapshot { base, ..tell.clone() }.parts(entries).filter(|parts| parts.len() == 1);
-        let news = parts.and_then(|mut parts| parts.pop()).unwrap_or_else(|| tell.clone());
-        let whole = if waiting.is_empty() { None } else { self.parts(now, &tell, None) };
+        let parts = EndpointSnapshot {
+            base,
+            ..tell.clone()
+        }
+        .parts(entries)
+        .filter(|parts| parts.len() == 1);
+        let news = parts
+            .and_then(|mut parts| parts.pop())
+            .unwrap_or_else(|| tell.clone());
+        let whole = if waiting.is_empty() {
+            None
+        } else {
+            self.parts(now, &tell, None)
+        };
         for to in others {
             let told = whole.as_ref().filter(|_| waiting.contains(&to));
             let told = told.map_or(std::slice::from_ref(&news), |parts| parts);
             self.counts.snapshots_pushed += told.len() as u64;
-            out.extend(told.iter().map(|part| Output::Send(to, Message::Snapshot(part.clone()))));
+            out.extend(
+                told.iter()
+                    .map(|part| Output::Send(to, Message::Snapshot(part.clone()))),
+            );
         }
     }
 
@@ -622,7 +760,10 @@
         let mine = |asking: &Asking| asking.to.contains(&tell.from) && asking.nonce == tell.nonce;
         let asked = self.asking.as_ref().is_some_and(mine);
         if tell.put_off_ms > 0 {
-            self.turns.put_off(now, MS.saturating_mul(tell.put_off_ms.min(AGO_MOST_MS) as Span));
+            self.turns.put_off(
+                now,
+                MS.saturating_mul(tell.put_off_ms.min(AGO_MOST_MS) as Span),
+            );
         }
         if tell.part.1 > 1 {
             // Parts are gathered from one instance at a time; unasked ones only where nothing is known yet.
@@ -638,7 +779,12 @@
                     _ => return,
                 },
                 None if tell.nonce == 0 => {
-                    let asking = Asking { to: vec![tell.from], nonce: 0, sent: now, gathered: None };
+                    let asking = Asking {
+                        to: vec![tell.from],
+                        nonce: 0,
+                        sent: now,
+                        gathered: None,
+                    };
                     &mut self.asking.insert(asking).gathered
                 }
                 None => return,
@@ -675,13 +821,19 @@
                 self.watch = Watch::Due(at.min(self.turns.first(now, askers)));
             }
         }
-        let Some(revision) = tell.revision else { return self.look(now, out) };
+        let Some(revision) = tell.revision else {
+            return self.look(now, out);
+        };
         if tell.part.1 == 0 {
             self.ask_for(now, revision, fresh);
             return self.look(now, out);
         }
         let origin = if fresh { Origin::Peer } else { Origin::Cached };
-        let update = EndpointUpdate { revision, complete: tell.base.is_none(), members: tell.entries };
+        let update = EndpointUpdate {
+            revision,
+            complete: tell.base.is_none(),
+            members: tell.entries,
+        };
         let taken = self.book.take(now, update, origin, said, tell.base);
         match taken {
             MergeOutcome::Stale => {
--- a/crates/stackgw-bootstrap/src/connection_pacer.rs
+++ b/crates/stackgw-bootstrap/src/connection_pacer.rs
@@ -78,8 +78,15 @@
     /// When a member that was of some age at `at` has borne so many connections since.
     fn borne(&self, at: Time, age: Span, count: f64) -> Time {
         // While it warms up what it bears grows evenly: with a rate r and a growth g, count = r t + g t t / 2.
-        let (rate, warm) = (self.bears(age), (self.set.warm_up_time - age).max(0) as f64 / SECOND as f64);
-        let growth = if warm > 0.0 { (self.bears(self.set.warm_up_time) - rate) / warm } else { 0.0 };
+        let (rate, warm) = (
+            self.bears(age),
+            (self.set.warm_up_time - age).max(0) as f64 / SECOND as f64,
+        );
+        let growth = if warm > 0.0 {
+            (self.bears(self.set.warm_up_time) - rate) / warm
+        } else {
+            0.0
+        };
         let within = rate * warm + growth * warm * warm / 2.0;
         let seconds = if count <= within && growth > 0.0 {
             ((rate * rate + 2.0 * growth * count).sqrt() - rate) / growth
@@ -99,14 +106,24 @@
         group: GroupId,
         started: Option<Option<Time>>,
     ) {
-        let Some(started) = started else { return self.remove_member(member) };
+        let Some(started) = started else {
+            return self.remove_member(member);
+        };
         let known = self.lanes.get(&member);
         if known.is_some_and(|lane| lane.started == started) {
             return;
         }
         let from = started.unwrap_or(now).min(now);
         let name = xxh3_64(name.as_bytes());
-        let lane = MemberPacing { group, name, started, from, next: now, failed: 0, unopened: Some(now) };
+        let lane = MemberPacing {
+            group,
+            name,
+            started,
+            from,
+            next: now,
+            failed: 0,
+            unopened: Some(now),
+        };
         self.lanes.insert(member, lane);
     }
 
@@ -114,7 +131,9 @@
     pub fn schedule_new_members(&mut self, now: Time) {
         let mut rows: BTreeMap<GroupId, Vec<_>> = BTreeMap::new();
         for (id, lane) in &self.lanes {
-            rows.entry(lane.group).or_default().push((lane.name, *id, lane.from, lane.unopened));
+            rows.entry(lane.group)
+                .or_default()
+                .push((lane.name, *id, lane.from, lane.unopened));
         }
         rows.retain(|_, row| row.iter().any(|(_, _, _, unopened)| *unopened == Some(now)));
         let fleet = f64::from(self.set.fleet_size.max(1));
@@ -145,10 +164,19 @@
 
     /// A connection is opened: the next one is for a later turn.
     pub fn record_attempt(&mut self, now: Time, member: MemberId) {
-        let Some(lane) = self.lanes.get(&member) else { return };
-        let turns = f64::from(1u32 << lane.failed.min(DOUBLED_MOST)) * (0.5 + self.rng.random::<f64>());
-        let next = self.borne(now, now - lane.from, turns * f64::from(self.set.fleet_size.max(1)));
-        self.lanes.entry(member).and_modify(|lane| (lane.next, lane.unopened) = (next, None));
+        let Some(lane) = self.lanes.get(&member) else {
+            return;
+        };
+        let turns =
+            f64::from(1u32 << lane.failed.min(DOUBLED_MOST)) * (0.5 + self.rng.random::<f64>());
+        let next = self.borne(
+            now,
+            now - lane.from,
+            turns * f64::from(self.set.fleet_size.max(1)),
+        );
+        self.lanes
+            .entry(member)
+            .and_modify(|lane| (lane.next, lane.unopened) = (next, None));
     }
 
     /// A connection did not come up in time, or was turned away.
--- a/crates/stackgw-bootstrap/src/endpoint_cache.rs
+++ b/crates/stackgw-bootstrap/src/endpoint_cache.rs
@@ -148,7 +148,8 @@
             Origin::Cached if known.is_some() || !word.complete => return MergeOutcome::Stale,
             Origin::Peer if older => return MergeOutcome::Stale,
             Origin::Peer
-                if !word.complete && base.is_none_or(|base| known.is_none_or(|known| base > known)) =>
+                if !word.complete
+                    && base.is_none_or(|base| known.is_none_or(|known| base > known)) =>
             {
                 return MergeOutcome::Stale;
             }
@@ -179,7 +180,10 @@
         let mut changed = Vec::new();
         if whole {
             let named: BTreeSet<_> = word.members.iter().map(|e| e.id.as_str()).collect();
-            let missing = self.held.values_mut().filter(|held| !named.contains(held.entry.id.as_str()));
+            let missing = self
+                .held
+                .values_mut()
+                .filter(|held| !named.contains(held.entry.id.as_str()));
             for held in missing.filter(|held| held.entry.phase != Lifecycle::Removed) {
                 (held.entry.phase, held.revision) = (Lifecycle::Removed, word.revision);
                 held.bound = held.bound.or(Some((word.revision, now)));
@@ -201,7 +205,13 @@
     }
 
     /// Writes one entry down; gives it back as it stands where that is news.
-    fn enter(&mut self, now: Time, mut entry: Endpoint, revision: u64, repeats: bool) -> Option<Endpoint> {
+    fn enter(
+        &mut self,
+        now: Time,
+        mut entry: Endpoint,
+        revision: u64,
+        repeats: bool,
+    ) -> Option<Endpoint> {
         let before = self.held.get(&entry.id);
         let mut bound = before.and_then(|held| held.bound);
         if entry.phase == Lifecycle::Serving {
@@ -217,26 +227,47 @@
         let same = before.is_some_and(|held| held.entry == entry);
         // Danger: one that is as it was may have changed there and back, and whoever is asked by one that knows it as it was
         // between would leave that one with it.
-        let revision = before.filter(|_| same && repeats).map_or(revision, |held| held.revision);
-        self.held.insert(entry.id.clone(), Held { entry: entry.clone(), revision, bound });
+        let revision = before
+            .filter(|_| same && repeats)
+            .map_or(revision, |held| held.revision);
+        self.held.insert(
+            entry.id.clone(),
+            Held {
+                entry: entry.clone(),
+                revision,
+                bound,
+            },
+        );
         (!same).then_some(entry)
     }
 
     fn prune(&mut self) {
-        let mut gone: Vec<_> = self.held.values().filter(|h| h.entry.phase == Lifecycle::Removed).collect();
+        let mut gone: Vec<_> = self
+            .held
+            .values()
+            .filter(|h| h.entry.phase == Lifecycle::Removed)
+            .collect();
         if gone.len() <= GONE_MOST {
             return;
         }
         gone.sort_by_key(|held| held.revision);
-        let past: Vec<_> = gone[..gone.len() - GONE_MOST].iter().map(|h| h.entry.id.clone()).collect();
+        let past: Vec<_> = gone[..gone.len() - GONE_MOST]
+            .iter()
+            .map(|h| h.entry.id.clone())
+            .collect();
         for id in past {
-            self.dropped = self.dropped.max(self.held.remove(&id).map_or(0, |held| held.revision));
+            self.dropped = self
+                .dropped
+                .max(self.held.remove(&id).map_or(0, |held| held.revision));
         }
     }
 
     /// The members that are not gone.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        self.held.values().map(|held| &held.entry).filter(|entry| entry.phase != Lifecycle::Removed)
+        self.held
+            .values()
+            .map(|held| &held.entry)
+            .filter(|entry| entry.phase != Lifecycle::Removed)
     }
 
     /// For one that has this version: what changed since, or (`None`, with the whole list) where that is not known.
@@ -253,5 +284,9 @@
 
 /// An entry as kept word has it: it leads nobody, and may have just started.
 fn cautious(entry: &Endpoint) -> Endpoint {
-    Endpoint { leader: false, up_since_ms: -1, ..entry.clone() }
+    Endpoint {
+        leader: false,
+        up_since_ms: -1,
+        ..entry.clone()
+    }
 }
--- a/crates/stackgw-bootstrap/src/lib.rs
+++ b/crates/stackgw-bootstrap/src/lib.rs
@@ -20,7 +20,9 @@
 mod poll_schedule;
 mod watch_leaders;
 
-pub use bootstrap::{Bootstrap, BootstrapCounters, BootstrapSettings, CachedEndpoints, LogEvent, Output};
+pub use bootstrap::{
+    Bootstrap, BootstrapCounters, BootstrapSettings, CachedEndpoints, LogEvent, Output,
+};
 pub use connection_pacer::{ConnectionPacer, PacerConfig};
 pub use endpoint::{Endpoint, EndpointUpdate};
 pub use endpoint_cache::{EndpointCache, MergeOutcome, Origin};
--- a/crates/stackgw-bootstrap/src/message.rs
+++ b/crates/stackgw-bootstrap/src/message.rs
@@ -103,8 +103,16 @@
             now.push(entry);
         }
         parts.push(now);
-        let count = u16::try_from(parts.len()).ok().filter(|count| *count <= PARTS_MOST)?;
-        let seen = |n| if n == 0 { self.seen.clone() } else { Vec::new() };
+        let count = u16::try_from(parts.len())
+            .ok()
+            .filter(|count| *count <= PARTS_MOST)?;
+        let seen = |n| {
+            if n == 0 {
+                self.seen.clone()
+            } else {
+                Vec::new()
+            }
+        };
         let part = |(n, entries)| EndpointSnapshot {
             part: (n as u16, count),
             entries,
@@ -125,7 +133,10 @@
 impl Reassembly {
     /// Begins with any part.
     pub fn new(tell: EndpointSnapshot) -> Self {
-        let mut gathered = Reassembly { parts: vec![None; usize::from(tell.part.1)], first: tell.clone() };
+        let mut gathered = Reassembly {
+            parts: vec![None; usize::from(tell.part.1)],
+            first: tell.clone(),
+        };
         gathered.add(tell);
         gathered
     }
@@ -145,7 +156,15 @@
 
     /// The whole answer, once it is here.
     pub fn whole(&self) -> Option<EndpointSnapshot> {
-        let entries = self.parts.iter().cloned().collect::<Option<Vec<_>>>()?.concat();
-        Some(EndpointSnapshot { entries, ..self.first.clone() })
+        let entries = self
+            .parts
+            .iter()
+            .cloned()
+            .collect::<Option<Vec<_>>>()?
+            .concat();
+        Some(EndpointSnapshot {
+            entries,
+            ..self.first.clone()
+        })
     }
 }
--- a/crates/stackgw-bootstrap/src/observation.rs
+++ b/crates/stackgw-bootstrap/src/observation.rs
@@ -78,7 +78,10 @@
     pub fn news(&mut self) -> Vec<Observation> {
         let told: Vec<_> = self.news.iter().take(SEEN_EACH).copied().collect();
         self.news.retain(|member| !told.contains(member));
-        told.iter().filter_map(|member| self.held.get(member)).copied().collect()
+        told.iter()
+            .filter_map(|member| self.held.get(member))
+            .copied()
+            .collect()
     }
 
     /// What is known and not yet old, all of it over so many calls as it takes.
@@ -87,7 +90,10 @@
         let held = &self.held;
         self.news.retain(|member| held.contains_key(member));
         let later = self.held.range(self.told.saturating_add(1)..);
-        let next: Vec<_> = later.chain(self.held.range(..=self.told)).take(SEEN_EACH).collect();
+        let next: Vec<_> = later
+            .chain(self.held.range(..=self.told))
+            .take(SEEN_EACH)
+            .collect();
         let last = next.last().map_or(0, |(member, _)| **member);
         let told = next.into_iter().map(|(_, seen)| *seen).collect();
         self.told = last;
--- a/crates/stackgw-bootstrap/src/poll_schedule.rs
+++ b/crates/stackgw-bootstrap/src/poll_schedule.rs
@@ -46,7 +46,13 @@
 impl PollSchedule {
     /// PollSchedule of an instance that has not asked yet.
     pub fn new(pace: PollRate, seed: u64) -> Self {
-        PollSchedule { pace, rng: Pcg64Mcg::seed_from_u64(seed), failed: 0, asked: 0, put_off: 0 }
+        PollSchedule {
+            pace,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            failed: 0,
+            asked: 0,
+            put_off: 0,
+        }
     }
 
     /// The span within which so many can ask once.
@@ -70,7 +76,11 @@
     pub fn first(&mut self, now: Time, askers: u32) -> Time {
         // Danger: all that were told the same time to come back would come back in it.
         let put_off = self.put_off > now;
-        let span = self.span(if put_off { self.pace.fleet_size } else { askers });
+        let span = self.span(if put_off {
+            self.pace.fleet_size
+        } else {
+            askers
+        });
         let place = self.place(askers);
         now.max(self.put_off) + (span as f64 * place) as Span
     }
@@ -83,15 +93,24 @@
     /// An ask brought nothing, or what it brought has ended: when to ask again. Pauses grow by doubling up to a span of the
     /// whole fleet.
     pub fn again(&mut self, now: Time, askers: u32) -> Time {
-        let (fleet, mine) = (self.span(self.pace.fleet_size) as f64, self.span(askers) as f64);
+        let (fleet, mine) = (
+            self.span(self.pace.fleet_size) as f64,
+            self.span(askers) as f64,
+        );
         let least = self.pace.min_pause as f64;
         // A pause is anything up to twice the span: the span on average, which keeps all of them within what is borne.
-        let span = (mine * 2f64.powi(self.failed.min(16) as i32)).min(fleet.max(mine)).max(least);
+        let span = (mine * 2f64.powi(self.failed.min(16) as i32))
+            .min(fleet.max(mine))
+            .max(least);
         self.failed += 1;
         let place = self.place(askers);
         let pause = (2.0 * span * place) as Span;
         let put_off = self.put_off.max(now);
-        let spread = if put_off > now { pause.max((fleet * place) as Span) } else { pause };
+        let spread = if put_off > now {
+            pause.max((fleet * place) as Span)
+        } else {
+            pause
+        };
         put_off + spread
     }
 
--- a/crates/stackgw-bootstrap/src/watch_leaders.rs
+++ b/crates/stackgw-bootstrap/src/watch_leaders.rs
@@ -36,7 +36,12 @@
 
 impl WatchLeaders {
     /// Seen from an instance of a fleet of about this size.
-    pub fn new(me: SocketAddr, seeds: impl IntoIterator<Item = SocketAddr>, fleet: u32, least: u32) -> Self {
+    pub fn new(
+        me: SocketAddr,
+        seeds: impl IntoIterator<Item = SocketAddr>,
+        fleet: u32,
+        least: u32,
+    ) -> Self {
         let mut circle = WatchLeaders {
             me,
             seeds: seeds.into_iter().collect(),
@@ -57,7 +62,8 @@
     /// Who is there, by the membership.
     pub fn update_membership(&mut self, up: BTreeSet<SocketAddr>) {
         let seeds = &self.seeds;
-        self.unanswered.retain(|address, _| up.contains(address) || seeds.contains(address));
+        self.unanswered
+            .retain(|address, _| up.contains(address) || seeds.contains(address));
         self.up = up;
         self.arrange();
     }
@@ -70,12 +76,17 @@
 
     /// Everyone else that is there.
     pub fn others(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.up.union(&self.seeds).copied().filter(|address| *address != self.me)
+        self.up
+            .union(&self.seeds)
+            .copied()
+            .filter(|address| *address != self.me)
     }
 
     /// Whether an instance goes unanswered.
     fn lost(&self, address: &SocketAddr) -> bool {
-        self.unanswered.get(address).is_some_and(|(count, _)| *count >= UNANSWERED)
+        self.unanswered
+            .get(address)
+            .is_some_and(|(count, _)| *count >= UNANSWERED)
     }
 
     fn arrange(&mut self) {
@@ -83,7 +94,8 @@
         if !order.contains(&self.me) {
             order.push(self.me);
         }
-        order.sort_by_cached_key(|address| (!self.seeds.contains(address), rank(address), *address));
+        order
+            .sort_by_cached_key(|address| (!self.seeds.contains(address), rank(address), *address));
         self.order = order;
     }
 
@@ -109,13 +121,17 @@
 
     /// A holder has not answered yet. Once as many asks as [`UNANSWERED`] are out, the next in the order takes its place.
     pub fn doubts(&self) -> bool {
-        self.here().any(|address| self.unanswered.contains_key(&address))
+        self.here()
+            .any(|address| self.unanswered.contains_key(&address))
     }
 
     /// Whom to ask: a holder, in turn; beside it the next in the order until there are `width`, for when holders are lost by
     /// the dozen; and the lost one that was asked longest ago, so that one that is back is found.
     pub fn asked(&self, now: Time, turn: u32, width: usize, again: Span) -> Vec<SocketAddr> {
-        let there = self.order.iter().filter(|address| **address != self.me && !self.lost(address));
+        let there = self
+            .order
+            .iter()
+            .filter(|address| **address != self.me && !self.lost(address));
         let mut others: Vec<_> = there.copied().collect();
         let holders = self.here().filter(|address| *address != self.me).count();
         let mut asked = Vec::new();
@@ -127,9 +143,15 @@
         }
         // Those behind the last holder would not hold the watch, were they back.
         let last = self.here().last();
-        let before = self.order.iter().take_while(|address| Some(**address) != last);
+        let before = self
+            .order
+            .iter()
+            .take_while(|address| Some(**address) != last);
         let lost = before.filter_map(|address| {
-            let (_, at) = self.unanswered.get(address).filter(|_| self.lost(address))?;
+            let (_, at) = self
+                .unanswered
+                .get(address)
+                .filter(|_| self.lost(address))?;
             (now - at >= again).then_some((*at, *address))
         });
         asked.extend(lost.min().map(|(_, address)| address));
--- a/crates/stackgw-bootstrap/tests/common/mod.rs
+++ b/crates/stackgw-bootstrap/tests/common/mod.rs
@@ -5,8 +5,8 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use stackgw_router::api::{Lifecycle, Span, Time, MS, SECOND};
 use stackgw_bootstrap::*;
+use stackgw_router::api::{Lifecycle, Span, Time, MS, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -17,7 +17,9 @@
 }
 
 fn index(at: SocketAddr) -> usize {
-    let SocketAddr::V4(at) = at else { return usize::MAX };
+    let SocketAddr::V4(at) = at else {
+        return usize::MAX;
+    };
     let [_, _, a, b] = at.ip().octets();
     usize::from(a) * 250 + usize::from(b) - 1
 }
@@ -115,7 +117,9 @@
             highest: 0,
             sighted: Vec::new(),
         };
-        let list = (0..members).map(|n| entry(n, Lifecycle::Serving, n == 0)).collect();
+        let list = (0..members)
+            .map(|n| entry(n, Lifecycle::Serving, n == 0))
+            .collect();
         let mut sim = Sim {
             now: 1_000 * SECOND,
             nodes: (0..fleet).map(node).collect(),
@@ -160,7 +164,9 @@
                 service_capacity: self.bears,
                 min_pause: 100 * MS,
             },
-            peers: self.talks.then(|| (address(n), (0..self.seeds).map(address).collect())),
+            peers: self
+                .talks
+                .then(|| (address(n), (0..self.seeds).map(address).collect())),
             min_watch_leaders: MIN_WATCH_LEADERS,
             service_id: service_id("s"),
             drain_grace: GRACE,
@@ -214,9 +220,16 @@
 
     /// What is in the list of a version and was not in some version since another: all that changed, be it there and back.
     fn since(&self, after: u64, version: usize) -> Vec<Endpoint> {
-        let changed =
-            |e: &&Endpoint| self.versions[after as usize - 1..version].iter().any(|list| !list.contains(e));
-        self.versions[version - 1].iter().filter(changed).cloned().collect()
+        let changed = |e: &&Endpoint| {
+            self.versions[after as usize - 1..version]
+                .iter()
+                .any(|list| !list.contains(e))
+        };
+        self.versions[version - 1]
+            .iter()
+            .filter(changed)
+            .cloned()
+            .collect()
     }
 
     /// A watch is told what it has missed.
@@ -226,11 +239,18 @@
             return;
         }
         let members = self.since(seen, version);
-        let update = EndpointUpdate { revision: version as u64, complete: false, members };
+        let update = EndpointUpdate {
+            revision: version as u64,
+            complete: false,
+            members,
+        };
         let (life, watch) = (self.nodes[n].life, self.nodes[n].watch);
         self.nodes[n].seen = version as u64;
         // Behind what the watch began with.
-        self.at(self.now + 3 * MS, Event::Watch(n, life, watch, Some(update)));
+        self.at(
+            self.now + 3 * MS,
+            Event::Watch(n, life, watch, Some(update)),
+        );
     }
 
     pub fn drain(&mut self, member: usize) {
@@ -267,16 +287,21 @@
                     {
                         continue;
                     }
-                    let message = Message::decode(&message.encode()).expect("what was sent can be read");
+                    let message =
+                        Message::decode(&message.encode()).expect("what was sent can be read");
                     let at = self.now + MS / 5 + (self.rng.random::<f64>() * MS as f64) as Span;
                     let life = self.nodes[to].life;
                     self.at(at, Event::Told(to, life, message));
                 }
-                Output::Endpoints(MergeOutcome::Complete(entries) | MergeOutcome::Cached(entries)) => {
+                Output::Endpoints(
+                    MergeOutcome::Complete(entries) | MergeOutcome::Cached(entries),
+                ) => {
                     self.nodes[n].router = entries.into_iter().map(|e| (e.id, e.phase)).collect();
                 }
                 Output::Endpoints(MergeOutcome::Changed(entries)) => {
-                    self.nodes[n].router.extend(entries.into_iter().map(|e| (e.id, e.phase)));
+                    self.nodes[n]
+                        .router
+                        .extend(entries.into_iter().map(|e| (e.id, e.phase)));
                 }
                 Output::Persist(kept) => self.nodes[n].kept = Some(kept),
                 Output::Observations(seen) => self.nodes[n].sighted.extend(seen),
@@ -287,8 +312,10 @@
         let Some(start) = &node.start else { return };
         if let Some(revision) = start.cache().revision() {
             if revision < node.highest {
-                self.broken =
-                    Some(format!("instance {n} went from version {} back to {revision}", node.highest));
+                self.broken = Some(format!(
+                    "instance {n} went from version {} back to {revision}",
+                    node.highest
+                ));
             }
             node.highest = revision;
         }
@@ -313,11 +340,19 @@
             Mood::Silent => {}
             Mood::Overloaded(wait) => self.at(at, Event::Lost(n, life, watch, Some(wait))),
             mood => {
-                let version = if let Mood::Behind(version) = mood { version } else { self.versions.len() };
+                let version = if let Mood::Behind(version) = mood {
+                    version
+                } else {
+                    self.versions.len()
+                };
                 let (list, revision) = (self.versions[version - 1].clone(), version as u64);
                 let news = after.filter(|after| *after <= revision && *after > 0);
                 let members = news.map_or(list, |after| self.since(after, version));
-                let update = EndpointUpdate { revision, complete: news.is_none(), members };
+                let update = EndpointUpdate {
+                    revision,
+                    complete: news.is_none(),
+                    members,
+                };
                 (self.nodes[n].watches, self.nodes[n].seen) = (true, revision);
                 self.at(at, Event::Watch(n, life, watch, Some(update)));
                 self.at(at + 2 * SECOND, Event::Blank(n, life, watch));
@@ -328,7 +363,11 @@
     /// Plays on for so long.
     pub fn pass(&mut self, span: Span) {
         let end = self.now + span;
-        while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) {
+        while let Some(entry) = self
+            .events
+            .first_entry()
+            .filter(|entry| entry.key().0 <= end)
+        {
             let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
             self.play(event);
@@ -351,7 +390,10 @@
                     return;
                 }
                 node.due = Time::MAX;
-                node.start.as_mut().expect("it is current").handle_timeout(now, &mut out);
+                node.start
+                    .as_mut()
+                    .expect("it is current")
+                    .handle_timeout(now, &mut out);
                 n
             }
             Event::Watch(n, life, watch, update) if current(&self.nodes[n], life) => {
@@ -366,7 +408,11 @@
                 if self.nodes[n].watch != watch {
                     return;
                 }
-                self.nodes[n].start.as_mut().expect("it is current").handle_watch_lost(now, wait, &mut out);
+                self.nodes[n]
+                    .start
+                    .as_mut()
+                    .expect("it is current")
+                    .handle_watch_lost(now, wait, &mut out);
                 n
             }
             Event::Blank(n, life, watch) if current(&self.nodes[n], life) => {
@@ -393,8 +439,11 @@
                         let up = node.start.is_some() || now - node.gone < self.suspicion;
                         up && !self.cut.contains(&(side, there))
                     };
-                    let up: BTreeSet<_> =
-                        (0..self.nodes.len()).filter(|m| *m != n).filter(here).map(address).collect();
+                    let up: BTreeSet<_> = (0..self.nodes.len())
+                        .filter(|m| *m != n)
+                        .filter(here)
+                        .map(address)
+                        .collect();
                     if let Some(start) = self.nodes[n].start.as_mut() {
                         let mut out = Vec::new();
                         start.update_membership(now, up, &mut out);
@@ -414,11 +463,18 @@
         let fresh = |start: &&Bootstrap| {
             start.cache().revision() == version && start.cache().origin() != Some(Origin::Cached)
         };
-        self.nodes.iter().filter_map(|node| node.start.as_ref()).filter(fresh).count()
+        self.nodes
+            .iter()
+            .filter_map(|node| node.start.as_ref())
+            .filter(fresh)
+            .count()
     }
 
     pub fn up(&self) -> usize {
-        self.nodes.iter().filter(|node| node.start.is_some()).count()
+        self.nodes
+            .iter()
+            .filter(|node| node.start.is_some())
+            .count()
     }
 
     /// Most asks within a span, since a moment.
--- a/crates/stackgw-bootstrap/tests/digest.rs
+++ b/crates/stackgw-bootstrap/tests/digest.rs
@@ -8,8 +8,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
-use stackgw_router::api::{GroupId, Lifecycle, MemberId, Span, Time, MS, SECOND};
 use stackgw_bootstrap::*;
+use stackgw_router::api::{GroupId, Lifecycle, MemberId, Span, Time, MS, SECOND};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -206,13 +206,21 @@
 }
 
 fn any_phase(rng: &mut Pcg64Mcg) -> Lifecycle {
-    [Lifecycle::Serving, Lifecycle::Serving, Lifecycle::Draining, Lifecycle::Removed][below(rng, 4)]
+    [
+        Lifecycle::Serving,
+        Lifecycle::Serving,
+        Lifecycle::Draining,
+        Lifecycle::Removed,
+    ][below(rng, 4)]
 }
 
 fn any_entry(rng: &mut Pcg64Mcg, now: Time, members: usize) -> Endpoint {
     let up_since_ms = [0, 0, -1, now / MS - below(rng, 20_000) as i64][below(rng, 4)];
     let (phase, leader) = (any_phase(rng), chance(rng, 0.3));
-    Endpoint { up_since_ms, ..entry(below(rng, members), phase, leader) }
+    Endpoint {
+        up_since_ms,
+        ..entry(below(rng, members), phase, leader)
+    }
 }
 
 fn any_sighting(rng: &mut Pcg64Mcg, now: Time, members: usize) -> Observation {
@@ -238,12 +246,20 @@
         said_ago_ms: below(rng, 9_000) as u64,
         live: chance(rng, 0.5),
         kept: chance(rng, 0.3),
-        put_off_ms: if chance(rng, 0.1) { below(rng, 5_000) as u64 } else { 0 },
+        put_off_ms: if chance(rng, 0.1) {
+            below(rng, 5_000) as u64
+        } else {
+            0
+        },
         rate: below(rng, 3) as u64 * 150_000,
         base: chance(rng, 0.5).then_some(version.saturating_sub(below(rng, 3) as u64)),
         part: (below(rng, fragments.max(1) as usize) as u16, fragments),
-        entries: (0..entries).map(|_| any_entry(rng, sim.now, members)).collect(),
-        seen: (0..below(rng, 3)).map(|_| any_sighting(rng, sim.now, members)).collect(),
+        entries: (0..entries)
+            .map(|_| any_entry(rng, sim.now, members))
+            .collect(),
+        seen: (0..below(rng, 3))
+            .map(|_| any_sighting(rng, sim.now, members))
+            .collect(),
     })
 }
 
@@ -257,7 +273,9 @@
             (list[member].up_since_ms, list[member].phase) = (now / MS, Lifecycle::Serving);
         }),
         _ => sim.change(|list| {
-            list.iter_mut().enumerate().for_each(|(n, entry)| entry.leader = n == member);
+            list.iter_mut()
+                .enumerate()
+                .for_each(|(n, entry)| entry.leader = n == member);
         }),
     }
 }
@@ -265,11 +283,22 @@
 fn change_service(rng: &mut Pcg64Mcg, sim: &mut Sim) {
     let behind = sim.versions.len().saturating_sub(2).max(1);
     let wait = below(rng, 4_000) as Span * MS;
-    let moods = [Mood::Up, Mood::Up, Mood::Dead, Mood::Silent, Mood::Overloaded(wait), Mood::Behind(behind)];
+    let moods = [
+        Mood::Up,
+        Mood::Up,
+        Mood::Dead,
+        Mood::Silent,
+        Mood::Overloaded(wait),
+        Mood::Behind(behind),
+    ];
     let mood = moods[below(rng, moods.len())];
     let fleet = sim.nodes.len();
     let first = below(rng, fleet);
-    let which = if chance(rng, 0.5) { 0..fleet } else { first..first + 1 };
+    let which = if chance(rng, 0.5) {
+        0..fleet
+    } else {
+        first..first + 1
+    };
     sim.mood(which, mood);
 }
 
@@ -289,8 +318,12 @@
     let fleet = sim.nodes.len();
     match below(rng, 5) {
         0 => {
-            let watches =
-                |n: &usize| sim.nodes[*n].start.as_ref().is_some_and(|start| start.watch_leaders().1);
+            let watches = |n: &usize| {
+                sim.nodes[*n]
+                    .start
+                    .as_ref()
+                    .is_some_and(|start| start.watch_leaders().1)
+            };
             let watching: Vec<_> = (0..fleet).filter(watches).collect();
             watching.into_iter().for_each(|n| sim.kill(n));
         }
@@ -305,7 +338,9 @@
     let (now, members) = (sim.now, sim.versions[0].len());
     match below(rng, 5) {
         0 => {
-            let seen: Vec<_> = (0..below(rng, 20)).map(|_| any_sighting(rng, now, members)).collect();
+            let seen: Vec<_> = (0..below(rng, 20))
+                .map(|_| any_sighting(rng, now, members))
+                .collect();
             sim.call(n, |start, now, _| start.record_observations(now, seen));
         }
         1 => {
@@ -313,9 +348,14 @@
             sim.call(n, |start, _, _| start.set_warm_throughput(rate));
         }
         2 => {
-            let (name, moved) = (if chance(rng, 0.8) { "s" } else { "other" }, chance(rng, 0.3));
+            let (name, moved) = (
+                if chance(rng, 0.8) { "s" } else { "other" },
+                chance(rng, 0.3),
+            );
             let seeds: Vec<_> = (0..below(rng, 4)).map(address).collect();
-            sim.call(n, |start, now, out| start.reload(now, &seeds, service_id(name), moved, out));
+            sim.call(n, |start, now, out| {
+                start.reload(now, &seeds, service_id(name), moved, out)
+            });
         }
         3 => {
             let from = below(rng, sim.nodes.len());
@@ -323,7 +363,10 @@
             sim.call(n, |start, now, out| start.handle_message(now, answer, out));
         }
         _ => {
-            let up: BTreeSet<_> = (0..sim.nodes.len()).filter(|_| chance(rng, 0.7)).map(address).collect();
+            let up: BTreeSet<_> = (0..sim.nodes.len())
+                .filter(|_| chance(rng, 0.7))
+                .map(address)
+                .collect();
             sim.call(n, |start, now, out| start.update_membership(now, up, out));
         }
     }
@@ -353,8 +396,18 @@
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (fleet, talks) = (1 + below(&mut rng, 8), chance(&mut rng, 0.85));
-        let members = if chance(&mut rng, 0.2) { 60 + below(&mut rng, 60) } else { 1 + below(&mut rng, 5) };
-        let mut sim = Sim::new(fleet, members, [2.0, 20.0, 100.0][below(&mut rng, 3)], talks, seed);
+        let members = if chance(&mut rng, 0.2) {
+            60 + below(&mut rng, 60)
+        } else {
+            1 + below(&mut rng, 5)
+        };
+        let mut sim = Sim::new(
+            fleet,
+            members,
+            [2.0, 20.0, 100.0][below(&mut rng, 3)],
+            talks,
+            seed,
+        );
         sim.suspicion = below(&mut rng, 3) as Span * 5 * SECOND;
         sim.seeds = 1 + below(&mut rng, 3);
         play(&mut digest, &mut rng, &mut sim, 60, 4_000);
@@ -375,7 +428,9 @@
         play(&mut digest, &mut rng, &mut sim, 10, 1_500);
         // Most are killed at once, so that many instances are asked in vain.
         let stays = below(&mut rng, 120);
-        (0..120).filter(|n| n % 40 != stays % 40).for_each(|n| sim.kill(n));
+        (0..120)
+            .filter(|n| n % 40 != stays % 40)
+            .for_each(|n| sim.kill(n));
         play(&mut digest, &mut rng, &mut sim, 10, 1_500);
     }
     digest.print("start-large-fleets");
@@ -398,9 +453,16 @@
             let update = EndpointUpdate {
                 revision: version - below(&mut rng, 4) as u64,
                 complete: chance(&mut rng, 0.4),
-                members: (0..count).map(|_| any_entry(&mut rng, now, members)).collect(),
+                members: (0..count)
+                    .map(|_| any_entry(&mut rng, now, members))
+                    .collect(),
             };
-            let origin = [Origin::Cached, Origin::Peer, Origin::Service, Origin::Service][below(&mut rng, 4)];
+            let origin = [
+                Origin::Cached,
+                Origin::Peer,
+                Origin::Service,
+                Origin::Service,
+            ][below(&mut rng, 4)];
             let said = now - below(&mut rng, 4_000) as Span * MS;
             let base = chance(&mut rng, 0.7).then_some(version - below(&mut rng, 4) as u64);
             match below(&mut rng, 12) {
@@ -469,7 +531,8 @@
             let member = MemberId(number);
             let group = GroupId(number % 2);
             let started = now - below(&mut rng, 12_000) as Span * MS;
-            let started = [None, Some(None), Some(Some(started)), Some(Some(started))][below(&mut rng, 4)];
+            let started =
+                [None, Some(None), Some(Some(started)), Some(Some(started))][below(&mut rng, 4)];
             match below(&mut rng, 8) {
                 0 | 1 => deal.update_member(now, member, &format!("m{number}"), group, started),
                 2 => deal.schedule_new_members(now),
@@ -480,8 +543,11 @@
                 _ => deal.record_deferral(),
             }
             digest.unsigned(deal.deferrals());
-            deal.paced_members().for_each(|member| digest.unsigned(u64::from(member.0)));
-            (0..6).for_each(|member| digest.optional_time(deal.next_connection_at(now, MemberId(member))));
+            deal.paced_members()
+                .for_each(|member| digest.unsigned(u64::from(member.0)));
+            (0..6).for_each(|member| {
+                digest.optional_time(deal.next_connection_at(now, MemberId(member)))
+            });
         }
     }
     digest.print("start-connections-dealt");
--- a/crates/stackgw-bootstrap/tests/histories.rs
+++ b/crates/stackgw-bootstrap/tests/histories.rs
@@ -14,7 +14,11 @@
         sim.start_all(0..fleet);
         sim.pass(10 * SECOND);
         assert_eq!((sim.current(), sim.asks.len()), (fleet, fleet));
-        assert!(sim.worst(0, 100 * MS) * 10 <= fleet, "{} of {fleet}", sim.worst(0, 100 * MS));
+        assert!(
+            sim.worst(0, 100 * MS) * 10 <= fleet,
+            "{} of {fleet}",
+            sim.worst(0, 100 * MS)
+        );
         // Dead for six seconds, and back.
         sim.mood(0..fleet, Mood::Dead);
         sim.pass(6 * SECOND);
@@ -22,7 +26,11 @@
         sim.mood(0..fleet, Mood::Up);
         sim.pass(20 * SECOND);
         assert_eq!(sim.asked(from), fleet);
-        assert!(sim.worst(from, 100 * MS) * 10 <= fleet, "{} of {fleet}", sim.worst(from, 100 * MS));
+        assert!(
+            sim.worst(from, 100 * MS) * 10 <= fleet,
+            "{} of {fleet}",
+            sim.worst(from, 100 * MS)
+        );
     }
 }
 
@@ -32,12 +40,20 @@
         let mut sim = Sim::new(fleet, 10, 100.0, true, 5);
         sim.start_all(0..fleet);
         sim.pass(2 * SECOND);
-        assert_eq!((sim.current(), sim.asks.len()), (fleet, holders), "at {fleet}");
+        assert_eq!(
+            (sim.current(), sim.asks.len()),
+            (fleet, holders),
+            "at {fleet}"
+        );
         // A release: all at once again.
         let from = sim.now;
         sim.start_all(0..fleet);
         sim.pass(2 * SECOND);
-        assert_eq!((sim.current(), sim.asked(from)), (fleet, holders), "at {fleet}");
+        assert_eq!(
+            (sim.current(), sim.asked(from)),
+            (fleet, holders),
+            "at {fleet}"
+        );
         // An outage, however long, sends nobody else there while it lasts beyond its turn.
         sim.mood(0..fleet, Mood::Dead);
         sim.pass(6 * SECOND);
@@ -46,7 +62,11 @@
         sim.drain(2);
         sim.pass(8 * SECOND);
         assert_eq!(sim.current(), fleet);
-        assert!(sim.asked(from) <= 2 * holders, "{} asks for an outage at {fleet}", sim.asked(from));
+        assert!(
+            sim.asked(from) <= 2 * holders,
+            "{} asks for an outage at {fleet}",
+            sim.asked(from)
+        );
     }
 }
 
@@ -82,9 +102,12 @@
 #[test]
 fn holders_are_replaced_in_time_however_many_are_gone_before_the_membership_knows() {
     // Which ones are left, and so how many dead ones stand before them in the order, is another matter with each seed.
-    for (fleet, left, most) in
-        [(24, 4, 2 * SECOND), (24, 1, 2 * SECOND), (300, 90, 2 * SECOND), (300, 6, 4 * SECOND)]
-    {
+    for (fleet, left, most) in [
+        (24, 4, 2 * SECOND),
+        (24, 1, 2 * SECOND),
+        (300, 90, 2 * SECOND),
+        (300, 6, 4 * SECOND),
+    ] {
         for seed in 0..8 {
             let mut sim = Sim::new(fleet, 5, 100.0, true, seed);
             sim.suspicion = 15 * SECOND;
@@ -95,9 +118,16 @@
             sim.drain(1);
             let sent = sim.datagrams;
             sim.pass(most);
-            assert_eq!((sim.current(), sim.up()), (left, left), "{left} of {fleet}, seed {seed}");
+            assert_eq!(
+                (sim.current(), sim.up()),
+                (left, left),
+                "{left} of {fleet}, seed {seed}"
+            );
             let each = (sim.datagrams - sent) / left as u64;
-            assert!(each <= 200 + 64 * (most / (100 * MS)) as u64, "{each} datagrams from each");
+            assert!(
+                each <= 200 + 64 * (most / (100 * MS)) as u64,
+                "{each} datagrams from each"
+            );
         }
     }
 }
@@ -129,7 +159,10 @@
     sim.start_all(0..6);
     sim.pass(2 * SECOND);
     assert_eq!(sim.current(), 0, "nobody takes it for fresh");
-    assert!(sim.nodes.iter().all(|node| node.ready_at.is_some() && node.router.len() == 3));
+    assert!(sim
+        .nodes
+        .iter()
+        .all(|node| node.ready_at.is_some() && node.router.len() == 3));
 }
 
 #[derive(Debug, Clone)]
@@ -242,7 +275,14 @@
         .collect();
     back.sort_unstable();
     assert!(back[0] >= now + 2 * SECOND);
-    let most = back.iter().map(|at| back.iter().filter(|b| (*at..at + 100 * MS).contains(b)).count()).max();
+    let most = back
+        .iter()
+        .map(|at| {
+            back.iter()
+                .filter(|b| (*at..at + 100 * MS).contains(b))
+                .count()
+        })
+        .max();
     assert!(most <= Some(24), "{most:?} of 200 in 100 ms");
 }
 
@@ -268,7 +308,11 @@
             let next = turns.again(now, 300);
             // What was said long ago keeps nobody; with the ask that fails late it is six seconds, a dial included.
             let most = if put_off { 4600 * MS } else { 2600 * MS };
-            assert!(next - now <= most, "instance {number}, try {n}: {} ms", (next - now) / MS);
+            assert!(
+                next - now <= most,
+                "instance {number}, try {n}: {} ms",
+                (next - now) / MS
+            );
             now = next + 3 * SECOND;
         }
     }
@@ -286,11 +330,20 @@
         observed_at_ms: (now / MS) as u64,
     };
     let now = sim.now;
-    sim.nodes[17].start.as_mut().expect("it runs").record_observations(now, [seen(now, true)]);
+    sim.nodes[17]
+        .start
+        .as_mut()
+        .expect("it runs")
+        .record_observations(now, [seen(now, true)]);
     // Its own question tells a holder, and the others' questions bring it from there: one grace, as each asks four times in it and
     // the holders in turn.
     sim.pass(GRACE * 3 / 2);
-    let told = |sim: &Sim| sim.nodes.iter().filter(|node| node.sighted.contains(&seen(now, true))).count();
+    let told = |sim: &Sim| {
+        sim.nodes
+            .iter()
+            .filter(|node| node.sighted.contains(&seen(now, true)))
+            .count()
+    };
     assert!(told(&sim) >= 28, "{} of 29 others", told(&sim));
     let heard: usize = sim.nodes.iter().map(|node| node.sighted.len()).sum();
     sim.pass(10 * SECOND);
--- a/crates/stackgw-bootstrap/tests/model.rs
+++ b/crates/stackgw-bootstrap/tests/model.rs
@@ -2,8 +2,8 @@
 //! instances, every order in which datagrams arrive or are lost, one instance dying and coming back with its disk, one cut off
 //! for a while, a service that falls behind, up to a bound.
 
-use stackgw_router::api::{Lifecycle, Time, MS, SECOND};
 use stackgw_bootstrap::*;
+use stackgw_router::api::{Lifecycle, Time, MS, SECOND};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
@@ -87,7 +87,11 @@
         up_since_ms: 0,
         leader: true,
     };
-    EndpointUpdate { revision: version, complete, members: vec![entry] }
+    EndpointUpdate {
+        revision: version,
+        complete,
+        members: vec![entry],
+    }
 }
 
 impl Bounds {
@@ -116,10 +120,17 @@
         // A later life goes back behind what the disk has as little as this one does.
         let highest = kept.as_ref().map_or(0, |kept| kept.list.revision);
         if self.forgetful {
-            kept = kept.map(|kept| CachedEndpoints { list: list(1, true), ..kept });
+            kept = kept.map(|kept| CachedEndpoints {
+                list: list(1, true),
+                ..kept
+            });
         }
         let start = Bootstrap::new(world.now, self.settings(n), kept, &mut out);
-        (world.nodes[n].start, world.nodes[n].watch, world.nodes[n].highest) = (Some(start), None, highest);
+        (
+            world.nodes[n].start,
+            world.nodes[n].watch,
+            world.nodes[n].highest,
+        ) = (Some(start), None, highest);
         self.outputs(world, n, out);
     }
 
@@ -143,7 +154,9 @@
                 | Output::Log(_) => {}
             }
         }
-        let Some(start) = &world.nodes[n].start else { return };
+        let Some(start) = &world.nodes[n].start else {
+            return;
+        };
         let revision = start.cache().revision().unwrap_or(0);
         let said = start.cache().endpoints().next().map(|entry| entry.phase);
         world.broken |= revision < world.nodes[n].highest;
@@ -165,7 +178,12 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let node = || Node { start: None, kept: None, watch: None, highest: 0 };
+        let node = || Node {
+            start: None,
+            kept: None,
+            watch: None,
+            highest: 0,
+        };
         let mut world = World {
             now: 1_000 * SECOND,
             ticks: 0,
@@ -187,8 +205,18 @@
         steps.extend((0..world.net.len()).map(Step::Deliver));
         steps.extend((0..world.net.len().min(1)).map(Step::Lose));
         let reached = |n: &usize| world.cut != Some(*n);
-        let news = |n: &usize| world.nodes[*n].watch.is_some_and(|seen| seen != self.told(world));
-        steps.extend((0..NODES).filter(up).filter(reached).filter(news).map(Step::Watch));
+        let news = |n: &usize| {
+            world.nodes[*n]
+                .watch
+                .is_some_and(|seen| seen != self.told(world))
+        };
+        steps.extend(
+            (0..NODES)
+                .filter(up)
+                .filter(reached)
+                .filter(news)
+                .map(Step::Watch),
+        );
         if world.ticks < self.ticks && world.net.is_empty() {
             steps.push(Step::Tick);
         }
@@ -215,7 +243,10 @@
         match step {
             Step::Deliver(at) => {
                 let (_, to, message) = world.net.remove(at);
-                world.nodes[to].start.as_mut()?.handle_message(now, message, &mut out);
+                world.nodes[to]
+                    .start
+                    .as_mut()?
+                    .handle_message(now, message, &mut out);
                 self.outputs(&mut world, to, out);
             }
             Step::Lose(at) => drop(world.net.remove(at)),
@@ -224,7 +255,10 @@
                 // What changed after that version, or all of it where the service has not come to it.
                 let update = list(told, seen == 0 || seen > told);
                 world.nodes[n].watch = Some(told);
-                world.nodes[n].start.as_mut()?.handle_watch_update(now, update, &mut out);
+                world.nodes[n]
+                    .start
+                    .as_mut()?
+                    .handle_watch_update(now, update, &mut out);
                 self.outputs(&mut world, n, out);
             }
             Step::Tick => {
@@ -260,13 +294,17 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody goes back to an older list or forgets a drain", |_, world: &World| {
-                !world.broken
-            }),
-            Property::sometimes("one that does not watch is told of the drain", |_, world: &World| {
-                let told = |node: &Node| node.watch.is_none() && node.highest == 2;
-                world.nodes.iter().any(told)
-            }),
+            Property::always(
+                "nobody goes back to an older list or forgets a drain",
+                |_, world: &World| !world.broken,
+            ),
+            Property::sometimes(
+                "one that does not watch is told of the drain",
+                |_, world: &World| {
+                    let told = |node: &Node| node.watch.is_none() && node.highest == 2;
+                    world.nodes.iter().any(told)
+                },
+            ),
         ]
     }
 }
@@ -274,17 +312,38 @@
 #[test]
 fn no_instance_forgets_a_drain_or_believes_an_older_list() {
     for holders in [1, 2] {
-        let checker =
-            Bounds { holders, ticks: 5, forgetful: false }.checker().target_max_depth(10).threads(4);
+        let checker = Bounds {
+            holders,
+            ticks: 5,
+            forgetful: false,
+        }
+        .checker()
+        .target_max_depth(10)
+        .threads(4);
         let checker = checker.spawn_bfs().join();
         checker.assert_properties();
-        assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
+        assert!(
+            checker.unique_state_count() > 10_000,
+            "{}",
+            checker.unique_state_count()
+        );
     }
 }
 
 #[test]
 fn a_disk_that_gives_back_an_older_list_is_found() {
-    let bounds = Bounds { holders: 1, ticks: 5, forgetful: true };
-    let checker = bounds.checker().target_max_depth(8).threads(4).spawn_bfs().join();
-    assert!(checker.discoveries().contains_key("nobody goes back to an older list or forgets a drain"));
+    let bounds = Bounds {
+        holders: 1,
+        ticks: 5,
+        forgetful: true,
+    };
+    let checker = bounds
+        .checker()
+        .target_max_depth(8)
+        .threads(4)
+        .spawn_bfs()
+        .join();
+    assert!(checker
+        .discoveries()
+        .contains_key("nobody goes back to an older list or forgets a drain"));
 }
--- a/crates/stackgw-bootstrap/tests/stored_and_sent.rs
+++ b/crates/stackgw-bootstrap/tests/stored_and_sent.rs
@@ -3,13 +3,17 @@
 
 use serde::de::{DeserializeOwned, Deserializer, Error, Visitor};
 use serde::Serialize;
+use stackgw_bootstrap::{
+    service_id, Endpoint, EndpointSnapshot, EndpointUpdate, Message, Observation,
+};
 use stackgw_router::api::Lifecycle;
-use stackgw_bootstrap::{service_id, Endpoint, EndpointSnapshot, EndpointUpdate, Message, Observation};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 fn peer(port: u16) -> SocketAddr {
@@ -35,10 +39,23 @@
 
 /// One member in each phase, with each form of address and of start time.
 fn entries() -> Vec<Endpoint> {
-    let primary =
-        Endpoint { leader: true, size: 2.5, up_since_ms: 1_790_000_123_456, ..entry(1, Lifecycle::Serving) };
-    let draining = Endpoint { up_since_ms: -1, address: peer_v6(), ..entry(2, Lifecycle::Draining) };
-    let gone = Endpoint { locality: String::new(), cell: 0, size: 0.0, ..entry(3, Lifecycle::Removed) };
+    let primary = Endpoint {
+        leader: true,
+        size: 2.5,
+        up_since_ms: 1_790_000_123_456,
+        ..entry(1, Lifecycle::Serving)
+    };
+    let draining = Endpoint {
+        up_since_ms: -1,
+        address: peer_v6(),
+        ..entry(2, Lifecycle::Draining)
+    };
+    let gone = Endpoint {
+        locality: String::new(),
+        cell: 0,
+        size: 0.0,
+        ..entry(3, Lifecycle::Removed)
+    };
     vec![primary, draining, gone]
 }
 
@@ -51,7 +68,12 @@
     };
     vec![
         seen("member-1", 1_790_000_200_000, Some(true), 1_790_000_200_005),
-        seen("member-2", 1_790_000_199_000, Some(false), 1_790_000_200_001),
+        seen(
+            "member-2",
+            1_790_000_199_000,
+            Some(false),
+            1_790_000_200_001,
+        ),
         seen("member-3", 0, None, 127),
     ]
 }
@@ -76,12 +98,22 @@
 
 /// More entries than one datagram carries.
 fn many_entries() -> Vec<Endpoint> {
-    (1..=60).map(|number| entry(number, Lifecycle::Serving)).collect()
+    (1..=60)
+        .map(|number| entry(number, Lifecycle::Serving))
+        .collect()
 }
 
 fn fragments() -> Vec<Message> {
-    let whole = EndpointSnapshot { entries: Vec::new(), ..tell() };
-    whole.parts(many_entries()).expect("few enough").into_iter().map(Message::Snapshot).collect()
+    let whole = EndpointSnapshot {
+        entries: Vec::new(),
+        ..tell()
+    };
+    whole
+        .parts(many_entries())
+        .expect("few enough")
+        .into_iter()
+        .map(Message::Snapshot)
+        .collect()
 }
 
 fn datagrams() -> Vec<(String, Message)> {
@@ -110,14 +142,33 @@
         seen: Vec::new(),
         ..tell()
     };
-    let version_only = EndpointSnapshot { part: (0, 0), entries: Vec::new(), ..tell() };
-    let changes = EndpointSnapshot { base: Some(69_998), from: peer_v6(), ..tell() };
-    let cached = EndpointSnapshot { kept: true, live: false, said_ago_ms: 86_400_000, ..tell() };
+    let version_only = EndpointSnapshot {
+        part: (0, 0),
+        entries: Vec::new(),
+        ..tell()
+    };
+    let changes = EndpointSnapshot {
+        base: Some(69_998),
+        from: peer_v6(),
+        ..tell()
+    };
+    let cached = EndpointSnapshot {
+        kept: true,
+        live: false,
+        said_ago_ms: 86_400_000,
+        ..tell()
+    };
     let mut datagrams = vec![
         ("question-first.bin".to_owned(), first_question),
         ("question-later.bin".to_owned(), later_question),
-        ("answer-nothing-known.bin".to_owned(), Message::Snapshot(nothing)),
-        ("answer-version-only.bin".to_owned(), Message::Snapshot(version_only)),
+        (
+            "answer-nothing-known.bin".to_owned(),
+            Message::Snapshot(nothing),
+        ),
+        (
+            "answer-version-only.bin".to_owned(),
+            Message::Snapshot(version_only),
+        ),
         ("answer-complete.bin".to_owned(), Message::Snapshot(tell())),
         ("answer-changes.bin".to_owned(), Message::Snapshot(changes)),
         ("answer-cached.bin".to_owned(), Message::Snapshot(cached)),
@@ -128,10 +179,20 @@
 }
 
 fn stored_lists() -> [(&'static str, EndpointUpdate); 2] {
-    let complete = EndpointUpdate { revision: 70_000, complete: true, members: entries() };
-    let changes =
-        EndpointUpdate { revision: 70_001, complete: false, members: vec![entry(9, Lifecycle::Draining)] };
-    [("list-complete.bin", complete), ("list-changes.bin", changes)]
+    let complete = EndpointUpdate {
+        revision: 70_000,
+        complete: true,
+        members: entries(),
+    };
+    let changes = EndpointUpdate {
+        revision: 70_001,
+        complete: false,
+        members: vec![entry(9, Lifecycle::Draining)],
+    };
+    [
+        ("list-complete.bin", complete),
+        ("list-changes.bin", changes),
+    ]
 }
 
 /// Writes the files that are missing. An existing file is never replaced: it stands for what other versions have stored or send.
@@ -144,7 +205,9 @@
         }
     };
     std::fs::create_dir_all(fixture("")).expect("the folder can be made");
-    datagrams().iter().for_each(|(name, message)| write(name, message.encode()));
+    datagrams()
+        .iter()
+        .for_each(|(name, message)| write(name, message.encode()));
     stored_lists()
         .iter()
         .for_each(|(name, list)| write(name, postcard::to_allocvec(list).expect("it has a form")));
@@ -174,8 +237,16 @@
 fn the_list_is_read_and_written_as_an_earlier_version_wrote_it() {
     for (name, list) in stored_lists() {
         let bytes = std::fs::read(fixture(name)).expect(name);
-        assert_eq!(postcard::from_bytes::<EndpointUpdate>(&bytes).as_ref(), Ok(&list), "{name}");
-        assert_eq!(postcard::to_allocvec(&list).expect("it has a form"), bytes, "{name}");
+        assert_eq!(
+            postcard::from_bytes::<EndpointUpdate>(&bytes).as_ref(),
+            Ok(&list),
+            "{name}"
+        );
+        assert_eq!(
+            postcard::to_allocvec(&list).expect("it has a form"),
+            bytes,
+            "{name}"
+        );
     }
 }
 
@@ -213,7 +284,19 @@
 
 #[test]
 fn the_stored_list_keeps_its_field_names() {
-    assert_eq!(field_names::<EndpointUpdate>(), ["revision", "complete", "members"]);
-    let entry = ["id", "address", "locality", "cell", "phase", "size", "up_since_ms", "leader"];
+    assert_eq!(
+        field_names::<EndpointUpdate>(),
+        ["revision", "complete", "members"]
+    );
+    let entry = [
+        "id",
+        "address",
+        "locality",
+        "cell",
+        "phase",
+        "size",
+        "up_since_ms",
+        "leader",
+    ];
     assert_eq!(field_names::<Endpoint>(), entry);
 }
--- a/crates/stackgw-bootstrap/tests/unit/connection_pacer.rs
+++ b/crates/stackgw-bootstrap/tests/unit/connection_pacer.rs
@@ -30,7 +30,10 @@
         .map(|n| {
             let mut deal = dealt(n);
             listed(&mut deal, now, Some(started));
-            [0, 1, 2].map(|m| deal.next_connection_at(now, MemberId(m)).expect("it is cold"))
+            [0, 1, 2].map(|m| {
+                deal.next_connection_at(now, MemberId(m))
+                    .expect("it is cold")
+            })
         })
         .collect()
 }
@@ -47,12 +50,21 @@
                 let (from, to) = (tenth * SECOND / 10, (tenth + 1) * SECOND / 10);
                 let here = at.iter().filter(|at| (from..to).contains(*at)).count() as f64;
                 let bears = OPENS * (1.0 + 3.0 * (to as f64 / SECOND as f64) / 10.0) / 10.0;
-                assert!(here <= bears + 3.0, "{here} in tenth {tenth}, {bears} are borne");
+                assert!(
+                    here <= bears + 3.0,
+                    "{here} in tenth {tenth}, {bears} are borne"
+                );
             }
             assert!(at.last() < Some(&(7 * SECOND)), "{at:?}");
         }
-        let first = turns.iter().map(|t| t.iter().min().copied().unwrap_or(now) - now).max();
-        assert!(first < Some(3 * SECOND), "the last to have any connection: {first:?}");
+        let first = turns
+            .iter()
+            .map(|t| t.iter().min().copied().unwrap_or(now) - now)
+            .max();
+        assert!(
+            first < Some(3 * SECOND),
+            "the last to have any connection: {first:?}"
+        );
     }
 }
 
@@ -60,15 +72,30 @@
 fn turns_at_one_that_is_half_warm_come_sooner_and_warm_ones_are_not_dealt() {
     let now = 100 * SECOND;
     let last = |turns: Vec<[Time; 3]>| turns.iter().flatten().max().copied().unwrap_or(0) - now;
-    let (cold, half) = (last(turns(now, Some(now))), last(turns(now, Some(now - 5 * SECOND))));
+    let (cold, half) = (
+        last(turns(now, Some(now))),
+        last(turns(now, Some(now - 5 * SECOND))),
+    );
     assert!(half < cold * 2 / 3, "{half} {cold}");
     let mut deal = dealt(7);
     listed(&mut deal, now, Some(Some(now - SECOND)));
     assert!(deal.next_connection_at(now, MemberId(1)).is_some());
-    assert_eq!(deal.next_connection_at(now + 9 * SECOND, MemberId(1)), None, "warm by its age");
+    assert_eq!(
+        deal.next_connection_at(now + 9 * SECOND, MemberId(1)),
+        None,
+        "warm by its age"
+    );
     listed(&mut deal, now, None);
-    assert_eq!(deal.next_connection_at(now, MemberId(1)), None, "warm by the list");
-    assert_eq!(deal.next_connection_at(now, MemberId(9)), None, "never heard of");
+    assert_eq!(
+        deal.next_connection_at(now, MemberId(1)),
+        None,
+        "warm by the list"
+    );
+    assert_eq!(
+        deal.next_connection_at(now, MemberId(9)),
+        None,
+        "never heard of"
+    );
 }
 
 #[test]
@@ -89,12 +116,23 @@
     };
     assert!(wait(0) > 4 * SECOND && wait(0) < 9 * SECOND, "{}", wait(0));
     assert!(wait(1) > wait(0) * 5 / 4 && wait(2) > wait(1) * 5 / 4);
-    assert!((wait(9) - wait(12)).abs() < wait(9) / 3, "no more than so often");
+    assert!(
+        (wait(9) - wait(12)).abs() < wait(9) / 3,
+        "no more than so often"
+    );
     let mut deal = dealt(0);
     listed(&mut deal, now, Some(Some(now)));
     let before = deal.next_connection_at(now, MemberId(0));
     listed(&mut deal, now + MS, Some(Some(now)));
-    assert_eq!(deal.next_connection_at(now, MemberId(0)), before, "the same word changes nothing");
+    assert_eq!(
+        deal.next_connection_at(now, MemberId(0)),
+        before,
+        "the same word changes nothing"
+    );
     listed(&mut deal, now + MS, Some(Some(now + MS)));
-    assert_ne!(deal.next_connection_at(now, MemberId(0)), before, "another start is another turn");
+    assert_ne!(
+        deal.next_connection_at(now, MemberId(0)),
+        before,
+        "another start is another turn"
+    );
 }
--- a/crates/stackgw-bootstrap/tests/unit/observation.rs
+++ b/crates/stackgw-bootstrap/tests/unit/observation.rs
@@ -4,7 +4,12 @@
 use stackgw_router::api::SECOND;
 
 fn seen(member: u64, position_ms: u64, leads: Option<bool>, at_ms: u64) -> Observation {
-    Observation { member_hash: member, position_ms, is_primary: leads, observed_at_ms: at_ms }
+    Observation {
+        member_hash: member,
+        position_ms,
+        is_primary: leads,
+        observed_at_ms: at_ms,
+    }
 }
 
 #[test]
@@ -12,13 +17,29 @@
     let (now, keep) = (100 * SECOND, 5 * SECOND);
     let mut known = Observations::default();
     assert!(known.take(now, seen(1, 99_000, Some(true), 99_990), keep));
-    assert!(!known.take(now, seen(1, 98_000, Some(false), 99_995), keep), "an older position");
-    assert!(!known.take(now, seen(1, 99_000, None, 99_999), keep), "it says less");
+    assert!(
+        !known.take(now, seen(1, 98_000, Some(false), 99_995), keep),
+        "an older position"
+    );
+    assert!(
+        !known.take(now, seen(1, 99_000, None, 99_999), keep),
+        "it says less"
+    );
     known.own(now, seen(1, 99_500, Some(false), 99_999), keep);
-    assert!(!known.take(now, seen(2, 94_000, None, 95_000), keep), "too old");
-    assert!(!known.take(now, seen(2, 94_000, None, u64::MAX), keep), "not of this world");
+    assert!(
+        !known.take(now, seen(2, 94_000, None, 95_000), keep),
+        "too old"
+    );
+    assert!(
+        !known.take(now, seen(2, 94_000, None, u64::MAX), keep),
+        "not of this world"
+    );
     known.take(now, seen(3, 99_000, None, 99_000), keep);
-    assert_eq!(known.news(), [seen(1, 99_500, Some(false), 99_999)], "others' word is not passed on");
+    assert_eq!(
+        known.news(),
+        [seen(1, 99_500, Some(false), 99_999)],
+        "others' word is not passed on"
+    );
     assert!(known.news().is_empty(), "told once");
     assert_eq!(known.all(now, keep).len(), 2);
     assert!(known.all(now + keep, keep).is_empty());
@@ -32,8 +53,14 @@
         known.own(now, seen(n + 1, 99_000, None, 99_000), keep);
     }
     let rounds = SEEN_MOST.div_ceil(SEEN_EACH);
-    let all: BTreeSet<_> = (0..rounds).flat_map(|_| known.all(now, keep)).map(|s| s.member_hash).collect();
+    let all: BTreeSet<_> = (0..rounds)
+        .flat_map(|_| known.all(now, keep))
+        .map(|s| s.member_hash)
+        .collect();
     assert_eq!(all.len(), SEEN_MOST);
-    let news: BTreeSet<_> = (0..rounds).flat_map(|_| known.news()).map(|s| s.member_hash).collect();
+    let news: BTreeSet<_> = (0..rounds)
+        .flat_map(|_| known.news())
+        .map(|s| s.member_hash)
+        .collect();
     assert_eq!((news.len(), known.news().len()), (SEEN_MOST, 0));
 }
--- a/crates/stackgw-cli/src/cmd/check.rs
+++ b/crates/stackgw-cli/src/cmd/check.rs
@@ -29,7 +29,10 @@
                 Some(s) => format!("on, keepers {}", s.keepers.join(", ")),
                 None => "off".to_owned(),
             };
-            println!("{}: good; sessions across instances {sessions}", self.file.display());
+            println!(
+                "{}: good; sessions across instances {sessions}",
+                self.file.display()
+            );
         }
         Ok(())
     }
--- a/crates/stackgw-cli/src/cmd/demo.rs
+++ b/crates/stackgw-cli/src/cmd/demo.rs
@@ -4,7 +4,8 @@
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use stackgw_testkit::{
-    Faults, FleetConfig, FleetMode, GatewayFleet, Protocol, ReplicaGroup, SessionAudit, Verdict, GROUP,
+    Faults, FleetConfig, FleetMode, GatewayFleet, Protocol, ReplicaGroup, SessionAudit, Verdict,
+    GROUP,
 };
 use std::time::Duration;
 
@@ -78,22 +79,30 @@
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let verdict = self.play(&folder);
         // A verdict that is bad leaves the logs for whoever looks into it.
-        let keep = verdict.as_ref().is_ok_and(|verdict| !verdict.good() && !self.off);
+        let keep = verdict
+            .as_ref()
+            .is_ok_and(|verdict| !verdict.good() && !self.off);
         if !keep {
             let _ = std::fs::remove_dir_all(&folder);
         }
         let verdict = verdict?;
         if self.json {
-            println!("{}", serde_json::to_string(&verdict).map_err(|e| e.to_string())?);
+            println!(
+                "{}",
+                serde_json::to_string(&verdict).map_err(|e| e.to_string())?
+            );
         } else {
             print(&verdict);
         }
         match verdict.good() {
             true => Ok(()),
-            false if self.off => {
-                Err("sessions missed their writes, as they do where marks are not shared".to_owned())
-            }
-            false => Err(format!("the audit found faults; the logs are in {}", folder.display())),
+            false if self.off => Err(
+                "sessions missed their writes, as they do where marks are not shared".to_owned(),
+            ),
+            false => Err(format!(
+                "the audit found faults; the logs are in {}",
+                folder.display()
+            )),
         }
     }
 
@@ -103,36 +112,61 @@
         let fleet = usize::from(self.gateways.max(3));
         println!("{fleet} gateways, three members, one list service; each part lasts ten seconds");
         let said = |name: &'static str, part: &stackgw_testkit::PhaseReport| {
-            let ready = part.ready_ms.map_or("never".to_owned(), |ms| format!("after {ms} ms"));
+            let ready = part
+                .ready_ms
+                .map_or("never".to_owned(), |ms| format!("after {ms} ms"));
             println!(
                 "{name}: {} list asks ({} in the worst 100 ms), ready {ready}, {:.1}% served in time, {} handshakes, \
                  cold members at {:.0}% of what they fall at",
                 part.asks.all, part.asks.worst, part.worth * 100.0, part.burden.handshakes, part.burden.cold * 100.0
             );
         };
-        let way = Way { cluster: true, opens: Some(OPENS_USE) };
+        let way = Way {
+            cluster: true,
+            opens: Some(OPENS_USE),
+        };
         let line = play(program, fleet, Some(way), 300.0, self.seed, None, said)?;
         if self.json {
-            println!("{}", serde_json::to_string(&line).map_err(|e| e.to_string())?);
+            println!(
+                "{}",
+                serde_json::to_string(&line).map_err(|e| e.to_string())?
+            );
         }
-        let broken: u64 = line.parts().iter().map(|part| part.broken + part.burden.fell).sum();
-        (broken == 0).then_some(()).ok_or_else(|| format!("{broken} requests or members were broken"))
+        let broken: u64 = line
+            .parts()
+            .iter()
+            .map(|part| part.broken + part.burden.fell)
+            .sum();
+        (broken == 0)
+            .then_some(())
+            .ok_or_else(|| format!("{broken} requests or members were broken"))
     }
 
     fn play(&self, folder: &std::path::Path) -> Result<Verdict, String> {
         #[cfg(feature = "flight")]
-        let (flight, speaks) =
-            (self.flight, if self.flight { Protocol::FlightSql } else { Protocol::Postgres });
+        let (flight, speaks) = (
+            self.flight,
+            if self.flight {
+                Protocol::FlightSql
+            } else {
+                Protocol::Postgres
+            },
+        );
         #[cfg(not(feature = "flight"))]
         let (flight, speaks) = (false, Protocol::Postgres);
-        let (store, agent) = ReplicaGroup::start_speaking(&self.lag_ms, speaks).map_err(|e| e.to_string())?;
+        let (store, agent) =
+            ReplicaGroup::start_speaking(&self.lag_ms, speaks).map_err(|e| e.to_string())?;
         let gateways = usize::from(self.gateways);
         let keepers = usize::from(self.keepers.unwrap_or(self.gateways)).clamp(1, gateways);
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let gateways = GatewayFleet::start(FleetConfig {
             gateways,
             session_replicas: keepers,
-            mode: if self.off { FleetMode::LocalSessions } else { FleetMode::SharedSessions },
+            mode: if self.off {
+                FleetMode::LocalSessions
+            } else {
+                FleetMode::SharedSessions
+            },
             disks: !self.no_disks,
             lease_ms: self.lease_ms,
             retention_ms: self.horizon_ms,
@@ -163,7 +197,11 @@
             troubles: (self.kill_every_ms > 0).then_some(troubles),
             most: Duration::from_secs(self.most_s),
         };
-        let bar = if self.json { ProgressBar::hidden() } else { ProgressBar::new(self.pairs) };
+        let bar = if self.json {
+            ProgressBar::hidden()
+        } else {
+            ProgressBar::new(self.pairs)
+        };
         if let Ok(style) = ProgressStyle::with_template("{bar:30} {pos}/{len} pairs, {msg}") {
             bar.set_style(style);
         }
@@ -182,8 +220,13 @@
 /// Says where the gateways listen, and waits until standard input ends.
 fn hold(gateways: &GatewayFleet) {
     for n in 0..gateways.len() {
-        let at = |at: Option<std::net::SocketAddr>| at.map_or("not there".to_owned(), |at| at.to_string());
-        let flight = gateways.flight(n).map(|at| format!(", flight sql at {at}")).unwrap_or_default();
+        let at = |at: Option<std::net::SocketAddr>| {
+            at.map_or("not there".to_owned(), |at| at.to_string())
+        };
+        let flight = gateways
+            .flight(n)
+            .map(|at| format!(", flight sql at {at}"))
+            .unwrap_or_default();
         println!("g{n}: listens at {}{flight}", at(gateways.address(n)));
     }
     println!("classes look, mine and buy; group {GROUP}; the end of standard input ends it");
@@ -195,7 +238,10 @@
     let [primary, replicas] = verdict.reads_at;
     let share = 100.0 * replicas as f64 / (primary + replicas).max(1) as f64;
     let ends = |of: &[u64; 4]| {
-        format!("{} served, {} refused, {} failed, {} cut by kills", of[0], of[1], of[2], of[3])
+        format!(
+            "{} served, {} refused, {} failed, {} cut by kills",
+            of[0], of[1], of[2], of[3]
+        )
     };
     println!(
         "{} write-read pairs in {:.1} s, {} kills, seed {}",
--- a/crates/stackgw-cli/src/cmd/list.rs
+++ b/crates/stackgw-cli/src/cmd/list.rs
@@ -24,11 +24,26 @@
             println!("{told}");
             return Ok(());
         }
-        let ready = if told["ready"] == true { "ready" } else { "not ready" };
-        let watch = if told["watch"] == true { ", watches the service" } else { "" };
-        println!("{ready}: {} members, version {}{watch}", told["members"], told["revision"]);
+        let ready = if told["ready"] == true {
+            "ready"
+        } else {
+            "not ready"
+        };
+        let watch = if told["watch"] == true {
+            ", watches the service"
+        } else {
+            ""
+        };
+        println!(
+            "{ready}: {} members, version {}{watch}",
+            told["members"], told["revision"]
+        );
         if told["origin"].is_string() {
-            println!("from {}, vouched for {} ms ago", text(&told["origin"]), told["age_ms"]);
+            println!(
+                "from {}, vouched for {} ms ago",
+                text(&told["origin"]),
+                told["age_ms"]
+            );
         }
         if told["behind"] == true {
             println!("the list service tells older lists than this one");
--- a/crates/stackgw-cli/src/cmd/measure.rs
+++ b/crates/stackgw-cli/src/cmd/measure.rs
@@ -83,7 +83,10 @@
                 for (case, mode, disks, retention_ms) in CASES {
                     let line = self.case(*instances, round, case, (mode, disks, retention_ms))?;
                     if self.json {
-                        println!("{}", serde_json::to_string(&line).map_err(|e| e.to_string())?);
+                        println!(
+                            "{}",
+                            serde_json::to_string(&line).map_err(|e| e.to_string())?
+                        );
                     }
                     lines.push(line);
                 }
@@ -145,11 +148,20 @@
             troubles: None,
             most: Duration::from_secs(120),
         };
-        let cpu = |gateways: &GatewayFleet| (0..count).filter_map(|n| cpu_us(gateways.pid(n)?)).sum::<f64>();
+        let cpu = |gateways: &GatewayFleet| {
+            (0..count)
+                .filter_map(|n| cpu_us(gateways.pid(n)?))
+                .sum::<f64>()
+        };
         let before = cpu(&gateways);
         let busy: Verdict = trial.run(&store, &gateways, |_| {});
         let spent = cpu(&gateways) - before;
-        let requests = busy.tally.writes.iter().chain(&busy.tally.reads).sum::<u64>();
+        let requests = busy
+            .tally
+            .writes
+            .iter()
+            .chain(&busy.tally.reads)
+            .sum::<u64>();
         let calm = SessionAudit {
             clients: 48,
             pairs: 96,
@@ -198,7 +210,12 @@
 fn status_mb(pid: u32, name: &str) -> Option<f64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix(name))?;
-    line.trim().strip_suffix(" kB")?.trim().parse::<f64>().ok().map(|kb| kb / 1_024.0)
+    line.trim()
+        .strip_suffix(" kB")?
+        .trim()
+        .parse::<f64>()
+        .ok()
+        .map(|kb| kb / 1_024.0)
 }
 
 /// The median of figures, with the least and the most.
@@ -220,7 +237,9 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (case, ..) in CASES {
         let of = |figure: &dyn Fn(&Line) -> f64, digits: usize| {
-            let rounds = lines.iter().filter(|line| (line.instances, line.case) == (instances, case));
+            let rounds = lines
+                .iter()
+                .filter(|line| (line.instances, line.case) == (instances, case));
             spread(rounds.map(figure), digits)
         };
         println!(
--- a/crates/stackgw-cli/src/cmd/measure_flight.rs
+++ b/crates/stackgw-cli/src/cmd/measure_flight.rs
@@ -60,9 +60,11 @@
 
 impl World {
     fn new(speaks: Protocol) -> Result<Self, String> {
-        let folder = std::env::temp_dir().join(format!("stackgw-measure-{}-{speaks:?}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("stackgw-measure-{}-{speaks:?}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let (store, agent) = ReplicaGroup::start_speaking(&[10, 20], speaks).map_err(|e| e.to_string())?;
+        let (store, agent) =
+            ReplicaGroup::start_speaking(&[10, 20], speaks).map_err(|e| e.to_string())?;
         let gateways = GatewayFleet::start(FleetConfig {
             gateways: 1,
             session_replicas: 1,
@@ -78,11 +80,17 @@
         })?;
         // Until its caution at start is over.
         std::thread::sleep(Duration::from_millis(2_500));
-        Ok(World { store, gateways, folder })
+        Ok(World {
+            store,
+            gateways,
+            folder,
+        })
     }
 
     fn flight(&self) -> Result<SocketAddr, String> {
-        self.gateways.flight(0).ok_or_else(|| "the gateway has no Flight SQL".to_owned())
+        self.gateways
+            .flight(0)
+            .ok_or_else(|| "the gateway has no Flight SQL".to_owned())
     }
 
     fn cpu(&self) -> f64 {
@@ -101,9 +109,21 @@
     let since = Instant::now();
     loop {
         let began = async {
-            let info = client.execute(text.clone(), None).await.map_err(|e| e.to_string())?;
-            let ticket = info.endpoint.into_iter().next().and_then(|e| e.ticket).ok_or("no ticket")?;
-            let answer = client.inner_mut().do_get(Request::new(ticket)).await.map_err(|e| e.to_string())?;
+            let info = client
+                .execute(text.clone(), None)
+                .await
+                .map_err(|e| e.to_string())?;
+            let ticket = info
+                .endpoint
+                .into_iter()
+                .next()
+                .and_then(|e| e.ticket)
+                .ok_or("no ticket")?;
+            let answer = client
+                .inner_mut()
+                .do_get(Request::new(ticket))
+                .await
+                .map_err(|e| e.to_string())?;
             Ok::<Messages, String>(Box::pin(answer.into_inner()))
         };
         match began.await {
@@ -129,7 +149,12 @@
         for round in 0..self.rounds {
             let world = World::new(Protocol::FlightSql)?;
             let mut say = |case: String, figure, value| {
-                let line = Line { round, case, figure, value };
+                let line = Line {
+                    round,
+                    case,
+                    figure,
+                    value,
+                };
                 if self.json {
                     println!("{}", serde_json::to_string(&line).unwrap_or_default());
                 }
@@ -139,16 +164,32 @@
                 let (direct, through) = self.bulk(&world, *kib)?;
                 say(format!("{kib} KiB, direct"), "MiB/s", direct);
                 say(format!("{kib} KiB, through"), "MiB/s", through);
-                say(format!("{kib} KiB, through over direct"), "ratio", through / direct);
+                say(
+                    format!("{kib} KiB, through over direct"),
+                    "ratio",
+                    through / direct,
+                );
             }
             say("cancel to stop".to_owned(), "ms", self.cancel(&world)?);
-            say(format!("{} slow readers, peak", self.slow), "MiB", self.memory(&world)?);
+            say(
+                format!("{} slow readers, peak", self.slow),
+                "MiB",
+                self.memory(&world)?,
+            );
             drop(world);
             let world = World::new(Protocol::Postgres)?;
             let first = self.small(&world, false)?;
             let flight = self.small(&world, true)?;
-            say("small statements, first protocol".to_owned(), "per CPU second", first);
-            say("small statements, Flight SQL".to_owned(), "per CPU second", flight);
+            say(
+                "small statements, first protocol".to_owned(),
+                "per CPU second",
+                first,
+            );
+            say(
+                "small statements, Flight SQL".to_owned(),
+                "per CPU second",
+                flight,
+            );
         }
         if !self.json {
             table(&lines);
@@ -165,7 +206,9 @@
                 let mut client = connect(at).await?;
                 drain(&mut begin(&mut client, 4, kib << 10).await?).await?;
                 let since = Instant::now();
-                let bytes = drain(&mut begin(&mut client, (self.mib << 10) / kib, kib << 10).await?).await?;
+                let bytes =
+                    drain(&mut begin(&mut client, (self.mib << 10) / kib, kib << 10).await?)
+                        .await?;
                 Ok::<_, String>(bytes as f64 / (1 << 20) as f64 / since.elapsed().as_secs_f64())
             })
         };
@@ -179,11 +222,20 @@
             let mut client = connect(at).await?;
             let mut stream = begin(&mut client, 1_000_000, 64 << 10).await?;
             for _ in 0..50 {
-                stream.next().await.ok_or("it ended")?.map_err(|e| e.to_string())?;
+                stream
+                    .next()
+                    .await
+                    .ok_or("it ended")?
+                    .map_err(|e| e.to_string())?;
             }
             let since = Instant::now();
             drop(stream);
-            while world.store.members.iter().any(|m| m.running.load(Ordering::Relaxed) > 0) {
+            while world
+                .store
+                .members
+                .iter()
+                .any(|m| m.running.load(Ordering::Relaxed) > 0)
+            {
                 if since.elapsed() > Duration::from_secs(10) {
                     return Err("the work did not stop".to_owned());
                 }
@@ -201,7 +253,11 @@
             for _ in 0..self.slow {
                 let mut client = connect(at).await?;
                 let mut stream = begin(&mut client, 1_000_000, 64 << 10).await?;
-                stream.next().await.ok_or("it ended")?.map_err(|e| e.to_string())?;
+                stream
+                    .next()
+                    .await
+                    .ok_or("it ended")?
+                    .map_err(|e| e.to_string())?;
                 slow.push(stream);
             }
             tokio::time::sleep(Duration::from_millis(500)).await;
@@ -225,17 +281,30 @@
             runtime()?.block_on(async {
                 let mut client = connect(at).await?;
                 for n in 0..self.statements {
-                    let info = client.execute(text(n), None).await.map_err(|e| e.to_string())?;
-                    let ticket =
-                        info.endpoint.into_iter().next().and_then(|e| e.ticket).ok_or("no ticket")?;
+                    let info = client
+                        .execute(text(n), None)
+                        .await
+                        .map_err(|e| e.to_string())?;
+                    let ticket = info
+                        .endpoint
+                        .into_iter()
+                        .next()
+                        .and_then(|e| e.ticket)
+                        .ok_or("no ticket")?;
                     let answer = client.inner_mut().do_get(Request::new(ticket)).await;
-                    drain(&mut (Box::pin(answer.map_err(|e| e.to_string())?.into_inner()) as Messages))
-                        .await?;
+                    drain(
+                        &mut (Box::pin(answer.map_err(|e| e.to_string())?.into_inner())
+                            as Messages),
+                    )
+                    .await?;
                 }
                 Ok::<_, String>(())
             })?;
         } else {
-            let at = world.gateways.address(0).ok_or("the gateway does not run")?;
+            let at = world
+                .gateways
+                .address(0)
+                .ok_or("the gateway does not run")?;
             before = world.cpu();
             let mut client = Client::connect(at).ok_or("no connection")?;
             for n in 0..self.statements {
@@ -256,7 +325,9 @@
             continue;
         }
         done.push((&line.case, line.figure));
-        let same = lines.iter().filter(|l| (&l.case, l.figure) == (&line.case, line.figure));
+        let same = lines
+            .iter()
+            .filter(|l| (&l.case, l.figure) == (&line.case, line.figure));
         println!(
             "| {} | {} | {} |",
             line.case,
--- a/crates/stackgw-cli/src/cmd/measure_start.rs
+++ b/crates/stackgw-cli/src/cmd/measure_start.rs
@@ -64,8 +64,7 @@
                 for case in &cases {
                     let line = self.case(usize::from(*fleet), case, self.seed + round)?;
                     if self.json {
-                        let value =
-                            serde_json::json!({"case": case, "seed": self.seed + round, "line": line});
+                        let value = serde_json::json!({"case": case, "seed": self.seed + round, "line": line});
                         println!("{value}");
                     }
                     lines.push((case.clone(), line));
@@ -86,12 +85,28 @@
         let dealt = Some(self.opens);
         let way = match case {
             "before" | "off" => None,
-            "alone" => Some(Way { cluster: false, opens: dealt }),
-            "undealt" => Some(Way { cluster: true, opens: None }),
-            "cluster" => Some(Way { cluster: true, opens: dealt }),
-            other => return Err(format!("cases: '{other}' is none of off, alone, undealt, cluster")),
+            "alone" => Some(Way {
+                cluster: false,
+                opens: dealt,
+            }),
+            "undealt" => Some(Way {
+                cluster: true,
+                opens: None,
+            }),
+            "cluster" => Some(Way {
+                cluster: true,
+                opens: dealt,
+            }),
+            other => {
+                return Err(format!(
+                    "cases: '{other}' is none of off, alone, undealt, cluster"
+                ))
+            }
         };
-        let logs = self.logs.as_ref().map(|logs| logs.join(format!("{case}-{fleet}-{seed}")));
+        let logs = self
+            .logs
+            .as_ref()
+            .map(|logs| logs.join(format!("{case}-{fleet}-{seed}")));
         play(program, fleet, way, self.load, seed, logs, |_, _| {})
     }
 }
@@ -114,12 +129,23 @@
     let bears = fleet as f64 / SERVICE_SIZE;
     let (rate, member) = (load / fleet as f64, load * 2.0 / 3.0);
     let start = way.map(|Way { cluster, opens }| {
-        let mut lines =
-            vec![format!("bears: {}", bears.ceil() as u64), "list: \"{folder}/g{n}.list\"".to_owned()];
+        let mut lines = vec![
+            format!("bears: {}", bears.ceil() as u64),
+            "list: \"{folder}/g{n}.list\"".to_owned(),
+        ];
         lines.extend(opens.map(|share| format!("opens: {}", ColdStart::opens(member, share))));
         BootstrapConfig { cluster, lines }
     });
-    let cold = ColdStart { program, folder: folder.clone(), fleet, start, bears, rate, member, seed };
+    let cold = ColdStart {
+        program,
+        folder: folder.clone(),
+        fleet,
+        start,
+        bears,
+        rate,
+        member,
+        seed,
+    };
     let line = cold.play(told);
     if !keep {
         let _ = std::fs::remove_dir_all(&folder);
--- a/crates/stackgw-cli/src/cmd/query.rs
+++ b/crates/stackgw-cli/src/cmd/query.rs
@@ -80,15 +80,24 @@
 
 /// Connects to whatever speaks Flight SQL.
 pub async fn connect(at: SocketAddr) -> Result<Sql, String> {
-    let endpoint = Endpoint::from_shared(format!("http://{at}")).map_err(|e| format!("{at}: {e}"))?;
-    let endpoint = endpoint.connect_timeout(Duration::from_secs(5)).tcp_nodelay(true);
-    let channel = endpoint.connect().await.map_err(|e| format!("{at}: {}", root_cause(&e)))?;
+    let endpoint =
+        Endpoint::from_shared(format!("http://{at}")).map_err(|e| format!("{at}: {e}"))?;
+    let endpoint = endpoint
+        .connect_timeout(Duration::from_secs(5))
+        .tcp_nodelay(true);
+    let channel = endpoint
+        .connect()
+        .await
+        .map_err(|e| format!("{at}: {}", root_cause(&e)))?;
     Ok(FlightSqlServiceClient::new(channel))
 }
 
 /// A runtime for one client.
 pub fn runtime() -> Result<tokio::runtime::Runtime, String> {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())
 }
 
 impl Query {
@@ -112,19 +121,29 @@
         self.show(&mut client).await?;
         let statement = match (&self.statement, &self.key) {
             (Some(statement), _) => statement.clone(),
-            (None, Some(key)) if !key.contains('\'') => format!("SELECT val FROM state WHERE uid = '{key}'"),
+            (None, Some(key)) if !key.contains('\'') => {
+                format!("SELECT val FROM state WHERE uid = '{key}'")
+            }
             _ => return Err("--key: holds a quote".to_owned()),
         };
         let word = statement.trim_start().get(..6).unwrap_or_default();
         if word.eq_ignore_ascii_case("insert") {
-            let rows = client.execute_update(statement, None).await.map_err(|e| told(&e))?;
+            let rows = client
+                .execute_update(statement, None)
+                .await
+                .map_err(|e| told(&e))?;
             println!("{rows} row written");
             return Ok(());
         }
-        let info = client.execute(statement, None).await.map_err(|e| told(&e))?;
+        let info = client
+            .execute(statement, None)
+            .await
+            .map_err(|e| told(&e))?;
         let mut out = Out::new(self.format, self.output.as_deref())?;
         for endpoint in info.endpoint {
-            let Some(ticket) = endpoint.ticket else { continue };
+            let Some(ticket) = endpoint.ticket else {
+                continue;
+            };
             let mut stream = client.do_get(ticket).await.map_err(|e| told(&e))?;
             while let Some(batch) = stream.try_next().await.map_err(|e| told(&e))? {
                 out.put(batch)?;
@@ -136,7 +155,8 @@
     /// Shows who asks, once.
     async fn show(&self, client: &mut Sql) -> Result<(), String> {
         let read = |file: &Path| {
-            let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
+            let text =
+                std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
             Ok::<_, String>(text.trim().to_owned())
         };
         if let Some(file) = &self.token {
@@ -154,9 +174,16 @@
 
 /// An error in one line, with what the gateway says of when to come back.
 fn told(error: &FlightError) -> String {
-    let FlightError::Tonic(status) = error else { return error.to_string() };
-    let wait = status.get_error_details().retry_info().and_then(|info| info.retry_delay);
-    let wait = wait.map(|wait| format!("; come again in {} ms", wait.as_millis())).unwrap_or_default();
+    let FlightError::Tonic(status) = error else {
+        return error.to_string();
+    };
+    let wait = status
+        .get_error_details()
+        .retry_info()
+        .and_then(|info| info.retry_delay);
+    let wait = wait
+        .map(|wait| format!("; come again in {} ms", wait.as_millis()))
+        .unwrap_or_default();
     format!("{}: {}{wait}", status.code(), status.message())
 }
 
@@ -171,7 +198,8 @@
 
 impl Out {
     fn new(format: Format, output: Option<&Path>) -> Result<Self, String> {
-        let create = |path: &Path| File::create(path).map_err(|e| format!("{}: {e}", path.display()));
+        let create =
+            |path: &Path| File::create(path).map_err(|e| format!("{}: {e}", path.display()));
         if format == Format::Parquet {
             let path = output.ok_or("--format parquet wants --output FILE")?;
             return Ok(Out::Parquet(None, Some(create(path)?)));
@@ -216,8 +244,12 @@
             }
             Out::Csv(_) => Ok(()),
             Out::Json(mut json) => json.finish().map_err(|e| e.to_string()),
-            Out::Parquet(Some(parquet), _) => parquet.close().map(|_| ()).map_err(|e| e.to_string()),
-            Out::Parquet(None, _) => Err("the answer has no batch, so no file was written".to_owned()),
+            Out::Parquet(Some(parquet), _) => {
+                parquet.close().map(|_| ()).map_err(|e| e.to_string())
+            }
+            Out::Parquet(None, _) => {
+                Err("the answer has no batch, so no file was written".to_owned())
+            }
         }
     }
 }
@@ -239,7 +271,11 @@
             Ok(text) => text.to_owned(),
             Err(_) => bytes.iter().map(|byte| format!("{byte:02x}")).collect(),
         };
-        let texts: StringArray = column.as_binary::<i32>().iter().map(|bytes| bytes.map(text)).collect();
+        let texts: StringArray = column
+            .as_binary::<i32>()
+            .iter()
+            .map(|bytes| bytes.map(text))
+            .collect();
         fields.push(Field::new(field.name(), DataType::Utf8, true));
         columns.push(Arc::new(texts) as ArrayRef);
     }
--- a/crates/stackgw-cli/src/cmd/run.rs
+++ b/crates/stackgw-cli/src/cmd/run.rs
@@ -37,16 +37,25 @@
 /// The front beside the first protocol's, and the back, that the operator's file turns on.
 #[cfg(feature = "flight")]
 fn front(config: &Config) -> Result<Option<stackgw_gateway::FrontendFactory>, String> {
-    let Some((file, ring)) = config.operator.flight.clone() else { return Ok(None) };
-    let ms =
-        |duration: stackgw_config::Duration| i64::try_from(duration.as_millis()).unwrap_or(i64::MAX) * MS;
+    let Some((file, ring)) = config.operator.flight.clone() else {
+        return Ok(None);
+    };
+    let ms = |duration: stackgw_config::Duration| {
+        i64::try_from(duration.as_millis()).unwrap_or(i64::MAX) * MS
+    };
     let bulk = &file.bulk;
     let users = match &file.auth {
         None => None,
-        Some(stackgw_config::Auth::Basic(users)) => Some((stackgw_flight::AuthScheme::Basic, users)),
-        Some(stackgw_config::Auth::Bearer(users)) => Some((stackgw_flight::AuthScheme::Bearer, users)),
+        Some(stackgw_config::Auth::Basic(users)) => {
+            Some((stackgw_flight::AuthScheme::Basic, users))
+        }
+        Some(stackgw_config::Auth::Bearer(users)) => {
+            Some((stackgw_flight::AuthScheme::Bearer, users))
+        }
     };
-    let users = users.map(|(way, users)| stackgw_flight::Users::read(way, users)).transpose()?;
+    let users = users
+        .map(|(way, users)| stackgw_flight::Users::read(way, users))
+        .transpose()?;
     let settings = stackgw_flight::ServerConfig {
         listen: file.listen,
         ring,
@@ -63,7 +72,9 @@
             silence: ms(bulk.silence),
         },
         members: stackgw_flight::BackendConfig {
-            connect_ms: u64::try_from(config.limits.connect_timeout / MS).unwrap_or(1).max(1),
+            connect_ms: u64::try_from(config.limits.connect_timeout / MS)
+                .unwrap_or(1)
+                .max(1),
             per_channel: bulk.per_channel,
             message_bytes: bulk.message_kib << 10,
             value_bytes: config.limits.answer_bytes,
--- a/crates/stackgw-cli/src/cmd/sessions.rs
+++ b/crates/stackgw-cli/src/cmd/sessions.rs
@@ -32,10 +32,13 @@
     let wrong = |e: std::io::Error| format!("{}: {e}", socket.display());
     let mut stream = UnixStream::connect(socket).map_err(wrong)?;
     stream.set_read_timeout(Some(PATIENCE)).map_err(wrong)?;
-    stream.write_all(format!("{question}\n").as_bytes()).map_err(wrong)?;
+    stream
+        .write_all(format!("{question}\n").as_bytes())
+        .map_err(wrong)?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).map_err(wrong)?;
-    let told: Value = serde_json::from_str(&line).map_err(|e| format!("{}: {e}", socket.display()))?;
+    let told: Value =
+        serde_json::from_str(&line).map_err(|e| format!("{}: {e}", socket.display()))?;
     match told.get("error").and_then(Value::as_str) {
         Some(error) => Err(format!("{}: {error}", socket.display())),
         None => Ok(told),
@@ -46,7 +49,9 @@
     /// Asks and prints.
     pub fn run(self) -> Result<(), String> {
         let question = match (&self.session, self.group) {
-            (Some(session), Some(group)) => json!({"ask": "session", "group": group, "session": session}),
+            (Some(session), Some(group)) => {
+                json!({"ask": "session", "group": group, "session": session})
+            }
             _ => json!({"ask": "sessions"}),
         };
         let told = ask(&self.socket, &question)?;
@@ -63,7 +68,9 @@
 
 /// A value as people write it.
 pub fn text(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_owned)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_owned)
 }
 
 fn because(told: &Value) -> String {
@@ -74,21 +81,43 @@
 }
 
 fn session(told: &Value) {
-    let homes: Vec<_> = told["homes"].as_array().into_iter().flatten().map(text).collect();
+    let homes: Vec<_> = told["homes"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(text)
+        .collect();
     println!("homes: {}", homes.join(", "));
     println!("here: {}", because(told));
     match &told["mark"] {
         Value::Null => println!("mark: none"),
         mark => {
-            let pushed = if mark["pushed_out"] == true { ", of a cell that others share" } else { "" };
-            println!("mark: position {} ms, {} ms old{pushed}", text(&mark["position_ms"]), mark["age_ms"]);
+            let pushed = if mark["pushed_out"] == true {
+                ", of a cell that others share"
+            } else {
+                ""
+            };
+            println!(
+                "mark: position {} ms, {} ms old{pushed}",
+                text(&mark["position_ms"]),
+                mark["age_ms"]
+            );
         }
     }
 }
 
 fn sessions(told: &Value) {
-    let role = if told["keeper"] == true { "keeper" } else { "guest" };
-    println!("{} ({role}, incarnation {}): {}", text(&told["name"]), told["incarnation"], because(told));
+    let role = if told["keeper"] == true {
+        "keeper"
+    } else {
+        "guest"
+    };
+    println!(
+        "{} ({role}, incarnation {}): {}",
+        text(&told["name"]),
+        told["incarnation"],
+        because(told)
+    );
     println!(
         "marks {} (pushed out {}), own {}, waiting {}",
         told["marks"], told["marks_pushed_out"], told["own_marks"], told["waiting"]
@@ -104,7 +133,11 @@
     }
     for instance in told["instances"].as_array().into_iter().flatten() {
         let up = if instance["up"] == true { "up" } else { "gone" };
-        println!("instance {} at {}: {up}", text(&instance["name"]), text(&instance["address"]));
+        println!(
+            "instance {} at {}: {up}",
+            text(&instance["name"]),
+            text(&instance["address"])
+        );
     }
     for (why, count) in told["cautious_because"].as_object().into_iter().flatten() {
         println!("cautious reads: {count}, {why}");
--- a/crates/stackgw-cli/tests/conformance.rs
+++ b/crates/stackgw-cli/tests/conformance.rs
@@ -11,14 +11,21 @@
 use ClientOutcome::{Failed, Left, Malformed, Refused};
 
 /// Runs a case for each protocol before and behind the gateways. Which one it is the case cannot tell.
-fn everywhere(name: &str, lags_ms: &[u64], case: impl Fn(&Fixture, &dyn Fn(usize) -> Box<dyn Driver>)) {
+fn everywhere(
+    name: &str,
+    lags_ms: &[u64],
+    case: impl Fn(&Fixture, &dyn Fn(usize) -> Box<dyn Driver>),
+) {
     for back in [Protocol::Postgres, Protocol::FlightSql] {
         for front in [Protocol::Postgres, Protocol::FlightSql] {
             let fixture = Fixture::new(&format!("{name}-{front:?}"), lags_ms, back);
             // Both gateways know the primary before the case begins.
             for n in 0..2 {
                 let key = format!("warm{n}");
-                assert_eq!(fixture.driver(n, front).patiently(&Ask::write(&key, 1)), served(1));
+                assert_eq!(
+                    fixture.driver(n, front).patiently(&Ask::write(&key, 1)),
+                    served(1)
+                );
             }
             eprintln!("{name}: before {front:?}, behind {back:?}");
             case(&fixture, &|n| fixture.driver(n, front));
@@ -28,7 +35,13 @@
 
 /// Executions of a write by its id.
 fn ran(fixture: &Fixture, id: &str) -> u32 {
-    fixture.store.audit().writes.get(id).copied().unwrap_or_default()
+    fixture
+        .store
+        .audit()
+        .writes
+        .get(id)
+        .copied()
+        .unwrap_or_default()
 }
 
 #[test]
@@ -36,14 +49,24 @@
     everywhere("answers", &[20, 20], |fixture, at| {
         for round in 0..4 {
             let id = format!("w{round}");
-            let write = Ask { id: Some(id.clone()), ..Ask::write("k", round) };
+            let write = Ask {
+                id: Some(id.clone()),
+                ..Ask::write("k", round)
+            };
             assert_eq!(at(round as usize % 2).patiently(&write), served(round));
             for n in 0..2 {
-                assert_eq!(at(n).patiently(&Ask::read("mine", "k")), served(round), "gateway {n}");
+                assert_eq!(
+                    at(n).patiently(&Ask::read("mine", "k")),
+                    served(round),
+                    "gateway {n}"
+                );
             }
             assert_eq!(ran(fixture, &id), 1);
         }
-        assert_eq!(at(0).patiently(&Ask::read("look", "nobody")), ClientOutcome::Served(String::new()));
+        assert_eq!(
+            at(0).patiently(&Ask::read("look", "nobody")),
+            ClientOutcome::Served(String::new())
+        );
     });
 }
 
@@ -52,10 +75,22 @@
     everywhere("wrong", &[20], |fixture, at| {
         let before = fixture.store.audit();
         for wrong in [
-            Ask { class: "nothing", ..Ask::read("look", "k") },
-            Ask { class: "buy", ..Ask::read("look", "k") },
-            Ask { class: "look", ..Ask::write("k", 1) },
-            Ask { group: 77, ..Ask::read("look", "k") },
+            Ask {
+                class: "nothing",
+                ..Ask::read("look", "k")
+            },
+            Ask {
+                class: "buy",
+                ..Ask::read("look", "k")
+            },
+            Ask {
+                class: "look",
+                ..Ask::write("k", 1)
+            },
+            Ask {
+                group: 77,
+                ..Ask::read("look", "k")
+            },
         ] {
             assert_eq!(at(0).ask(&wrong), Malformed, "{wrong:?}");
         }
@@ -67,13 +102,25 @@
 fn where_no_member_is_left_all_is_refused_in_time() {
     everywhere("nobody", &[20], |fixture, at| {
         (0..2).for_each(|n| fixture.store.kill(n));
-        for ask in [Ask::read("look", "k"), Ask::read("mine", "k"), Ask::write("k", 1)] {
+        for ask in [
+            Ask::read("look", "k"),
+            Ask::read("mine", "k"),
+            Ask::write("k", 1),
+        ] {
             let since = Instant::now();
-            let ask = Ask { id: ask.value.map(|_| "none".to_owned()), wait_ms: 400, ..ask };
+            let ask = Ask {
+                id: ask.value.map(|_| "none".to_owned()),
+                wait_ms: 400,
+                ..ask
+            };
             // The first one may be out on a connection that only now turns out to be broken.
             let verdicts: Vec<_> = (0..4).map(|_| at(0).ask(&ask)).collect();
             assert_eq!(verdicts[1..], [Refused, Refused, Refused], "{ask:?}");
-            assert!(since.elapsed() < Duration::from_millis(2_400), "{:?}", since.elapsed());
+            assert!(
+                since.elapsed() < Duration::from_millis(2_400),
+                "{:?}",
+                since.elapsed()
+            );
         }
         assert_eq!(ran(fixture, "none"), 0);
     });
@@ -82,11 +129,18 @@
 #[test]
 fn a_write_that_may_have_run_is_failed_and_never_sent_again() {
     everywhere("cut", &[20], |fixture, at| {
-        fixture.store.members[0].cuts_writes.store(true, Ordering::Relaxed);
-        let write = Ask { id: Some("cut".to_owned()), ..Ask::write("k", 7) };
+        fixture.store.members[0]
+            .cuts_writes
+            .store(true, Ordering::Relaxed);
+        let write = Ask {
+            id: Some("cut".to_owned()),
+            ..Ask::write("k", 7)
+        };
         assert_eq!(at(0).ask(&write), Failed);
         assert_eq!(ran(fixture, "cut"), 1);
-        fixture.store.members[0].cuts_writes.store(false, Ordering::Relaxed);
+        fixture.store.members[0]
+            .cuts_writes
+            .store(false, Ordering::Relaxed);
         assert_eq!(at(0).patiently(&Ask::read("mine", "k")), served(7));
     });
 }
@@ -94,25 +148,48 @@
 #[test]
 fn a_silent_primary_fails_a_write_in_time() {
     everywhere("silent", &[20], |fixture, at| {
-        fixture.store.members[0].silent.store(true, Ordering::Relaxed);
+        fixture.store.members[0]
+            .silent
+            .store(true, Ordering::Relaxed);
         let since = Instant::now();
-        let write = Ask { id: Some("s".to_owned()), wait_ms: 700, ..Ask::write("k", 7) };
+        let write = Ask {
+            id: Some("s".to_owned()),
+            wait_ms: 700,
+            ..Ask::write("k", 7)
+        };
         assert_eq!(at(0).ask(&write), Failed);
-        assert!(since.elapsed() < Duration::from_millis(1_000), "{:?}", since.elapsed());
+        assert!(
+            since.elapsed() < Duration::from_millis(1_000),
+            "{:?}",
+            since.elapsed()
+        );
         std::thread::sleep(Duration::from_millis(100));
-        assert_eq!(ran(fixture, "s"), 0, "a silent one runs nothing, and nobody else may");
+        assert_eq!(
+            ran(fixture, "s"),
+            0,
+            "a silent one runs nothing, and nobody else may"
+        );
     });
 }
 
 #[test]
 fn reads_leave_a_silent_replica_within_their_time() {
     everywhere("replica", &[20, 20], |fixture, at| {
-        fixture.store.members[1].silent.store(true, Ordering::Relaxed);
+        fixture.store.members[1]
+            .silent
+            .store(true, Ordering::Relaxed);
         let mut driver = at(0);
-        let verdicts: Vec<_> = (0..12).map(|_| driver.ask(&Ask::read("look", "warm0"))).collect();
+        let verdicts: Vec<_> = (0..12)
+            .map(|_| driver.ask(&Ask::read("look", "warm0")))
+            .collect();
         let good = verdicts.iter().filter(|v| **v == served(1)).count();
         assert!(good >= 10, "{verdicts:?}");
-        assert!(verdicts.iter().all(|v| matches!(v, ClientOutcome::Served(_) | Refused)), "{verdicts:?}");
+        assert!(
+            verdicts
+                .iter()
+                .all(|v| matches!(v, ClientOutcome::Served(_) | Refused)),
+            "{verdicts:?}"
+        );
     });
 }
 
@@ -122,7 +199,11 @@
         for round in 10..14 {
             assert_eq!(at(0).patiently(&Ask::write("k", round)), served(round));
             for (n, class) in [(0, "mine"), (1, "mine"), (0, "look"), (1, "look")] {
-                assert_eq!(at(n).patiently(&Ask::read(class, "k")), served(round), "{class} at {n}");
+                assert_eq!(
+                    at(n).patiently(&Ask::read(class, "k")),
+                    served(round),
+                    "{class} at {n}"
+                );
             }
         }
         assert_eq!(fixture.store.audit().reads[1], 0);
@@ -132,8 +213,13 @@
 #[test]
 fn an_id_that_is_open_is_taken() {
     everywhere("taken", &[20], |fixture, at| {
-        fixture.store.members[0].slow_ms.store(400, Ordering::Relaxed);
-        let write = Ask { id: Some("twice".to_owned()), ..Ask::write("k", 3) };
+        fixture.store.members[0]
+            .slow_ms
+            .store(400, Ordering::Relaxed);
+        let write = Ask {
+            id: Some("twice".to_owned()),
+            ..Ask::write("k", 3)
+        };
         let (mut first, again) = (at(0), write.clone());
         let first = std::thread::spawn(move || first.ask(&again));
         while ran(fixture, "twice") == 0 {
@@ -177,7 +263,9 @@
                 })
             })
             .collect();
-        readers.into_iter().for_each(|reader| reader.join().expect("all are served"));
+        readers
+            .into_iter()
+            .for_each(|reader| reader.join().expect("all are served"));
         let [warm, cold] = [asked(1) - before[0], asked(2) - before[1]];
         assert!(warm > 100 && cold * 2 < warm, "warm {warm}, cold {cold}");
     });
@@ -191,14 +279,19 @@
         }
         let mut driver = at(0);
         let reads = std::thread::spawn(move || {
-            (0..6).map(|_| driver.ask(&Ask::read("look", "warm0"))).collect::<Vec<_>>()
+            (0..6)
+                .map(|_| driver.ask(&Ask::read("look", "warm0")))
+                .collect::<Vec<_>>()
         });
         std::thread::sleep(Duration::from_millis(60));
         fixture.store.kill(1);
         let verdicts = reads.join().expect("they end");
         assert_eq!(verdicts, vec![served(1); 6]);
         let mut driver = at(1);
-        let write = Ask { id: Some("dying".to_owned()), ..Ask::write("k", 9) };
+        let write = Ask {
+            id: Some("dying".to_owned()),
+            ..Ask::write("k", 9)
+        };
         let asks = write.clone();
         let write = std::thread::spawn(move || driver.ask(&asks));
         while ran(fixture, "dying") == 0 {
@@ -216,7 +309,10 @@
         for member in &fixture.store.members {
             member.slow_ms.store(5_000, Ordering::Relaxed);
         }
-        let ask = Ask { patience: Some(Duration::from_millis(150)), ..Ask::read("look", "warm0") };
+        let ask = Ask {
+            patience: Some(Duration::from_millis(150)),
+            ..Ask::read("look", "warm0")
+        };
         let mut driver = at(0);
         assert_eq!(driver.ask(&ask), Left);
         drop(driver);
@@ -227,7 +323,9 @@
 #[test]
 fn a_write_whose_client_leaves_runs_once_and_is_not_lost() {
     everywhere("gone", &[20], |fixture, at| {
-        fixture.store.members[0].slow_ms.store(400, Ordering::Relaxed);
+        fixture.store.members[0]
+            .slow_ms
+            .store(400, Ordering::Relaxed);
         let write = Ask {
             id: Some("gone".to_owned()),
             patience: Some(Duration::from_millis(150)),
--- a/crates/stackgw-cli/tests/discovery.rs
+++ b/crates/stackgw-cli/tests/discovery.rs
@@ -61,7 +61,8 @@
                 let said = match how {
                     Fails::Silent | Fails::Closes | Fails::Swallows => String::new(),
                     Fails::PutsOff => {
-                        "HTTP/1.1 503 Busy\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n".to_owned()
+                        "HTTP/1.1 503 Busy\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n"
+                            .to_owned()
                     }
                     Fails::InHead => HEAD[..30].to_owned(),
                     Fails::InSize => format!("{HEAD}1f"),
@@ -118,8 +119,12 @@
                 let (told, seen) = channel();
                 let (_go, held) = channel();
                 let port = member(true, told, held);
-                let at = |phase| entry(1, phase, "leader").replace(":7001\"", &format!(":{port}\""));
-                let lists = [list_text(1, true, &[at("ready")]), list_text(2, true, &[at("draining")])];
+                let at =
+                    |phase| entry(1, phase, "leader").replace(":7001\"", &format!(":{port}\""));
+                let lists = [
+                    list_text(1, true, &[at("ready")]),
+                    list_text(2, true, &[at("draining")]),
+                ];
                 let (back, is_back) = channel();
                 let agent = failing(how, fails, lists, back);
                 let gateway = Gateway::start(&format!("discovery-{how:?}"), agent);
@@ -136,7 +141,11 @@
     for case in cases {
         let (how, after, sent) = case.join().expect("told");
         eprintln!("{how:?}: told {} ms after the return", after.as_millis());
-        assert!(after < Duration::from_millis(6000), "{how:?}: {} ms", after.as_millis());
+        assert!(
+            after < Duration::from_millis(6000),
+            "{how:?}: {} ms",
+            after.as_millis()
+        );
         assert_eq!(sent, 1);
     }
 }
@@ -157,10 +166,18 @@
     for n in 0..400 {
         let mut wire = gateway.connect();
         wire.write(&[startup(), query("")]);
-        assert_eq!(wire.answer().last().map(|f| f.kind), Some(b'Z'), "each is let in");
+        assert_eq!(
+            wire.answer().last().map(|f| f.kind),
+            Some(b'Z'),
+            "each is let in"
+        );
         // Those with a place hear nothing until there is a list; the others are told so at once.
         if waiting.len() == places {
-            assert_eq!(wire.next().and_then(|f| sqlstate(&f.bytes)).as_deref(), Some("53300"), "client {n}");
+            assert_eq!(
+                wire.next().and_then(|f| sqlstate(&f.bytes)).as_deref(),
+                Some("53300"),
+                "client {n}"
+            );
             assert!(wire.next().is_none(), "and it is over");
             refused += 1;
         } else {
@@ -171,19 +188,29 @@
     let mut asks = gateway.connect();
     asks.write(&[startup(), insert("k1")]);
     asks.answer();
-    assert_eq!(asks.next().and_then(|f| sqlstate(&f.bytes)).as_deref(), Some("53300"));
-    let held =
-        std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id())).expect("its descriptors").count();
+    assert_eq!(
+        asks.next().and_then(|f| sqlstate(&f.bytes)).as_deref(),
+        Some("53300")
+    );
+    let held = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
+        .expect("its descriptors")
+        .count();
     assert!(held <= 128, "{held} descriptors");
     // Discovery is back.
     let mut watch = listener.accept().expect("the watch").0;
     let list = chunk(&format!("{}\n", list_text(1, true, &[listed])));
-    watch.write_all(format!("{HEAD}{list}").as_bytes()).expect("written");
+    watch
+        .write_all(format!("{HEAD}{list}").as_bytes())
+        .expect("written");
     for wire in &mut waiting {
         assert_eq!(kinds(&wire.answer()), "IZ", "whoever waited is told");
     }
     waiting[0].write(&[insert("k1")]);
-    assert_eq!(kinds(&waiting[0].answer()), "TDCZ", "members are reached with all places taken");
+    assert_eq!(
+        kinds(&waiting[0].answer()),
+        "TDCZ",
+        "members are reached with all places taken"
+    );
     drop(waiting);
     let mut client = gateway.client();
     client.write(&[insert("k2")]);
--- a/crates/stackgw-cli/tests/driver/mod.rs
+++ b/crates/stackgw-cli/tests/driver/mod.rs
@@ -7,7 +7,9 @@
 use arrow_flight::sql::client::FlightSqlServiceClient;
 use arrow_flight::{FlightData, FlightInfo};
 use futures::{StreamExt, TryStreamExt};
-use stackgw_testkit::{Client, FleetConfig, GatewayFleet, Protocol, ReplicaGroup, RequestOutcome, GROUP};
+use stackgw_testkit::{
+    Client, FleetConfig, GatewayFleet, Protocol, ReplicaGroup, RequestOutcome, GROUP,
+};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -31,8 +33,10 @@
 
     /// The same where clients of Flight SQL show who they are.
     pub fn with(name: &str, lags_ms: &[u64], speaks: Protocol, auth: Option<&'static str>) -> Self {
-        let folder =
-            std::env::temp_dir().join(format!("stackgw-conf-{}-{name}-{speaks:?}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "stackgw-conf-{}-{name}-{speaks:?}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&folder).expect("a folder");
         let (store, agent) = ReplicaGroup::start_speaking(lags_ms, speaks).expect("members");
         let gateways = GatewayFleet::start(FleetConfig {
@@ -42,9 +46,17 @@
             flight: true,
             speaks,
             auth,
-            ..FleetConfig::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), vec![agent])
+            ..FleetConfig::new(
+                env!("CARGO_BIN_EXE_stackgw").into(),
+                folder.clone(),
+                vec![agent],
+            )
         });
-        Fixture { store, gateways: gateways.unwrap_or_else(|why| panic!("{why}")), folder }
+        Fixture {
+            store,
+            gateways: gateways.unwrap_or_else(|why| panic!("{why}")),
+            folder,
+        }
     }
 
     /// Where Flight SQL clients of a gateway connect.
@@ -62,7 +74,8 @@
 
     /// Requests that members work on now.
     pub fn running(&self) -> usize {
-        let running = |m: &stackgw_testkit::FakeMember| m.running.load(std::sync::atomic::Ordering::Relaxed);
+        let running =
+            |m: &stackgw_testkit::FakeMember| m.running.load(std::sync::atomic::Ordering::Relaxed);
         self.store.members.iter().map(running).sum()
     }
 
@@ -70,15 +83,27 @@
     pub fn peak_mb(&self, n: usize) -> u64 {
         let pid = self.gateways.pid(n).expect("it runs");
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its peak");
-        line.trim().trim_end_matches(" kB").trim().parse::<u64>().expect("a number") >> 10
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .expect("its peak");
+        line.trim()
+            .trim_end_matches(" kB")
+            .trim()
+            .parse::<u64>()
+            .expect("a number")
+            >> 10
     }
 
     /// Waits until no member works on anything; gives how long that took.
     pub fn rests(&self, most: Duration) -> Duration {
         let since = Instant::now();
         while self.running() > 0 {
-            assert!(since.elapsed() < most, "{} requests still run after {most:?}", self.running());
+            assert!(
+                since.elapsed() < most,
+                "{} requests still run after {most:?}",
+                self.running()
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
         since.elapsed()
@@ -119,18 +144,32 @@
 impl Ask {
     pub fn read(class: &'static str, key: &str) -> Self {
         let key = key.to_owned();
-        Ask { class, key, value: None, id: None, wait_ms: 900, patience: None, group: GROUP }
+        Ask {
+            class,
+            key,
+            value: None,
+            id: None,
+            wait_ms: 900,
+            patience: None,
+            group: GROUP,
+        }
     }
 
     pub fn write(key: &str, value: u32) -> Self {
-        Ask { value: Some(value), wait_ms: 2_500, ..Ask::read("buy", key) }
+        Ask {
+            value: Some(value),
+            wait_ms: 2_500,
+            ..Ask::read("buy", key)
+        }
     }
 
     fn sql(&self) -> String {
         let key = &self.key;
         match self.value {
             Some(value) => {
-                format!("INSERT INTO state (uid, val) VALUES ('{key}', '\\x{value:08x}') RETURNING val")
+                format!(
+                    "INSERT INTO state (uid, val) VALUES ('{key}', '\\x{value:08x}') RETURNING val"
+                )
             }
             None => format!("SELECT val FROM state WHERE uid = '{key}'"),
         }
@@ -170,13 +209,20 @@
 
 impl Driver for First {
     fn ask(&mut self, ask: &Ask) -> ClientOutcome {
-        let mut client = self.1.take().or_else(|| Client::connect(self.0)).expect("a connection");
+        let mut client = self
+            .1
+            .take()
+            .or_else(|| Client::connect(self.0))
+            .expect("a connection");
         if let Some(patience) = ask.patience {
             client.patience(patience);
         }
         let id = ask.id.clone().unwrap_or_else(new_id);
         let (class, wait, group) = (ask.class, ask.wait_ms, ask.group);
-        let text = format!("{} /* id={id},c={class},d={wait},cluster={group} */", ask.sql());
+        let text = format!(
+            "{} /* id={id},c={class},d={wait},cluster={group} */",
+            ask.sql()
+        );
         let verdict = match client.ask(&text) {
             RequestOutcome::Served(value) => {
                 ClientOutcome::Served(String::from_utf8_lossy(&value).into_owned())
@@ -201,7 +247,10 @@
 pub type Sql = FlightSqlServiceClient<Channel>;
 
 pub async fn sql(at: SocketAddr, class: &str) -> Sql {
-    let channel = Endpoint::from_shared(format!("http://{at}")).expect("an address").connect().await;
+    let channel = Endpoint::from_shared(format!("http://{at}"))
+        .expect("an address")
+        .connect()
+        .await;
     let mut client = FlightSqlServiceClient::new(channel.expect("a connection"));
     client.set_header("x-stackgw-class", class);
     client.set_header("x-stackgw-group", GROUP.to_string());
@@ -210,8 +259,13 @@
 
 impl Flight {
     fn new(at: SocketAddr) -> Self {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        Flight { runtime: runtime.expect("a runtime"), at }
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
+        Flight {
+            runtime: runtime.expect("a runtime"),
+            at,
+        }
     }
 }
 
@@ -233,20 +287,23 @@
                     Err(e) => verdict(&e),
                 },
                 None => match read(&mut client, text).await {
-                    Ok(values) => {
-                        ClientOutcome::Served(String::from_utf8_lossy(&values.concat()).into_owned())
-                    }
+                    Ok(values) => ClientOutcome::Served(
+                        String::from_utf8_lossy(&values.concat()).into_owned(),
+                    ),
                     Err(e) => verdict(&*e),
                 },
             }
         };
         // Dropped, the call is cancelled.
         let patience = ask.patience.unwrap_or(Duration::from_secs(20));
-        let done = self.runtime.block_on(async { tokio::time::timeout(patience, asks).await });
+        let done = self
+            .runtime
+            .block_on(async { tokio::time::timeout(patience, asks).await });
         match done {
             Ok(verdict) => verdict,
             Err(_) if ask.patience.is_some() => {
-                self.runtime.block_on(async { tokio::time::sleep(Duration::from_millis(20)).await });
+                self.runtime
+                    .block_on(async { tokio::time::sleep(Duration::from_millis(20)).await });
                 ClientOutcome::Left
             }
             Err(_) => panic!("no answer to {ask:?}"),
@@ -265,7 +322,10 @@
     let batches: Vec<RecordBatch> = client.do_get(ticket).await?.try_collect().await?;
     let values = |batch: &RecordBatch| {
         let column = batch.column(0).as_binary::<i32>().clone();
-        column.iter().map(|v| v.unwrap_or_default().to_vec()).collect::<Vec<_>>()
+        column
+            .iter()
+            .map(|v| v.unwrap_or_default().to_vec())
+            .collect::<Vec<_>>()
     };
     Ok(batches.iter().flat_map(values).collect())
 }
@@ -274,14 +334,22 @@
 pub async fn messages(
     client: &mut Sql,
     text: &str,
-) -> Result<impl futures::Stream<Item = Result<FlightData, tonic::Status>> + Unpin, Box<dyn Error>> {
+) -> Result<impl futures::Stream<Item = Result<FlightData, tonic::Status>> + Unpin, Box<dyn Error>>
+{
     let info = client.execute(text.to_owned(), None).await?;
     let ticket = info.endpoint[0].ticket.clone().expect("a ticket");
     let mut request = tonic::Request::new(ticket);
     for (name, value) in [("x-stackgw-class", "look"), ("x-stackgw-group", "2")] {
-        request.metadata_mut().insert(name, value.parse().expect("plain"));
+        request
+            .metadata_mut()
+            .insert(name, value.parse().expect("plain"));
     }
-    Ok(client.inner_mut().do_get(request).await?.into_inner().boxed())
+    Ok(client
+        .inner_mut()
+        .do_get(request)
+        .await?
+        .into_inner()
+        .boxed())
 }
 
 pub fn verdict(error: &(dyn Error + 'static)) -> ClientOutcome {
@@ -306,7 +374,14 @@
         next = error.source();
     }
     let text = format!("{error:?}");
-    let codes =
-        [Code::InvalidArgument, Code::Unauthenticated, Code::Unimplemented, Code::Unavailable, Code::Aborted];
-    codes.into_iter().find(|code| text.contains(&format!("{code:?}")) || text.contains(code.description()))
+    let codes = [
+        Code::InvalidArgument,
+        Code::Unauthenticated,
+        Code::Unimplemented,
+        Code::Unavailable,
+        Code::Aborted,
+    ];
+    codes
+        .into_iter()
+        .find(|code| text.contains(&format!("{code:?}")) || text.contains(code.description()))
 }
--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -36,7 +36,10 @@
         let (before, rest) = text.split_once(",d=").expect("its time");
         let (wait, after) = rest.split_once(',').expect("more");
         assert!(wait.parse::<u64>().is_ok_and(|ms| ms <= 20_000));
-        assert!(before.contains("/* id=a") && after == "cluster=2 */", "{text}");
+        assert!(
+            before.contains("/* id=a") && after == "cluster=2 */",
+            "{text}"
+        );
     }
 }
 
@@ -45,21 +48,37 @@
     let Fixture { gateway, seen, .. } = start_fixture("bad");
     let mut good = gateway.client();
     let mut bad = gateway.connect();
-    bad.socket.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("written");
+    bad.socket
+        .write_all(b"GET / HTTP/1.1\r\n\r\n")
+        .expect("written");
     let last = std::iter::from_fn(|| bad.next()).last();
     assert_eq!(last.map(|f| f.kind), Some(b'E'), "one word, then the end");
     let mut out_of_place = gateway.client();
     out_of_place.write(&[message(b'?', b"x")]);
-    assert_eq!(std::iter::from_fn(|| out_of_place.next()).last().map(|f| f.kind), Some(b'E'));
+    assert_eq!(
+        std::iter::from_fn(|| out_of_place.next())
+            .last()
+            .map(|f| f.kind),
+        Some(b'E')
+    );
     good.write(&[query("SELECT 1")]);
     assert_eq!(kinds(&good.answer()), "EZ");
     good.write(&[select("k1")]);
     assert_eq!(kinds(&good.answer()), "TDCZ");
-    assert_eq!(seen.try_iter().count(), 1, "nothing malformed was passed on");
+    assert_eq!(
+        seen.try_iter().count(),
+        1,
+        "nothing malformed was passed on"
+    );
     gateway.signal("USR1");
     let counters = gateway.line("counters taken=2");
-    assert!(gateway.line("member m1: ").contains(" 0 in flight (0 on connections)"));
-    assert!(counters.contains(" malformed=1") && counters.contains(" clients_bad=2"), "{counters}");
+    assert!(gateway
+        .line("member m1: ")
+        .contains(" 0 in flight (0 on connections)"));
+    assert!(
+        counters.contains(" malformed=1") && counters.contains(" clients_bad=2"),
+        "{counters}"
+    );
 }
 
 #[test]
@@ -72,12 +91,15 @@
     assert_eq!(client.answer()[1], row(key.as_bytes())[1]);
     let value = "9f".repeat(64 << 10);
     let text = format!("INSERT INTO state (uid, val) VALUES ('k', '\\x{value}') RETURNING val");
-    client.write(&[query(&format!("{text} /* id=a2,c=buy,d=20000,cluster=2 */"))]);
+    client.write(&[query(&format!(
+        "{text} /* id=a2,c=buy,d=20000,cluster=2 */"
+    ))]);
     assert_eq!(kinds(&client.answer()), "TDCZ");
     assert!(seen.try_iter().any(|t| t.starts_with(&text)));
     // Members may hold larger ones than clients write here.
     let mut many: Vec<_> = (0..4).map(|_| gateway.client()).collect();
-    many.iter_mut().for_each(|client| client.write(&[select("big-400000")]));
+    many.iter_mut()
+        .for_each(|client| client.write(&[select("big-400000")]));
     for client in &mut many {
         assert_eq!(client.answer()[1], row(&vec![b'v'; 400_000])[1]);
     }
@@ -104,9 +126,13 @@
         answer.kind == b'T'
     });
     assert!(served);
-    assert!(clients[0].next().is_none(), "the one idle longest made room");
-    let held =
-        std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id())).expect("its descriptors").count();
+    assert!(
+        clients[0].next().is_none(),
+        "the one idle longest made room"
+    );
+    let held = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
+        .expect("its descriptors")
+        .count();
     assert!(held <= 128, "{held} descriptors");
     gateway.signal("USR1");
     let counters = gateway.line("counters ");
@@ -115,7 +141,11 @@
 
 #[test]
 fn where_all_places_are_busy_a_new_client_is_turned_away_at_once() {
-    let Fixture { gateway, go: _silent, .. } = start_fixture("busy");
+    let Fixture {
+        gateway,
+        go: _silent,
+        ..
+    } = start_fixture("busy");
     // 128 descriptors leave 52 places. Statements that no member answers yet hold them all.
     let busy = (0..52).map(|_| {
         let mut client = gateway.client();
@@ -152,19 +182,36 @@
         good.write(&[select("k1")]);
         assert_eq!(kinds(&good.answer()), "TDCZ");
     }
-    let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).expect("its state");
-    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its memory");
-    let peak: usize = peak.trim().trim_end_matches(" kB").trim().parse().expect("a number");
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).expect("its state");
+    let peak = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:"))
+        .expect("its memory");
+    let peak: usize = peak
+        .trim()
+        .trim_end_matches(" kB")
+        .trim()
+        .parse()
+        .expect("a number");
     assert!(peak < 64 << 10, "{peak} KiB");
 }
 
 #[test]
 fn sigterm_loses_nothing_that_was_taken() {
-    let Fixture { mut gateway, seen, go, .. } = start_fixture("term");
+    let Fixture {
+        mut gateway,
+        seen,
+        go,
+        ..
+    } = start_fixture("term");
     let mut busy = gateway.client();
     let mut idle = gateway.client();
     busy.write(&[insert("slow")]);
-    assert!(seen.recv_timeout(WAIT).expect("the statement").contains("'slow'"));
+    assert!(seen
+        .recv_timeout(WAIT)
+        .expect("the statement")
+        .contains("'slow'"));
     gateway.signal("TERM");
     gateway.line("ending, 1 requests in hand");
     // New clients still come, and are served.
@@ -180,7 +227,10 @@
     assert_eq!(kinds(&idle.answer()), "TDCZ");
     assert!(late.next().is_none() && idle.next().is_none() && busy.next().is_none());
     let line = gateway.line("counters ");
-    assert!(line.contains(" answered_served=3 answered_refused=0 answered_failed=0"), "{line}");
+    assert!(
+        line.contains(" answered_served=3 answered_refused=0 answered_failed=0"),
+        "{line}"
+    );
     assert!(gateway.ended().success());
 }
 
@@ -203,11 +253,27 @@
     for (name, text, says) in [
         ("none", None, "ROUTER_CONFIG is not set"),
         ("json", Some("{".to_owned()), "ROUTER_CONFIG: no JSON"),
-        ("listen", Some(whole.replace("127.0.0.1:0", "here")), "listen: 'here' is no address"),
-        ("limits", Some(whole.replace("\"sockets\":128", "\"sockets\":-1")), "limits.sockets"),
-        ("idle", Some(whole.replace("\"DialTimeoutNs\"", "\"X\"")), "settings: DialTimeoutNs"),
+        (
+            "listen",
+            Some(whole.replace("127.0.0.1:0", "here")),
+            "listen: 'here' is no address",
+        ),
+        (
+            "limits",
+            Some(whole.replace("\"sockets\":128", "\"sockets\":-1")),
+            "limits.sockets",
+        ),
+        (
+            "idle",
+            Some(whole.replace("\"DialTimeoutNs\"", "\"X\"")),
+            "settings: DialTimeoutNs",
+        ),
         ("seed", Some(whole.replace("8c1f", "zz")), "seed: 'zz'"),
-        ("known", Some(config_text("{\"revision\":1}")), "known: complete"),
+        (
+            "known",
+            Some(config_text("{\"revision\":1}")),
+            "known: complete",
+        ),
     ] {
         let said = run(name, text.as_deref());
         assert_eq!(said.lines().count(), 1, "{name}: {said}");
@@ -222,7 +288,11 @@
     let mut client = gateway.client();
     for n in 0..40 {
         let key = format!("twice-{n}");
-        client.write(&[if n % 2 == 0 { select(&key) } else { insert(&key) }]);
+        client.write(&[if n % 2 == 0 {
+            select(&key)
+        } else {
+            insert(&key)
+        }]);
         assert_eq!(client.answer()[1], row(key.as_bytes())[1]);
     }
     gateway.signal("USR1");
@@ -244,7 +314,11 @@
         client.write(&[insert(&key)]);
         let answer = client.answer();
         assert_eq!(kinds(&answer), "EZ");
-        assert_eq!(sqlstate(&answer[0].bytes).as_deref(), Some("58000"), "it may have run");
+        assert_eq!(
+            sqlstate(&answer[0].bytes).as_deref(),
+            Some("58000"),
+            "it may have run"
+        );
         assert_eq!(seen.try_iter().count(), 1, "sent once");
         client.write(&[insert("fine")]);
         assert_eq!(client.answer()[1], row(b"fine")[1], "its member serves on");
@@ -254,17 +328,27 @@
 /// SIGHUP under load, twice: the list comes from the new address, the old one's versions do not bind, none is lost.
 #[test]
 fn sighup_moves_to_the_new_list_and_loses_nothing() {
-    let Fixture { mut gateway, seen, go, entries } = start_fixture("reload");
+    let Fixture {
+        mut gateway,
+        seen,
+        go,
+        entries,
+    } = start_fixture("reload");
     let (mut busy, mut client) = (gateway.client(), gateway.client());
     busy.write(&[insert("slow")]);
-    assert!(seen.recv_timeout(WAIT).expect("the statement").contains("'slow'"));
+    assert!(seen
+        .recv_timeout(WAIT)
+        .expect("the statement")
+        .contains("'slow'"));
     // What cannot be used changes nothing: no file, half a file, a wrong field.
     let whole = std::fs::read_to_string(&gateway.config).expect("the file");
     std::fs::remove_file(&gateway.config).expect("gone");
     gateway.signal("HUP");
     gateway.line("the old configuration stays in force: ROUTER_CONFIG");
-    for (text, says) in [(&whole[..whole.len() / 2], "no JSON"), (&whole.replace("8c1f", "zz"), "seed: 'zz'")]
-    {
+    for (text, says) in [
+        (&whole[..whole.len() / 2], "no JSON"),
+        (&whole.replace("8c1f", "zz"), "seed: 'zz'"),
+    ] {
         std::fs::write(&gateway.config, text).expect("a file");
         gateway.signal("HUP");
         gateway.line(says);
@@ -280,7 +364,10 @@
         gateway.signal("HUP");
         gateway.line("configuration read anew");
         let line = asked.recv_timeout(WAIT).expect("a watch");
-        assert!(line.contains("watch=1 "), "the whole list is asked for: {line}");
+        assert!(
+            line.contains("watch=1 "),
+            "the whole list is asked for: {line}"
+        );
         watched.push(asked);
         client.write(&[insert("k2")]);
         assert_eq!(kinds(&client.answer()), "TDCZ");
@@ -303,13 +390,29 @@
 /// A client's bytes after its startup, and whether that is done at all.
 fn bad_clients() -> Vec<(&'static str, bool, Vec<u8>)> {
     let text = |text: &str| query(text).bytes;
-    let spoilt = |comment: &str| text(&format!("SELECT val FROM state WHERE uid = 'k' /* {comment} */"));
+    let spoilt = |comment: &str| {
+        text(&format!(
+            "SELECT val FROM state WHERE uid = 'k' /* {comment} */"
+        ))
+    };
     let with_length = |length: u32| [&b"Q"[..], &length.to_be_bytes(), b"SELECT"].concat();
     vec![
-        ("noise", false, (0..4000u32).map(|n| (n * 31 + 7) as u8).collect()),
+        (
+            "noise",
+            false,
+            (0..4000u32).map(|n| (n * 31 + 7) as u8).collect(),
+        ),
         ("a line without an end", false, vec![b'x'; 100_000]),
-        ("a startup that is too long", false, [&70_000u32.to_be_bytes()[..], &[0, 3, 0, 0]].concat()),
-        ("a startup without an end", false, [&12u32.to_be_bytes()[..], &[0, 3, 0, 0], b"user"].concat()),
+        (
+            "a startup that is too long",
+            false,
+            [&70_000u32.to_be_bytes()[..], &[0, 3, 0, 0]].concat(),
+        ),
+        (
+            "a startup without an end",
+            false,
+            [&12u32.to_be_bytes()[..], &[0, 3, 0, 0], b"user"].concat(),
+        ),
         ("half a startup", false, startup().bytes[..9].to_vec()),
         ("nothing", false, Vec::new()),
         ("nothing more", true, Vec::new()),
@@ -319,12 +422,28 @@
         ("a huge length", true, with_length(60 << 20)),
         ("a length that is too short", true, with_length(9)),
         ("half a statement", true, select("k").bytes[..30].to_vec()),
-        ("no class like that", true, spoilt("id=b1,c=strange,d=400,cluster=2")),
-        ("a deadline that is no number", true, spoilt("id=b2,c=look,d=soon,cluster=2")),
-        ("a negative deadline", true, spoilt("id=b3,c=look,d=-4,cluster=2")),
+        (
+            "no class like that",
+            true,
+            spoilt("id=b1,c=strange,d=400,cluster=2"),
+        ),
+        (
+            "a deadline that is no number",
+            true,
+            spoilt("id=b2,c=look,d=soon,cluster=2"),
+        ),
+        (
+            "a negative deadline",
+            true,
+            spoilt("id=b3,c=look,d=-4,cluster=2"),
+        ),
         ("no id", true, spoilt("c=look,d=400,cluster=2")),
         ("copy data", true, [b'd', 0, 0, 0, 4].repeat(100)),
-        ("hundreds of commands", true, spoilt("id=b4,c=strange,d=400,cluster=2").repeat(400)),
+        (
+            "hundreds of commands",
+            true,
+            spoilt("id=b4,c=strange,d=400,cluster=2").repeat(400),
+        ),
     ]
 }
 
@@ -341,16 +460,24 @@
         let _ = wire.socket.write_all(bytes);
         wire
     };
-    let all: Vec<_> =
-        bad_clients().into_iter().map(|(name, done, bytes)| (name, open(done, &bytes))).collect();
+    let all: Vec<_> = bad_clients()
+        .into_iter()
+        .map(|(name, done, bytes)| (name, open(done, &bytes)))
+        .collect();
     for (name, mut wire) in all {
         // All were opened before, so that even the last wait is short; the limit itself is the reducer's to test.
         let first = wire.next();
-        assert!(first.is_none_or(|f| f.kind == b'E'), "{name}: an error or the end");
+        assert!(
+            first.is_none_or(|f| f.kind == b'E'),
+            "{name}: an error or the end"
+        );
         usual.write(&[select("k1")]);
         assert_eq!(kinds(&usual.answer()), "TDCZ", "{name}");
     }
-    assert!(seen.try_iter().all(|text| text.contains("'k1'")), "nothing unusable was passed on");
+    assert!(
+        seen.try_iter().all(|text| text.contains("'k1'")),
+        "nothing unusable was passed on"
+    );
 }
 
 /// A close over unread bytes is a reset, which may overtake the error.
@@ -381,16 +508,24 @@
         silent.push(gateway.connect());
         if n % 40 == 0 {
             usual.write(&[select("k1")]);
-            assert_eq!(kinds(&usual.answer()), "TDCZ", "one that has a place keeps it");
+            assert_eq!(
+                kinds(&usual.answer()),
+                "TDCZ",
+                "one that has a place keeps it"
+            );
             let mut new = gateway.connect();
             new.write(&[startup(), select("k2")]);
             new.answer();
             assert_eq!(kinds(&new.answer()), "TDCZ", "a new one finds a place");
         }
     }
-    assert!(silent.iter_mut().all(|wire| wire.next().is_none()), "each is closed");
-    let held =
-        std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id())).expect("its descriptors").count();
+    assert!(
+        silent.iter_mut().all(|wire| wire.next().is_none()),
+        "each is closed"
+    );
+    let held = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
+        .expect("its descriptors")
+        .count();
     assert!(held <= 128, "{held} descriptors");
 }
 
@@ -409,13 +544,27 @@
         entry(n, phase, role).replace(&format!(":{}\"", 7000 + n), &format!(":{port}\""))
     };
     let (primary, mut old) = (new_entry(1, "ready", true), new_entry(2, "ready", false));
-    let gateway = Gateway::start("long", agent_with_news(list_text(1, true, &[primary, old.clone()]), news));
+    let gateway = Gateway::start(
+        "long",
+        agent_with_news(list_text(1, true, &[primary, old.clone()]), news),
+    );
     let of = |what: &str| format!("/proc/{}/{what}", gateway.child.id());
-    let descriptors = || std::fs::read_dir(of("fd")).expect("its descriptors").count();
+    let descriptors = || {
+        std::fs::read_dir(of("fd"))
+            .expect("its descriptors")
+            .count()
+    };
     let memory = || {
         let status = std::fs::read_to_string(of("status")).expect("its state");
-        let kib = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("its memory");
-        kib.trim().trim_end_matches(" kB").trim().parse::<usize>().expect("a number")
+        let kib = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmRSS:"))
+            .expect("its memory");
+        kib.trim()
+            .trim_end_matches(" kB")
+            .trim()
+            .parse::<usize>()
+            .expect("a number")
     };
     // What a gateway holds that has served one; members in use may add a few connections each, and no more.
     drop(gateway.client());
@@ -424,7 +573,11 @@
         stay.clear();
         let (mut client, begun) = (gateway.client(), Instant::now());
         while descriptors() > most {
-            assert!(begun.elapsed() < WAIT, "{when}: {} descriptors, {most} at most", descriptors());
+            assert!(
+                begun.elapsed() < WAIT,
+                "{when}: {} descriptors, {most} at most",
+                descriptors()
+            );
             client.write(&[query("")]);
             assert_eq!(kinds(&client.answer()), "IZ");
         }
@@ -434,7 +587,8 @@
     for n in 0..60u32 {
         let next = new_entry(3 + n, "ready", false);
         let gone = old.replace("\"ready\"", "\"gone\"");
-        tell.send(list_text(u64::from(n) + 2, false, &[next.clone(), gone])).expect("the watch");
+        tell.send(list_text(u64::from(n) + 2, false, &[next.clone(), gone]))
+            .expect("the watch");
         old = next;
         for k in 0..8 {
             let mut client = gateway.client();
--- a/crates/stackgw-cli/tests/ending.rs
+++ b/crates/stackgw-cli/tests/ending.rs
@@ -10,21 +10,36 @@
 /// could not hand over yet went with the process.
 #[test]
 fn statements_that_wait_behind_a_full_line_are_answered_before_the_end() {
-    let Fixture { mut gateway, seen, go, .. } = start_fixture("behind");
+    let Fixture {
+        mut gateway,
+        seen,
+        go,
+        ..
+    } = start_fixture("behind");
     let mut client = gateway.client();
     // One that its member never answers, and far more behind it than one client may have in hand.
     client.write(&[insert("slow")]);
-    assert!(seen.recv_timeout(WAIT).expect("the statement").contains("'slow'"));
+    assert!(seen
+        .recv_timeout(WAIT)
+        .expect("the statement")
+        .contains("'slow'"));
     let behind = 300;
     client.write(&(0..behind).map(|_| insert("slow")).collect::<Vec<_>>());
     gateway.signal("TERM");
-    let codes: Vec<_> = std::iter::from_fn(|| Some(client.answer()).filter(|answer| !answer.is_empty()))
-        .map(|answer| sqlstate(&answer[0].bytes).expect("an error"))
-        .collect();
+    let codes: Vec<_> =
+        std::iter::from_fn(|| Some(client.answer()).filter(|answer| !answer.is_empty()))
+            .map(|answer| sqlstate(&answer[0].bytes).expect("an error"))
+            .collect();
     assert_eq!(codes.len(), 1 + behind, "one answer each");
     assert_eq!(codes[0], "58000", "it may have run");
-    assert!(codes[1..].iter().all(|code| code == "57P03"), "they never ran");
-    assert!(seen.try_iter().next().is_none(), "and nothing more was sent on");
+    assert!(
+        codes[1..].iter().all(|code| code == "57P03"),
+        "they never ran"
+    );
+    assert!(
+        seen.try_iter().next().is_none(),
+        "and nothing more was sent on"
+    );
     assert!(gateway.ended().success());
     drop(go);
 }
@@ -32,23 +47,38 @@
 /// Clients that write on without a pause, up to the end: what was in hand is answered, what comes behind it is refused, in order.
 #[test]
 fn what_is_in_hand_is_answered_at_the_end_under_a_flood_of_statements() {
-    let Fixture { mut gateway, seen, go, .. } = start_fixture("write-on");
+    let Fixture {
+        mut gateway,
+        seen,
+        go,
+        ..
+    } = start_fixture("write-on");
     let mut clients: Vec<_> = (0..4).map(|_| gateway.client()).collect();
     for client in &mut clients {
         client.write(&[insert("slow")]);
     }
     for _ in 0..clients.len() {
-        assert!(seen.recv_timeout(WAIT).expect("the statement").contains("'slow'"));
+        assert!(seen
+            .recv_timeout(WAIT)
+            .expect("the statement")
+            .contains("'slow'"));
     }
     gateway.signal("TERM");
     let threads: Vec<_> = clients
         .into_iter()
         .map(|mut client| {
             let mut socket = client.socket.try_clone().expect("its other half");
-            let writer = std::thread::spawn(move || while socket.write_all(&insert("slow").bytes).is_ok() {});
+            let writer =
+                std::thread::spawn(
+                    move || while socket.write_all(&insert("slow").bytes).is_ok() {},
+                );
             std::thread::spawn(move || {
                 let first = client.answer();
-                assert_eq!(sqlstate(&first[0].bytes).as_deref(), Some("58000"), "it may have run");
+                assert_eq!(
+                    sqlstate(&first[0].bytes).as_deref(),
+                    Some("58000"),
+                    "it may have run"
+                );
                 let mut rest = 0;
                 // A close over what it still writes may cut the last one off.
                 while let [error, .., _] = &client.answer()[..] {
@@ -60,8 +90,14 @@
             })
         })
         .collect();
-    let rest: Vec<usize> = threads.into_iter().map(|thread| thread.join().expect("answered")).collect();
-    assert!(rest.iter().all(|rest| *rest >= 64), "those in line too: {rest:?}");
+    let rest: Vec<usize> = threads
+        .into_iter()
+        .map(|thread| thread.join().expect("answered"))
+        .collect();
+    assert!(
+        rest.iter().all(|rest| *rest >= 64),
+        "those in line too: {rest:?}"
+    );
     assert!(gateway.ended().success());
     assert!(seen.try_iter().next().is_none(), "nothing more was sent on");
     drop(go);
--- a/crates/stackgw-cli/tests/floods.rs
+++ b/crates/stackgw-cli/tests/floods.rs
@@ -55,9 +55,13 @@
 impl Raw {
     fn new(at: SocketAddr) -> Self {
         let socket = TcpStream::connect(at).expect("a connection");
-        socket.set_write_timeout(Some(Duration::from_secs(5))).expect("a limit");
+        socket
+            .set_write_timeout(Some(Duration::from_secs(5)))
+            .expect("a limit");
         let mut raw = Raw(socket);
-        raw.0.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n").expect("the preface");
+        raw.0
+            .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
+            .expect("the preface");
         raw.send(SETTINGS, 0, 0, &[]).expect("settings");
         raw
     }
@@ -76,7 +80,9 @@
 
     /// What the other side says until it closes, falls silent, or says a frame of this kind; the kinds, in order.
     fn hears(&mut self, until: u8) -> Vec<u8> {
-        self.0.set_read_timeout(Some(Duration::from_secs(2))).expect("a limit");
+        self.0
+            .set_read_timeout(Some(Duration::from_secs(2)))
+            .expect("a limit");
         let (mut kinds, mut held, mut buffer) = (Vec::new(), Vec::new(), [0; 16 << 10]);
         loop {
             while held.len() >= 9 {
@@ -109,8 +115,17 @@
     let since = Instant::now();
     assert_eq!(driver.patiently(&Ask::write("k", 2)), served(2));
     assert_eq!(driver.patiently(&Ask::read("mine", "k")), served(2));
-    assert_eq!(fixture.driver(0, Protocol::Postgres).patiently(&Ask::read("mine", "k")), served(2));
-    assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
+    assert_eq!(
+        fixture
+            .driver(0, Protocol::Postgres)
+            .patiently(&Ask::read("mine", "k")),
+        served(2)
+    );
+    assert!(
+        since.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        since.elapsed()
+    );
     let mb = fixture.peak_mb(0);
     assert!(mb < 96, "{name}: {mb} MB");
 }
@@ -119,10 +134,15 @@
 fn a_message_that_ends_too_soon_is_an_error_of_its_call() {
     bears("truncated", |at| {
         let mut raw = Raw::new(at);
-        raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo")).expect("taken");
-        raw.send(DATA, END_STREAM, 1, &[0, 0, 0, 0, 100, 1, 2, 3]).expect("taken");
+        raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
+            .expect("taken");
+        raw.send(DATA, END_STREAM, 1, &[0, 0, 0, 0, 100, 1, 2, 3])
+            .expect("taken");
         let kinds = raw.hears(HEADERS);
-        assert!(kinds.contains(&HEADERS) && !kinds.contains(&GOAWAY), "{kinds:?}");
+        assert!(
+            kinds.contains(&HEADERS) && !kinds.contains(&GOAWAY),
+            "{kinds:?}"
+        );
         Some(raw)
     });
 }
@@ -131,8 +151,10 @@
 fn a_message_that_claims_a_gigabyte_is_refused_at_its_head() {
     bears("oversized", |at| {
         let mut raw = Raw::new(at);
-        raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo")).expect("taken");
-        raw.send(DATA, 0, 1, &[&[0, 0x40, 0, 0, 0][..], &[7; 8_000]].concat()).expect("taken");
+        raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
+            .expect("taken");
+        raw.send(DATA, 0, 1, &[&[0, 0x40, 0, 0, 0][..], &[7; 8_000]].concat())
+            .expect("taken");
         let kinds = raw.hears(HEADERS);
         assert!(kinds.contains(&HEADERS), "{kinds:?}");
         Some(raw)
@@ -143,8 +165,11 @@
 fn headers_without_end_end_their_connection_or_their_call() {
     bears("bomb", |at| {
         let mut raw = Raw::new(at);
-        raw.send(HEADERS, 0, 1, &call("GetFlightInfo")).expect("taken");
-        let more: Vec<u8> = (0..60).flat_map(|n| header(&format!("x-{n}"), &"y".repeat(100))).collect();
+        raw.send(HEADERS, 0, 1, &call("GetFlightInfo"))
+            .expect("taken");
+        let more: Vec<u8> = (0..60)
+            .flat_map(|n| header(&format!("x-{n}"), &"y".repeat(100)))
+            .collect();
         // A hundred megabytes, if it were let.
         let ended = (0..16_000).any(|_| raw.send(CONTINUATION, 0, 1, &more).is_err());
         assert!(ended, "it took them all");
@@ -171,11 +196,16 @@
 
 #[test]
 fn floods_of_settings_and_pings_hold_up_nobody() {
-    for (name, kind, body) in [("settings", SETTINGS, &[][..]), ("pings", PING, &[1; 8][..])] {
+    for (name, kind, body) in [
+        ("settings", SETTINGS, &[][..]),
+        ("pings", PING, &[1; 8][..]),
+    ] {
         bears(name, |at| {
             let mut raw = Raw::new(at);
             // Nobody reads the answers.
-            raw.0.set_write_timeout(Some(Duration::from_millis(500))).expect("a limit");
+            raw.0
+                .set_write_timeout(Some(Duration::from_millis(500)))
+                .expect("a limit");
             let many = Raw::frame(kind, 0, 0, body).repeat(1_000);
             let _ = (0..1_000).all(|_| raw.0.write_all(&many).is_ok());
             Some(raw)
@@ -187,8 +217,12 @@
 fn noise_and_silence_hold_a_connection_and_no_more() {
     bears("noise", |at| {
         let mut noise = TcpStream::connect(at).expect("a connection");
-        noise.write_all(&b"GET / HTTP/1.0\r\n\r\n".repeat(1_000)).expect("taken");
-        let silent: Vec<_> = (0..50).map(|_| TcpStream::connect(at).expect("a connection")).collect();
+        noise
+            .write_all(&b"GET / HTTP/1.0\r\n\r\n".repeat(1_000))
+            .expect("taken");
+        let silent: Vec<_> = (0..50)
+            .map(|_| TcpStream::connect(at).expect("a connection"))
+            .collect();
         drop(silent);
         Some(Raw::new(at))
     });
--- a/crates/stackgw-cli/tests/leaving.rs
+++ b/crates/stackgw-cli/tests/leaving.rs
@@ -13,8 +13,9 @@
 /// Two replicas and no primary, so that writes wait; with the word that brings the primary.
 fn without_primary(name: &str) -> (Fixture, impl FnOnce() -> Sender<String>) {
     let (tell, news) = channel();
-    let fixture =
-        start_fixture_with(name, |entries| agent_with_news(list_text(1, true, &entries[1..]), news));
+    let fixture = start_fixture_with(name, |entries| {
+        agent_with_news(list_text(1, true, &entries[1..]), news)
+    });
     let primary = list_text(2, false, &fixture.entries[..1]);
     // The agent ends with the last sender, and would take what it has just written along.
     let comes = move || {
@@ -40,21 +41,49 @@
 
 fn leavers() -> Vec<Leaver> {
     let gone = || insert("gone").bytes;
-    let many =
-        |n| -> Vec<u8> { (0..n).flat_map(|_| insert(&format!("gone{}", "x".repeat(2000))).bytes).collect() };
-    let leaver = |way, sends, leaves| Leaver { way, sends, reads: true, leaves };
+    let many = |n| -> Vec<u8> {
+        (0..n)
+            .flat_map(|_| insert(&format!("gone{}", "x".repeat(2000))).bytes)
+            .collect()
+    };
+    let leaver = |way, sends, leaves| Leaver {
+        way,
+        sends,
+        reads: true,
+        leaves,
+    };
     vec![
         leaver("closes", gone(), drop),
         leaver("half-closes", gone(), half_closes),
-        leaver("closes behind more statements", [gone(), gone(), gone()].concat(), drop),
-        leaver("closes inside a message", [&gone()[..], &gone()[..40]].concat(), drop),
+        leaver(
+            "closes behind more statements",
+            [gone(), gone(), gone()].concat(),
+            drop,
+        ),
+        leaver(
+            "closes inside a message",
+            [&gone()[..], &gone()[..40]].concat(),
+            drop,
+        ),
         // More than is taken, all of which is read ahead.
         leaver("closes behind what is read ahead", many(300), drop),
-        leaver("half-closes behind what is read ahead", many(300), half_closes),
-        leaver("says that it ends", gone(), |mut wire| wire.write(&[message(b'X', b"")])),
-        Leaver { reads: false, ..leaver("resets", gone(), drop) },
+        leaver(
+            "half-closes behind what is read ahead",
+            many(300),
+            half_closes,
+        ),
+        leaver("says that it ends", gone(), |mut wire| {
+            wire.write(&[message(b'X', b"")])
+        }),
+        Leaver {
+            reads: false,
+            ..leaver("resets", gone(), drop)
+        },
         // Somewhat more than is read ahead, the rest waits in the kernel: nothing is read of it any more when it leaves.
-        Leaver { reads: false, ..leaver("resets behind more than is read", many(350), drop) },
+        Leaver {
+            reads: false,
+            ..leaver("resets behind more than is read", many(350), drop)
+        },
     ]
 }
 
@@ -66,7 +95,9 @@
         let over = over.clone();
         threads.push(std::thread::spawn(move || {
             while !over.load(Ordering::Relaxed) {
-                let Ok(mut socket) = std::net::TcpStream::connect(address) else { continue };
+                let Ok(mut socket) = std::net::TcpStream::connect(address) else {
+                    continue;
+                };
                 let _ = socket.write_all(&startup().bytes);
                 let bytes = query("SELECT 1").bytes.repeat(200);
                 while !over.load(Ordering::Relaxed) && socket.write_all(&bytes).is_ok() {}
@@ -81,7 +112,13 @@
     let mut stays = gateway.client();
     let (over, threads) = flood(&gateway, flooding);
     let mut here = Vec::new();
-    for Leaver { way, sends, reads, leaves } in leavers() {
+    for Leaver {
+        way,
+        sends,
+        reads,
+        leaves,
+    } in leavers()
+    {
         let mut wire = gateway.connect();
         wire.write(&[startup()]);
         if reads {
@@ -105,7 +142,9 @@
         gateway.until("clients_open", |n| n <= flooding as u64 + 1);
     }
     over.store(true, Ordering::Relaxed);
-    threads.into_iter().for_each(|thread| thread.join().expect("no panic"));
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().expect("no panic"));
     let _agent = primary_comes();
     stays.write(&[insert("here")]);
     assert_eq!(kinds(&stays.answer()), "TDCZ");
@@ -133,15 +172,27 @@
     drop(gateway.client());
     let mut client = gateway.connect();
     client.write(&[startup()]);
-    let key = client.answer().into_iter().find(|f| f.kind == b'K').expect("the key");
+    let key = client
+        .answer()
+        .into_iter()
+        .find(|f| f.kind == b'K')
+        .expect("the key");
     client.write(&[insert("gone"), insert("gone-too")]);
     gateway.until("taken", |n| n == 2);
     let mut by = gateway.connect();
-    let _ = by.socket.write_all(&[&[0, 0, 0, 16, 4, 210, 22, 46], key.body()].concat());
+    let _ = by
+        .socket
+        .write_all(&[&[0, 0, 0, 16, 4, 210, 22, 46], key.body()].concat());
     assert!(by.next().is_none(), "it is told nothing");
-    assert_eq!(sqlstate(&client.answer()[0].bytes).as_deref(), Some("57014"));
+    assert_eq!(
+        sqlstate(&client.answer()[0].bytes).as_deref(),
+        Some("57014")
+    );
     let _agent = primary_comes();
     assert_eq!(kinds(&client.answer()), "TDCZ", "the other one is served");
     let sent: Vec<_> = seen.try_iter().collect();
-    assert!(sent.len() == 1 && sent[0].contains("'gone-too'"), "{sent:?}");
+    assert!(
+        sent.len() == 1 && sent[0].contains("'gone-too'"),
+        "{sent:?}"
+    );
 }
