--- a/crates/stackgw-cli/tests/sessions.rs
+++ b/crates/stackgw-cli/tests/sessions.rs
@@ -1,7 +1,9 @@
 //! Sessions across real processes on loopback: gateways are killed, paused, started anew with and without their disks, between
 //! paired writes and reads. The stand-ins' audit is the judge. Every wait is for an event and bounded.
 
-use stackgw_testkit::{Faults, FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, SessionAudit, Verdict};
+use stackgw_testkit::{
+    Faults, FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, SessionAudit, Verdict,
+};
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,7 +22,8 @@
 
 impl Fixture {
     fn new(name: &str, gateways: usize, keepers: usize, mode: FleetMode, disks: bool) -> Self {
-        let folder = std::env::temp_dir().join(format!("stackgw-sessions-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("stackgw-sessions-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let (store, agent) = ReplicaGroup::start(&[20, 1_500]).expect("members");
         let gateways = GatewayFleet::start(FleetConfig {
@@ -31,9 +34,17 @@
             lease_ms: LEASE_MS,
             retention_ms: RETENTION_MS,
             relays: true,
-            ..FleetConfig::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), vec![agent])
+            ..FleetConfig::new(
+                env!("CARGO_BIN_EXE_stackgw").into(),
+                folder.clone(),
+                vec![agent],
+            )
         });
-        Fixture { store, gateways: gateways.unwrap_or_else(|why| panic!("{why}")), folder }
+        Fixture {
+            store,
+            gateways: gateways.unwrap_or_else(|why| panic!("{why}")),
+            folder,
+        }
     }
 
     /// What a gateway says of its sessions.
@@ -50,7 +61,11 @@
     fn sure(&self, keepers: usize) -> Duration {
         let since = Instant::now();
         while !(0..keepers).all(|n| self.told(n)["sure"] == true) {
-            assert!(since.elapsed() < Duration::from_secs(30), "{}", self.told(0));
+            assert!(
+                since.elapsed() < Duration::from_secs(30),
+                "{}",
+                self.told(0)
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
         since.elapsed()
@@ -98,16 +113,26 @@
     for (name, gateways, keepers, disks) in [("two", 2, 2, true), ("three", 4, 3, false)] {
         let fixture = Fixture::new(name, gateways, keepers, FleetMode::SharedSessions, disks);
         let pause = Duration::from_millis(20);
-        let verdict = fixture.run(&SessionAudit { troubles: Some(storm(150)), pause, ..trial(400) });
+        let verdict = fixture.run(&SessionAudit {
+            troubles: Some(storm(150)),
+            pause,
+            ..trial(400)
+        });
         assert!(verdict.good(), "{verdict:?}");
-        assert!(verdict.tally.pairs >= 400 && verdict.kills > 0, "{verdict:?}");
+        assert!(
+            verdict.tally.pairs >= 400 && verdict.kills > 0,
+            "{verdict:?}"
+        );
     }
 }
 
 #[test]
 fn with_marks_in_each_process_alone_the_same_run_misses_writes() {
     let fixture = Fixture::new("off", 2, 2, FleetMode::LocalSessions, false);
-    let verdict = fixture.run(&SessionAudit { troubles: Some(storm(250)), ..trial(300) });
+    let verdict = fixture.run(&SessionAudit {
+        troubles: Some(storm(250)),
+        ..trial(300)
+    });
     assert!(verdict.tally.misses > 0, "{verdict:?}");
     assert_eq!(verdict.doubled + verdict.refused_and_ran, 0);
 }
@@ -116,13 +141,25 @@
 fn on_a_calm_day_reads_are_sure_and_replicas_serve_them() {
     let fixture = Fixture::new("calm", 3, 2, FleetMode::SharedSessions, true);
     fixture.sure(2);
-    let calm = SessionAudit { pause: Duration::from_millis(600), reads: 4, ..trial(30) };
+    let calm = SessionAudit {
+        pause: Duration::from_millis(600),
+        reads: 4,
+        ..trial(30)
+    };
     let verdict = fixture.run(&calm);
     assert!(verdict.good(), "{verdict:?}");
-    assert!(verdict.reads_at[1] > verdict.reads_at[0], "past the window after a write: {verdict:?}");
+    assert!(
+        verdict.reads_at[1] > verdict.reads_at[0],
+        "past the window after a write: {verdict:?}"
+    );
     // A busy machine may keep a process waiting past a lease.
-    let cautious: u64 = (0..3).filter_map(|n| fixture.told(n)["counts"]["cautious"].as_u64()).sum();
-    assert!(cautious * 10 <= verdict.tally.reads[0], "{cautious} of {verdict:?}");
+    let cautious: u64 = (0..3)
+        .filter_map(|n| fixture.told(n)["counts"]["cautious"].as_u64())
+        .sum();
+    assert!(
+        cautious * 10 <= verdict.tally.reads[0],
+        "{cautious} of {verdict:?}"
+    );
 }
 
 #[test]
@@ -150,9 +187,16 @@
 fn the_only_current_replica_slows_down_right_after_the_write() {
     let fixture = Fixture::new("slow", 2, 2, FleetMode::SharedSessions, true);
     fixture.sure(2);
-    fixture.store.members[1].lag_ms.store(2_500, Ordering::Relaxed);
-    fixture.store.members[1].slow_ms.store(80, Ordering::Relaxed);
-    let verdict = fixture.run(&SessionAudit { pause: Duration::from_millis(1_100), ..trial(30) });
+    fixture.store.members[1]
+        .lag_ms
+        .store(2_500, Ordering::Relaxed);
+    fixture.store.members[1]
+        .slow_ms
+        .store(80, Ordering::Relaxed);
+    let verdict = fixture.run(&SessionAudit {
+        pause: Duration::from_millis(1_100),
+        ..trial(30)
+    });
     assert!(verdict.good(), "{verdict:?}");
 }
 
@@ -183,7 +227,10 @@
         // Meanwhile the other one lets writes out that the paused one was sure to hear of.
         let clients = std::thread::scope(|scope| {
             let run = scope.spawn(|| {
-                fixture.run(&SessionAudit { most: Duration::from_millis(8 * LEASE_MS), ..trial(40) })
+                fixture.run(&SessionAudit {
+                    most: Duration::from_millis(8 * LEASE_MS),
+                    ..trial(40)
+                })
             });
             std::thread::sleep(Duration::from_millis(3 * LEASE_MS));
             fixture.gateways.pause(n, false);
@@ -198,7 +245,9 @@
 fn a_gateway_killed_between_the_commit_and_the_answer_doubles_nothing() {
     let fixture = Fixture::new("commit", 2, 2, FleetMode::SharedSessions, true);
     // The primary commits at once and answers later: most kills fall between the two.
-    fixture.store.members[0].slow_ms.store(60, Ordering::Relaxed);
+    fixture.store.members[0]
+        .slow_ms
+        .store(60, Ordering::Relaxed);
     let troubles = Faults {
         kill_every: Duration::from_millis(120),
         all: false,
@@ -207,7 +256,10 @@
         slow: false,
         cut: None,
     };
-    let verdict = fixture.run(&SessionAudit { troubles: Some(troubles), ..trial(60) });
+    let verdict = fixture.run(&SessionAudit {
+        troubles: Some(troubles),
+        ..trial(60)
+    });
     assert!(verdict.good() && verdict.tally.writes[3] > 0, "{verdict:?}");
 }
 
@@ -218,15 +270,26 @@
     fixture.gateways.kill(1);
     let since = Instant::now();
     while fixture.told(0)["unsure_because"] != "no pledge from g1" {
-        assert!(since.elapsed() < Duration::from_secs(20), "{}", fixture.told(0));
+        assert!(
+            since.elapsed() < Duration::from_secs(20),
+            "{}",
+            fixture.told(0)
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     // A foreign file in place of its disk is set aside, and it starts all the same.
     let store = fixture.folder.join("g1.redb");
     std::fs::copy(fixture.folder.join("cluster.key"), &store).expect("a file");
     fixture.gateways.restart(1).expect("it starts");
-    let aside = std::fs::read_dir(&fixture.folder).expect("a folder").flatten();
-    assert!(aside.filter(|e| e.file_name().to_string_lossy().contains("redb.refused")).count() == 1);
+    let aside = std::fs::read_dir(&fixture.folder)
+        .expect("a folder")
+        .flatten();
+    assert!(
+        aside
+            .filter(|e| e.file_name().to_string_lossy().contains("redb.refused"))
+            .count()
+            == 1
+    );
     fixture.sure(2);
 }
 
@@ -244,25 +307,44 @@
     let verdict = fixture.run(&trial(60));
     assert!(verdict.good(), "{verdict:?}");
     assert_eq!(fixture.told(0)["sure"], false);
-    assert!(fixture.told(0)["counts"]["unknown_key"].as_u64() > Some(0), "{}", fixture.told(0));
+    assert!(
+        fixture.told(0)["counts"]["unknown_key"].as_u64() > Some(0),
+        "{}",
+        fixture.told(0)
+    );
 }
 
 #[test]
 fn the_command_line_names_file_and_field() {
     let stackgw = |args: &[&str]| {
-        let done = Command::new(env!("CARGO_BIN_EXE_stackgw")).args(args).output().expect("it runs");
-        (done.status.success(), String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned())
+        let done = Command::new(env!("CARGO_BIN_EXE_stackgw"))
+            .args(args)
+            .output()
+            .expect("it runs");
+        (
+            done.status.success(),
+            String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned(),
+        )
     };
-    let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/sessions.example.yaml");
+    let example = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../deploy/sessions.example.yaml"
+    );
     let (good, said) = stackgw(&["check", example]);
     assert!(good && said.contains("keepers g0, g1"), "{said}");
     let file = std::env::temp_dir().join(format!("stackgw-check-{}.yaml", std::process::id()));
     std::fs::write(&file, "sessions:\n  cluster: x\n  horizon: never\n").expect("a file");
     let (good, said) = stackgw(&["check", &file.display().to_string()]);
     std::fs::remove_file(&file).expect("it was there");
-    assert!(!good && said.contains(":3: horizon: ") && said.trim().lines().count() == 1, "{said}");
+    assert!(
+        !good && said.contains(":3: horizon: ") && said.trim().lines().count() == 1,
+        "{said}"
+    );
     let (good, said) = stackgw(&["schema"]);
     assert!(good && serde_json::from_str::<serde_json::Value>(&said).is_ok());
     let (good, said) = stackgw(&["sessions", "/nowhere.sock"]);
-    assert!(!good && said.starts_with("stackgw: /nowhere.sock: "), "{said}");
+    assert!(
+        !good && said.starts_with("stackgw: /nowhere.sock: "),
+        "{said}"
+    );
 }
--- a/crates/stackgw-cli/tests/start.rs
+++ b/crates/stackgw-cli/tests/start.rs
@@ -3,9 +3,9 @@
 
 use serde_json::Value;
 use stackgw_testkit::{
-    worst, BootstrapConfig, Client, ColdConnectLoad, ColdConnectReport, FleetConfig, FleetMode, GatewayFleet,
-    ObservedLoad, PollOutcome, Protocol, ReplicaGroup, RequestOutcome, ServiceCapacity, ServiceState,
-    SlowStartModel,
+    worst, BootstrapConfig, Client, ColdConnectLoad, ColdConnectReport, FleetConfig, FleetMode,
+    GatewayFleet, ObservedLoad, PollOutcome, Protocol, ReplicaGroup, RequestOutcome,
+    ServiceCapacity, ServiceState, SlowStartModel,
 };
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
@@ -36,22 +36,38 @@
 
     /// As [`Fixture::new`], with further lines in the operator's file.
     fn with(name: &str, gateways: usize, cluster: bool, bears: u32, further: &[&str]) -> Self {
-        let folder = std::env::temp_dir().join(format!("stackgw-bootstrap-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("stackgw-bootstrap-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let (store, _) = ReplicaGroup::start_behind(&[20, 20], Protocol::Postgres, 2).expect("members");
+        let (store, _) =
+            ReplicaGroup::start_behind(&[20, 20], Protocol::Postgres, 2).expect("members");
         let doors = vec![store.lists().door(0), store.lists().door(1)];
-        let mut setup = FleetConfig::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), doors);
-        (setup.gateways, setup.session_replicas, setup.mode, setup.relays) =
-            (gateways, 3, FleetMode::Bootstrap, cluster);
-        let mut lines = vec![format!("bears: {bears}"), "list: \"{folder}/g{n}.list\"".to_owned()];
+        let mut setup =
+            FleetConfig::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), doors);
+        (
+            setup.gateways,
+            setup.session_replicas,
+            setup.mode,
+            setup.relays,
+        ) = (gateways, 3, FleetMode::Bootstrap, cluster);
+        let mut lines = vec![
+            format!("bears: {bears}"),
+            "list: \"{folder}/g{n}.list\"".to_owned(),
+        ];
         lines.extend(further.iter().map(|line| (*line).to_owned()));
         setup.start = BootstrapConfig { cluster, lines };
         let gateways = GatewayFleet::prepare(setup).unwrap_or_else(|why| panic!("{why}"));
-        Fixture { store, gateways, folder }
+        Fixture {
+            store,
+            gateways,
+            folder,
+        }
     }
 
     fn start(&self, which: impl Iterator<Item = usize> + Clone) {
-        self.gateways.restart_all(which, Duration::ZERO).unwrap_or_else(|why| panic!("{why}"));
+        self.gateways
+            .restart_all(which, Duration::ZERO)
+            .unwrap_or_else(|why| panic!("{why}"));
     }
 
     /// What a gateway says of its list.
@@ -63,7 +79,10 @@
             BufReader::new(stream).read_line(&mut line)?;
             Ok(line)
         };
-        ask().ok().and_then(|line| serde_json::from_str(&line).ok()).unwrap_or_default()
+        ask()
+            .ok()
+            .and_then(|line| serde_json::from_str(&line).ok())
+            .unwrap_or_default()
     }
 
     /// Waits until this holds of what each of these says; gives how long that took.
@@ -89,20 +108,39 @@
     fn know(&self, most: Duration, which: impl Iterator<Item = usize> + Clone) -> Duration {
         let version = self.store.lists().version();
         self.until("the newest list", most, which, |told| {
-            told["revision"] == version && told["origin"] != "kept word" && told["origin"].is_string()
+            told["revision"] == version
+                && told["origin"] != "kept word"
+                && told["origin"].is_string()
         })
     }
 
     fn holders(&self) -> Vec<usize> {
-        (0..self.gateways.len()).filter(|n| self.told(*n)["watch"] == true).collect()
+        (0..self.gateways.len())
+            .filter(|n| self.told(*n)["watch"] == true)
+            .collect()
     }
 
     fn asked(&self) -> usize {
-        self.store.lists().asked().iter().filter(|asked| asked.fate != PollOutcome::Unreachable).count()
+        self.store
+            .lists()
+            .asked()
+            .iter()
+            .filter(|asked| asked.fate != PollOutcome::Unreachable)
+            .count()
     }
 
-    fn play(&self, rate: f64, lasts: Duration, meanwhile: impl FnOnce() + Send) -> ColdConnectReport {
-        let opening = ColdConnectLoad { rate, writes: 30, lasts, seed: 7 };
+    fn play(
+        &self,
+        rate: f64,
+        lasts: Duration,
+        meanwhile: impl FnOnce() + Send,
+    ) -> ColdConnectReport {
+        let opening = ColdConnectLoad {
+            rate,
+            writes: 30,
+            lasts,
+            seed: 7,
+        };
         opening.run(&self.store, &self.gateways, Instant::now(), meanwhile)
     }
 
@@ -122,7 +160,11 @@
     /// What a member has borne; it never came near falling over.
     fn stands(&self, n: usize) -> ObservedLoad {
         let borne = self.store.borne(n);
-        assert!(borne.fell == 0 && borne.worst < 1.0, "member {n}: {} of what it falls at", borne.worst);
+        assert!(
+            borne.fell == 0 && borne.worst < 1.0,
+            "member {n}: {} of what it falls at",
+            borne.worst
+        );
         borne
     }
 
@@ -130,7 +172,13 @@
     fn sound(&self, opened: &ColdConnectReport) {
         assert_eq!((opened.lost, opened.doubled), (0, 0), "{opened:?}");
         let audit = self.store.audit();
-        assert_eq!((audit.stale, audit.writes.values().filter(|n| **n > 1).count()), (0, 0));
+        assert_eq!(
+            (
+                audit.stale,
+                audit.writes.values().filter(|n| **n > 1).count()
+            ),
+            (0, 0)
+        );
     }
 }
 
@@ -147,17 +195,34 @@
     fixture.know(ms(20_000), 0..16);
     let asked = fixture.store.lists().asked();
     // Sixteen asks over two seconds; in step all would fall into one moment.
-    assert!(worst(asked.iter().map(|asked| asked.at), ms(100)) <= 6, "{asked:?}");
+    assert!(
+        worst(asked.iter().map(|asked| asked.at), ms(100)) <= 6,
+        "{asked:?}"
+    );
     // Dead and back: again not all at once.
     let lists = fixture.store.lists();
     lists.mood(None, ServiceState::Down);
-    fixture.until("a lost watch", ms(5_000), 0..16, |told| told["watch"] == false);
-    lists.bear(Some(ServiceCapacity { per_second: 10.0, line: ms(300) }));
+    fixture.until("a lost watch", ms(5_000), 0..16, |told| {
+        told["watch"] == false
+    });
+    lists.bear(Some(ServiceCapacity {
+        per_second: 10.0,
+        line: ms(300),
+    }));
     let from = lists.elapsed();
     lists.mood(None, ServiceState::Up);
-    fixture.until("a watch again", ms(40_000), 0..16, |told| told["watch"] == true);
-    let back: Vec<_> = lists.asked().into_iter().filter(|asked| asked.at >= from).collect();
-    assert!(worst(back.iter().map(|asked| asked.at), ms(100)) <= 6, "{back:?}");
+    fixture.until("a watch again", ms(40_000), 0..16, |told| {
+        told["watch"] == true
+    });
+    let back: Vec<_> = lists
+        .asked()
+        .into_iter()
+        .filter(|asked| asked.at >= from)
+        .collect();
+    assert!(
+        worst(back.iter().map(|asked| asked.at), ms(100)) <= 6,
+        "{back:?}"
+    );
     assert!(back.len() <= 40, "{}", back.len());
 }
 
@@ -166,7 +231,9 @@
     let fixture = Fixture::new("nothing", 1, false, 10);
     fixture.store.lists().mood(None, ServiceState::Truncated);
     fixture.start(0..1);
-    fixture.until("a lost watch", ms(5_000), 0..1, |told| told["counts"]["watches"].as_u64() >= Some(1));
+    fixture.until("a lost watch", ms(5_000), 0..1, |told| {
+        told["counts"]["watches"].as_u64() >= Some(1)
+    });
     let address = fixture.gateways.address(0).expect("it runs");
     let mut client = Client::connect(address).expect("a connection");
     let since = Instant::now();
@@ -185,7 +252,10 @@
     // A watch that hangs is given up after its silence.
     fixture.know(ms(20_000), 0..1);
     let mut client = Client::connect(address).expect("a connection");
-    assert_eq!(client.ask(&text.replace("n1", "n2")), RequestOutcome::Served(Vec::new()));
+    assert_eq!(
+        client.ask(&text.replace("n1", "n2")),
+        RequestOutcome::Served(Vec::new())
+    );
 }
 
 #[test]
@@ -229,7 +299,10 @@
     });
     fixture.sound(&opened);
     let after = fixture.store.audit().after_drain;
-    assert!(after <= GRACE + ms(50), "a request {after:?} after the drain was told");
+    assert!(
+        after <= GRACE + ms(50),
+        "a request {after:?} after the drain was told"
+    );
     assert!(opened.worth() > 0.9, "{opened:?}");
 }
 
@@ -242,7 +315,9 @@
     fixture.know(ms(5_000), 0..6);
     let lists = fixture.store.lists();
     lists.mood(None, ServiceState::Down);
-    fixture.until("lost watches", ms(10_000), 0..6, |told| told["watch"] == false);
+    fixture.until("lost watches", ms(10_000), 0..6, |told| {
+        told["watch"] == false
+    });
     lists.mood(None, ServiceState::Stale(1));
     fixture.gateways.kill(0);
     fixture.start(0..1);
@@ -252,7 +327,9 @@
         std::thread::sleep(ms(20));
     }
     // One that starts now has the disk's word and its peers'; the service's older one undoes neither.
-    fixture.until("no older list", ms(5_000), 0..6, |told| told["revision"] == 2);
+    fixture.until("no older list", ms(5_000), 0..6, |told| {
+        told["revision"] == 2
+    });
     let before = fixture.given(2);
     let opened = fixture.play(10.0, ms(1_500), || {});
     fixture.sound(&opened);
@@ -267,7 +344,9 @@
     let fixture = Fixture::new("kept", 8, true, 50);
     fixture.start(0..8);
     fixture.know(ms(10_000), 0..8);
-    fixture.until("a list on each disk", ms(5_000), 0..8, |told| told["ready"] == true);
+    fixture.until("a list on each disk", ms(5_000), 0..8, |told| {
+        told["ready"] == true
+    });
     for n in 0..8 {
         let since = Instant::now();
         while !fixture.folder.join(format!("g{n}.list")).exists() {
@@ -292,8 +371,14 @@
     assert_eq!(opened.ready_ms.len(), 8, "{opened:?}");
     fixture.sound(&opened);
     let audit = fixture.store.audit();
-    assert_eq!(audit.misplaced, before.misplaced, "a write went to the primary on the disk");
-    assert!(audit.writes.len() > before.writes.len(), "writes found the new one");
+    assert_eq!(
+        audit.misplaced, before.misplaced,
+        "a write went to the primary on the disk"
+    );
+    assert!(
+        audit.writes.len() > before.writes.len(),
+        "writes found the new one"
+    );
     (0..8).for_each(|n| assert_eq!(fixture.told(n)["origin"], "kept word"));
 }
 
@@ -302,9 +387,15 @@
     let fixture = Fixture::new("halves", 8, true, 50);
     fixture.start(0..8);
     fixture.know(ms(10_000), 0..8);
-    let (net, lists) = (fixture.gateways.net().expect("relays"), fixture.store.lists());
+    let (net, lists) = (
+        fixture.gateways.net().expect("relays"),
+        fixture.store.lists(),
+    );
     let opened = fixture.play(10.0, ms(9_000), || {
-        for (a, b) in (0..8).flat_map(|a| (0..8).map(move |b| (a, b))).filter(|(a, b)| a % 2 != b % 2) {
+        for (a, b) in (0..8)
+            .flat_map(|a| (0..8).map(move |b| (a, b)))
+            .filter(|(a, b)| a % 2 != b % 2)
+        {
             net.cut(a, b);
         }
         lists.mood(Some(1), ServiceState::Silent);
@@ -315,7 +406,10 @@
         fixture.store.announce(2, "draining");
         fixture.know(ms(5_000), (0..8).step_by(2));
         std::thread::sleep(ms(2_000));
-        assert!((1..8).step_by(2).all(|n| fixture.told(n)["revision"] == 1), "the other half cannot know");
+        assert!(
+            (1..8).step_by(2).all(|n| fixture.told(n)["revision"] == 1),
+            "the other half cannot know"
+        );
         net.mend();
         fixture.know(ms(3_000), 0..8);
         std::thread::sleep(GRACE);
@@ -379,8 +473,14 @@
     for n in 0..3 {
         let borne = fixture.stands(n);
         // In one second the turns that fall into it, and those that chance moves; without turns all 24 and more.
-        let dealt = worst(borne.handshakes.into_iter().filter(|at| *at >= from), ms(1_000));
-        assert!(dealt <= 16, "member {n}: {dealt} new connections in a second");
+        let dealt = worst(
+            borne.handshakes.into_iter().filter(|at| *at >= from),
+            ms(1_000),
+        );
+        assert!(
+            dealt <= 16,
+            "member {n}: {dealt} new connections in a second"
+        );
     }
 }
 
@@ -392,13 +492,17 @@
     fixture.store.announce(2, "draining");
     fixture.know(ms(5_000), 0..5);
     fixture.store.lists().mood(None, ServiceState::Down);
-    fixture.until("lost watches", ms(10_000), 0..5, |told| told["watch"] == false);
+    fixture.until("lost watches", ms(10_000), 0..5, |told| {
+        told["watch"] == false
+    });
     // These never reach the service, and have no disk to go by.
     let before = fixture.given(2);
     let opened = fixture.play(10.0, ms(3_000), || fixture.start(5..10));
     fixture.sound(&opened);
     assert_eq!(opened.ready_ms.len(), 10, "{opened:?}");
-    fixture.until("the list of the others", ms(2_000), 5..10, |told| told["revision"] == 2);
+    fixture.until("the list of the others", ms(2_000), 5..10, |told| {
+        told["revision"] == 2
+    });
     assert_eq!(fixture.given(2), before, "the drain binds them too");
     // Back, it is believed by all, and the old half's word no longer counts as kept.
     fixture.store.lists().mood(None, ServiceState::Up);
@@ -413,7 +517,11 @@
     fixture.know(ms(10_000), 0..8);
     fixture.start(8..24);
     fixture.know(ms(10_000), 0..24);
-    assert!(fixture.asked() <= 14, "{} asks for 24 gateways", fixture.asked());
+    assert!(
+        fixture.asked() <= 14,
+        "{} asks for 24 gateways",
+        fixture.asked()
+    );
     // Of the four that are left none held the watch.
     (0..20).for_each(|n| fixture.gateways.kill(n));
     fixture.store.announce(2, "draining");
--- a/crates/stackgw-cli/tests/streams.rs
+++ b/crates/stackgw-cli/tests/streams.rs
@@ -16,9 +16,20 @@
 fn fixture(name: &str, lags_ms: &[u64]) -> (Fixture, tokio::runtime::Runtime) {
     let fixture = Fixture::new(name, lags_ms, Protocol::FlightSql);
     for n in 0..2 {
-        assert_eq!(fixture.driver(n, Protocol::FlightSql).patiently(&Ask::write("k", 1)), served(1));
+        assert_eq!(
+            fixture
+                .driver(n, Protocol::FlightSql)
+                .patiently(&Ask::write("k", 1)),
+            served(1)
+        );
     }
-    (fixture, tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime"))
+    (
+        fixture,
+        tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime"),
+    )
 }
 
 fn bulk(batches: u64, bytes: usize) -> String {
@@ -35,7 +46,10 @@
             Ok(stream) => return Box::pin(stream),
             Err(error) => {
                 let refused = code(&*error) == Some(Code::Unavailable);
-                assert!(refused && since.elapsed() < Duration::from_secs(5), "{error:?}");
+                assert!(
+                    refused && since.elapsed() < Duration::from_secs(5),
+                    "{error:?}"
+                );
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         }
@@ -58,14 +72,26 @@
 }
 
 /// Sets a trouble of all members.
-fn all(fixture: &Fixture, trouble: impl Fn(&stackgw_testkit::FakeMember) -> &AtomicU64, value: u64) {
-    fixture.store.members.iter().for_each(|m| trouble(m).store(value, Ordering::Relaxed));
+fn all(
+    fixture: &Fixture,
+    trouble: impl Fn(&stackgw_testkit::FakeMember) -> &AtomicU64,
+    value: u64,
+) {
+    fixture
+        .store
+        .members
+        .iter()
+        .for_each(|m| trouble(m).store(value, Ordering::Relaxed));
 }
 
 /// Reads that ran since the last look, and no id twice.
 fn none_twice(fixture: &Fixture) {
     let audit = fixture.store.audit();
-    assert!(audit.reads_by_id.values().all(|ran| *ran == 1), "{:?}", audit.reads_by_id);
+    assert!(
+        audit.reads_by_id.values().all(|ran| *ran == 1),
+        "{:?}",
+        audit.reads_by_id
+    );
 }
 
 #[test]
@@ -78,7 +104,10 @@
             let (messages, body, error) = drain(&mut stream).await;
             assert!(error.is_none(), "{error:?}");
             assert_eq!(messages, batches + 1, "the schema and its batches");
-            assert!(body >= bytes * usize::try_from(batches).expect("small"), "{body}");
+            assert!(
+                body >= bytes * usize::try_from(batches).expect("small"),
+                "{body}"
+            );
         }
     });
     none_twice(&fixture);
@@ -98,10 +127,20 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     });
     fixture.rests(Duration::from_secs(1));
-    let cancels = || fixture.store.members.iter().map(|m| m.cancels.load(Ordering::Relaxed)).sum::<u64>();
+    let cancels = || {
+        fixture
+            .store
+            .members
+            .iter()
+            .map(|m| m.cancels.load(Ordering::Relaxed))
+            .sum::<u64>()
+    };
     let since = Instant::now();
     while cancels() == 0 {
-        assert!(since.elapsed() < Duration::from_secs(5), "the member was not told");
+        assert!(
+            since.elapsed() < Duration::from_secs(5),
+            "the member was not told"
+        );
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -111,23 +150,52 @@
     let (fixture, runtime) = fixture("action", &[20]);
     runtime.block_on(async {
         let mut client = sql(fixture.flight(0), "look").await;
-        let info = client.execute(bulk(1_000_000, 64 << 10), None).await.expect("a ticket");
+        let info = client
+            .execute(bulk(1_000_000, 64 << 10), None)
+            .await
+            .expect("a ticket");
         let stop = || {
-            let body = CancelFlightInfoRequest { info: Some(info.clone()) }.encode_to_vec();
-            Action { r#type: "CancelFlightInfo".to_owned(), body: body.into() }
+            let body = CancelFlightInfoRequest {
+                info: Some(info.clone()),
+            }
+            .encode_to_vec();
+            Action {
+                r#type: "CancelFlightInfo".to_owned(),
+                body: body.into(),
+            }
         };
         let mut other = sql(fixture.flight(0), "look").await;
-        let error = other.do_action(Request::new(stop())).await.map(|_| ()).expect_err("nothing runs");
+        let error = other
+            .do_action(Request::new(stop()))
+            .await
+            .map(|_| ())
+            .expect_err("nothing runs");
         assert!(format!("{error:?}").contains("NotFound"), "{error:?}");
         let ticket = || Request::new(info.endpoint[0].ticket.clone().expect("a ticket"));
         // Halfway.
-        let mut stream: Messages =
-            client.inner_mut().do_get(ticket()).await.expect("it begins").into_inner().boxed();
+        let mut stream: Messages = client
+            .inner_mut()
+            .do_get(ticket())
+            .await
+            .expect("it begins")
+            .into_inner()
+            .boxed();
         stream.next().await.expect("more").expect("good");
-        let mut told = other.do_action(Request::new(stop())).await.expect("stopped");
+        let mut told = other
+            .do_action(Request::new(stop()))
+            .await
+            .expect("stopped");
         let result = told.next().await.expect("a result").expect("good");
-        assert_eq!(CancelFlightInfoResult::decode(result.body).expect("a result").status, 1);
-        assert_eq!(drain(&mut stream).await.2.expect("an end").code(), Code::Cancelled);
+        assert_eq!(
+            CancelFlightInfoResult::decode(result.body)
+                .expect("a result")
+                .status,
+            1
+        );
+        assert_eq!(
+            drain(&mut stream).await.2.expect("an end").code(),
+            Code::Cancelled
+        );
         // Before it begins.
         all(&fixture, |m| &m.slow_ms, 5_000);
         let mut asks = client.clone();
@@ -154,7 +222,11 @@
         let (messages, _, error) = drain(&mut stream).await;
         assert_eq!(error.expect("an end").code(), Code::Aborted);
         assert_eq!(messages, 6, "what had come is its client's");
-        assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
+        assert!(
+            since.elapsed() < Duration::from_secs(3),
+            "{:?}",
+            since.elapsed()
+        );
     });
     none_twice(&fixture);
     fixture.rests(Duration::from_secs(1));
@@ -167,10 +239,14 @@
         let mut client = sql(fixture.flight(0), "look").await;
         let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
         stream.next().await.expect("more").expect("good");
-        let n =
-            (0..3).find(|n| fixture.store.members[*n].running.load(Ordering::Relaxed) > 0).expect("one runs");
+        let n = (0..3)
+            .find(|n| fixture.store.members[*n].running.load(Ordering::Relaxed) > 0)
+            .expect("one runs");
         fixture.store.kill(n);
-        assert_eq!(drain(&mut stream).await.2.expect("an end").code(), Code::Aborted);
+        assert_eq!(
+            drain(&mut stream).await.2.expect("an end").code(),
+            Code::Aborted
+        );
         // Others go on at once.
         let mut stream = begin(&mut client, &bulk(3, 1_000)).await;
         assert!(drain(&mut stream).await.2.is_none());
@@ -218,7 +294,10 @@
         other.next().await.expect("more").expect("good");
         let mut stream = begin(&mut client, &bulk(3, 3 << 20)).await;
         let (messages, _, error) = drain(&mut stream).await;
-        assert_eq!((messages, error.expect("an end").code()), (1, Code::Aborted));
+        assert_eq!(
+            (messages, error.expect("an end").code()),
+            (1, Code::Aborted)
+        );
         assert!(drain(&mut other).await.2.is_none());
     });
 }
@@ -262,8 +341,15 @@
         let text = format!("{} /* d=500 */", bulk(1_000_000, 64 << 10));
         let since = Instant::now();
         let mut stream = begin(&mut client, &text).await;
-        assert_eq!(drain(&mut stream).await.2.expect("an end").code(), Code::DeadlineExceeded);
-        assert!(since.elapsed() < Duration::from_millis(1_500), "{:?}", since.elapsed());
+        assert_eq!(
+            drain(&mut stream).await.2.expect("an end").code(),
+            Code::DeadlineExceeded
+        );
+        assert!(
+            since.elapsed() < Duration::from_millis(1_500),
+            "{:?}",
+            since.elapsed()
+        );
     });
     fixture.rests(Duration::from_secs(1));
 }
@@ -272,12 +358,20 @@
 fn a_ticket_of_a_stream_is_good_at_another_gateway() {
     let (fixture, runtime) = fixture("ticket", &[20]);
     runtime.block_on(async {
-        let info = sql(fixture.flight(0), "look").await.execute(bulk(3, 100), None).await.expect("a ticket");
+        let info = sql(fixture.flight(0), "look")
+            .await
+            .execute(bulk(3, 100), None)
+            .await
+            .expect("a ticket");
         assert!(info.schema.is_empty(), "only the answer tells it");
         fixture.gateways.restart(0).expect("it starts");
         let ticket: Ticket = info.endpoint[0].ticket.clone().expect("a ticket");
         let mut other = sql(fixture.flight(1), "look").await;
-        let answer = other.inner_mut().do_get(Request::new(ticket)).await.expect("it begins");
+        let answer = other
+            .inner_mut()
+            .do_get(Request::new(ticket))
+            .await
+            .expect("it begins");
         let mut stream: Messages = answer.into_inner().boxed();
         assert_eq!(drain(&mut stream).await.0, 4);
     });
--- a/crates/stackgw-cluster/src/cluster.rs
+++ b/crates/stackgw-cluster/src/cluster.rs
@@ -2,7 +2,9 @@
 
 use crate::identity::Identity;
 use crate::seal::{Keyring, Unsealed, SEAL_BYTES};
-use foca::{AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer};
+use foca::{
+    AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
+};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use stackgw_router::api::{Span, Time, MS, SECOND};
@@ -114,7 +116,12 @@
     /// An instance that looks for the others from now on.
     pub fn new(now: Time, set: ClusterSettings) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(set.rng_seed);
-        let foca = Foca::new(set.identity, config(set.expected_instances), rng, PostcardCodec);
+        let foca = Foca::new(
+            set.identity,
+            config(set.expected_instances),
+            rng,
+            PostcardCodec,
+        );
         Cluster {
             foca,
             set,
@@ -181,7 +188,11 @@
             }
             _ => false,
         };
-        *(if taken { &mut self.counts.received } else { &mut self.counts.malformed }) += 1;
+        *(if taken {
+            &mut self.counts.received
+        } else {
+            &mut self.counts.malformed
+        }) += 1;
         self.settle(now, effects, events);
         taken.then_some(()).ok_or(Refused::Malformed)
     }
@@ -193,7 +204,10 @@
             return;
         };
         let from = postcard::to_allocvec(&self.set.identity.peer).unwrap_or_default();
-        let bytes = self.set.keyring.sign(KIND_SESSIONS, &[from, message.encode(to)].concat());
+        let bytes = self
+            .set
+            .keyring
+            .sign(KIND_SESSIONS, &[from, message.encode(to)].concat());
         self.counts.sent += 1;
         effects.push(Effect::Send(seen.identity.address, bytes));
     }
@@ -201,27 +215,51 @@
     /// Sends word of the list to an address, whether or not it is known who is there.
     pub fn send_bootstrap(&mut self, to: SocketAddr, body: &[u8], effects: &mut Vec<Effect>) {
         self.counts.sent += 1;
-        effects.push(Effect::Send(to, self.set.keyring.sign(KIND_BOOTSTRAP, body)));
+        effects.push(Effect::Send(
+            to,
+            self.set.keyring.sign(KIND_BOOTSTRAP, body),
+        ));
     }
 
     /// When [`Cluster::handle_timeout`] is wanted next.
     pub fn next_timeout(&self) -> Time {
-        let timer = self.timers.first_key_value().map_or(Time::MAX, |((at, _), _)| *at);
+        let timer = self
+            .timers
+            .first_key_value()
+            .map_or(Time::MAX, |((at, _), _)| *at);
         timer.min(self.seek_at)
     }
 
     /// Time has come for what waits for it.
-    pub fn handle_timeout(&mut self, now: Time, effects: &mut Vec<Effect>, events: &mut Vec<Event>) {
-        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
+    pub fn handle_timeout(
+        &mut self,
+        now: Time,
+        effects: &mut Vec<Effect>,
+        events: &mut Vec<Event>,
+    ) {
+        while let Some(entry) = self
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
             // Errors here mean that a timer came too late for what it was for; foca goes on with the next one.
             let _ = self.foca.handle_timer(entry.remove(), &mut self.runtime);
             self.settle(now, effects, events);
         }
         if self.seek_at <= now {
             self.seek_at = now + SEEK;
-            let up: BTreeSet<_> = self.foca.iter_members().map(|member| member.id().address).collect();
+            let up: BTreeSet<_> = self
+                .foca
+                .iter_members()
+                .map(|member| member.id().address)
+                .collect();
             let mine = self.set.identity.address;
-            for seed in self.set.seeds.iter().filter(|seed| **seed != mine && !up.contains(seed)) {
+            for seed in self
+                .set
+                .seeds
+                .iter()
+                .filter(|seed| **seed != mine && !up.contains(seed))
+            {
                 let _ = self.foca.announce(Identity::at(*seed), &mut self.runtime);
             }
             let seeds = &self.set.seeds;
@@ -235,12 +273,16 @@
     fn settle(&mut self, now: Time, effects: &mut Vec<Effect>, events: &mut Vec<Event>) {
         while let Some((to, body)) = self.runtime.to_send() {
             self.counts.sent += 1;
-            effects.push(Effect::Send(to.address, self.set.keyring.sign(KIND_MEMBERSHIP, &body)));
+            effects.push(Effect::Send(
+                to.address,
+                self.set.keyring.sign(KIND_MEMBERSHIP, &body),
+            ));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.next_timer += 1;
             let after = Span::try_from(after.as_nanos()).unwrap_or(Span::MAX / 4);
-            self.timers.insert((now + after.max(MS), self.next_timer), timer);
+            self.timers
+                .insert((now + after.max(MS), self.next_timer), timer);
         }
         while let Some(notification) = self.runtime.to_notify() {
             match notification {
@@ -261,17 +303,26 @@
             }
             return;
         }
-        let later = |seen: &InstanceStatus| seen.identity.peer.incarnation > identity.peer.incarnation;
+        let later =
+            |seen: &InstanceStatus| seen.identity.peer.incarnation > identity.peer.incarnation;
         // Word of a life that is over, or more instances than anybody has.
         let full = self.known.len() >= KNOWN_MOST && !self.known.contains_key(&node);
         if node == NodeId(0) || full || self.known.get(&node).is_some_and(later) {
             return;
         }
-        let seen = InstanceStatus { identity, up, since: now };
+        let seen = InstanceStatus {
+            identity,
+            up,
+            since: now,
+        };
         let before = self.known.insert(node, seen);
         if before.is_none_or(|before| (before.up, before.identity.peer) != (up, identity.peer)) {
             self.epoch += 1;
-            events.push(if up { Event::Up(identity) } else { Event::Down(identity) });
+            events.push(if up {
+                Event::Up(identity)
+            } else {
+                Event::Down(identity)
+            });
         }
     }
 }
@@ -279,8 +330,8 @@
 /// Foca's times for a local network, with datagrams of ours.
 fn config(expected: u32) -> Config {
     let mut config = Config::new_lan(NonZeroU32::new(expected.max(2)).unwrap_or(NonZeroU32::MIN));
-    config.max_packet_size =
-        std::num::NonZeroUsize::new(crate::MAX_DATAGRAM_BYTES - SEAL_BYTES).unwrap_or(config.max_packet_size);
+    config.max_packet_size = std::num::NonZeroUsize::new(crate::MAX_DATAGRAM_BYTES - SEAL_BYTES)
+        .unwrap_or(config.max_packet_size);
     config
 }
 
--- a/crates/stackgw-cluster/src/identity.rs
+++ b/crates/stackgw-cluster/src/identity.rs
@@ -18,7 +18,14 @@
 impl Identity {
     /// Whoever is at an address, to be asked for the others.
     pub(crate) fn at(address: SocketAddr) -> Self {
-        Identity { peer: Peer { node: NodeId(0), incarnation: 0 }, address, rejoin_count: 0 }
+        Identity {
+            peer: Peer {
+                node: NodeId(0),
+                incarnation: 0,
+            },
+            address,
+            rejoin_count: 0,
+        }
     }
 }
 
@@ -26,7 +33,10 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Identity { rejoin_count: self.rejoin_count.checked_add(1)?, ..*self })
+        Some(Identity {
+            rejoin_count: self.rejoin_count.checked_add(1)?,
+            ..*self
+        })
     }
 
     fn addr(&self) -> SocketAddr {
--- a/crates/stackgw-cluster/src/lib.rs
+++ b/crates/stackgw-cluster/src/lib.rs
@@ -8,7 +8,9 @@
 mod identity;
 mod seal;
 
-pub use cluster::{Cluster, ClusterSettings, DatagramCounters, Effect, Event, InstanceStatus, Refused};
+pub use cluster::{
+    Cluster, ClusterSettings, DatagramCounters, Effect, Event, InstanceStatus, Refused,
+};
 pub use identity::Identity;
 pub use seal::{Key, Keyring, Unsealed, SEAL_BYTES};
 
--- a/crates/stackgw-cluster/src/seal.rs
+++ b/crates/stackgw-cluster/src/seal.rs
@@ -38,7 +38,10 @@
         let material = [cluster.as_bytes(), b"\0", secret].concat();
         let key = blake3::derive_key("stackgw cluster datagrams 1", &material);
         let [a, b, c, d, ..] = blake3::derive_key("stackgw cluster key name 1", &key);
-        Some(Key { key, name: [a, b, c, d] })
+        Some(Key {
+            key,
+            name: [a, b, c, d],
+        })
     }
 
     fn tag(&self, head: &[u8], body: &[u8]) -> blake3::Hash {
@@ -74,7 +77,9 @@
 
     /// Seals a body.
     pub fn sign(&self, kind: u8, body: &[u8]) -> Vec<u8> {
-        let Some(key) = self.keys.first() else { return Vec::new() };
+        let Some(key) = self.keys.first() else {
+            return Vec::new();
+        };
         let mut bytes = Vec::with_capacity(SEAL_BYTES + body.len());
         bytes.extend([VERSION, kind]);
         bytes.extend(key.name);
@@ -90,7 +95,11 @@
     }
 
     /// Opens what is no datagram and may be longer.
-    pub fn verify_sized<'a>(&self, bytes: &'a [u8], most: usize) -> Result<(u8, &'a [u8]), Unsealed> {
+    pub fn verify_sized<'a>(
+        &self,
+        bytes: &'a [u8],
+        most: usize,
+    ) -> Result<(u8, &'a [u8]), Unsealed> {
         if bytes.len() < SEAL_BYTES || bytes.len() > most || bytes[0] != VERSION {
             return Err(Unsealed::Foreign);
         }
@@ -101,11 +110,18 @@
             unknown = false;
             let fits = key.tag(head, body);
             // In constant time: how much of a made up seal fits must not show.
-            let differs = fits.as_bytes()[..TAG].iter().zip(tag).fold(0, |sum, (a, b)| sum | (a ^ b));
+            let differs = fits.as_bytes()[..TAG]
+                .iter()
+                .zip(tag)
+                .fold(0, |sum, (a, b)| sum | (a ^ b));
             if differs == 0 {
                 return Ok((head[1], body));
             }
         }
-        Err(if unknown { Unsealed::UnknownKey } else { Unsealed::Forged })
+        Err(if unknown {
+            Unsealed::UnknownKey
+        } else {
+            Unsealed::Forged
+        })
     }
 }
--- a/crates/stackgw-cluster/tests/cluster.rs
+++ b/crates/stackgw-cluster/tests/cluster.rs
@@ -13,7 +13,10 @@
 }
 
 fn ring(secrets: &[&str]) -> Keyring {
-    let keys = secrets.iter().map(|s| Key::new("depots", s.as_bytes()).expect("a secret")).collect();
+    let keys = secrets
+        .iter()
+        .map(|s| Key::new("depots", s.as_bytes()).expect("a secret"))
+        .collect();
     Keyring::new(keys).expect("keys")
 }
 
@@ -30,12 +33,25 @@
 
 impl Net {
     fn new() -> Self {
-        Net { now: 0, up: BTreeMap::new(), flying: Vec::new(), events: Vec::new(), refused: Vec::new() }
+        Net {
+            now: 0,
+            up: BTreeMap::new(),
+            flying: Vec::new(),
+            events: Vec::new(),
+            refused: Vec::new(),
+        }
     }
 
     fn start(&mut self, n: u16, incarnation: u64, ring: Keyring) {
-        let peer = Peer { node: NodeId(u64::from(n)), incarnation };
-        let me = Identity { peer, address: address(n), rejoin_count: 0 };
+        let peer = Peer {
+            node: NodeId(u64::from(n)),
+            incarnation,
+        };
+        let me = Identity {
+            peer,
+            address: address(n),
+            rejoin_count: 0,
+        };
         let set = ClusterSettings {
             identity: me,
             seeds: vec![address(1), address(2)],
@@ -53,32 +69,60 @@
             for (n, cluster) in &mut self.up {
                 let (mut effects, mut events) = (Vec::new(), Vec::new());
                 cluster.handle_timeout(self.now, &mut effects, &mut events);
-                self.flying.extend(effects.into_iter().map(|Effect::Send(to, bytes)| (to, bytes)));
-                self.events.extend(events.into_iter().map(|event| (*n, event)));
+                self.flying.extend(
+                    effects
+                        .into_iter()
+                        .map(|Effect::Send(to, bytes)| (to, bytes)),
+                );
+                self.events
+                    .extend(events.into_iter().map(|event| (*n, event)));
             }
             for (to, bytes) in std::mem::take(&mut self.flying) {
                 assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                 let n = to.port() - 7_000;
-                let Some(cluster) = self.up.get_mut(&n) else { continue };
+                let Some(cluster) = self.up.get_mut(&n) else {
+                    continue;
+                };
                 let (mut effects, mut events) = (Vec::new(), Vec::new());
-                self.refused
-                    .extend(cluster.handle_datagram(self.now, &bytes, &mut effects, &mut events).err());
-                self.flying.extend(effects.into_iter().map(|Effect::Send(to, bytes)| (to, bytes)));
-                self.events.extend(events.into_iter().map(|event| (n, event)));
+                self.refused.extend(
+                    cluster
+                        .handle_datagram(self.now, &bytes, &mut effects, &mut events)
+                        .err(),
+                );
+                self.flying.extend(
+                    effects
+                        .into_iter()
+                        .map(|Effect::Send(to, bytes)| (to, bytes)),
+                );
+                self.events
+                    .extend(events.into_iter().map(|event| (n, event)));
             }
         }
     }
 
     fn sees(&self, n: u16) -> Vec<(u64, u64)> {
-        let up = self.up[&n].instances().filter(|seen| seen.up).map(|seen| seen.identity.peer);
+        let up = self.up[&n]
+            .instances()
+            .filter(|seen| seen.up)
+            .map(|seen| seen.identity.peer);
         up.map(|peer| (peer.node.0, peer.incarnation)).collect()
     }
 
     fn say(&mut self, from: u16, to: u16, message: &Message) {
         let mut effects = Vec::new();
-        let peer = Peer { node: NodeId(u64::from(to)), incarnation: 0 };
-        self.up.get_mut(&from).expect("it runs").send(peer, message, &mut effects);
-        self.flying.extend(effects.into_iter().map(|Effect::Send(to, bytes)| (to, bytes)));
+        let peer = Peer {
+            node: NodeId(u64::from(to)),
+            incarnation: 0,
+        };
+        self.up
+            .get_mut(&from)
+            .expect("it runs")
+            .send(peer, message, &mut effects);
+        self.flying.extend(
+            effects
+                .into_iter()
+                .map(|Effect::Send(to, bytes)| (to, bytes)),
+        );
     }
 }
 
@@ -105,11 +149,19 @@
     let mut net = Net::new();
     (1..=2).for_each(|n| net.start(n, 7, ring(&[OLD])));
     net.pass(3 * SECOND);
-    let message = Message::PositionQuery { nonce: 9, key: SessionKey(3) };
+    let message = Message::PositionQuery {
+        nonce: 9,
+        key: SessionKey(3),
+    };
     net.say(1, 2, &message);
     net.pass(100 * MS);
-    let peer = |node, incarnation| Peer { node: NodeId(node), incarnation };
-    assert!(net.events.contains(&(2, Event::Sessions(peer(1, 7), peer(2, 0), message))));
+    let peer = |node, incarnation| Peer {
+        node: NodeId(node),
+        incarnation,
+    };
+    assert!(net
+        .events
+        .contains(&(2, Event::Sessions(peer(1, 7), peer(2, 0), message))));
 }
 
 #[test]
@@ -119,7 +171,10 @@
     net.pass(3 * SECOND);
     for keys in [&[OLD, NEW][..], &[NEW, OLD], &[NEW]] {
         for n in 1..=3 {
-            net.up.get_mut(&n).expect("it runs").reload(net.now, ring(keys), vec![address(1)]);
+            net.up
+                .get_mut(&n)
+                .expect("it runs")
+                .reload(net.now, ring(keys), vec![address(1)]);
             net.pass(2 * SECOND);
         }
     }
@@ -136,8 +191,12 @@
     assert!(net.sees(1).is_empty() && net.sees(2).is_empty());
     assert!(net.up[&1].counters().unknown_key > 0 && net.up[&2].counters().unknown_key > 0);
     // The same secret in another cluster is another key.
-    let elsewhere = Keyring::new(vec![Key::new("other", OLD.as_bytes()).expect("a secret")]).expect("keys");
-    assert_eq!(ring(&[OLD]).verify(&elsewhere.sign(1, b"x")), Err(Unsealed::UnknownKey));
+    let elsewhere =
+        Keyring::new(vec![Key::new("other", OLD.as_bytes()).expect("a secret")]).expect("keys");
+    assert_eq!(
+        ring(&[OLD]).verify(&elsewhere.sign(1, b"x")),
+        Err(Unsealed::UnknownKey)
+    );
     assert!(Key::new("depots", b"short").is_none());
 }
 
@@ -146,9 +205,16 @@
     let mut net = Net::new();
     (1..=2).for_each(|n| net.start(n, 7, ring(&[OLD])));
     net.pass(3 * SECOND);
-    let peer = Peer { node: NodeId(1), incarnation: 8 };
+    let peer = Peer {
+        node: NodeId(1),
+        incarnation: 8,
+    };
     let set = ClusterSettings {
-        identity: Identity { peer, address: address(9), rejoin_count: 0 },
+        identity: Identity {
+            peer,
+            address: address(9),
+            rejoin_count: 0,
+        },
         seeds: vec![address(2)],
         keyring: ring(&[OLD]),
         rng_seed: 3,
@@ -156,8 +222,9 @@
     };
     net.up.insert(9, Cluster::new(net.now, set));
     net.pass(10 * SECOND);
-    let told =
-        |(n, event): &(u16, Event)| *n == 1 && matches!(event, Event::Superseded(id) if id.peer == peer);
+    let told = |(n, event): &(u16, Event)| {
+        *n == 1 && matches!(event, Event::Superseded(id) if id.peer == peer)
+    };
     assert!(net.events.iter().any(told));
 }
 
--- a/crates/stackgw-cluster/tests/fixtures.rs
+++ b/crates/stackgw-cluster/tests/fixtures.rs
@@ -16,12 +16,18 @@
 const STEP: Time = 10 * MS;
 
 fn ring(secrets: &[&str]) -> Keyring {
-    let keys = secrets.iter().map(|s| Key::new("depots", s.as_bytes()).expect("a secret")).collect();
+    let keys = secrets
+        .iter()
+        .map(|s| Key::new("depots", s.as_bytes()).expect("a secret"))
+        .collect();
     Keyring::new(keys).expect("keys")
 }
 
 fn peer(node: u64, incarnation: u64) -> Peer {
-    Peer { node: NodeId(node), incarnation }
+    Peer {
+        node: NodeId(node),
+        incarnation,
+    }
 }
 
 fn address(n: u16) -> SocketAddr {
@@ -29,7 +35,11 @@
 }
 
 fn instance(now: Time, n: u16, incarnation: u64) -> Cluster {
-    let me = Identity { peer: peer(n.into(), incarnation), address: address(n), rejoin_count: 0 };
+    let me = Identity {
+        peer: peer(n.into(), incarnation),
+        address: address(n),
+        rejoin_count: 0,
+    };
     let seeds = vec![address(1), address(2)];
     Cluster::new(
         now,
@@ -47,7 +57,11 @@
     Message::Ask {
         nonce: 9,
         roster: 300,
-        stamp: Some(StoreVersion { store_id: 70_000, records: 4, last_incarnation: u64::MAX }),
+        stamp: Some(StoreVersion {
+            store_id: 70_000,
+            records: 4,
+            last_incarnation: u64::MAX,
+        }),
     }
 }
 
@@ -67,10 +81,19 @@
     }
 
     fn collect(&mut self, n: u16, effects: Vec<Effect>, events: Vec<Event>) {
-        let datagrams: Vec<_> = effects.into_iter().map(|Effect::Send(to, bytes)| (to, bytes)).collect();
-        self.sent.extend(datagrams.iter().cloned().map(|(to, bytes)| (self.now, to, bytes)));
+        let datagrams: Vec<_> = effects
+            .into_iter()
+            .map(|Effect::Send(to, bytes)| (to, bytes))
+            .collect();
+        self.sent.extend(
+            datagrams
+                .iter()
+                .cloned()
+                .map(|(to, bytes)| (self.now, to, bytes)),
+        );
         self.flying.extend(datagrams);
-        self.events.extend(events.into_iter().map(|event| (n, event)));
+        self.events
+            .extend(events.into_iter().map(|event| (n, event)));
     }
 
     fn pass(&mut self, span: Time) {
@@ -85,7 +108,9 @@
             }
             for (to, bytes) in std::mem::take(&mut self.flying) {
                 let n = to.port() - 7_000;
-                let Some(cluster) = self.instances.get_mut(&n) else { continue };
+                let Some(cluster) = self.instances.get_mut(&n) else {
+                    continue;
+                };
                 let (mut effects, mut events) = (Vec::new(), Vec::new());
                 cluster
                     .handle_datagram(self.now, &bytes, &mut effects, &mut events)
@@ -108,8 +133,9 @@
 }
 
 fn exchange() -> String {
-    let line =
-        |(at, to, bytes): &(Time, SocketAddr, Vec<u8>)| format!("{} {} {}\n", at / MS, to.port(), hex(bytes));
+    let line = |(at, to, bytes): &(Time, SocketAddr, Vec<u8>)| {
+        format!("{} {} {}\n", at / MS, to.port(), hex(bytes))
+    };
     run().sent.iter().map(line).collect()
 }
 
@@ -119,7 +145,9 @@
     let (mut other, mut events) = (instance(0, 2, 8), Vec::new());
     other.handle_timeout(0, &mut effects, &mut events);
     let Effect::Send(_, announcement) = effects.remove(0);
-    cluster.handle_datagram(0, &announcement, &mut effects, &mut events).expect("a good datagram");
+    cluster
+        .handle_datagram(0, &announcement, &mut effects, &mut events)
+        .expect("a good datagram");
     let mut named = vec![("membership", announcement)];
     let Effect::Send(_, feed) = effects.remove(0);
     named.push(("membership-answer", feed));
@@ -156,7 +184,10 @@
 #[ignore = "writes the fixtures"]
 fn write_the_datagrams() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures");
-    let text: String = datagrams().iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes))).collect();
+    let text: String = datagrams()
+        .iter()
+        .map(|(name, bytes)| format!("{name} {}\n", hex(bytes)))
+        .collect();
     std::fs::write(format!("{folder}/datagrams.hex"), text).expect("the fixture is written");
     std::fs::write(format!("{folder}/exchange.hex"), exchange()).expect("the fixture is written");
 }
@@ -175,30 +206,60 @@
     let mut cluster = instance(0, 2, 8);
     let mut read = |name: &str| {
         let mut events = Vec::new();
-        cluster.handle_datagram(0, &fixed(name), &mut Vec::new(), &mut events).expect(name);
+        cluster
+            .handle_datagram(0, &fixed(name), &mut Vec::new(), &mut events)
+            .expect(name);
         events
     };
-    assert_eq!(read("sessions"), [Event::Sessions(peer(1, 10), peer(2, 8), message())]);
-    assert_eq!(read("start"), [Event::Bootstrap(b"word of the list".to_vec())]);
+    assert_eq!(
+        read("sessions"),
+        [Event::Sessions(peer(1, 10), peer(2, 8), message())]
+    );
+    assert_eq!(
+        read("start"),
+        [Event::Bootstrap(b"word of the list".to_vec())]
+    );
     assert_eq!(read("start-empty"), [Event::Bootstrap(Vec::new())]);
-    let first = Identity { peer: peer(1, 10), address: address(1), rejoin_count: 0 };
+    let first = Identity {
+        peer: peer(1, 10),
+        address: address(1),
+        rejoin_count: 0,
+    };
     assert_eq!(read("membership-answer"), [Event::Up(first)]);
     assert_eq!(cluster.counters().received, 4);
     let mut cluster = instance(0, 1, 10);
     let mut events = Vec::new();
-    cluster.handle_datagram(0, &fixed("membership"), &mut Vec::new(), &mut events).expect("an announcement");
-    let second = Identity { peer: peer(2, 8), address: address(2), rejoin_count: 0 };
+    cluster
+        .handle_datagram(0, &fixed("membership"), &mut Vec::new(), &mut events)
+        .expect("an announcement");
+    let second = Identity {
+        peer: peer(2, 8),
+        address: address(2),
+        rejoin_count: 0,
+    };
     assert_eq!(events, [Event::Up(second)]);
 }
 
 #[test]
 fn a_fixed_seal_is_opened_by_any_valid_key_alone() {
     let sealed = fixed("sealed");
-    assert_eq!(ring(&[SECRET, OTHER_SECRET]).verify(&sealed), Ok((200, &b"\x00\x01\xff"[..])));
+    assert_eq!(
+        ring(&[SECRET, OTHER_SECRET]).verify(&sealed),
+        Ok((200, &b"\x00\x01\xff"[..]))
+    );
     assert_eq!(ring(&[SECRET]).verify(&sealed), Err(Unsealed::UnknownKey));
-    assert_eq!(ring(&[OTHER_SECRET]).verify(&[&sealed[..], b"0"].concat()), Err(Unsealed::Forged));
-    assert_eq!(ring(&[OTHER_SECRET]).verify(&sealed[..21]), Err(Unsealed::Foreign));
-    assert_eq!(ring(&[OTHER_SECRET]).verify_sized(&sealed, 24), Err(Unsealed::Foreign));
+    assert_eq!(
+        ring(&[OTHER_SECRET]).verify(&[&sealed[..], b"0"].concat()),
+        Err(Unsealed::Forged)
+    );
+    assert_eq!(
+        ring(&[OTHER_SECRET]).verify(&sealed[..21]),
+        Err(Unsealed::Foreign)
+    );
+    assert_eq!(
+        ring(&[OTHER_SECRET]).verify_sized(&sealed, 24),
+        Err(Unsealed::Foreign)
+    );
 }
 
 #[test]
--- a/crates/stackgw-config/src/lib.rs
+++ b/crates/stackgw-config/src/lib.rs
@@ -125,7 +125,9 @@
 fn alone(sessions: &Option<Sessions>) -> impl FnOnce(&Option<Cluster>, &()) -> garde::Result + '_ {
     move |cluster, ()| {
         let twice = cluster.is_some() && sessions.is_some();
-        (!twice).then_some(()).ok_or_else(|| garde::Error::new("sessions name the cluster already"))
+        (!twice)
+            .then_some(())
+            .ok_or_else(|| garde::Error::new("sessions name the cluster already"))
     }
 }
 
@@ -293,7 +295,11 @@
     pub keys: Vec<PathBuf>,
     /// The names of the gateways that keep marks: in a small deployment all of them, in a large one three to five. The same
     /// on every instance.
-    #[garde(length(min = 1, max = 16), inner(length(min = 1, max = 64)), custom(distinct))]
+    #[garde(
+        length(min = 1, max = 16),
+        inner(length(min = 1, max = 64)),
+        custom(distinct)
+    )]
     pub keepers: Vec<String>,
     /// So many keepers hold each session's marks.
     #[serde(default = "two")]
@@ -391,16 +397,21 @@
 fn distinct(names: &[String], _: &()) -> garde::Result {
     let different: BTreeSet<_> = names.iter().collect();
     let twice = different.len() < names.len();
-    (!twice).then_some(()).ok_or_else(|| garde::Error::new("names one keeper twice"))
+    (!twice)
+        .then_some(())
+        .ok_or_else(|| garde::Error::new("names one keeper twice"))
 }
 
 fn between(least: &'static str, most: &'static str) -> Check<Duration> {
     Box::new(move |duration, ()| {
         let fits = |text: &str, order: fn(&Duration, &Duration) -> bool| {
-            text.parse::<Duration>().is_ok_and(|end| order(duration, &end))
+            text.parse::<Duration>()
+                .is_ok_and(|end| order(duration, &end))
         };
         let inside = fits(least, |a, b| a >= b) && fits(most, |a, b| a <= b);
-        inside.then_some(()).ok_or_else(|| garde::Error::new(format!("must be from {least} to {most}")))
+        inside
+            .then_some(())
+            .ok_or_else(|| garde::Error::new(format!("must be from {least} to {most}")))
     })
 }
 
--- a/crates/stackgw-config/src/read.rs
+++ b/crates/stackgw-config/src/read.rs
@@ -32,14 +32,24 @@
 
 /// Reads and validates a file.
 pub fn read(file: &Path) -> Result<OperatorConfig, ConfigError> {
-    let problem = |line, what| ConfigError { file: file.to_owned(), line, what };
+    let problem = |line, what| ConfigError {
+        file: file.to_owned(),
+        line,
+        what,
+    };
     let about = std::fs::metadata(file).map_err(|e| problem(None, e.to_string()))?;
     // Danger: a pipe in its place would hold up the whole gateway.
     if !about.is_file() || about.len() > FILE_MOST {
-        return Err(problem(None, "is no plain file, or too large a one".to_owned()));
+        return Err(problem(
+            None,
+            "is no plain file, or too large a one".to_owned(),
+        ));
     }
     let text = std::fs::read_to_string(file).map_err(|e| problem(None, e.to_string()))?;
-    if text.lines().all(|line| line.trim().is_empty() || line.trim_start().starts_with('#')) {
+    if text
+        .lines()
+        .all(|line| line.trim().is_empty() || line.trim_start().starts_with('#'))
+    {
         return Ok(OperatorConfig::default());
     }
     serde_saphyr::from_str_valid(&text).map_err(|e| {
@@ -52,15 +62,21 @@
 /// The library draws the place under its message and repeats its line's number; the first line that says something is
 /// enough, with the field's name where it lacks that.
 fn one_line(text: &str, there: &str) -> String {
-    let drawn = |line: &&str| !line.trim().is_empty() && !line.trim_start().starts_with(['|', '-', '=']);
+    let drawn =
+        |line: &&str| !line.trim().is_empty() && !line.trim_start().starts_with(['|', '-', '=']);
     let first = text.lines().find(drawn).unwrap_or(text).trim();
     let first = first.strip_prefix("error: ").unwrap_or(first);
     let said = match first.split_once(": ") {
         Some((place, said)) if place.starts_with("line ") => said,
         _ => first,
     };
-    match there.split_once(':').map(|(key, _)| key.trim().trim_start_matches("- ")) {
-        Some(key) if !key.is_empty() && !said.contains(key) && !said.starts_with("missing field") => {
+    match there
+        .split_once(':')
+        .map(|(key, _)| key.trim().trim_start_matches("- "))
+    {
+        Some(key)
+            if !key.is_empty() && !said.contains(key) && !said.starts_with("missing field") =>
+        {
             format!("{key}: {said}")
         }
         _ => said.to_owned(),
--- a/crates/stackgw-config/tests/file.rs
+++ b/crates/stackgw-config/tests/file.rs
@@ -18,7 +18,8 @@
 "#;
 
 fn from(name: &str, text: &str) -> Result<OperatorConfig, String> {
-    let file = std::env::temp_dir().join(format!("stackgw-config-{}-{name}.yaml", std::process::id()));
+    let file =
+        std::env::temp_dir().join(format!("stackgw-config-{}-{name}.yaml", std::process::id()));
     std::fs::write(&file, text).expect("a file");
     let read = read(&file).map_err(|problem| {
         let said = problem.to_string();
@@ -37,7 +38,13 @@
         (sessions.lease, sessions.horizon),
         (Duration::from_millis(500), Duration::from_millis(60_000))
     );
-    assert_eq!((sessions.homes, sessions.cluster().advertised_address().port()), (2, 7101));
+    assert_eq!(
+        (
+            sessions.homes,
+            sessions.cluster().advertised_address().port()
+        ),
+        (2, 7101)
+    );
     assert_eq!(from("empty", "# nothing\n"), Ok(OperatorConfig::default()));
 }
 
--- a/crates/stackgw-config/tests/fixtures.rs
+++ b/crates/stackgw-config/tests/fixtures.rs
@@ -13,7 +13,9 @@
 const FULL: [&str; 2] = ["sessions.full.yaml", "cluster.full.yaml"];
 
 fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 fn text_of(name: &str) -> String {
@@ -40,7 +42,10 @@
 }
 
 fn local_seeds(ports: &[u16]) -> Vec<std::net::SocketAddr> {
-    ports.iter().map(|port| ([127, 0, 0, 1], *port).into()).collect()
+    ports
+        .iter()
+        .map(|port| ([127, 0, 0, 1], *port).into())
+        .collect()
 }
 
 fn default_flight() -> Flight {
@@ -101,7 +106,10 @@
 
 fn examples() -> [(&'static str, OperatorConfig); 3] {
     let control = Some(PathBuf::from("/run/stackgw/g0.sock"));
-    let flight = OperatorConfig { flight: Some(default_flight()), ..OperatorConfig::default() };
+    let flight = OperatorConfig {
+        flight: Some(default_flight()),
+        ..OperatorConfig::default()
+    };
     let sessions = OperatorConfig {
         control: control.clone(),
         sessions: Some(default_sessions()),
@@ -121,9 +129,17 @@
         list: Some(PathBuf::from("/var/lib/stackgw/g0.list")),
         ..default_start()
     };
-    let start =
-        OperatorConfig { control, cluster: Some(cluster), start: Some(start), ..OperatorConfig::default() };
-    [("flight.example.yaml", flight), ("sessions.example.yaml", sessions), ("start.example.yaml", start)]
+    let start = OperatorConfig {
+        control,
+        cluster: Some(cluster),
+        start: Some(start),
+        ..OperatorConfig::default()
+    };
+    [
+        ("flight.example.yaml", flight),
+        ("sessions.example.yaml", sessions),
+        ("start.example.yaml", start),
+    ]
 }
 
 fn full_sessions() -> Sessions {
@@ -169,7 +185,9 @@
 
 fn full() -> [(&'static str, OperatorConfig); 2] {
     let sessions = OperatorConfig {
-        log: Log { format: LogFormat::Json },
+        log: Log {
+            format: LogFormat::Json,
+        },
         control: Some(PathBuf::from("/run/stackgw/g0.sock")),
         sessions: Some(full_sessions()),
         flight: Some(full_flight()),
@@ -193,7 +211,10 @@
             keys: paths(&["/etc/stackgw/cluster.key"]),
             expected: 9,
         }),
-        flight: Some(Flight { auth: bearer, ..default_flight() }),
+        flight: Some(Flight {
+            auth: bearer,
+            ..default_flight()
+        }),
         start: Some(default_start()),
         ..OperatorConfig::default()
     };
@@ -205,7 +226,11 @@
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     for (name, wanted) in examples() {
         assert_eq!(read(&fixture(name)).expect("a good file"), wanted, "{name}");
-        assert_eq!(read(&deploy.join(name)).expect("a good file"), wanted, "deploy/{name}");
+        assert_eq!(
+            read(&deploy.join(name)).expect("a good file"),
+            wanted,
+            "deploy/{name}"
+        );
     }
 }
 
@@ -253,7 +278,10 @@
         " [",
         " 'x",
     ];
-    let mut wrong: Vec<_> = values.iter().map(|value| format!("{key}:{value}")).collect();
+    let mut wrong: Vec<_> = values
+        .iter()
+        .map(|value| format!("{key}:{value}"))
+        .collect();
     wrong.push(String::new());
     wrong.push(format!("{key}s:{value}"));
     wrong.push(format!("{line}\\n{line}"));
@@ -290,8 +318,14 @@
     let mut rejected = 0;
     for line in ERRORS.lines() {
         let fields: Vec<_> = line.split('\t').collect();
-        let [name, number, replacement, wanted] = fields[..] else { panic!("'{line}' has other fields") };
-        let result = result_text(&replaced(name, number.parse().expect("a number"), replacement));
+        let [name, number, replacement, wanted] = fields[..] else {
+            panic!("'{line}' has other fields")
+        };
+        let result = result_text(&replaced(
+            name,
+            number.parse().expect("a number"),
+            replacement,
+        ));
         assert_eq!(result, wanted, "{name} line {number} '{replacement}'");
         rejected += usize::from(wanted != "accepted");
     }
@@ -306,7 +340,10 @@
         "/nowhere/at/all.yaml: No such file or directory (os error 2)"
     );
     let folder = std::env::temp_dir();
-    assert_eq!(said(&folder), format!("{}: is no plain file, or too large a one", folder.display()));
+    assert_eq!(
+        said(&folder),
+        format!("{}: is no plain file, or too large a one", folder.display())
+    );
     let both = text_of(FULL[0]) + "cluster: {name: x, listen: '127.0.0.1:1', keys: [k]}\n";
     assert_eq!(
         result_text(&both),
--- a/crates/stackgw-flight/src/asked.rs
+++ b/crates/stackgw-flight/src/asked.rs
@@ -68,14 +68,23 @@
             Some(at) => statement.split_at(at),
             None => (statement, ""),
         };
-        let inner = comment.trim().strip_prefix("/*").and_then(|c| c.strip_suffix("*/"));
+        let inner = comment
+            .trim()
+            .strip_prefix("/*")
+            .and_then(|c| c.strip_suffix("*/"));
         if !comment.is_empty() && inner.is_none() {
             return Err(Wrong("the statement's comment has no end".to_owned()));
         }
         let mut said = Headers::default();
-        for part in inner.unwrap_or_default().split(',').map(str::trim).filter(|part| !part.is_empty()) {
-            let (name, value) =
-                part.split_once('=').ok_or(Wrong("the comment holds no name=value".to_owned()))?;
+        for part in inner
+            .unwrap_or_default()
+            .split(',')
+            .map(str::trim)
+            .filter(|part| !part.is_empty())
+        {
+            let (name, value) = part
+                .split_once('=')
+                .ok_or(Wrong("the comment holds no name=value".to_owned()))?;
             let place = match name {
                 "c" => &mut said.class,
                 "cluster" => &mut said.group,
@@ -83,7 +92,9 @@
                 "after" => &mut said.after,
                 "r" => &mut said.repeat,
                 "d" => {
-                    let ms = value.parse().map_err(|_| Wrong("d is no number of milliseconds".to_owned()))?;
+                    let ms = value
+                        .parse()
+                        .map_err(|_| Wrong("d is no number of milliseconds".to_owned()))?;
                     if said.wait_ms.replace(ms).is_some() {
                         return Err(Wrong("the comment names d twice".to_owned()));
                     }
@@ -114,18 +125,29 @@
             asked.repeat.as_ref(),
             asked.id.as_ref(),
         ];
-        let plain =
-            |text: &str| text.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'));
+        let plain = |text: &str| {
+            text.bytes()
+                .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
+        };
         // Danger: a header that closes the comment would write the rest of the statement itself.
-        if let Some(bad) = fields.into_iter().flatten().find(|text| !plain(text) || text.is_empty()) {
-            return Err(Wrong(format!("'{}' is no name or number", bad.escape_default())));
+        if let Some(bad) = fields
+            .into_iter()
+            .flatten()
+            .find(|text| !plain(text) || text.is_empty())
+        {
+            return Err(Wrong(format!(
+                "'{}' is no name or number",
+                bad.escape_default()
+            )));
         }
         Ok(asked)
     }
 
     /// Whether it writes, as far as its first word tells.
     pub fn writes(&self) -> bool {
-        self.sql.get(..6).is_some_and(|word| word.eq_ignore_ascii_case("insert"))
+        self.sql
+            .get(..6)
+            .is_some_and(|word| word.eq_ignore_ascii_case("insert"))
     }
 
     /// Whether it names this group.
@@ -151,7 +173,9 @@
         for (at, value) in outside_quotes(&self.sql).zip(values) {
             sql += &self.sql[from..at];
             match value {
-                Value::Text(text) if text.contains('\'') || text.contains("/*") || text.contains('\0') => {
+                Value::Text(text)
+                    if text.contains('\'') || text.contains("/*") || text.contains('\0') =>
+                {
                     return Err(Wrong("a key holds a quote, a comment or a zero".to_owned()));
                 }
                 Value::Text(text) => sql += &format!("'{text}'"),
@@ -164,12 +188,17 @@
             from = at + 1;
         }
         sql += &self.sql[from..];
-        Ok(Asked { sql, ..self.clone() })
+        Ok(Asked {
+            sql,
+            ..self.clone()
+        })
     }
 
     /// The statement for one execution, under this id where it has none, with this time where it has none or a longer one.
     pub fn statement(&self, id: &str, wait_ms: u64) -> String {
-        let Asked { sql, class, group, .. } = self;
+        let Asked {
+            sql, class, group, ..
+        } = self;
         let id = self.id.as_deref().unwrap_or(id);
         let wait = self.wait_ms.map_or(wait_ms, |own| own.min(wait_ms));
         let mut text = format!("{sql} /* id={id},c={class},d={wait},cluster={group}");
@@ -193,14 +222,20 @@
 }
 
 fn missing(header: &str, comment: &str) -> Wrong {
-    Wrong(format!("x-stackgw-{header} is missing, and so is {comment} in the statement's comment"))
+    Wrong(format!(
+        "x-stackgw-{header} is missing, and so is {comment} in the statement's comment"
+    ))
 }
 
-fn agreed(name: &str, comment: Option<String>, header: &Option<String>) -> Result<Option<String>, Wrong> {
+fn agreed(
+    name: &str,
+    comment: Option<String>,
+    header: &Option<String>,
+) -> Result<Option<String>, Wrong> {
     match (comment, header) {
-        (Some(comment), Some(header)) if comment != *header => {
-            Err(Wrong(format!("x-stackgw-{name} and the statement's comment contradict each other")))
-        }
+        (Some(comment), Some(header)) if comment != *header => Err(Wrong(format!(
+            "x-stackgw-{name} and the statement's comment contradict each other"
+        ))),
         (comment, header) => Ok(comment.or_else(|| header.clone())),
     }
 }
--- a/crates/stackgw-flight/src/back.rs
+++ b/crates/stackgw-flight/src/back.rs
@@ -13,7 +13,9 @@
 use arrow_flight::error::FlightError;
 use arrow_flight::flight_service_client::FlightServiceClient;
 use arrow_flight::sql::{CommandStatementQuery, ProstMessageExt};
-use arrow_flight::{Action, CancelFlightInfoRequest, FlightData, FlightDescriptor, FlightInfo, Ticket};
+use arrow_flight::{
+    Action, CancelFlightInfoRequest, FlightData, FlightDescriptor, FlightInfo, Ticket,
+};
 use arrow_ipc::MessageHeader;
 use arrow_schema::DataType;
 use futures::StreamExt;
@@ -187,12 +189,16 @@
         let link = lock(&self.links).entry(on).or_default().clone();
         let wait = Duration::from_millis(self.set.connect_ms);
         let opens = async {
-            let requests = u32::try_from(self.set.per_channel).unwrap_or(u32::MAX).saturating_add(1);
+            let requests = u32::try_from(self.set.per_channel)
+                .unwrap_or(u32::MAX)
+                .saturating_add(1);
             Endpoint::from_shared(format!("http://{at}"))?
                 .connect_timeout(wait)
                 .tcp_nodelay(true)
                 .initial_stream_window_size(WINDOW)
-                .initial_connection_window_size(WINDOW.saturating_mul(requests).min(i32::MAX as u32))
+                .initial_connection_window_size(
+                    WINDOW.saturating_mul(requests).min(i32::MAX as u32),
+                )
                 .connect()
                 .await
         };
@@ -215,8 +221,8 @@
         gone: &mut oneshot::Receiver<()>,
     ) -> Option<Ended> {
         let info = Mutex::new(None);
-        let mut client =
-            FlightServiceClient::new(channel.clone()).max_decoding_message_size(self.set.message_bytes);
+        let mut client = FlightServiceClient::new(channel.clone())
+            .max_decoding_message_size(self.set.message_bytes);
         if !ask.is_write {
             let work = async {
                 match ask.may_stream {
@@ -242,8 +248,15 @@
         let count = self.alone.fetch_add(1, Ordering::Relaxed) + 1;
         let known = tokio::time::timeout(wait, work).await.is_ok();
         if count.is_power_of_two() {
-            let end = if known { "ended" } else { "did not end in time" };
-            info!(self.log, "writes whose client had left by their end: {count}; the last one {end}");
+            let end = if known {
+                "ended"
+            } else {
+                "did not end in time"
+            };
+            info!(
+                self.log,
+                "writes whose client had left by their end: {count}; the last one {end}"
+            );
         }
         None
     }
@@ -255,12 +268,16 @@
         ask: &BackendRequest,
         kept: &Mutex<Option<FlightInfo>>,
     ) -> Result<(MetadataMap, Streaming<FlightData>), Status> {
-        let command = CommandStatementQuery { query: ask.statement.clone(), transaction_id: None };
+        let command = CommandStatementQuery {
+            query: ask.statement.clone(),
+            transaction_id: None,
+        };
         let asked = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         let mut request = Request::new(asked);
         request.set_timeout(Duration::from_millis(ask.timeout_ms));
         let info = client.get_flight_info(request).await?.into_inner();
-        let ticket = ticket(&info).ok_or_else(|| Status::internal("the answer is not in one place"))?;
+        let ticket =
+            ticket(&info).ok_or_else(|| Status::internal("the answer is not in one place"))?;
         *lock(kept) = Some(info);
         let mut request = Request::new(ticket);
         if !ask.may_stream {
@@ -281,8 +298,9 @@
     ) -> Ended {
         let gathered = async {
             let (said, stream) = self.begin(client, ask, info).await?;
-            let batches =
-                FlightRecordBatchStream::new_from_flight_data(stream.map(|d| d.map_err(FlightError::from)));
+            let batches = FlightRecordBatchStream::new_from_flight_data(
+                stream.map(|d| d.map_err(FlightError::from)),
+            );
             let value = one_value(batches, self.set.value_bytes).await?;
             Ok((said, value))
         };
@@ -319,17 +337,33 @@
             Err(status) => return self.failed(id, &status).await,
         };
         let Some(first) = first.filter(|data| kind(data) == Some(MessageHeader::Schema)) else {
-            return self.failed(id, &Status::internal("the stream does not begin with its schema")).await;
+            return self
+                .failed(
+                    id,
+                    &Status::internal("the stream does not begin with its schema"),
+                )
+                .await;
         };
         let told = told(&said);
         let Some((writer, reader)) = self.streams.open() else {
             // The member has done nothing wrong, and neither is it asked again: its client is told.
-            self.tell(BackendEvent::StreamStarted(id, told, Box::new(None::<Reader>))).await;
-            self.tell(BackendEvent::StreamEnded(id, Outcome::Cancelled)).await;
+            self.tell(BackendEvent::StreamStarted(
+                id,
+                told,
+                Box::new(None::<Reader>),
+            ))
+            .await;
+            self.tell(BackendEvent::StreamEnded(id, Outcome::Cancelled))
+                .await;
             return Ended::Closed(CloseReason::Disconnected, String::new());
         };
         writer.put(first);
-        self.tell(BackendEvent::StreamStarted(id, told, Box::new(Some(reader)))).await;
+        self.tell(BackendEvent::StreamStarted(
+            id,
+            told,
+            Box::new(Some(reader)),
+        ))
+        .await;
         let outcome = self.pump(id, writer, &mut stream).await;
         drop(stream);
         if outcome != Outcome::Served {
@@ -340,12 +374,20 @@
             Outcome::Served => Ended::Ready,
             // What was ended from here is nothing to complain of.
             Outcome::Cancelled => Ended::Closed(CloseReason::Disconnected, String::new()),
-            _ => Ended::Closed(CloseReason::Disconnected, format!("a stream ended as {outcome:?}")),
+            _ => Ended::Closed(
+                CloseReason::Disconnected,
+                format!("a stream ended as {outcome:?}"),
+            ),
         }
     }
 
     /// Reads on as the flow allows, until the stream has ended one way or another.
-    async fn pump(&self, id: ConnectionId, writer: Writer, stream: &mut Streaming<FlightData>) -> Outcome {
+    async fn pump(
+        &self,
+        id: ConnectionId,
+        writer: Writer,
+        stream: &mut Streaming<FlightData>,
+    ) -> Outcome {
         let mut waited = false;
         loop {
             match writer.asks() {
@@ -377,7 +419,11 @@
                 Err(status) => {
                     let gone = lost(&status).is_some();
                     writer.broken(status.message());
-                    return if gone { Outcome::ConnectionReset } else { Outcome::Error };
+                    return if gone {
+                        Outcome::ConnectionReset
+                    } else {
+                        Outcome::Error
+                    };
                 }
             }
         }
@@ -397,7 +443,10 @@
         if let Some(lost) = lost(status) {
             return Ended::Closed(lost, root_cause(status));
         }
-        let never = status.metadata().get(NEVER).is_some_and(|word| word == "never");
+        let never = status
+            .metadata()
+            .get(NEVER)
+            .is_some_and(|word| word == "never");
         let code = match status.code() {
             Code::FailedPrecondition if never => "25006",
             Code::ResourceExhausted | Code::Unavailable if never => "53300",
@@ -414,8 +463,13 @@
 fn call_off(mut client: FlightServiceClient<Channel>, info: Option<FlightInfo>) {
     let Some(info) = info else { return };
     let body = CancelFlightInfoRequest { info: Some(info) }.encode_to_vec();
-    let action = Action { r#type: CANCEL.to_owned(), body: body.into() };
-    tokio::spawn(async move { drop(tokio::time::timeout(CANCEL_WAIT, client.do_action(action)).await) });
+    let action = Action {
+        r#type: CANCEL.to_owned(),
+        body: body.into(),
+    };
+    tokio::spawn(
+        async move { drop(tokio::time::timeout(CANCEL_WAIT, client.do_action(action)).await) },
+    );
 }
 
 /// What kind of message it is; nothing else of it is read.
@@ -423,13 +477,20 @@
     if data.data_header.is_empty() && !data.app_metadata.is_empty() {
         return Some(MessageHeader::NONE);
     }
-    arrow_ipc::root_as_message(&data.data_header).ok().map(|message| message.header_type())
+    arrow_ipc::root_as_message(&data.data_header)
+        .ok()
+        .map(|message| message.header_type())
 }
 
 /// The ticket of an answer that is all in one place, and that place the member itself.
 fn ticket(info: &FlightInfo) -> Option<Ticket> {
-    let [endpoint] = &info.endpoint[..] else { return None };
-    endpoint.ticket.clone().filter(|_| endpoint.location.is_empty())
+    let [endpoint] = &info.endpoint[..] else {
+        return None;
+    };
+    endpoint
+        .ticket
+        .clone()
+        .filter(|_| endpoint.location.is_empty())
 }
 
 /// Whether a status was made here because the connection is no more: a member's own have no source.
@@ -465,7 +526,11 @@
     for frame in frames(&bytes) {
         let _ = reply.take(&frame, usize::MAX);
     }
-    StreamHeader { primary: reply.primary, position: reply.position, report: reply.report }
+    StreamHeader {
+        primary: reply.primary,
+        position: reply.position,
+        report: reply.report,
+    }
 }
 
 fn frames(bytes: &[u8]) -> Vec<Frame> {
@@ -486,11 +551,16 @@
             other => Status::internal(other.to_string()),
         })?;
         rows += batch.num_rows();
-        if rows > 1 || batch.num_columns() != 1 || batch.get_array_memory_size() > most.saturating_mul(2) {
+        if rows > 1
+            || batch.num_columns() != 1
+            || batch.get_array_memory_size() > most.saturating_mul(2)
+        {
             return Ok(None);
         }
         if batch.num_rows() == 1 {
-            let Some(found) = text_or_bytes(batch.column(0)) else { return Ok(None) };
+            let Some(found) = text_or_bytes(batch.column(0)) else {
+                return Ok(None);
+            };
             value = Some(found);
         }
     }
--- a/crates/stackgw-flight/src/door.rs
+++ b/crates/stackgw-flight/src/door.rs
@@ -4,8 +4,8 @@
 use crate::server::{now_ms, Front};
 use arrow_flight::flight_service_server::FlightService;
 use arrow_flight::{
-    Action, Criteria, Empty, FlightData, FlightDescriptor, FlightInfo, HandshakeRequest, HandshakeResponse,
-    PollInfo, SchemaResult, Ticket,
+    Action, Criteria, Empty, FlightData, FlightDescriptor, FlightInfo, HandshakeRequest,
+    HandshakeResponse, PollInfo, SchemaResult, Ticket,
 };
 use futures::StreamExt;
 use std::sync::Arc;
@@ -15,8 +15,12 @@
 
 impl Outer {
     fn known<T>(&self, request: &Request<T>) -> Result<(), Status> {
-        let Some(users) = &self.0.set.users else { return Ok(()) };
-        users.who(&self.0.set.ring, request.metadata(), now_ms()).map(|_| ())
+        let Some(users) = &self.0.set.users else {
+            return Ok(());
+        };
+        users
+            .who(&self.0.set.ring, request.metadata(), now_ms())
+            .map(|_| ())
     }
 }
 
@@ -44,7 +48,10 @@
             }
         };
         let payload = token.clone().unwrap_or_default().into_bytes().into();
-        let answer = HandshakeResponse { protocol_version: 0, payload };
+        let answer = HandshakeResponse {
+            protocol_version: 0,
+            payload,
+        };
         let mut answer = Response::new(futures::stream::once(async { Ok(answer) }).boxed());
         if let Some(token) = token.and_then(|token| format!("Bearer {token}").parse().ok()) {
             answer.metadata_mut().insert("authorization", token);
@@ -52,7 +59,10 @@
         Ok(answer)
     }
 
-    async fn get_schema(&self, request: Request<FlightDescriptor>) -> Result<Response<SchemaResult>, Status> {
+    async fn get_schema(
+        &self,
+        request: Request<FlightDescriptor>,
+    ) -> Result<Response<SchemaResult>, Status> {
         self.known(&request)?;
         self.0.schema_of(request).map(Response::new)
     }
@@ -81,7 +91,10 @@
         self.0.poll_flight_info(request).await
     }
 
-    async fn do_get(&self, request: Request<Ticket>) -> Result<Response<Self::DoGetStream>, Status> {
+    async fn do_get(
+        &self,
+        request: Request<Ticket>,
+    ) -> Result<Response<Self::DoGetStream>, Status> {
         self.known(&request)?;
         self.0.do_get(request).await
     }
@@ -94,7 +107,10 @@
         self.0.do_put(request).await
     }
 
-    async fn do_action(&self, request: Request<Action>) -> Result<Response<Self::DoActionStream>, Status> {
+    async fn do_action(
+        &self,
+        request: Request<Action>,
+    ) -> Result<Response<Self::DoActionStream>, Status> {
         self.known(&request)?;
         self.0.do_action(request).await
     }
--- a/crates/stackgw-flight/src/pass.rs
+++ b/crates/stackgw-flight/src/pass.rs
@@ -70,8 +70,16 @@
 
 impl Streams {
     pub(crate) fn new(rules: StreamLimits) -> Arc<Self> {
-        let all = All { flow: Flow::new(rules), pipes: HashMap::new(), armed: None };
-        Arc::new(Streams { all: Mutex::new(all), zero: Instant::now(), sooner: Notify::new() })
+        let all = All {
+            flow: Flow::new(rules),
+            pipes: HashMap::new(),
+            armed: None,
+        };
+        Arc::new(Streams {
+            all: Mutex::new(all),
+            zero: Instant::now(),
+            sooner: Notify::new(),
+        })
     }
 
     fn now(&self) -> Time {
@@ -102,10 +110,16 @@
                 let mut all = lock(&self.all);
                 let now = self.now();
                 let ended: Vec<_> = all.flow.due(now);
-                let pipes = ended.into_iter().filter_map(|(id, end)| Some((all.pipes.remove(&id)?, end)));
+                let pipes = ended
+                    .into_iter()
+                    .filter_map(|(id, end)| Some((all.pipes.remove(&id)?, end)));
                 let pipes: Vec<_> = pipes.collect();
                 all.armed = all.flow.next_due();
-                (pipes, all.armed.map(|at| Duration::from_nanos(at.saturating_sub(now).max(0) as u64)))
+                (
+                    pipes,
+                    all.armed
+                        .map(|at| Duration::from_nanos(at.saturating_sub(now).max(0) as u64)),
+                )
             };
             let (pipes, wait) = ended;
             for (pipe, end) in pipes {
@@ -130,8 +144,20 @@
         let pipe = Arc::new(Pipe::default());
         let id = self.with(|_, flow| flow.open()).ok()?;
         lock(&self.all).pipes.insert(id, pipe.clone());
-        let writer = Writer { streams: self.clone(), pipe: pipe.clone(), id };
-        Some((writer, Reader { streams: self.clone(), pipe, id, keeps: None }))
+        let writer = Writer {
+            streams: self.clone(),
+            pipe: pipe.clone(),
+            id,
+        };
+        Some((
+            writer,
+            Reader {
+                streams: self.clone(),
+                pipe,
+                id,
+                keeps: None,
+            },
+        ))
     }
 }
 
@@ -193,7 +219,8 @@
     }
 
     pub(crate) fn put(&self, data: FlightData) {
-        self.streams.with(|now, flow| flow.came(now, self.id, size(&data)));
+        self.streams
+            .with(|now, flow| flow.came(now, self.id, size(&data)));
         let mut held = lock(&self.pipe.held);
         if held.done.is_none() && !held.left {
             held.messages.push_back(data);
@@ -212,7 +239,10 @@
     /// The stream broke off; what came before that is its reader's.
     pub(crate) fn broken(self, why: &str) {
         self.streams.with(|_, flow| flow.over(self.id));
-        self.pipe.fail(Status::aborted(format!("the stream broke off: {why}")), None);
+        self.pipe.fail(
+            Status::aborted(format!("the stream broke off: {why}")),
+            None,
+        );
     }
 }
 
@@ -235,7 +265,8 @@
     /// Its client waits so long at most.
     pub(crate) fn limit(&self, wait: Duration) {
         let wait = Time::try_from(wait.as_nanos()).unwrap_or(Time::MAX / 2);
-        self.streams.with(|now, flow| flow.limit(self.id, now.saturating_add(wait)));
+        self.streams
+            .with(|now, flow| flow.limit(self.id, now.saturating_add(wait)));
     }
 
     pub(crate) fn keep(&mut self, keeps: Keeps) {
@@ -247,7 +278,10 @@
         let (streams, pipe, id) = (self.streams.clone(), self.pipe.clone(), self.id);
         move || {
             streams.with(|_, flow| flow.close(id));
-            pipe.fail(Status::cancelled("cancelled on the client's request"), Some(End::Late));
+            pipe.fail(
+                Status::cancelled("cancelled on the client's request"),
+                Some(End::Late),
+            );
         }
     }
 }
@@ -275,7 +309,8 @@
                 }
             }
         };
-        self.streams.with(|now, flow| flow.taken(now, self.id, size(&data)));
+        self.streams
+            .with(|now, flow| flow.taken(now, self.id, size(&data)));
         Poll::Ready(Some(Ok(data)))
     }
 }
--- a/crates/stackgw-flight/src/running.rs
+++ b/crates/stackgw-flight/src/running.rs
@@ -34,10 +34,16 @@
     /// A request that runs from now on.
     pub(crate) fn place(self: &Arc<Self>, ticket: &[u8]) -> Place {
         let (mut all, one) = (lock(&self.0), Arc::<One>::default());
-        let last = all.range((ticket.to_vec(), 0)..=(ticket.to_vec(), u64::MAX)).next_back();
+        let last = all
+            .range((ticket.to_vec(), 0)..=(ticket.to_vec(), u64::MAX))
+            .next_back();
         let key = (ticket.to_vec(), last.map_or(0, |((_, n), _)| n + 1));
         all.insert(key.clone(), one.clone());
-        Place { all: self.clone(), key, one }
+        Place {
+            all: self.clone(),
+            key,
+            one,
+        }
     }
 
     /// Stops all that runs by this ticket; whether there was any.
--- a/crates/stackgw-flight/src/sealed.rs
+++ b/crates/stackgw-flight/src/sealed.rs
@@ -33,7 +33,9 @@
 impl fmt::Display for Unusable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unusable::Foreign => "the handle is forged, foreign or sealed with a key that is no longer valid",
+            Unusable::Foreign => {
+                "the handle is forged, foreign or sealed with a key that is no longer valid"
+            }
             Unusable::Expired => "the handle has expired",
             Unusable::Other => "the handle is of another kind",
         })
@@ -45,16 +47,22 @@
 impl Sealed {
     /// Seals it until a moment, in Unix milliseconds.
     pub fn seal(&self, ring: &Keyring, until_ms: u64) -> Vec<u8> {
-        ring.sign(KIND, &postcard::to_allocvec(&(until_ms, self)).unwrap_or_default())
+        ring.sign(
+            KIND,
+            &postcard::to_allocvec(&(until_ms, self)).unwrap_or_default(),
+        )
     }
 
     /// Opens a handle.
     pub fn open(ring: &Keyring, handle: &[u8], now_ms: u64) -> Result<Self, Unusable> {
-        let (kind, body) = ring.verify_sized(handle, usize::MAX).map_err(|_| Unusable::Foreign)?;
+        let (kind, body) = ring
+            .verify_sized(handle, usize::MAX)
+            .map_err(|_| Unusable::Foreign)?;
         if kind != KIND {
             return Err(Unusable::Foreign);
         }
-        let (until, sealed): (u64, Sealed) = postcard::from_bytes(body).map_err(|_| Unusable::Foreign)?;
+        let (until, sealed): (u64, Sealed) =
+            postcard::from_bytes(body).map_err(|_| Unusable::Foreign)?;
         (now_ms < until).then_some(sealed).ok_or(Unusable::Expired)
     }
 }
--- a/crates/stackgw-flight/src/server.rs
+++ b/crates/stackgw-flight/src/server.rs
@@ -18,8 +18,8 @@
 use arrow_flight::sql::server::{FlightSqlService, PeekableFlightDataStream};
 use arrow_flight::sql::*;
 use arrow_flight::{
-    Action, ActionType, CancelFlightInfoRequest, CancelFlightInfoResult, CancelStatus, FlightDescriptor,
-    FlightEndpoint, FlightInfo, IpcMessage, SchemaAsIpc, SchemaResult, Ticket,
+    Action, ActionType, CancelFlightInfoRequest, CancelFlightInfoResult, CancelStatus,
+    FlightDescriptor, FlightEndpoint, FlightInfo, IpcMessage, SchemaAsIpc, SchemaResult, Ticket,
 };
 use arrow_ipc::writer::IpcWriteOptions;
 use arrow_schema::{DataType, Field, Schema, SchemaRef};
@@ -126,7 +126,13 @@
         tokio::spawn(passing.clone().watch());
         tokio::spawn(Back::new(set.members.clone(), behind, passing, log.clone()).run());
         let gate = Arc::new(Semaphore::new(set.requests));
-        let front = Front { gate, door, sql: sql_info(), set, runs: Arc::default() };
+        let front = Front {
+            gate,
+            door,
+            sql: sql_info(),
+            set,
+            runs: Arc::default(),
+        };
         let streams = front.set.streams;
         let served = Server::builder()
             .max_concurrent_streams(Some(streams))
@@ -135,7 +141,8 @@
             .http2_keepalive_interval(Some(Duration::from_secs(10)))
             .http2_keepalive_timeout(Some(Duration::from_secs(10)))
             .add_service(
-                FlightServiceServer::new(Outer(Arc::new(front))).max_decoding_message_size(256 << 10),
+                FlightServiceServer::new(Outer(Arc::new(front)))
+                    .max_decoding_message_size(256 << 10),
             )
             .serve_with_incoming_shutdown(incoming, async { drop(stopped.await) });
         if let Err(why) = served.await {
@@ -143,11 +150,17 @@
         }
     };
     // What is still open when the gateway ends has had its answer by then; nobody waits for idle connections.
-    let thread = std::thread::Builder::new().name("flight".to_owned()).spawn(move || {
-        let _ = runtime.block_on(runtime.spawn(serve));
-        runtime.shutdown_timeout(Duration::from_millis(100));
-    });
-    Ok(Running { at, stop: Some(stop), thread: Some(thread.map_err(wrong)?) })
+    let thread = std::thread::Builder::new()
+        .name("flight".to_owned())
+        .spawn(move || {
+            let _ = runtime.block_on(runtime.spawn(serve));
+            runtime.shutdown_timeout(Duration::from_millis(100));
+        });
+    Ok(Running {
+        at,
+        stop: Some(stop),
+        thread: Some(thread.map_err(wrong)?),
+    })
 }
 
 pub(crate) struct Front {
@@ -169,7 +182,9 @@
 }
 
 pub(crate) fn now_ms() -> u64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -180,25 +195,42 @@
 
 /// The answer to which types of tables there are, as the protocol has it.
 fn table_types() -> SchemaRef {
-    Arc::new(Schema::new(vec![Field::new("table_type", DataType::Utf8, false)]))
+    Arc::new(Schema::new(vec![Field::new(
+        "table_type",
+        DataType::Utf8,
+        false,
+    )]))
 }
 
 /// The parameters of a statement: a key, and a value for one that writes.
 fn parameters(asked: &Asked) -> Schema {
-    let fields = [Field::new("uid", DataType::Utf8, false), Field::new("val", DataType::Binary, false)];
-    Schema::new(fields.into_iter().take(asked.parameters()).collect::<Vec<_>>())
+    let fields = [
+        Field::new("uid", DataType::Utf8, false),
+        Field::new("val", DataType::Binary, false),
+    ];
+    Schema::new(
+        fields
+            .into_iter()
+            .take(asked.parameters())
+            .collect::<Vec<_>>(),
+    )
 }
 
 fn ipc(schema: &Schema) -> Result<IpcMessage, Status> {
     let options = IpcWriteOptions::default();
-    IpcMessage::try_from(SchemaAsIpc::new(schema, &options)).map_err(|e| Status::internal(e.to_string()))
+    IpcMessage::try_from(SchemaAsIpc::new(schema, &options))
+        .map_err(|e| Status::internal(e.to_string()))
 }
 
 fn headers<T>(request: &Request<T>, slack_ms: u64) -> Result<Headers, Status> {
     let metadata = request.metadata();
     let text = |name: &str| -> Result<Option<String>, Status> {
-        let Some(value) = metadata.get(name) else { return Ok(None) };
-        let text = value.to_str().map_err(|_| Status::invalid_argument(format!("{name} is no text")))?;
+        let Some(value) = metadata.get(name) else {
+            return Ok(None);
+        };
+        let text = value
+            .to_str()
+            .map_err(|_| Status::invalid_argument(format!("{name} is no text")))?;
         Ok(Some(text.to_owned()))
     };
     Ok(Headers {
@@ -213,10 +245,14 @@
 
 /// `grpc-timeout`: up to eight digits and a unit; less what an answer needs on its way, as the client counts to the end.
 fn timeout_ms(metadata: &MetadataMap, slack_ms: u64) -> Result<Option<u64>, Status> {
-    let Some(value) = metadata.get("grpc-timeout") else { return Ok(None) };
+    let Some(value) = metadata.get("grpc-timeout") else {
+        return Ok(None);
+    };
     let wrong = || Status::invalid_argument("grpc-timeout is no time");
     let text = value.to_str().map_err(|_| wrong())?;
-    let (digits, unit) = text.split_at_checked(text.len().saturating_sub(1)).ok_or_else(wrong)?;
+    let (digits, unit) = text
+        .split_at_checked(text.len().saturating_sub(1))
+        .ok_or_else(wrong)?;
     let plain = (1..=8).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
     let number: u64 = digits.parse().ok().filter(|_| plain).ok_or_else(wrong)?;
     let ms = match unit {
@@ -278,9 +314,13 @@
     let endpoint = FlightEndpoint::new().with_ticket(Ticket::new(ticket));
     let mut info = FlightInfo::new();
     if let Some(schema) = schema {
-        info = info.try_with_schema(schema).map_err(|e| Status::internal(e.to_string()))?;
+        info = info
+            .try_with_schema(schema)
+            .map_err(|e| Status::internal(e.to_string()))?;
     }
-    Ok(Response::new(info.with_endpoint(endpoint).with_descriptor(descriptor)))
+    Ok(Response::new(
+        info.with_endpoint(endpoint).with_descriptor(descriptor),
+    ))
 }
 
 /// What an action's or a call's bytes are, if they are a command of this kind.
@@ -292,8 +332,10 @@
 fn handle_of(info: Option<&FlightInfo>) -> Option<Vec<u8>> {
     let ticket = &info?.endpoint.first()?.ticket.as_ref()?.ticket;
     let statement = command::<TicketStatementQuery>(ticket).map(|t| t.statement_handle.to_vec());
-    let prepared =
-        || command::<CommandPreparedStatementQuery>(ticket).map(|t| t.prepared_statement_handle.to_vec());
+    let prepared = || {
+        command::<CommandPreparedStatementQuery>(ticket)
+            .map(|t| t.prepared_statement_handle.to_vec())
+    };
     statement.or_else(prepared)
 }
 
@@ -323,7 +365,10 @@
     }
 
     /// What GetSchema tells of a command.
-    pub(crate) fn schema_of(&self, request: Request<FlightDescriptor>) -> Result<SchemaResult, Status> {
+    pub(crate) fn schema_of(
+        &self,
+        request: Request<FlightDescriptor>,
+    ) -> Result<SchemaResult, Status> {
         let bytes = request.get_ref().cmd.clone();
         let asked = if let Some(query) = command::<CommandStatementQuery>(&bytes) {
             self.asked(&query.query, query.transaction_id.as_ref(), &request)?
@@ -332,7 +377,9 @@
         } else if command::<CommandGetTableTypes>(&bytes).is_some() {
             return ipc(&table_types()).map(|IpcMessage(schema)| SchemaResult { schema });
         } else {
-            return Err(Status::unimplemented("the schema of statements and table types is told"));
+            return Err(Status::unimplemented(
+                "the schema of statements and table types is told",
+            ));
         };
         let none = || Status::unimplemented("this group's members tell the schema with the answer");
         let IpcMessage(schema) = ipc(&*self.known_schema(&asked).ok_or_else(none)?)?;
@@ -341,8 +388,8 @@
 
     /// Stops what runs here by a client's word. What runs at another instance is stopped there alone.
     fn stop(&self, info: Option<&FlightInfo>) -> Result<(), Status> {
-        let handle =
-            handle_of(info).ok_or_else(|| Status::invalid_argument("that holds no ticket of ours"))?;
+        let handle = handle_of(info)
+            .ok_or_else(|| Status::invalid_argument("that holds no ticket of ours"))?;
         match Sealed::open(&self.set.ring, &handle, now_ms()) {
             Err(Unusable::Foreign) => return Err(unusable(Unusable::Foreign)),
             Err(Unusable::Expired | Unusable::Other) | Ok(_) => {}
@@ -411,7 +458,10 @@
         let value = match answer {
             FrontendResponse::Final(ended) => served(ended)?,
             FrontendResponse::Stream(passed) => {
-                let reader = passed.downcast::<Option<Reader>>().ok().and_then(|reader| *reader);
+                let reader = passed
+                    .downcast::<Option<Reader>>()
+                    .ok()
+                    .and_then(|reader| *reader);
                 let full = || status(&FinalResponse::Rejected("too many streams are open", None));
                 let mut reader = reader.ok_or_else(full)?;
                 // A client that named no time reads for as long as it goes on.
@@ -419,7 +469,11 @@
                     reader.limit(Duration::from_millis(wait));
                 }
                 place.ends_by(reader.canceller());
-                reader.keep(Keeps { _waits: waits, _permit: permit, _place: place });
+                reader.keep(Keeps {
+                    _waits: waits,
+                    _permit: permit,
+                    _place: place,
+                });
                 return Ok(Response::new(reader.boxed()));
             }
         };
@@ -432,30 +486,42 @@
 
     async fn update(&self, asked: &Asked, wait_ms: Option<u64>) -> Result<i64, Status> {
         if !asked.writes() {
-            return Err(Status::invalid_argument("a statement that reads goes by GetFlightInfo and DoGet"));
+            return Err(Status::invalid_argument(
+                "a statement that reads goes by GetFlightInfo and DoGet",
+            ));
         }
         self.run(asked, wait_ms).await.map(|_| 1)
     }
 
     /// The parameters that a client sends: one batch of one row.
     async fn bound(&self, data: PeekableFlightDataStream) -> Result<Vec<Value>, Status> {
-        let batches = FlightRecordBatchStream::new_from_flight_data(data.map_err(FlightError::from));
+        let batches =
+            FlightRecordBatchStream::new_from_flight_data(data.map_err(FlightError::from));
         let batches: Vec<RecordBatch> = batches.take(2).try_collect().await?;
         let [batch] = &batches[..] else {
             return Err(Status::invalid_argument("parameters come in one batch"));
         };
         if batch.num_rows() != 1 {
-            return Err(Status::invalid_argument("parameters come in one row: each is a request of its own"));
+            return Err(Status::invalid_argument(
+                "parameters come in one row: each is a request of its own",
+            ));
         }
         let value = |column: &Arc<dyn Array>| match column.data_type() {
             DataType::Utf8 => Some(Value::Text(column.as_string::<i32>().value(0).to_owned())),
             DataType::LargeUtf8 => Some(Value::Text(column.as_string::<i64>().value(0).to_owned())),
             DataType::Utf8View => Some(Value::Text(column.as_string_view().value(0).to_owned())),
             DataType::Binary => Some(Value::Bytes(column.as_binary::<i32>().value(0).to_vec())),
-            DataType::LargeBinary => Some(Value::Bytes(column.as_binary::<i64>().value(0).to_vec())),
+            DataType::LargeBinary => {
+                Some(Value::Bytes(column.as_binary::<i64>().value(0).to_vec()))
+            }
             _ => None,
         };
-        let values: Option<Vec<_>> = batch.columns().iter().filter(|c| !c.is_null(0)).map(value).collect();
+        let values: Option<Vec<_>> = batch
+            .columns()
+            .iter()
+            .filter(|c| !c.is_null(0))
+            .map(value)
+            .collect();
         values.ok_or_else(|| Status::invalid_argument("parameters are texts and bytes"))
     }
 }
@@ -472,9 +538,16 @@
         let asked = self.asked(&query.query, query.transaction_id.as_ref(), &request)?;
         reads(&asked)?;
         let schema = self.known_schema(&asked);
-        let sealed = Sealed::Ticket(asked.without_id(), rand::random()).seal(&self.set.ring, self.until());
-        let ticket = TicketStatementQuery { statement_handle: sealed.into() };
-        info_with(schema.as_deref(), ticket.as_any().encode_to_vec(), request.into_inner())
+        let sealed =
+            Sealed::Ticket(asked.without_id(), rand::random()).seal(&self.set.ring, self.until());
+        let ticket = TicketStatementQuery {
+            statement_handle: sealed.into(),
+        };
+        info_with(
+            schema.as_deref(),
+            ticket.as_any().encode_to_vec(),
+            request.into_inner(),
+        )
     }
 
     async fn do_get_statement(
@@ -485,7 +558,8 @@
         let wait = self.wait(&request)?;
         match Sealed::open(&self.set.ring, &ticket.statement_handle, now_ms()).map_err(unusable)? {
             Sealed::Ticket(asked, _) => {
-                self.rows(&asked, wait, self.runs.place(&ticket.statement_handle)).await
+                self.rows(&asked, wait, self.runs.place(&ticket.statement_handle))
+                    .await
             }
             _ => Err(unusable(Unusable::Other)),
         }
@@ -505,7 +579,9 @@
         query: ActionCreatePreparedStatementRequest,
         request: Request<Action>,
     ) -> Result<ActionCreatePreparedStatementResult, Status> {
-        let asked = self.asked(&query.query, query.transaction_id.as_ref(), &request)?.without_id();
+        let asked = self
+            .asked(&query.query, query.transaction_id.as_ref(), &request)?
+            .without_id();
         let dataset = match self.known_schema(&asked) {
             Some(schema) => ipc(&schema)?.0,
             None => prost::bytes::Bytes::new(),
@@ -533,9 +609,13 @@
         request: Request<PeekableFlightDataStream>,
     ) -> Result<DoPutPreparedStatementResult, Status> {
         let asked = self.prepared(&query.prepared_statement_handle)?;
-        let bound = asked.bind(&self.bound(request.into_inner()).await?).map_err(|why| invalid(&why))?;
+        let bound = asked
+            .bind(&self.bound(request.into_inner()).await?)
+            .map_err(|why| invalid(&why))?;
         let handle = Sealed::Prepared(bound).seal(&self.set.ring, self.until());
-        Ok(DoPutPreparedStatementResult { prepared_statement_handle: Some(handle.into()) })
+        Ok(DoPutPreparedStatementResult {
+            prepared_statement_handle: Some(handle.into()),
+        })
     }
 
     async fn do_put_prepared_statement_update(
@@ -546,7 +626,9 @@
         let wait = self.wait(&request)?;
         let mut asked = self.prepared(&query.prepared_statement_handle)?;
         if asked.parameters() > 0 {
-            asked = asked.bind(&self.bound(request.into_inner()).await?).map_err(|why| invalid(&why))?;
+            asked = asked
+                .bind(&self.bound(request.into_inner()).await?)
+                .map_err(|why| invalid(&why))?;
         }
         self.update(&asked, wait).await
     }
@@ -559,7 +641,11 @@
         let asked = self.prepared(&query.prepared_statement_handle)?;
         reads(&asked)?;
         let schema = self.known_schema(&asked);
-        info_with(schema.as_deref(), query.as_any().encode_to_vec(), request.into_inner())
+        info_with(
+            schema.as_deref(),
+            query.as_any().encode_to_vec(),
+            request.into_inner(),
+        )
     }
 
     async fn do_get_prepared_statement(
@@ -632,7 +718,9 @@
             Field::new("val", DataType::Binary, true),
         ]);
         let mut builder = query.into_builder();
-        builder.append(CATALOG, SCHEMA, TABLE, "TABLE", &columns).map_err(Status::from)?;
+        builder
+            .append(CATALOG, SCHEMA, TABLE, "TABLE", &columns)
+            .map_err(Status::from)?;
         let schema = builder.schema();
         Ok(stream(schema, builder.build()))
     }
@@ -642,7 +730,11 @@
         query: CommandGetTableTypes,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        info(&table_types(), query.as_any().encode_to_vec(), request.into_inner())
+        info(
+            &table_types(),
+            query.as_any().encode_to_vec(),
+            request.into_inner(),
+        )
     }
 
     async fn do_get_table_types(
@@ -661,8 +753,15 @@
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
         let ticket = query.as_any().encode_to_vec();
-        let data = self.sql.as_ref().map_err(|e| Status::internal(e.to_string()))?;
-        info(&query.into_builder(data).schema(), ticket, request.into_inner())
+        let data = self
+            .sql
+            .as_ref()
+            .map_err(|e| Status::internal(e.to_string()))?;
+        info(
+            &query.into_builder(data).schema(),
+            ticket,
+            request.into_inner(),
+        )
     }
 
     async fn do_get_sql_info(
@@ -670,7 +769,10 @@
         query: CommandGetSqlInfo,
         _: Request<Ticket>,
     ) -> Result<Response<Stream>, Status> {
-        let data = self.sql.as_ref().map_err(|e| Status::internal(e.to_string()))?;
+        let data = self
+            .sql
+            .as_ref()
+            .map_err(|e| Status::internal(e.to_string()))?;
         let builder = query.into_builder(data);
         let schema = builder.schema();
         Ok(stream(schema, builder.build()))
@@ -678,7 +780,10 @@
 
     async fn list_custom_actions(&self) -> Option<Vec<Result<ActionType, Status>>> {
         let description = "Stops the query of a FlightInfo that runs at this gateway".to_owned();
-        Some(vec![Ok(ActionType { r#type: CANCEL.to_owned(), description })])
+        Some(vec![Ok(ActionType {
+            r#type: CANCEL.to_owned(),
+            description,
+        })])
     }
 
     async fn do_action_fallback(
@@ -689,11 +794,17 @@
             return Err(Status::unimplemented("there is no such action"));
         }
         let asked = CancelFlightInfoRequest::decode(&*request.get_ref().body);
-        let asked = asked.map_err(|e| Status::invalid_argument(format!("the action's body: {e}")))?;
+        let asked =
+            asked.map_err(|e| Status::invalid_argument(format!("the action's body: {e}")))?;
         self.stop(asked.info.as_ref())?;
-        let body = CancelFlightInfoResult { status: CancelStatus::Cancelled.into() }.encode_to_vec();
+        let body = CancelFlightInfoResult {
+            status: CancelStatus::Cancelled.into(),
+        }
+        .encode_to_vec();
         let result = arrow_flight::Result { body: body.into() };
-        Ok(Response::new(futures::stream::once(async { Ok(result) }).boxed()))
+        Ok(Response::new(
+            futures::stream::once(async { Ok(result) }).boxed(),
+        ))
     }
 
     async fn do_action_cancel_query(
@@ -704,7 +815,9 @@
         let info = FlightInfo::decode(&*query.info);
         let info = info.map_err(|e| Status::invalid_argument(format!("the action's body: {e}")))?;
         self.stop(Some(&info))?;
-        Ok(ActionCancelQueryResult { result: CANCEL_RESULT_CANCELLED })
+        Ok(ActionCancelQueryResult {
+            result: CANCEL_RESULT_CANCELLED,
+        })
     }
 
     async fn register_sql_info(&self, _: i32, _: &SqlInfo) {}
--- a/crates/stackgw-flight/src/users.rs
+++ b/crates/stackgw-flight/src/users.rs
@@ -45,11 +45,18 @@
                 continue;
             }
             let wrong = |why: &str| wrong(&format!("line {}: {why}", n + 1));
-            let (name, secret) = line.split_once(':').ok_or_else(|| wrong("is no name:secret"))?;
+            let (name, secret) = line
+                .split_once(':')
+                .ok_or_else(|| wrong("is no name:secret"))?;
             if name.is_empty() || secret.len() < LEAST {
-                return Err(wrong("the name is empty, or the secret has fewer than 8 bytes"));
+                return Err(wrong(
+                    "the name is empty, or the secret has fewer than 8 bytes",
+                ));
             }
-            if known.insert(name.to_owned(), blake3::hash(secret.as_bytes())).is_some() {
+            if known
+                .insert(name.to_owned(), blake3::hash(secret.as_bytes()))
+                .is_some()
+            {
                 return Err(wrong("names a user twice"));
             }
         }
@@ -60,10 +67,19 @@
     }
 
     /// Who asks, by the header `authorization`.
-    pub(crate) fn who(&self, ring: &Keyring, headers: &MetadataMap, now_ms: u64) -> Result<String, Status> {
+    pub(crate) fn who(
+        &self,
+        ring: &Keyring,
+        headers: &MetadataMap,
+        now_ms: u64,
+    ) -> Result<String, Status> {
         let unknown = || Status::unauthenticated("who asks is not known");
-        let header = headers.get("authorization").and_then(|value| value.to_str().ok());
-        let (scheme, word) = header.and_then(|text| text.split_once(' ')).ok_or_else(unknown)?;
+        let header = headers
+            .get("authorization")
+            .and_then(|value| value.to_str().ok());
+        let (scheme, word) = header
+            .and_then(|text| text.split_once(' '))
+            .ok_or_else(unknown)?;
         let word = word.trim();
         if self.way == AuthScheme::Bearer {
             let hash = blake3::hash(word.as_bytes());
@@ -83,8 +99,13 @@
         }
         let text = String::from_utf8(plain).map_err(|_| unknown())?;
         let (name, secret) = text.split_once(':').ok_or_else(unknown)?;
-        let good = self.known.get(name).is_some_and(|known| *known == blake3::hash(secret.as_bytes()));
-        (good && scheme.eq_ignore_ascii_case("basic")).then(|| name.to_owned()).ok_or_else(unknown)
+        let good = self
+            .known
+            .get(name)
+            .is_some_and(|known| *known == blake3::hash(secret.as_bytes()));
+        (good && scheme.eq_ignore_ascii_case("basic"))
+            .then(|| name.to_owned())
+            .ok_or_else(unknown)
     }
 
     /// The token that a handshake gives.
--- a/crates/stackgw-flight/tests/wire_fixtures.rs
+++ b/crates/stackgw-flight/tests/wire_fixtures.rs
@@ -13,7 +13,9 @@
 const NOW_MS: u64 = 1_700_000_000_000;
 
 fn fixture(name: &str) -> String {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    let file = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name);
     std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{}: {error}", file.display()))
 }
 
@@ -27,26 +29,40 @@
     for (number, (was, is)) in expected.lines().zip(actual.lines()).enumerate() {
         assert_eq!(was, is, "{name}, line {}", number + 1);
     }
-    panic!("{name}: {} lines were expected, {} came", expected.lines().count(), actual.lines().count());
+    panic!(
+        "{name}: {} lines were expected, {} came",
+        expected.lines().count(),
+        actual.lines().count()
+    );
 }
 
 fn hex(bytes: &[u8]) -> String {
-    bytes.iter().fold(String::new(), |text, byte| text + &format!("{byte:02x}"))
+    bytes
+        .iter()
+        .fold(String::new(), |text, byte| text + &format!("{byte:02x}"))
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two hexadecimal digits");
+    let byte =
+        |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two hexadecimal digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
 fn ring() -> Keyring {
     let key = |secret: &str| Key::new("flight", secret.as_bytes()).expect("a secret");
-    Keyring::new(vec![key("the first secret of the fixtures"), key("the second secret of the fixtures")])
-        .expect("keys")
+    Keyring::new(vec![
+        key("the first secret of the fixtures"),
+        key("the second secret of the fixtures"),
+    ])
+    .expect("keys")
 }
 
 fn headers(class: &str, group: &str) -> Headers {
-    Headers { class: Some(class.to_owned()), group: Some(group.to_owned()), ..Headers::default() }
+    Headers {
+        class: Some(class.to_owned()),
+        group: Some(group.to_owned()),
+        ..Headers::default()
+    }
 }
 
 fn all_headers() -> Headers {
@@ -81,14 +97,23 @@
 fn sealed_handles_keep_their_bytes_and_their_contents() {
     let mut actual = String::new();
     for (name, sealed) in handles() {
-        writeln!(actual, "{name} {}", hex(&sealed.seal(&ring(), UNTIL_MS))).expect("a string takes all");
+        writeln!(actual, "{name} {}", hex(&sealed.seal(&ring(), UNTIL_MS)))
+            .expect("a string takes all");
     }
     assert_equals_fixture("handles.txt", &actual);
     for (line, (name, sealed)) in fixture("handles.txt").lines().zip(handles()) {
         let (named, handle) = line.split_once(' ').expect("a name and a handle");
         assert_eq!(named, name);
-        assert_eq!(Sealed::open(&ring(), &unhex(handle), NOW_MS), Ok(sealed), "{name}");
-        assert_eq!(Sealed::open(&ring(), &unhex(handle), UNTIL_MS), Err(Unusable::Expired), "{name}");
+        assert_eq!(
+            Sealed::open(&ring(), &unhex(handle), NOW_MS),
+            Ok(sealed),
+            "{name}"
+        );
+        assert_eq!(
+            Sealed::open(&ring(), &unhex(handle), UNTIL_MS),
+            Err(Unusable::Expired),
+            "{name}"
+        );
     }
 }
 
@@ -96,22 +121,41 @@
 fn statuses_keep_their_codes_texts_and_details() {
     let outcomes = [
         ("served", FinalResponse::Served(b"row".to_vec())),
-        ("refused", FinalResponse::Rejected("too many requests are open", None)),
-        ("refused-with-a-time", FinalResponse::Rejected("too many requests are open", Some(250))),
-        ("refused-with-a-negative-time", FinalResponse::Rejected("not now", Some(-1))),
+        (
+            "refused",
+            FinalResponse::Rejected("too many requests are open", None),
+        ),
+        (
+            "refused-with-a-time",
+            FinalResponse::Rejected("too many requests are open", Some(250)),
+        ),
+        (
+            "refused-with-a-negative-time",
+            FinalResponse::Rejected("not now", Some(-1)),
+        ),
         ("not-yet", FinalResponse::Unavailable("the gateway ends")),
         ("failed", FinalResponse::Failed("nothing is promised")),
-        ("malformed", FinalResponse::Malformed("the class is not known")),
+        (
+            "malformed",
+            FinalResponse::Malformed("the class is not known"),
+        ),
     ];
     let mut actual = String::new();
     for (name, ended) in outcomes {
         let status = status(&ended);
         let (code, details) = (i32::from(status.code()), hex(status.details()));
-        writeln!(actual, "{name} code={code} text={:?} details={details}", status.message()).expect("room");
+        writeln!(
+            actual,
+            "{name} code={code} text={:?} details={details}",
+            status.message()
+        )
+        .expect("room");
     }
-    for (name, unusable) in
-        [("foreign", Unusable::Foreign), ("expired", Unusable::Expired), ("other", Unusable::Other)]
-    {
+    for (name, unusable) in [
+        ("foreign", Unusable::Foreign),
+        ("expired", Unusable::Expired),
+        ("other", Unusable::Other),
+    ] {
         writeln!(actual, "handle-{name} text={:?}", unusable.to_string()).expect("room");
     }
     let inner = std::io::Error::other("the innermost");
@@ -131,9 +175,18 @@
         (statement(""), all_headers()),
         (statement("; /* d=90 */"), all_headers()),
         (statement(" /* d=900 */"), all_headers()),
-        (statement(" /* c=stock-check, cluster=2, id=id-1, after=1700000000000, r=1 */"), all_headers()),
-        (statement(" /* c=look,cluster=7,id=a.b_c-d,after=5,r=0,d=4,other=8,, */"), Headers::default()),
-        (statement(" /* first */ /* c=look,cluster=2 */"), Headers::default()),
+        (
+            statement(" /* c=stock-check, cluster=2, id=id-1, after=1700000000000, r=1 */"),
+            all_headers(),
+        ),
+        (
+            statement(" /* c=look,cluster=7,id=a.b_c-d,after=5,r=0,d=4,other=8,, */"),
+            Headers::default(),
+        ),
+        (
+            statement(" /* first */ /* c=look,cluster=2 */"),
+            Headers::default(),
+        ),
         (statement(""), Headers::default()),
         (statement(" /* c=look */"), Headers::default()),
         (statement(" /* c=mine */"), look()),
@@ -162,7 +215,10 @@
         (statement(""), headers("look", "two")),
         (INSERT.to_owned(), headers("buy", "3")),
         (INSERT.to_lowercase(), headers("buy", "3")),
-        ("INSERT INTO state VALUES ('a?b', ?)".to_owned(), headers("buy", "3")),
+        (
+            "INSERT INTO state VALUES ('a?b', ?)".to_owned(),
+            headers("buy", "3"),
+        ),
         ("SELECT val FROM state WHERE uid = ?".to_owned(), look()),
         ("ins".to_owned(), look()),
         (String::new(), look()),
@@ -176,7 +232,12 @@
     if text.len() <= 300 {
         return format!("{text:?}");
     }
-    format!("{:?}...{:?} length={}", &text[..100], &text[text.len() - 100..], text.len())
+    format!(
+        "{:?}...{:?} length={}",
+        &text[..100],
+        &text[text.len() - 100..],
+        text.len()
+    )
 }
 
 /// All that can be asked of a statement, in one line.
@@ -211,7 +272,8 @@
 fn parameters_are_bound_as_before() {
     let text = |text: &str| Value::Text(text.to_owned());
     let insert = Asked::new(INSERT, &headers("buy", "3")).expect("a statement");
-    let quoted = Asked::new("SELECT '?' WHERE uid = ?", &headers("look", "2")).expect("a statement");
+    let quoted =
+        Asked::new("SELECT '?' WHERE uid = ?", &headers("look", "2")).expect("a statement");
     let cases = [
         (&insert, vec![text("k1"), Value::Bytes(vec![0, 16, 255])]),
         (&insert, vec![text("a?b"), Value::Bytes(vec![])]),
--- a/crates/stackgw-gateway/src/config.rs
+++ b/crates/stackgw-gateway/src/config.rs
@@ -77,7 +77,10 @@
 
 impl From<&SessionSharingConfig> for ClusterConfig {
     fn from(session_sharing: &SessionSharingConfig) -> Self {
-        ClusterConfig { options: session_sharing.options.cluster(), keyring: session_sharing.keyring.clone() }
+        ClusterConfig {
+            options: session_sharing.options.cluster(),
+            keyring: session_sharing.keyring.clone(),
+        }
     }
 }
 
@@ -103,7 +106,10 @@
 impl SessionSharingConfig {
     fn read(file: stackgw_config::Sessions) -> Result<Self, String> {
         let keyring = read_keyring("sessions.keys", &file.cluster, &file.keys)?;
-        Ok(SessionSharingConfig { options: file, keyring })
+        Ok(SessionSharingConfig {
+            options: file,
+            keyring,
+        })
     }
 }
 
@@ -155,25 +161,37 @@
         let path = var("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
         let file = PathBuf::from(path);
         let config = Self::from_text(&text_of(&file)?, var)?;
-        Ok(Config { file: Some(file), ..config })
+        Ok(Config {
+            file: Some(file),
+            ..config
+        })
     }
 
     /// The same with what the operator's file turns on.
     pub fn with_operator(self, file: &Path) -> Result<Self, String> {
         let read = stackgw_config::read(file).map_err(|problem| problem.to_string())?;
         let named = |why| format!("{}: {why}", file.display());
-        let session_sharing = read.sessions.map(SessionSharingConfig::read).transpose().map_err(named)?;
+        let session_sharing = read
+            .sessions
+            .map(SessionSharingConfig::read)
+            .transpose()
+            .map_err(named)?;
         let cluster = match (read.cluster, &session_sharing) {
             (Some(file), _) => {
-                let keyring = read_keyring("cluster.keys", &file.name, &file.keys).map_err(named)?;
-                Some(ClusterConfig { options: file, keyring })
+                let keyring =
+                    read_keyring("cluster.keys", &file.name, &file.keys).map_err(named)?;
+                Some(ClusterConfig {
+                    options: file,
+                    keyring,
+                })
             }
             (None, session_sharing) => session_sharing.as_ref().map(ClusterConfig::from),
         };
         let flight = match read.flight {
-            Some(flight) => {
-                Some((read_keyring("flight.keys", "flight", &flight.keys).map_err(named)?, flight))
-            }
+            Some(flight) => Some((
+                read_keyring("flight.keys", "flight", &flight.keys).map_err(named)?,
+                flight,
+            )),
             None => None,
         };
         let operator = Operator {
@@ -182,7 +200,13 @@
             control: read.control,
             flight: flight.map(|(keyring, flight)| (flight, keyring)),
         };
-        Ok(Config { operator, session_sharing, cluster: cluster, bootstrap: read.start, ..self })
+        Ok(Config {
+            operator,
+            session_sharing,
+            cluster: cluster,
+            bootstrap: read.start,
+            ..self
+        })
     }
 
     /// Reads the document's text; variables override its fields.
@@ -192,20 +216,42 @@
 
     /// What reads this configuration's file anew.
     pub fn reread(&self) -> Reread {
-        let Config { file, name, listen, discovery, .. } = self;
+        let Config {
+            file,
+            name,
+            listen,
+            discovery,
+            ..
+        } = self;
         let operator = self.operator.file.clone();
-        Reread { file: file.clone(), operator, name: name.clone(), listen: *listen, discovery: *discovery }
+        Reread {
+            file: file.clone(),
+            operator,
+            name: name.clone(),
+            listen: *listen,
+            discovery: *discovery,
+        }
     }
 
-    fn read(text: &str, var: impl Fn(&str) -> Option<String>, file_wins: bool) -> Result<Self, String> {
-        let doc: Value = serde_json::from_str(text).map_err(|e| format!("ROUTER_CONFIG: no JSON: {e}"))?;
+    fn read(
+        text: &str,
+        var: impl Fn(&str) -> Option<String>,
+        file_wins: bool,
+    ) -> Result<Self, String> {
+        let doc: Value =
+            serde_json::from_str(text).map_err(|e| format!("ROUTER_CONFIG: no JSON: {e}"))?;
         let word = |key: &str, env: &str| -> Result<String, String> {
             let held = || doc.get(key).and_then(Value::as_str).map(str::to_owned);
-            let word = if file_wins { held().or_else(|| var(env)) } else { var(env).or_else(held) };
+            let word = if file_wins {
+                held().or_else(|| var(env))
+            } else {
+                var(env).or_else(held)
+            };
             word.ok_or_else(|| format!("{key} is no text and {env} is not set"))
         };
         let address = |key: &str, text: &str| -> Result<SocketAddr, String> {
-            text.parse().map_err(|_| format!("{key}: '{text}' is no address and port"))
+            text.parse()
+                .map_err(|_| format!("{key}: '{text}' is no address and port"))
         };
         let optional = |key: &str| match doc.get(key) {
             None | Some(Value::Null) => Ok(None),
@@ -218,21 +264,30 @@
             None | Some(Value::Null) => Vec::new(),
             Some(value) => {
                 let list = value.as_array().ok_or("peers is no list")?;
-                let one = |v: &Value| address("peers", v.as_str().ok_or("peers holds what is no text")?);
+                let one =
+                    |v: &Value| address("peers", v.as_str().ok_or("peers holds what is no text")?);
                 list.iter().map(one).collect::<Result<_, String>>()?
             }
         };
         let given = doc.get("limits").ok_or("limits is missing")?;
         let count = |key: &str| {
             let n = given.get(key).and_then(Value::as_f64).filter(|n| *n >= 1.0);
-            n.map(|n| n as usize).ok_or_else(|| format!("limits.{key} is no positive number"))
+            n.map(|n| n as usize)
+                .ok_or_else(|| format!("limits.{key} is no positive number"))
+        };
+        let platform = Platform {
+            memory_mb: count("memory_mb")?,
+            sockets: count("sockets")?,
         };
-        let platform = Platform { memory_mb: count("memory_mb")?, sockets: count("sockets")? };
         if platform.sockets < LEAST_DESCRIPTORS {
-            return Err(format!("limits.sockets: {} are fewer than {LEAST_DESCRIPTORS}", platform.sockets));
+            return Err(format!(
+                "limits.sockets: {} are fewer than {LEAST_DESCRIPTORS}",
+                platform.sockets
+            ));
         }
         let settings = doc.get("settings").ok_or("settings is missing")?;
-        let settings = PlatformSettings::from_json(settings).map_err(|e| format!("settings: {e}"))?;
+        let settings =
+            PlatformSettings::from_json(settings).map_err(|e| format!("settings: {e}"))?;
         let known = match doc.get("known") {
             None | Some(Value::Null) => None,
             Some(list) => Some(discovery::list(list).map_err(|e| format!("known: {e}"))?),
@@ -258,7 +313,10 @@
 }
 
 fn seed(value: &Value) -> Result<u64, String> {
-    let text = value.as_str().map(str::to_owned).or_else(|| value.as_u64().map(|n| format!("{n:x}")));
+    let text = value
+        .as_str()
+        .map(str::to_owned)
+        .or_else(|| value.as_u64().map(|n| format!("{n:x}")));
     let text = text.ok_or("seed is no text")?;
     u64::from_str_radix(&text, 16).map_err(|_| format!("seed: '{text}' is no hexadecimal number"))
 }
--- a/crates/stackgw-gateway/src/discovery.rs
+++ b/crates/stackgw-gateway/src/discovery.rs
@@ -38,7 +38,10 @@
 
 impl From<String> for WatchError {
     fn from(reason: String) -> Self {
-        WatchError { reason, retry_after: None }
+        WatchError {
+            reason,
+            retry_after: None,
+        }
     }
 }
 
@@ -68,7 +71,11 @@
         return wrong("members is no list");
     };
     let members = members.iter().map(entry).collect::<Result<_, _>>()?;
-    Ok(ListUpdate { revision, complete, members })
+    Ok(ListUpdate {
+        revision,
+        complete,
+        members,
+    })
 }
 
 fn entry(value: &Value) -> Result<ListEntry, Malformed> {
@@ -76,18 +83,32 @@
         Some(text) => Ok(text),
         None => wrong(format!("members: {key} is no text")),
     };
-    let cell = value.get("cell").and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok());
-    let size = value.get("size").map_or(Some(1.0), Value::as_f64).filter(|s| s.is_finite() && *s >= 0.0);
-    let started =
-        value.get("up_since_ms").map_or(Some(0.0), Value::as_f64).filter(|t| (0.0..MOST_UNIX_MS).contains(t));
+    let cell = value
+        .get("cell")
+        .and_then(Value::as_u64)
+        .and_then(|n| u32::try_from(n).ok());
+    let size = value
+        .get("size")
+        .map_or(Some(1.0), Value::as_f64)
+        .filter(|s| s.is_finite() && *s >= 0.0);
+    let started = value
+        .get("up_since_ms")
+        .map_or(Some(0.0), Value::as_f64)
+        .filter(|t| (0.0..MOST_UNIX_MS).contains(t));
     let (Some(cell), Some(size), Some(started)) = (cell, size, started) else {
         return wrong("members: cell, size or up_since_ms is no number in range");
     };
     let address = text("host_port")?;
     Ok(ListEntry {
         id: text("id")?.to_owned(),
-        address: address.parse().map_err(|_| Malformed(format!("members: host_port is '{address}'")))?,
-        locality: value.get("locality").and_then(Value::as_str).unwrap_or_default().to_owned(),
+        address: address
+            .parse()
+            .map_err(|_| Malformed(format!("members: host_port is '{address}'")))?,
+        locality: value
+            .get("locality")
+            .and_then(Value::as_str)
+            .unwrap_or_default()
+            .to_owned(),
         cell,
         phase: match text("phase")? {
             "ready" => Lifecycle::Serving,
@@ -205,7 +226,9 @@
     ) -> Result<Option<&'a [u8]>, Malformed> {
         match self.stage {
             Stage::Head => {
-                let Some(end) = rest.windows(4).position(|w| w == b"\r\n\r\n") else { return Ok(None) };
+                let Some(end) = rest.windows(4).position(|w| w == b"\r\n\r\n") else {
+                    return Ok(None);
+                };
                 if end > self.head_most {
                     return wrong("the head is too long");
                 }
@@ -217,8 +240,14 @@
                 Ok(Some(&rest[end + 4..]))
             }
             Stage::ChunkSize => {
-                let Some((line, rest)) = line(rest) else { return Ok(None) };
-                let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
+                let Some((line, rest)) = line(rest) else {
+                    return Ok(None);
+                };
+                let digits = line
+                    .split(|b| *b == b';')
+                    .next()
+                    .unwrap_or_default()
+                    .trim_ascii();
                 let text = std::str::from_utf8(digits).unwrap_or_default();
                 let hex = !text.is_empty() && text.bytes().all(|b| b.is_ascii_hexdigit());
                 let size = u64::from_str_radix(text, 16).ok().filter(|_| hex);
@@ -243,7 +272,9 @@
                 _ => wrong("a chunk does not end where its size says"),
             },
             Stage::Trailer => {
-                let Some((line, rest)) = line(rest) else { return Ok(None) };
+                let Some((line, rest)) = line(rest) else {
+                    return Ok(None);
+                };
                 if line.is_empty() {
                     self.finish(pieces);
                 }
@@ -324,7 +355,13 @@
 impl WatchParser {
     /// No list is longer than this.
     pub fn new(most: usize) -> Self {
-        WatchParser { begun: Vec::new(), depth: 0, text: false, escaped: false, most }
+        WatchParser {
+            begun: Vec::new(),
+            depth: 0,
+            text: false,
+            escaped: false,
+            most,
+        }
     }
 
     /// Takes the next line. Danger: a list that was cut off must not swallow those behind it, so that a line that is one, or
@@ -378,25 +415,38 @@
     }
     let fields = lines.filter_map(|line| line.split_once(':'));
     let wait = fields.filter(|(name, _)| name.eq_ignore_ascii_case("retry-after"));
-    let seconds = wait.filter_map(|(_, value)| value.trim().parse::<u32>().ok()).next();
+    let seconds = wait
+        .filter_map(|(_, value)| value.trim().parse::<u32>().ok())
+        .next();
     Some(SECOND * Span::from(seconds.unwrap_or(0)))
 }
 
 fn head(bytes: &[u8]) -> Result<Stage, Malformed> {
-    let Ok(text) = std::str::from_utf8(bytes) else { return wrong("the head is no text") };
+    let Ok(text) = std::str::from_utf8(bytes) else {
+        return wrong("the head is no text");
+    };
     let mut lines = text.split("\r\n");
     let status = lines.next().unwrap_or_default();
     if !status.starts_with("HTTP/1.1 200") && !status.starts_with("HTTP/1.0 200") {
-        return wrong(format!("the answer is '{}'", status.chars().take(60).collect::<String>()));
+        return wrong(format!(
+            "the answer is '{}'",
+            status.chars().take(60).collect::<String>()
+        ));
     }
     let mut stage = Stage::Rest;
     for field in lines {
-        let Some((name, value)) = field.split_once(':') else { return wrong("a head line has no colon") };
-        if name.eq_ignore_ascii_case("transfer-encoding") && value.trim().eq_ignore_ascii_case("chunked") {
+        let Some((name, value)) = field.split_once(':') else {
+            return wrong("a head line has no colon");
+        };
+        if name.eq_ignore_ascii_case("transfer-encoding")
+            && value.trim().eq_ignore_ascii_case("chunked")
+        {
             return Ok(Stage::ChunkSize);
         }
         if name.eq_ignore_ascii_case("content-length") {
-            let Ok(length) = value.trim().parse() else { return wrong("content-length is no number") };
+            let Ok(length) = value.trim().parse() else {
+                return wrong("content-length is no number");
+            };
             stage = Stage::Body(length, false);
         }
     }
--- a/crates/stackgw-gateway/src/io/backs.rs
+++ b/crates/stackgw-gateway/src/io/backs.rs
@@ -52,11 +52,22 @@
 const WAITING: usize = 256;
 
 /// Both lines: the back's ends, then the gateway's.
-pub(super) fn lines() -> (BackendChannels, Sender<BackendCommand>, Receiver<BackendEvent>) {
+pub(super) fn lines() -> (
+    BackendChannels,
+    Sender<BackendCommand>,
+    Receiver<BackendEvent>,
+) {
     // As many questions as there are connections to members, and these are bounded.
     let (asks, asked) = async_channel::unbounded();
     let (tells, told) = async_channel::bounded(WAITING);
-    (BackendChannels { commands: asked, events: tells }, asks, told)
+    (
+        BackendChannels {
+            commands: asked,
+            events: tells,
+        },
+        asks,
+        told,
+    )
 }
 
 /// Hands over what members say.
@@ -93,7 +104,9 @@
 impl Shell {
     /// Tells the back; whether there is one.
     pub(super) fn ask_back(&self, word: BackendCommand) -> bool {
-        self.to_back.as_ref().is_some_and(|back| back.try_send(word).is_ok())
+        self.to_back
+            .as_ref()
+            .is_some_and(|back| back.try_send(word).is_ok())
     }
 
     /// Closes a connection that the back has.
--- a/crates/stackgw-gateway/src/io/calls.rs
+++ b/crates/stackgw-gateway/src/io/calls.rs
@@ -46,7 +46,13 @@
 impl RequestHandle {
     pub(super) fn new() -> (RequestHandle, Receiver<Knock>) {
         let (knocks, line) = async_channel::unbounded();
-        (RequestHandle { knocks, next: Arc::default() }, line)
+        (
+            RequestHandle {
+                knocks,
+                next: Arc::default(),
+            },
+            line,
+        )
     }
 
     /// Asks with a statement in the form of our first protocol; gives its one final answer. Dropped before that, the client
@@ -70,8 +76,16 @@
             FrontendResponse::Final(FinalResponse::Unavailable("the gateway ends"));
         let call = CallId(self.next.fetch_add(1, Ordering::Relaxed));
         let (told, word) = async_channel::bounded(1);
-        let mut waits = RequestGuard { door: self.clone(), call: None };
-        if self.knocks.send(Knock::Ask(call, statement, streams, told)).await.is_err() {
+        let mut waits = RequestGuard {
+            door: self.clone(),
+            call: None,
+        };
+        if self
+            .knocks
+            .send(Knock::Ask(call, statement, streams, told))
+            .await
+            .is_err()
+        {
             return (OVER, waits);
         }
         waits.call = Some(call);
--- a/crates/stackgw-gateway/src/io/clients.rs
+++ b/crates/stackgw-gateway/src/io/clients.rs
@@ -51,11 +51,19 @@
 
 fn open(shell: &Rc<Shell>, next: &mut u64, socket: Async<TcpStream>) {
     let limits = &shell.limits;
-    let link = Link::new(socket, limits.read_ahead_bytes, limits.linger_bytes, &shell.client_budget);
+    let link = Link::new(
+        socket,
+        limits.read_ahead_bytes,
+        limits.linger_bytes,
+        &shell.client_budget,
+    );
     let id = ClientId(*next);
     *next += 1;
     let task = shell.executor.spawn(serve(shell.clone(), id, link.clone()));
-    shell.clients.borrow_mut().insert(id, Client { link, _task: task });
+    shell
+        .clients
+        .borrow_mut()
+        .insert(id, Client { link, _task: task });
     shell.input(Input::ClientConnected(id));
 }
 
@@ -65,7 +73,10 @@
 /// them or for the rest of a message would be served, statement by statement, long after it has gone.
 pub(super) async fn see_leave(shell: Rc<Shell>) {
     let pace = Duration::from_nanos(shell.limits.disconnect_poll_interval as u64);
-    let now = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let now = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     loop {
         shell.holds.wait(true).await;
         Timer::after(pace).await;
@@ -77,8 +88,12 @@
             // Where it cannot be asked, the end is read in its turn.
             let seen = poll(&mut asked, Some(&now)).unwrap_or_default();
             let over = |asked: &PollFd<'_>| seen > 0 && !asked.revents().is_empty();
-            let gone: Vec<_> =
-                links.iter().zip(&asked).filter(|(_, a)| over(a)).map(|((id, _), _)| *id).collect();
+            let gone: Vec<_> = links
+                .iter()
+                .zip(&asked)
+                .filter(|(_, a)| over(a))
+                .map(|((id, _), _)| *id)
+                .collect();
             for id in gone {
                 shell.close_client(id, false);
                 shell.input(Input::ClientClosed(id, CloseReason::Disconnected));
@@ -92,7 +107,10 @@
 async fn serve(shell: Rc<Shell>, id: ClientId, link: Rc<Link>) {
     let limits = &shell.limits;
     let mut frames = FrameDecoder::client(limits.startup_bytes, limits.statement_bytes);
-    let mut turns = Turns { link: link.clone(), buffer: shell.buffer.clone() };
+    let mut turns = Turns {
+        link: link.clone(),
+        buffer: shell.buffer.clone(),
+    };
     while let Some(turn) = turns.next().await {
         match turn {
             Turn::Bytes(bytes) => frames.feed(&bytes),
--- a/crates/stackgw-gateway/src/io/control.rs
+++ b/crates/stackgw-gateway/src/io/control.rs
@@ -101,7 +101,10 @@
         "list" => Some(StatusQuery::EndpointList),
         "session" => {
             let group = u32::try_from(asked.get("group")?.as_u64()?).ok()?;
-            Some(StatusQuery::Session(group, asked.get("session")?.as_str()?.to_owned()))
+            Some(StatusQuery::Session(
+                group,
+                asked.get("session")?.as_str()?.to_owned(),
+            ))
         }
         _ => None,
     }
--- a/crates/stackgw-gateway/src/io/discovery.rs
+++ b/crates/stackgw-gateway/src/io/discovery.rs
@@ -2,8 +2,8 @@
 
 use super::Shell;
 use crate::discovery::{
-    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, Malformed, WatchError, WatchEvent,
-    WatchParser,
+    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, Malformed, WatchError,
+    WatchEvent, WatchParser,
 };
 use crate::reducer::Input;
 use async_io::{Async, Timer};
@@ -24,40 +24,48 @@
     let limits = &shell.limits;
     let http = HttpLineReader::new(limits.head_bytes, limits.list_bytes);
     let state = (shell, None::<Async<TcpStream>>, http, VecDeque::new());
-    stream::try_unfold(state, move |(shell, socket, mut http, mut pieces)| async move {
-        let mut socket = match socket {
-            Some(socket) => socket,
-            None => {
-                let io = |e: std::io::Error| WatchError::from(e.to_string());
-                let mut socket = Async::<TcpStream>::connect(at).await.map_err(io)?;
-                socket.write_all(&endpoint_request(at, watch_after)).await.map_err(io)?;
-                if watch_after.is_some() {
-                    shell.input(Input::WatchConnected);
+    stream::try_unfold(
+        state,
+        move |(shell, socket, mut http, mut pieces)| async move {
+            let mut socket = match socket {
+                Some(socket) => socket,
+                None => {
+                    let io = |e: std::io::Error| WatchError::from(e.to_string());
+                    let mut socket = Async::<TcpStream>::connect(at).await.map_err(io)?;
+                    socket
+                        .write_all(&endpoint_request(at, watch_after))
+                        .await
+                        .map_err(io)?;
+                    if watch_after.is_some() {
+                        shell.input(Input::WatchConnected);
+                    }
+                    socket
                 }
-                socket
-            }
-        };
-        let mut buffer = vec![0; shell.limits.read_bytes];
-        while pieces.is_empty() {
-            match socket.read(&mut buffer).await {
-                Ok(0) => {
-                    pieces.extend(http.end().map_err(|e: Malformed| e.to_string())?);
-                    pieces.push_back(HttpEvent::End);
-                }
-                Ok(n) => {
-                    let fed = http.feed(&buffer[..n]);
-                    pieces.extend(fed.map_err(|e| WatchError {
-                        reason: e.to_string(),
-                        retry_after: http.retry_after(),
-                    })?);
+            };
+            let mut buffer = vec![0; shell.limits.read_bytes];
+            while pieces.is_empty() {
+                match socket.read(&mut buffer).await {
+                    Ok(0) => {
+                        pieces.extend(http.end().map_err(|e: Malformed| e.to_string())?);
+                        pieces.push_back(HttpEvent::End);
+                    }
+                    Ok(n) => {
+                        let fed = http.feed(&buffer[..n]);
+                        pieces.extend(fed.map_err(|e| WatchError {
+                            reason: e.to_string(),
+                            retry_after: http.retry_after(),
+                        })?);
+                    }
+                    // Nothing has been read; the watch goes on.
+                    Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                    Err(e) => return Err(e.to_string().into()),
                 }
-                // Nothing has been read; the watch goes on.
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(e.to_string().into()),
             }
-        }
-        Ok(pieces.pop_front().map(|piece| (piece, (shell, Some(socket), http, pieces))))
-    })
+            Ok(pieces
+                .pop_front()
+                .map(|piece| (piece, (shell, Some(socket), http, pieces))))
+        },
+    )
 }
 
 /// Hands over each line of a watch until it ends.
--- a/crates/stackgw-gateway/src/io/link.rs
+++ b/crates/stackgw-gateway/src/io/link.rs
@@ -44,7 +44,12 @@
 
 impl Budget {
     pub(super) fn new(most: usize) -> Rc<Self> {
-        Rc::new(Budget { used: Cell::new(0), most, first: Cell::new(None), waiting: RefCell::default() })
+        Rc::new(Budget {
+            used: Cell::new(0),
+            most,
+            first: Cell::new(None),
+            waiting: RefCell::default(),
+        })
     }
 
     fn change(&self, of: usize, before: usize, after: usize) {
@@ -106,7 +111,8 @@
 
     /// Notes what the connection's task holds.
     pub(super) fn hold(&self, bytes: usize) {
-        self.budget.change(self.key(), self.held.replace(bytes), bytes);
+        self.budget
+            .change(self.key(), self.held.replace(bytes), bytes);
     }
 
     /// Tells this connection from all others of its kind.
--- a/crates/stackgw-gateway/src/io/members.rs
+++ b/crates/stackgw-gateway/src/io/members.rs
@@ -12,13 +12,24 @@
 /// Opens a connection; the reducer ends it where that takes too long.
 pub(super) fn open(shell: &Rc<Shell>, id: ConnectionId, address: SocketAddr) {
     let task = shell.executor.spawn(serve(shell.clone(), id, address));
-    shell.members.borrow_mut().insert(id, Member { link: None, _task: task });
+    shell.members.borrow_mut().insert(
+        id,
+        Member {
+            link: None,
+            _task: task,
+        },
+    );
 }
 
 async fn serve(shell: Rc<Shell>, id: ConnectionId, address: SocketAddr) {
     let why = match Async::<TcpStream>::connect(address).await {
         Ok(socket) => {
-            talk(&shell, id, Link::new(socket, shell.limits.answer_bytes, 0, &shell.member_budget)).await
+            talk(
+                &shell,
+                id,
+                Link::new(socket, shell.limits.answer_bytes, 0, &shell.member_budget),
+            )
+            .await
         }
         Err(_) => CloseReason::Disconnected,
     };
@@ -35,7 +46,10 @@
     }
     shell.input(Input::MemberConnected(id));
     let mut frames = FrameDecoder::server(shell.limits.answer_bytes);
-    let mut turns = Turns { link: link.clone(), buffer: shell.buffer.clone() };
+    let mut turns = Turns {
+        link: link.clone(),
+        buffer: shell.buffer.clone(),
+    };
     while let Some(turn) = turns.next().await {
         match turn {
             Turn::Bytes(bytes) => frames.feed(&bytes),
--- a/crates/stackgw-gateway/src/io/mod.rs
+++ b/crates/stackgw-gateway/src/io/mod.rs
@@ -40,8 +40,13 @@
 
 impl Clock {
     fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { zero: Instant::now(), unix: unix.as_nanos() as Time }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            zero: Instant::now(),
+            unix: unix.as_nanos() as Time,
+        }
     }
 
     fn now(&self) -> Time {
@@ -146,8 +151,12 @@
         }
         let mut effects = Vec::new();
         loop {
-            let Some(input) = self.queue.borrow_mut().pop_front() else { break };
-            self.reducer.borrow_mut().handle(self.clock.now(), input, &mut effects);
+            let Some(input) = self.queue.borrow_mut().pop_front() else {
+                break;
+            };
+            self.reducer
+                .borrow_mut()
+                .handle(self.clock.now(), input, &mut effects);
             for effect in effects.drain(..) {
                 self.carry_out(effect);
             }
@@ -179,8 +188,14 @@
     fn carry_out(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::AcceptClients(on) => self.accepts.set(on),
-            Effect::ClientWrite { client, bytes, close } => {
-                let Some(link) = self.clients.borrow().get(&client).map(|c| c.link.clone()) else { return };
+            Effect::ClientWrite {
+                client,
+                bytes,
+                close,
+            } => {
+                let Some(link) = self.clients.borrow().get(&client).map(|c| c.link.clone()) else {
+                    return;
+                };
                 if close {
                     link.close_when_written();
                     link.wake();
@@ -193,14 +208,22 @@
             }
             Effect::ClientClose(client) => self.close_client(client, false),
             Effect::ClientCloseIfIdle(client) => {
-                let ended = self.clients.borrow().get(&client).is_some_and(|c| c.link.end_if_quiet());
+                let ended = self
+                    .clients
+                    .borrow()
+                    .get(&client)
+                    .is_some_and(|c| c.link.end_if_quiet());
                 if ended {
                     self.close_client(client, true);
                 }
             }
             Effect::MemberConnect(conn, address) => members::open(self, conn, address),
             Effect::MemberWrite(conn, bytes) => {
-                let link = self.members.borrow().get(&conn).and_then(|m| m.link.clone());
+                let link = self
+                    .members
+                    .borrow()
+                    .get(&conn)
+                    .and_then(|m| m.link.clone());
                 let Some(link) = link else { return };
                 // Danger: a write into a connection that the member has closed would count as sent, and what waits on
                 // one would be taken for the answer.
@@ -228,12 +251,15 @@
                 self.close_back(conn);
             }
             Effect::OpenWatch(at, after) => {
-                let task = self.executor.spawn(discovery::watch(self.clone(), at, after));
+                let task = self
+                    .executor
+                    .spawn(discovery::watch(self.clone(), at, after));
                 *self.watch.borrow_mut() = Some(task);
             }
             Effect::CloseWatch => drop(self.watch.borrow_mut().take()),
             Effect::FetchEndpoints(at) => {
-                *self.fetch.borrow_mut() = Some(self.executor.spawn(discovery::fetch(self.clone(), at)));
+                *self.fetch.borrow_mut() =
+                    Some(self.executor.spawn(discovery::fetch(self.clone(), at)));
             }
             Effect::GossipDatagram(to, bytes) => {
                 if let Some(socket) = &self.datagrams {
@@ -275,7 +301,10 @@
             Effect::Log(text) => info!(self.log, "{text}"),
             Effect::Report(counters) => info!(self.log, "{counters}"),
             Effect::Exit => {
-                self.clients.borrow().values().for_each(|client| client.link.last_word());
+                self.clients
+                    .borrow()
+                    .values()
+                    .for_each(|client| client.link.last_word());
                 self.ended.set(true);
             }
         }
@@ -298,7 +327,12 @@
 ) -> Result<(), String> {
     // First of all: a signal that came before would end the program.
     let signals = signals::listen().map_err(|e| format!("signals: {e}"))?;
-    let control = config.operator.control.as_deref().map(control::listen).transpose()?;
+    let control = config
+        .operator
+        .control
+        .as_deref()
+        .map(control::listen)
+        .transpose()?;
     let mut shared = cluster::start(&config, &log)?;
     let (mut running, mut line, mut to_back) = (None, None, None);
     if let Some(front) = front {
@@ -307,14 +341,20 @@
         running = Some(front(door, behind, log.clone())?);
         (line, to_back) = (Some((knocks, told)), Some(asks));
     }
-    let bind = |what: &str, address: SocketAddr, e: std::io::Error| format!("{what}: {address}: {e}");
-    let listener = Async::<TcpListener>::bind(config.listen).map_err(|e| bind("listen", config.listen, e))?;
-    let at = listener.get_ref().local_addr().map_err(|e| bind("listen", config.listen, e))?;
+    let bind =
+        |what: &str, address: SocketAddr, e: std::io::Error| format!("{what}: {address}: {e}");
+    let listener =
+        Async::<TcpListener>::bind(config.listen).map_err(|e| bind("listen", config.listen, e))?;
+    let at = listener
+        .get_ref()
+        .local_addr()
+        .map_err(|e| bind("listen", config.listen, e))?;
     info!(log, "listening on {at}");
     let datagrams = match config.peer_listen {
         None => None,
         Some(address) => {
-            let socket = Async::<UdpSocket>::bind(address).map_err(|e| bind("peer_listen", address, e))?;
+            let socket =
+                Async::<UdpSocket>::bind(address).map_err(|e| bind("peer_listen", address, e))?;
             Some(Rc::new(socket))
         }
     };
@@ -322,15 +362,19 @@
     let limits = config.limits.clone();
     let clock = Clock::new();
     let (session_sharing, reread) = (config.session_sharing.clone(), config.reread());
-    let (cluster_config, start, name) =
-        (config.cluster.clone(), config.bootstrap.clone(), config.name.clone());
+    let (cluster_config, start, name) = (
+        config.cluster.clone(),
+        config.bootstrap.clone(),
+        config.name.clone(),
+    );
     let mut reducer = Reducer::new(config);
     let mut effects = Vec::new();
     if let (Some(session_sharing), Some(shared)) = (&session_sharing, &mut shared) {
         let life = shared.life.clone();
         reducer.enable_session_sharing(clock.now(), session_sharing, life, &mut effects);
     }
-    if let (Some(cluster_config), Some(shared), None) = (&cluster_config, &shared, &session_sharing) {
+    if let (Some(cluster_config), Some(shared), None) = (&cluster_config, &shared, &session_sharing)
+    {
         reducer.join_cluster(clock.now(), cluster_config, shared.life.peer(&name));
     }
     let kept = start.as_ref().and_then(|start| cluster::kept(start, &log));
@@ -381,32 +425,50 @@
         reducer: RefCell::new(reducer),
         limits,
     });
-    executor.spawn(signals::run(shell.clone(), signals)).detach();
+    executor
+        .spawn(signals::run(shell.clone(), signals))
+        .detach();
     executor.spawn(timers::run(shell.clone())).detach();
     if let Some(socket) = shell.datagrams.clone() {
         executor
-            .spawn(peers::run(shell.clone(), socket, shell.limits.datagram_bytes, Input::GossipDatagram))
+            .spawn(peers::run(
+                shell.clone(),
+                socket,
+                shell.limits.datagram_bytes,
+                Input::GossipDatagram,
+            ))
             .detach();
     }
     if let Some(socket) = shell.cluster.clone() {
         let input = |_, bytes| Input::ClusterDatagram(bytes);
         executor
-            .spawn(peers::run(shell.clone(), socket, stackgw_cluster::MAX_DATAGRAM_BYTES, input))
+            .spawn(peers::run(
+                shell.clone(),
+                socket,
+                stackgw_cluster::MAX_DATAGRAM_BYTES,
+                input,
+            ))
             .detach();
     }
     if let Some(word) = disk {
         executor.spawn(cluster::disk(shell.clone(), word)).detach();
     }
     if let Some(listener) = control {
-        executor.spawn(control::run(shell.clone(), listener)).detach();
+        executor
+            .spawn(control::run(shell.clone(), listener))
+            .detach();
     }
     if let Some((knocks, told)) = line {
         executor.spawn(calls::run(shell.clone(), knocks)).detach();
         executor.spawn(backs::run(shell.clone(), told)).detach();
     }
     executor.spawn(clients::see_leave(shell.clone())).detach();
-    executor.spawn(clients::accept(shell.clone(), listener)).detach();
-    effects.into_iter().for_each(|effect| shell.carry_out(effect));
+    executor
+        .spawn(clients::accept(shell.clone(), listener))
+        .detach();
+    effects
+        .into_iter()
+        .for_each(|effect| shell.carry_out(effect));
     shell.input(Input::Start);
     async_io::block_on(executor.run(shell.ended.wait(true)));
     drop(running);
--- a/crates/stackgw-gateway/src/io/timers.rs
+++ b/crates/stackgw-gateway/src/io/timers.rs
@@ -42,7 +42,9 @@
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<()>> {
         *self.shell.alarm.waker.borrow_mut() = Some(cx.waker().clone());
         loop {
-            let Some(due) = self.shell.alarm.due.get() else { return Poll::Pending };
+            let Some(due) = self.shell.alarm.due.get() else {
+                return Poll::Pending;
+            };
             if due <= self.shell.clock.now() {
                 return Poll::Ready(Some(()));
             }
@@ -61,7 +63,11 @@
 
 /// Tells the reducer whenever its next timer is due.
 pub(super) async fn run(shell: Rc<Shell>) {
-    let mut rings = Rings { shell: shell.clone(), timer: Timer::never(), set_for: None };
+    let mut rings = Rings {
+        shell: shell.clone(),
+        timer: Timer::never(),
+        set_for: None,
+    };
     while rings.next().await.is_some() {
         // What has come goes first: after a pause, answers that are here already are not given up for time.
         future::yield_now().await;
--- a/crates/stackgw-gateway/src/limits.rs
+++ b/crates/stackgw-gateway/src/limits.rs
@@ -149,13 +149,26 @@
 impl Limits {
     /// The limits that this platform and these settings allow.
     pub fn new(platform: Platform, settings: &PlatformSettings) -> Self {
-        let usable = platform.sockets.saturating_sub(OWN_DESCRIPTORS).max(OWN_DESCRIPTORS);
+        let usable = platform
+            .sockets
+            .saturating_sub(OWN_DESCRIPTORS)
+            .max(OWN_DESCRIPTORS);
         let member_connections = (usable as f64 * MEMBER_SHARE) as usize;
         let client_reserve = (usable as f64 * RESERVE_SHARE).ceil() as usize;
         let clients = usable - member_connections - client_reserve;
         let memory = platform.memory_mb << 20;
-        let longest = settings.router.classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
-        let idle = if settings.member_idle_timeout > 0 { settings.member_idle_timeout } else { 30 * SECOND };
+        let longest = settings
+            .router
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(SECOND);
+        let idle = if settings.member_idle_timeout > 0 {
+            settings.member_idle_timeout
+        } else {
+            30 * SECOND
+        };
         Limits {
             clients,
             client_reserve,
--- a/crates/stackgw-gateway/src/pg/frame.rs
+++ b/crates/stackgw-gateway/src/pg/frame.rs
@@ -14,23 +14,32 @@
 impl Frame {
     /// What follows the header.
     pub fn body(&self) -> &[u8] {
-        self.bytes.get(if self.kind == 0 { 4 } else { 5 }..).unwrap_or_default()
+        self.bytes
+            .get(if self.kind == 0 { 4 } else { 5 }..)
+            .unwrap_or_default()
     }
 
     /// The code at the start of a startup packet.
     pub fn code(&self) -> Option<u32> {
-        self.body().first_chunk().map(|code| u32::from_be_bytes(*code))
+        self.body()
+            .first_chunk()
+            .map(|code| u32::from_be_bytes(*code))
     }
 
     /// Whether the parameters of a startup packet are whole.
     pub fn has_parameters(&self) -> bool {
         // Behind the code, names and values each with their end, and one more end.
-        self.body().get(4..).is_some_and(|text| text == [0] || text.ends_with(&[0, 0]))
+        self.body()
+            .get(4..)
+            .is_some_and(|text| text == [0] || text.ends_with(&[0, 0]))
     }
 
     /// Whether this is a startup packet of version 3, of any minor version.
     pub fn is_startup(&self) -> bool {
-        self.kind == 0 && self.code().is_some_and(|code| code >> 16 == super::code::VERSION_3 >> 16)
+        self.kind == 0
+            && self
+                .code()
+                .is_some_and(|code| code >> 16 == super::code::VERSION_3 >> 16)
     }
 }
 
@@ -45,7 +54,12 @@
 
 impl fmt::Display for BadFrame {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "message {:?} of length {}", char::from(self.kind), self.length)
+        write!(
+            f,
+            "message {:?} of length {}",
+            char::from(self.kind),
+            self.length
+        )
     }
 }
 
@@ -84,7 +98,14 @@
 
     /// A client's stream: packets without a type until the startup is done.
     pub fn client(startup_most: usize, most: usize) -> Self {
-        FrameDecoder { buffer: Vec::new(), start: 0, untyped: true, most, startup_most, kinds: OF_CLIENTS }
+        FrameDecoder {
+            buffer: Vec::new(),
+            start: 0,
+            untyped: true,
+            most,
+            startup_most,
+            kinds: OF_CLIENTS,
+        }
     }
 
     /// Whether a message of this type can have this length, as far as its first bytes tell.
@@ -94,10 +115,17 @@
             b'Z' => length == 5,
             b'I' | b'X' | b'S' | b'H' | b'c' if !server || kind == b'I' => length == 4,
             // One column, and its length is that of the row: its four bytes are header enough.
-            b'D' if server => message.get(7..11).and_then(|b| b.first_chunk()).is_none_or(|column| {
-                let column = i32::from_be_bytes(*column);
-                message[5..7] == [0, 1] && i64::from(length) == 10 + i64::from(column.max(0)) && column >= -1
-            }),
+            b'D' if server => {
+                message
+                    .get(7..11)
+                    .and_then(|b| b.first_chunk())
+                    .is_none_or(|column| {
+                        let column = i32::from_be_bytes(*column);
+                        message[5..7] == [0, 1]
+                            && i64::from(length) == 10 + i64::from(column.max(0))
+                            && column >= -1
+                    })
+            }
             _ => true,
         }
     }
@@ -130,7 +158,11 @@
     /// The next whole message.
     pub fn next_frame(&mut self) -> Option<Result<Frame, BadFrame>> {
         let head = usize::from(!self.untyped);
-        let most = if self.untyped { self.startup_most } else { self.most };
+        let most = if self.untyped {
+            self.startup_most
+        } else {
+            self.most
+        };
         let rest = &self.buffer[self.start..];
         let kind = if self.untyped { 0 } else { *rest.first()? };
         if !self.untyped && !self.kinds.contains(&kind) {
@@ -139,7 +171,10 @@
         let length = u32::from_be_bytes(*rest.get(head..)?.first_chunk()?);
         let least = if self.untyped { 8 } else { 4 };
         // Danger: what is judged only once it is whole may never be, and its sender waits or sends on for nothing.
-        if length < least || length as usize > most || !(self.untyped || self.fits(kind, length, rest)) {
+        if length < least
+            || length as usize > most
+            || !(self.untyped || self.fits(kind, length, rest))
+        {
             return Some(Err(BadFrame { kind, length }));
         }
         let whole = head + length as usize;
--- a/crates/stackgw-gateway/src/pg/reply.rs
+++ b/crates/stackgw-gateway/src/pg/reply.rs
@@ -102,12 +102,20 @@
 
     /// A value that cannot be read tells nothing; it is no reason to drop the row beside it.
     fn status(&mut self, body: &[u8]) {
-        let mut parts = body.split(|b| *b == 0).map(|part| std::str::from_utf8(part).unwrap_or_default());
-        match (parts.next().unwrap_or_default(), parts.next().unwrap_or_default()) {
+        let mut parts = body
+            .split(|b| *b == 0)
+            .map(|part| std::str::from_utf8(part).unwrap_or_default());
+        match (
+            parts.next().unwrap_or_default(),
+            parts.next().unwrap_or_default(),
+        ) {
             ("node_role", "leader") => self.primary = Some(true),
             ("node_role", "follower") => self.primary = Some(false),
             ("replay_position", at) => {
-                let ms = at.parse::<i64>().ok().filter(|ms| (1..1 << 43).contains(ms));
+                let ms = at
+                    .parse::<i64>()
+                    .ok()
+                    .filter(|ms| (1..1 << 43).contains(ms));
                 self.position = ms.map(|ms| ms * MS);
             }
             ("server_load", load) => self.report = parse_load_report(load).unwrap_or_default(),
@@ -129,7 +137,9 @@
 
 /// The row has one column, and its length is that of the row.
 fn one_column(body: &[u8]) -> bool {
-    let [0, 1, a, b, c, d, value @ ..] = body else { return false };
+    let [0, 1, a, b, c, d, value @ ..] = body else {
+        return false;
+    };
     match i32::from_be_bytes([*a, *b, *c, *d]) {
         -1 => value.is_empty(),
         length => usize::try_from(length) == Ok(value.len()),
@@ -138,8 +148,13 @@
 
 /// The row's description names one column.
 fn one_field(body: &[u8]) -> bool {
-    let Some(fields) = body.strip_prefix(&[0, 1]) else { return false };
-    fields.iter().position(|b| *b == 0).is_some_and(|name| fields.len() == name + 1 + FIELD_TAIL)
+    let Some(fields) = body.strip_prefix(&[0, 1]) else {
+        return false;
+    };
+    fields
+        .iter()
+        .position(|b| *b == 0)
+        .is_some_and(|name| fields.len() == name + 1 + FIELD_TAIL)
 }
 
 /// Table, column, type, its size, its modifier and its format, behind a field's name.
@@ -155,7 +170,10 @@
 /// The code of an error whose fields are whole: each a letter and a text with its end, then one more end.
 fn sqlstate(body: &[u8]) -> Option<[u8; 5]> {
     let fields = body.strip_suffix(&[0, 0])?;
-    let whole = |f: &[u8]| f.split_first().is_some_and(|(kind, _)| kind.is_ascii_alphabetic());
+    let whole = |f: &[u8]| {
+        f.split_first()
+            .is_some_and(|(kind, _)| kind.is_ascii_alphabetic())
+    };
     let mut code = None;
     for field in fields.split(|b| *b == 0) {
         if !whole(field) {
@@ -164,7 +182,9 @@
         code = code.or(field.strip_prefix(b"C"));
     }
     let code: [u8; 5] = code?.try_into().ok()?;
-    code.iter().all(|b| b.is_ascii_uppercase() || b.is_ascii_digit()).then_some(code)
+    code.iter()
+        .all(|b| b.is_ascii_uppercase() || b.is_ascii_digit())
+        .then_some(code)
 }
 
 /// Reads `name=value` pairs; names without a meaning here are skipped. One that cannot be read spoils them all, and so
@@ -197,7 +217,11 @@
     let (whole, part) = text.split_once('.').unwrap_or((text, ""));
     let plain = |digits: &str| digits.bytes().all(|b| b.is_ascii_digit());
     if !plain(whole) || !plain(part) || whole.is_empty() {
-        return text.parse::<f64>().ok().filter(|s| *s >= 0.0 && *s < 8e9).map(|s| (s * 1e9).floor() as Time);
+        return text
+            .parse::<f64>()
+            .ok()
+            .filter(|s| *s >= 0.0 && *s < 8e9)
+            .map(|s| (s * 1e9).floor() as Time);
     }
     let digits = format!("{:0<9}", part.get(..part.len().min(9))?);
     let whole = whole.parse::<Time>().ok().filter(|s| *s < 8_000_000_000)?;
--- a/crates/stackgw-gateway/src/pg/statement.rs
+++ b/crates/stackgw-gateway/src/pg/statement.rs
@@ -46,7 +46,10 @@
 impl Statement {
     /// Whether a query message holds no statement at all.
     pub fn is_empty(frame: &Frame) -> bool {
-        frame.body().iter().all(|b| b.is_ascii_whitespace() || matches!(b, b';' | 0))
+        frame
+            .body()
+            .iter()
+            .all(|b| b.is_ascii_whitespace() || matches!(b, b';' | 0))
     }
 
     /// The quoted key of a query message, and whether it writes, as far as its words alone tell.
@@ -57,20 +60,30 @@
 
     /// Reads a query message; it is kept whole.
     pub fn parse(frame: Frame) -> Result<Self, Malformed> {
-        let text = frame.body().strip_suffix(b"\0").ok_or(Malformed("the query has no end"))?;
+        let text = frame
+            .body()
+            .strip_suffix(b"\0")
+            .ok_or(Malformed("the query has no end"))?;
         let text = std::str::from_utf8(text).map_err(|_| Malformed("the query is no text"))?;
-        let open = text.rfind("/*").ok_or(Malformed("the statement has no comment"))?;
+        let open = text
+            .rfind("/*")
+            .ok_or(Malformed("the statement has no comment"))?;
         let (sql, comment) = text.split_at(open);
         let (key, write) = form(sql).ok_or(Malformed("the statement is of no known form"))?;
-        let inner = comment.strip_prefix("/*").and_then(|c| c.strip_suffix("*/"));
-        let inner = inner.filter(|c| !c.contains("*/")).ok_or(Malformed("the comment has no end"))?;
+        let inner = comment
+            .strip_prefix("/*")
+            .and_then(|c| c.strip_suffix("*/"));
+        let inner = inner
+            .filter(|c| !c.contains("*/"))
+            .ok_or(Malformed("the comment has no end"))?;
         let mut at = HEAD + open + 2;
         let (mut id, mut class, mut d, mut cluster, mut after, mut repeat) =
             (None, None, None, None, None, None);
         for part in inner.split(',') {
             let trimmed = part.trim();
-            let (name, value) =
-                trimmed.split_once('=').ok_or(Malformed("the comment holds no name=value"))?;
+            let (name, value) = trimmed
+                .split_once('=')
+                .ok_or(Malformed("the comment holds no name=value"))?;
             let start = at + (part.len() - part.trim_start().len()) + name.len() + 1;
             let mut twice = false;
             match name {
@@ -87,15 +100,20 @@
             }
             at += part.len() + 1;
         }
-        let id = id.filter(|id| !id.is_empty()).ok_or(Malformed("the comment has no id"))?;
+        let id = id
+            .filter(|id| !id.is_empty())
+            .ok_or(Malformed("the comment has no id"))?;
         let (wait, d) = d.ok_or(Malformed("the comment has no d"))?;
-        let wait_ms =
-            digits(wait).filter(|d| *d < 1 << 32).ok_or(Malformed("d is no number of milliseconds"))?;
+        let wait_ms = digits(wait)
+            .filter(|d| *d < 1 << 32)
+            .ok_or(Malformed("d is no number of milliseconds"))?;
         let cluster = cluster.and_then(digits).and_then(|n| u32::try_from(n).ok());
         let after_ms = match after {
             None => None,
             Some(text) => {
-                let ms = digits(text).filter(|ms| *ms < 1 << 43).ok_or(Malformed("after is no position"))?;
+                let ms = digits(text)
+                    .filter(|ms| *ms < 1 << 43)
+                    .ok_or(Malformed("after is no position"))?;
                 Some(ms as i64).filter(|ms| *ms > 0)
             }
         };
@@ -132,20 +150,27 @@
 }
 
 fn digits(text: &str) -> Option<u64> {
-    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+    text.bytes()
+        .all(|b| b.is_ascii_digit())
+        .then(|| text.parse().ok())
+        .flatten()
 }
 
 /// Takes one word, of letters alone or as a name.
 fn word<'a>(text: &mut &'a str) -> Option<&'a str> {
     *text = text.trim_start();
-    let end = text.find(|c: char| !c.is_ascii_alphanumeric() && c != '_').unwrap_or(text.len());
+    let end = text
+        .find(|c: char| !c.is_ascii_alphanumeric() && c != '_')
+        .unwrap_or(text.len());
     let (word, rest) = text.split_at(end);
     *text = rest;
     Some(word).filter(|w| !w.is_empty())
 }
 
 fn keyword(text: &mut &str, wanted: &str) -> Option<()> {
-    word(text).filter(|w| w.eq_ignore_ascii_case(wanted)).map(|_| ())
+    word(text)
+        .filter(|w| w.eq_ignore_ascii_case(wanted))
+        .map(|_| ())
 }
 
 fn sign(text: &mut &str, wanted: char) -> Option<()> {
--- a/crates/stackgw-gateway/src/pg/write.rs
+++ b/crates/stackgw-gateway/src/pg/write.rs
@@ -62,7 +62,12 @@
 pub fn error(out: &mut Vec<u8>, fatal: bool, code: &str, text: &str, detail: Option<&str>) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
     let mut body = Vec::new();
-    let fields = [(b'S', severity), (b'V', severity), (b'C', code), (b'M', text)];
+    let fields = [
+        (b'S', severity),
+        (b'V', severity),
+        (b'C', code),
+        (b'M', text),
+    ];
     for (field, value) in fields.into_iter().chain(detail.map(|d| (b'D', d))) {
         body.push(field);
         body.extend(value.bytes().filter(|b| *b != 0));
