--- a/crates/stackgw-gateway/src/reducer/clients.rs
+++ b/crates/stackgw-gateway/src/reducer/clients.rs
@@ -92,13 +92,32 @@
     /// Half a message, or nothing at all, holds a place for nothing. Who has sent something is told why; for who has sent
     /// nothing a request may be on its way, which must not be met by words that are not its answer.
     pub(super) fn client_silent(&mut self, now: Time, id: ClientId, out: &mut Vec<Effect>) {
-        if self.clients.get_mut(&id).is_some_and(|c| c.partial.take().is_some()) {
+        if self
+            .clients
+            .get_mut(&id)
+            .is_some_and(|c| c.partial.take().is_some())
+        {
             self.counters.clients_stalled += 1;
-            log_rarely(self.counters.clients_stalled, "clients that stood still inside a message:", out);
-            return self.client_error(now, id, true, "08P01", "the message was not finished in time", out);
+            log_rarely(
+                self.counters.clients_stalled,
+                "clients that stood still inside a message:",
+                out,
+            );
+            return self.client_error(
+                now,
+                id,
+                true,
+                "08P01",
+                "the message was not finished in time",
+                out,
+            );
         }
         self.counters.clients_silent += 1;
-        log_rarely(self.counters.clients_silent, "clients that asked nothing:", out);
+        log_rarely(
+            self.counters.clients_silent,
+            "clients that asked nothing:",
+            out,
+        );
         out.push(Effect::ClientCloseIfIdle(id));
     }
 
@@ -128,9 +147,17 @@
 
     /// What a client has sent ahead takes room from all: past its share whoever holds most of it, those first that have
     /// asked nothing yet, is told so and ends. One with a request in hand keeps its connection for the answer.
-    pub(super) fn client_holds(&mut self, now: Time, id: ClientId, bytes: usize, out: &mut Vec<Effect>) {
+    pub(super) fn client_holds(
+        &mut self,
+        now: Time,
+        id: ClientId,
+        bytes: usize,
+        out: &mut Vec<Effect>,
+    ) {
         let takes = self.accepts_frame(id);
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         self.ahead = self.ahead - client.ahead + bytes;
         client.ahead = bytes;
         if takes && bytes > 0 {
@@ -138,7 +165,9 @@
         }
         if self.ahead > self.limits.client_bytes / 4 * 3 {
             let idle = self.clients.iter().filter(|(_, c)| c.ahead > 0 && c.idle());
-            let Some((most, _)) = idle.max_by_key(|(_, c)| (!c.used, c.ahead)) else { return };
+            let Some((most, _)) = idle.max_by_key(|(_, c)| (!c.used, c.ahead)) else {
+                return;
+            };
             let most = *most;
             self.count_greedy(out);
             self.client_error(now, most, true, "53400", "too much was sent ahead", out);
@@ -160,7 +189,12 @@
             (true, false) => limits.eviction_grace,
         };
         if !self.listener_closed && (full || open > limits.client_soft_limit) {
-            let first = |used| self.idle_clients.range((used, Time::MIN, ClientId(0))..).next().copied();
+            let first = |used| {
+                self.idle_clients
+                    .range((used, Time::MIN, ClientId(0))..)
+                    .next()
+                    .copied()
+            };
             let due = [first(false).filter(|(used, ..)| full && !used), first(true)];
             let due = due.into_iter().flatten();
             let (ripe, green): (Vec<_>, Vec<_>) =
@@ -170,7 +204,11 @@
                 // Danger: one that has sent something stays, and would keep all others from making room.
                 self.note_idle(now, oldest);
                 out.push(Effect::ClientCloseIfIdle(oldest));
-            } else if let Some(at) = green.iter().map(|(used, since, _)| since + spared(*used)).min() {
+            } else if let Some(at) = green
+                .iter()
+                .map(|(used, since, _)| since + spared(*used))
+                .min()
+            {
                 if !std::mem::replace(&mut self.admits, true) {
                     self.set_timer(at, Due::Admit);
                 }
@@ -203,25 +241,44 @@
         close: bool,
         out: &mut Vec<Effect>,
     ) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         client.unread += bytes.len();
         self.unread += bytes.len();
         if !client.line.is_empty() {
-            return client.line.push_back(Place { request: None, reply: bytes, last: close });
+            return client.line.push_back(Place {
+                request: None,
+                reply: bytes,
+                last: close,
+            });
         }
         self.client_send(now, id, bytes, close, out);
     }
 
     /// Writes what is counted as unread already and has nothing before it.
-    fn client_send(&mut self, now: Time, id: ClientId, bytes: Vec<u8>, close: bool, out: &mut Vec<Effect>) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+    fn client_send(
+        &mut self,
+        now: Time,
+        id: ClientId,
+        bytes: Vec<u8>,
+        close: bool,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         client.unsent = client.unsent.or(Some(now));
         if close {
             client.closing.get_or_insert(now);
             self.ahead -= std::mem::take(&mut client.ahead); // Dropped with the rest that it sends.
         }
         self.note_idle(now, id);
-        out.push(Effect::ClientWrite { client: id, bytes, close });
+        out.push(Effect::ClientWrite {
+            client: id,
+            bytes,
+            close,
+        });
         self.unread_most(id, out);
     }
 
@@ -230,8 +287,12 @@
         if self.unread <= self.limits.pending_write_bytes {
             return;
         }
-        let others = self.clients.iter().filter(|(id, c)| **id != writes && c.unread > 0);
-        let Some((slow, _)) = others.min_by_key(|(id, c)| (c.unsent.unwrap_or(Time::MAX), **id)) else {
+        let others = self
+            .clients
+            .iter()
+            .filter(|(id, c)| **id != writes && c.unread > 0);
+        let Some((slow, _)) = others.min_by_key(|(id, c)| (c.unsent.unwrap_or(Time::MAX), **id))
+        else {
             return;
         };
         let slow = *slow;
@@ -242,7 +303,11 @@
 
     fn count_greedy(&mut self, out: &mut Vec<Effect>) {
         self.counters.clients_greedy += 1;
-        log_rarely(self.counters.clients_greedy, "clients that sent or left unread too much:", out);
+        log_rarely(
+            self.counters.clients_greedy,
+            "clients that sent or left unread too much:",
+            out,
+        );
     }
 
     /// Tells a client of an error; a fatal one ends its connection.
@@ -267,7 +332,9 @@
     }
 
     pub(super) fn client_flushed(&mut self, now: Time, id: ClientId, out: &mut Vec<Effect>) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         client.unsent = None;
         let in_line = client.line.iter().map(|place| place.reply.len()).sum();
         self.unread -= std::mem::replace(&mut client.unread, in_line) - in_line;
@@ -279,15 +346,26 @@
 
     /// A client's bytes are no protocol: that connection alone ends, with a word if it can still be read.
     pub(super) fn client_bad(&mut self, now: Time, id: ClientId, out: &mut Vec<Effect>) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         self.counters.clients_bad += 1;
         log_rarely(self.counters.clients_bad, "bad bytes from clients:", out);
         client.partial = None;
-        self.client_error(now, id, true, "08P01", "these bytes are no message of the protocol", out);
+        self.client_error(
+            now,
+            id,
+            true,
+            "08P01",
+            "these bytes are no message of the protocol",
+            out,
+        );
     }
 
     pub(super) fn client_gone(&mut self, id: ClientId) {
-        let Some(client) = self.clients.remove(&id) else { return };
+        let Some(client) = self.clients.remove(&id) else {
+            return;
+        };
         self.idle_clients.remove(&client.place(id));
         self.ahead -= client.ahead;
         self.unread -= client.unread;
@@ -296,8 +374,11 @@
             self.counters.clients_evicted += 1;
             self.evicting = None;
         }
-        self.counters.held_bytes -=
-            client.next.iter().map(|(_, frame)| frame.bytes.len() as u64).sum::<u64>();
+        self.counters.held_bytes -= client
+            .next
+            .iter()
+            .map(|(_, frame)| frame.bytes.len() as u64)
+            .sum::<u64>();
         for request in client.line.into_iter().filter_map(|place| place.request) {
             self.abandon(request);
         }
@@ -317,8 +398,16 @@
         }
     }
 
-    pub(super) fn client_frame(&mut self, now: Time, id: ClientId, frame: Frame, out: &mut Vec<Effect>) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+    pub(super) fn client_frame(
+        &mut self,
+        now: Time,
+        id: ClientId,
+        frame: Frame,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         client.partial = None;
         self.ahead -= std::mem::take(&mut client.ahead);
         if client.started.is_none() {
@@ -335,10 +424,16 @@
     /// is over, above all behind a write that waits for a primary. Those of different keys mind no order, and neither do
     /// reads; all else starts when what came before it is answered.
     pub(super) fn start_next(&mut self, now: Time, id: ClientId, out: &mut Vec<Effect>) {
-        while let Some(client) = self.clients.get_mut(&id).filter(|c| c.closing.is_none() && !c.awaits_ready)
+        while let Some(client) = self
+            .clients
+            .get_mut(&id)
+            .filter(|c| c.closing.is_none() && !c.awaits_ready)
         {
             let free = client.line.is_empty();
-            let mut asked = client.line.iter().filter_map(|place| self.requests.get(&place.request?));
+            let mut asked = client
+                .line
+                .iter()
+                .filter_map(|place| self.requests.get(&place.request?));
             let mut joins = |frame: &Frame| {
                 let asks = Statement::asks(frame).filter(|_| frame.kind == b'Q');
                 let apart = |(key, write), s: &Statement| s.key != key || !(write || s.write);
@@ -353,9 +448,18 @@
     }
 
     /// A message's turn has come; it came at this time.
-    fn client_asks(&mut self, now: Time, came: Time, id: ClientId, frame: Frame, out: &mut Vec<Effect>) {
+    fn client_asks(
+        &mut self,
+        now: Time,
+        came: Time,
+        id: ClientId,
+        frame: Frame,
+        out: &mut Vec<Effect>,
+    ) {
         let ready = self.is_ready(now);
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         let mut reply = Vec::new();
         match frame.kind {
             b'Q' if client.skips => {}
@@ -366,7 +470,9 @@
                     return;
                 }
                 self.client_used(id);
-                let Some(client) = self.clients.get_mut(&id) else { return };
+                let Some(client) = self.clients.get_mut(&id) else {
+                    return;
+                };
                 if !ready {
                     client.awaits_ready = true;
                     return self.note_idle(now, id);
@@ -386,7 +492,13 @@
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' if client.skips => {}
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' => {
                 client.skips = frame.kind != b'F';
-                write::error(&mut reply, false, "0A000", "only simple queries are spoken here", None);
+                write::error(
+                    &mut reply,
+                    false,
+                    "0A000",
+                    "only simple queries are spoken here",
+                    None,
+                );
                 if frame.kind == b'F' {
                     write::ready(&mut reply);
                 }
@@ -396,7 +508,13 @@
         }
     }
 
-    pub(super) fn startup(&mut self, now: Time, id: ClientId, frame: &Frame, out: &mut Vec<Effect>) {
+    pub(super) fn startup(
+        &mut self,
+        now: Time,
+        id: ClientId,
+        frame: &Frame,
+        out: &mut Vec<Effect>,
+    ) {
         let mut reply = Vec::new();
         let version = frame.code().unwrap_or_default();
         match version {
@@ -409,7 +527,10 @@
                 self.client_gone(id);
             }
             _ if frame.is_startup() && frame.has_parameters() => {
-                self.secret = self.secret.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(id.0 | 1);
+                self.secret = self
+                    .secret
+                    .wrapping_mul(6_364_136_223_846_793_005)
+                    .wrapping_add(id.0 | 1);
                 let secret = (self.secret >> 32) as u32;
                 if version != code::VERSION_3 {
                     write::negotiate(&mut reply);
@@ -422,17 +543,35 @@
             }
             _ => {
                 self.counters.clients_bad += 1;
-                self.client_error(now, id, true, "0A000", "this startup is not understood", out);
+                self.client_error(
+                    now,
+                    id,
+                    true,
+                    "0A000",
+                    "this startup is not understood",
+                    out,
+                );
             }
         }
     }
 
     /// A cancel request, by the key of the connection whose query it means.
     pub(super) fn cancel(&mut self, now: Time, frame: &Frame, out: &mut Vec<Effect>) {
-        let &[_, _, _, _, a, b, c, d, e, f, g, h] = frame.body() else { return };
-        let (process, secret) = (u32::from_be_bytes([a, b, c, d]), u32::from_be_bytes([e, f, g, h]));
+        let &[_, _, _, _, a, b, c, d, e, f, g, h] = frame.body() else {
+            return;
+        };
+        let (process, secret) = (
+            u32::from_be_bytes([a, b, c, d]),
+            u32::from_be_bytes([e, f, g, h]),
+        );
         let id = ClientId(process.into());
-        let Some(client) = self.clients.get_mut(&id).filter(|c| c.started == Some(secret)) else { return };
+        let Some(client) = self
+            .clients
+            .get_mut(&id)
+            .filter(|c| c.started == Some(secret))
+        else {
+            return;
+        };
         if let Some(request) = client.line.iter().find_map(|place| place.request) {
             let reply = error_reply(false, "57014", "cancelled on the client's request", None);
             self.fill(now, id, request, reply, out);
@@ -440,18 +579,29 @@
         }
     }
 
-    pub(super) fn query(&mut self, now: Time, came: Time, id: ClientId, frame: Frame, out: &mut Vec<Effect>) {
+    pub(super) fn query(
+        &mut self,
+        now: Time,
+        came: Time,
+        id: ClientId,
+        frame: Frame,
+        out: &mut Vec<Effect>,
+    ) {
         self.counters.taken += 1;
         if self.turned_away(now, id, out) {
             self.counters.turned_away += 1;
             return;
         }
         let asked = Statement::parse(frame).map_err(|why| FinalResponse::Malformed(why.0));
-        match asked.and_then(|statement| self.ask(now, came, Requester::Client(id), statement, out)) {
+        match asked.and_then(|statement| self.ask(now, came, Requester::Client(id), statement, out))
+        {
             Ok(request) => {
                 self.client_used(id);
                 if let Some(client) = self.clients.get_mut(&id) {
-                    client.line.push_back(Place { request: Some(request), ..Place::default() });
+                    client.line.push_back(Place {
+                        request: Some(request),
+                        ..Place::default()
+                    });
                     client.malformed = 0;
                 }
                 self.note_idle(now, id);
@@ -465,9 +615,16 @@
     /// nothing, else it is told that there is none.
     fn turned_away(&mut self, now: Time, id: ClientId, out: &mut Vec<Effect>) -> bool {
         let full = self.clients.len() > self.limits.clients;
-        let surplus = self.clients.get_mut(&id).is_some_and(|c| std::mem::take(&mut c.surplus));
+        let surplus = self
+            .clients
+            .get_mut(&id)
+            .is_some_and(|c| std::mem::take(&mut c.surplus));
         // Whoever has asked nothing gives way to one that has; is there none such, this one is turned away.
-        let silent = self.idle_clients.iter().take_while(|(used, ..)| !used).find(|(.., other)| *other != id);
+        let silent = self
+            .idle_clients
+            .iter()
+            .take_while(|(used, ..)| !used)
+            .find(|(.., other)| *other != id);
         if let Some(&(.., silent)) = silent.filter(|_| surplus && full) {
             self.evicting = Some(silent);
             out.push(Effect::ClientCloseIfIdle(silent));
@@ -489,11 +646,15 @@
         out: &mut Vec<Effect>,
     ) {
         if self.listener_closed {
-            return out.push(Effect::CallCompleted(call, FinalResponse::Unavailable("the gateway ends")));
+            return out.push(Effect::CallCompleted(
+                call,
+                FinalResponse::Unavailable("the gateway ends"),
+            ));
         }
         self.counters.taken += 1;
         let asked = Statement::parse(frame).map_err(|why| FinalResponse::Malformed(why.0));
-        match asked.and_then(|statement| self.ask(now, now, Requester::Call(call), statement, out)) {
+        match asked.and_then(|statement| self.ask(now, now, Requester::Call(call), statement, out))
+        {
             Ok(request) => {
                 if let Some(open) = self.requests.get_mut(&request) {
                     open.streams = streams && !open.statement.write;
@@ -501,7 +662,8 @@
                 self.calls.insert(call, request);
             }
             Err(declined) => {
-                self.counters.malformed += u64::from(matches!(declined, FinalResponse::Malformed(_)));
+                self.counters.malformed +=
+                    u64::from(matches!(declined, FinalResponse::Malformed(_)));
                 out.push(Effect::CallCompleted(call, declined));
             }
         }
@@ -519,11 +681,19 @@
         if self.refuses {
             return self.decline(FinalResponse::Unavailable("the gateway ends"));
         }
-        let class = self.names.classes.iter().position(|name| *name == statement.class);
+        let class = self
+            .names
+            .classes
+            .iter()
+            .position(|name| *name == statement.class);
         let class = class.ok_or(FinalResponse::Malformed("the class is unknown"))?;
         if self.members.is_empty() {
             let hint = self.fixed.settings.router.limits.retry_after;
-            let wait = self.starting.as_ref().filter(|_| hint).map(|s| s.start.retry_after(now));
+            let wait = self
+                .starting
+                .as_ref()
+                .filter(|_| hint)
+                .map(|s| s.start.retry_after(now));
             let text = "no list of members is known yet";
             return self.decline(match wait {
                 Some(wait) => FinalResponse::Rejected(text, Some((wait + MS - 1) / MS)),
@@ -535,12 +705,18 @@
         }
         let need = self.classes[class].consistency;
         if (need == Consistency::Write) != statement.write {
-            return Err(FinalResponse::Malformed("the class and the statement do not go together"));
+            return Err(FinalResponse::Malformed(
+                "the class and the statement do not go together",
+            ));
         }
         if self.open_ids.contains(&statement.id) {
             // Danger: two requests under one id are one to the members, and the owner would get the other's answer.
             self.counters.ids_taken += 1;
-            log_rarely(self.counters.ids_taken, "statements under the id of an open request:", out);
+            log_rarely(
+                self.counters.ids_taken,
+                "statements under the id of an open request:",
+                out,
+            );
             return Err(FinalResponse::Malformed("a request with this id is open"));
         }
         if self.requests.len() >= self.limits.requests {
@@ -605,7 +781,9 @@
 
     pub(super) fn reject(&mut self, now: Time, id: ClientId, why: &str, out: &mut Vec<Effect>) {
         self.counters.malformed += 1;
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         client.malformed += 1;
         // One that goes on and on is not worth its turns.
         let fatal = client.malformed >= self.limits.max_consecutive_malformed;
@@ -620,7 +798,9 @@
         ended: FinalResponse,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let Some(open) = self.requests.get_mut(&request) else { return false };
+        let Some(open) = self.requests.get_mut(&request) else {
+            return false;
+        };
         open.ended = true;
         let asker = open.asker.take();
         let asks = open.asks.take().is_some();
@@ -641,22 +821,39 @@
     }
 
     /// Puts a request's answer in its place, and writes all that nothing is before.
-    fn fill(&mut self, now: Time, id: ClientId, request: RequestId, reply: Vec<u8>, out: &mut Vec<Effect>) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
-        let Some(place) = client.line.iter_mut().find(|p| p.request == Some(request)) else { return };
+    fn fill(
+        &mut self,
+        now: Time,
+        id: ClientId,
+        request: RequestId,
+        reply: Vec<u8>,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
+        let Some(place) = client.line.iter_mut().find(|p| p.request == Some(request)) else {
+            return;
+        };
         client.unread += reply.len();
         self.unread += reply.len();
         (place.request, place.reply) = (None, reply);
         while let Some(client) = self.clients.get_mut(&id) {
             let first = client.line.pop_front_if(|place| place.request.is_none());
-            let Some(Place { reply, last, .. }) = first else { break };
+            let Some(Place { reply, last, .. }) = first else {
+                break;
+            };
             self.client_send(now, id, reply, last, out);
         }
         self.start_next(now, id, out);
     }
 
     pub(super) fn forget_request(&mut self, request: RequestId) {
-        if self.requests.get(&request).is_some_and(|o| o.ended && o.out.is_empty() && o.held.is_none()) {
+        if self
+            .requests
+            .get(&request)
+            .is_some_and(|o| o.ended && o.out.is_empty() && o.held.is_none())
+        {
             if let Some(open) = self.requests.remove(&request) {
                 let before = self.counters.held_bytes;
                 self.counters.held_bytes = before - open.statement.size_bytes() as u64;
--- a/crates/stackgw-gateway/src/reducer/ending.rs
+++ b/crates/stackgw-gateway/src/reducer/ending.rs
@@ -10,7 +10,10 @@
             self.set_timer(self.retire_at, Due::Retire);
             self.set_timer(now + self.limits.shutdown_reject, Due::Refuse);
             self.set_timer(now + self.limits.shutdown_deadline, Due::End);
-            out.push(Effect::Log(format!("ending, {} requests in hand", self.requests.len())));
+            out.push(Effect::Log(format!(
+                "ending, {} requests in hand",
+                self.requests.len()
+            )));
         }
     }
 
@@ -20,7 +23,10 @@
         if now < self.retire_at {
             return;
         }
-        let idle = self.clients.iter().filter(|(_, c)| c.idle() || c.awaits_ready);
+        let idle = self
+            .clients
+            .iter()
+            .filter(|(_, c)| c.idle() || c.awaits_ready);
         out.extend(idle.map(|(id, _)| Effect::ClientCloseIfIdle(*id)));
         if !self.clients.is_empty() {
             self.set_timer(now + self.limits.shutdown_sweep_interval, Due::Retire);
@@ -39,9 +45,16 @@
         let mut left: BTreeSet<_> = self.requests.iter().filter_map(in_hand).collect();
         while let Some(request) = left.pop_first() {
             // What was never sent may be asked for elsewhere.
-            let sent = self.requests.get(&request).is_some_and(|open| open.sent > 0);
+            let sent = self
+                .requests
+                .get(&request)
+                .is_some_and(|open| open.sent > 0);
             let text = "the gateway ends";
-            let ended = if sent { FinalResponse::Failed(text) } else { FinalResponse::Unavailable(text) };
+            let ended = if sent {
+                FinalResponse::Failed(text)
+            } else {
+                FinalResponse::Unavailable(text)
+            };
             let answered = self.answer(now, request, ended, out);
             self.counters.answered_failed += u64::from(answered && sent);
             self.counters.answered_refused += u64::from(answered && !sent);
--- a/crates/stackgw-gateway/src/reducer/members.rs
+++ b/crates/stackgw-gateway/src/reducer/members.rs
@@ -5,8 +5,16 @@
 /// What a connection to a member is busy with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Job {
-    Attempt { request: RequestId, number: u32, sent: Time, give_up: Time, again: bool },
-    Probe { sent: Time },
+    Attempt {
+        request: RequestId,
+        number: u32,
+        sent: Time,
+        give_up: Time,
+        again: bool,
+    },
+    Probe {
+        sent: Time,
+    },
 }
 
 impl Job {
@@ -17,9 +25,19 @@
 
     fn once_more(self) -> Self {
         match self {
-            Job::Attempt { request, number, sent, give_up, .. } => {
-                Job::Attempt { request, number, sent, give_up, again: true }
-            }
+            Job::Attempt {
+                request,
+                number,
+                sent,
+                give_up,
+                ..
+            } => Job::Attempt {
+                request,
+                number,
+                sent,
+                give_up,
+                again: true,
+            },
             probe => probe,
         }
     }
@@ -70,12 +88,20 @@
         timeout: Option<Span>,
         out: &mut Vec<Effect>,
     ) {
-        let Some(open) = self.requests.get_mut(&request) else { return };
+        let Some(open) = self.requests.get_mut(&request) else {
+            return;
+        };
         self.counters.attempts += 1;
         let number = open.sent;
         open.sent += 1;
         let give_up = timeout.map_or(open.deadline, |t| open.deadline.min(now + t));
-        let job = Job::Attempt { request, number, sent: now, give_up, again: false };
+        let job = Job::Attempt {
+            request,
+            number,
+            sent: now,
+            give_up,
+            again: false,
+        };
         if give_up <= now || open.ended {
             return self.job_ended(now, member, job, Outcome::NotSent, Reply::default(), out);
         }
@@ -103,13 +129,26 @@
             return self.job_ended(now, member, job, Outcome::NotSent, Reply::default(), out);
         }
         if self.conns.len() >= self.limits.member_connections {
-            match self.pool.oldest().or_else(|| self.coming.pop_first().map(|(_, id)| id)) {
+            match self
+                .pool
+                .oldest()
+                .or_else(|| self.coming.pop_first().map(|(_, id)| id))
+            {
                 Some(idle) => {
                     self.counters.members_evicted += 1;
                     out.push(Effect::MemberClose(idle));
                     self.forget(idle);
                 }
-                None => return self.job_ended(now, member, job, Outcome::NotSent, Reply::default(), out),
+                None => {
+                    return self.job_ended(
+                        now,
+                        member,
+                        job,
+                        Outcome::NotSent,
+                        Reply::default(),
+                        out,
+                    )
+                }
             }
         }
         let id = ConnectionId(self.next_conn);
@@ -120,16 +159,34 @@
         let timer = Some(self.set_timer(now + self.limits.connect_timeout, Due::Conn(id)));
         let phase = Phase::Connecting;
         let reply = Reply::default();
-        let conn =
-            Conn { member, phase, back, job: None, reused: false, reply, partial: false, until: 0, timer };
+        let conn = Conn {
+            member,
+            phase,
+            back,
+            job: None,
+            reused: false,
+            reply,
+            partial: false,
+            until: 0,
+            timer,
+        };
         self.conns.insert(id, conn);
         self.bind(id, job);
-        out.push(if back { Effect::BackendConnect(id, address) } else { Effect::MemberConnect(id, address) });
+        out.push(if back {
+            Effect::BackendConnect(id, address)
+        } else {
+            Effect::MemberConnect(id, address)
+        });
     }
 
     /// Closes the idle connections to a member.
     pub(super) fn close_idle(&mut self, member: MemberId, out: &mut Vec<Effect>) {
-        for conn in self.pool.drain(member).into_iter().chain(self.coming.remove(&member)) {
+        for conn in self
+            .pool
+            .drain(member)
+            .into_iter()
+            .chain(self.coming.remove(&member))
+        {
             out.push(Effect::MemberClose(conn));
             self.forget(conn);
         }
@@ -139,7 +196,10 @@
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.job = Some(job);
         }
-        if let Job::Attempt { request, number, .. } = job {
+        if let Job::Attempt {
+            request, number, ..
+        } = job
+        {
             if let Some(open) = self.requests.get_mut(&request) {
                 open.out.push((number, id));
             }
@@ -147,7 +207,13 @@
     }
 
     pub(super) fn member_up(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Effect>) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|c| c.phase == Phase::Connecting) else { return };
+        let Some(conn) = self
+            .conns
+            .get_mut(&id)
+            .filter(|c| c.phase == Phase::Connecting)
+        else {
+            return;
+        };
         conn.phase = Phase::Starting;
         if conn.back {
             self.counters.members_up += 1;
@@ -160,7 +226,9 @@
 
     /// Writes the connection's job; its time to answer begins.
     pub(super) fn write_job(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Effect>) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         let told = self.members.get(&conn.member).and_then(|m| m.told);
         if told.is_some_and(|told| now - told > self.limits.drain_grace) {
             // Danger: a slow connect would carry what was asked for inside the drain's grace past it.
@@ -173,12 +241,18 @@
         if conn.job.is_some_and(|job| self.is_over(now, job)) {
             return self.rest(now, id, Outcome::NotSent, out);
         }
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         let back = conn.back;
         let mut asked = BackendRequest::default();
         let (bytes, until) = match conn.job {
-            Some(Job::Attempt { request, give_up, .. }) => {
-                let Some(open) = self.requests.get(&request) else { return };
+            Some(Job::Attempt {
+                request, give_up, ..
+            }) => {
+                let Some(open) = self.requests.get(&request) else {
+                    return;
+                };
                 let wait_ms = ((give_up - now) / MS).max(1) as u64;
                 asked = BackendRequest {
                     timeout_ms: wait_ms,
@@ -213,7 +287,9 @@
 
     /// A connection that is up has its job behind it, be it answered or no longer wanted, and stands idle.
     fn rest(&mut self, now: Time, id: ConnectionId, outcome: Outcome, out: &mut Vec<Effect>) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         conn.phase = Phase::Idle;
         let (member, timer) = (conn.member, conn.timer.take());
         timer.and_then(|timer| self.timers.remove(&timer));
@@ -225,31 +301,51 @@
     /// Sets a connection's one timer.
     pub(super) fn set_conn_timer(&mut self, id: ConnectionId, at: Time) {
         let timer = self.set_timer(at, Due::Conn(id));
-        let old = self.conns.get_mut(&id).and_then(|conn| conn.timer.replace(timer));
+        let old = self
+            .conns
+            .get_mut(&id)
+            .and_then(|conn| conn.timer.replace(timer));
         if let Some(old) = old {
             self.timers.remove(&old);
         }
     }
 
     pub(super) fn member_written(&mut self, id: ConnectionId) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|c| c.phase == Phase::Writing) else { return };
+        let Some(conn) = self
+            .conns
+            .get_mut(&id)
+            .filter(|c| c.phase == Phase::Writing)
+        else {
+            return;
+        };
         conn.phase = Phase::Waiting;
         if matches!(conn.job, Some(Job::Attempt { .. })) {
             self.counters.written += 1;
         }
     }
 
-    pub(super) fn member_frame(&mut self, now: Time, id: ConnectionId, frame: &Frame, out: &mut Vec<Effect>) {
+    pub(super) fn member_frame(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        frame: &Frame,
+        out: &mut Vec<Effect>,
+    ) {
         let most = self.limits.answer_bytes;
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         let greeting = |kind| matches!(kind, b'R' | b'S' | b'K' | b'N' | b'v' | b'E' | b'Z');
         match (conn.phase, conn.reply.take(frame, most)) {
             (Phase::Streaming { .. }, _) => {}
             // Danger: a second copy or noise behind an answer would be taken for the next request's answer. Nothing
             // is in place between requests, but a member that closes an idle connection may say why.
             (Phase::Idle, _) => {
-                let why =
-                    if frame.kind == b'E' { CloseReason::Disconnected } else { CloseReason::UnexpectedData };
+                let why = if frame.kind == b'E' {
+                    CloseReason::Disconnected
+                } else {
+                    CloseReason::UnexpectedData
+                };
                 out.push(Effect::MemberClose(id));
                 self.member_closed(now, id, why, out);
             }
@@ -266,7 +362,9 @@
                 self.counters.members_up += 1;
                 let (member, busy) = (conn.member, conn.job.is_some());
                 self.deal(|deal| deal.record_success(member));
-                let Some(conn) = self.conns.get_mut(&id) else { return };
+                let Some(conn) = self.conns.get_mut(&id) else {
+                    return;
+                };
                 if busy {
                     return self.write_job(now, id, out);
                 }
@@ -291,7 +389,9 @@
 
     /// Part of a message is no answer yet. On an idle connection nobody asked for it; an answer that has begun goes on.
     pub(super) fn member_partial(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Effect>) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         match conn.phase {
             Phase::Idle => {
                 out.push(Effect::MemberClose(id));
@@ -316,7 +416,9 @@
         out: &mut Vec<Effect>,
     ) {
         self.handshake_failed(now, id);
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         if why == CloseReason::ProtocolError {
             self.counters.members_bad += 1;
             log_rarely(self.counters.members_bad, "bad bytes from members:", out);
@@ -324,23 +426,31 @@
         let job = conn.job;
         if why == CloseReason::UnexpectedData {
             self.counters.members_unasked += 1;
-            log_rarely(self.counters.members_unasked, "connections with more than was asked for:", out);
+            log_rarely(
+                self.counters.members_unasked,
+                "connections with more than was asked for:",
+                out,
+            );
         }
         // An error may be a member's last word; a row counts only once the member is ready again behind it.
-        let ended =
-            outcome(&conn.reply).filter(|ended| *ended != Outcome::Served || conn.reply.is_complete());
+        let ended = outcome(&conn.reply)
+            .filter(|ended| *ended != Outcome::Served || conn.reply.is_complete());
         let outcome = match conn.phase {
             Phase::Idle => {
                 self.counters.members_closed += u64::from(why == CloseReason::Disconnected);
                 self.pool.remove(id);
                 return self.forget(id);
             }
-            Phase::Writing if conn.reused && why != CloseReason::ProtocolError && ended.is_none() => {
+            Phase::Writing
+                if conn.reused && why != CloseReason::ProtocolError && ended.is_none() =>
+            {
                 // It had closed while idle, so this request has not been sent at all yet.
                 return self.reopen(now, id, job, out);
             }
             Phase::Starting
-                if why == CloseReason::Disconnected && ended.is_none() && !job.is_some_and(Job::is_again) =>
+                if why == CloseReason::Disconnected
+                    && ended.is_none()
+                    && !job.is_some_and(Job::is_again) =>
             {
                 // It came up, so somebody listens; what broke is this connection.
                 return self.reopen(now, id, job.map(Job::once_more), out);
@@ -349,8 +459,12 @@
             Phase::Streaming { .. } => {
                 return self.member_stream_over(now, id, Outcome::ConnectionReset, out)
             }
-            Phase::Waiting if why == CloseReason::NotSent && ended.is_none() => Outcome::ConnectFailed,
-            Phase::Starting | Phase::Writing if ended == Some(Outcome::Overloaded) => Outcome::Overloaded,
+            Phase::Waiting if why == CloseReason::NotSent && ended.is_none() => {
+                Outcome::ConnectFailed
+            }
+            Phase::Starting | Phase::Writing if ended == Some(Outcome::Overloaded) => {
+                Outcome::Overloaded
+            }
             Phase::Starting | Phase::Writing => Outcome::ConnectFailed,
             Phase::Waiting if why == CloseReason::ProtocolError => Outcome::MalformedResponse,
             Phase::Waiting => ended.unwrap_or(Outcome::ConnectionReset),
@@ -360,7 +474,9 @@
 
     /// Gives a job whose bytes have not been sent at all another connection.
     fn reopen(&mut self, now: Time, id: ConnectionId, job: Option<Job>, out: &mut Vec<Effect>) {
-        let Some(member) = self.conns.get(&id).map(|conn| conn.member) else { return };
+        let Some(member) = self.conns.get(&id).map(|conn| conn.member) else {
+            return;
+        };
         self.counters.members_reopened += 1;
         self.unbind(id);
         self.forget(id);
@@ -380,7 +496,9 @@
     /// A connection's time is up: it did not come up, or its attempt or probe is given up.
     pub(super) fn conn_due(&mut self, now: Time, id: ConnectionId, out: &mut Vec<Effect>) {
         self.handshake_failed(now, id);
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         conn.timer = None;
         let outcome = match conn.phase {
             Phase::Connecting | Phase::Starting | Phase::Writing => Outcome::ConnectFailed,
@@ -405,8 +523,15 @@
     ) {
         let begun = |c: &&Conn| c.phase == Phase::Starting && !c.back && c.job.is_some();
         let member = self.conns.get(&id).filter(begun).map(|conn| conn.member);
-        let serves = |m: &MemberId| self.members.get(m).is_some_and(|known| known.told.is_none());
-        let Some(member) = member.filter(serves).filter(|m| !self.coming.contains_key(m)) else {
+        let serves = |m: &MemberId| {
+            self.members
+                .get(m)
+                .is_some_and(|known| known.told.is_none())
+        };
+        let Some(member) = member
+            .filter(serves)
+            .filter(|m| !self.coming.contains_key(m))
+        else {
             out.push(Effect::MemberClose(id));
             return self.end_job(now, id, outcome, out);
         };
@@ -442,9 +567,17 @@
     }
 
     /// Ends the job of a connection, which is forgotten unless it stands idle again.
-    pub(super) fn end_job(&mut self, now: Time, id: ConnectionId, outcome: Outcome, out: &mut Vec<Effect>) {
+    pub(super) fn end_job(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        outcome: Outcome,
+        out: &mut Vec<Effect>,
+    ) {
         let job = self.unbind(id);
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         let (member, mut reply) = (conn.member, std::mem::take(&mut conn.reply));
         if !reply.is_complete() || outcome == Outcome::MalformedResponse {
             reply = Reply::default(); // What is not whole tells nothing of its member.
@@ -467,10 +600,17 @@
         out: &mut Vec<Effect>,
     ) {
         let (request, attempt, sent) = match job {
-            Job::Attempt { request, number, sent, .. } => (request, number, sent),
+            Job::Attempt {
+                request,
+                number,
+                sent,
+                ..
+            } => (request, number, sent),
             Job::Probe { sent } => {
-                let told =
-                    reply.column().filter(|_| outcome == Outcome::Served).and_then(pg::parse_load_report);
+                let told = reply
+                    .column()
+                    .filter(|_| outcome == Outcome::Served)
+                    .and_then(pg::parse_load_report);
                 let told = told.filter(|report| self.can_be(now, report.position));
                 self.counters.probes_failed += u64::from(told.is_none());
                 let (answered, report) = (told.is_some(), told.unwrap_or_default());
@@ -493,7 +633,12 @@
                 self.counters.answered_served += u64::from(answered);
             }
         }
-        let Reply { primary, position, report, .. } = reply;
+        let Reply {
+            primary,
+            position,
+            report,
+            ..
+        } = reply;
         let took = now - sent;
         let answer = AttemptResult {
             request,
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -434,8 +434,9 @@
     pub fn accepts_frame(&self, client: ClientId) -> bool {
         let room = self.counters.held_bytes < self.limits.client_bytes as u64;
         // Danger: a cancel that waited for the room that its own request takes would come too late.
-        let takes =
-            |c: &Client| c.has_room(self.limits.max_pipelined_statements) && (room || c.started.is_none());
+        let takes = |c: &Client| {
+            c.has_room(self.limits.max_pipelined_statements) && (room || c.started.is_none())
+        };
         self.clients.get(&client).is_some_and(takes)
     }
 
@@ -447,9 +448,17 @@
     /// Each member that the router keeps: what it believes of it, and what the connections show.
     pub fn member_statuses(&self) -> impl Iterator<Item = MemberStatus> + '_ {
         self.router.member_snapshots().map(|(id, belief)| {
-            let name = self.members.get(&id).map_or("?", |m| m.name.as_str()).to_owned();
+            let name = self
+                .members
+                .get(&id)
+                .map_or("?", |m| m.name.as_str())
+                .to_owned();
             let on = |c: &&Conn| c.member == id && matches!(c.job, Some(Job::Attempt { .. }));
-            MemberStatus { name, snapshot: belief, attempts: self.conns.values().filter(on).count() as u32 }
+            MemberStatus {
+                name,
+                snapshot: belief,
+                attempts: self.conns.values().filter(on).count() as u32,
+            }
         })
     }
 
@@ -475,7 +484,9 @@
             Input::WatchConnected => self.watch_wait(now + self.limits.watch_first_line_timeout),
             Input::WatchKeepalive => {
                 self.watch_wait(now + self.limits.watch_idle_timeout);
-                self.with_start(now, out, |start, outputs| start.handle_watch_heartbeat(now, outputs));
+                self.with_start(now, out, |start, outputs| {
+                    start.handle_watch_heartbeat(now, outputs)
+                });
             }
             Input::WatchLost(why) => self.watch_lost(now, why, out),
             Input::FetchFailed => {
@@ -503,10 +514,25 @@
             }
             Input::Report => {
                 out.push(Effect::Report(Box::new(self.counters.clone())));
-                out.extend(self.member_statuses().map(|seen| Effect::Log(seen.line(now))));
-                let met = self.cluster.as_ref().map(|member| member.cluster.counters()).unwrap_or_default();
-                out.extend(self.shared.iter().map(|shared| Effect::Log(shared.line(now, met))));
-                out.extend(self.starting.iter().map(|starting| Effect::Log(starting.line(now))));
+                out.extend(
+                    self.member_statuses()
+                        .map(|seen| Effect::Log(seen.line(now))),
+                );
+                let met = self
+                    .cluster
+                    .as_ref()
+                    .map(|member| member.cluster.counters())
+                    .unwrap_or_default();
+                out.extend(
+                    self.shared
+                        .iter()
+                        .map(|shared| Effect::Log(shared.line(now, met))),
+                );
+                out.extend(
+                    self.starting
+                        .iter()
+                        .map(|starting| Effect::Log(starting.line(now))),
+                );
             }
         }
         self.route(now, out);
@@ -524,23 +550,36 @@
     fn start(&mut self, now: Time, out: &mut Vec<Effect>) {
         if let Some(known) = self.known.take() {
             self.revision = Some(known.revision);
-            let members = known.members.iter().filter_map(|e| self.listed(now, e, out)).collect();
-            self.events.push_back(Event::EndpointList { scope: ListScope::Cached, members });
+            let members = known
+                .members
+                .iter()
+                .filter_map(|e| self.listed(now, e, out))
+                .collect();
+            self.events.push_back(Event::EndpointList {
+                scope: ListScope::Cached,
+                members,
+            });
         }
         self.set_timer(now + self.limits.sweep_interval, Due::Sweep);
         if self.subscribed && self.starting.is_none() {
             self.watch(now, out);
         }
-        out.push(Effect::Log(format!("started, {} members known", self.members.len())));
+        out.push(Effect::Log(format!(
+            "started, {} members known",
+            self.members.len()
+        )));
     }
 
     /// Hands the router what is queued and carries out what it asks for, until nothing is left.
     fn route(&mut self, now: Time, out: &mut Vec<Effect>) {
         loop {
             self.tell_ways(now);
-            let Some(event) = self.events.pop_front() else { return };
+            let Some(event) = self.events.pop_front() else {
+                return;
+            };
             let mut actions = std::mem::take(&mut self.actions);
-            self.router.handle(self.moments.tick_of(now), event, &mut actions);
+            self.router
+                .handle(self.moments.tick_of(now), event, &mut actions);
             for action in actions.drain(..) {
                 self.act(now, action, out);
             }
@@ -550,22 +589,36 @@
 
     fn act(&mut self, now: Time, action: Action, out: &mut Vec<Effect>) {
         match action {
-            Action::Send { request, member, timeout } => self.send(now, request, member, timeout, out),
+            Action::Send {
+                request,
+                member,
+                timeout,
+            } => self.send(now, request, member, timeout, out),
             Action::Cancel { request, attempt } => {
                 let open = self.requests.get(&request);
-                let conn = open.and_then(|o| o.out.iter().find(|(n, _)| *n == attempt)).map(|(_, c)| *c);
+                let conn = open
+                    .and_then(|o| o.out.iter().find(|(n, _)| *n == attempt))
+                    .map(|(_, c)| *c);
                 if let Some(conn) = conn {
                     self.give_up_conn(now, conn, Outcome::Cancelled, out);
                 }
             }
-            Action::Reject { request, retry_after } => {
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
                 let wait = retry_after.map(|wait| (wait + MS - 1) / MS);
                 let refused = FinalResponse::Rejected("not now, trying again is harmless", wait);
                 let answered = self.answer(now, request, refused, out);
                 self.counters.answered_refused += u64::from(answered);
             }
             Action::Fail(request) => {
-                let answered = self.answer(now, request, FinalResponse::Failed("the request failed"), out);
+                let answered = self.answer(
+                    now,
+                    request,
+                    FinalResponse::Failed("the request failed"),
+                    out,
+                );
                 self.counters.answered_failed += u64::from(answered);
             }
             Action::SetTimer { after, token } => {
@@ -655,8 +708,15 @@
             self.forget(conn);
         }
         // Danger: where members are replaced throughout, connections to those that are gone take places from others.
-        let gone = |m: &Listed| m.told.is_some_and(|told| now - told > self.limits.drain_grace);
-        let gone = self.members.iter().filter(|(_, m)| gone(m)).map(|(id, _)| *id);
+        let gone = |m: &Listed| {
+            m.told
+                .is_some_and(|told| now - told > self.limits.drain_grace)
+        };
+        let gone = self
+            .members
+            .iter()
+            .filter(|(_, m)| gone(m))
+            .map(|(id, _)| *id);
         for member in gone.collect::<Vec<_>>() {
             self.close_idle(member, out);
         }
@@ -666,11 +726,19 @@
             late(c.unsent, limits.client_write_timeout) || late(c.closing, limits.linger_timeout)
         };
         let half = |c: &Client| late(c.partial, limits.partial_message_timeout);
-        let silent = |c: &Client| !c.used && c.idle() && now - c.opened > limits.first_request_timeout;
+        let silent =
+            |c: &Client| !c.used && c.idle() && now - c.opened > limits.first_request_timeout;
         let which = |which: &dyn Fn(&Client) -> bool| -> Vec<ClientId> {
-            self.clients.iter().filter(|(_, c)| which(c)).map(|(id, _)| *id).collect()
+            self.clients
+                .iter()
+                .filter(|(_, c)| which(c))
+                .map(|(id, _)| *id)
+                .collect()
         };
-        let (stuck, silent) = (which(&stuck), which(&|c| c.closing.is_none() && (half(c) || silent(c))));
+        let (stuck, silent) = (
+            which(&stuck),
+            which(&|c| c.closing.is_none() && (half(c) || silent(c))),
+        );
         for id in stuck {
             let closing = self.clients.get(&id).is_some_and(|c| c.closing.is_some());
             self.counters.clients_stalled += u64::from(!closing);
@@ -703,7 +771,9 @@
             concurrency_limit: limit,
             position,
         } = self.snapshot;
-        let age = position.map_or("never heard".to_owned(), |at| format!("{} ms old", (now - at) / MS));
+        let age = position.map_or("never heard".to_owned(), |at| {
+            format!("{} ms old", (now - at) / MS)
+        });
         let left = if out { ", left out but for trials" } else { "" };
         let (name, here) = (&self.name, self.attempts);
         format!("member {name}: {in_flight} in flight ({here} on connections), limit {limit:.1}, strain {strain:.2}, position {age}{left}")
--- a/crates/stackgw-gateway/src/reducer/reload.rs
+++ b/crates/stackgw-gateway/src/reducer/reload.rs
@@ -34,25 +34,42 @@
             ("peer_listen", self.peer_listen != other.peer_listen),
             ("settings", self.settings != other.settings),
             ("flight", self.flight != other.flight),
-            ("limits", self.settings == other.settings && self.limits != other.limits),
+            (
+                "limits",
+                self.settings == other.settings && self.limits != other.limits,
+            ),
         ];
-        parts.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
+        parts
+            .into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(name, _)| name)
+            .collect()
     }
 }
 
 impl Reducer {
     /// Takes what a running gateway can change; what it cannot is said. A configuration that cannot be used changes
     /// nothing.
-    pub(super) fn reload(&mut self, now: Time, config: Result<Box<Config>, String>, out: &mut Vec<Effect>) {
+    pub(super) fn reload(
+        &mut self,
+        now: Time,
+        config: Result<Box<Config>, String>,
+        out: &mut Vec<Effect>,
+    ) {
         self.counters.reloads += 1;
         let config = match config {
             Ok(config) => config,
             Err(why) => {
                 self.counters.reloads_failed += 1;
-                return out.push(Effect::Log(format!("the old configuration stays in force: {why}")));
+                return out.push(Effect::Log(format!(
+                    "the old configuration stays in force: {why}"
+                )));
             }
         };
-        let mut said = format!("configuration read anew, the list is at {}", config.discovery);
+        let mut said = format!(
+            "configuration read anew, the list is at {}",
+            config.discovery
+        );
         let fixed = self.fixed.differs(&Fixed::of(&config));
         if !fixed.is_empty() {
             said += &format!("; unchanged until a restart: {}", fixed.join(", "));
@@ -62,7 +79,10 @@
         self.shared_reload(now, config.session_sharing, out);
         (self.peers, self.peers_all) = (config.peers, config.peers_all);
         let moved = std::mem::replace(&mut self.discovery, config.discovery) != config.discovery;
-        let seeds = config.cluster.map(|cluster| cluster.options.seeds).unwrap_or_default();
+        let seeds = config
+            .cluster
+            .map(|cluster| cluster.options.seeds)
+            .unwrap_or_default();
         self.start_reload(now, config.bootstrap.as_ref(), &seeds, moved, out);
         if !moved || self.starting.is_some() {
             return;
--- a/crates/stackgw-gateway/src/reducer/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/sessions.rs
@@ -32,7 +32,10 @@
 impl Incarnation {
     /// The instance of this name in this life.
     pub fn peer(&self, name: &str) -> Peer {
-        Peer { node: NodeId::of(name), incarnation: self.number }
+        Peer {
+            node: NodeId::of(name),
+            incarnation: self.number,
+        }
     }
 }
 
@@ -94,7 +97,10 @@
 
     /// The name that the operator knows an instance by, if it is a keeper.
     pub(super) fn name(&self, node: &NodeId) -> String {
-        self.names.get(node).cloned().unwrap_or_else(|| format!("{node:?}"))
+        self.names
+            .get(node)
+            .cloned()
+            .unwrap_or_else(|| format!("{node:?}"))
     }
 
     /// A reason, in the operator's names.
@@ -106,7 +112,9 @@
     pub(super) fn line(&self, now: Time, met: stackgw_cluster::DatagramCounters) -> String {
         let status = self.sessions.status(now);
         let counts = status.counters;
-        let sure = status.uncertainty.map_or("sure".to_owned(), |why| self.why(why));
+        let sure = status
+            .uncertainty
+            .map_or("sure".to_owned(), |why| self.why(why));
         format!(
             "sessions {sure}: marks={} own={} waiting={} pushed_out={} sure_here={} sure_there={} cautious={} released={} \
              released_owed={} in_doubt={} sent={} disregarded={} unknown_key={} forged={} malformed={}",
@@ -128,8 +136,11 @@
                 "address": seen.identity.address.to_string(), "up": seen.up})
         };
         let (counts, met) = (status.counters, cluster.counters());
-        let cautious: serde_json::Map<String, Value> =
-            self.cautious.iter().map(|(why, n)| (self.why(*why), json!(n))).collect();
+        let cautious: serde_json::Map<String, Value> = self
+            .cautious
+            .iter()
+            .map(|(why, n)| (self.why(*why), json!(n)))
+            .collect();
         json!({
             "name": name(&status.local.node), "incarnation": status.local.incarnation, "keeper": status.is_replica,
             "sure": status.uncertainty.is_none(),
@@ -151,7 +162,12 @@
 }
 
 fn names_of(keepers: &[String], me: &str) -> Map<NodeId, String> {
-    keepers.iter().map(String::as_str).chain([me]).map(|name| (NodeId::of(name), name.to_owned())).collect()
+    keepers
+        .iter()
+        .map(String::as_str)
+        .chain([me])
+        .map(|name| (NodeId::of(name), name.to_owned()))
+        .collect()
 }
 
 /// The names of those fields that a running gateway cannot change and in which another file differs.
@@ -167,7 +183,11 @@
         ("waits", old.waits != new.waits),
         ("store", old.store != new.store),
     ];
-    parts.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
+    parts
+        .into_iter()
+        .filter(|(_, differs)| *differs)
+        .map(|(name, _)| name)
+        .collect()
 }
 
 impl Reducer {
@@ -180,7 +200,11 @@
         out: &mut Vec<Effect>,
     ) {
         let mut outputs = Vec::new();
-        self.join_cluster(now, &ClusterConfig::from(config), life.peer(&self.fixed.name));
+        self.join_cluster(
+            now,
+            &ClusterConfig::from(config),
+            life.peer(&self.fixed.name),
+        );
         let shared = Shared::new(now, config, &self.fixed.name, life, &mut outputs);
         self.shared = Some(Box::new(shared));
         self.shared_outputs(now, outputs, out);
@@ -193,7 +217,9 @@
         out: &mut Vec<Effect>,
         act: impl FnOnce(&mut Sessions, &mut Vec<Output>),
     ) {
-        let Some(shared) = self.shared.as_mut() else { return };
+        let Some(shared) = self.shared.as_mut() else {
+            return;
+        };
         let mut outputs = std::mem::take(&mut shared.outputs);
         act(&mut shared.sessions, &mut outputs);
         self.shared_outputs(now, outputs, out);
@@ -219,9 +245,9 @@
 
     pub(super) fn disk(&mut self, now: Time, done: CommitOutcome, out: &mut Vec<Effect>) {
         match done {
-            CommitOutcome::Stored(records) => {
-                self.with_shared(now, out, |s, outputs| s.handle_records_stored(now, records, outputs))
-            }
+            CommitOutcome::Stored(records) => self.with_shared(now, out, |s, outputs| {
+                s.handle_records_stored(now, records, outputs)
+            }),
             CommitOutcome::Failed { error, quarantined } => {
                 let what = if quarantined {
                     "it was set aside; a restart will be cautious"
@@ -232,8 +258,14 @@
                 if let Some(shared) = self.shared.as_mut() {
                     shared.disk_failed = true;
                 }
-                let failure = if quarantined { StoreFailure::SetAside } else { StoreFailure::LeftInPlace };
-                self.with_shared(now, out, |s, outputs| s.handle_store_failure(now, failure, outputs));
+                let failure = if quarantined {
+                    StoreFailure::SetAside
+                } else {
+                    StoreFailure::LeftInPlace
+                };
+                self.with_shared(now, out, |s, outputs| {
+                    s.handle_store_failure(now, failure, outputs)
+                });
             }
         }
     }
@@ -242,8 +274,9 @@
     pub(super) fn shut(&self) -> Option<&'static str> {
         let (shared, member) = (self.shared.as_ref()?, self.cluster.as_ref()?);
         let roster = shared.sessions.replica_set();
-        let keeper =
-            |seen: &stackgw_cluster::InstanceStatus| seen.up && roster.contains(seen.identity.peer.node);
+        let keeper = |seen: &stackgw_cluster::InstanceStatus| {
+            seen.up && roster.contains(seen.identity.peer.node)
+        };
         if !shared.sessions.can_release() {
             return Some("this gateway's disk failed, another one takes writes");
         }
@@ -253,7 +286,9 @@
 
     /// Sets their timer anew where its moment has changed.
     pub(super) fn shared_due_set(&mut self) {
-        let Some(shared) = self.shared.as_ref() else { return };
+        let Some(shared) = self.shared.as_ref() else {
+            return;
+        };
         let key = self.moved(shared.due, shared.sessions.next_deadline(), Due::Shared);
         if let Some(shared) = self.shared.as_mut() {
             shared.due = Some(key);
@@ -261,18 +296,26 @@
     }
 
     pub(super) fn shared_due(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(shared) = self.shared.as_mut() else { return };
+        let Some(shared) = self.shared.as_mut() else {
+            return;
+        };
         shared.due = None;
-        self.with_shared(now, out, |sessions, outputs| sessions.handle_timeout(now, outputs));
+        self.with_shared(now, out, |sessions, outputs| {
+            sessions.handle_timeout(now, outputs)
+        });
         self.shared_due_set();
     }
 
     /// Says when reads became sure, or why they no longer are.
     pub(super) fn shared_look(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(shared) = self.shared.as_mut() else { return };
+        let Some(shared) = self.shared.as_mut() else {
+            return;
+        };
         let status = shared.sessions.status(now);
         if !status.is_replica
-            || shared.said.is_some_and(|(said, at)| said == status.uncertainty || now - at < SAID_EVERY)
+            || shared
+                .said
+                .is_some_and(|(said, at)| said == status.uncertainty || now - at < SAID_EVERY)
         {
             return;
         }
@@ -292,36 +335,60 @@
         let (shared, config) = match (self.shared.as_mut(), config) {
             (Some(shared), Some(config)) => (shared, config),
             (None, None) => return,
-            _ => return out.push(Effect::Log("sessions are turned on or off by a restart alone".to_owned())),
+            _ => {
+                return out.push(Effect::Log(
+                    "sessions are turned on or off by a restart alone".to_owned(),
+                ))
+            }
         };
         let fixed = differs(&shared.file, &config.options);
         if !fixed.is_empty() {
-            out.push(Effect::Log(format!("sessions: unchanged until a restart: {}", fixed.join(", "))));
+            out.push(Effect::Log(format!(
+                "sessions: unchanged until a restart: {}",
+                fixed.join(", ")
+            )));
         }
         shared.names = names_of(&config.options.keepers, &self.fixed.name);
-        let keepers = config.options.keepers.iter().map(|name| NodeId::of(name)).collect();
-        self.with_shared(now, out, |sessions, outputs| sessions.set_replicas(now, keepers, outputs));
+        let keepers = config
+            .options
+            .keepers
+            .iter()
+            .map(|name| NodeId::of(name))
+            .collect();
+        self.with_shared(now, out, |sessions, outputs| {
+            sessions.set_replicas(now, keepers, outputs)
+        });
     }
 
     // Reads and writes.
 
     /// A session read waits for what its session must see; then the router hears of it.
     pub(super) fn ask_session(&mut self, now: Time, request: Request, out: &mut Vec<Effect>) {
-        let Some(open) = self.requests.get_mut(&request.id) else { return };
+        let Some(open) = self.requests.get_mut(&request.id) else {
+            return;
+        };
         let (ticket, key) = (request.id.0, key_of(&open.statement));
         open.asks = Some(Box::new(request));
-        self.with_shared(now, out, |sessions, outputs| sessions.begin_read(now, ticket, key, outputs));
+        self.with_shared(now, out, |sessions, outputs| {
+            sessions.begin_read(now, ticket, key, outputs)
+        });
     }
 
     fn session_known(&mut self, now: Time, id: RequestId, knowledge: ReadRequirement) {
-        let Some(mut request) = self.requests.get_mut(&id).and_then(|open| open.asks.take()) else { return };
+        let Some(mut request) = self.requests.get_mut(&id).and_then(|open| open.asks.take()) else {
+            return;
+        };
         match knowledge {
             // Danger: a position that cannot be, from a peer or an old file, would overflow or be waited for in vain.
-            ReadRequirement::Position(Some(position)) if !(0..now + FUTURE_MOST).contains(&position) => {
+            ReadRequirement::Position(Some(position))
+                if !(0..now + FUTURE_MOST).contains(&position) =>
+            {
                 request.requires_strong_read = true;
             }
             // The client's own word counts too, where it carries one.
-            ReadRequirement::Position(position) => request.last_write = request.last_write.max(position),
+            ReadRequirement::Position(position) => {
+                request.last_write = request.last_write.max(position)
+            }
             ReadRequirement::Strong(why) => {
                 request.requires_strong_read = true;
                 if let Some(shared) = self.shared.as_mut() {
@@ -341,9 +408,13 @@
         row: Vec<u8>,
         out: &mut Vec<Effect>,
     ) -> Option<Vec<u8>> {
-        let open =
-            self.requests.get_mut(&request).filter(|open| open.statement.write && open.asker.is_some());
-        let Some(open) = open.filter(|_| self.shared.is_some()) else { return Some(row) };
+        let open = self
+            .requests
+            .get_mut(&request)
+            .filter(|open| open.statement.write && open.asker.is_some());
+        let Some(open) = open.filter(|_| self.shared.is_some()) else {
+            return Some(row);
+        };
         let (key, deadline) = (key_of(&open.statement), open.deadline);
         (open.ended, open.held) = (true, Some(row));
         self.counters.held_bytes += open.held.as_ref().map_or(0, |row| row.len() as u64);
@@ -351,7 +422,10 @@
         self.with_shared(now, out, |sessions, outputs| {
             admission = sessions.record_write(now, request.0, key, position, outputs);
         });
-        let held = self.requests.get(&request).is_some_and(|open| open.held.is_some());
+        let held = self
+            .requests
+            .get(&request)
+            .is_some_and(|open| open.held.is_some());
         if admission == WriteAdmission::Rejected {
             self.held_too_long(now, request, out);
         } else if held {
@@ -376,20 +450,30 @@
     }
 
     fn release(&mut self, now: Time, request: RequestId, out: &mut Vec<Effect>) {
-        let Some(row) = self.take_held(request) else { return };
+        let Some(row) = self.take_held(request) else {
+            return;
+        };
         let answered = self.answer(now, request, FinalResponse::Served(row), out);
         self.counters.answered_served += u64::from(answered);
     }
 
     /// Its write has run, but an answer that says so would let the session's next read miss it. Failed promises nothing.
     pub(super) fn held_too_long(&mut self, now: Time, request: RequestId, out: &mut Vec<Effect>) {
-        if self.requests.get(&request).is_none_or(|open| open.held.is_none()) {
+        if self
+            .requests
+            .get(&request)
+            .is_none_or(|open| open.held.is_none())
+        {
             return;
         }
         self.unshared(request);
         if let Some(shared) = self.shared.as_mut() {
             shared.in_doubt += 1;
-            log_rarely(shared.in_doubt, "writes served whose session could not be told in time:", out);
+            log_rarely(
+                shared.in_doubt,
+                "writes served whose session could not be told in time:",
+                out,
+            );
         }
         let text = "the write was sent and may have run, its answer could not be confirmed";
         let answered = self.answer(now, request, FinalResponse::Failed(text), out);
--- a/crates/stackgw-gateway/src/reducer/start.rs
+++ b/crates/stackgw-gateway/src/reducer/start.rs
@@ -4,8 +4,8 @@
 use super::*;
 use serde_json::{json, Value};
 use stackgw_bootstrap::{
-    Bootstrap, BootstrapSettings, CachedEndpoints, ConnectionPacer, LogEvent, MergeOutcome, Message,
-    Observation, Origin, Output, PacerConfig, PollRate,
+    Bootstrap, BootstrapSettings, CachedEndpoints, ConnectionPacer, LogEvent, MergeOutcome,
+    Message, Observation, Origin, Output, PacerConfig, PollRate,
 };
 
 /// Everything of it.
@@ -30,7 +30,9 @@
         let (counts, cache) = (self.start.counts(), self.start.cache());
         let (holders, live) = self.start.watch_leaders();
         let origin = cache.origin().map_or("nothing", word);
-        let age = cache.age(now).map_or_else(|| "never".to_owned(), |age| format!("{} ms", age / MS));
+        let age = cache
+            .age(now)
+            .map_or_else(|| "never".to_owned(), |age| format!("{} ms", age / MS));
         format!(
             "list from {origin}, version {:?}, vouched for {age} ago, watch={live} holders={holders:?} watches={} alone={} asked={} \
              unanswered={} answered={} pushed={} taken={} older={} foreign={} sighted={} dealt={} waited={}",
@@ -42,7 +44,9 @@
     /// Members whose connections are dealt now: not those that have become warm since they were listed.
     fn dealt(&self, now: Time) -> usize {
         self.deal.as_ref().map_or(0, |deal| {
-            deal.paced_members().filter(|m| deal.next_connection_at(now, *m).is_some()).count()
+            deal.paced_members()
+                .filter(|m| deal.next_connection_at(now, *m).is_some())
+                .count()
         })
     }
 
@@ -90,7 +94,12 @@
     ) {
         let pace = PollRate {
             instance_number: self.me as u32,
-            fleet_size: self.fixed.settings.router.fleet_size.max(others.map_or(0, |o| o.expected)),
+            fleet_size: self
+                .fixed
+                .settings
+                .router
+                .fleet_size
+                .max(others.map_or(0, |o| o.expected)),
             service_capacity: f64::from(file.bears),
             min_pause: self.limits.watch_min_backoff,
         };
@@ -106,9 +115,15 @@
             seed: self.secret,
         };
         // What the platform knows is kept word too; of which moment, it does not say.
-        let known =
-            self.known.take().map(|list| CachedEndpoints { list, confirmed_at: 0, warm_throughput: 0.0 });
-        let newer = [kept, known].into_iter().flatten().max_by_key(|kept| kept.list.revision);
+        let known = self.known.take().map(|list| CachedEndpoints {
+            list,
+            confirmed_at: 0,
+            warm_throughput: 0.0,
+        });
+        let newer = [kept, known]
+            .into_iter()
+            .flatten()
+            .max_by_key(|kept| kept.list.revision);
         let mut outputs = Vec::new();
         let start = Bootstrap::new(now, set, newer, &mut outputs);
         let service = file.service.clone();
@@ -125,7 +140,9 @@
             outputs: Vec::new(),
             due: None,
             service,
-            deal: file.opens.map(|opens| ConnectionPacer::new(dealt(opens), self.secret)),
+            deal: file
+                .opens
+                .map(|opens| ConnectionPacer::new(dealt(opens), self.secret)),
             ways: BTreeSet::new(),
             sights: HashMap::new(),
             gathered: now,
@@ -140,7 +157,9 @@
         out: &mut Vec<Effect>,
         act: impl FnOnce(&mut Bootstrap, &mut Vec<Output>),
     ) {
-        let Some(starting) = self.starting.as_mut() else { return };
+        let Some(starting) = self.starting.as_mut() else {
+            return;
+        };
         let mut outputs = std::mem::take(&mut starting.outputs);
         act(&mut starting.start, &mut outputs);
         self.start_outputs(now, outputs, out);
@@ -191,7 +210,9 @@
 
     /// Sets its timer anew where its moment has changed.
     pub(super) fn start_due_set(&mut self, now: Time) {
-        let Some(starting) = self.starting.as_ref() else { return };
+        let Some(starting) = self.starting.as_ref() else {
+            return;
+        };
         let key = self.moved(starting.due, starting.start.next_timeout(now), Due::Start);
         if let Some(starting) = self.starting.as_mut() {
             starting.due = Some(key);
@@ -214,7 +235,10 @@
     fn saw(&mut self, now: Time) -> Vec<Observation> {
         // Danger: an answer may be as old as the gathering before, and a role told just before its member started again must not
         // pass for one told after it.
-        let since = self.starting.as_mut().map_or(now, |s| std::mem::replace(&mut s.gathered, now));
+        let since = self
+            .starting
+            .as_mut()
+            .map_or(now, |s| std::mem::replace(&mut s.gathered, now));
         let news = self.router.take_gossip();
         let seen = |news: &GossipUpdate| {
             let name = &self.members.get(&news.member)?.name;
@@ -233,7 +257,10 @@
     /// What members have told elsewhere, for the router.
     fn sighted(&mut self, now: Time, seen: &[Observation]) {
         for seen in seen {
-            let known = self.starting.as_ref().and_then(|s| s.sights.get(&seen.member_hash).copied());
+            let known = self
+                .starting
+                .as_ref()
+                .and_then(|s| s.sights.get(&seen.member_hash).copied());
             let Some(member) = known else { continue };
             let position = Some(seen.position()).filter(|at| *at > 0);
             if !self.can_be(now, position) {
@@ -241,30 +268,53 @@
             }
             // Danger: a process that has started since leads nobody until it says so itself.
             let began = self.members.get(&member).and_then(|known| known.started);
-            let primary = seen.is_primary.filter(|_| began.is_none_or(|began| seen.observed_at() > began));
-            let news =
-                vec![GossipUpdate { member, position, is_primary: primary, latency_ratio: 0.0, samples: 0 }];
+            let primary = seen
+                .is_primary
+                .filter(|_| began.is_none_or(|began| seen.observed_at() > began));
+            let news = vec![GossipUpdate {
+                member,
+                position,
+                is_primary: primary,
+                latency_ratio: 0.0,
+                samples: 0,
+            }];
             // No earlier than its position, which the answer that told it had.
             let told = seen.observed_at().max(seen.position()).min(now);
-            self.events.push_back(Event::Gossip { sent_at: told, relay: false, updates: news });
+            self.events.push_back(Event::Gossip {
+                sent_at: told,
+                relay: false,
+                updates: news,
+            });
         }
     }
 
     // Connections that are dealt.
 
     pub(super) fn deal(&mut self, act: impl FnOnce(&mut ConnectionPacer)) {
-        if let Some(deal) = self.starting.as_mut().and_then(|starting| starting.deal.as_mut()) {
+        if let Some(deal) = self
+            .starting
+            .as_mut()
+            .and_then(|starting| starting.deal.as_mut())
+        {
             act(deal);
         }
     }
 
     /// Members as the list has them now. Kept word knows of nobody whether it has just started.
     pub(super) fn start_listed(&mut self, now: Time, list: &[ListEntry]) {
-        let Some(starting) = self.starting.as_mut() else { return };
+        let Some(starting) = self.starting.as_mut() else {
+            return;
+        };
         for entry in list {
-            let Some(member) = self.member_ids.get(&entry.id).copied() else { continue };
-            starting.sights.insert(Observation::hash_name(&entry.id), member);
-            let Some(deal) = starting.deal.as_mut() else { continue };
+            let Some(member) = self.member_ids.get(&entry.id).copied() else {
+                continue;
+            };
+            starting
+                .sights
+                .insert(Observation::hash_name(&entry.id), member);
+            let Some(deal) = starting.deal.as_mut() else {
+                continue;
+            };
             let started = match entry.up_since_ms {
                 0 => None,
                 ms => Some(Some(ms * MS).filter(|_| ms > 0)),
@@ -279,7 +329,9 @@
 
     /// Drops what goes by a member's number.
     pub(super) fn start_forgets(&mut self, member: MemberId, name: &str) {
-        let Some(starting) = self.starting.as_mut() else { return };
+        let Some(starting) = self.starting.as_mut() else {
+            return;
+        };
         starting.sights.remove(&Observation::hash_name(name));
         if let Some(deal) = starting.deal.as_mut() {
             deal.remove_member(member);
@@ -288,10 +340,16 @@
 
     /// Whether a connection may be opened now that nobody has opened yet.
     pub(super) fn may_open(&mut self, now: Time, member: MemberId) -> bool {
-        let Some(deal) = self.starting.as_mut().and_then(|starting| starting.deal.as_mut()) else {
+        let Some(deal) = self
+            .starting
+            .as_mut()
+            .and_then(|starting| starting.deal.as_mut())
+        else {
             return true;
         };
-        let may = deal.next_connection_at(now, member).is_none_or(|from| from <= now);
+        let may = deal
+            .next_connection_at(now, member)
+            .is_none_or(|from| from <= now);
         if !may {
             deal.record_deferral();
         }
@@ -300,7 +358,11 @@
 
     /// A connection to a member has come, gone, fallen idle or been taken.
     pub(super) fn ways_changed(&mut self, member: MemberId) {
-        if let Some(starting) = self.starting.as_mut().filter(|starting| starting.deal.is_some()) {
+        if let Some(starting) = self
+            .starting
+            .as_mut()
+            .filter(|starting| starting.deal.is_some())
+        {
             starting.ways.insert(member);
         }
     }
@@ -308,21 +370,33 @@
     /// All that are dealt: some may be warm by now.
     pub(super) fn ways_aged(&mut self) {
         if let Some(starting) = self.starting.as_mut() {
-            starting.ways.extend(starting.deal.iter().flat_map(ConnectionPacer::paced_members));
+            starting.ways.extend(
+                starting
+                    .deal
+                    .iter()
+                    .flat_map(ConnectionPacer::paced_members),
+            );
         }
     }
 
     /// Tells the router how it can reach those members to which that has changed.
     pub(super) fn tell_ways(&mut self, now: Time) {
-        let Some(starting) = self.starting.as_mut().filter(|starting| !starting.ways.is_empty()) else {
+        let Some(starting) = self
+            .starting
+            .as_mut()
+            .filter(|starting| !starting.ways.is_empty())
+        else {
+            return;
+        };
+        let Some(deal) = starting.deal.as_ref() else {
             return;
         };
-        let Some(deal) = starting.deal.as_ref() else { return };
         for member in std::mem::take(&mut starting.ways) {
             let free = u32::try_from(self.pool.idle(member)).unwrap_or(u32::MAX);
             self.router.set_connection_permits(
                 member,
-                deal.next_connection_at(now, member).map(|from| (free, from)),
+                deal.next_connection_at(now, member)
+                    .map(|from| (free, from)),
             );
         }
     }
@@ -333,15 +407,25 @@
             self.counters.words_dropped += 1;
         }
         if let Some(message) = message {
-            self.with_start(now, out, |start, outputs| start.handle_message(now, message, outputs));
+            self.with_start(now, out, |start, outputs| {
+                start.handle_message(now, message, outputs)
+            });
         }
     }
 
     pub(super) fn start_met(&mut self, now: Time, out: &mut Vec<Effect>) {
-        let Some(member) = self.cluster.as_ref().filter(|_| self.starting.is_some()) else { return };
-        let up =
-            member.cluster.instances().filter(|seen| seen.up).map(|seen| seen.identity.address).collect();
-        self.with_start(now, out, |start, outputs| start.update_membership(now, up, outputs));
+        let Some(member) = self.cluster.as_ref().filter(|_| self.starting.is_some()) else {
+            return;
+        };
+        let up = member
+            .cluster
+            .instances()
+            .filter(|seen| seen.up)
+            .map(|seen| seen.identity.address)
+            .collect();
+        self.with_start(now, out, |start, outputs| {
+            start.update_membership(now, up, outputs)
+        });
     }
 
     /// What a running gateway can change of it; `moved`: the list is at another address now.
@@ -356,19 +440,27 @@
         let (starting, file) = match (self.starting.as_mut(), file) {
             (Some(starting), Some(file)) => (starting, file),
             (None, None) => return,
-            _ => return out.push(Effect::Log("start is turned on or off by a restart alone".to_owned())),
+            _ => {
+                return out.push(Effect::Log(
+                    "start is turned on or off by a restart alone".to_owned(),
+                ))
+            }
         };
         let moved = moved || starting.service != file.service;
         starting.service = file.service.clone();
         let service = stackgw_bootstrap::service_id(&file.service);
-        self.with_start(now, out, |start, outputs| start.reload(now, seeds, service, moved, outputs));
+        self.with_start(now, out, |start, outputs| {
+            start.reload(now, seeds, service, moved, outputs)
+        });
     }
 
     pub(super) fn tell_list(&self, now: Time) -> Value {
         match &self.starting {
             Some(starting) => starting.tell(now),
-            None => json!({"revision": self.revision, "members": self.members.len(), "watch": self.watching,
-                "ready": !self.members.is_empty()}),
+            None => {
+                json!({"revision": self.revision, "members": self.members.len(), "watch": self.watching,
+                "ready": !self.members.is_empty()})
+            }
         }
     }
 }
--- a/crates/stackgw-gateway/src/reducer/streams.rs
+++ b/crates/stackgw-gateway/src/reducer/streams.rs
@@ -20,8 +20,14 @@
 impl BackendRequest {
     /// The same with the statement of a query message.
     pub(super) fn with(self, query: &[u8]) -> Self {
-        let text = query.get(5..).and_then(|body| body.strip_suffix(b"\0")).unwrap_or_default();
-        BackendRequest { statement: String::from_utf8_lossy(text).into_owned(), ..self }
+        let text = query
+            .get(5..)
+            .and_then(|body| body.strip_suffix(b"\0"))
+            .unwrap_or_default();
+        BackendRequest {
+            statement: String::from_utf8_lossy(text).into_owned(),
+            ..self
+        }
     }
 }
 
@@ -45,7 +51,9 @@
 
 impl Backs {
     pub(super) fn new(operator: &Operator) -> Self {
-        let Some((flight, _)) = &operator.flight else { return Backs::default() };
+        let Some((flight, _)) = &operator.flight else {
+            return Backs::default();
+        };
         Backs {
             groups: flight.groups.iter().copied().collect(),
             members: flight.members.iter().cloned().collect(),
@@ -67,26 +75,46 @@
         said: StreamHeader,
         out: &mut Vec<Effect>,
     ) {
-        let Some(conn) = self.conns.get_mut(&id).filter(|c| c.phase == Phase::Waiting) else { return };
+        let Some(conn) = self
+            .conns
+            .get_mut(&id)
+            .filter(|c| c.phase == Phase::Waiting)
+        else {
+            return;
+        };
         let (member, job) = (conn.member, conn.job);
         let Some(Job::Attempt { request, sent, .. }) = job else {
             // A probe is answered by one value.
             out.push(Effect::MemberClose(id));
             return self.end_job(now, id, Outcome::MalformedResponse, out);
         };
-        let open = self.requests.get_mut(&request).filter(|open| !open.ended && open.streams);
-        let asker = open.and_then(|open| open.asker.filter(|asker| matches!(asker, Requester::Call(_))));
+        let open = self
+            .requests
+            .get_mut(&request)
+            .filter(|open| !open.ended && open.streams);
+        let asker = open.and_then(|open| {
+            open.asker
+                .filter(|asker| matches!(asker, Requester::Call(_)))
+        });
         let Some(Requester::Call(call)) = asker else {
             out.push(Effect::MemberClose(id));
             return self.end_job(now, id, Outcome::Cancelled, out);
         };
         let timer = conn.timer.take();
-        conn.phase = Phase::Streaming { began: now - sent, call, load: true };
+        conn.phase = Phase::Streaming {
+            began: now - sent,
+            call,
+            load: true,
+        };
         if let Some(timer) = timer {
             self.timers.remove(&timer);
         }
         // Kept until the router is told how the attempt went.
-        let StreamHeader { primary, position, report } = said;
+        let StreamHeader {
+            primary,
+            position,
+            report,
+        } = said;
         let mut reply = Reply::default();
         (reply.primary, reply.position, reply.report) = (primary, position, report);
         self.disbelieve(now, &mut reply);
@@ -96,12 +124,18 @@
         let mut others = Vec::new();
         if let Some(open) = self.requests.get_mut(&request) {
             (open.ended, open.asker) = (true, None);
-            others.extend(open.out.iter().map(|(_, conn)| *conn).filter(|conn| *conn != id));
+            others.extend(
+                open.out
+                    .iter()
+                    .map(|(_, conn)| *conn)
+                    .filter(|conn| *conn != id),
+            );
         }
         self.counters.answered_served += 1;
         self.counters.streams_begun += 1;
         out.push(Effect::CallStreaming(call, id));
-        self.events.push_back(Event::StreamStarted { request, member });
+        self.events
+            .push_back(Event::StreamStarted { request, member });
         for other in others {
             out.push(Effect::MemberClose(other));
             self.end_job(now, other, Outcome::Cancelled, out);
@@ -112,7 +146,9 @@
     ///
     /// Danger: streams that nobody reads would else count against their member's limit, and close it for all others.
     pub(super) fn member_stream_waits(&mut self, id: ConnectionId) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         if let Phase::Streaming { load, .. } = &mut conn.phase {
             if std::mem::replace(load, false) {
                 self.stream_told(id, Outcome::Served);
@@ -122,11 +158,29 @@
 
     /// Tells the router how an attempt went whose answer is a stream, by the time until that began.
     fn stream_told(&mut self, id: ConnectionId, outcome: Outcome) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Phase::Streaming { began: took, .. } = conn.phase else { return };
-        let (member, Reply { primary, position, report, .. }) =
-            (conn.member, std::mem::take(&mut conn.reply));
-        let Some(Job::Attempt { request, number: attempt, .. }) = conn.job else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
+        let Phase::Streaming { began: took, .. } = conn.phase else {
+            return;
+        };
+        let (
+            member,
+            Reply {
+                primary,
+                position,
+                report,
+                ..
+            },
+        ) = (conn.member, std::mem::take(&mut conn.reply));
+        let Some(Job::Attempt {
+            request,
+            number: attempt,
+            ..
+        }) = conn.job
+        else {
+            return;
+        };
         let finished = true;
         let answer = AttemptResult {
             request,
@@ -150,8 +204,12 @@
         outcome: Outcome,
         out: &mut Vec<Effect>,
     ) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Phase::Streaming { call, load, .. } = conn.phase else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
+        let Phase::Streaming { call, load, .. } = conn.phase else {
+            return;
+        };
         let (member, whole) = (conn.member, outcome == Outcome::Served);
         if load {
             self.stream_told(id, outcome);
@@ -174,9 +232,13 @@
 
     /// Nobody waits for another front's request any more. A read's stream ends at its member; a write runs to its end there.
     pub(super) fn call_gone(&mut self, now: Time, call: CallId, out: &mut Vec<Effect>) {
-        let Some(request) = self.calls.remove(&call) else { return };
+        let Some(request) = self.calls.remove(&call) else {
+            return;
+        };
         let streaming = |id: &ConnectionId| {
-            self.conns.get(id).is_some_and(|conn| matches!(conn.phase, Phase::Streaming { .. }))
+            self.conns
+                .get(id)
+                .is_some_and(|conn| matches!(conn.phase, Phase::Streaming { .. }))
         };
         let open = self.requests.get(&request);
         match open.and_then(|open| open.out.iter().map(|(_, id)| *id).find(streaming)) {
--- a/crates/stackgw-gateway/tests/calls.rs
+++ b/crates/stackgw-gateway/tests/calls.rs
@@ -18,7 +18,10 @@
 fn out(rig: &mut Rig, call: u64, frame: stackgw_gateway::pg::Frame) -> ConnectionId {
     let mut effects = rig.input(Input::Call(CallId(call), frame, false));
     effects.extend(rig.pass(400 * MS));
-    statements(&effects).first().map(|(conn, _)| *conn).expect("an attempt")
+    statements(&effects)
+        .first()
+        .map(|(conn, _)| *conn)
+        .expect("an attempt")
 }
 
 #[test]
@@ -38,7 +41,11 @@
     let conn = out(&mut rig, 7, buy(2_000));
     let mut effects = rig.lose(conn);
     effects.extend(rig.pass(3 * SECOND));
-    assert!(matches!(ended(&effects)[..], [(CallId(7), FinalResponse::Failed(_))]), "{:?}", ended(&effects));
+    assert!(
+        matches!(ended(&effects)[..], [(CallId(7), FinalResponse::Failed(_))]),
+        "{:?}",
+        ended(&effects)
+    );
     assert!(statements(&effects).is_empty());
 }
 
@@ -55,15 +62,24 @@
     );
     let mut empty = Rig::new("null");
     let told = ended(&empty.input(Input::Call(CallId(8), read(900), false)));
-    assert!(matches!(told[..], [(CallId(8), FinalResponse::Unavailable(_))]), "{told:?}");
+    assert!(
+        matches!(told[..], [(CallId(8), FinalResponse::Unavailable(_))]),
+        "{told:?}"
+    );
 }
 
 #[test]
 fn what_is_malformed_is_told_so() {
     let mut rig = Rig::new(&three());
-    for text in ["SELECT 1", "SELECT val FROM state WHERE uid = 'k' /* id=z,c=nothing,d=5,cluster=2 */"] {
+    for text in [
+        "SELECT 1",
+        "SELECT val FROM state WHERE uid = 'k' /* id=z,c=nothing,d=5,cluster=2 */",
+    ] {
         let told = ended(&rig.input(Input::Call(CallId(7), query(text), false)));
-        assert!(matches!(told[..], [(CallId(7), FinalResponse::Malformed(_))]), "{told:?}");
+        assert!(
+            matches!(told[..], [(CallId(7), FinalResponse::Malformed(_))]),
+            "{told:?}"
+        );
     }
     assert_eq!(rig.reducer.counters().malformed, 2);
 }
@@ -77,5 +93,11 @@
     let mut effects = rig.serve(conn, b"v");
     effects.extend(rig.pass(3 * SECOND));
     assert!(ended(&effects).is_empty());
-    assert_eq!((rig.reducer.counters().held_bytes, rig.reducer.counters().answered_gone), (0, 1));
+    assert_eq!(
+        (
+            rig.reducer.counters().held_bytes,
+            rig.reducer.counters().answered_gone
+        ),
+        (0, 1)
+    );
 }
--- a/crates/stackgw-gateway/tests/common/mod.rs
+++ b/crates/stackgw-gateway/tests/common/mod.rs
@@ -76,12 +76,19 @@
     list_text(
         1,
         true,
-        &[entry(1, "ready", "leader"), entry(2, "ready", "follower"), entry(3, "ready", "follower")],
+        &[
+            entry(1, "ready", "leader"),
+            entry(2, "ready", "follower"),
+            entry(3, "ready", "follower"),
+        ],
     )
 }
 
 pub fn frame(bytes: Vec<u8>) -> Frame {
-    Frame { kind: bytes[0], bytes }
+    Frame {
+        kind: bytes[0],
+        bytes,
+    }
 }
 
 pub fn query(text: &str) -> Frame {
@@ -98,7 +105,9 @@
 
 pub fn read(wait_ms: u64) -> Frame {
     let id = new_id();
-    query(&format!("SELECT val FROM state WHERE uid = 'k1' /* id={id},c=look,d={wait_ms},cluster=2 */"))
+    query(&format!(
+        "SELECT val FROM state WHERE uid = 'k1' /* id={id},c=look,d={wait_ms},cluster=2 */"
+    ))
 }
 
 pub fn buy(wait_ms: u64) -> Frame {
@@ -133,7 +142,11 @@
     let mut data = vec![0, 1];
     data.extend((value.len() as u32).to_be_bytes());
     data.extend_from_slice(value);
-    vec![message(b'T', &description), message(b'D', &data), message(b'C', b"SELECT 1\0")]
+    vec![
+        message(b'T', &description),
+        message(b'D', &data),
+        message(b'C', b"SELECT 1\0"),
+    ]
 }
 
 pub fn ready() -> Frame {
@@ -147,7 +160,10 @@
 /// The SQLSTATE of an error that was written to a client.
 pub fn sqlstate(bytes: &[u8]) -> Option<String> {
     (bytes.first() == Some(&b'E')).then(|| {
-        let field = bytes[5..].split(|b| *b == 0).find(|f| f.first() == Some(&b'C')).expect("a code");
+        let field = bytes[5..]
+            .split(|b| *b == 0)
+            .find(|f| f.first() == Some(&b'C'))
+            .expect("a code");
         String::from_utf8_lossy(&field[1..]).into_owned()
     })
 }
@@ -187,7 +203,11 @@
 
     /// What a member says of itself when it is probed.
     pub fn report(&self) -> Vec<Frame> {
-        let text = format!("x0={}.{:03},x1=0", self.now / SECOND, self.now % SECOND / MS);
+        let text = format!(
+            "x0={}.{:03},x1=0",
+            self.now / SECOND,
+            self.now % SECOND / MS
+        );
         [row(text.as_bytes()), vec![ready()]].concat()
     }
 
@@ -212,7 +232,11 @@
                     Effect::MemberWrite(conn, bytes) if !self.members_stuck && bytes[0] == b'Q' => {
                         inputs.push_back(Input::MemberFlushed(*conn));
                         if self.probes && bytes[5..].starts_with(b"SHOW") {
-                            inputs.extend(self.report().into_iter().map(|f| Input::MemberFrame(*conn, f)));
+                            inputs.extend(
+                                self.report()
+                                    .into_iter()
+                                    .map(|f| Input::MemberFrame(*conn, f)),
+                            );
                         }
                     }
                     _ => {}
@@ -242,7 +266,10 @@
     }
 
     pub fn ask(&mut self, client: ClientId, frame: Frame) -> Vec<Effect> {
-        assert!(self.reducer.accepts_frame(client), "the client's message is not taken");
+        assert!(
+            self.reducer.accepts_frame(client),
+            "the client's message is not taken"
+        );
         self.input(Input::ClientFrame(client, frame))
     }
 
@@ -258,7 +285,11 @@
     pub fn serve(&mut self, conn: ConnectionId, value: &[u8]) -> Vec<Effect> {
         let mut frames = row(value);
         let position = (self.now / MS).to_string();
-        frames.extend([status("node_role", "follower"), status("replay_position", &position), ready()]);
+        frames.extend([
+            status("node_role", "follower"),
+            status("replay_position", &position),
+            ready(),
+        ]);
         self.reply(conn, frames)
     }
 
@@ -267,7 +298,10 @@
         if statements(&effects).is_empty() {
             effects = self.reply(conn, vec![message(b'R', &[0; 4]), ready()]);
         }
-        statements(&effects).into_iter().map(|(_, text)| text).collect()
+        statements(&effects)
+            .into_iter()
+            .map(|(_, text)| text)
+            .collect()
     }
 
     pub fn lose(&mut self, conn: ConnectionId) -> Vec<Effect> {
--- a/crates/stackgw-gateway/tests/config.rs
+++ b/crates/stackgw-gateway/tests/config.rs
@@ -16,13 +16,18 @@
     assert_eq!((config.peers.len(), config.peer_listen), (2, None));
     assert_eq!(config.peers_all.map(|a| a.port()), Some(7999));
     assert_eq!(
-        config.initial_endpoints.map(|k| (k.revision, k.complete, k.members.len())),
+        config
+            .initial_endpoints
+            .map(|k| (k.revision, k.complete, k.members.len())),
         Some((1, true, 3))
     );
     assert_eq!(config.limits.connect_timeout, 250 * MS);
     let var = |name: &str| (name == "ROUTER_NAME").then(|| "other".to_owned());
     let config = Config::from_text(&config_text("null"), var).expect("a configuration");
-    assert_eq!((config.name.as_str(), config.initial_endpoints), ("other", None));
+    assert_eq!(
+        (config.name.as_str(), config.initial_endpoints),
+        ("other", None)
+    );
 }
 
 #[test]
@@ -31,18 +36,33 @@
     for (from, to, says) in [
         ("\"g0\"", "7", "name"),
         ("\"127.0.0.1:8500\"", "\"agent\"", "discovery: 'agent'"),
-        ("\"memory_mb\":64", "\"memory_mb\":\"x\"", "limits.memory_mb"),
+        (
+            "\"memory_mb\":64",
+            "\"memory_mb\":\"x\"",
+            "limits.memory_mb",
+        ),
         ("\"sockets\":128", "\"sockets\":8", "limits.sockets"),
         ("\"peers\":[", "\"peers\":[3,", "peers"),
         ("\"127.0.0.1:7999\"", "\"all\"", "peers_all: 'all'"),
         ("\"AimNs\"", "\"Aim\"", "settings: AimNs"),
         ("\"look\"", "7", "settings: Classes"),
-        ("\"phase\":\"ready\"", "\"phase\":\"odd\"", "known: members: phase is 'odd'"),
-        ("127.0.0.1:7001", "here", "known: members: host_port is 'here'"),
+        (
+            "\"phase\":\"ready\"",
+            "\"phase\":\"odd\"",
+            "known: members: phase is 'odd'",
+        ),
+        (
+            "127.0.0.1:7001",
+            "here",
+            "known: members: host_port is 'here'",
+        ),
     ] {
         assert!(whole.contains(from), "{from}");
         let problem = Config::from_text(&whole.replace(from, to), |_| None).expect_err(from);
-        assert!(problem.contains(says) && !problem.contains('\n'), "{from}: {problem}");
+        assert!(
+            problem.contains(says) && !problem.contains('\n'),
+            "{from}: {problem}"
+        );
     }
 }
 
@@ -52,20 +72,32 @@
     for sockets in [64, 128, 1024, 65_536] {
         for memory_mb in [32, 192, 2048] {
             let limits = Limits::new(Platform { memory_mb, sockets }, &settings);
-            assert!(limits.clients + limits.client_reserve + limits.member_connections + 32 <= sockets);
+            assert!(
+                limits.clients + limits.client_reserve + limits.member_connections + 32 <= sockets
+            );
             assert!(limits.clients > 0 && limits.member_connections > 0);
             // Statements in hand, bytes not yet handed over, and partial answers.
             assert!(2 * limits.client_bytes + limits.member_bytes <= (memory_mb << 20) / 2);
             // What clients leave unread comes on top.
-            assert!(limits.pending_write_bytes <= (memory_mb << 20) / 4 && limits.answer_bytes > 64 << 10);
+            assert!(
+                limits.pending_write_bytes <= (memory_mb << 20) / 4
+                    && limits.answer_bytes > 64 << 10
+            );
             assert!(8 * limits.answer_bytes < limits.pending_write_bytes);
         }
     }
-    let limits = Limits::new(Platform { memory_mb: 192, sockets: 1024 }, &settings);
+    let limits = Limits::new(
+        Platform {
+            memory_mb: 192,
+            sockets: 1024,
+        },
+        &settings,
+    );
     assert!(limits.member_idle_timeout < 20 * SECOND && limits.shutdown_accept > 400 * MS);
     // Killed no sooner than the longest deadline (2 s here) and 0.7 s after SIGTERM.
     assert!(
-        limits.shutdown_deadline > 2 * SECOND + 500 * MS && limits.shutdown_deadline < 2 * SECOND + 700 * MS
+        limits.shutdown_deadline > 2 * SECOND + 500 * MS
+            && limits.shutdown_deadline < 2 * SECOND + 700 * MS
     );
 }
 
@@ -76,21 +108,47 @@
     let with = |from: &str, to: &str| {
         let text = config_text("null");
         assert!(text.contains(from), "{from}");
-        Config::from_text(&text.replacen(from, to, 1), |_| None).map(|_| ()).map_err(|e| e.to_string())
+        Config::from_text(&text.replacen(from, to, 1), |_| None)
+            .map(|_| ())
+            .map_err(|e| e.to_string())
     };
     assert_eq!(with("\"Me\":0", "\"Me\":0"), Ok(()));
     for (from, to, names) in [
-        ("\"StalenessBoundNs\":[1000000000,", "\"StalenessBoundNs\":[0,", "StalenessBoundNs"),
+        (
+            "\"StalenessBoundNs\":[1000000000,",
+            "\"StalenessBoundNs\":[0,",
+            "StalenessBoundNs",
+        ),
         ("\"AimNs\":200000000", "\"AimNs\":0", "AimNs"),
-        ("\"DeadlineNs\":1000000000", "\"DeadlineNs\":-5", "DeadlineNs"),
+        (
+            "\"DeadlineNs\":1000000000",
+            "\"DeadlineNs\":-5",
+            "DeadlineNs",
+        ),
         ("\"Worth\":1.0", "\"Worth\":-1.0", "Worth"),
         ("\"QuantumNs\":5000000", "\"QuantumNs\":-1", "QuantumNs"),
-        ("\"DialTimeoutNs\":250000000", "\"DialTimeoutNs\":0", "DialTimeoutNs"),
-        ("\"StopSendingWithinNs\":1000000000", "\"StopSendingWithinNs\":-1", "StopSendingWithinNs"),
+        (
+            "\"DialTimeoutNs\":250000000",
+            "\"DialTimeoutNs\":0",
+            "DialTimeoutNs",
+        ),
+        (
+            "\"StopSendingWithinNs\":1000000000",
+            "\"StopSendingWithinNs\":-1",
+            "StopSendingWithinNs",
+        ),
         ("\"FallNs\":1000000000", "\"FallNs\":0", "FallNs"),
-        ("\"StartCapacity\":0.25", "\"StartCapacity\":-0.25", "StartCapacity"),
+        (
+            "\"StartCapacity\":0.25",
+            "\"StartCapacity\":-0.25",
+            "StartCapacity",
+        ),
         ("\"FleetSize\":2", "\"FleetSize\":0", "FleetSize"),
-        ("\"ConnIdleNs\":20000000000", "\"ConnIdleNs\":-1", "ConnIdleNs"),
+        (
+            "\"ConnIdleNs\":20000000000",
+            "\"ConnIdleNs\":-1",
+            "ConnIdleNs",
+        ),
         ("\"MaxOpen\":1000", "\"MaxOpen\":-1", "MaxOpen"),
         ("\"Behind\":\"silent\"", "\"Behind\":\"odd\"", "Behind"),
     ] {
@@ -98,6 +156,13 @@
         assert!(said.contains(names) && !said.contains('\n'), "{said}");
     }
     let keyed = config_text("null").replacen("\"retryable\"", "\"dedup\"", 1);
-    let said = Config::from_text(&keyed.replacen("\"DedupWindowNs\":0", "\"DedupWindowNs\":-1", 1), |_| None);
-    assert!(said.map(|_| ()).expect_err("a window").to_string().contains("DedupWindowNs"));
+    let said = Config::from_text(
+        &keyed.replacen("\"DedupWindowNs\":0", "\"DedupWindowNs\":-1", 1),
+        |_| None,
+    );
+    assert!(said
+        .map(|_| ())
+        .expect_err("a window")
+        .to_string()
+        .contains("DedupWindowNs"));
 }
--- a/crates/stackgw-gateway/tests/dealt.rs
+++ b/crates/stackgw-gateway/tests/dealt.rs
@@ -25,14 +25,19 @@
     config.bootstrap = Some(file.clone());
     let mut rig = Rig::with(config);
     let mut effects = Vec::new();
-    rig.reducer.enable_bootstrap(rig.now, &file, None, None, &mut effects);
+    rig.reducer
+        .enable_bootstrap(rig.now, &file, None, None, &mut effects);
     rig.pass(SECOND / 10);
     told(&mut rig, 1, since_ms);
     rig
 }
 
 fn told(rig: &mut Rig, revision: u64, since_ms: i64) {
-    let entries = [entry(1, "ready", "leader"), entry(2, "ready", "follower"), entry(3, "ready", "follower")];
+    let entries = [
+        entry(1, "ready", "leader"),
+        entry(2, "ready", "follower"),
+        entry(3, "ready", "follower"),
+    ];
     let since = format!("\"up_since_ms\":{since_ms}");
     let entries = entries.map(|entry| entry.replace("\"up_since_ms\":0", &since));
     rig.input(Input::EndpointList(list(revision, true, &entries)));
@@ -62,18 +67,28 @@
     // Two a second at each of three members, growing to eight, for ten gateways: five in five seconds on average.
     assert!((1..=9).contains(&dealt.len()), "{dealt:?}");
     let free = openings(&mut rig(COLD, None), 5 * SECOND);
-    assert!(free.len() > 3 * dealt.len(), "without turns: {}", free.len());
+    assert!(
+        free.len() > 3 * dealt.len(),
+        "without turns: {}",
+        free.len()
+    );
 }
 
 #[test]
 fn a_warm_member_is_connected_to_at_once() {
     let dealt = openings(&mut rig(LONG_AGO, Some(2)), SECOND);
-    assert!(dealt.first() < Some(&(100 * MS)) && dealt.len() > 5, "{dealt:?}");
+    assert!(
+        dealt.first() < Some(&(100 * MS)) && dealt.len() > 5,
+        "{dealt:?}"
+    );
     // One that has become warm by its age, too.
     let mut rig = rig(COLD, Some(2));
     rig.pass(11 * SECOND);
     let dealt = openings(&mut rig, SECOND);
-    assert!(dealt.first() < Some(&(100 * MS)) && dealt.len() > 5, "{dealt:?}");
+    assert!(
+        dealt.first() < Some(&(100 * MS)) && dealt.len() > 5,
+        "{dealt:?}"
+    );
 }
 
 #[test]
@@ -88,7 +103,11 @@
     while rig.now < START + 20 * SECOND {
         effects.extend(rig.pass(20 * MS));
         let asked: Vec<_> = statements(&effects);
-        conns.extend(opened(&effects).into_iter().filter(|(_, member)| *member == 1));
+        conns.extend(
+            opened(&effects)
+                .into_iter()
+                .filter(|(_, member)| *member == 1),
+        );
         effects.clear();
         for (conn, _) in asked {
             effects.extend(rig.serve(conn, b"v"));
@@ -96,7 +115,11 @@
     }
     let counters = rig.reducer.counters();
     let ended = counters.answered_served + counters.answered_refused;
-    assert_eq!((ended, counters.answered_failed), (6, 0), "each has its one answer");
+    assert_eq!(
+        (ended, counters.answered_failed),
+        (6, 0),
+        "each has its one answer"
+    );
     assert!(conns.len() <= 2, "{conns:?}");
     if counters.answered_served > 0 {
         assert!(!conns.is_empty());
@@ -112,5 +135,9 @@
         Effect::Log(line) if line.starts_with("list from") => Some(line.clone()),
         _ => None,
     });
-    assert!(line.as_deref().is_some_and(|line| line.contains(" dealt=3 ")), "{line:?}");
+    assert!(
+        line.as_deref()
+            .is_some_and(|line| line.contains(" dealt=3 ")),
+        "{line:?}"
+    );
 }
--- a/crates/stackgw-gateway/tests/digest.rs
+++ b/crates/stackgw-gateway/tests/digest.rs
@@ -6,16 +6,16 @@
 mod common;
 
 use common::*;
+use stackgw_bootstrap::CachedEndpoints;
 use stackgw_cluster::{Key, Keyring};
 use stackgw_gateway::config::{ClusterConfig, Config, SessionSharingConfig};
 use stackgw_gateway::pg::Frame;
 use stackgw_gateway::reducer::{
-    CallId, ClientId, CloseReason, ConnectionId, Effect, FinalResponse, Incarnation, Input, Reducer,
-    StatusQuery, StreamHeader,
+    CallId, ClientId, CloseReason, ConnectionId, Effect, FinalResponse, Incarnation, Input,
+    Reducer, StatusQuery, StreamHeader,
 };
 use stackgw_router::api::{LoadReport, Outcome, Span, Time, MS, SECOND};
 use stackgw_sessions::{Record, Recovered};
-use stackgw_bootstrap::CachedEndpoints;
 use stackgw_store::CommitOutcome;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -44,7 +44,10 @@
     }
 
     fn number(&mut self, number: u64) {
-        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+        number
+            .to_le_bytes()
+            .into_iter()
+            .for_each(|byte| self.byte(byte));
     }
 
     fn optional(&mut self, number: Option<u64>) {
@@ -122,7 +125,11 @@
     fn effect(&mut self, effect: &Effect) {
         match effect {
             Effect::AcceptClients(on) => self.pair(0, u64::from(*on)),
-            Effect::ClientWrite { client, bytes, close } => {
+            Effect::ClientWrite {
+                client,
+                bytes,
+                close,
+            } => {
                 self.pair(1, client.0);
                 self.bytes(bytes);
                 self.byte(u8::from(*close));
@@ -140,7 +147,10 @@
             Effect::BackendSend(conn, asked) => {
                 self.pair(6, conn.0);
                 self.bytes(asked.statement.as_bytes());
-                self.pair(asked.timeout_ms, u64::from(asked.is_write) * 2 + u64::from(asked.may_stream));
+                self.pair(
+                    asked.timeout_ms,
+                    u64::from(asked.is_write) * 2 + u64::from(asked.may_stream),
+                );
             }
             Effect::MemberWrite(conn, bytes) => {
                 self.pair(7, conn.0);
@@ -191,7 +201,9 @@
             Effect::Log(_) => self.number(20),
             Effect::Report(counters) => {
                 self.number(21);
-                parse_counters(&counters.to_string()).into_iter().for_each(|(_, count)| self.number(count));
+                parse_counters(&counters.to_string())
+                    .into_iter()
+                    .for_each(|(_, count)| self.number(count));
             }
             Effect::Exit => self.number(22),
         }
@@ -201,7 +213,9 @@
 fn collect_leaves(value: &serde_json::Value, leaves: &mut Vec<String>) {
     match value {
         serde_json::Value::Array(all) => all.iter().for_each(|value| collect_leaves(value, leaves)),
-        serde_json::Value::Object(all) => all.values().for_each(|value| collect_leaves(value, leaves)),
+        serde_json::Value::Object(all) => {
+            all.values().for_each(|value| collect_leaves(value, leaves))
+        }
         serde_json::Value::String(_) => {}
         leaf => leaves.push(leaf.to_string()),
     }
@@ -210,7 +224,9 @@
 /// The counters as they are printed.
 fn parse_counters(line: &str) -> Vec<(String, u64)> {
     let pairs = line.split(' ').filter_map(|word| word.split_once('='));
-    pairs.filter_map(|(name, count)| Some((name.to_owned(), count.parse().ok()?))).collect()
+    pairs
+        .filter_map(|(name, count)| Some((name.to_owned(), count.parse().ok()?)))
+        .collect()
 }
 
 /// SplitMix64.
@@ -370,7 +386,10 @@
 }
 
 fn ring() -> Keyring {
-    Keyring::new(vec![Key::new("test", b"a secret of this test alone").expect("a secret")]).expect("keys")
+    Keyring::new(vec![
+        Key::new("test", b"a secret of this test alone").expect("a secret")
+    ])
+    .expect("keys")
 }
 
 fn cluster_address(index: usize) -> SocketAddr {
@@ -410,24 +429,37 @@
         change("\"RetryAfter\":true", "\"RetryAfter\":false");
     }
     if random.chance(20) {
-        change("\"StopSendingWithinNs\"", "\"OnlyDrainingBinds\":true,\"StopSendingWithinNs\"");
+        change(
+            "\"StopSendingWithinNs\"",
+            "\"OnlyDrainingBinds\":true,\"StopSendingWithinNs\"",
+        );
     }
     if random.chance(30) {
         change("\"ConnIdleNs\":20000000000", "\"ConnIdleNs\":900000000");
     }
     if options.subscribe {
-        change("\"MembershipMode\":\"automatic\"", "\"MembershipMode\":\"subscribe\"");
+        change(
+            "\"MembershipMode\":\"automatic\"",
+            "\"MembershipMode\":\"subscribe\"",
+        );
     }
     if options.paced {
         change("\"FleetSize\":2", "\"FleetSize\":4");
     }
     change("\"Me\":0", &format!("\"Me\":{index}"));
     change("\"name\":\"g0\"", &format!("\"name\":\"g{index}\""));
-    change("\"seed\":\"8c1f\"", &format!("\"seed\":\"{:x}\"", 0x8c1f + seed * 2 + index as u64));
+    change(
+        "\"seed\":\"8c1f\"",
+        &format!("\"seed\":\"{:x}\"", 0x8c1f + seed * 2 + index as u64),
+    );
     let mut config = Config::from_text(&text, |_| None).expect("a configuration");
     let limits = &mut config.limits;
     if random.chance(60) {
-        (limits.clients, limits.client_reserve, limits.client_soft_limit) = (5, 2, 3);
+        (
+            limits.clients,
+            limits.client_reserve,
+            limits.client_soft_limit,
+        ) = (5, 2, 3);
     }
     if random.chance(50) {
         limits.member_connections = 4;
@@ -436,7 +468,11 @@
         (limits.client_bytes, limits.pending_write_bytes) = (1500, 700);
     }
     if random.chance(30) {
-        (limits.requests, limits.max_pipelined_statements, limits.max_consecutive_malformed) = (5, 4, 3);
+        (
+            limits.requests,
+            limits.max_pipelined_statements,
+            limits.max_consecutive_malformed,
+        ) = (5, 4, 3);
     }
     if random.chance(20) {
         limits.members = 3;
@@ -468,8 +504,10 @@
             seeds[0],
             seeds[1]
         );
-        let together =
-            SessionSharingConfig { options: serde_json::from_str(&file).expect("a part"), keyring: ring() };
+        let together = SessionSharingConfig {
+            options: serde_json::from_str(&file).expect("a part"),
+            keyring: ring(),
+        };
         config.cluster = Some(ClusterConfig::from(&together));
         config.session_sharing = Some(together);
     }
@@ -480,13 +518,16 @@
             seeds[0],
             seeds[1]
         );
-        config.cluster =
-            Some(ClusterConfig { options: serde_json::from_str(&file).expect("a part"), keyring: ring() });
+        config.cluster = Some(ClusterConfig {
+            options: serde_json::from_str(&file).expect("a part"),
+            keyring: ring(),
+        });
     }
     if options.start {
         let opens = if options.paced { r#""opens": 2, "# } else { "" };
-        let file =
-            format!(r#"{{"bears": 100, {opens}"service": "s", "kept_wait": "100ms", "reset_after": "2s"}}"#);
+        let file = format!(
+            r#"{{"bears": 100, {opens}"service": "s", "kept_wait": "100ms", "reset_after": "2s"}}"#
+        );
         config.bootstrap = Some(serde_json::from_str(&file).expect("a part"));
     }
 }
@@ -526,18 +567,29 @@
     }
 
     fn boot(&mut self, index: usize, config: Config) {
-        let (together, others, start) =
-            (config.session_sharing.clone(), config.cluster.clone(), config.bootstrap.clone());
+        let (together, others, start) = (
+            config.session_sharing.clone(),
+            config.cluster.clone(),
+            config.bootstrap.clone(),
+        );
         let name = config.name.clone();
         let recovered = match self.random.below(3) {
             0 => None,
-            _ => Some(Recovered { unbroken_since: 5, ..Recovered::default() }),
+            _ => Some(Recovered {
+                unbroken_since: 5,
+                ..Recovered::default()
+            }),
+        };
+        let life = Incarnation {
+            number: 5,
+            recovered,
         };
-        let life = Incarnation { number: 5, recovered };
         let mut reducer = Reducer::new(config);
         let mut effects = Vec::new();
         match (&together, &others) {
-            (Some(together), _) => reducer.enable_session_sharing(self.now, together, life, &mut effects),
+            (Some(together), _) => {
+                reducer.enable_session_sharing(self.now, together, life, &mut effects)
+            }
             (None, Some(others)) => reducer.join_cluster(self.now, others, life.peer(&name)),
             _ => {}
         }
@@ -581,7 +633,8 @@
 
     fn schedule(&mut self, index: usize, after: Span, scheduled: Scheduled) {
         self.number += 1;
-        self.scheduled.insert((self.now + after, self.number), (index, scheduled));
+        self.scheduled
+            .insert((self.now + after, self.number), (index, scheduled));
     }
 
     fn input(&mut self, index: usize, input: Input) {
@@ -603,7 +656,11 @@
         self.digest.effect(&effect);
         match effect {
             Effect::AcceptClients(on) => self.gateways[index].accepts = on,
-            Effect::ClientWrite { client, bytes, close } => self.client_written(index, client, &bytes, close),
+            Effect::ClientWrite {
+                client,
+                bytes,
+                close,
+            } => self.client_written(index, client, &bytes, close),
             Effect::ClientClose(client) => drop(self.gateways[index].clients.remove(&client)),
             Effect::ClientCloseIfIdle(client) => {
                 let quiet = |c: &Client| c.pending.is_empty() && c.half == 0;
@@ -617,7 +674,11 @@
                 self.open(index, conn, u32::from(address.port()) % 100 - 1, back);
             }
             Effect::BackendSend(conn, asked) => {
-                self.schedule(index, 0, Scheduled::Member(conn, Input::MemberFlushed(conn)));
+                self.schedule(
+                    index,
+                    0,
+                    Scheduled::Member(conn, Input::MemberFlushed(conn)),
+                );
                 if asked.may_stream && self.random.chance(70) {
                     self.stream(index, conn);
                 } else {
@@ -628,7 +689,11 @@
                 if bytes[0] == b'Q' {
                     if self.random.chance(97) {
                         let after = self.random.span(0, MS);
-                        self.schedule(index, after, Scheduled::Member(conn, Input::MemberFlushed(conn)));
+                        self.schedule(
+                            index,
+                            after,
+                            Scheduled::Member(conn, Input::MemberFlushed(conn)),
+                        );
                     }
                     self.answer(index, conn, bytes[5..].starts_with(b"SHOW"), false);
                 }
@@ -641,13 +706,20 @@
             Effect::CloseWatch => self.gateways[index].watch = None,
             Effect::FetchEndpoints(_) => {
                 let up = self.agent_up && self.random.chance(80);
-                let input = if up { Input::EndpointList(self.list(true)) } else { Input::FetchFailed };
+                let input = if up {
+                    Input::EndpointList(self.list(true))
+                } else {
+                    Input::FetchFailed
+                };
                 let after = self.random.span(MS, 60 * MS);
                 self.schedule(index, after, Scheduled::Plain(input));
             }
             Effect::GossipDatagram(to, bytes) => self.send_datagram(index, to, bytes),
             Effect::ClusterDatagram(to, bytes) => {
-                let at = self.gateways.iter().position(|gateway| gateway.cluster == to);
+                let at = self
+                    .gateways
+                    .iter()
+                    .position(|gateway| gateway.cluster == to);
                 if let Some(at) = at.filter(|_| self.random.chance(92)) {
                     let after = self.random.span(MS / 10, 3 * MS);
                     self.schedule(at, after, Scheduled::Plain(Input::ClusterDatagram(bytes)));
@@ -674,12 +746,17 @@
                 self.schedule(index, 2 * MS, Scheduled::Plain(Input::ListenerClosed));
             }
             Effect::Exit => self.gateways[index].ended = true,
-            Effect::StoreEndpoints(_) | Effect::StatusReply(..) | Effect::Log(_) | Effect::Report(_) => {}
+            Effect::StoreEndpoints(_)
+            | Effect::StatusReply(..)
+            | Effect::Log(_)
+            | Effect::Report(_) => {}
         }
     }
 
     fn client_written(&mut self, index: usize, id: ClientId, bytes: &[u8], close: bool) {
-        let Some(client) = self.gateways[index].clients.get_mut(&id) else { return };
+        let Some(client) = self.gateways[index].clients.get_mut(&id) else {
+            return;
+        };
         if let Some(at) = bytes.windows(5).position(|w| w == [b'K', 0, 0, 0, 12]) {
             client.key = bytes.get(at + 5..at + 13).map(<[u8]>::to_vec);
         }
@@ -700,22 +777,38 @@
         let (up, greets) = match behavior {
             MemberBehavior::Refuses => {
                 let after = self.random.span(0, 2 * MS);
-                return self.schedule(index, after, Scheduled::Lost(conn, CloseReason::Disconnected));
-            }
-            MemberBehavior::ComesUpLate => {
-                (self.random.span(10 * MS, 500 * MS), self.random.span(10 * MS, 600 * MS))
+                return self.schedule(
+                    index,
+                    after,
+                    Scheduled::Lost(conn, CloseReason::Disconnected),
+                );
             }
+            MemberBehavior::ComesUpLate => (
+                self.random.span(10 * MS, 500 * MS),
+                self.random.span(10 * MS, 600 * MS),
+            ),
             MemberBehavior::StandsStill if self.random.chance(30) => return,
             _ => (self.random.span(0, 2 * MS), self.random.span(0, 5 * MS)),
         };
-        self.schedule(index, up, Scheduled::Member(conn, Input::MemberConnected(conn)));
+        self.schedule(
+            index,
+            up,
+            Scheduled::Member(conn, Input::MemberConnected(conn)),
+        );
         if back {
             return;
         }
-        self.schedule(index, up, Scheduled::Member(conn, Input::MemberFlushed(conn)));
+        self.schedule(
+            index,
+            up,
+            Scheduled::Member(conn, Input::MemberFlushed(conn)),
+        );
         if behavior == MemberBehavior::BreaksInStartup {
-            let why =
-                if self.random.chance(80) { CloseReason::Disconnected } else { CloseReason::ProtocolError };
+            let why = if self.random.chance(80) {
+                CloseReason::Disconnected
+            } else {
+                CloseReason::ProtocolError
+            };
             return self.schedule(index, up + greets, Scheduled::Lost(conn, why));
         }
         let greeting = match self.random.below(40) {
@@ -725,7 +818,11 @@
             _ => vec![message(b'R', &[0; 4]), ready()],
         };
         for frame in greeting {
-            self.schedule(index, up + greets, Scheduled::Member(conn, Input::MemberFrame(conn, frame)));
+            self.schedule(
+                index,
+                up + greets,
+                Scheduled::Member(conn, Input::MemberFrame(conn, frame)),
+            );
         }
     }
 
@@ -735,16 +832,25 @@
             MemberBehavior::FutureClock => self.now + 9 * SECOND,
             _ => self.now - behind,
         };
-        let leads =
-            (member + 1 == self.leader) != (self.behaviors[member as usize] == MemberBehavior::WrongRole);
+        let leads = (member + 1 == self.leader)
+            != (self.behaviors[member as usize] == MemberBehavior::WrongRole);
         let role = if leads { "leader" } else { "follower" };
-        vec![status("node_role", role), status("replay_position", &(position / MS).to_string())]
+        vec![
+            status("node_role", role),
+            status("replay_position", &(position / MS).to_string()),
+        ]
     }
 
     fn answer(&mut self, index: usize, conn: ConnectionId, probe: bool, back: bool) {
-        let Some(member) = self.gateways[index].conns.get(&conn).copied() else { return };
+        let Some(member) = self.gateways[index].conns.get(&conn).copied() else {
+            return;
+        };
         let behavior = self.behaviors[member as usize];
-        let behind = if behavior == MemberBehavior::Lags { 3 * SECOND } else { self.random.span(0, 30 * MS) };
+        let behind = if behavior == MemberBehavior::Lags {
+            3 * SECOND
+        } else {
+            self.random.span(0, 30 * MS)
+        };
         let took = match behavior {
             MemberBehavior::Lags => self.random.span(50 * MS, 400 * MS),
             _ => self.random.span(MS / 2, 20 * MS),
@@ -762,8 +868,11 @@
             let length = self.random.below(300) as usize;
             row(&vec![b'v'; length])
         };
-        let status_frames =
-            if self.random.chance(85) { self.role_and_position(member, behind) } else { Vec::new() };
+        let status_frames = if self.random.chance(85) {
+            self.role_and_position(member, behind)
+        } else {
+            Vec::new()
+        };
         let frames = match behavior {
             MemberBehavior::StandsStill => return,
             MemberBehavior::Breaks => {
@@ -775,13 +884,25 @@
                 return self.schedule(index, took, Scheduled::Lost(conn, why));
             }
             MemberBehavior::StandsInside => {
-                self.schedule(index, took, Scheduled::Member(conn, Input::MemberFrame(conn, row[0].clone())));
-                return self.schedule(index, took, Scheduled::Member(conn, Input::MemberPartialFrame(conn)));
+                self.schedule(
+                    index,
+                    took,
+                    Scheduled::Member(conn, Input::MemberFrame(conn, row[0].clone())),
+                );
+                return self.schedule(
+                    index,
+                    took,
+                    Scheduled::Member(conn, Input::MemberPartialFrame(conn)),
+                );
             }
             MemberBehavior::Errs => [vec![error("XX000")], status_frames, vec![ready()]].concat(),
             MemberBehavior::Sheds => [vec![error("53300")], status_frames, vec![ready()]].concat(),
             MemberBehavior::WrongRole => {
-                let code = if self.random.chance(50) { "25006" } else { "72000" };
+                let code = if self.random.chance(50) {
+                    "25006"
+                } else {
+                    "72000"
+                };
                 [vec![error(code)], status_frames, vec![ready()]].concat()
             }
             MemberBehavior::Spoils => match self.random.below(3) {
@@ -789,11 +910,17 @@
                 1 => vec![row[1].clone()],
                 _ => [row, vec![message(b'x', b"")]].concat(),
             },
-            MemberBehavior::SaysTooMuch => [row.clone(), status_frames, vec![ready()], row].concat(),
+            MemberBehavior::SaysTooMuch => {
+                [row.clone(), status_frames, vec![ready()], row].concat()
+            }
             _ => [row, status_frames, vec![ready()]].concat(),
         };
         for frame in frames {
-            self.schedule(index, took, Scheduled::Member(conn, Input::MemberFrame(conn, frame)));
+            self.schedule(
+                index,
+                took,
+                Scheduled::Member(conn, Input::MemberFrame(conn, frame)),
+            );
         }
         if behavior == MemberBehavior::ClosesAfter {
             let after = took + self.random.span(0, 10 * MS);
@@ -804,26 +931,47 @@
                     Scheduled::Member(conn, Input::MemberFrame(conn, error("57P01"))),
                 );
             }
-            self.schedule(index, after, Scheduled::Lost(conn, CloseReason::Disconnected));
+            self.schedule(
+                index,
+                after,
+                Scheduled::Lost(conn, CloseReason::Disconnected),
+            );
         }
     }
 
     fn stream(&mut self, index: usize, conn: ConnectionId) {
-        let Some(member) = self.gateways[index].conns.get(&conn).copied() else { return };
+        let Some(member) = self.gateways[index].conns.get(&conn).copied() else {
+            return;
+        };
         let said = StreamHeader {
             primary: self.random.chance(80).then_some(member + 1 == self.leader),
             position: self.random.chance(80).then_some(self.now),
-            report: LoadReport { position: Some(self.now - 10 * MS), ..LoadReport::default() },
+            report: LoadReport {
+                position: Some(self.now - 10 * MS),
+                ..LoadReport::default()
+            },
         };
         let begins = self.random.span(MS, 30 * MS);
-        self.schedule(index, begins, Scheduled::Member(conn, Input::StreamStarted(conn, said)));
+        self.schedule(
+            index,
+            begins,
+            Scheduled::Member(conn, Input::StreamStarted(conn, said)),
+        );
         let waits = begins + self.random.span(0, 50 * MS);
         if self.random.chance(50) {
-            self.schedule(index, waits, Scheduled::Member(conn, Input::StreamPaused(conn)));
+            self.schedule(
+                index,
+                waits,
+                Scheduled::Member(conn, Input::StreamPaused(conn)),
+            );
         }
         let over = waits + self.random.span(0, 300 * MS);
         match self.random.below(5) {
-            0 => self.schedule(index, over, Scheduled::Lost(conn, CloseReason::Disconnected)),
+            0 => self.schedule(
+                index,
+                over,
+                Scheduled::Lost(conn, CloseReason::Disconnected),
+            ),
             1 => self.schedule(
                 index,
                 over,
@@ -834,9 +982,11 @@
                 over,
                 Scheduled::Member(conn, Input::StreamEnded(conn, Outcome::Cancelled)),
             ),
-            _ => {
-                self.schedule(index, over, Scheduled::Member(conn, Input::StreamEnded(conn, Outcome::Served)))
-            }
+            _ => self.schedule(
+                index,
+                over,
+                Scheduled::Member(conn, Input::StreamEnded(conn, Outcome::Served)),
+            ),
         }
     }
 
@@ -849,13 +999,20 @@
                 continue;
             }
             let phase = ["ready", "draining", "gone"][usize::from(self.phases[at])];
-            let role = if n == self.leader { "leader" } else { "follower" };
+            let role = if n == self.leader {
+                "leader"
+            } else {
+                "follower"
+            };
             let mut text = entry(n, phase, role);
             if self.moved[at] {
                 text = text.replace("127.0.0.1:70", "127.0.0.1:71");
             }
             if self.since[at] != 0 {
-                text = text.replace("\"up_since_ms\":0", &format!("\"up_since_ms\":{}", self.since[at]));
+                text = text.replace(
+                    "\"up_since_ms\":0",
+                    &format!("\"up_since_ms\":{}", self.since[at]),
+                );
             }
             entries.push(text);
         }
@@ -875,7 +1032,11 @@
                     retry_after: put_off,
                 };
                 let after = self.random.span(0, 3 * MS);
-                self.schedule(index, after, Scheduled::Watch(number, Input::WatchLost(lost)));
+                self.schedule(
+                    index,
+                    after,
+                    Scheduled::Watch(number, Input::WatchLost(lost)),
+                );
             }
             return;
         }
@@ -883,9 +1044,17 @@
         self.schedule(index, up, Scheduled::Watch(number, Input::WatchConnected));
         let list = self.list(true);
         let after = up + self.random.span(0, 10 * MS);
-        self.schedule(index, after, Scheduled::Watch(number, Input::EndpointList(list)));
+        self.schedule(
+            index,
+            after,
+            Scheduled::Watch(number, Input::EndpointList(list)),
+        );
         for n in 1..4 {
-            self.schedule(index, after + n * 2 * SECOND, Scheduled::Watch(number, Input::WatchKeepalive));
+            self.schedule(
+                index,
+                after + n * 2 * SECOND,
+                Scheduled::Watch(number, Input::WatchKeepalive),
+            );
         }
     }
 
@@ -897,7 +1066,11 @@
         for at in (0..self.gateways.len()).filter(|at| *at != from) {
             if to.port() == 7999 || self.gateways[at].address == to {
                 let after = self.random.span(MS / 10, 2 * MS);
-                self.schedule(at, after, Scheduled::Plain(Input::GossipDatagram(sender, bytes.clone())));
+                self.schedule(
+                    at,
+                    after,
+                    Scheduled::Plain(Input::GossipDatagram(sender, bytes.clone())),
+                );
             }
         }
     }
@@ -909,11 +1082,15 @@
             let mut fed = false;
             while self.gateways[index].reducer.accepts_frame(id) {
                 let client = self.gateways[index].clients.get_mut(&id);
-                let Some(frame) = client.and_then(|client| client.pending.pop_front()) else { break };
+                let Some(frame) = client.and_then(|client| client.pending.pop_front()) else {
+                    break;
+                };
                 fed = true;
                 self.input(index, Input::ClientFrame(id, frame));
             }
-            let Some(client) = self.gateways[index].clients.get(&id) else { continue };
+            let Some(client) = self.gateways[index].clients.get(&id) else {
+                continue;
+            };
             let ahead = client.half + client.pending.iter().map(|f| f.bytes.len()).sum::<usize>();
             if fed || ahead > 0 {
                 self.input(index, Input::ClientReadAhead(id, ahead));
@@ -961,11 +1138,17 @@
         let until = self.now + span;
         loop {
             let due = |g: &Gateway| g.reducer.next_due().filter(|_| !g.ended);
-            let first = self.gateways.iter().enumerate().filter_map(|(n, g)| Some((due(g)?, n))).min();
+            let first = self
+                .gateways
+                .iter()
+                .enumerate()
+                .filter_map(|(n, g)| Some((due(g)?, n)))
+                .min();
             let next_scheduled = self.scheduled.first_key_value().map(|((at, _), _)| *at);
             match (first, next_scheduled) {
                 (Some((at, index)), next_scheduled)
-                    if at <= until && next_scheduled.is_none_or(|next_scheduled| at < next_scheduled) =>
+                    if at <= until
+                        && next_scheduled.is_none_or(|next_scheduled| at < next_scheduled) =>
                 {
                     self.now = self.now.max(at);
                     self.input(index, Input::TimerDue);
@@ -1032,11 +1215,21 @@
         self.next_client += 1;
         let id = ClientId(self.next_client);
         let reads = !self.random.chance(8);
-        let mut client = Client { reads, greeted: true, ..Client::default() };
+        let mut client = Client {
+            reads,
+            greeted: true,
+            ..Client::default()
+        };
         match self.random.below(14) {
             0 if self.agent_up => client.greeted = false,
-            1 => client.pending.push_back(Frame { kind: 0, bytes: vec![0, 0, 0, 8, 4, 210, 22, 47] }),
-            2 => client.pending.push_back(Frame { kind: 0, bytes: vec![0, 0, 0, 9, 0, 1, 0, 0, 0] }),
+            1 => client.pending.push_back(Frame {
+                kind: 0,
+                bytes: vec![0, 0, 0, 8, 4, 210, 22, 47],
+            }),
+            2 => client.pending.push_back(Frame {
+                kind: 0,
+                bytes: vec![0, 0, 0, 9, 0, 1, 0, 0, 0],
+            }),
             _ => client.pending.push_back(startup()),
         }
         let greets_first = if self.agent_up { 40 } else { 95 };
@@ -1049,7 +1242,11 @@
     }
 
     fn cancel(&mut self, index: usize) {
-        let keys: Vec<_> = self.gateways[index].clients.values().filter_map(|c| c.key.clone()).collect();
+        let keys: Vec<_> = self.gateways[index]
+            .clients
+            .values()
+            .filter_map(|c| c.key.clone())
+            .collect();
         if keys.is_empty() || !self.gateways[index].accepts {
             return;
         }
@@ -1058,7 +1255,10 @@
         bytes.extend(key);
         self.next_client += 1;
         let id = ClientId(self.next_client);
-        let mut client = Client { reads: true, ..Client::default() };
+        let mut client = Client {
+            reads: true,
+            ..Client::default()
+        };
         client.pending.push_back(Frame { kind: 0, bytes });
         self.gateways[index].clients.insert(id, client);
         self.input(index, Input::ClientConnected(id));
@@ -1066,11 +1266,19 @@
     }
 
     fn ask(&mut self, index: usize) {
-        let many = if self.random.chance(15) { 12 } else { 1 + self.random.below(3) };
+        let many = if self.random.chance(15) {
+            12
+        } else {
+            1 + self.random.below(3)
+        };
         let Some(id) = self.client(index) else { return };
         for _ in 0..many {
             let frame = self.statement();
-            if let Some(client) = self.gateways[index].clients.get_mut(&id).filter(|c| c.greeted) {
+            if let Some(client) = self.gateways[index]
+                .clients
+                .get_mut(&id)
+                .filter(|c| c.greeted)
+            {
                 client.pending.push_back(frame);
                 client.half = 0;
             }
@@ -1096,18 +1304,29 @@
             let list = self.list(complete);
             if let Some(number) = self.gateways[index].watch.filter(|_| self.agent_up) {
                 let after = self.random.span(0, 20 * MS);
-                self.schedule(index, after, Scheduled::Watch(number, Input::EndpointList(list)));
+                self.schedule(
+                    index,
+                    after,
+                    Scheduled::Watch(number, Input::EndpointList(list)),
+                );
             }
         }
     }
 
     fn reload(&mut self, index: usize) {
         let port = 8500 + self.random.below(3);
-        let text = self.text.replace("127.0.0.1:8500", &format!("127.0.0.1:{port}"));
+        let text = self
+            .text
+            .replace("127.0.0.1:8500", &format!("127.0.0.1:{port}"));
         let bad = self.random.chance(20);
         let mut config = match Config::from_text(&text, |_| None) {
             Ok(config) if !bad => config,
-            _ => return self.input(index, Input::Reload(Err("ROUTER_CONFIG: no JSON".to_owned()))),
+            _ => {
+                return self.input(
+                    index,
+                    Input::Reload(Err("ROUTER_CONFIG: no JSON".to_owned())),
+                )
+            }
         };
         let options = self.options;
         let mut random = Random(self.random.next());
@@ -1165,7 +1384,13 @@
     fn disk_fails(&mut self, index: usize) {
         let void = self.random.chance(50);
         let why = stackgw_store::StoreError("the disk is full".to_owned());
-        self.input(index, Input::StoreEvent(CommitOutcome::Failed { error: why, quarantined: void }));
+        self.input(
+            index,
+            Input::StoreEvent(CommitOutcome::Failed {
+                error: why,
+                quarantined: void,
+            }),
+        );
     }
 
     fn half_message(&mut self, index: usize) {
@@ -1179,7 +1404,10 @@
     }
 
     fn read_on(&mut self, index: usize) {
-        let slow = self.gateways[index].clients.iter_mut().filter(|(_, c)| !c.reads);
+        let slow = self.gateways[index]
+            .clients
+            .iter_mut()
+            .filter(|(_, c)| !c.reads);
         let slow: Vec<_> = slow.map(|(id, c)| (c.reads = true, *id).1).collect();
         for id in slow {
             self.schedule(index, 0, Scheduled::Flushed(id));
@@ -1213,8 +1441,15 @@
             62..=64 => self.cancel(index),
             65..=74 => {
                 let at = self.random.below(MEMBERS.into()) as usize;
-                let behavior = self.random.one(&BEHAVIORS).unwrap_or(MemberBehavior::Answers);
-                self.behaviors[at] = if self.random.chance(45) { MemberBehavior::Answers } else { behavior };
+                let behavior = self
+                    .random
+                    .one(&BEHAVIORS)
+                    .unwrap_or(MemberBehavior::Answers);
+                self.behaviors[at] = if self.random.chance(45) {
+                    MemberBehavior::Answers
+                } else {
+                    behavior
+                };
             }
             75..=79 => self.change_list(),
             80 => self.agent_up = !self.agent_up,
@@ -1230,7 +1465,11 @@
             96 if self.options.sessions && self.random.chance(15) => self.disk_fails(index),
             97 if self.number > 400 => self.end(index),
             98 => {
-                let lasts = if self.random.chance(15) { 100 * SECOND } else { 2 * SECOND };
+                let lasts = if self.random.chance(15) {
+                    100 * SECOND
+                } else {
+                    2 * SECOND
+                };
                 self.pass(lasts);
             }
             _ => {}
@@ -1246,7 +1485,10 @@
 
     fn lose_watch(&mut self, index: usize) {
         if let Some(number) = self.gateways[index].watch {
-            self.deliver(index, Scheduled::Watch(number, Input::WatchLost("ended".into())));
+            self.deliver(
+                index,
+                Scheduled::Watch(number, Input::WatchLost("ended".into())),
+            );
         }
     }
 
@@ -1256,7 +1498,11 @@
     }
 
     fn lose_conn(&mut self, index: usize) {
-        let why = if self.random.chance(70) { CloseReason::Disconnected } else { CloseReason::ProtocolError };
+        let why = if self.random.chance(70) {
+            CloseReason::Disconnected
+        } else {
+            CloseReason::ProtocolError
+        };
         if let Some(conn) = self.any_conn(index) {
             self.deliver(index, Scheduled::Lost(conn, why));
         }
@@ -1272,13 +1518,19 @@
     fn digest_visible_state(&mut self) {
         for gateway in &self.gateways {
             let clients = gateway.clients.keys();
-            clients.for_each(|id| self.digest.pair(id.0, u64::from(gateway.reducer.accepts_frame(*id))));
+            clients.for_each(|id| {
+                self.digest
+                    .pair(id.0, u64::from(gateway.reducer.accepts_frame(*id)))
+            });
             for seen in gateway.reducer.member_statuses() {
                 self.digest.bytes(seen.name.as_bytes());
-                self.digest.pair(seen.attempts.into(), seen.snapshot.in_flight.into());
+                self.digest
+                    .pair(seen.attempts.into(), seen.snapshot.in_flight.into());
                 self.digest.number(seen.snapshot.latency_ratio.to_bits());
             }
-            self.digest.answer(&serde_json::Value::from(gateway.reducer.counters().held_bytes));
+            self.digest.answer(&serde_json::Value::from(
+                gateway.reducer.counters().held_bytes,
+            ));
         }
     }
 }
@@ -1316,7 +1568,10 @@
         }
         all.number(digest);
     }
-    let total: Vec<_> = total.values().map(|(name, count)| format!("{name}={count}")).collect();
+    let total: Vec<_> = total
+        .values()
+        .map(|(name, count)| format!("{name}={count}"))
+        .collect();
     println!("counters {}", total.join(" "));
     println!("digest reducer = {:016x}", all.0);
 }
--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -83,11 +83,18 @@
                     assert!(self.clients.remove(client), "a client closed twice");
                     self.owed.remove(client);
                 }
-                Effect::MemberConnect(conn, _) => assert!(self.conns.insert(*conn, false).is_none()),
-                Effect::MemberClose(conn) => assert!(self.conns.remove(conn).is_some(), "closed twice"),
+                Effect::MemberConnect(conn, _) => {
+                    assert!(self.conns.insert(*conn, false).is_none())
+                }
+                Effect::MemberClose(conn) => {
+                    assert!(self.conns.remove(conn).is_some(), "closed twice")
+                }
                 Effect::MemberWrite(conn, bytes) if bytes[0] == b'Q' => {
                     let busy = self.conns.get_mut(conn).expect("an open connection");
-                    assert!(!std::mem::replace(busy, true), "two requests on one connection");
+                    assert!(
+                        !std::mem::replace(busy, true),
+                        "two requests on one connection"
+                    );
                 }
                 Effect::ClientCloseIfIdle(client) => self.retired.push(*client),
                 Effect::Exit => self.ended = true,
@@ -113,18 +120,32 @@
         5 => vec![row(b"cut").remove(0)],
         _ => {
             let role = if kind & 16 > 0 { "leader" } else { "follower" };
-            [row(b"v"), vec![status("node_role", role), status("replay_position", "1800000000000"), ready()]]
-                .concat()
+            [
+                row(b"v"),
+                vec![
+                    status("node_role", role),
+                    status("replay_position", "1800000000000"),
+                    ready(),
+                ],
+            ]
+            .concat()
         }
     }
 }
 
 fn play(steps: Vec<Step>) {
     let mut config = config(&three());
-    (config.limits.clients, config.limits.client_reserve, config.limits.member_connections) = (4, 2, 4);
+    (
+        config.limits.clients,
+        config.limits.client_reserve,
+        config.limits.member_connections,
+    ) = (4, 2, 4);
     let mut rig = Rig::with(config);
     rig.probes = false;
-    let mut world = World { revision: 1, ..World::default() };
+    let mut world = World {
+        revision: 1,
+        ..World::default()
+    };
     world.see(&rig.effects.drain(..).collect::<Vec<_>>());
     // The probes of the start have been answered.
     world.conns.values_mut().for_each(|busy| *busy = false);
@@ -158,8 +179,8 @@
                 }
             }
             Step::Ask(n, d, kind) => {
-                let id =
-                    World::nth(world.clients.iter().copied(), n).filter(|id| rig.reducer.accepts_frame(*id));
+                let id = World::nth(world.clients.iter().copied(), n)
+                    .filter(|id| rig.reducer.accepts_frame(*id));
                 if let Some(id) = id {
                     *world.owed.entry(id).or_insert(0) += 1;
                     let frame = match kind % 5 {
@@ -171,7 +192,12 @@
                 }
             }
             Step::Reply(n, kind) => {
-                let busy: Vec<_> = world.conns.iter().filter(|(_, busy)| **busy).map(|(id, _)| *id).collect();
+                let busy: Vec<_> = world
+                    .conns
+                    .iter()
+                    .filter(|(_, busy)| **busy)
+                    .map(|(id, _)| *id)
+                    .collect();
                 if let Some(id) = World::nth(busy.iter().copied(), n) {
                     let whole = frames(kind);
                     let over = whole.last().is_some_and(|f| f.kind == b'Z');
@@ -189,14 +215,20 @@
             Step::Lose(n, bad) => {
                 if let Some(id) = World::nth(world.conns.keys().copied(), n) {
                     world.conns.remove(&id);
-                    let why = if bad { CloseReason::ProtocolError } else { CloseReason::Disconnected };
+                    let why = if bad {
+                        CloseReason::ProtocolError
+                    } else {
+                        CloseReason::Disconnected
+                    };
                     world.see(&rig.input(Input::MemberClosed(id, why)));
                 }
             }
             Step::Pass(ms) => world.see(&rig.pass(ms * MS)),
             Step::List(bits, full) => {
                 world.revision += 1;
-                let phase = |n: u32| ["ready", "ready", "draining", "gone"][usize::from(bits >> (2 * n)) & 3];
+                let phase = |n: u32| {
+                    ["ready", "ready", "draining", "gone"][usize::from(bits >> (2 * n)) & 3]
+                };
                 let entries: Vec<_> = (0..3).map(|n| entry(n + 1, phase(n), "follower")).collect();
                 world.see(&rig.input(Input::EndpointList(list(world.revision, full, &entries))));
             }
@@ -217,8 +249,13 @@
             }
             Step::Reload(good, port) => {
                 let text = config_text("null").replace(":8500", &format!(":{port}"));
-                let config = stackgw_gateway::config::Config::from_text(&text, |_| None).map(Box::new);
-                let config = if good { config } else { Err("ROUTER_CONFIG: no JSON".to_owned()) };
+                let config =
+                    stackgw_gateway::config::Config::from_text(&text, |_| None).map(Box::new);
+                let config = if good {
+                    config
+                } else {
+                    Err("ROUTER_CONFIG: no JSON".to_owned())
+                };
                 world.see(&rig.input(Input::Reload(config)));
             }
             Step::Stick(clients, members) => {
@@ -236,7 +273,11 @@
         }
         while let Some(id) = world.retired.pop() {
             if world.clients.remove(&id) {
-                assert_eq!(world.owed.remove(&id).unwrap_or(0), 0, "closed inside a request");
+                assert_eq!(
+                    world.owed.remove(&id).unwrap_or(0),
+                    0,
+                    "closed inside a request"
+                );
                 world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
             }
         }
@@ -254,7 +295,11 @@
     if !world.ended {
         world.see(&rig.pass(3 * SECOND));
     }
-    assert!(world.owed.values().all(|owed| *owed == 0), "no answer: {:?}", world.owed);
+    assert!(
+        world.owed.values().all(|owed| *owed == 0),
+        "no answer: {:?}",
+        world.owed
+    );
     let c = rig.reducer.counters();
     let answered = c.answered_served + c.answered_refused + c.answered_failed + c.answered_gone;
     assert_eq!(c.taken, c.malformed + c.turned_away + answered, "{c}");
@@ -262,8 +307,12 @@
         return; // What was out then is nobody's any more.
     }
     let ended = c.ended_served + c.ended_error + c.ended_shed + c.ended_miss + c.ended_timed_out;
-    let ended =
-        ended + c.ended_no_connection + c.ended_reset + c.ended_spoilt + c.ended_cancelled + c.ended_unsent;
+    let ended = ended
+        + c.ended_no_connection
+        + c.ended_reset
+        + c.ended_spoilt
+        + c.ended_cancelled
+        + c.ended_unsent;
     assert_eq!((c.attempts, c.held_bytes), (ended, 0), "{c}");
 }
 
--- a/crates/stackgw-gateway/tests/leaving.rs
+++ b/crates/stackgw-gateway/tests/leaving.rs
@@ -29,9 +29,16 @@
     let (mut rig, client, conn) = waits(buy(900));
     rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
     let effects = rig.reply(conn, greeting());
-    assert!(statements(&effects).is_empty() && closed(&effects).is_empty(), "{effects:?}");
+    assert!(
+        statements(&effects).is_empty() && closed(&effects).is_empty(),
+        "{effects:?}"
+    );
     let other = rig.client(2);
-    assert_eq!(statements(&rig.ask(other, buy(900)))[0].0, conn, "the connection serves whoever asks next");
+    assert_eq!(
+        statements(&rig.ask(other, buy(900)))[0].0,
+        conn,
+        "the connection serves whoever asks next"
+    );
 }
 
 /// The same for one that has cancelled its request and stays.
@@ -49,7 +56,13 @@
     cancel.extend(key.expect("the key"));
     let by = ClientId(2);
     rig.input(Input::ClientConnected(by));
-    let effects = rig.input(Input::ClientFrame(by, Frame { kind: 0, bytes: cancel }));
+    let effects = rig.input(Input::ClientFrame(
+        by,
+        Frame {
+            kind: 0,
+            bytes: cancel,
+        },
+    ));
     assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("57014"));
     assert!(statements(&rig.reply(conn, greeting())).is_empty());
     assert!(rig.reducer.accepts_frame(client), "it may ask again");
@@ -63,7 +76,11 @@
     let mut effects = rig.reply(conn, greeting());
     effects.extend(rig.input(Input::TimerDue));
     assert!(statements(&effects).is_empty());
-    assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("53300"), "it never ran");
+    assert_eq!(
+        sqlstate(&answers(&effects)[0]).as_deref(),
+        Some("53300"),
+        "it never ran"
+    );
 }
 
 /// Danger: a cancel that waited for the room that requests take, its own among them, would come when it no longer matters.
@@ -77,11 +94,26 @@
     for n in 0..200 {
         let client = clients[n % 4];
         if rig.reducer.accepts_frame(client) {
-            let text = format!("INSERT INTO state (uid, val) VALUES ('k{n}', '\\x{value}') RETURNING val");
-            rig.ask(client, query(&format!("{text} /* id={},c=buy,d=20000,cluster=2 */", new_id())));
+            let text =
+                format!("INSERT INTO state (uid, val) VALUES ('k{n}', '\\x{value}') RETURNING val");
+            rig.ask(
+                client,
+                query(&format!(
+                    "{text} /* id={},c=buy,d=20000,cluster=2 */",
+                    new_id()
+                )),
+            );
         }
     }
-    assert!(clients.iter().all(|client| !rig.reducer.accepts_frame(*client)), "the room is used up");
+    assert!(
+        clients
+            .iter()
+            .all(|client| !rig.reducer.accepts_frame(*client)),
+        "the room is used up"
+    );
     rig.input(Input::ClientConnected(ClientId(2000)));
-    assert!(rig.reducer.accepts_frame(ClientId(2000)), "its startup, or a cancel in its place");
+    assert!(
+        rig.reducer.accepts_frame(ClientId(2000)),
+        "its startup, or a cancel in its place"
+    );
 }
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -6,7 +6,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use stackgw_gateway::discovery::{parse_endpoint_list, HttpEvent, HttpLineReader};
-use stackgw_gateway::pg::{parse_load_report, write, Frame, FrameDecoder, Reply, ReplyOutcome, Statement};
+use stackgw_gateway::pg::{
+    parse_load_report, write, Frame, FrameDecoder, Reply, ReplyOutcome, Statement,
+};
 use stackgw_router::api::{MS, SECOND};
 
 const MOST: usize = 4096;
@@ -17,7 +19,9 @@
     ends.push(bytes.len());
     ends.sort_unstable();
     let mut from = 0;
-    ends.into_iter().map(|end| &bytes[std::mem::replace(&mut from, end)..end]).collect()
+    ends.into_iter()
+        .map(|end| &bytes[std::mem::replace(&mut from, end)..end])
+        .collect()
 }
 
 fn frames(mut parser: FrameDecoder, bytes: &[u8], cuts: &[usize]) -> (Vec<Frame>, bool) {
@@ -49,7 +53,9 @@
         None => format!("SELECT val FROM state WHERE uid = '{key}' {comment}"),
         Some(value) => {
             let hex: String = value.iter().map(|b| format!("{b:02x}")).collect();
-            format!("INSERT INTO state (uid, val) VALUES ('{key}', '\\x{hex}') RETURNING val {comment}")
+            format!(
+                "INSERT INTO state (uid, val) VALUES ('{key}', '\\x{hex}') RETURNING val {comment}"
+            )
         }
     }
 }
@@ -194,9 +200,19 @@
 #[test]
 fn a_body_with_a_length_is_one_document() {
     let wanted = vec![HttpEvent::Line(b"{}".to_vec()), HttpEvent::End];
-    assert_eq!(http(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", &[5, 20, 41]), Ok(wanted));
+    assert_eq!(
+        http(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
+            &[5, 20, 41]
+        ),
+        Ok(wanted)
+    );
     assert!(http(b"HTTP/1.1 503 Busy\r\n\r\n", &[]).is_err());
-    assert!(http(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", &[]).is_err());
+    assert!(http(
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        &[]
+    )
+    .is_err());
     assert!(http(&[b'x'; 600], &[]).is_err(), "a head without an end");
     let mut long = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
     long.extend(vec![b'x'; MOST + 1]);
@@ -210,15 +226,27 @@
     all.extend([
         status("node_role", "leader"),
         status("replay_position", "1767225600123"),
-        status("server_load", "inflight=7,util=0.61,x0=1767225600.1239,x1=1,news=4"),
+        status(
+            "server_load",
+            "inflight=7,util=0.61,x0=1767225600.1239,x1=1,news=4",
+        ),
         status("other", "thing"),
     ]);
     assert!(all.iter().all(|f| reply.take(f, MOST) == Ok(false)));
     assert_eq!(reply.take(&ready(), MOST), Ok(true));
-    assert_eq!((reply.ended(), reply.primary), (Some(ReplyOutcome::Row), Some(true)));
+    assert_eq!(
+        (reply.ended(), reply.primary),
+        (Some(ReplyOutcome::Row), Some(true))
+    );
     assert_eq!(reply.position, Some(1_767_225_600_123 * MS));
-    assert_eq!(reply.report.position, Some(1_767_225_600 * SECOND + 123_900_000));
-    assert_eq!((reply.report.is_primary, reply.report.in_flight), (Some(true), Some(7.0)));
+    assert_eq!(
+        reply.report.position,
+        Some(1_767_225_600 * SECOND + 123_900_000)
+    );
+    assert_eq!(
+        (reply.report.is_primary, reply.report.in_flight),
+        (Some(true), Some(7.0))
+    );
     let wanted: Vec<u8> = row(b"v").into_iter().flat_map(|f| f.bytes).collect();
     assert_eq!(reply.row, wanted);
     assert_eq!(reply.column(), Some("v"));
@@ -227,10 +255,17 @@
 #[test]
 fn a_position_of_a_report_is_never_rounded_up() {
     let position = |text: &str| parse_load_report(text).and_then(|r| r.position);
-    assert_eq!(position("x0=1767225600.9999999999"), Some(1_767_225_600_999_999_999));
+    assert_eq!(
+        position("x0=1767225600.9999999999"),
+        Some(1_767_225_600_999_999_999)
+    );
     assert_eq!(position("x0=1767225600"), Some(1_767_225_600 * SECOND));
     assert_eq!(position("x0=soon"), None);
-    assert_eq!(position("x0=9999999999.9"), None, "later than a clock can tell");
+    assert_eq!(
+        position("x0=9999999999.9"),
+        None,
+        "later than a clock can tell"
+    );
     assert_eq!(position("x0=1e300"), None);
     assert_eq!(parse_load_report("x0=1,x1"), None);
 }
@@ -238,10 +273,22 @@
 #[test]
 fn a_value_that_cannot_be_read_costs_no_row() {
     let mut reply = Reply::default();
-    let spoilt = [status("node_role", "?"), status("replay_position", "-"), status("server_load", "x0=,x1")];
-    let all = [row(b"v"), spoilt.to_vec(), vec![message(b'S', &[0xff, 0, 0xfe])]].concat();
+    let spoilt = [
+        status("node_role", "?"),
+        status("replay_position", "-"),
+        status("server_load", "x0=,x1"),
+    ];
+    let all = [
+        row(b"v"),
+        spoilt.to_vec(),
+        vec![message(b'S', &[0xff, 0, 0xfe])],
+    ]
+    .concat();
     assert!(all.iter().all(|f| reply.take(f, MOST) == Ok(false)));
-    assert_eq!((reply.ended(), reply.primary, reply.position), (Some(ReplyOutcome::Row), None, None));
+    assert_eq!(
+        (reply.ended(), reply.primary, reply.position),
+        (Some(ReplyOutcome::Row), None, None)
+    );
 }
 
 #[test]
@@ -253,18 +300,43 @@
 #[test]
 fn a_row_is_one_row_of_one_whole_column() {
     let take = |frames: &[Frame]| {
-        frames.iter().try_fold(Reply::default(), |mut reply, frame| reply.take(frame, MOST).map(|_| reply))
+        frames
+            .iter()
+            .try_fold(Reply::default(), |mut reply, frame| {
+                reply.take(frame, MOST).map(|_| reply)
+            })
     };
     let good = row(b"abc");
     assert_eq!(take(&good).expect("a row").ended(), Some(ReplyOutcome::Row));
-    assert_eq!(take(&good[..2]).expect("so far").ended(), None, "not complete");
-    assert!(take(&[good[0].clone(), good[1].clone(), good[1].clone()]).is_err(), "two rows");
+    assert_eq!(
+        take(&good[..2]).expect("so far").ended(),
+        None,
+        "not complete"
+    );
+    assert!(
+        take(&[good[0].clone(), good[1].clone(), good[1].clone()]).is_err(),
+        "two rows"
+    );
     assert!(take(&good[1..]).is_err(), "no description");
     let short = message(b'D', &[0, 1, 0, 0, 0, 9, b'a']);
-    assert!(take(&[good[0].clone(), short]).is_err(), "shorter than it says");
-    assert_eq!(take(&[good[0].clone(), good[2].clone()]).expect("no row").ended(), Some(ReplyOutcome::NoRow));
-    assert_eq!(take(&[error("25006")]).expect("an error").ended(), Some(ReplyOutcome::Error(*b"25006")));
-    let long = Frame { kind: b'D', bytes: row(&[7; MOST]).remove(1).bytes };
+    assert!(
+        take(&[good[0].clone(), short]).is_err(),
+        "shorter than it says"
+    );
+    assert_eq!(
+        take(&[good[0].clone(), good[2].clone()])
+            .expect("no row")
+            .ended(),
+        Some(ReplyOutcome::NoRow)
+    );
+    assert_eq!(
+        take(&[error("25006")]).expect("an error").ended(),
+        Some(ReplyOutcome::Error(*b"25006"))
+    );
+    let long = Frame {
+        kind: b'D',
+        bytes: row(&[7; MOST]).remove(1).bytes,
+    };
     assert!(take(&[good[0].clone(), long]).is_err(), "over the limit");
 }
 
@@ -290,11 +362,20 @@
     assert!(bad(server(), b"Z\0\0\0\x09"));
     assert!(bad(server(), b"I\0\0\0\x05"));
     assert!(bad(server(), b"D\xb2\xd0\x5e\x04"), "3 GB");
-    assert!(bad(server(), b"D\0\0\0\x0c\0\x01\0\0\0\x09"), "a column longer than its row");
+    assert!(
+        bad(server(), b"D\0\0\0\x0c\0\x01\0\0\0\x09"),
+        "a column longer than its row"
+    );
     assert!(bad(server(), b"D\0\0\0\x0c\0\x02\0\0\0\x02"), "two columns");
-    assert!(bad(server(), b"D\0\0\0\x0c\0\x01\xff\xff\xff\xfe"), "a negative length");
+    assert!(
+        bad(server(), b"D\0\0\0\x0c\0\x01\xff\xff\xff\xfe"),
+        "a negative length"
+    );
     assert!(!bad(server(), b"D\0\0\0\x0c\0\x01\0\0\0\x02"));
-    assert!(!bad(server(), b"D\0\0\0\x0a\0\x01\xff\xff\xff\xff"), "no value");
+    assert!(
+        !bad(server(), b"D\0\0\0\x0a\0\x01\xff\xff\xff\xff"),
+        "no value"
+    );
     let client = || {
         let mut parser = FrameDecoder::client(100, 1 << 16);
         parser.feed(&startup().bytes);
@@ -310,7 +391,15 @@
 
 #[test]
 fn a_load_that_cannot_be_spoils_its_report() {
-    for text in ["x0=1,x0=2", "x1=7", "inflight=-1", "util=1e9", "queue=inf", "x0=1,x1=", "x0=-5"] {
+    for text in [
+        "x0=1,x0=2",
+        "x1=7",
+        "inflight=-1",
+        "util=1e9",
+        "queue=inf",
+        "x0=1,x1=",
+        "x0=-5",
+    ] {
         assert_eq!(parse_load_report(text), None, "{text}");
     }
     assert!(parse_load_report("x0=1767225600.1,x1=0,inflight=7,util=0.61").is_some());
--- a/crates/stackgw-gateway/tests/shared.rs
+++ b/crates/stackgw-gateway/tests/shared.rs
@@ -35,7 +35,10 @@
         expected: 2,
     };
     let key = Key::new("test", b"a secret of this test alone").expect("a secret");
-    SessionSharingConfig { options: file, keyring: Keyring::new(vec![key]).expect("keys") }
+    SessionSharingConfig {
+        options: file,
+        keyring: Keyring::new(vec![key]).expect("keys"),
+    }
 }
 
 fn rig(keepers: &[&str]) -> Rig {
@@ -47,16 +50,22 @@
     config.session_sharing = Some(session_sharing);
     let session_sharing = config.session_sharing.clone().expect("it is there");
     let mut rig = Rig::with(config);
-    let life = Incarnation { number: 5, recovered: None };
+    let life = Incarnation {
+        number: 5,
+        recovered: None,
+    };
     let mut effects = Vec::new();
-    rig.reducer.enable_session_sharing(rig.now, &session_sharing, life, &mut effects);
+    rig.reducer
+        .enable_session_sharing(rig.now, &session_sharing, life, &mut effects);
     rig.input(Input::TimerDue);
     rig
 }
 
 fn mine(wait_ms: u64) -> Frame {
     let id = new_id();
-    query(&format!("SELECT val FROM state WHERE uid = 'k1' /* id={id},c=mine,d={wait_ms},cluster=2 */"))
+    query(&format!(
+        "SELECT val FROM state WHERE uid = 'k1' /* id={id},c=mine,d={wait_ms},cluster=2 */"
+    ))
 }
 
 /// A write that a member has served; its connection, and what followed.
@@ -64,14 +73,21 @@
     let client = rig.client(1);
     let mut effects = rig.ask(client, buy(wait_ms));
     effects.extend(rig.pass(60 * MS));
-    let conn = statements(&effects).first().map(|(conn, _)| *conn).expect("an attempt");
+    let conn = statements(&effects)
+        .first()
+        .map(|(conn, _)| *conn)
+        .expect("an attempt");
     serve_as(rig, conn, "leader")
 }
 
 fn serve_as(rig: &mut Rig, conn: ConnectionId, role: &str) -> Vec<Effect> {
     let mut frames = row(b"v");
     let position = (rig.now / MS).to_string();
-    frames.extend([status("node_role", role), status("replay_position", &position), ready()]);
+    frames.extend([
+        status("node_role", role),
+        status("replay_position", &position),
+        ready(),
+    ]);
     rig.reply(conn, frames)
 }
 
@@ -102,9 +118,18 @@
     let mut rig = rig(&["g0", "g1"]);
     written(&mut rig, 3_000);
     let client = stackgw_gateway::reducer::ClientId(1);
-    rig.input(Input::ClientClosed(client, stackgw_gateway::reducer::CloseReason::Disconnected));
+    rig.input(Input::ClientClosed(
+        client,
+        stackgw_gateway::reducer::CloseReason::Disconnected,
+    ));
     assert!(answers(&rig.pass(3 * SECOND)).is_empty());
-    assert_eq!((rig.reducer.counters().held_bytes, rig.reducer.counters().answered_gone), (0, 1));
+    assert_eq!(
+        (
+            rig.reducer.counters().held_bytes,
+            rig.reducer.counters().answered_gone
+        ),
+        (0, 1)
+    );
 }
 
 #[test]
@@ -116,7 +141,10 @@
     rig.pass(SECOND);
     assert!(answers(&written(&mut rig, 3_000)).is_empty());
     let told = answers(&rig.pass(3 * SECOND));
-    assert_eq!((told.len(), sqlstate(&told[0]).as_deref()), (1, Some("58000")));
+    assert_eq!(
+        (told.len(), sqlstate(&told[0]).as_deref()),
+        (1, Some("58000"))
+    );
 }
 
 #[test]
@@ -128,7 +156,11 @@
     effects.extend(rig.pass(300 * MS));
     assert!(statements(&effects).is_empty(), "{effects:?}");
     let told = answers(&rig.pass(900 * MS));
-    assert_eq!((told.len(), sqlstate(&told[0]).as_deref()), (1, Some("53300")), "a read may be refused");
+    assert_eq!(
+        (told.len(), sqlstate(&told[0]).as_deref()),
+        (1, Some("53300")),
+        "a read may be refused"
+    );
 }
 
 #[test]
@@ -138,7 +170,11 @@
     rig.pass(2 * SECOND + LEASE);
     assert_eq!(rig.reducer_told()["sure"], true);
     let told = answers(&written(&mut rig, 3_000));
-    assert_eq!((told.len(), sqlstate(&told[0])), (1, None), "nobody else need know");
+    assert_eq!(
+        (told.len(), sqlstate(&told[0])),
+        (1, None),
+        "nobody else need know"
+    );
     // Past the window after a write only a replica that is known to hold it is asked.
     rig.pass(1_500 * MS);
     let client = rig.client(2);
@@ -164,8 +200,8 @@
     }
     let told = rig.reducer_told();
     let counts = &told["counts"];
-    let refused =
-        ["foreign", "unknown_key", "forged", "malformed"].map(|why| counts[why].as_u64().unwrap_or(0));
+    let refused = ["foreign", "unknown_key", "forged", "malformed"]
+        .map(|why| counts[why].as_u64().unwrap_or(0));
     assert_eq!(refused.iter().sum::<u64>(), 5, "{told}");
 }
 
--- a/crates/stackgw-gateway/tests/streams.rs
+++ b/crates/stackgw-gateway/tests/streams.rs
@@ -18,8 +18,10 @@
 fn configured(listen: &str) -> Config {
     let mut config = config(&three());
     let file = format!(r#"{{"listen": "{listen}", "keys": ["k"], "groups": [2]}}"#);
-    let ring =
-        Keyring::new(vec![Key::new("flight", b"a secret of this test").expect("a key")]).expect("keys");
+    let ring = Keyring::new(vec![
+        Key::new("flight", b"a secret of this test").expect("a key")
+    ])
+    .expect("keys");
     config.operator.flight = Some((serde_json::from_str(&file).expect("a part"), ring));
     config
 }
@@ -29,7 +31,8 @@
     let mut rig = rig();
     for (listen, named) in [("127.0.0.1:0", false), ("127.0.0.1:1", true)] {
         let effects = rig.input(Input::Reload(Ok(Box::new(configured(listen)))));
-        let said = |e: &Effect| matches!(e, Effect::Log(line) if line.contains("until a restart: flight"));
+        let said =
+            |e: &Effect| matches!(e, Effect::Log(line) if line.contains("until a restart: flight"));
         assert_eq!(effects.iter().any(said), named, "{effects:?}");
     }
 }
@@ -40,7 +43,9 @@
         let mut next = Vec::new();
         for effect in effects {
             match effect {
-                Effect::BackendConnect(conn, _) => next.extend(rig.input(Input::MemberConnected(conn))),
+                Effect::BackendConnect(conn, _) => {
+                    next.extend(rig.input(Input::MemberConnected(conn)))
+                }
                 Effect::BackendSend(conn, asked) if asked.statement.starts_with("SHOW") => {
                     rig.input(Input::MemberFlushed(conn));
                     let text = format!("x0={}.0", rig.now / SECOND);
@@ -50,11 +55,17 @@
                     rig.input(Input::MemberFlushed(conn));
                     return (conn, asked);
                 }
-                Effect::MemberConnect(..) | Effect::MemberWrite(..) => panic!("they do not speak that"),
+                Effect::MemberConnect(..) | Effect::MemberWrite(..) => {
+                    panic!("they do not speak that")
+                }
                 _ => {}
             }
         }
-        effects = if next.is_empty() { rig.pass(20 * MS) } else { next };
+        effects = if next.is_empty() {
+            rig.pass(20 * MS)
+        } else {
+            next
+        };
     }
     panic!("nothing was asked");
 }
@@ -62,21 +73,35 @@
 fn begin(rig: &mut Rig, call: u64) -> ConnectionId {
     let effects = rig.input(Input::Call(CallId(call), read(900), true));
     let (conn, asked) = asked(rig, effects);
-    assert!(asked.may_stream && !asked.is_write && asked.timeout_ms <= 900, "{asked:?}");
+    assert!(
+        asked.may_stream && !asked.is_write && asked.timeout_ms <= 900,
+        "{asked:?}"
+    );
     let position = Some(rig.now - 10 * MS);
-    let effects = rig.input(Input::StreamStarted(conn, StreamHeader { position, ..StreamHeader::default() }));
-    assert!(effects.contains(&Effect::CallStreaming(CallId(call), conn)), "{effects:?}");
+    let effects = rig.input(Input::StreamStarted(
+        conn,
+        StreamHeader {
+            position,
+            ..StreamHeader::default()
+        },
+    ));
+    assert!(
+        effects.contains(&Effect::CallStreaming(CallId(call), conn)),
+        "{effects:?}"
+    );
     conn
 }
 
 /// Requests that the router takes members to hold.
 fn in_flight(rig: &Rig) -> u32 {
-    rig.reducer.member_statuses().map(|seen| seen.snapshot.in_flight).sum()
+    rig.reducer
+        .member_statuses()
+        .map(|seen| seen.snapshot.in_flight)
+        .sum()
 }
 
 fn asks(effects: &[Effect]) -> usize {
-    let asks =
-        |e: &&Effect| matches!(e, Effect::BackendSend(_, asked) if !asked.statement.starts_with("SHOW"));
+    let asks = |e: &&Effect| matches!(e, Effect::BackendSend(_, asked) if !asked.statement.starts_with("SHOW"));
     effects.iter().filter(asks).count()
 }
 
@@ -88,9 +113,14 @@
     assert_eq!(in_flight(&rig), 1, "long after its time to begin");
     let effects = rig.input(Input::StreamEnded(conn, Outcome::Served));
     assert!(!closed(&effects).contains(&conn));
-    assert_eq!((in_flight(&rig), rig.reducer.counters().streams_begun), (0, 1));
+    assert_eq!(
+        (in_flight(&rig), rig.reducer.counters().streams_begun),
+        (0, 1)
+    );
     assert!(
-        rig.reducer.member_statuses().all(|seen| seen.snapshot.latency_ratio < 1.0),
+        rig.reducer
+            .member_statuses()
+            .all(|seen| seen.snapshot.latency_ratio < 1.0),
         "its length is no strain"
     );
 }
@@ -103,7 +133,10 @@
     rig.input(Input::StreamPaused(conn));
     assert_eq!(in_flight(&rig), 0);
     rig.input(Input::StreamEnded(conn, Outcome::Cancelled));
-    assert_eq!((in_flight(&rig), rig.reducer.counters().streams_broken), (0, 1));
+    assert_eq!(
+        (in_flight(&rig), rig.reducer.counters().streams_broken),
+        (0, 1)
+    );
 }
 
 #[test]
@@ -125,7 +158,14 @@
     rig.input(Input::StreamEnded(conn, Outcome::Cancelled));
     rig.input(Input::CallCancelled(CallId(1)));
     let counters = rig.reducer.counters();
-    assert_eq!((counters.held_bytes, counters.ended_cancelled, in_flight(&rig)), (0, 1, 0));
+    assert_eq!(
+        (
+            counters.held_bytes,
+            counters.ended_cancelled,
+            in_flight(&rig)
+        ),
+        (0, 1, 0)
+    );
 }
 
 #[test]
@@ -136,12 +176,17 @@
     let mut effects = rig.input(Input::CallCancelled(CallId(1)));
     effects.extend(rig.input(Input::StreamStarted(conn, StreamHeader::default())));
     assert!(closed(&effects).contains(&conn));
-    assert!(!effects.iter().any(|e| matches!(e, Effect::CallStreaming(..))));
+    assert!(!effects
+        .iter()
+        .any(|e| matches!(e, Effect::CallStreaming(..))));
 }
 
 #[test]
 fn a_write_is_no_stream_and_never_asked_again_once_it_may_have_run() {
-    for (why, harmless) in [(CloseReason::Disconnected, false), (CloseReason::NotSent, true)] {
+    for (why, harmless) in [
+        (CloseReason::Disconnected, false),
+        (CloseReason::NotSent, true),
+    ] {
         let mut rig = rig();
         let effects = rig.input(Input::Call(CallId(1), buy(900), true));
         let (conn, first) = asked(&mut rig, effects);
@@ -153,8 +198,16 @@
             Effect::CallCompleted(_, ended) => Some(ended.clone()),
             _ => None,
         });
-        assert_eq!(matches!(ended, Some(FinalResponse::Rejected(..))), harmless, "{ended:?}");
-        assert_eq!(matches!(ended, Some(FinalResponse::Failed(_))), !harmless, "{ended:?}");
+        assert_eq!(
+            matches!(ended, Some(FinalResponse::Rejected(..))),
+            harmless,
+            "{ended:?}"
+        );
+        assert_eq!(
+            matches!(ended, Some(FinalResponse::Failed(_))),
+            !harmless,
+            "{ended:?}"
+        );
     }
 }
 
@@ -162,11 +215,17 @@
 fn a_probe_is_never_answered_by_a_stream() {
     let mut rig = rig();
     let opened = |effects: Vec<Effect>| {
-        effects
-            .into_iter()
-            .find_map(|e| if let Effect::BackendConnect(conn, _) = e { Some(conn) } else { None })
+        effects.into_iter().find_map(|e| {
+            if let Effect::BackendConnect(conn, _) = e {
+                Some(conn)
+            } else {
+                None
+            }
+        })
     };
-    let conn = (0..200).find_map(|_| opened(rig.pass(10 * MS))).expect("a probe");
+    let conn = (0..200)
+        .find_map(|_| opened(rig.pass(10 * MS)))
+        .expect("a probe");
     let effects = rig.input(Input::MemberConnected(conn));
     assert!(
         matches!(&effects[..], [Effect::BackendSend(_, asked), ..] if asked.statement.starts_with("SHOW"))
--- a/crates/stackgw-gateway/tests/unit/link.rs
+++ b/crates/stackgw-gateway/tests/unit/link.rs
@@ -10,9 +10,13 @@
 
 fn pair_within(budget: &Rc<Budget>) -> (Rc<Link>, TcpStream) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-    let other = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+    let other =
+        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (socket, _) = listener.accept().expect("a connection");
-    (Link::new(Async::new(socket).expect("non-blocking"), 100, 1000, budget), other)
+    (
+        Link::new(Async::new(socket).expect("non-blocking"), 100, 1000, budget),
+        other,
+    )
 }
 
 /// Found with values of hundreds of KiB: with all room taken by parts of messages, none became whole in time.
@@ -24,7 +28,11 @@
     let waker = Waker::noop();
     let reads = || links.each_ref().map(|(link, _)| link.may_read(waker));
     assert_eq!(reads(), [true, false, false]);
-    assert_eq!(reads(), [true, false, false], "the same until its message is whole");
+    assert_eq!(
+        reads(),
+        [true, false, false],
+        "the same until its message is whole"
+    );
     links[1].0.hold(61);
     links[0].0.hold(0);
     links[0].0.hold(60);
--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -69,7 +69,13 @@
     // It knows nothing yet, so that only the watch is at work.
     let mut rig = Rig::new("null");
     let from = rig.now + 6 * SECOND;
-    let mut agent = Agent { down, open, from, back: from + lasts, next: None };
+    let mut agent = Agent {
+        down,
+        open,
+        from,
+        back: from + lasts,
+        next: None,
+    };
     let mut opens = 1;
     let mut gone = false;
     loop {
@@ -86,7 +92,11 @@
         }
         let next = agent.next.as_ref().map(|(at, _)| *at);
         let moments = [next, rig.reducer.next_due(), Some(from).filter(|_| !gone)];
-        let until = moments.into_iter().flatten().min().expect("the look at what stands still");
+        let until = moments
+            .into_iter()
+            .flatten()
+            .min()
+            .expect("the look at what stands still");
         let mut effects = rig.pass((until - rig.now).max(0));
         if agent.next.as_ref().is_some_and(|(at, _)| *at <= rig.now) {
             let (at, input) = agent.next.take().expect("a word");
@@ -105,7 +115,10 @@
             return rig.now - agent.back.max(from);
         }
         assert!(rig.now < agent.back + 20 * SECOND, "never told");
-        opens = effects.iter().filter(|e| matches!(e, Effect::OpenWatch(..))).count();
+        opens = effects
+            .iter()
+            .filter(|e| matches!(e, Effect::OpenWatch(..)))
+            .count();
     }
 }
 
@@ -113,7 +126,12 @@
 /// the dial itself had set anew, and a pause of a second came behind that.
 #[test]
 fn a_change_is_told_six_seconds_after_the_agent_can_be_reached_however_it_was_down() {
-    let opens = [Open::Ends, Open::FellSilent(0), Open::FellSilent(SECOND), Open::FellSilent(1990 * MS)];
+    let opens = [
+        Open::Ends,
+        Open::FellSilent(0),
+        Open::FellSilent(SECOND),
+        Open::FellSilent(1990 * MS),
+    ];
     let downs = [
         Down::Refuses,
         Down::Swallows,
@@ -129,7 +147,10 @@
             for phase in 0..240 {
                 let lasts = phase * 50 * MS;
                 let told = told_after(open, down, lasts);
-                worst = worst.max((told, format!("{open:?}, {down:?}, down for {} ms", lasts / MS)));
+                worst = worst.max((
+                    told,
+                    format!("{open:?}, {down:?}, down for {} ms", lasts / MS),
+                ));
             }
         }
     }
@@ -143,8 +164,17 @@
     rig.input(Input::WatchConnected);
     rig.pass(2 * SECOND);
     rig.input(Input::WatchKeepalive);
-    let opened = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::OpenWatch(..))).count();
-    assert_eq!(opened(&rig.pass(3990 * MS)), 0, "two blank lines may be late");
+    let opened = |effects: &[Effect]| {
+        effects
+            .iter()
+            .filter(|e| matches!(e, Effect::OpenWatch(..)))
+            .count()
+    };
+    assert_eq!(
+        opened(&rig.pass(3990 * MS)),
+        0,
+        "two blank lines may be late"
+    );
     let effects = rig.pass(150 * MS);
     assert!(effects.contains(&Effect::CloseWatch) && opened(&effects) == 1);
 }
@@ -155,13 +185,17 @@
     for up in [false, true] {
         let mut rig = Rig::new(&three());
         let text = config_text("null").replace("127.0.0.1:8500", "127.0.0.1:8600");
-        let config = stackgw_gateway::config::Config::from_text(&text, |_| None).expect("a configuration");
+        let config =
+            stackgw_gateway::config::Config::from_text(&text, |_| None).expect("a configuration");
         rig.input(Input::Reload(Ok(Box::new(config))));
         if up {
             rig.input(Input::WatchConnected);
         }
         let effects = rig.pass(3500 * MS);
-        assert!(effects.iter().any(|e| matches!(e, Effect::OpenWatch(..))), "up: {up}");
+        assert!(
+            effects.iter().any(|e| matches!(e, Effect::OpenWatch(..))),
+            "up: {up}"
+        );
     }
 }
 
@@ -172,25 +206,50 @@
     let wanted = list(3, true, &[entry(1, "ready", "leader")]);
     let indented = serde_json::to_string_pretty(&value).expect("text");
     let mut objects = WatchParser::new(1 << 20);
-    let mut words: Vec<_> =
-        indented.lines().map(|line| objects.push_line(line.as_bytes().to_vec()).expect("a line")).collect();
+    let mut words: Vec<_> = indented
+        .lines()
+        .map(|line| objects.push_line(line.as_bytes().to_vec()).expect("a line"))
+        .collect();
     assert_eq!(words.pop(), Some(WatchEvent::List(wanted.clone())));
     assert!(words.iter().all(|word| *word == WatchEvent::Incomplete));
     assert_eq!(objects.push_line(b"  ".to_vec()), Ok(WatchEvent::Heartbeat));
-    assert_eq!(objects.push_line(one.clone().into_bytes()), Ok(WatchEvent::List(wanted)));
+    assert_eq!(
+        objects.push_line(one.clone().into_bytes()),
+        Ok(WatchEvent::List(wanted))
+    );
     // Brackets and quotes inside a text are text.
     let odd = one.replace("\"room\"", r#""a }]\"{""#);
-    assert!(matches!(objects.push_line(odd.into_bytes()), Ok(WatchEvent::List(_))));
+    assert!(matches!(
+        objects.push_line(odd.into_bytes()),
+        Ok(WatchEvent::List(_))
+    ));
     // Nor does it matter how far the lines are indented.
-    let flat: Vec<_> =
-        indented.lines().map(|line| objects.push_line(line.trim().into()).expect("a line")).collect();
+    let flat: Vec<_> = indented
+        .lines()
+        .map(|line| objects.push_line(line.trim().into()).expect("a line"))
+        .collect();
     assert!(matches!(flat.last(), Some(WatchEvent::List(_))));
-    assert!(matches!(objects.push_line(format!("  {one}").into_bytes()), Ok(WatchEvent::List(_))));
+    assert!(matches!(
+        objects.push_line(format!("  {one}").into_bytes()),
+        Ok(WatchEvent::List(_))
+    ));
     for behind in ["", &one, "x"] {
         let mut objects = WatchParser::new(1 << 20);
-        assert_eq!(objects.push_line(one.as_bytes()[..40].to_vec()), Ok(WatchEvent::Incomplete));
-        assert_eq!(objects.push_line(behind.into()).is_err(), behind != "x", "'{behind}'");
+        assert_eq!(
+            objects.push_line(one.as_bytes()[..40].to_vec()),
+            Ok(WatchEvent::Incomplete)
+        );
+        assert_eq!(
+            objects.push_line(behind.into()).is_err(),
+            behind != "x",
+            "'{behind}'"
+        );
     }
-    assert!(WatchParser::new(20).push_line(one.into_bytes()).is_err(), "a list has its bound");
-    assert!(WatchParser::new(1 << 20).push_line(b"nonsense".to_vec()).is_err());
+    assert!(
+        WatchParser::new(20).push_line(one.into_bytes()).is_err(),
+        "a list has its bound"
+    );
+    assert!(WatchParser::new(1 << 20)
+        .push_line(b"nonsense".to_vec())
+        .is_err());
 }
