--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -6,12 +6,13 @@
 use common::*;
 use stackgw_gateway::config::{ClusterConfig, Config, SessionSharingConfig};
 use stackgw_gateway::discovery::{
-    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, ListUpdate, WatchError, WatchEvent,
-    WatchParser,
+    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, ListUpdate, WatchError,
+    WatchEvent, WatchParser,
 };
 use stackgw_gateway::limits::{Limits, Platform};
 use stackgw_gateway::pg::{
-    code, column_value, parse_load_report, write, Frame, FrameDecoder, Reply, ReplyOutcome, Statement,
+    code, column_value, parse_load_report, write, Frame, FrameDecoder, Reply, ReplyOutcome,
+    Statement,
 };
 use stackgw_gateway::reducer::{ClientId, Effect, Input};
 use stackgw_router::api::Lifecycle;
@@ -20,7 +21,9 @@
 
 /// Compares lines with a fixture. With `WRITE_FIXTURES` set, which only 1451fac's code may run with, writes it.
 fn compare(name: &str, actual: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/wire_texts").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures/wire_texts")
+        .join(name);
     if std::env::var_os("WRITE_FIXTURES").is_some() {
         std::fs::write(&path, actual).expect("the fixture is written");
     }
@@ -56,10 +59,20 @@
     (true, "42601", "the comment has no id", None),
     (false, "42601", "the class is unknown", None),
     (false, "42601", "the cluster is unknown", None),
-    (false, "42601", "the class and the statement do not go together", None),
+    (
+        false,
+        "42601",
+        "the class and the statement do not go together",
+        None,
+    ),
     (false, "42601", "a request with this id is open", None),
     (true, "08P01", "the message was not finished in time", None),
-    (true, "08P01", "these bytes are no message of the protocol", None),
+    (
+        true,
+        "08P01",
+        "these bytes are no message of the protocol",
+        None,
+    ),
     (true, "53400", "too much was sent ahead", None),
     (false, "0A000", "only simple queries are spoken here", None),
     (true, "0A000", "this startup is not understood", None),
@@ -72,20 +85,54 @@
 fn messages_are_the_same_bytes() {
     let mut out = String::new();
     line(&mut out, "row null", written(|out| write::row(out, None)));
-    line(&mut out, "row empty", written(|out| write::row(out, Some(b""))));
-    line(&mut out, "row", written(|out| write::row(out, Some(&[0, 1, 0xff, b'v']))));
-    line(&mut out, "status", written(|out| write::status(out, "node_role", "leader")));
+    line(
+        &mut out,
+        "row empty",
+        written(|out| write::row(out, Some(b""))),
+    );
+    line(
+        &mut out,
+        "row",
+        written(|out| write::row(out, Some(&[0, 1, 0xff, b'v']))),
+    );
+    line(
+        &mut out,
+        "status",
+        written(|out| write::status(out, "node_role", "leader")),
+    );
     line(&mut out, "ready", written(write::ready));
     line(&mut out, "empty", written(write::empty));
-    line(&mut out, "welcome", written(|out| write::welcome(out, 7, 0xdead_beef)));
+    line(
+        &mut out,
+        "welcome",
+        written(|out| write::welcome(out, 7, 0xdead_beef)),
+    );
     line(&mut out, "negotiate", written(write::negotiate));
-    line(&mut out, "query", written(|out| write::query(out, "SHOW server_load")));
-    line(&mut out, "startup", written(|out| write::startup(out, "stackgw", "core")));
+    line(
+        &mut out,
+        "query",
+        written(|out| write::query(out, "SHOW server_load")),
+    );
+    line(
+        &mut out,
+        "startup",
+        written(|out| write::startup(out, "stackgw", "core")),
+    );
     for (fatal, sqlstate, text, detail) in ERRORS {
         let bytes = written(|out| write::error(out, fatal, sqlstate, text, detail));
         line(&mut out, &format!("error {sqlstate} {fatal}"), bytes);
     }
-    line(&mut out, "codes", format!("{} {} {} {}", code::VERSION_3, code::SSL, code::GSS, code::CANCEL));
+    line(
+        &mut out,
+        "codes",
+        format!(
+            "{} {} {} {}",
+            code::VERSION_3,
+            code::SSL,
+            code::GSS,
+            code::CANCEL
+        ),
+    );
     compare("messages.txt", &out);
 }
 
@@ -132,7 +179,12 @@
     let empty = Statement::is_empty(&frame);
     let read = match Statement::parse(frame) {
         Ok(read) => {
-            let (id, key, class, after) = (&read.id, &read.key, &read.class, read.after_ms.unwrap_or(-1));
+            let (id, key, class, after) = (
+                &read.id,
+                &read.key,
+                &read.class,
+                read.after_ms.unwrap_or(-1),
+            );
             format!(
                 "{id}|{key}|{class}|{}|{}|{after}|{}|{}|{}|{}",
                 read.wait_ms,
@@ -152,7 +204,11 @@
 fn statements_are_read_and_passed_on_the_same() {
     let mut out = String::new();
     for (number, text) in STATEMENTS.iter().enumerate() {
-        line(&mut out, &format!("statement {number}"), parsed(query(text)));
+        line(
+            &mut out,
+            &format!("statement {number}"),
+            parsed(query(text)),
+        );
     }
     line(&mut out, "no end", parsed(message(b'Q', b"SELECT")));
     line(&mut out, "no text", parsed(message(b'Q', b"\xff\xfe\0")));
@@ -162,7 +218,9 @@
 /// What a client is answered, hexadecimal; a write that closes the connection ends with `close`.
 fn client_writes(effects: &[Effect]) -> String {
     let written = effects.iter().filter_map(|effect| match effect {
-        Effect::ClientWrite { bytes, close, .. } => Some(hex(bytes) + if *close { " close" } else { "" }),
+        Effect::ClientWrite { bytes, close, .. } => {
+            Some(hex(bytes) + if *close { " close" } else { "" })
+        }
         _ => None,
     });
     written.collect::<Vec<_>>().join(", ")
@@ -175,27 +233,50 @@
     rig.input(Input::ClientConnected(ClientId(1)));
     let welcome = client_writes(&rig.input(Input::ClientFrame(ClientId(1), startup())));
     // What follows is a key for cancelling, drawn at random.
-    line(&mut out, "startup", &welcome[..welcome.len().saturating_sub(2 * (8 + 6))]);
+    line(
+        &mut out,
+        "startup",
+        &welcome[..welcome.len().saturating_sub(2 * (8 + 6))],
+    );
     for (number, text) in STATEMENTS.iter().enumerate().skip(5) {
         let mut rig = Rig::new(&three());
         let client = rig.client(1);
         let effects = rig.input(Input::ClientFrame(client, query(text)));
-        line(&mut out, &format!("statement {number}"), client_writes(&effects));
+        line(
+            &mut out,
+            &format!("statement {number}"),
+            client_writes(&effects),
+        );
     }
     for kind in *b"PBDECHSFdcfpX" {
         let mut rig = Rig::new(&three());
         let client = rig.client(1);
         let effects = rig.input(Input::ClientFrame(client, message(kind, b"")));
-        line(&mut out, &format!("message {}", char::from(kind)), client_writes(&effects));
+        line(
+            &mut out,
+            &format!("message {}", char::from(kind)),
+            client_writes(&effects),
+        );
     }
-    for startup_code in [code::SSL, code::GSS, code::CANCEL, 2 << 16, (3 << 16) + 2, code::VERSION_3] {
+    for startup_code in [
+        code::SSL,
+        code::GSS,
+        code::CANCEL,
+        2 << 16,
+        (3 << 16) + 2,
+        code::VERSION_3,
+    ] {
         let mut rig = Rig::new(&three());
         let mut bytes = 9u32.to_be_bytes().to_vec();
         bytes.extend(startup_code.to_be_bytes());
         bytes.push(7);
         rig.input(Input::ClientConnected(ClientId(1)));
         let effects = rig.input(Input::ClientFrame(ClientId(1), Frame { kind: 0, bytes }));
-        line(&mut out, &format!("startup {startup_code}"), client_writes(&effects));
+        line(
+            &mut out,
+            &format!("startup {startup_code}"),
+            client_writes(&effects),
+        );
     }
     compare("client_replies.txt", &out);
 }
@@ -219,11 +300,22 @@
         while let Some(next) = parser.next_frame() {
             match next {
                 Ok(frame) => all.push(frame_text(&frame)),
-                Err(bad) => return format!("{} error: {bad} left {}", all.join(" "), parser.pending_bytes()),
+                Err(bad) => {
+                    return format!(
+                        "{} error: {bad} left {}",
+                        all.join(" "),
+                        parser.pending_bytes()
+                    )
+                }
             }
         }
     }
-    let left = format!("{} left {}/{}", all.join(" "), parser.pending_bytes(), parser.buffered_bytes());
+    let left = format!(
+        "{} left {}/{}",
+        all.join(" "),
+        parser.pending_bytes(),
+        parser.buffered_bytes()
+    );
     parser.clear();
     assert_eq!((parser.pending_bytes(), parser.buffered_bytes()), (0, 0));
     left
@@ -233,9 +325,21 @@
 fn frame_inputs() -> Vec<Vec<u8>> {
     let whole = [row(b"abc"), vec![status("node_role", "leader"), ready()]].concat();
     let answer: Vec<u8> = whole.iter().flat_map(|frame| frame.bytes.clone()).collect();
-    let client = [startup().bytes, query("SELECT 1").bytes, b"X\0\0\0\x04".to_vec()].concat();
-    let mut many = vec![answer.clone(), client.clone(), answer[..answer.len() - 3].to_vec()];
-    many.extend([client[..20].to_vec(), [client.clone(), answer.clone()].concat()]);
+    let client = [
+        startup().bytes,
+        query("SELECT 1").bytes,
+        b"X\0\0\0\x04".to_vec(),
+    ]
+    .concat();
+    let mut many = vec![
+        answer.clone(),
+        client.clone(),
+        answer[..answer.len() - 3].to_vec(),
+    ];
+    many.extend([
+        client[..20].to_vec(),
+        [client.clone(), answer.clone()].concat(),
+    ]);
     let short: [&[u8]; 20] = [
         b"?",
         b"Q",
@@ -266,8 +370,16 @@
 fn bytes_are_split_into_the_same_messages() {
     let mut out = String::new();
     for (number, bytes) in frame_inputs().iter().enumerate() {
-        line(&mut out, &format!("server {number}"), frames_text(FrameDecoder::server(4096), bytes));
-        line(&mut out, &format!("client {number}"), frames_text(FrameDecoder::client(100, 4096), bytes));
+        line(
+            &mut out,
+            &format!("server {number}"),
+            frames_text(FrameDecoder::server(4096), bytes),
+        );
+        line(
+            &mut out,
+            &format!("client {number}"),
+            frames_text(FrameDecoder::client(100, 4096), bytes),
+        );
     }
     compare("frames.txt", &out);
 }
@@ -293,7 +405,9 @@
             }
         }
     }
-    let primary = reply.primary.map_or("-".to_owned(), |primary| primary.to_string());
+    let primary = reply
+        .primary
+        .map_or("-".to_owned(), |primary| primary.to_string());
     let report = &reply.report;
     format!(
         "{} | {} whole={} {primary} {} {} {} | {} {} {} {} {}",
@@ -304,7 +418,9 @@
         reply.column().unwrap_or("-"),
         hex(&reply.row),
         report.position.unwrap_or(-1),
-        report.is_primary.map_or("-".to_owned(), |primary| primary.to_string()),
+        report
+            .is_primary
+            .map_or("-".to_owned(), |primary| primary.to_string()),
         report.in_flight.unwrap_or(-1.0),
         report.queued.unwrap_or(-1.0),
         report.utilisation.unwrap_or(-1.0),
@@ -315,10 +431,25 @@
 fn replies_are_gathered_the_same() {
     let good = row(b"abc");
     let load = "inflight=7,queue=2,util=0.61,x0=1767225600.1239,x1=1,news=4";
-    let signs = [status("node_role", "leader"), status("replay_position", "1767225600123")];
+    let signs = [
+        status("node_role", "leader"),
+        status("replay_position", "1767225600123"),
+    ];
     let cases: Vec<Vec<Frame>> = vec![
-        [good.clone(), signs.to_vec(), vec![status("server_load", load), ready()]].concat(),
-        [good.clone(), vec![status("node_role", "follower"), status("replay_position", "0")]].concat(),
+        [
+            good.clone(),
+            signs.to_vec(),
+            vec![status("server_load", load), ready()],
+        ]
+        .concat(),
+        [
+            good.clone(),
+            vec![
+                status("node_role", "follower"),
+                status("replay_position", "0"),
+            ],
+        ]
+        .concat(),
         vec![good[0].clone(), good[1].clone(), good[1].clone()],
         good[1..].to_vec(),
         vec![good[0].clone(), good[2].clone(), ready()],
@@ -326,10 +457,20 @@
         vec![error("250"), ready()],
         vec![message(b'E', b"SERROR\0\0"), ready()],
         vec![message(b'I', b""), ready()],
-        vec![message(b'N', b"x"), message(b'K', b"y"), message(b'A', b"z"), message(b'R', &[0; 4])],
+        vec![
+            message(b'N', b"x"),
+            message(b'K', b"y"),
+            message(b'A', b"z"),
+            message(b'R', &[0; 4]),
+        ],
         vec![message(b'R', &[0, 0, 0, 3])],
         vec![message(b'Z', b"X")],
-        vec![good[0].clone(), message(b'D', &[0, 1, 0xff, 0xff, 0xff, 0xff]), good[2].clone(), ready()],
+        vec![
+            good[0].clone(),
+            message(b'D', &[0, 1, 0xff, 0xff, 0xff, 0xff]),
+            good[2].clone(),
+            ready(),
+        ],
         vec![good[0].clone(), message(b'D', &[0, 1, 0, 0, 0, 60, 0])],
         row(&[7; 64]),
         vec![message(b'C', b"\0")],
@@ -357,9 +498,16 @@
             position.map_or("unreadable".to_owned(), |at| at.to_string()),
         );
     }
-    let bytes =
-        |frames: &[Frame]| -> Vec<u8> { frames.iter().flat_map(|frame| frame.bytes.clone()).collect() };
-    let null = [good[0].clone(), message(b'D', &[0, 1, 0xff, 0xff, 0xff, 0xff])];
+    let bytes = |frames: &[Frame]| -> Vec<u8> {
+        frames
+            .iter()
+            .flat_map(|frame| frame.bytes.clone())
+            .collect()
+    };
+    let null = [
+        good[0].clone(),
+        message(b'D', &[0, 1, 0xff, 0xff, 0xff, 0xff]),
+    ];
     for row in [bytes(&good), bytes(&null), bytes(&good[..1]), Vec::new()] {
         let column = column_value(&row).map(|value| value.map_or("null".to_owned(), hex));
         line(&mut out, "value", column.unwrap_or("none".to_owned()));
@@ -373,7 +521,11 @@
     for host in ["127.0.0.1:8500", "[::1]:80"] {
         let host = host.parse().expect("an address");
         for watch_after in [None, Some(None), Some(Some(0)), Some(Some(u64::MAX))] {
-            line(&mut out, "request", hex(&endpoint_request(host, watch_after)));
+            line(
+                &mut out,
+                "request",
+                hex(&endpoint_request(host, watch_after)),
+            );
         }
     }
     compare("list_requests.txt", &out);
@@ -402,7 +554,11 @@
         Ok(pieces) => pieces.iter().map(name).collect::<Vec<_>>().join(", "),
         Err(malformed) => format!("error: {malformed}"),
     };
-    format!("{} then {ended}, off {}", all.join(", "), parser.retry_after().unwrap_or(-1))
+    format!(
+        "{} then {ended}, off {}",
+        all.join(", "),
+        parser.retry_after().unwrap_or(-1)
+    )
 }
 
 #[test]
@@ -411,7 +567,8 @@
     let endless = "x".repeat(101);
     let long_line = format!("HTTP/1.1 200 OK\r\n\r\n{}", "y".repeat(41));
     let long_lines = format!("HTTP/1.1 200 OK\r\n\r\n{}\n", "y".repeat(41));
-    let chunked = |body: &str| format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n{body}");
+    let chunked =
+        |body: &str| format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n{body}");
     let cases = [
         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n{}\r\n{}".to_owned(),
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned(),
@@ -440,7 +597,11 @@
     let mut out = String::new();
     for (number, answer) in cases.iter().enumerate() {
         for size in [1, 7, 4096] {
-            line(&mut out, &format!("answer {number} by {size}"), http_text(answer.as_bytes(), size));
+            line(
+                &mut out,
+                &format!("answer {number} by {size}"),
+                http_text(answer.as_bytes(), size),
+            );
         }
     }
     let no_text = [b"HTTP/1.1 200 OK\r\nX: ", &b"\xff"[..], b"\r\n\r\n"].concat();
@@ -459,7 +620,13 @@
         write!(
             text,
             " [{} {} {} {} {phase} {} {} {}]",
-            entry.id, entry.address, entry.locality, entry.cell, entry.size, entry.up_since_ms, entry.leader
+            entry.id,
+            entry.address,
+            entry.locality,
+            entry.cell,
+            entry.size,
+            entry.up_since_ms,
+            entry.leader
         )
         .expect("a string takes all");
     }
@@ -509,12 +676,14 @@
 
 fn watch_text(lines: &[&str], most: usize) -> String {
     let mut objects = WatchParser::new(most);
-    let read = lines.iter().map(|line| match objects.push_line(line.as_bytes().to_vec()) {
-        Ok(WatchEvent::Heartbeat) => "alive".to_owned(),
-        Ok(WatchEvent::List(list)) => format!("list {}", list_text_of(&list)),
-        Ok(WatchEvent::Incomplete) => "more".to_owned(),
-        Err(malformed) => format!("error: {malformed}"),
-    });
+    let read = lines
+        .iter()
+        .map(|line| match objects.push_line(line.as_bytes().to_vec()) {
+            Ok(WatchEvent::Heartbeat) => "alive".to_owned(),
+            Ok(WatchEvent::List(list)) => format!("list {}", list_text_of(&list)),
+            Ok(WatchEvent::Incomplete) => "more".to_owned(),
+            Err(malformed) => format!("error: {malformed}"),
+        });
     read.collect::<Vec<_>>().join("; ")
 }
 
@@ -527,8 +696,16 @@
     let mut out = String::new();
     line(&mut out, "one", watch_text(&["", &one, " ", &odd], 1 << 20));
     line(&mut out, "many", watch_text(&many, 1 << 20));
-    line(&mut out, "blank inside", watch_text(&[many[0], ""], 1 << 20));
-    line(&mut out, "list inside", watch_text(&[many[0], &one], 1 << 20));
+    line(
+        &mut out,
+        "blank inside",
+        watch_text(&[many[0], ""], 1 << 20),
+    );
+    line(
+        &mut out,
+        "list inside",
+        watch_text(&[many[0], &one], 1 << 20),
+    );
     line(&mut out, "no list", watch_text(&["nonsense"], 1 << 20));
     line(&mut out, "no JSON", watch_text(&["{]"], 1 << 20));
     line(&mut out, "wrong list", watch_text(&["{}"], 1 << 20));
@@ -536,10 +713,17 @@
     let lost = [
         WatchError::from("ended"),
         WatchError::from("reset".to_owned()),
-        WatchError { reason: "busy".into(), retry_after: Some(7) },
+        WatchError {
+            reason: "busy".into(),
+            retry_after: Some(7),
+        },
     ];
     for lost in lost {
-        line(&mut out, "lost", format!("{} {}", lost.reason, lost.retry_after.unwrap_or(-1)));
+        line(
+            &mut out,
+            "lost",
+            format!("{} {}", lost.reason, lost.retry_after.unwrap_or(-1)),
+        );
     }
     compare("watch.txt", &out);
 }
@@ -575,7 +759,10 @@
     ("\"phase\":\"ready\"", "\"phase\":\"odd\""),
     ("127.0.0.1:7001", "here"),
     ("\"revision\":1", "\"revision\":\"1\""),
-    ("\"StalenessBoundNs\":[1000000000,", "\"StalenessBoundNs\":[0,"),
+    (
+        "\"StalenessBoundNs\":[1000000000,",
+        "\"StalenessBoundNs\":[0,",
+    ),
     ("\"DeadlineNs\":1000000000", "\"DeadlineNs\":-5"),
     ("\"Worth\":1.0", "\"Worth\":-1.0"),
     ("\"QuantumNs\":5000000", "\"QuantumNs\":-1"),
@@ -593,16 +780,26 @@
         Ok(config) => config,
         Err(problem) => return format!("error: {problem}"),
     };
-    let peers = config.peers.iter().map(ToString::to_string).collect::<Vec<_>>().join(" ");
+    let peers = config
+        .peers
+        .iter()
+        .map(ToString::to_string)
+        .collect::<Vec<_>>()
+        .join(" ");
     format!(
         "{}|{}|{}|{}|{}|{peers}|{}|{}|{}",
         config.name,
         config.listen,
         config.discovery,
         config.seed,
-        config.peer_listen.map_or("-".to_owned(), |at| at.to_string()),
+        config
+            .peer_listen
+            .map_or("-".to_owned(), |at| at.to_string()),
         config.peers_all.map_or("-".to_owned(), |at| at.to_string()),
-        config.initial_endpoints.as_ref().map_or("-".to_owned(), list_text_of),
+        config
+            .initial_endpoints
+            .as_ref()
+            .map_or("-".to_owned(), list_text_of),
         config.limits.clients,
     )
 }
@@ -611,12 +808,25 @@
 fn the_configuration_is_read_with_the_same_errors() {
     let mut out = String::new();
     let whole = config_text(&three());
-    line(&mut out, "whole", config_line(Config::from_text(&whole, |_| None)));
+    line(
+        &mut out,
+        "whole",
+        config_line(Config::from_text(&whole, |_| None)),
+    );
     for (from, to) in CONFIG_CHANGES {
         assert!(whole.contains(from), "{from}");
-        line(&mut out, to, config_line(Config::from_text(&whole.replacen(from, to, 1), |_| None)));
+        line(
+            &mut out,
+            to,
+            config_line(Config::from_text(&whole.replacen(from, to, 1), |_| None)),
+        );
     }
-    for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_SEED"] {
+    for name in [
+        "ROUTER_NAME",
+        "ROUTER_LISTEN",
+        "ROUTER_DISCOVERY",
+        "ROUTER_SEED",
+    ] {
         let var = |asked: &str| (asked == name).then(|| "10.0.0.1:99".to_owned());
         line(&mut out, name, config_line(Config::from_text(&whole, var)));
         let var = |asked: &str| (asked == name).then(|| "nowhere".to_owned());
@@ -630,7 +840,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("stackgw-wire-texts-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("stackgw-wire-texts-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -663,7 +874,8 @@
     };
     let from_env = |path: Option<&Path>| {
         let path = path.map(|path| path.display().to_string());
-        Config::from_env(|name| path.clone().filter(|_| name == "ROUTER_CONFIG")).map_err(|e| e.to_string())
+        Config::from_env(|name| path.clone().filter(|_| name == "ROUTER_CONFIG"))
+            .map_err(|e| e.to_string())
     };
     say("no variable", from_env(None));
     say("no file", from_env(Some(&folder.0.join("none.json"))));
@@ -676,16 +888,25 @@
     let again = good.reread();
     let read = || again.read().map_err(|e| e.to_string());
     say("read again", read());
-    folder.file("good.json", &config_text("null").replacen("\"name\":\"g0\",", "", 1));
+    folder.file(
+        "good.json",
+        &config_text("null").replacen("\"name\":\"g0\",", "", 1),
+    );
     say("read again without a name", read());
-    folder.file("good.json", &config_text("null").replacen("\"g0\"", "\"g9\"", 1));
+    folder.file(
+        "good.json",
+        &config_text("null").replacen("\"g0\"", "\"g9\"", 1),
+    );
     say("read again with another name", read());
     folder.file("good.json", "{}");
     say("read again without limits", read());
     std::fs::remove_file(&path).expect("it is there");
     say("read again without a file", read());
     let unnamed = Config::from_text(&config_text("null"), |_| None).expect("a configuration");
-    say("read again where none was named", unnamed.reread().read().map_err(|e| e.to_string()));
+    say(
+        "read again where none was named",
+        unnamed.reread().read().map_err(|e| e.to_string()),
+    );
     compare("files.txt", &out);
 }
 
@@ -693,18 +914,32 @@
 fn the_operators_file_is_read_with_the_same_errors() {
     let folder = Folder::new("operator");
     let mut out = String::new();
-    let good = folder.file("key", "0123456789abcdef0123\n").display().to_string();
-    let short = folder.file("short", "0123456789abcde\n").display().to_string();
-    let large = folder.file("large", &"x".repeat(5_000)).display().to_string();
+    let good = folder
+        .file("key", "0123456789abcdef0123\n")
+        .display()
+        .to_string();
+    let short = folder
+        .file("short", "0123456789abcde\n")
+        .display()
+        .to_string();
+    let large = folder
+        .file("large", &"x".repeat(5_000))
+        .display()
+        .to_string();
     let none = folder.0.join("none").display().to_string();
     let directory = folder.0.display().to_string();
     let keys = [good.as_str(), &short, &large, &none, &directory];
     let sessions = |key: &str| {
         format!("sessions:\n  cluster: c\n  listen: 127.0.0.1:1\n  keepers: [g0, g1]\n  keys: [{key}]\n")
     };
-    let cluster = |key: &str| format!("cluster:\n  name: c\n  listen: 127.0.0.1:1\n  keys: [{key}]\n");
+    let cluster =
+        |key: &str| format!("cluster:\n  name: c\n  listen: 127.0.0.1:1\n  keys: [{key}]\n");
     let flight = |key: &str| format!("flight:\n  listen: 127.0.0.1:2\n  keys: [{key}]\n");
-    let mut texts = vec!["# nothing".to_owned(), "nonsense: 1\n".to_owned(), "control: /run/x\n".to_owned()];
+    let mut texts = vec![
+        "# nothing".to_owned(),
+        "nonsense: 1\n".to_owned(),
+        "control: /run/x\n".to_owned(),
+    ];
     for key in keys {
         texts.extend([sessions(key), cluster(key), flight(key)]);
     }
@@ -713,17 +948,27 @@
         let read = config("null").with_operator(&path);
         let said = match read {
             Err(problem) => format!("error: {problem}"),
-            Ok(Config { operator, session_sharing, cluster, bootstrap, .. }) => {
+            Ok(Config {
+                operator,
+                session_sharing,
+                cluster,
+                bootstrap,
+                ..
+            }) => {
                 let sessions = session_sharing
                     .as_ref()
                     .map(|SessionSharingConfig { options: file, .. }| file.cluster.clone());
-                let cluster = cluster
-                    .as_ref()
-                    .map(|ClusterConfig { options: file, .. }| format!("{} {}", file.name, file.listen));
+                let cluster = cluster.as_ref().map(|ClusterConfig { options: file, .. }| {
+                    format!("{} {}", file.name, file.listen)
+                });
                 format!(
                     "{} {} {} {} {}",
-                    operator.control.map_or("-".to_owned(), |path| path.display().to_string()),
-                    operator.flight.map_or("-".to_owned(), |(file, _)| file.listen.to_string()),
+                    operator
+                        .control
+                        .map_or("-".to_owned(), |path| path.display().to_string()),
+                    operator
+                        .flight
+                        .map_or("-".to_owned(), |(file, _)| file.listen.to_string()),
                     sessions.unwrap_or("-".to_owned()),
                     cluster.unwrap_or("-".to_owned()),
                     bootstrap.is_some(),
@@ -736,7 +981,11 @@
     line(
         &mut out,
         "no file",
-        folder.fixed(&missing.err().map_or(String::new(), |problem| problem.to_string())),
+        folder.fixed(
+            &missing
+                .err()
+                .map_or(String::new(), |problem| problem.to_string()),
+        ),
     );
     compare("operator.txt", &out);
 }
@@ -762,7 +1011,10 @@
         ("member_bytes", limits.member_bytes),
         ("unread_bytes", limits.pending_write_bytes),
         ("linger_bytes", limits.linger_bytes),
-        ("client_malformed", limits.max_consecutive_malformed as usize),
+        (
+            "client_malformed",
+            limits.max_consecutive_malformed as usize,
+        ),
         ("client_line", limits.max_pipelined_statements),
         ("client_turn", limits.messages_per_turn),
         ("leave_turn", limits.disconnect_poll_batch),
@@ -811,11 +1063,25 @@
     let settings = config("null").settings;
     for (memory_mb, sockets) in [(64, 128), (192, 1024), (32, 64), (2048, 65_536), (1, 1)] {
         let limits = Limits::new(Platform { memory_mb, sockets }, &settings);
-        line(&mut out, &format!("{memory_mb} {sockets}"), limits_text(&limits));
+        line(
+            &mut out,
+            &format!("{memory_mb} {sockets}"),
+            limits_text(&limits),
+        );
     }
     let mut none = settings.clone();
     none.router.classes.clear();
     none.member_idle_timeout = 0;
-    line(&mut out, "no classes", limits_text(&Limits::new(Platform { memory_mb: 64, sockets: 128 }, &none)));
+    line(
+        &mut out,
+        "no classes",
+        limits_text(&Limits::new(
+            Platform {
+                memory_mb: 64,
+                sockets: 128,
+            },
+            &none,
+        )),
+    );
     compare("limits.txt", &out);
 }
--- a/crates/stackgw-sessions/benches/scale.rs
+++ b/crates/stackgw-sessions/benches/scale.rs
@@ -9,12 +9,26 @@
 use stackgw_router::api::{MS, SECOND};
 use stackgw_sessions::{Marks, ReplicaSet, SessionKey};
 
-const FAIR: Weather = Weather { loss: 0.0, repeat: 0.0, delay: MS, sync: MS, off: false };
+const FAIR: Weather = Weather {
+    loss: 0.0,
+    repeat: 0.0,
+    delay: MS,
+    sync: MS,
+    off: false,
+};
 
 fn main() {
     println!("| instances | keepers | leases' messages a second and keeper | messages a write | messages a read | sure |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    for (keepers, guests) in [(2, 0), (3, 0), (5, 0), (5, 15), (5, 45), (5, 195), (16, 184)] {
+    for (keepers, guests) in [
+        (2, 0),
+        (3, 0),
+        (5, 0),
+        (5, 15),
+        (5, 45),
+        (5, 195),
+        (16, 184),
+    ] {
         let mut world = World::new(1, keepers, guests, false, FAIR);
         world.pass(HORIZON + 2 * SECOND);
         let all = keepers + guests;
@@ -63,20 +77,38 @@
             })
             .sum();
         let share = 1.0 / before.max(after) as f64;
-        println!("| {before}, {after} | {:.4} | {share:.4} |", moved as f64 / (2 * keys) as f64);
+        println!(
+            "| {before}, {after} | {:.4} | {share:.4} |",
+            moved as f64 / (2 * keys) as f64
+        );
     }
     let before = resident();
     let mut marks = Marks::new(1_000_000, 60 * SECOND);
     for n in 0..1_000_000u64 {
-        marks.add(n as i64, SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)), n as i64);
+        marks.add(
+            n as i64,
+            SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            n as i64,
+        );
     }
     println!();
-    println!("{} marks: {:.0} bytes each", marks.len(), (resident() - before) / marks.len() as f64);
+    println!(
+        "{} marks: {:.0} bytes each",
+        marks.len(),
+        (resident() - before) / marks.len() as f64
+    );
 }
 
 /// Resident memory, in bytes.
 fn resident() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or_default();
-    line.trim().trim_end_matches(" kB").parse::<f64>().unwrap_or_default() * 1_024.0
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .unwrap_or_default();
+    line.trim()
+        .trim_end_matches(" kB")
+        .parse::<f64>()
+        .unwrap_or_default()
+        * 1_024.0
 }
--- a/crates/stackgw-sessions/src/keeper.rs
+++ b/crates/stackgw-sessions/src/keeper.rs
@@ -85,7 +85,12 @@
     pub(crate) fn void(&mut self, now: Time) {
         (self.own_from, self.own_on_disk) = (now, false);
         for heard in self.heard.values_mut() {
-            (heard.incarnation, heard.until, heard.known_from, heard.on_disk) = (0, now, now, false);
+            (
+                heard.incarnation,
+                heard.until,
+                heard.known_from,
+                heard.on_disk,
+            ) = (0, now, now, false);
             heard.asked.clear();
         }
         self.ask_at = now;
@@ -109,9 +114,15 @@
         lease: Span,
         (covers, unbroken_since): (Span, u64),
     ) {
-        let Some(heard) = self.heard.get_mut(&from.node) else { return };
-        let Some(at) = heard.asked.iter().position(|(n, _)| *n == nonce) else { return };
-        let Some((_, asked)) = heard.asked.remove(at) else { return };
+        let Some(heard) = self.heard.get_mut(&from.node) else {
+            return;
+        };
+        let Some(at) = heard.asked.iter().position(|(n, _)| *n == nonce) else {
+            return;
+        };
+        let Some((_, asked)) = heard.asked.remove(at) else {
+            return;
+        };
         if from.incarnation < heard.incarnation || asked + lease <= now {
             return;
         }
@@ -131,7 +142,9 @@
 
     /// Another life of a source has been heard: pledges of earlier ones hold no more.
     pub(crate) fn met(&mut self, now: Time, peer: Peer) -> bool {
-        let Some(heard) = self.heard.get_mut(&peer.node) else { return true };
+        let Some(heard) = self.heard.get_mut(&peer.node) else {
+            return true;
+        };
         if peer.incarnation > heard.incarnation && heard.until > now {
             heard.until = now;
         }
--- a/crates/stackgw-sessions/src/lib.rs
+++ b/crates/stackgw-sessions/src/lib.rs
@@ -22,8 +22,8 @@
 pub use message::{Message, StoreVersion, Undecodable, MARKS_PER_MESSAGE, MOST_BYTES};
 pub use roster::{NodeId, Peer, ReplicaSet, SessionKey};
 pub use sessions::{
-    Counters, Output, PeerStatus, ReadRequirement, Record, Recovered, RequestNumber, SessionInspection,
-    Sessions, Settings, Status, StoreFailure, UncertaintyReason, WriteAdmission,
+    Counters, Output, PeerStatus, ReadRequirement, Record, Recovered, RequestNumber,
+    SessionInspection, Sessions, Settings, Status, StoreFailure, UncertaintyReason, WriteAdmission,
 };
 
 /// Where the position of a write is not known: later than any position, so that its session's reads must see every commit.
--- a/crates/stackgw-sessions/src/marks.rs
+++ b/crates/stackgw-sessions/src/marks.rs
@@ -61,10 +61,15 @@
     pub fn add(&mut self, now: Time, key: SessionKey, position: Time) {
         self.expire(now);
         let mark = self.marks.entry(key).or_insert(Mark { position, at: now });
-        *mark = Mark { position: mark.position.max(position), at: now };
+        *mark = Mark {
+            position: mark.position.max(position),
+            at: now,
+        };
         self.order.push_back((now, key));
         while self.marks.len() > self.most {
-            let Some((at, key)) = self.order.pop_front() else { break };
+            let Some((at, key)) = self.order.pop_front() else {
+                break;
+            };
             if self.marks.get(&key).is_some_and(|mark| mark.at == at) {
                 self.push_out(key);
             }
@@ -74,7 +79,8 @@
             let marks = &self.marks;
             let mut last = None;
             self.order.retain(|(at, key)| {
-                let live = marks.get(key).is_some_and(|mark| mark.at == *at) && last != Some((*at, *key));
+                let live =
+                    marks.get(key).is_some_and(|mark| mark.at == *at) && last != Some((*at, *key));
                 last = Some((*at, *key));
                 live
             });
@@ -82,10 +88,15 @@
     }
 
     fn push_out(&mut self, key: SessionKey) {
-        let Some(mark) = self.marks.remove(&key) else { return };
+        let Some(mark) = self.marks.remove(&key) else {
+            return;
+        };
         self.pushed_out += 1;
         let cell = self.cells.entry(Self::cell(key)).or_insert(mark);
-        *cell = Mark { position: cell.position.max(mark.position), at: cell.at.max(mark.at) };
+        *cell = Mark {
+            position: cell.position.max(mark.position),
+            at: cell.at.max(mark.at),
+        };
     }
 
     /// Drops what is past its horizon.
@@ -107,10 +118,18 @@
         let live = |mark: &&Mark| mark.at >= now.saturating_sub(self.horizon);
         let own = self.marks.get(&key).filter(live);
         let cell = self.cells.get(&Self::cell(key)).filter(live);
-        let position = own.into_iter().chain(cell).map(|mark| mark.position).max()?;
+        let position = own
+            .into_iter()
+            .chain(cell)
+            .map(|mark| mark.position)
+            .max()?;
         let at = own.into_iter().chain(cell).map(|mark| mark.at).max()?;
         let pushed_out = own.is_none_or(|mark| mark.position < position);
-        Some(RecordedPosition { position, at, evicted: pushed_out })
+        Some(RecordedPosition {
+            position,
+            at,
+            evicted: pushed_out,
+        })
     }
 
     /// Marks held.
--- a/crates/stackgw-sessions/src/message.rs
+++ b/crates/stackgw-sessions/src/message.rs
@@ -12,7 +12,9 @@
 pub const MARKS_PER_MESSAGE: usize = 40;
 
 /// How far a disk has come. A disk that is put back from an old copy comes with fewer records than its instance had.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
+#[derive(
+    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
+)]
 pub struct StoreVersion {
     /// Which disk: another one for each that was begun anew.
     pub store_id: u64,
@@ -120,7 +122,8 @@
         if bytes.len() > MOST_BYTES {
             return Err(Undecodable);
         }
-        let (said, rest) = postcard::take_from_bytes::<(Peer, Message)>(bytes).map_err(|_| Undecodable)?;
+        let (said, rest) =
+            postcard::take_from_bytes::<(Peer, Message)>(bytes).map_err(|_| Undecodable)?;
         let long = match &said.1 {
             Message::Marks(marks) => marks.len() > MARKS_PER_MESSAGE,
             Message::Held(held) => held.len() > MARKS_PER_MESSAGE,
--- a/crates/stackgw-sessions/src/reader.rs
+++ b/crates/stackgw-sessions/src/reader.rs
@@ -26,8 +26,14 @@
 
 impl Reader {
     /// Which of these homes may be asked now.
-    pub(crate) fn worth_asking(&self, now: Time, homes: impl Iterator<Item = NodeId>) -> VecDeque<NodeId> {
-        homes.filter(|home| self.shunned.get(home).is_none_or(|until| *until <= now)).collect()
+    pub(crate) fn worth_asking(
+        &self,
+        now: Time,
+        homes: impl Iterator<Item = NodeId>,
+    ) -> VecDeque<NodeId> {
+        homes
+            .filter(|home| self.shunned.get(home).is_none_or(|until| *until <= now))
+            .collect()
     }
 
     pub(crate) fn shun(&mut self, now: Time, home: NodeId, span: Span) {
@@ -40,12 +46,18 @@
 
     /// The lookup that this home has answered. Danger: taken away by word from anybody else it would never be answered.
     pub(crate) fn answered(&mut self, nonce: u64, from: NodeId) -> Option<Lookup> {
-        self.lookups.get(&nonce).filter(|lookup| lookup.asked == from)?;
+        self.lookups
+            .get(&nonce)
+            .filter(|lookup| lookup.asked == from)?;
         self.lookups.remove(&nonce)
     }
 
     /// Lookups whose time is over.
     pub(crate) fn overdue(&self, now: Time) -> Vec<u64> {
-        self.lookups.iter().filter(|(_, l)| l.until <= now).map(|(nonce, _)| *nonce).collect()
+        self.lookups
+            .iter()
+            .filter(|(_, l)| l.until <= now)
+            .map(|(nonce, _)| *nonce)
+            .collect()
     }
 }
--- a/crates/stackgw-sessions/src/roster.rs
+++ b/crates/stackgw-sessions/src/roster.rs
@@ -57,9 +57,17 @@
         keepers.sort_unstable();
         keepers.dedup();
         let homes = homes.clamp(1, keepers.len().max(1));
-        let words = keepers.iter().map(|k| k.0).chain([homes as u64]).chain(terms.iter().map(|t| *t as u64));
+        let words = keepers
+            .iter()
+            .map(|k| k.0)
+            .chain([homes as u64])
+            .chain(terms.iter().map(|t| *t as u64));
         let bytes: Vec<u8> = words.flat_map(u64::to_le_bytes).collect();
-        ReplicaSet { homes, digest: xxh3_64(&bytes), keepers }
+        ReplicaSet {
+            homes,
+            digest: xxh3_64(&bytes),
+            keepers,
+        }
     }
 
     /// Tells one roster, its homes and its times from any other.
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -49,7 +49,11 @@
 
 impl Settings {
     fn replica_set(&self) -> ReplicaSet {
-        ReplicaSet::new(self.replicas.iter().copied(), self.owners_per_session, &[self.lease, self.retention])
+        ReplicaSet::new(
+            self.replicas.iter().copied(),
+            self.owners_per_session,
+            &[self.lease, self.retention],
+        )
     }
 
     fn bound(&self) -> Span {
@@ -87,13 +91,16 @@
             Record::Position(key, position) => self.positions.push((key, position)),
             Record::Unacknowledged(key, position) => self.unacknowledged.push((key, position)),
             Record::PeerStore(peer, stamp) => {
-                self.peer_stores.retain(|(known, _)| known.node != peer.node);
+                self.peer_stores
+                    .retain(|(known, _)| known.node != peer.node);
                 self.peer_stores.push((peer, stamp));
             }
             Record::Invalidated(stamp, unbroken_since) => {
                 // The life that wrote to it last stays the same one.
-                self.store_version =
-                    StoreVersion { last_incarnation: self.store_version.last_incarnation, ..stamp };
+                self.store_version = StoreVersion {
+                    last_incarnation: self.store_version.last_incarnation,
+                    ..stamp
+                };
                 (self.unbroken_since, self.complete_peers) = (unbroken_since, Vec::new());
                 return;
             }
@@ -164,7 +171,9 @@
             UncertaintyReason::StoreFailed => "the disk failed".to_owned(),
             UncertaintyReason::OwnersUnresponsive => "no home answered in time".to_owned(),
             UncertaintyReason::OwnersUncertain => "the homes are not sure".to_owned(),
-            UncertaintyReason::UnknownPosition => "the session's write has no known position".to_owned(),
+            UncertaintyReason::UnknownPosition => {
+                "the session's write has no known position".to_owned()
+            }
             UncertaintyReason::TooManyReads => "too many reads wait for their homes".to_owned(),
         }
     }
@@ -355,10 +364,17 @@
         let roster = set.replica_set();
         let me = set.local.node;
         let mut keeper = Keeper::new(now, Marks::new(set.max_positions, set.retention));
-        let disk = set.recovered.as_ref().map(|recovered| recovered.store_version);
+        let disk = set
+            .recovered
+            .as_ref()
+            .map(|recovered| recovered.store_version);
         // Danger: kept beside the marks made of it, what the disk had would stand in memory twice.
         let recovered = set.recovered.take().unwrap_or_default();
-        let unbroken = if disk.is_some() { recovered.unbroken_since } else { set.local.incarnation };
+        let unbroken = if disk.is_some() {
+            recovered.unbroken_since
+        } else {
+            set.local.incarnation
+        };
         let mut source = Source::new(now, unbroken, now + set.bound());
         let same = recovered.replica_set == Some(roster.digest());
         // A guest pledges nothing, so no earlier life of it binds this one. Where the disk shows the same roster, the homes
@@ -375,7 +391,8 @@
             if peer.node == me {
                 (keeper.own_from, keeper.own_on_disk) = (ALWAYS, true);
             } else if let Some(heard) = keeper.heard.get_mut(&peer.node) {
-                (heard.incarnation, heard.known_from, heard.on_disk) = (peer.incarnation, ALWAYS, true);
+                (heard.incarnation, heard.known_from, heard.on_disk) =
+                    (peer.incarnation, ALWAYS, true);
             }
         }
         let mut sessions = Sessions {
@@ -437,7 +454,12 @@
         // Of sessions whose home this has become, it knows its own writes as far back as it has kept them.
         (self.keeper.own_from, self.keeper.own_on_disk) =
             (self.keeper.own_from.max(self.source.covered_from), false);
-        for own in self.source.own.values().filter(|own| self.roster.is_owner(own.key, me)) {
+        for own in self
+            .source
+            .own
+            .values()
+            .filter(|own| self.roster.is_owner(own.key, me))
+        {
             self.keeper.marks.add(now, own.key, own.position);
         }
         if !was && self.is_replica() {
@@ -464,7 +486,15 @@
         }
         if !self.is_replica() {
             self.nonce += 1;
-            self.errands.insert(self.nonce, Errand { ticket, key, position, tries: 0 });
+            self.errands.insert(
+                self.nonce,
+                Errand {
+                    ticket,
+                    key,
+                    position,
+                    tries: 0,
+                },
+            );
             self.run_errand(self.nonce, out);
             self.tick_at = self.tick_at.min(now + self.set.resend_interval);
             return WriteAdmission::Accepted;
@@ -478,19 +508,39 @@
     /// The answer of this write will not leave through here: it failed, or its client has gone.
     pub fn cancel_write(&mut self, ticket: RequestNumber) {
         self.errands.retain(|_, errand| errand.ticket != ticket);
-        let waits = |seq: &&u64| self.source.own.get(*seq).is_some_and(|own| own.waits == Some(ticket));
-        let seq =
-            self.source.waiting.iter().filter(|seq| !self.carries.contains_key(*seq)).find(waits).copied();
+        let waits = |seq: &&u64| {
+            self.source
+                .own
+                .get(*seq)
+                .is_some_and(|own| own.waits == Some(ticket))
+        };
+        let seq = self
+            .source
+            .waiting
+            .iter()
+            .filter(|seq| !self.carries.contains_key(*seq))
+            .find(waits)
+            .copied();
         if let Some(seq) = seq {
             self.source.withdraw(seq);
         }
     }
 
     /// A session read has come in. What it must see follows as [`Output::ReadRequirement`], at once or within the lookups' time.
-    pub fn begin_read(&mut self, now: Time, ticket: RequestNumber, key: SessionKey, out: &mut Vec<Output>) {
+    pub fn begin_read(
+        &mut self,
+        now: Time,
+        ticket: RequestNumber,
+        key: SessionKey,
+        out: &mut Vec<Output>,
+    ) {
         let me = self.set.local.node;
         let home = self.roster.is_owner(key, me);
-        let here = if home { self.known_here(now, key) } else { Err(UncertaintyReason::OwnersUncertain) };
+        let here = if home {
+            self.known_here(now, key)
+        } else {
+            Err(UncertaintyReason::OwnersUncertain)
+        };
         if let Ok(position) = here {
             self.counts.answered_locally += 1;
             return self.need(ticket, position, out);
@@ -501,12 +551,21 @@
         }
         let homes = self.roster.owners(key).filter(|home| *home != me);
         let next = self.reader.worth_asking(now, homes);
-        self.look(now, ticket, key, next, here.err().unwrap_or(UncertaintyReason::OwnersUncertain), out);
+        self.look(
+            now,
+            ticket,
+            key,
+            next,
+            here.err().unwrap_or(UncertaintyReason::OwnersUncertain),
+            out,
+        );
     }
 
     /// The read is no longer waited for.
     pub fn cancel_read(&mut self, ticket: RequestNumber) {
-        self.reader.lookups.retain(|_, lookup| lookup.ticket != ticket);
+        self.reader
+            .lookups
+            .retain(|_, lookup| lookup.ticket != ticket);
     }
 
     /// What this instance itself holds of a session, sure or not; for people.
@@ -539,15 +598,24 @@
             return;
         }
         match message {
-            Message::Ask { stamp, .. } | Message::Pledge { stamp, .. } if self.is_old(from, stamp) => {
+            Message::Ask { stamp, .. } | Message::Pledge { stamp, .. }
+                if self.is_old(from, stamp) =>
+            {
                 self.send(from, Message::Stale(stamp.unwrap_or_default()), out);
             }
             Message::Stale(stamp) => self.void(now, stamp, out),
             Message::Ask { nonce, roster, .. } => self.asked(now, from, nonce, roster, out),
-            Message::Pledge { nonce, roster, covers, unbroken_since, .. } => {
+            Message::Pledge {
+                nonce,
+                roster,
+                covers,
+                unbroken_since,
+                ..
+            } => {
                 if roster == self.roster.digest() {
                     let set = &self.set;
-                    self.keeper.pledged(now, from, nonce, set.lease, (covers, unbroken_since));
+                    self.keeper
+                        .pledged(now, from, nonce, set.lease, (covers, unbroken_since));
                 }
             }
             Message::Differs { .. } => {
@@ -567,8 +635,11 @@
             }
             Message::PositionQuery { nonce, key } => {
                 let home = self.roster.is_owner(key, me.node);
-                let known =
-                    if home { self.known_here(now, key) } else { Err(UncertaintyReason::OwnersUncertain) };
+                let known = if home {
+                    self.known_here(now, key)
+                } else {
+                    Err(UncertaintyReason::OwnersUncertain)
+                };
                 let word = match known {
                     Ok(position) => Message::Sure { nonce, position },
                     Err(_) => Message::Unsure { nonce },
@@ -595,7 +666,11 @@
                     );
                 }
             }
-            Message::Carry { ticket, key, position } => self.carry(now, from, ticket, key, position, out),
+            Message::Carry {
+                ticket,
+                key,
+                position,
+            } => self.carry(now, from, ticket, key, position, out),
             Message::Carried { ticket } => {
                 if let Some(errand) = self.errands.remove(&ticket) {
                     self.counts.writes_released += 1;
@@ -608,7 +683,11 @@
     /// So many records are on the disk.
     pub fn handle_records_stored(&mut self, now: Time, records: u64, out: &mut Vec<Output>) {
         self.stored = self.stored.max(records.min(self.records));
-        while let Some(ack) = self.keeper.acks.pop_front_if(|ack| ack.record <= self.stored) {
+        while let Some(ack) = self
+            .keeper
+            .acks
+            .pop_front_if(|ack| ack.record <= self.stored)
+        {
             self.send(ack.to, Message::Held(ack.seqs), out);
         }
         self.release(now, out);
@@ -617,7 +696,12 @@
     /// The disk takes nothing more. Where its file has been set aside, so that no later life reads it, this one goes on as
     /// one without a disk. Where it could not be, a later life would take the file for whole: then nothing
     /// is acknowledged, known for sure or let out any more.
-    pub fn handle_store_failure(&mut self, now: Time, failure: StoreFailure, out: &mut Vec<Output>) {
+    pub fn handle_store_failure(
+        &mut self,
+        now: Time,
+        failure: StoreFailure,
+        out: &mut Vec<Output>,
+    ) {
         if failure == StoreFailure::LeftInPlace {
             self.keeper.broken = true;
             self.keeper.acks.clear();
@@ -642,17 +726,30 @@
 
     /// When [`Sessions::handle_timeout`] is wanted next.
     pub fn next_deadline(&self) -> Time {
-        let lookup = self.reader.lookups.values().next().map_or(Time::MAX, |l| l.until);
-        let ask = if self.is_replica() { self.keeper.ask_at } else { Time::MAX };
+        let lookup = self
+            .reader
+            .lookups
+            .values()
+            .next()
+            .map_or(Time::MAX, |l| l.until);
+        let ask = if self.is_replica() {
+            self.keeper.ask_at
+        } else {
+            Time::MAX
+        };
         let waits = !self.source.waiting.is_empty() || !self.errands.is_empty();
-        ask.min(lookup).min(if waits { self.tick_at } else { Time::MAX })
+        ask.min(lookup)
+            .min(if waits { self.tick_at } else { Time::MAX })
     }
 
     /// Time has come for what waits for it.
     pub fn handle_timeout(&mut self, now: Time, out: &mut Vec<Output>) {
         for nonce in self.reader.overdue(now) {
-            let Some(lookup) = self.reader.lookups.remove(&nonce) else { continue };
-            self.reader.shun(now, lookup.asked, self.set.lease / ASKS_PER_LEASE);
+            let Some(lookup) = self.reader.lookups.remove(&nonce) else {
+                continue;
+            };
+            self.reader
+                .shun(now, lookup.asked, self.set.lease / ASKS_PER_LEASE);
             self.look(
                 now,
                 lookup.ticket,
@@ -690,7 +787,11 @@
         let others = self.source.links.iter().map(|(node, link)| PeerStatus {
             node: *node,
             incarnation: link.peer.incarnation,
-            lease_held_for: self.keeper.heard.get(node).map_or(0, |h| (h.until - now).max(0)),
+            lease_held_for: self
+                .keeper
+                .heard
+                .get(node)
+                .map_or(0, |h| (h.until - now).max(0)),
             lease_granted_for: (link.until - now).max(0),
             unacknowledged: link.owes.len(),
         });
@@ -725,7 +826,13 @@
     }
 
     fn peer(&self, node: NodeId) -> Peer {
-        self.source.links.get(&node).map_or(Peer { node, incarnation: 0 }, |link| link.peer)
+        self.source.links.get(&node).map_or(
+            Peer {
+                node,
+                incarnation: 0,
+            },
+            |link| link.peer,
+        )
     }
 
     // The source.
@@ -748,13 +855,36 @@
             }
         }
         self.tick_at = self.tick_at.min(now + self.set.resend_interval);
-        self.source.add(now, &self.roster, Own { key, position, waits, at: now, told: now, record, owed })
+        self.source.add(
+            now,
+            &self.roster,
+            Own {
+                key,
+                position,
+                waits,
+                at: now,
+                told: now,
+                record,
+                owed,
+            },
+        )
     }
 
     /// Sends its homes a mark that an answer waits for.
     fn tell(&mut self, seq: u64, out: &mut Vec<Output>) {
-        let Some(mark) = self.source.own.get(&seq).map(|own| (seq, own.key, own.position)) else { return };
-        let owing = self.source.links.values().filter(|link| link.owes.contains(&seq));
+        let Some(mark) = self
+            .source
+            .own
+            .get(&seq)
+            .map(|own| (seq, own.key, own.position))
+        else {
+            return;
+        };
+        let owing = self
+            .source
+            .links
+            .values()
+            .filter(|link| link.owes.contains(&seq));
         for peer in owing.map(|link| link.peer).collect::<Vec<_>>() {
             self.send(peer, Message::Marks(vec![mark]), out);
         }
@@ -765,7 +895,13 @@
         if self.source.waiting.is_empty() {
             return;
         }
-        for peer in self.source.links.values().map(|link| link.peer).collect::<Vec<_>>() {
+        for peer in self
+            .source
+            .links
+            .values()
+            .map(|link| link.peer)
+            .collect::<Vec<_>>()
+        {
             let marks = self.source.urgent(peer.node, since, MARKS_PER_MESSAGE);
             if !marks.is_empty() {
                 self.send(peer, Message::Marks(marks), out);
@@ -792,9 +928,15 @@
         match self.source.gate(now, seq, self.stored, disk) {
             Gate::Open => {
                 self.counts.writes_released += 1;
-                let owed = self.source.links.values().any(|link| link.owes.contains(&seq));
+                let owed = self
+                    .source
+                    .links
+                    .values()
+                    .any(|link| link.owes.contains(&seq));
                 self.counts.released_unacknowledged += u64::from(owed);
-                let Some(ticket) = self.source.let_out(now, seq) else { return };
+                let Some(ticket) = self.source.let_out(now, seq) else {
+                    return;
+                };
                 match self.carries.remove(&seq) {
                     Some((guest, ticket)) => {
                         self.carried.remove(&(guest, ticket));
@@ -804,7 +946,8 @@
                 }
             }
             Gate::Record => {
-                let Some((key, position)) = self.source.own.get(&seq).map(|o| (o.key, o.position)) else {
+                let Some((key, position)) = self.source.own.get(&seq).map(|o| (o.key, o.position))
+                else {
                     return;
                 };
                 let record = self.store(Record::Unacknowledged(key, position), out);
@@ -819,7 +962,8 @@
     /// Another keeper asks for a pledge. Danger: given before it holds all that has left, it would make that keeper sure of
     /// what it does not know.
     fn asked(&mut self, now: Time, from: Peer, nonce: u64, roster: u64, out: &mut Vec<Output>) {
-        if !self.roster.contains(from.node) || !self.is_replica() || roster != self.roster.digest() {
+        if !self.roster.contains(from.node) || !self.is_replica() || roster != self.roster.digest()
+        {
             let roster = self.roster.digest();
             return self.send(from, Message::Differs { nonce, roster }, out);
         }
@@ -827,14 +971,27 @@
             link.sent = 0;
         }
         self.catch_up(from.node, CATCH_UP, out);
-        if !self.source.settled(from.node, now - self.set.lease / 2) || self.roster_record > self.stored {
+        if !self.source.settled(from.node, now - self.set.lease / 2)
+            || self.roster_record > self.stored
+        {
             return;
         }
-        self.source.pledge(now, from.node, self.set.lease, &self.roster);
+        self.source
+            .pledge(now, from.node, self.set.lease, &self.roster);
         let covers = now - self.source.covered_from;
         let unbroken_since = self.source.unbroken_since;
         let stamp = self.stamp();
-        self.send(from, Message::Pledge { nonce, roster, covers, unbroken_since, stamp }, out);
+        self.send(
+            from,
+            Message::Pledge {
+                nonce,
+                roster,
+                covers,
+                unbroken_since,
+                stamp,
+            },
+            out,
+        );
     }
 
     fn catch_up(&mut self, node: NodeId, batches: usize, out: &mut Vec<Output>) {
@@ -857,9 +1014,20 @@
         for node in self.keeper.heard.keys().copied().collect::<Vec<_>>() {
             self.nonce += 1;
             self.keeper.asked(now, node, self.nonce);
-            let ask = Message::Ask { nonce: self.nonce, roster: self.roster.digest(), stamp: self.stamp() };
+            let ask = Message::Ask {
+                nonce: self.nonce,
+                roster: self.roster.digest(),
+                stamp: self.stamp(),
+            };
             // Whichever life is there: a new one is met by this.
-            self.send(Peer { node, incarnation: 0 }, ask, out);
+            self.send(
+                Peer {
+                    node,
+                    incarnation: 0,
+                },
+                ask,
+                out,
+            );
         }
     }
 
@@ -873,7 +1041,10 @@
         for (node, heard) in &mut self.keeper.heard {
             if heard.known_from <= before && !heard.on_disk && heard.incarnation != 0 {
                 heard.on_disk = true;
-                peers.push(Peer { node: *node, incarnation: heard.incarnation });
+                peers.push(Peer {
+                    node: *node,
+                    incarnation: heard.incarnation,
+                });
             }
         }
         if self.keeper.own_from <= before && !self.keeper.own_on_disk {
@@ -893,7 +1064,9 @@
 
     fn stamp(&self) -> Option<StoreVersion> {
         let disk = self.disk?;
-        let records = disk.records.saturating_add(self.stored.saturating_sub(self.voided));
+        let records = disk
+            .records
+            .saturating_add(self.stored.saturating_sub(self.voided));
         Some(StoreVersion { records, ..disk })
     }
 
@@ -905,15 +1078,18 @@
         }
         let known = self.stamps.get(&from.node).copied();
         let before = known.filter(|(peer, _)| peer.incarnation < from.incarnation);
-        if let (Some((peer, seen)), Some(stamp)) = (before, stamp.filter(|s| s.store_id != from.incarnation))
+        if let (Some((peer, seen)), Some(stamp)) =
+            (before, stamp.filter(|s| s.store_id != from.incarnation))
         {
-            let shorter = |s: StoreVersion| s.store_id == stamp.store_id && s.records > stamp.records;
+            let shorter =
+                |s: StoreVersion| s.store_id == stamp.store_id && s.records > stamp.records;
             if stamp.last_incarnation < peer.incarnation || seen.is_some_and(shorter) {
                 return true;
             }
         }
         // Within one life a smaller count is that of a message that came late.
-        let further = known.is_none_or(|(peer, seen)| (peer.incarnation, seen) < (from.incarnation, stamp));
+        let further =
+            known.is_none_or(|(peer, seen)| (peer.incarnation, seen) < (from.incarnation, stamp));
         if further {
             self.stamps.insert(from.node, (from, stamp));
         }
@@ -922,9 +1098,19 @@
 
     /// Others know this disk to be older than it was: it begins anew, and so does what this instance can be sure of.
     fn void(&mut self, now: Time, told: StoreVersion, out: &mut Vec<Output>) {
-        let Some(disk) = self.disk.as_mut().filter(|disk| disk.store_id == told.store_id) else { return };
+        let Some(disk) = self
+            .disk
+            .as_mut()
+            .filter(|disk| disk.store_id == told.store_id)
+        else {
+            return;
+        };
         let incarnation = self.set.local.incarnation;
-        *disk = StoreVersion { store_id: incarnation, records: 0, last_incarnation: 0 };
+        *disk = StoreVersion {
+            store_id: incarnation,
+            records: 0,
+            last_incarnation: 0,
+        };
         let begun = *disk;
         // Those that have believed this life already must not go on from that.
         self.source.unbroken_since = incarnation.saturating_add(1);
@@ -933,7 +1119,13 @@
         self.voided = self.store(Record::Invalidated(begun, self.source.unbroken_since), out);
     }
 
-    fn marks(&mut self, now: Time, from: Peer, marks: Vec<(u64, SessionKey, Time)>, out: &mut Vec<Output>) {
+    fn marks(
+        &mut self,
+        now: Time,
+        from: Peer,
+        marks: Vec<(u64, SessionKey, Time)>,
+        out: &mut Vec<Output>,
+    ) {
         if self.keeper.broken {
             return;
         }
@@ -948,7 +1140,11 @@
         match record {
             // What finds no room here is sent once more.
             Some(record) if self.keeper.acks.len() < self.set.max_pending => {
-                self.keeper.acks.push_back(Ack { record, to: from, seqs });
+                self.keeper.acks.push_back(Ack {
+                    record,
+                    to: from,
+                    seqs,
+                });
             }
             Some(_) => self.counts.rejected += 1,
             None => self.send(from, Message::Held(seqs), out),
@@ -971,24 +1167,53 @@
         why: UncertaintyReason,
         out: &mut Vec<Output>,
     ) {
-        let Some(asked) = next.pop_front() else { return self.cautious(ticket, why, out) };
+        let Some(asked) = next.pop_front() else {
+            return self.cautious(ticket, why, out);
+        };
         self.nonce += 1;
         let until = now + self.set.lookup_timeout;
-        self.reader.lookups.insert(self.nonce, Lookup { ticket, key, asked, next, until });
-        let look = Message::PositionQuery { nonce: self.nonce, key };
-        self.send(Peer { node: asked, incarnation: 0 }, look, out);
+        self.reader.lookups.insert(
+            self.nonce,
+            Lookup {
+                ticket,
+                key,
+                asked,
+                next,
+                until,
+            },
+        );
+        let look = Message::PositionQuery {
+            nonce: self.nonce,
+            key,
+        };
+        self.send(
+            Peer {
+                node: asked,
+                incarnation: 0,
+            },
+            look,
+            out,
+        );
     }
 
     fn need(&mut self, ticket: RequestNumber, position: Option<Time>, out: &mut Vec<Output>) {
         match position {
-            Some(UNKNOWN_POSITION) => self.cautious(ticket, UncertaintyReason::UnknownPosition, out),
-            position => out.push(Output::ReadRequirement(ticket, ReadRequirement::Position(position))),
+            Some(UNKNOWN_POSITION) => {
+                self.cautious(ticket, UncertaintyReason::UnknownPosition, out)
+            }
+            position => out.push(Output::ReadRequirement(
+                ticket,
+                ReadRequirement::Position(position),
+            )),
         }
     }
 
     fn cautious(&mut self, ticket: RequestNumber, why: UncertaintyReason, out: &mut Vec<Output>) {
         self.counts.strong_reads += 1;
-        out.push(Output::ReadRequirement(ticket, ReadRequirement::Strong(why)));
+        out.push(Output::ReadRequirement(
+            ticket,
+            ReadRequirement::Strong(why),
+        ));
     }
 
     // Guests.
@@ -996,12 +1221,26 @@
     /// A guest asks one keeper after another to carry its write.
     fn run_errand(&mut self, nonce: u64, out: &mut Vec<Output>) {
         let keepers = self.roster.replicas().len();
-        let Some(errand) = self.errands.get_mut(&nonce).filter(|_| keepers > 0) else { return };
-        let turn = (errand.key.0 as usize).wrapping_add((errand.tries / CARRY_TRIES) as usize) % keepers;
+        let Some(errand) = self.errands.get_mut(&nonce).filter(|_| keepers > 0) else {
+            return;
+        };
+        let turn =
+            (errand.key.0 as usize).wrapping_add((errand.tries / CARRY_TRIES) as usize) % keepers;
         errand.tries += 1;
-        let carry = Message::Carry { ticket: nonce, key: errand.key, position: errand.position };
+        let carry = Message::Carry {
+            ticket: nonce,
+            key: errand.key,
+            position: errand.position,
+        };
         let node = self.roster.replicas()[turn];
-        self.send(Peer { node, incarnation: 0 }, carry, out);
+        self.send(
+            Peer {
+                node,
+                incarnation: 0,
+            },
+            carry,
+            out,
+        );
     }
 
     /// A keeper makes a guest's write its own.
--- a/crates/stackgw-sessions/src/source.rs
+++ b/crates/stackgw-sessions/src/source.rs
@@ -87,10 +87,14 @@
     /// A new roster: links to new keepers, none to old ones but as long as a pledge binds.
     pub(crate) fn take_roster(&mut self, now: Time, me: NodeId, roster: &ReplicaSet) {
         let bound_until = self.bound_until;
-        self.links.retain(|node, link| roster.contains(*node) || link.until > now);
+        self.links
+            .retain(|node, link| roster.contains(*node) || link.until > now);
         for node in roster.replicas().iter().filter(|node| **node != me) {
             self.links.entry(*node).or_insert_with(|| Link {
-                peer: Peer { node: *node, incarnation: 0 },
+                peer: Peer {
+                    node: *node,
+                    incarnation: 0,
+                },
                 until: bound_until,
                 roster: roster.clone(),
                 owes: BTreeSet::new(),
@@ -98,7 +102,11 @@
             });
         }
         for (seq, own) in &self.own {
-            for link in self.links.values_mut().filter(|l| roster.is_owner(own.key, l.peer.node)) {
+            for link in self
+                .links
+                .values_mut()
+                .filter(|l| roster.is_owner(own.key, l.peer.node))
+            {
                 link.owes.insert(*seq);
             }
         }
@@ -127,7 +135,9 @@
     /// A keeper was heard in this life. What an earlier one acknowledged is on its disk, or the later one is not sure before
     /// that is past its horizon; what an earlier one was pledged binds no more.
     pub(crate) fn met(&mut self, peer: Peer) -> bool {
-        let Some(link) = self.links.get_mut(&peer.node) else { return true };
+        let Some(link) = self.links.get_mut(&peer.node) else {
+            return true;
+        };
         if peer.incarnation < link.peer.incarnation {
             return false;
         }
@@ -141,7 +151,9 @@
 
     /// What a write's answer still waits for.
     pub(crate) fn gate(&self, now: Time, seq: u64, stored: u64, disk: bool) -> Gate {
-        let Some(own) = self.own.get(&seq) else { return Gate::Open };
+        let Some(own) = self.own.get(&seq) else {
+            return Gate::Open;
+        };
         let owing = || self.links.values().filter(|link| link.owes.contains(&seq));
         let bound = now < self.quiet_until || owing().any(|link| link.until > now);
         if bound || own.record.is_some_and(|record| record > stored) {
@@ -171,18 +183,30 @@
 
     fn drop_own(&mut self, seq: u64) -> bool {
         self.own.remove(&seq);
-        self.links.values_mut().filter_map(|link| link.owes.remove(&seq).then_some(())).count() > 0
+        self.links
+            .values_mut()
+            .filter_map(|link| link.owes.remove(&seq).then_some(()))
+            .count()
+            > 0
     }
 
     /// Drops what every replica holds by now, and the oldest beyond so many: then earlier writes are no longer vouched for.
-    pub(crate) fn expire(&mut self, now: Time, horizon: Span, most: usize, incarnation: u64) -> u64 {
+    pub(crate) fn expire(
+        &mut self,
+        now: Time,
+        horizon: Span,
+        most: usize,
+        incarnation: u64,
+    ) -> u64 {
         let before = now.saturating_sub(horizon);
         while let Some((_, seq)) = self.left.pop_front_if(|(at, _)| *at < before) {
             self.drop_own(seq);
         }
         let mut pushed_out = 0;
         while self.left.len() > most {
-            let Some((at, seq)) = self.left.pop_front() else { break };
+            let Some((at, seq)) = self.left.pop_front() else {
+                break;
+            };
             self.covered_from = self.covered_from.max(at + 1);
             if self.drop_own(seq) {
                 self.unbroken_since = incarnation.saturating_add(1);
@@ -196,14 +220,19 @@
     /// since before a moment. Danger: where only the way there is cut, its questions still come, and pledges renewed for
     /// ever would hold writes up for ever.
     pub(crate) fn settled(&self, node: NodeId, before: Time) -> bool {
-        let fresh =
-            |seq: &u64| self.waiting.contains(seq) && self.own.get(seq).is_some_and(|own| own.at >= before);
-        self.links.get(&node).is_some_and(|link| link.owes.iter().all(fresh))
+        let fresh = |seq: &u64| {
+            self.waiting.contains(seq) && self.own.get(seq).is_some_and(|own| own.at >= before)
+        };
+        self.links
+            .get(&node)
+            .is_some_and(|link| link.owes.iter().all(fresh))
     }
 
     /// Gives a keeper a pledge.
     pub(crate) fn pledge(&mut self, now: Time, node: NodeId, lease: Span, roster: &ReplicaSet) {
-        let Some(link) = self.links.get_mut(&node) else { return };
+        let Some(link) = self.links.get_mut(&node) else {
+            return;
+        };
         link.until = link.until.max(now + lease + lease / DRIFT_PART);
         // Those that wait were owed under the old one too, and stay so.
         link.roster.clone_from(roster);
@@ -220,9 +249,15 @@
 
     /// The next marks for a keeper among those whose answers have left.
     pub(crate) fn next_owed(&mut self, node: NodeId, most: usize) -> Vec<(u64, SessionKey, Time)> {
-        let Some(link) = self.links.get_mut(&node) else { return Vec::new() };
-        let left = link.owes.range(link.sent.saturating_add(1)..).filter(|seq| !self.waiting.contains(seq));
-        let marks = left.filter_map(|seq| self.own.get(seq).map(|own| (*seq, own.key, own.position)));
+        let Some(link) = self.links.get_mut(&node) else {
+            return Vec::new();
+        };
+        let left = link
+            .owes
+            .range(link.sent.saturating_add(1)..)
+            .filter(|seq| !self.waiting.contains(seq));
+        let marks =
+            left.filter_map(|seq| self.own.get(seq).map(|own| (*seq, own.key, own.position)));
         let marks: Vec<_> = marks.take(most).collect();
         link.sent = marks.last().map_or(link.sent, |(seq, ..)| *seq);
         marks
@@ -230,11 +265,20 @@
 
     /// The marks that a keeper owes an acknowledgement for before some answer may leave. Danger: what is owed to a keeper that
     /// has long been gone may be far more than what waits.
-    pub(crate) fn urgent(&self, node: NodeId, since: Time, most: usize) -> Vec<(u64, SessionKey, Time)> {
-        let Some(link) = self.links.get(&node) else { return Vec::new() };
+    pub(crate) fn urgent(
+        &self,
+        node: NodeId,
+        since: Time,
+        most: usize,
+    ) -> Vec<(u64, SessionKey, Time)> {
+        let Some(link) = self.links.get(&node) else {
+            return Vec::new();
+        };
         let owed = self.waiting.iter().filter(|seq| link.owes.contains(seq));
         let own = owed.filter_map(|seq| self.own.get(seq).map(|own| (*seq, own)));
         let due = own.filter(|(_, own)| own.told <= since);
-        due.map(|(seq, own)| (seq, own.key, own.position)).take(most).collect()
+        due.map(|(seq, own)| (seq, own.key, own.position))
+            .take(most)
+            .collect()
     }
 }
--- a/crates/stackgw-sessions/tests/common/mod.rs
+++ b/crates/stackgw-sessions/tests/common/mod.rs
@@ -13,7 +13,10 @@
 
 pub fn settings(me: usize, incarnation: u64, keepers: usize) -> Settings {
     Settings {
-        local: Peer { node: node(me), incarnation },
+        local: Peer {
+            node: node(me),
+            incarnation,
+        },
         replicas: (0..keepers).map(node).collect(),
         owners_per_session: 2,
         lease: LEASE,
@@ -163,10 +166,20 @@
         if i.has_disk {
             let (unbroken_since, records) = i.disk.get_or_insert((i.incarnation, Vec::new()));
             records.truncate(i.synced);
-            let stamp = StoreVersion { store_id: *unbroken_since, records: 0, last_incarnation: last };
-            let mut recovered =
-                Recovered { unbroken_since: *unbroken_since, store_version: stamp, ..Recovered::default() };
-            records.iter().cloned().for_each(|record| recovered.apply(record));
+            let stamp = StoreVersion {
+                store_id: *unbroken_since,
+                records: 0,
+                last_incarnation: last,
+            };
+            let mut recovered = Recovered {
+                unbroken_since: *unbroken_since,
+                store_version: stamp,
+                ..Recovered::default()
+            };
+            records
+                .iter()
+                .cloned()
+                .for_each(|record| recovered.apply(record));
             i.base = i.synced as u64;
             set.recovered = Some(recovered);
         }
@@ -237,40 +250,64 @@
             match output {
                 Output::Send(to, message) => {
                     self.messages += 1;
-                    let Some(target) = (0..self.instances.len()).find(|i| node(*i) == to.node) else {
+                    let Some(target) = (0..self.instances.len()).find(|i| node(*i) == to.node)
+                    else {
                         continue;
                     };
-                    let from = Peer { node: node(n), incarnation: self.instances[n].incarnation };
+                    let from = Peer {
+                        node: node(n),
+                        incarnation: self.instances[n].incarnation,
+                    };
                     let bytes = message.encode(to);
-                    assert!(bytes.len() <= MOST_BYTES, "{} bytes: {message:?}", bytes.len());
+                    assert!(
+                        bytes.len() <= MOST_BYTES,
+                        "{} bytes: {message:?}",
+                        bytes.len()
+                    );
                     assert_eq!(Message::decode(&bytes), Ok((to, message.clone())));
                     let copies = 1 + usize::from(self.rng.random::<f64>() < self.weather.repeat);
                     for _ in 0..copies {
-                        if self.cut.contains(&(n, target)) || self.rng.random::<f64>() < self.weather.loss {
+                        if self.cut.contains(&(n, target))
+                            || self.rng.random::<f64>() < self.weather.loss
+                        {
                             continue;
                         }
-                        let mut delay = self.rng.random_range(MS / 10..=self.weather.delay.max(MS / 5));
+                        let mut delay = self
+                            .rng
+                            .random_range(MS / 10..=self.weather.delay.max(MS / 5));
                         if self.rng.random::<f64>() < self.weather.repeat / 4.0 {
                             delay += self.rng.random_range(0..2 * LEASE); // Long after it was sent.
                         }
-                        self.at(self.now + delay, Happens::Arrives(target, from, to, message.clone()));
+                        self.at(
+                            self.now + delay,
+                            Happens::Arrives(target, from, to, message.clone()),
+                        );
                     }
                 }
                 Output::Release(ticket) => {
                     if let Some((key, position, at)) = self.writes.remove(&(n, ticket)) {
                         self.released += 1;
-                        self.left.entry(key).or_default().push((position, at, self.now));
+                        self.left
+                            .entry(key)
+                            .or_default()
+                            .push((position, at, self.now));
                     }
                 }
                 Output::ReadRequirement(ticket, knowledge) => {
-                    let Some((key, came)) = self.reads.remove(&(n, ticket)) else { continue };
+                    let Some((key, came)) = self.reads.remove(&(n, ticket)) else {
+                        continue;
+                    };
                     self.judge(n, key, came, knowledge);
                 }
                 Output::Store(record) => {
-                    let Some((_, records)) = self.instances[n].disk.as_mut() else { continue };
+                    let Some((_, records)) = self.instances[n].disk.as_mut() else {
+                        continue;
+                    };
                     records.push(record);
                     let (upto, life) = (records.len(), self.instances[n].incarnation);
-                    let delay = self.rng.random_range(MS / 10..=self.weather.sync.max(MS / 5));
+                    let delay = self
+                        .rng
+                        .random_range(MS / 10..=self.weather.sync.max(MS / 5));
                     self.at(self.now + delay, Happens::Synced(n, life, upto));
                 }
             }
@@ -290,10 +327,15 @@
         // Clocks' rates differ by a hundredth, so horizons end so much earlier.
         let since = came - HORIZON + HORIZON / 50;
         let left = self.left.get(&key).into_iter().flatten();
-        let must =
-            left.filter(|(_, at, left)| *left < came && *at > since).map(|(position, ..)| *position).max();
+        let must = left
+            .filter(|(_, at, left)| *left < came && *at > since)
+            .map(|(position, ..)| *position)
+            .max();
         if must > known {
-            self.missed.push(format!("at {n}, {} ms: must see {must:?}, is told {known:?}", came / MS));
+            self.missed.push(format!(
+                "at {n}, {} ms: must see {must:?}, is told {known:?}",
+                came / MS
+            ));
         }
     }
 
@@ -301,7 +343,10 @@
     pub fn pass(&mut self, span: Span) {
         let end = self.now + span;
         loop {
-            let arrival = self.agenda.first_key_value().map_or(Time::MAX, |((at, _), _)| *at);
+            let arrival = self
+                .agenda
+                .first_key_value()
+                .map_or(Time::MAX, |((at, _), _)| *at);
             let due = (0..self.instances.len())
                 .filter(|n| !self.instances[*n].paused)
                 .filter_map(|n| {
@@ -322,7 +367,9 @@
                 self.with(n, |s, now, out| s.handle_timeout(now, out));
                 continue;
             }
-            let Some(((at, _), what)) = self.agenda.pop_first() else { break };
+            let Some(((at, _), what)) = self.agenda.pop_first() else {
+                break;
+            };
             self.now = at.max(self.now);
             match what {
                 // What comes to a paused process waits in its socket.
@@ -330,11 +377,17 @@
                     self.at(self.now + 20 * MS, what);
                 }
                 Happens::Arrives(n, from, to, message) => {
-                    self.with(n, |s, now, out| s.handle_message(now, from, to, message, out));
+                    self.with(n, |s, now, out| {
+                        s.handle_message(now, from, to, message, out)
+                    });
                 }
                 Happens::Synced(n, life, upto) if self.instances[n].incarnation == life => {
                     let i = &mut self.instances[n];
-                    if i.up.is_some() && i.disk.as_ref().is_some_and(|(_, records)| records.len() >= upto) {
+                    if i.up.is_some()
+                        && i.disk
+                            .as_ref()
+                            .is_some_and(|(_, records)| records.len() >= upto)
+                    {
                         i.synced = i.synced.max(upto);
                         let count = upto as u64 - i.base;
                         self.with(n, |s, now, out| s.handle_records_stored(now, count, out));
--- a/crates/stackgw-sessions/tests/digest.rs
+++ b/crates/stackgw-sessions/tests/digest.rs
@@ -38,7 +38,10 @@
     }
 
     fn number(&mut self, number: u64) {
-        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+        number
+            .to_le_bytes()
+            .into_iter()
+            .for_each(|byte| self.byte(byte));
     }
 
     fn signed(&mut self, number: i64) {
@@ -56,7 +59,9 @@
     }
 
     fn stamp(&mut self, stamp: StoreVersion) {
-        [stamp.store_id, stamp.records, stamp.last_incarnation].into_iter().for_each(|n| self.number(n));
+        [stamp.store_id, stamp.records, stamp.last_incarnation]
+            .into_iter()
+            .for_each(|n| self.number(n));
     }
 
     fn why(&mut self, why: Option<UncertaintyReason>) {
@@ -152,7 +157,10 @@
         self.number(u64::from(status.is_replica));
         self.why(status.uncertainty);
         for other in &status.peers {
-            self.peer(Peer { node: other.node, incarnation: other.incarnation });
+            self.peer(Peer {
+                node: other.node,
+                incarnation: other.incarnation,
+            });
             self.signed(other.lease_held_for);
             self.signed(other.lease_granted_for);
             self.number(other.unacknowledged as u64);
@@ -179,14 +187,21 @@
 
     fn instance(&mut self, world: &World, n: usize, key: SessionKey) {
         self.number(n as u64);
-        let Some(up) = world.instances[n].up.as_ref() else { return };
+        let Some(up) = world.instances[n].up.as_ref() else {
+            return;
+        };
         let now = world.clock(n);
         self.status(&up.status(now));
         self.signed(up.next_deadline());
         self.number(u64::from(up.can_release()) + 2 * u64::from(up.is_replica()));
         self.number(up.replica_set().digest());
-        up.replica_set().replicas().iter().for_each(|node| self.number(node.0));
-        up.replica_set().owners(key).for_each(|node| self.number(node.0));
+        up.replica_set()
+            .replicas()
+            .iter()
+            .for_each(|node| self.number(node.0));
+        up.replica_set()
+            .owners(key)
+            .for_each(|node| self.number(node.0));
         let inspection = up.inspect_session(now, key);
         let (seen, sure) = (inspection.position, inspection.certainty);
         self.optional(seen.map(|seen| seen.position));
@@ -223,9 +238,27 @@
         let (keepers, guests) = [(1, 0), (2, 0), (3, 0), (3, 2), (5, 1), (2, 3)][seed as usize % 6];
         let disks = seed % 7 < 4;
         let weather = match seed % 4 {
-            0 => Weather { loss: 0.0, repeat: 0.0, delay: 2 * MS, sync: 3 * MS, off: false },
-            1 | 2 => Weather { loss: 0.1, repeat: 0.2, delay: 30 * MS, sync: 10 * MS, off: false },
-            _ => Weather { loss: 0.02, repeat: 0.05, delay: 8 * MS, sync: 60 * MS, off: false },
+            0 => Weather {
+                loss: 0.0,
+                repeat: 0.0,
+                delay: 2 * MS,
+                sync: 3 * MS,
+                off: false,
+            },
+            1 | 2 => Weather {
+                loss: 0.1,
+                repeat: 0.2,
+                delay: 30 * MS,
+                sync: 10 * MS,
+                off: false,
+            },
+            _ => Weather {
+                loss: 0.02,
+                repeat: 0.05,
+                delay: 8 * MS,
+                sync: 60 * MS,
+                off: false,
+            },
         };
         let adjust: fn(&mut Settings) = match seed % 5 {
             0..=2 => usual,
@@ -264,15 +297,19 @@
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         let mut admission = WriteAdmission::Rejected;
-        self.world.with(n, |s, now, out| admission = s.record_write(now, ticket, key, position, out));
-        self.digest.number(u64::from(admission == WriteAdmission::Accepted));
+        self.world.with(n, |s, now, out| {
+            admission = s.record_write(now, ticket, key, position, out)
+        });
+        self.digest
+            .number(u64::from(admission == WriteAdmission::Accepted));
     }
 
     fn read(&mut self, n: usize) {
         let key = SessionKey(self.below(SESSIONS));
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        self.world.with(n, |s, now, out| s.begin_read(now, ticket, key, out));
+        self.world
+            .with(n, |s, now, out| s.begin_read(now, ticket, key, out));
     }
 
     fn recent_ticket(&mut self) -> u64 {
@@ -303,7 +340,9 @@
 
     fn bring_back(&mut self) {
         let now = self.world.now;
-        let (back, still) = std::mem::take(&mut self.down).into_iter().partition(|(_, until)| *until <= now);
+        let (back, still) = std::mem::take(&mut self.down)
+            .into_iter()
+            .partition(|(_, until)| *until <= now);
         self.down = still;
         let back: Vec<(usize, Time)> = back;
         for (n, _) in back {
@@ -315,13 +354,22 @@
     }
 
     fn change_keepers(&mut self) {
-        let count = if self.below(2) == 0 { self.keepers } else { self.instance() + 1 };
-        let skip = if self.below(3) == 0 { self.instance() } else { usize::MAX };
+        let count = if self.below(2) == 0 {
+            self.keepers
+        } else {
+            self.instance() + 1
+        };
+        let skip = if self.below(3) == 0 {
+            self.instance()
+        } else {
+            usize::MAX
+        };
         let list: Vec<_> = (0..count).filter(|n| *n != skip).map(node).collect();
         let only = (self.below(3) == 0).then(|| self.instance());
         for n in (0..self.members).filter(|n| only.is_none_or(|only| only == *n)) {
             let list = list.clone();
-            self.world.with(n, |s, now, out| s.set_replicas(now, list, out));
+            self.world
+                .with(n, |s, now, out| s.set_replicas(now, list, out));
         }
     }
 
@@ -335,8 +383,11 @@
     }
 
     fn wild_stamp(&mut self) -> Option<StoreVersion> {
-        let stamp =
-            StoreVersion { store_id: self.wild(), records: self.wild(), last_incarnation: self.wild() };
+        let stamp = StoreVersion {
+            store_id: self.wild(),
+            records: self.wild(),
+            last_incarnation: self.wild(),
+        };
         (self.below(2) == 0).then_some(stamp)
     }
 
@@ -344,30 +395,62 @@
     fn forge(&mut self, n: usize) {
         let key = SessionKey(self.below(SESSIONS));
         let (nonce, number, position) = (self.below(300), self.wild(), self.wild() as Time);
-        let roster = if self.below(2) == 0 { number } else { self.roster_of(n) };
+        let roster = if self.below(2) == 0 {
+            number
+        } else {
+            self.roster_of(n)
+        };
         let stamp = self.wild_stamp();
         let message = match self.below(11) {
-            0 => Message::Ask { nonce, roster, stamp },
-            1 => Message::Pledge { nonce, roster, covers: position, unbroken_since: number, stamp },
+            0 => Message::Ask {
+                nonce,
+                roster,
+                stamp,
+            },
+            1 => Message::Pledge {
+                nonce,
+                roster,
+                covers: position,
+                unbroken_since: number,
+                stamp,
+            },
             2 => Message::Stale(stamp.unwrap_or_default()),
             3 => Message::Differs { nonce, roster },
             4 => Message::Marks(vec![(nonce, key, position), (number, key, position)]),
             5 => Message::Held(vec![nonce, number]),
             6 => Message::PositionQuery { nonce, key },
-            7 => Message::Sure { nonce, position: (number % 2 == 0).then_some(position) },
+            7 => Message::Sure {
+                nonce,
+                position: (number % 2 == 0).then_some(position),
+            },
             8 => Message::Unsure { nonce },
-            9 => Message::Carry { ticket: nonce, key, position },
+            9 => Message::Carry {
+                ticket: nonce,
+                key,
+                position,
+            },
             _ => Message::Carried { ticket: nonce },
         };
         let other = self.instance();
         let incarnation = self.world.instances[other].incarnation + self.below(40) / 39;
-        let from = Peer { node: node(other), incarnation };
-        let to = Peer { node: node(n), incarnation: self.below(2) * self.world.instances[n].incarnation };
-        self.world.with(n, |s, now, out| s.handle_message(now, from, to, message, out));
+        let from = Peer {
+            node: node(other),
+            incarnation,
+        };
+        let to = Peer {
+            node: node(n),
+            incarnation: self.below(2) * self.world.instances[n].incarnation,
+        };
+        self.world.with(n, |s, now, out| {
+            s.handle_message(now, from, to, message, out)
+        });
     }
 
     fn roster_of(&self, n: usize) -> u64 {
-        self.world.instances[n].up.as_ref().map_or(0, |up| up.replica_set().digest())
+        self.world.instances[n]
+            .up
+            .as_ref()
+            .map_or(0, |up| up.replica_set().digest())
     }
 
     fn step(&mut self) {
@@ -390,9 +473,13 @@
             10..=17 => self.world.cut.clear(),
             18..=20 => self.change_keepers(),
             21 => {
-                let failure =
-                    if self.below(3) > 0 { StoreFailure::SetAside } else { StoreFailure::LeftInPlace };
-                self.world.with(n, |s, now, out| s.handle_store_failure(now, failure, out));
+                let failure = if self.below(3) > 0 {
+                    StoreFailure::SetAside
+                } else {
+                    StoreFailure::LeftInPlace
+                };
+                self.world
+                    .with(n, |s, now, out| s.handle_store_failure(now, failure, out));
             }
             22..=27 => {
                 let span = self.below(1_500) as Span * HORIZON / 1_000;
@@ -415,7 +502,13 @@
     }
 
     fn hash_outputs(&mut self) {
-        for (at, n, output) in self.world.trace.as_mut().map(std::mem::take).unwrap_or_default() {
+        for (at, n, output) in self
+            .world
+            .trace
+            .as_mut()
+            .map(std::mem::take)
+            .unwrap_or_default()
+        {
             self.digest.signed(at);
             self.digest.number(n as u64);
             self.digest.output(&output);
@@ -437,7 +530,10 @@
         }
         self.world.pass(SECOND);
         self.hash_outputs();
-        Played { digest: self.digest, outputs }
+        Played {
+            digest: self.digest,
+            outputs,
+        }
     }
 }
 
@@ -460,7 +556,22 @@
     }
     println!("{HISTORIES} histories, {outputs} outputs");
     println!("digest sessions = {:016x}", digest.hash);
-    assert_eq!(digest.records.len(), 6, "each kind of record is written: {:?}", digest.records);
-    assert_eq!(digest.reasons.len(), 10, "each reason and none is given: {:?}", digest.reasons);
-    assert_eq!(digest.messages.len(), 11, "each kind of message is sent: {:?}", digest.messages);
+    assert_eq!(
+        digest.records.len(),
+        6,
+        "each kind of record is written: {:?}",
+        digest.records
+    );
+    assert_eq!(
+        digest.reasons.len(),
+        10,
+        "each reason and none is given: {:?}",
+        digest.reasons
+    );
+    assert_eq!(
+        digest.messages.len(),
+        11,
+        "each kind of message is sent: {:?}",
+        digest.messages
+    );
 }
--- a/crates/stackgw-sessions/tests/histories.rs
+++ b/crates/stackgw-sessions/tests/histories.rs
@@ -7,8 +7,20 @@
 use stackgw_router::api::{MS, SECOND};
 use stackgw_sessions::{Message, Peer, SessionKey, StoreFailure, UncertaintyReason};
 
-const FAIR: Weather = Weather { loss: 0.0, repeat: 0.0, delay: 2 * MS, sync: 3 * MS, off: false };
-const FOUL: Weather = Weather { loss: 0.1, repeat: 0.2, delay: 30 * MS, sync: 10 * MS, off: false };
+const FAIR: Weather = Weather {
+    loss: 0.0,
+    repeat: 0.0,
+    delay: 2 * MS,
+    sync: 3 * MS,
+    off: false,
+};
+const FOUL: Weather = Weather {
+    loss: 0.1,
+    repeat: 0.2,
+    delay: 30 * MS,
+    sync: 10 * MS,
+    off: false,
+};
 
 /// Everything at once, by chance.
 fn storm(seed: u64, keepers: usize, guests: usize, disks: bool, weather: Weather) -> World {
@@ -19,7 +31,9 @@
         let span = world.rng.random_range(0..12 * MS);
         world.pass(span);
         let now = world.now;
-        let (back, still) = down.into_iter().partition::<Vec<_>, _>(|(_, until)| *until <= now);
+        let (back, still) = down
+            .into_iter()
+            .partition::<Vec<_>, _>(|(_, until)| *until <= now);
         down = still;
         for (n, _) in back {
             if world.instances[n].up.is_none() {
@@ -64,12 +78,19 @@
         cautious += world.cautious.values().sum::<u64>();
         released += world.released;
     }
-    assert!(sure > 5_000 && cautious > 5_000 && released > 10_000, "{sure} {cautious} {released}");
+    assert!(
+        sure > 5_000 && cautious > 5_000 && released > 10_000,
+        "{sure} {cautious} {released}"
+    );
 }
 
 #[test]
 fn without_marks_the_same_histories_miss_writes() {
-    let missed = (0..10).map(|seed| storm(seed, 2, 0, true, Weather { off: true, ..FOUL }).missed.len());
+    let missed = (0..10).map(|seed| {
+        storm(seed, 2, 0, true, Weather { off: true, ..FOUL })
+            .missed
+            .len()
+    });
     assert!(missed.sum::<usize>() > 100);
 }
 
@@ -84,7 +105,10 @@
 }
 
 fn why(world: &World, n: usize) -> Option<UncertaintyReason> {
-    world.instances[n].up.as_ref().and_then(|up| up.status(world.clock(n)).uncertainty)
+    world.instances[n]
+        .up
+        .as_ref()
+        .and_then(|up| up.status(world.clock(n)).uncertainty)
 }
 
 #[test]
@@ -110,12 +134,19 @@
     world.kill(1);
     world.write(0, 1);
     world.pass(LEASE / 2);
-    assert_eq!(world.released, 0, "the dead one may still be taken for sure by others");
+    assert_eq!(
+        world.released, 0,
+        "the dead one may still be taken for sure by others"
+    );
     world.pass(LEASE);
     assert_eq!(world.released, 1);
     world.read(0, 1);
     world.pass(100 * MS);
-    assert_eq!((world.sure, world.cautious.len()), (0, 1), "it may be alive elsewhere, and write");
+    assert_eq!(
+        (world.sure, world.cautious.len()),
+        (0, 1),
+        "it may be alive elsewhere, and write"
+    );
 }
 
 #[test]
@@ -200,13 +231,20 @@
     world.pass(LEASE);
     world.read(1, 1);
     world.pass(50 * MS);
-    assert_eq!((world.sure, world.missed.len()), (1, 0), "{:?}", world.cautious);
+    assert_eq!(
+        (world.sure, world.missed.len()),
+        (1, 0),
+        "{:?}",
+        world.cautious
+    );
 }
 
 #[test]
 fn keepers_with_other_lists_are_cautious() {
     let mut world = settled(3, 0, true);
-    world.with(0, |s, now, out| s.set_replicas(now, vec![node(0), node(1)], out));
+    world.with(0, |s, now, out| {
+        s.set_replicas(now, vec![node(0), node(1)], out)
+    });
     world.pass(2 * LEASE);
     for n in 0..3 {
         assert!(
@@ -219,7 +257,9 @@
         );
     }
     world.kill(2);
-    world.with(1, |s, now, out| s.set_replicas(now, vec![node(0), node(1)], out));
+    world.with(1, |s, now, out| {
+        s.set_replicas(now, vec![node(0), node(1)], out)
+    });
     world.pass(2 * LEASE);
     assert_eq!(
         (why(&world, 0), why(&world, 1)),
@@ -236,7 +276,12 @@
     assert_eq!(world.released, 1);
     (0..4).for_each(|n| world.read(n, 5));
     world.pass(20 * MS);
-    assert_eq!((world.sure, world.missed.len()), (4, 0), "{:?}", world.cautious);
+    assert_eq!(
+        (world.sure, world.missed.len()),
+        (4, 0),
+        "{:?}",
+        world.cautious
+    );
     // Cut from all keepers its answer does not leave.
     world.cut.extend([(3, 0), (3, 1), (3, 2)]);
     world.write(3, 5);
@@ -247,20 +292,34 @@
 #[test]
 fn a_disk_that_fails_leaves_no_claim_behind() {
     let mut world = settled(2, 0, true);
-    world.with(0, |s, now, out| s.handle_store_failure(now, StoreFailure::SetAside, out));
+    world.with(0, |s, now, out| {
+        s.handle_store_failure(now, StoreFailure::SetAside, out)
+    });
     world.lose_disk(0);
     world.write(0, 1);
     world.pass(50 * MS);
-    assert_eq!((world.released, why(&world, 0)), (1, None), "it lives on without");
+    assert_eq!(
+        (world.released, why(&world, 0)),
+        (1, None),
+        "it lives on without"
+    );
     world.kill(0);
     world.start(0);
     world.pass(2 * LEASE);
-    assert!(why(&world, 1).is_some(), "its writes of before are not vouched for");
+    assert!(
+        why(&world, 1).is_some(),
+        "its writes of before are not vouched for"
+    );
     let mut stuck = settled(2, 0, true);
-    stuck.with(0, |s, now, out| s.handle_store_failure(now, StoreFailure::LeftInPlace, out));
+    stuck.with(0, |s, now, out| {
+        s.handle_store_failure(now, StoreFailure::LeftInPlace, out)
+    });
     stuck.write(0, 1);
     stuck.pass(3 * LEASE);
-    assert_eq!(stuck.released, 0, "a later life would take that file for whole");
+    assert_eq!(
+        stuck.released, 0,
+        "a later life would take that file for whole"
+    );
 }
 
 #[test]
@@ -274,7 +333,12 @@
     assert_eq!(world.released, 0);
     world.read(1, 1);
     world.pass(LEASE * 2);
-    assert_eq!((world.released, world.missed.len()), (1, 0), "{:?}", world.missed);
+    assert_eq!(
+        (world.released, world.missed.len()),
+        (1, 0),
+        "{:?}",
+        world.missed
+    );
 }
 
 #[test]
@@ -285,13 +349,28 @@
     world.start(0);
     let life = world.instances[1].incarnation;
     for incarnation in [life, life + 1] {
-        let (from, to) = (Peer { node: node(1), incarnation }, Peer { node: node(0), incarnation: 0 });
-        let look = Message::PositionQuery { nonce: 1, key: SessionKey(1) };
+        let (from, to) = (
+            Peer {
+                node: node(1),
+                incarnation,
+            },
+            Peer {
+                node: node(0),
+                incarnation: 0,
+            },
+        );
+        let look = Message::PositionQuery {
+            nonce: 1,
+            key: SessionKey(1),
+        };
         world.with(0, |s, now, out| s.handle_message(now, from, to, look, out));
     }
     world.write(0, 1);
     world.pass(LEASE / 2);
-    assert_eq!(world.released, 0, "the later life may hold a pledge of this one's earlier life");
+    assert_eq!(
+        world.released, 0,
+        "the later life may hold a pledge of this one's earlier life"
+    );
 }
 
 #[test]
@@ -308,7 +387,10 @@
     (0..20).for_each(|session| world.read(0, session));
     world.pass(50 * MS);
     assert_eq!(world.missed.len(), 0, "{:?}", world.missed);
-    assert!(told.iter().all(Option::is_some), "it lacks marks, and may owe some that it does not know of");
+    assert!(
+        told.iter().all(Option::is_some),
+        "it lacks marks, and may owe some that it does not know of"
+    );
     world.pass(HORIZON);
     assert_eq!((why(&world, 0), why(&world, 1)), (None, None));
 }
@@ -320,12 +402,19 @@
         let mut world = World::new(seed, 2, 2, seed % 2 == 0, FAIR);
         world.pass(HORIZON + SECOND);
         // Those that keep marks first, the newcomer after them, the guest at any time.
-        let mut turns = vec![(400, 0), (430, 1), (460, 2), (world.rng.random_range(300..600), 3)];
+        let mut turns = vec![
+            (400, 0),
+            (430, 1),
+            (460, 2),
+            (world.rng.random_range(300..600), 3),
+        ];
         turns.sort_unstable();
         for step in 0..1_600 {
             while turns.first().is_some_and(|(at, _)| *at == step) {
                 let (_, n) = turns.remove(0);
-                world.with(n, |s, now, out| s.set_replicas(now, vec![node(0), node(1), node(2)], out));
+                world.with(n, |s, now, out| {
+                    s.set_replicas(now, vec![node(0), node(1), node(2)], out)
+                });
             }
             let (n, session) = (world.rng.random_range(0..4), world.rng.random_range(0..30));
             if step % 3 == 0 {
@@ -353,11 +442,23 @@
     for from in 0..3 {
         for nonce in 0..50 {
             let incarnation = world.instances[from].incarnation;
-            let to = Peer { node: node(3), incarnation: world.instances[3].incarnation };
-            let from = Peer { node: node(from), incarnation };
-            world.with(3, |s, now, out| s.handle_message(now, from, to, Message::Unsure { nonce }, out));
+            let to = Peer {
+                node: node(3),
+                incarnation: world.instances[3].incarnation,
+            };
+            let from = Peer {
+                node: node(from),
+                incarnation,
+            };
+            world.with(3, |s, now, out| {
+                s.handle_message(now, from, to, Message::Unsure { nonce }, out)
+            });
         }
     }
     world.pass(SECOND);
-    assert_eq!((world.sure, world.cautious.values().sum::<u64>()), (0, 1), "it is answered, once");
+    assert_eq!(
+        (world.sure, world.cautious.values().sum::<u64>()),
+        (0, 1),
+        "it is answered, once"
+    );
 }
--- a/crates/stackgw-sessions/tests/marks.rs
+++ b/crates/stackgw-sessions/tests/marks.rs
@@ -42,5 +42,8 @@
         marks.add(now / 1_000, key(now as u64 % 7), now);
     }
     assert_eq!((marks.len(), marks.pushed_out()), (7, 0));
-    assert_eq!(marks.get(100, key(0)).map(|seen| seen.position), Some(99_995));
+    assert_eq!(
+        marks.get(100, key(0)).map(|seen| seen.position),
+        Some(99_995)
+    );
 }
--- a/crates/stackgw-sessions/tests/model.rs
+++ b/crates/stackgw-sessions/tests/model.rs
@@ -99,9 +99,15 @@
             },
             ..Recovered::default()
         };
-        node.disk[..node.synced].iter().cloned().for_each(|record| recovered.apply(record));
+        node.disk[..node.synced]
+            .iter()
+            .cloned()
+            .for_each(|record| recovered.apply(record));
         Settings {
-            local: Peer { node: id(n), incarnation: node.incarnation },
+            local: Peer {
+                node: id(n),
+                incarnation: node.incarnation,
+            },
             replicas: (0..self.nodes).map(id).collect(),
             owners_per_session: 2,
             lease: LEASE,
@@ -118,8 +124,15 @@
     /// Instances that have lived long: each one's disk says that nothing is missing.
     fn first(&self) -> World {
         let roster = ReplicaSet::new((0..self.nodes).map(id), 2, &[LEASE, self.horizon]);
-        let whole = (0..self.nodes).map(|n| Record::CompletePeer(Peer { node: id(n), incarnation: 1 }));
-        let disk: Vec<_> = std::iter::once(Record::ReplicaSet(roster.digest())).chain(whole).collect();
+        let whole = (0..self.nodes).map(|n| {
+            Record::CompletePeer(Peer {
+                node: id(n),
+                incarnation: 1,
+            })
+        });
+        let disk: Vec<_> = std::iter::once(Record::ReplicaSet(roster.digest()))
+            .chain(whole)
+            .collect();
         let node = |_| Node {
             up: None,
             incarnation: 2,
@@ -148,7 +161,8 @@
         // Their bounds from before are over, and they have each other's pledges.
         for _ in 0..6 {
             world.now += TICK;
-            (0..self.nodes).for_each(|n| self.with(&mut world, n, |s, now, out| s.handle_timeout(now, out)));
+            (0..self.nodes)
+                .for_each(|n| self.with(&mut world, n, |s, now, out| s.handle_timeout(now, out)));
             while let Some(flying) = world.net.pop_first() {
                 self.deliver(&mut world, &flying);
             }
@@ -163,7 +177,12 @@
         self.carry_out(world, n, out);
     }
 
-    fn with(&self, world: &mut World, n: usize, act: impl FnOnce(&mut Sessions, Time, &mut Vec<Output>)) {
+    fn with(
+        &self,
+        world: &mut World,
+        n: usize,
+        act: impl FnOnce(&mut Sessions, Time, &mut Vec<Output>),
+    ) {
         let (now, mut out) = (world.now, Vec::new());
         if let Some(up) = world.nodes[n].up.as_mut() {
             act(up, now, &mut out);
@@ -172,9 +191,15 @@
     }
 
     fn deliver(&self, world: &mut World, flying: &Flying) {
-        let Some(n) = (0..self.nodes).find(|n| id(*n) == flying.to.node) else { return };
-        let Flying { from, to, message, .. } = flying.clone();
-        self.with(world, n, |s, now, out| s.handle_message(now, from, to, message, out));
+        let Some(n) = (0..self.nodes).find(|n| id(*n) == flying.to.node) else {
+            return;
+        };
+        let Flying {
+            from, to, message, ..
+        } = flying.clone();
+        self.with(world, n, |s, now, out| {
+            s.handle_message(now, from, to, message, out)
+        });
     }
 
     fn carry_out(&self, world: &mut World, n: usize, out: Vec<Output>) {
@@ -182,8 +207,16 @@
         for output in out {
             match output {
                 Output::Send(to, message) => {
-                    let from = Peer { node: id(n), incarnation: world.nodes[n].incarnation };
-                    world.net.insert(Flying { sent: world.now, from, to, message });
+                    let from = Peer {
+                        node: id(n),
+                        incarnation: world.nodes[n].incarnation,
+                    };
+                    world.net.insert(Flying {
+                        sent: world.now,
+                        from,
+                        to,
+                        message,
+                    });
                 }
                 Output::Store(record) => {
                     world.nodes[n].disk.push(record);
@@ -198,7 +231,8 @@
                     if let ReadRequirement::Position(position) = knowledge {
                         world.sure = true;
                         let recent = |at: Time| at > world.now - self.horizon;
-                        let must = world.written.iter().any(|(at, out)| *out && recent(*at)) && left > 0;
+                        let must =
+                            world.written.iter().any(|(at, out)| *out && recent(*at)) && left > 0;
                         world.missed |= must && position < Some(POSITION);
                     }
                 }
@@ -206,7 +240,9 @@
         }
         if kept && self.early {
             let count = (world.nodes[n].disk.len() - world.nodes[n].base) as u64;
-            self.with(world, n, |s, now, out| s.handle_records_stored(now, count, out));
+            self.with(world, n, |s, now, out| {
+                s.handle_records_stored(now, count, out)
+            });
         }
     }
 }
@@ -278,7 +314,9 @@
             Act::Sync(n) => {
                 world.nodes[n].synced = world.nodes[n].disk.len();
                 let count = (world.nodes[n].synced - world.nodes[n].base) as u64;
-                self.with(&mut world, n, |s, now, out| s.handle_records_stored(now, count, out));
+                self.with(&mut world, n, |s, now, out| {
+                    s.handle_records_stored(now, count, out)
+                });
             }
             Act::Crash(n) => {
                 world.crashes += 1;
@@ -294,7 +332,11 @@
             }
             Act::Restart(n) => {
                 let node = &mut world.nodes[n];
-                node.last = if node.disk.is_empty() { 0 } else { node.incarnation };
+                node.last = if node.disk.is_empty() {
+                    0
+                } else {
+                    node.incarnation
+                };
                 node.incarnation += 1;
                 node.base = node.synced;
                 self.start(&mut world, n);
@@ -311,7 +353,9 @@
                 let ticket = world.reading.len() as u64;
                 world.reading.push((n, world.released));
                 world.reads += 1;
-                self.with(&mut world, n, |s, now, out| s.begin_read(now, ticket, KEY, out));
+                self.with(&mut world, n, |s, now, out| {
+                    s.begin_read(now, ticket, KEY, out)
+                });
             }
         }
         Some(world)
@@ -319,8 +363,13 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no read misses a write that has left", |_, world: &World| !world.missed),
-            Property::sometimes("a read after a write is sure", |_, world: &World| world.sure),
+            Property::always(
+                "no read misses a write that has left",
+                |_, world: &World| !world.missed,
+            ),
+            Property::sometimes("a read after a write is sure", |_, world: &World| {
+                world.sure
+            }),
             Property::sometimes("and so is one after a crash", |_, world: &World| {
                 world.sure && world.crashes > 0
             }),
@@ -368,8 +417,14 @@
         println!("{name}: {:?}", path.into_actions());
         return false;
     }
-    for property in ["a read after a write is sure", "and so is one after a crash"] {
-        assert!(checker.discovery(property).is_some(), "{name}: never: {property}");
+    for property in [
+        "a read after a write is sure",
+        "and so is one after a crash",
+    ] {
+        assert!(
+            checker.discovery(property).is_some(),
+            "{name}: never: {property}"
+        );
     }
     true
 }
@@ -381,7 +436,14 @@
 
 #[test]
 fn an_acknowledgement_sent_too_early_is_found() {
-    assert!(!check("early", Bounds { early: true, ..SMALL }, None));
+    assert!(!check(
+        "early",
+        Bounds {
+            early: true,
+            ..SMALL
+        },
+        None
+    ));
 }
 
 /// Minutes; run by hand: `cargo test --release -p stackgw-sessions --test model -- --ignored --nocapture`.
@@ -389,9 +451,30 @@
 #[ignore = "takes minutes"]
 fn as_far_as_feasible() {
     let most = Some(30_000_000);
-    assert!(check("two, more time and a lost disk", Bounds { ticks: 2, lost_disks: 1, ..SMALL }, None));
-    assert!(check("two, repeats and two crashes", Bounds { crashes: 2, repeats: 1, ..SMALL }, most));
-    let short = Bounds { ticks: 6, horizon: 4 * TICK, lost_disks: 1, ..SMALL };
+    assert!(check(
+        "two, more time and a lost disk",
+        Bounds {
+            ticks: 2,
+            lost_disks: 1,
+            ..SMALL
+        },
+        None
+    ));
+    assert!(check(
+        "two, repeats and two crashes",
+        Bounds {
+            crashes: 2,
+            repeats: 1,
+            ..SMALL
+        },
+        most
+    ));
+    let short = Bounds {
+        ticks: 6,
+        horizon: 4 * TICK,
+        lost_disks: 1,
+        ..SMALL
+    };
     assert!(check("two, a short horizon", short, most));
     assert!(check("three", Bounds { nodes: 3, ..SMALL }, most));
 }
--- a/crates/stackgw-sessions/tests/stored_and_sent.rs
+++ b/crates/stackgw-sessions/tests/stored_and_sent.rs
@@ -7,17 +7,37 @@
 /// One line a message: a name and its bytes in hexadecimal digits.
 const MESSAGES: &str = include_str!("fixtures/messages.hex");
 
-const TO: Peer = Peer { node: NodeId(0xfedc_ba98_7654_3210), incarnation: 1_764_633_600_123 };
+const TO: Peer = Peer {
+    node: NodeId(0xfedc_ba98_7654_3210),
+    incarnation: 1_764_633_600_123,
+};
 const KEY: SessionKey = SessionKey(0x0123_4567_89ab_cdef);
 const POSITION: i64 = 1_764_633_600_123_456_789;
-const STAMP: StoreVersion =
-    StoreVersion { store_id: 1_764_633_500_000, records: 300, last_incarnation: 1_764_633_550_000 };
+const STAMP: StoreVersion = StoreVersion {
+    store_id: 1_764_633_500_000,
+    records: 300,
+    last_incarnation: 1_764_633_550_000,
+};
 
 fn messages() -> Vec<(&'static str, Message)> {
     let (nonce, roster) = (77, 0xdead_beef_0bad_cafe);
     vec![
-        ("lease_request", Message::Ask { nonce, roster, stamp: Some(STAMP) }),
-        ("lease_request_without_store", Message::Ask { nonce, roster, stamp: None }),
+        (
+            "lease_request",
+            Message::Ask {
+                nonce,
+                roster,
+                stamp: Some(STAMP),
+            },
+        ),
+        (
+            "lease_request_without_store",
+            Message::Ask {
+                nonce,
+                roster,
+                stamp: None,
+            },
+        ),
         (
             "lease_grant",
             Message::Pledge {
@@ -32,14 +52,37 @@
         ("replica_set_mismatch", Message::Differs { nonce, roster }),
         (
             "replicate",
-            Message::Marks(vec![(1, KEY, POSITION), (2, SessionKey(3), UNKNOWN_POSITION), (300, KEY, -5)]),
+            Message::Marks(vec![
+                (1, KEY, POSITION),
+                (2, SessionKey(3), UNKNOWN_POSITION),
+                (300, KEY, -5),
+            ]),
         ),
         ("acknowledge", Message::Held(vec![1, 2, 300])),
         ("position_query", Message::PositionQuery { nonce, key: KEY }),
-        ("position_reply", Message::Sure { nonce, position: Some(POSITION) }),
-        ("position_reply_none", Message::Sure { nonce, position: None }),
+        (
+            "position_reply",
+            Message::Sure {
+                nonce,
+                position: Some(POSITION),
+            },
+        ),
+        (
+            "position_reply_none",
+            Message::Sure {
+                nonce,
+                position: None,
+            },
+        ),
         ("position_uncertain", Message::Unsure { nonce }),
-        ("forward_write", Message::Carry { ticket: 12, key: KEY, position: POSITION }),
+        (
+            "forward_write",
+            Message::Carry {
+                ticket: 12,
+                key: KEY,
+                position: POSITION,
+            },
+        ),
         ("forwarded_write_released", Message::Carried { ticket: 12 }),
     ]
 }
@@ -50,20 +93,28 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<_> = hex.chars().filter_map(|digit| digit.to_digit(16)).collect();
-    digits.chunks(2).map(|pair| pair.iter().fold(0, |byte, digit| byte * 16 + *digit as u8)).collect()
+    digits
+        .chunks(2)
+        .map(|pair| pair.iter().fold(0, |byte, digit| byte * 16 + *digit as u8))
+        .collect()
 }
 
 #[test]
 fn each_message_encodes_to_the_stored_bytes() {
-    let lines: Vec<_> =
-        messages().iter().map(|(name, message)| format!("{name} {}", hex(&message.encode(TO)))).collect();
+    let lines: Vec<_> = messages()
+        .iter()
+        .map(|(name, message)| format!("{name} {}", hex(&message.encode(TO))))
+        .collect();
     let stored: Vec<_> = MESSAGES.lines().collect();
     assert_eq!(lines, stored);
 }
 
 #[test]
 fn each_stored_message_decodes_to_its_value() {
-    let stored: Vec<_> = MESSAGES.lines().filter_map(|line| line.split_once(' ')).collect();
+    let stored: Vec<_> = MESSAGES
+        .lines()
+        .filter_map(|line| line.split_once(' '))
+        .collect();
     assert_eq!(stored.len(), messages().len());
     for ((name, hex), (expected_name, message)) in stored.into_iter().zip(messages()) {
         assert_eq!(name, expected_name);
@@ -78,14 +129,23 @@
     assert_eq!(SessionKey::of(2, "7f3a9c21e0b4d655").0, SESSION);
     let roster = ReplicaSet::new(nodes, 2, &[800_000_000, 60 * SECOND]);
     assert_eq!(roster.digest(), ROSTER);
-    let place = |node: NodeId| nodes.iter().position(|known| *known == node).expect("one of the three");
+    let place = |node: NodeId| {
+        nodes
+            .iter()
+            .position(|known| *known == node)
+            .expect("one of the three")
+    };
     let homes = |n| roster.owners(SessionKey(n)).map(place).collect::<Vec<_>>();
     let homes: Vec<_> = (0..6).map(homes).collect();
     assert_eq!(homes, HOMES.map(|homes| homes.to_vec()));
 }
 
 /// The ids of `g0`, `g1` and `g2`.
-const NODES: [u64; 3] = [4_795_034_760_179_464_576, 17_976_738_094_164_826_054, 2_850_079_368_443_514_579];
+const NODES: [u64; 3] = [
+    4_795_034_760_179_464_576,
+    17_976_738_094_164_826_054,
+    2_850_079_368_443_514_579,
+];
 const SESSION: u64 = 12_907_638_285_093_708_163;
 const ROSTER: u64 = 16_563_709_622_201_792_816;
 /// Of sessions 0 to 5, by place among the three.
@@ -93,7 +153,10 @@
 
 #[test]
 fn records_of_each_kind_come_back_as_what_they_say() {
-    let peer = |node, incarnation| Peer { node: NodeId(node), incarnation };
+    let peer = |node, incarnation| Peer {
+        node: NodeId(node),
+        incarnation,
+    };
     let records = [
         Record::ReplicaSet(5),
         Record::Position(KEY, POSITION),
@@ -105,11 +168,20 @@
         Record::PeerStore(peer(7, 4), STAMP),
         Record::ReplicaSet(5),
     ];
-    let mut recovered = Recovered { unbroken_since: 2, store_version: STAMP, ..Recovered::default() };
-    records.into_iter().for_each(|record| recovered.apply(record));
+    let mut recovered = Recovered {
+        unbroken_since: 2,
+        store_version: STAMP,
+        ..Recovered::default()
+    };
+    records
+        .into_iter()
+        .for_each(|record| recovered.apply(record));
     let expected = Recovered {
         unbroken_since: 2,
-        store_version: StoreVersion { records: 309, ..STAMP },
+        store_version: StoreVersion {
+            records: 309,
+            ..STAMP
+        },
         peer_stores: vec![(peer(7, 4), STAMP)],
         replica_set: Some(5),
         positions: vec![(KEY, POSITION)],
@@ -117,13 +189,34 @@
         complete_peers: vec![peer(8, 3), peer(7, 4)],
     };
     assert_eq!(recovered, expected);
-    let begun = StoreVersion { store_id: 9, records: 0, last_incarnation: 0 };
+    let begun = StoreVersion {
+        store_id: 9,
+        records: 0,
+        last_incarnation: 0,
+    };
     recovered.apply(Record::Invalidated(begun, 10));
-    let begun = StoreVersion { last_incarnation: STAMP.last_incarnation, ..begun };
-    let expected =
-        Recovered { unbroken_since: 10, store_version: begun, complete_peers: Vec::new(), ..expected };
+    let begun = StoreVersion {
+        last_incarnation: STAMP.last_incarnation,
+        ..begun
+    };
+    let expected = Recovered {
+        unbroken_since: 10,
+        store_version: begun,
+        complete_peers: Vec::new(),
+        ..expected
+    };
     assert_eq!(recovered, expected);
     recovered.apply(Record::ReplicaSet(6));
-    let stamp = StoreVersion { records: 1, ..begun };
-    assert_eq!(recovered, Recovered { replica_set: Some(6), store_version: stamp, ..expected });
+    let stamp = StoreVersion {
+        records: 1,
+        ..begun
+    };
+    assert_eq!(
+        recovered,
+        Recovered {
+            replica_set: Some(6),
+            store_version: stamp,
+            ..expected
+        }
+    );
 }
--- a/crates/stackgw-settings/src/document.rs
+++ b/crates/stackgw-settings/src/document.rs
@@ -37,16 +37,28 @@
     pub fn from_json(conf: &Value) -> Result<Self, String> {
         let limits = part(conf, "Limits")?;
         let called = |value: &Value, list: &str| {
-            value.as_str().map(str::to_owned).ok_or_else(|| format!("{list} holds a name that is no text"))
+            value
+                .as_str()
+                .map(str::to_owned)
+                .ok_or_else(|| format!("{list} holds a name that is no text"))
         };
-        let zones = conf.get("Zones").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
-        let classes = conf.get("Classes").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
+        let zones = conf
+            .get("Zones")
+            .and_then(Value::as_array)
+            .map_or(&[][..], Vec::as_slice);
+        let classes = conf
+            .get("Classes")
+            .and_then(Value::as_array)
+            .map_or(&[][..], Vec::as_slice);
         let class = |c: &Value| called(c.get("Name").unwrap_or(&Value::Null), "Classes");
         Ok(PlatformSettings {
             router: settings(conf)?,
             names: NameTable {
                 classes: classes.iter().map(class).collect::<Result<_, _>>()?,
-                zones: zones.iter().map(|z| called(z, "Zones")).collect::<Result<_, _>>()?,
+                zones: zones
+                    .iter()
+                    .map(|z| called(z, "Zones"))
+                    .collect::<Result<_, _>>()?,
             },
             position_zero: int(part(conf, "Domain")?, "CountedFromNs")?,
             member_idle_timeout: span_or(limits, "ConnIdleNs", 0)?,
@@ -74,7 +86,10 @@
     let prices = part(conf, "Prices")?;
     let stats = part(conf, "Stats")?;
     let list = |at: &Value, key: &str| -> Result<Vec<Value>, String> {
-        at.get(key).and_then(Value::as_array).cloned().ok_or(format!("{key} is no list"))
+        at.get(key)
+            .and_then(Value::as_array)
+            .cloned()
+            .ok_or(format!("{key} is no list"))
     };
     let needs = list(domain, "NeedsByClass")?;
     let bounds = list(domain, "StalenessBoundNs")?;
@@ -87,7 +102,9 @@
             Some("recent") => {
                 let bound = bound.ok_or("StalenessBoundNs is too short")?;
                 Consistency::BoundedStaleness(
-                    Some(bound).filter(|b| *b > 0).ok_or("StalenessBoundNs holds one that is not above 0")?,
+                    Some(bound)
+                        .filter(|b| *b > 0)
+                        .ok_or("StalenessBoundNs holds one that is not above 0")?,
                 )
             }
             Some("loose") => Consistency::Eventual,
@@ -101,7 +118,10 @@
         };
         let effect = match word(c, "Effect")? {
             "retryable" => Idempotency::Idempotent,
-            "dedup" => Idempotency::WithKey { scope: scope()?, window: span(c, "DedupWindowNs")? },
+            "dedup" => Idempotency::WithKey {
+                scope: scope()?,
+                window: span(c, "DedupWindowNs")?,
+            },
             "fragile" => Idempotency::NonIdempotent,
             other => return Err(format!("Effect holds '{other}'")),
         };
@@ -116,7 +136,11 @@
     };
     let reported = list(stats, "Fields")?;
     Ok(Settings {
-        classes: list(conf, "Classes")?.iter().enumerate().map(class).collect::<Result<_, _>>()?,
+        classes: list(conf, "Classes")?
+            .iter()
+            .enumerate()
+            .map(class)
+            .collect::<Result<_, _>>()?,
         fleet_size: index(conf, "FleetSize").and_then(|n| {
             if n > 0 {
                 Ok(n)
@@ -155,7 +179,9 @@
             other => return Err(format!("How holds '{other}'")),
         },
         reports_carry_position: reported.iter().any(|f| f == "x0"),
-        retries_are_flagged: conf.get("Clients").is_some_and(|c| flag(c, "MarksRetry") == Ok(true)),
+        retries_are_flagged: conf
+            .get("Clients")
+            .is_some_and(|c| flag(c, "MarksRetry") == Ok(true)),
         limits: Limits {
             max_attempts: index(limits, "MaxAttempts")?,
             hedged_requests: flag(limits, "SecondCopies")?,
@@ -170,7 +196,10 @@
         obligations: Obligations {
             answer_slack: span(rules, "AnswerSlackNs")?,
             drain_grace: span(rules, "StopSendingWithinNs")?,
-            removal_is_advisory: rules.get("OnlyDrainingBinds").and_then(Value::as_bool).unwrap_or(false),
+            removal_is_advisory: rules
+                .get("OnlyDrainingBinds")
+                .and_then(Value::as_bool)
+                .unwrap_or(false),
             cold_capacity_share: amount(rules, "StartCapacity")?,
             warm_up_time: span(rules, "WarmWithinNs")?,
             overload_multiple: amount(rules, "FallMultiple")?,
@@ -186,16 +215,26 @@
 }
 
 fn part<'a>(at: &'a Value, key: &str) -> Result<&'a Value, String> {
-    at.get(key).filter(|v| v.is_object()).ok_or(format!("{key} is no object"))
+    at.get(key)
+        .filter(|v| v.is_object())
+        .ok_or(format!("{key} is no object"))
 }
 
 fn int(at: &Value, key: &str) -> Result<i64, String> {
-    at.get(key).and_then(Value::as_i64).ok_or(format!("{key} is no whole number"))
+    at.get(key)
+        .and_then(Value::as_i64)
+        .ok_or(format!("{key} is no whole number"))
 }
 
 /// A whole number that may be nothing, and nothing below.
 fn span(at: &Value, key: &str) -> Result<i64, String> {
-    int(at, key).and_then(|n| if n >= 0 { Ok(n) } else { Err(format!("{key} is below 0")) })
+    int(at, key).and_then(|n| {
+        if n >= 0 {
+            Ok(n)
+        } else {
+            Err(format!("{key} is below 0"))
+        }
+    })
 }
 
 fn span_or(at: &Value, key: &str, absent: i64) -> Result<i64, String> {
@@ -204,7 +243,13 @@
 
 /// Danger: decisions divide by these.
 fn above_zero(at: &Value, key: &str) -> Result<i64, String> {
-    int(at, key).and_then(|n| if n > 0 { Ok(n) } else { Err(format!("{key} is not above 0")) })
+    int(at, key).and_then(|n| {
+        if n > 0 {
+            Ok(n)
+        } else {
+            Err(format!("{key} is not above 0"))
+        }
+    })
 }
 
 fn index(at: &Value, key: &str) -> Result<u32, String> {
@@ -212,17 +257,29 @@
 }
 
 fn number(at: &Value, key: &str) -> Result<f64, String> {
-    at.get(key).and_then(Value::as_f64).ok_or(format!("{key} is no number"))
+    at.get(key)
+        .and_then(Value::as_f64)
+        .ok_or(format!("{key} is no number"))
 }
 
 fn amount(at: &Value, key: &str) -> Result<f64, String> {
-    number(at, key).and_then(|n| if n >= 0.0 { Ok(n) } else { Err(format!("{key} is below 0")) })
+    number(at, key).and_then(|n| {
+        if n >= 0.0 {
+            Ok(n)
+        } else {
+            Err(format!("{key} is below 0"))
+        }
+    })
 }
 
 fn flag(at: &Value, key: &str) -> Result<bool, String> {
-    at.get(key).and_then(Value::as_bool).ok_or(format!("{key} is neither true nor false"))
+    at.get(key)
+        .and_then(Value::as_bool)
+        .ok_or(format!("{key} is neither true nor false"))
 }
 
 fn word<'a>(at: &'a Value, key: &str) -> Result<&'a str, String> {
-    at.get(key).and_then(Value::as_str).ok_or(format!("{key} is no text"))
+    at.get(key)
+        .and_then(Value::as_str)
+        .ok_or(format!("{key} is no text"))
 }
--- a/crates/stackgw-settings/tests/document.rs
+++ b/crates/stackgw-settings/tests/document.rs
@@ -55,10 +55,34 @@
         router: Settings {
             classes: vec![
                 first,
-                class(Consistency::Write, keyed(KeyScope::Zone, 9 * SECOND), 0, 3.0, 0.5),
-                class(Consistency::Strong, keyed(KeyScope::Group, 9 * SECOND + 1), 1, 2.5, 0.25),
-                class(Consistency::ReadYourWrites, keyed(KeyScope::Global, 9 * SECOND + 2), 2, 2.25, 0.125),
-                class(Consistency::Eventual, Idempotency::NonIdempotent, 3, 4.0, 0.75),
+                class(
+                    Consistency::Write,
+                    keyed(KeyScope::Zone, 9 * SECOND),
+                    0,
+                    3.0,
+                    0.5,
+                ),
+                class(
+                    Consistency::Strong,
+                    keyed(KeyScope::Group, 9 * SECOND + 1),
+                    1,
+                    2.5,
+                    0.25,
+                ),
+                class(
+                    Consistency::ReadYourWrites,
+                    keyed(KeyScope::Global, 9 * SECOND + 2),
+                    2,
+                    2.25,
+                    0.125,
+                ),
+                class(
+                    Consistency::Eventual,
+                    Idempotency::NonIdempotent,
+                    3,
+                    4.0,
+                    0.75,
+                ),
             ],
             fleet_size: 3,
             instance_index: 1,
@@ -94,10 +118,17 @@
                 overload_multiple: 3.5,
                 overload_window: 2 * SECOND,
             },
-            costs: Costs { health_check: 0.05, cross_zone: 0.01, wasted_work: 0.04, late_failure: 0.1 },
+            costs: Costs {
+                health_check: 0.05,
+                cross_zone: 0.01,
+                wasted_work: 0.04,
+                late_failure: 0.1,
+            },
         },
         names: NameTable {
-            classes: ["balance", "post", "book", "close", "browse"].map(str::to_owned).to_vec(),
+            classes: ["balance", "post", "book", "close", "browse"]
+                .map(str::to_owned)
+                .to_vec(),
             zones: vec!["room".to_owned(), "hall".to_owned()],
         },
         position_zero: SECOND,
@@ -108,8 +139,14 @@
 
 #[test]
 fn the_fixed_document_is_parsed_to_the_same_settings() {
-    assert_eq!(PlatformSettings::from_text(DOCUMENT).expect("a good document"), expected());
-    assert_eq!(PlatformSettings::from_json(&document()).expect("a good document"), expected());
+    assert_eq!(
+        PlatformSettings::from_text(DOCUMENT).expect("a good document"),
+        expected()
+    );
+    assert_eq!(
+        PlatformSettings::from_json(&document()).expect("a good document"),
+        expected()
+    );
 }
 
 #[test]
@@ -117,31 +154,71 @@
     type Change = fn(&mut PlatformSettings);
     let cases: [(&str, Option<Value>, Change); 24] = [
         ("/Clients", None, |s| s.router.retries_are_flagged = false),
-        ("/Clients/MarksRetry", Some(json!(false)), |s| s.router.retries_are_flagged = false),
-        ("/Clients/MarksRetry", Some(json!(1)), |s| s.router.retries_are_flagged = false),
-        ("/Domain/Behind", Some(json!("silent")), |s| s.router.lagging_reads = LaggingReads::ServedStale),
-        ("/Domain/Behind", Some(json!("reject")), |s| s.router.lagging_reads = LaggingReads::Rejected),
-        ("/Domain/CommitWaits", Some(json!(false)), |s| s.router.commit_waits_for_replica = false),
-        ("/Domain/RoleListed", Some(json!("initial")), |s| s.router.role_listing = RoleListing::AtStart),
-        ("/Domain/RoleListed", Some(json!("silent")), |s| s.router.role_listing = RoleListing::Never),
+        ("/Clients/MarksRetry", Some(json!(false)), |s| {
+            s.router.retries_are_flagged = false
+        }),
+        ("/Clients/MarksRetry", Some(json!(1)), |s| {
+            s.router.retries_are_flagged = false
+        }),
+        ("/Domain/Behind", Some(json!("silent")), |s| {
+            s.router.lagging_reads = LaggingReads::ServedStale
+        }),
+        ("/Domain/Behind", Some(json!("reject")), |s| {
+            s.router.lagging_reads = LaggingReads::Rejected
+        }),
+        ("/Domain/CommitWaits", Some(json!(false)), |s| {
+            s.router.commit_waits_for_replica = false
+        }),
+        ("/Domain/RoleListed", Some(json!("initial")), |s| {
+            s.router.role_listing = RoleListing::AtStart
+        }),
+        ("/Domain/RoleListed", Some(json!("silent")), |s| {
+            s.router.role_listing = RoleListing::Never
+        }),
         ("/Domain/SessionMarks", Some(json!("router")), |s| {
             s.router.session_tracking = SessionTracking::Router
         }),
-        ("/Domain/Stamps", Some(json!(false)), |s| s.router.positions_in_responses = false),
+        ("/Domain/Stamps", Some(json!(false)), |s| {
+            s.router.positions_in_responses = false
+        }),
         ("/Limits/ConnIdleNs", None, |s| s.member_idle_timeout = 0),
-        ("/Limits/MaxOpen", None, |s| s.max_open_requests = 4_294_967_295),
-        ("/Limits/MaxRetryAfterNs", None, |s| s.router.limits.max_retry_after = 0),
-        ("/Limits/MayTell", Some(json!(true)), |s| s.router.limits.gossip = true),
-        ("/Limits/SecondCopies", Some(json!(true)), |s| s.router.limits.hedged_requests = true),
-        ("/MembershipMode", Some(json!("subscribe")), |s| s.router.polls_endpoint_list = true),
-        ("/Obligations/MustAskInNs", None, |s| s.router.poll_grace = 0),
-        ("/Obligations/OnlyDrainingBinds", None, |s| s.router.obligations.removal_is_advisory = false),
-        ("/Stats/Fields", Some(json!(["x1"])), |s| s.router.reports_carry_position = false),
-        ("/Stats/How", Some(json!("pull")), |s| s.router.load_reporting = LoadReporting::OnHealthChecks),
-        ("/Stats/How", Some(json!("silent")), |s| s.router.load_reporting = LoadReporting::Never),
+        ("/Limits/MaxOpen", None, |s| {
+            s.max_open_requests = 4_294_967_295
+        }),
+        ("/Limits/MaxRetryAfterNs", None, |s| {
+            s.router.limits.max_retry_after = 0
+        }),
+        ("/Limits/MayTell", Some(json!(true)), |s| {
+            s.router.limits.gossip = true
+        }),
+        ("/Limits/SecondCopies", Some(json!(true)), |s| {
+            s.router.limits.hedged_requests = true
+        }),
+        ("/MembershipMode", Some(json!("subscribe")), |s| {
+            s.router.polls_endpoint_list = true
+        }),
+        ("/Obligations/MustAskInNs", None, |s| {
+            s.router.poll_grace = 0
+        }),
+        ("/Obligations/OnlyDrainingBinds", None, |s| {
+            s.router.obligations.removal_is_advisory = false
+        }),
+        ("/Stats/Fields", Some(json!(["x1"])), |s| {
+            s.router.reports_carry_position = false
+        }),
+        ("/Stats/How", Some(json!("pull")), |s| {
+            s.router.load_reporting = LoadReporting::OnHealthChecks
+        }),
+        ("/Stats/How", Some(json!("silent")), |s| {
+            s.router.load_reporting = LoadReporting::Never
+        }),
         ("/Zones", None, |s| s.names.zones.clear()),
-        ("/Limits/Cancel", Some(json!(false)), |s| s.router.limits.cancel = false),
-        ("/Limits/RetryAfter", Some(json!(false)), |s| s.router.limits.retry_after = false),
+        ("/Limits/Cancel", Some(json!(false)), |s| {
+            s.router.limits.cancel = false
+        }),
+        ("/Limits/RetryAfter", Some(json!(false)), |s| {
+            s.router.limits.retry_after = false
+        }),
     ];
     for (pointer, value, change) in cases {
         let mut wanted = expected();
@@ -160,10 +237,13 @@
         Value::Object(object) => {
             let mut keys: Vec<_> = object.keys().collect();
             keys.sort();
-            keys.iter().for_each(|key| pointers(&object[*key], &format!("{path}/{key}"), found));
+            keys.iter()
+                .for_each(|key| pointers(&object[*key], &format!("{path}/{key}"), found));
         }
         Value::Array(list) => {
-            list.iter().zip(0..).for_each(|(item, n)| pointers(item, &format!("{path}/{n}"), found));
+            list.iter()
+                .zip(0..)
+                .for_each(|(item, n)| pointers(item, &format!("{path}/{n}"), found));
         }
         _ => {}
     }
@@ -206,7 +286,9 @@
     let mut rejected = 0;
     for line in ERRORS.lines() {
         let fields: Vec<_> = line.split('\t').collect();
-        let [pointer, shown, wanted] = fields[..] else { panic!("'{line}' has other fields") };
+        let [pointer, shown, wanted] = fields[..] else {
+            panic!("'{line}' has other fields")
+        };
         let value = (shown != "absent").then(|| serde_json::from_str(shown).expect(line));
         let result = result_text(PlatformSettings::from_json(&changed(pointer, value)));
         assert_eq!(result, wanted, "{pointer} {shown}");
@@ -218,8 +300,14 @@
 #[test]
 fn a_text_that_is_no_json_gives_the_same_error() {
     let cases = [
-        ("", "no JSON object: EOF while parsing a value at line 1 column 0"),
-        ("{", "no JSON object: EOF while parsing an object at line 1 column 1"),
+        (
+            "",
+            "no JSON object: EOF while parsing a value at line 1 column 0",
+        ),
+        (
+            "{",
+            "no JSON object: EOF while parsing an object at line 1 column 1",
+        ),
         ("[]", "Limits is no object"),
         ("{}", "Limits is no object"),
     ];
@@ -231,11 +319,19 @@
 #[test]
 fn load_reports_are_read_under_the_documents_names() {
     let mut report = LoadReport::default();
-    for (name, value) in
-        [("x0", 3.0), ("x1", 1.0), ("inflight", 7.0), ("queue", 8.0), ("util", 0.5), ("other", 1.0)]
-    {
+    for (name, value) in [
+        ("x0", 3.0),
+        ("x1", 1.0),
+        ("inflight", 7.0),
+        ("queue", 8.0),
+        ("util", 0.5),
+        ("other", 1.0),
+    ] {
         record_load_field(&mut report, name, value);
     }
     assert_eq!((report.position, report.is_primary), (None, Some(true)));
-    assert_eq!((report.in_flight, report.queued, report.utilisation), (Some(7.0), Some(8.0), Some(0.5)));
+    assert_eq!(
+        (report.in_flight, report.queued, report.utilisation),
+        (Some(7.0), Some(8.0), Some(0.5))
+    );
 }
--- a/crates/stackgw-settings/tests/gossip.rs
+++ b/crates/stackgw-settings/tests/gossip.rs
@@ -19,7 +19,12 @@
 fn news() -> Vec<GossipUpdate> {
     let of = |n: usize| GossipUpdate {
         member: MemberId(n as u32),
-        position: [Some(NOW - 30 * MS * n as Time), None, Some(NOW + SECOND), Some(0)][n % 4],
+        position: [
+            Some(NOW - 30 * MS * n as Time),
+            None,
+            Some(NOW + SECOND),
+            Some(0),
+        ][n % 4],
         is_primary: [None, Some(false), Some(true)][n % 3],
         latency_ratio: [0.0, 0.02, 0.03, 0.4, 3.1, 90.0, -1.0][n % 7],
         samples: [0, 1, 254, 255, 256, 70_000][n % 6],
@@ -29,7 +34,9 @@
 }
 
 fn messages() -> Vec<Vec<u8>> {
-    [true, false].map(|relay| digests().encode(NOW, relay, &news())).concat()
+    [true, false]
+        .map(|relay| digests().encode(NOW, relay, &news()))
+        .concat()
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -65,7 +72,9 @@
 fn the_fixed_bytes_are_read_as_the_same_news() {
     let mut read = Vec::new();
     for (line, relay) in MESSAGES.lines().zip([true, true, false, false]) {
-        let (sent, relayed, news) = digests().decode(NOW + 40 * MS, &unhex(line)).expect("a message");
+        let (sent, relayed, news) = digests()
+            .decode(NOW + 40 * MS, &unhex(line))
+            .expect("a message");
         assert_eq!((sent, relayed), (NOW / MS * MS, relay));
         read.push(news);
     }
@@ -83,7 +92,11 @@
         assert_eq!(news.position, age.map(|age| first - age * MS), "{n}");
         assert_eq!(news.is_primary, [None, Some(false), Some(true)][n % 3]);
         let strain = [0.0, 0.0, 0.05, 0.4, 3.1, 3.15, 0.0][n % 7];
-        assert!((news.latency_ratio - strain).abs() < 1e-9, "{n}: {}", news.latency_ratio);
+        assert!(
+            (news.latency_ratio - strain).abs() < 1e-9,
+            "{n}: {}",
+            news.latency_ratio
+        );
         assert_eq!(news.samples, [0, 1, 254, 255, 255, 255][n % 6]);
     }
 }
--- a/crates/stackgw-settings/tests/unit/words.rs
+++ b/crates/stackgw-settings/tests/unit/words.rs
@@ -5,7 +5,10 @@
 
 fn known(names: &[&str]) -> GossipCodec {
     let mut digests = GossipCodec::default();
-    names.iter().zip(0..).for_each(|(name, n)| digests.add(MemberId(n), name));
+    names
+        .iter()
+        .zip(0..)
+        .for_each(|(name, n)| digests.add(MemberId(n), name));
     digests
 }
 
@@ -24,9 +27,15 @@
     let (told, relay, heard) = there.decode(now + 20 * MS, &bodies[0]).expect("a message");
     assert!(relay && told <= now && now - told < MS);
     let heard = &heard[0];
-    assert_eq!((heard.member, heard.is_primary, heard.samples), (MemberId(1), Some(false), 3));
+    assert_eq!(
+        (heard.member, heard.is_primary, heard.samples),
+        (MemberId(1), Some(false), 3)
+    );
     let position = heard.position.expect("a position");
-    assert!(position <= now - 9 * MS && position > now - 30 * MS, "{position}");
+    assert!(
+        position <= now - 9 * MS && position > now - 30 * MS,
+        "{position}"
+    );
     assert!((heard.latency_ratio - 0.4).abs() < 0.03);
 }
 
@@ -42,9 +51,17 @@
     };
     let bodies = digests.encode(90 * SECOND, false, &vec![old; 100]);
     assert!(bodies.iter().all(|body| body.len() <= MAX_GOSSIP_BYTES));
-    let heard: Vec<_> = bodies.iter().filter_map(|b| digests.decode(90 * SECOND, b)).collect();
-    assert_eq!(heard.iter().map(|(_, _, news)| news.len()).sum::<usize>(), 100);
-    assert!(heard.iter().all(|(_, relay, news)| !relay && news[0].position.is_none()));
+    let heard: Vec<_> = bodies
+        .iter()
+        .filter_map(|b| digests.decode(90 * SECOND, b))
+        .collect();
+    assert_eq!(
+        heard.iter().map(|(_, _, news)| news.len()).sum::<usize>(),
+        100
+    );
+    assert!(heard
+        .iter()
+        .all(|(_, relay, news)| !relay && news[0].position.is_none()));
 }
 
 #[test]
@@ -60,15 +77,28 @@
     digests.remove(MemberId(0));
     let bodies = digests.encode(SECOND, false, &[news(0), news(1)]);
     let (_, _, heard) = there.decode(SECOND, &bodies[0]).expect("a message");
-    assert_eq!(heard.iter().map(|n| n.member).collect::<Vec<_>>(), [MemberId(1)]);
+    assert_eq!(
+        heard.iter().map(|n| n.member).collect::<Vec<_>>(),
+        [MemberId(1)]
+    );
     let bodies = there.encode(SECOND, false, &[news(0), news(1)]);
     let (_, _, heard) = digests.decode(SECOND, &bodies[0]).expect("a message");
-    assert_eq!(heard.iter().map(|n| n.member).collect::<Vec<_>>(), [MemberId(1)]);
+    assert_eq!(
+        heard.iter().map(|n| n.member).collect::<Vec<_>>(),
+        [MemberId(1)]
+    );
     // Two that share a digest are none; once one is dropped the other is known again.
     let mut twins = known(&["a", "a"]);
-    assert!(twins.decode(SECOND, &bodies[0]).expect("a message").2.is_empty());
+    assert!(twins
+        .decode(SECOND, &bodies[0])
+        .expect("a message")
+        .2
+        .is_empty());
     twins.remove(MemberId(1));
-    assert_eq!(twins.decode(SECOND, &bodies[0]).expect("a message").2.len(), 1);
+    assert_eq!(
+        twins.decode(SECOND, &bodies[0]).expect("a message").2.len(),
+        1
+    );
 }
 
 #[test]
--- a/crates/stackgw-store/src/file.rs
+++ b/crates/stackgw-store/src/file.rs
@@ -56,7 +56,9 @@
 }
 
 pub(crate) fn unix_ms() -> u64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -81,10 +83,18 @@
             Err(Unusable::Failed(failed)) => Err(named(failed)),
             Err(Unusable::Refused(why)) => {
                 let aside = free_name(path);
-                std::fs::rename(path, &aside).map_err(|e| named(StoreError(format!("{why}; {e}"))))?;
-                let said = format!("store: {}: {why}; set aside as {}", path.display(), aside.display());
+                std::fs::rename(path, &aside)
+                    .map_err(|e| named(StoreError(format!("{why}; {e}"))))?;
+                let said = format!(
+                    "store: {}: {why}; set aside as {}",
+                    path.display(),
+                    aside.display()
+                );
                 match Self::start(path, owner) {
-                    Ok(opened) => Ok(OpenedStore { quarantined: Some(said), ..opened }),
+                    Ok(opened) => Ok(OpenedStore {
+                        quarantined: Some(said),
+                        ..opened
+                    }),
                     Err(Unusable::Refused(why)) => Err(named(StoreError(why))),
                     Err(Unusable::Failed(failed)) => Err(named(failed)),
                 }
@@ -102,7 +112,11 @@
     fn read(path: &Path, owner: &StoreOwner, there: bool) -> Result<OpenedStore, Unusable> {
         let mut builder = Database::builder();
         builder.set_cache_size(CACHE);
-        let database = if there { builder.open(path) } else { builder.create(path) };
+        let database = if there {
+            builder.open(path)
+        } else {
+            builder.create(path)
+        };
         let mut database = database.map_err(|e| match e {
             redb::DatabaseError::DatabaseAlreadyOpen => {
                 Unusable::Failed(StoreError("another process has it open".to_owned()))
@@ -129,7 +143,11 @@
         let incarnation = unix_ms().max(last + 1);
         if !there {
             recovered.unbroken_since = incarnation;
-            recovered.store_version = StoreVersion { store_id: incarnation, records: 0, last_incarnation: 0 };
+            recovered.store_version = StoreVersion {
+                store_id: incarnation,
+                records: 0,
+                last_incarnation: 0,
+            };
         }
         let begin = || -> Result<(), redb::Error> {
             let write = database.begin_write()?;
@@ -151,9 +169,18 @@
             Ok(())
         };
         begin().map_err(|e| Unusable::Failed(StoreError(e.to_string())))?;
-        let file =
-            StoreFile { path: path.to_owned(), database, retention_ms: owner.retention_ms, pruned_ms: 0 };
-        Ok(OpenedStore { store: file, incarnation, recovered, quarantined: None })
+        let file = StoreFile {
+            path: path.to_owned(),
+            database,
+            retention_ms: owner.retention_ms,
+            pruned_ms: 0,
+        };
+        Ok(OpenedStore {
+            store: file,
+            incarnation,
+            recovered,
+            quarantined: None,
+        })
     }
 
     fn write(&mut self, records: &[Record]) -> Result<(), redb::Error> {
@@ -170,7 +197,9 @@
                 count += 1;
                 match record {
                     Record::ReplicaSet(digest) => {
-                        let same = meta.get("roster")?.is_some_and(|known| known.value() == *digest);
+                        let same = meta
+                            .get("roster")?
+                            .is_some_and(|known| known.value() == *digest);
                         if !same {
                             meta.insert("roster", *digest)?;
                             whole.retain(|_, _| false)?;
@@ -188,7 +217,10 @@
                         whole.insert(peer.node.0, peer.incarnation)?;
                     }
                     Record::PeerStore(peer, stamp) => {
-                        seen.insert(peer.node.0, (peer.incarnation, stamp.store_id, stamp.records))?;
+                        seen.insert(
+                            peer.node.0,
+                            (peer.incarnation, stamp.store_id, stamp.records),
+                        )?;
                     }
                     Record::Invalidated(stamp, unbroken_since) => {
                         meta.insert("disk", stamp.store_id)?;
@@ -213,7 +245,11 @@
 }
 
 /// Reads what earlier lives left; gives the last one's incarnation.
-fn recover(database: &Database, owner: &StoreOwner, recovered: &mut Recovered) -> Result<u64, Unusable> {
+fn recover(
+    database: &Database,
+    owner: &StoreOwner,
+    recovered: &mut Recovered,
+) -> Result<u64, Unusable> {
     let read = database.begin_read().map_err(refused)?;
     let meta = read.open_table(META).map_err(refused)?;
     let number = |name: &str| -> Result<Option<u64>, Unusable> {
@@ -222,35 +258,69 @@
     let must = |name: &str| number(name)?.ok_or_else(|| refused(format!("it has no {name}")));
     let version = must("version")?;
     if version != VERSION {
-        return Err(refused(format!("it is of version {version}, this is version {VERSION}")));
+        return Err(refused(format!(
+            "it is of version {version}, this is version {VERSION}"
+        )));
     }
     if must("cluster")? != NodeId::of(&owner.cluster).0 {
-        return Err(refused(format!("it is not of the cluster {}", owner.cluster)));
+        return Err(refused(format!(
+            "it is not of the cluster {}",
+            owner.cluster
+        )));
     }
     if must("node")? != owner.node.0 {
         return Err(refused("it is another instance's"));
     }
     recovered.unbroken_since = must("unbroken_since")?;
     let last = must("incarnation")?;
-    recovered.store_version =
-        StoreVersion { store_id: must("disk")?, records: must("records")?, last_incarnation: last };
+    recovered.store_version = StoreVersion {
+        store_id: must("disk")?,
+        records: must("records")?,
+        last_incarnation: last,
+    };
     recovered.replica_set = number("roster")?;
-    for (table, marks) in [(HELD, &mut recovered.positions), (OWED, &mut recovered.unacknowledged)] {
+    for (table, marks) in [
+        (HELD, &mut recovered.positions),
+        (OWED, &mut recovered.unacknowledged),
+    ] {
         let table = read.open_table(table).map_err(refused)?;
         for entry in table.iter().map_err(refused)? {
             let (key, mark) = entry.map_err(refused)?;
             marks.push((SessionKey(key.value()), mark.value().0));
         }
     }
-    for entry in read.open_table(WHOLE).map_err(refused)?.iter().map_err(refused)? {
+    for entry in read
+        .open_table(WHOLE)
+        .map_err(refused)?
+        .iter()
+        .map_err(refused)?
+    {
         let (node, incarnation) = entry.map_err(refused)?;
-        recovered.complete_peers.push(Peer { node: NodeId(node.value()), incarnation: incarnation.value() });
+        recovered.complete_peers.push(Peer {
+            node: NodeId(node.value()),
+            incarnation: incarnation.value(),
+        });
     }
-    for entry in read.open_table(SEEN).map_err(refused)?.iter().map_err(refused)? {
+    for entry in read
+        .open_table(SEEN)
+        .map_err(refused)?
+        .iter()
+        .map_err(refused)?
+    {
         let (node, seen) = entry.map_err(refused)?;
         let (incarnation, disk, records) = seen.value();
-        let peer = Peer { node: NodeId(node.value()), incarnation };
-        recovered.peer_stores.push((peer, StoreVersion { store_id: disk, records, last_incarnation: 0 }));
+        let peer = Peer {
+            node: NodeId(node.value()),
+            incarnation,
+        };
+        recovered.peer_stores.push((
+            peer,
+            StoreVersion {
+                store_id: disk,
+                records,
+                last_incarnation: 0,
+            },
+        ));
     }
     if recovered.unbroken_since > last.saturating_add(1) {
         return Err(refused("its lives are out of order"));
@@ -261,7 +331,8 @@
 impl Disk for StoreFile {
     fn commit(&mut self, records: &[Record]) -> Result<(), StoreError> {
         let done = catch_unwind(AssertUnwindSafe(|| self.write(records)));
-        let done = done.unwrap_or_else(|_| Err(redb::Error::Corrupted("the library gave up".to_owned())));
+        let done =
+            done.unwrap_or_else(|_| Err(redb::Error::Corrupted("the library gave up".to_owned())));
         done.map_err(|e| StoreError(format!("store: {}: {e}", self.path.display())))
     }
 
@@ -278,5 +349,8 @@
         PathBuf::from(name)
     };
     let first = unix_ms();
-    (first..).map(name).find(|name| !name.exists()).unwrap_or_else(|| name(first))
+    (first..)
+        .map(name)
+        .find(|name| !name.exists())
+        .unwrap_or_else(|| name(first))
 }
--- a/crates/stackgw-store/src/list.rs
+++ b/crates/stackgw-store/src/list.rs
@@ -4,8 +4,8 @@
 use crate::worker::Worker;
 use crate::StoreError;
 use serde::{Deserialize, Serialize};
-use stackgw_router::api::{Time, MS};
 use stackgw_bootstrap::{CachedEndpoints, EndpointUpdate};
+use stackgw_router::api::{Time, MS};
 use std::io::Write;
 use std::path::Path;
 use std::sync::mpsc::Receiver;
@@ -32,7 +32,8 @@
 
 /// What a file kept of this service's list; `None`: there is none, or another service's. One that is damaged is set aside.
 pub fn read(path: &Path, service: &str) -> Result<Option<CachedEndpoints>, StoreError> {
-    let wrong = |why: &dyn std::fmt::Display| StoreError(format!("start.list: {}: {why}", path.display()));
+    let wrong =
+        |why: &dyn std::fmt::Display| StoreError(format!("start.list: {}: {why}", path.display()));
     let about = match std::fs::metadata(path) {
         Ok(about) => about,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -45,7 +46,9 @@
     match parse(&text) {
         Some((head, list)) if head.service == service => {
             // A clock may have been set back since.
-            let said = head.said_ms.clamp(0, i64::try_from(unix_ms()).unwrap_or(i64::MAX));
+            let said = head
+                .said_ms
+                .clamp(0, i64::try_from(unix_ms()).unwrap_or(i64::MAX));
             Ok(Some(CachedEndpoints {
                 list,
                 confirmed_at: said.saturating_mul(MS) as Time,
@@ -56,7 +59,10 @@
         None => {
             let aside = free_name(path);
             std::fs::rename(path, &aside).map_err(|e| wrong(&e))?;
-            Err(wrong(&format!("is damaged; set aside as {}", aside.display())))
+            Err(wrong(&format!(
+                "is damaged; set aside as {}",
+                aside.display()
+            )))
         }
     }
 }
@@ -105,7 +111,9 @@
     ) -> Result<Self, StoreError> {
         let (path, service) = (path.to_owned(), service.to_owned());
         let worker = Worker::start("list", move |line| run(&path, &service, &line, &said));
-        worker.map(EndpointListWriter).map_err(|e| Worker::<CachedEndpoints>::failed("start.list", &e))
+        worker
+            .map(EndpointListWriter)
+            .map_err(|e| Worker::<CachedEndpoints>::failed("start.list", &e))
     }
 
     /// Keeps this one from now on.
@@ -120,7 +128,10 @@
         let newest = line.try_iter().last().unwrap_or(first);
         let done = write(path, service, &newest);
         if let (Err(e), false) = (&done, failing) {
-            said(StoreError(format!("start.list: {}: {e}; the list is not kept", path.display())));
+            said(StoreError(format!(
+                "start.list: {}: {e}; the list is not kept",
+                path.display()
+            )));
         }
         failing = done.is_err();
     }
--- a/crates/stackgw-store/src/worker.rs
+++ b/crates/stackgw-store/src/worker.rs
@@ -13,10 +13,18 @@
 
 impl<T: Send + 'static> Worker<T> {
     /// Starts a thread of this name that takes from the line until that is over.
-    pub(crate) fn start(name: &str, run: impl FnOnce(Receiver<T>) + Send + 'static) -> std::io::Result<Self> {
+    pub(crate) fn start(
+        name: &str,
+        run: impl FnOnce(Receiver<T>) + Send + 'static,
+    ) -> std::io::Result<Self> {
         let (line, taken) = channel();
-        let thread = std::thread::Builder::new().name(name.to_owned()).spawn(move || run(taken))?;
-        Ok(Worker { line: Some(line), thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name(name.to_owned())
+            .spawn(move || run(taken))?;
+        Ok(Worker {
+            line: Some(line),
+            thread: Some(thread),
+        })
     }
 
     /// Adds to the line. Where the thread has ended it goes nowhere.
--- a/crates/stackgw-store/src/writer.rs
+++ b/crates/stackgw-store/src/writer.rs
@@ -34,7 +34,9 @@
         done: impl Fn(CommitOutcome) + Send + 'static,
     ) -> Result<Self, StoreError> {
         let worker = Worker::start("store", move |line| run(disk, &line, &done));
-        worker.map(RecordWriter).map_err(|e| Worker::<Record>::failed("store", &e))
+        worker
+            .map(RecordWriter)
+            .map_err(|e| Worker::<Record>::failed("store", &e))
     }
 
     /// Adds a record to the line. After a failure it goes nowhere: the thread ends only after it has said that the disk failed.
@@ -50,7 +52,10 @@
         batch.extend(line.try_iter().take(BATCH - 1));
         if let Err(why) = disk.commit(&batch) {
             let void = disk.set_aside();
-            return done(CommitOutcome::Failed { error: why, quarantined: void });
+            return done(CommitOutcome::Failed {
+                error: why,
+                quarantined: void,
+            });
         }
         stored += batch.len() as u64;
         done(CommitOutcome::Stored(stored));
--- a/crates/stackgw-store/tests/fixtures.rs
+++ b/crates/stackgw-store/tests/fixtures.rs
@@ -1,9 +1,9 @@
 //! Stored data stays readable: a store file and a list file as an earlier build wrote them.
 
 use redb::{ReadableDatabase, ReadableTable, TableDefinition, TableHandle, Value};
+use stackgw_bootstrap::{CachedEndpoints, Endpoint, EndpointUpdate};
 use stackgw_router::api::{Lifecycle, MS};
 use stackgw_sessions::{NodeId, Peer, Record, Recovered, SessionKey, StoreVersion};
-use stackgw_bootstrap::{CachedEndpoints, Endpoint, EndpointUpdate};
 use stackgw_store::*;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -18,7 +18,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("stackgw-store-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("stackgw-store-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -35,15 +36,24 @@
 }
 
 fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 fn owner() -> StoreOwner {
-    StoreOwner { cluster: "depots".to_owned(), node: NodeId::of("g0"), retention_ms: 60_000 }
+    StoreOwner {
+        cluster: "depots".to_owned(),
+        node: NodeId::of("g0"),
+        retention_ms: 60_000,
+    }
 }
 
 fn peer(node: u64, incarnation: u64) -> Peer {
-    Peer { node: NodeId(node), incarnation }
+    Peer {
+        node: NodeId(node),
+        incarnation,
+    }
 }
 
 /// Records of every kind. What stands before the `Void` shows in the file only where that leaves it.
@@ -51,7 +61,14 @@
     vec![
         Record::ReplicaSet(77),
         Record::CompletePeer(peer(5, 1)),
-        Record::Invalidated(StoreVersion { store_id: 1_234, records: 100, last_incarnation: 0 }, 1_200),
+        Record::Invalidated(
+            StoreVersion {
+                store_id: 1_234,
+                records: 100,
+                last_incarnation: 0,
+            },
+            1_200,
+        ),
         Record::ReplicaSet(78),
         Record::Position(SessionKey(1), 1_000),
         Record::Position(SessionKey(u64::MAX), i64::MAX),
@@ -60,8 +77,22 @@
         Record::Unacknowledged(SessionKey(4), -1),
         Record::CompletePeer(peer(7, 3)),
         Record::CompletePeer(peer(8, u64::MAX)),
-        Record::PeerStore(peer(7, 3), StoreVersion { store_id: 9, records: 4, last_incarnation: 0 }),
-        Record::PeerStore(peer(9, 2), StoreVersion { store_id: 10, records: u64::MAX, last_incarnation: 0 }),
+        Record::PeerStore(
+            peer(7, 3),
+            StoreVersion {
+                store_id: 9,
+                records: 4,
+                last_incarnation: 0,
+            },
+        ),
+        Record::PeerStore(
+            peer(9, 2),
+            StoreVersion {
+                store_id: 10,
+                records: u64::MAX,
+                last_incarnation: 0,
+            },
+        ),
     ]
 }
 
@@ -69,10 +100,28 @@
 fn recovered(last: u64) -> Recovered {
     Recovered {
         unbroken_since: 1_200,
-        store_version: StoreVersion { store_id: 1_234, records: 110, last_incarnation: last },
+        store_version: StoreVersion {
+            store_id: 1_234,
+            records: 110,
+            last_incarnation: last,
+        },
         peer_stores: vec![
-            (peer(7, 3), StoreVersion { store_id: 9, records: 4, last_incarnation: 0 }),
-            (peer(9, 2), StoreVersion { store_id: 10, records: u64::MAX, last_incarnation: 0 }),
+            (
+                peer(7, 3),
+                StoreVersion {
+                    store_id: 9,
+                    records: 4,
+                    last_incarnation: 0,
+                },
+            ),
+            (
+                peer(9, 2),
+                StoreVersion {
+                    store_id: 10,
+                    records: u64::MAX,
+                    last_incarnation: 0,
+                },
+            ),
         ],
         replica_set: Some(78),
         positions: vec![(SessionKey(1), 1_000), (SessionKey(u64::MAX), i64::MAX)],
@@ -111,15 +160,19 @@
         entry("m2", Lifecycle::Removed, -1, false),
     ];
     CachedEndpoints {
-        list: EndpointUpdate { revision: 42, complete: true, members },
+        list: EndpointUpdate {
+            revision: 42,
+            complete: true,
+            members,
+        },
         confirmed_at: 1_750_000_000_123 * MS,
         warm_throughput: 312.25,
     }
 }
 
 fn write_list(path: &Path) {
-    let writer =
-        EndpointListWriter::start(path, "nottingham-1", |failed| panic!("{failed}")).expect("a thread");
+    let writer = EndpointListWriter::start(path, "nottingham-1", |failed| panic!("{failed}"))
+        .expect("a thread");
     writer.put(kept());
 }
 
@@ -132,7 +185,8 @@
     println!("FIXTURE_LIFE {}", write_store(&folder.path("g0.redb")));
     std::fs::copy(folder.path("g0.redb"), fixture("store.redb")).expect("the fixture is written");
     write_list(&folder.path("members.list"));
-    std::fs::copy(folder.path("members.list"), fixture("members.list")).expect("the fixture is written");
+    std::fs::copy(folder.path("members.list"), fixture("members.list"))
+        .expect("the fixture is written");
 }
 
 #[test]
@@ -155,9 +209,19 @@
     found: &mut Rows,
 ) {
     let read = database.begin_read().expect("a transaction");
-    let table = read.open_table(TableDefinition::<K, V>::new(name)).expect("the table has these types");
-    let entries = table.iter().expect("it can be read").map(|entry| entry.expect("it can be read"));
-    found.insert(name.to_owned(), entries.map(|(key, value)| show(key.value(), value.value())).collect());
+    let table = read
+        .open_table(TableDefinition::<K, V>::new(name))
+        .expect("the table has these types");
+    let entries = table
+        .iter()
+        .expect("it can be read")
+        .map(|entry| entry.expect("it can be read"));
+    found.insert(
+        name.to_owned(),
+        entries
+            .map(|(key, value)| show(key.value(), value.value()))
+            .collect(),
+    );
 }
 
 /// Everything that a file holds, by the names and types of its tables; times that its host's clock gave are left out.
@@ -172,14 +236,27 @@
         format!("{key:?} {value:?}")
     }
     rows::<&str, u64>(&database, "meta", meta, &mut found);
-    rows::<u64, (i64, u64)>(&database, "held", |key, (position, _)| pair(key, position), &mut found);
-    rows::<u64, (i64, u64)>(&database, "owed", |key, (position, _)| pair(key, position), &mut found);
+    rows::<u64, (i64, u64)>(
+        &database,
+        "held",
+        |key, (position, _)| pair(key, position),
+        &mut found,
+    );
+    rows::<u64, (i64, u64)>(
+        &database,
+        "owed",
+        |key, (position, _)| pair(key, position),
+        &mut found,
+    );
     rows::<u64, u64>(&database, "whole", pair, &mut found);
     rows::<u64, (u64, u64, u64)>(&database, "seen", pair, &mut found);
     let read = database.begin_read().expect("a transaction");
     let names = read.list_tables().expect("names");
     let names: Vec<_> = names.map(|table| table.name().to_owned()).collect();
-    assert!(names.iter().all(|name| found.contains_key(name)), "{names:?}");
+    assert!(
+        names.iter().all(|name| found.contains_key(name)),
+        "{names:?}"
+    );
     found
 }
 
@@ -188,7 +265,10 @@
     let folder = Folder::new("tables");
     put_back_store(&folder.path("earlier.redb"));
     write_store(&folder.path("today.redb"));
-    let (earlier, today) = (tables(&folder.path("earlier.redb")), tables(&folder.path("today.redb")));
+    let (earlier, today) = (
+        tables(&folder.path("earlier.redb")),
+        tables(&folder.path("today.redb")),
+    );
     assert_eq!(earlier, today);
     assert_eq!(earlier["meta"].len(), 8);
     assert!(earlier.values().all(|rows| rows.len() >= 2), "{earlier:?}");
@@ -199,9 +279,19 @@
     let folder = Folder::new("list-earlier");
     let path = folder.path("members.list");
     std::fs::write(&path, LIST).expect("a copy of the fixture");
-    assert_eq!(read_endpoint_list(&path, "nottingham-1").expect("no fault"), Some(kept()));
-    assert_eq!(read_endpoint_list(&path, "nottingham-2").expect("no fault"), None, "another service's list");
-    assert_eq!(std::fs::read_to_string(&path).expect("it is still there"), LIST);
+    assert_eq!(
+        read_endpoint_list(&path, "nottingham-1").expect("no fault"),
+        Some(kept())
+    );
+    assert_eq!(
+        read_endpoint_list(&path, "nottingham-2").expect("no fault"),
+        None,
+        "another service's list"
+    );
+    assert_eq!(
+        std::fs::read_to_string(&path).expect("it is still there"),
+        LIST
+    );
 }
 
 #[test]
@@ -217,14 +307,33 @@
     let folder = Folder::new("list-damaged");
     let path = folder.path("members.list");
     std::fs::write(&path, LIST.replace("hall", "wall")).expect("a copy of the fixture");
-    let error = read_endpoint_list(&path, "nottingham-1").expect_err("its sum differs").to_string();
-    let start = format!("start.list: {0}: is damaged; set aside as {0}.refused-", path.display());
-    let number = error.strip_prefix(&start).unwrap_or_else(|| panic!("{error}"));
+    let error = read_endpoint_list(&path, "nottingham-1")
+        .expect_err("its sum differs")
+        .to_string();
+    let start = format!(
+        "start.list: {0}: is damaged; set aside as {0}.refused-",
+        path.display()
+    );
+    let number = error
+        .strip_prefix(&start)
+        .unwrap_or_else(|| panic!("{error}"));
     assert!(number.parse::<u64>().is_ok(), "{error}");
-    assert_eq!(read_endpoint_list(&path, "nottingham-1").expect("no fault"), None, "it is no longer there");
+    assert_eq!(
+        read_endpoint_list(&path, "nottingham-1").expect("no fault"),
+        None,
+        "it is no longer there"
+    );
     std::fs::create_dir_all(&path).expect("a folder in its place");
-    let error = read_endpoint_list(&path, "nottingham-1").expect_err("it is a folder").to_string();
-    assert_eq!(error, format!("start.list: {}: no plain file, or too large a one", path.display()));
+    let error = read_endpoint_list(&path, "nottingham-1")
+        .expect_err("it is a folder")
+        .to_string();
+    assert_eq!(
+        error,
+        format!(
+            "start.list: {}: no plain file, or too large a one",
+            path.display()
+        )
+    );
 }
 
 #[test]
@@ -233,22 +342,55 @@
     let path = folder.path("g0.redb");
     put_back_store(&path);
     let others = [
-        (StoreOwner { cluster: "other".to_owned(), ..owner() }, "it is not of the cluster other"),
-        (StoreOwner { node: NodeId::of("g1"), ..owner() }, "it is another instance's"),
+        (
+            StoreOwner {
+                cluster: "other".to_owned(),
+                ..owner()
+            },
+            "it is not of the cluster other",
+        ),
+        (
+            StoreOwner {
+                node: NodeId::of("g1"),
+                ..owner()
+            },
+            "it is another instance's",
+        ),
     ];
     for (other, why) in others {
         put_back_store(&path);
-        let notice =
-            StoreFile::open(&path, &other).expect("a new store").quarantined.expect("it says so").to_string();
-        let start = format!("store: {0}: {why}; set aside as {0}.refused-", path.display());
-        let number = notice.strip_prefix(&start).unwrap_or_else(|| panic!("{notice}"));
+        let notice = StoreFile::open(&path, &other)
+            .expect("a new store")
+            .quarantined
+            .expect("it says so")
+            .to_string();
+        let start = format!(
+            "store: {0}: {why}; set aside as {0}.refused-",
+            path.display()
+        );
+        let number = notice
+            .strip_prefix(&start)
+            .unwrap_or_else(|| panic!("{notice}"));
         assert!(number.parse::<u64>().is_ok(), "{notice}");
     }
     put_back_store(&path);
     let _first = StoreFile::open(&path, &owner()).expect("a good file");
-    let error = StoreFile::open(&path, &owner()).expect_err("it is in use").to_string();
-    assert_eq!(error, format!("store: {}: another process has it open", path.display()));
-    let error = StoreFile::open(&folder.path("none/g0.redb"), &owner()).expect_err("no folder").to_string();
+    let error = StoreFile::open(&path, &owner())
+        .expect_err("it is in use")
+        .to_string();
+    assert_eq!(
+        error,
+        format!("store: {}: another process has it open", path.display())
+    );
+    let error = StoreFile::open(&folder.path("none/g0.redb"), &owner())
+        .expect_err("no folder")
+        .to_string();
     let place = folder.path("none/g0.redb");
-    assert_eq!(error, format!("store: {}: No such file or directory (os error 2)", place.display()));
+    assert_eq!(
+        error,
+        format!(
+            "store: {}: No such file or directory (os error 2)",
+            place.display()
+        )
+    );
 }
--- a/crates/stackgw-store/tests/store.rs
+++ b/crates/stackgw-store/tests/store.rs
@@ -9,7 +9,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("stackgw-store-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("stackgw-store-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -20,7 +21,9 @@
 
     fn set_aside(&self) -> usize {
         let entries = std::fs::read_dir(&self.0).expect("a folder").flatten();
-        entries.filter(|e| e.file_name().to_string_lossy().contains("refused")).count()
+        entries
+            .filter(|e| e.file_name().to_string_lossy().contains("refused"))
+            .count()
     }
 }
 
@@ -31,7 +34,11 @@
 }
 
 fn owner() -> StoreOwner {
-    StoreOwner { cluster: "depots".to_owned(), node: NodeId::of("g0"), retention_ms: 60_000 }
+    StoreOwner {
+        cluster: "depots".to_owned(),
+        node: NodeId::of("g0"),
+        retention_ms: 60_000,
+    }
 }
 
 fn open(path: &Path) -> OpenedStore {
@@ -46,8 +53,15 @@
 fn what_is_committed_is_there_in_the_next_life() {
     let folder = Folder::new("lasts");
     let mut first = open(&folder.file());
-    let peer = Peer { node: NodeId(7), incarnation: 3 };
-    let stamp = StoreVersion { store_id: 9, records: 4, last_incarnation: 0 };
+    let peer = Peer {
+        node: NodeId(7),
+        incarnation: 3,
+    };
+    let stamp = StoreVersion {
+        store_id: 9,
+        records: 4,
+        last_incarnation: 0,
+    };
     let records = [
         Record::ReplicaSet(5),
         mark(1),
@@ -57,19 +71,33 @@
         Record::PeerStore(peer, stamp),
     ];
     first.store.commit(&records).expect("room");
-    first.store.commit(&[Record::Position(SessionKey(2), 1)]).expect("room");
+    first
+        .store
+        .commit(&[Record::Position(SessionKey(2), 1)])
+        .expect("room");
     assert_eq!(first.recovered.unbroken_since, first.incarnation);
     drop(first.store);
     let second = open(&folder.file());
     assert!(second.incarnation > first.incarnation);
     let found = second.recovered;
     assert_eq!(found.unbroken_since, first.incarnation);
-    assert_eq!(found.positions, [(SessionKey(1), 1_000), (SessionKey(2), 2_000)], "positions never go back");
     assert_eq!(
-        (found.unacknowledged, found.complete_peers, found.peer_stores),
+        found.positions,
+        [(SessionKey(1), 1_000), (SessionKey(2), 2_000)],
+        "positions never go back"
+    );
+    assert_eq!(
+        (
+            found.unacknowledged,
+            found.complete_peers,
+            found.peer_stores
+        ),
         (vec![(SessionKey(3), 30)], vec![peer], vec![(peer, stamp)])
     );
-    assert_eq!((found.replica_set, found.store_version.records), (Some(5), 7));
+    assert_eq!(
+        (found.replica_set, found.store_version.records),
+        (Some(5), 7)
+    );
     assert_eq!(second.quarantined, None);
 }
 
@@ -77,19 +105,40 @@
 fn another_roster_or_a_void_disk_takes_back_what_was_whole() {
     for record in [
         Record::ReplicaSet(6),
-        Record::Invalidated(StoreVersion { store_id: 4, records: 0, last_incarnation: 0 }, 2),
+        Record::Invalidated(
+            StoreVersion {
+                store_id: 4,
+                records: 0,
+                last_incarnation: 0,
+            },
+            2,
+        ),
     ] {
-        let folder = Folder::new(&format!("whole-{record:?}").replace(|c: char| !c.is_alphanumeric(), ""));
+        let folder =
+            Folder::new(&format!("whole-{record:?}").replace(|c: char| !c.is_alphanumeric(), ""));
         let mut first = open(&folder.file());
-        let whole = Record::CompletePeer(Peer { node: NodeId(7), incarnation: 3 });
-        first.store.commit(&[Record::ReplicaSet(5), whole]).expect("room");
-        first.store.commit(std::slice::from_ref(&record)).expect("room");
+        let whole = Record::CompletePeer(Peer {
+            node: NodeId(7),
+            incarnation: 3,
+        });
+        first
+            .store
+            .commit(&[Record::ReplicaSet(5), whole])
+            .expect("room");
+        first
+            .store
+            .commit(std::slice::from_ref(&record))
+            .expect("room");
         drop(first);
         let found = open(&folder.file()).recovered;
         assert!(found.complete_peers.is_empty());
         if let Record::Invalidated(stamp, since) = record {
             assert_eq!(
-                (found.store_version.store_id, found.store_version.records, found.unbroken_since),
+                (
+                    found.store_version.store_id,
+                    found.store_version.records,
+                    found.unbroken_since
+                ),
                 (stamp.store_id, 0, since)
             );
         }
@@ -102,8 +151,15 @@
     let mut first = open(&folder.file());
     let mut wanted = first.recovered.clone();
     wanted.store_version.last_incarnation = first.incarnation;
-    let peer = |incarnation| Peer { node: NodeId(7), incarnation };
-    let stamp = |records| StoreVersion { store_id: 9, records, last_incarnation: 0 };
+    let peer = |incarnation| Peer {
+        node: NodeId(7),
+        incarnation,
+    };
+    let stamp = |records| StoreVersion {
+        store_id: 9,
+        records,
+        last_incarnation: 0,
+    };
     let records = [
         Record::ReplicaSet(5),
         mark(1),
@@ -117,7 +173,10 @@
         Record::PeerStore(peer(4), stamp(8)),
     ];
     for record in records {
-        first.store.commit(std::slice::from_ref(&record)).expect("room");
+        first
+            .store
+            .commit(std::slice::from_ref(&record))
+            .expect("room");
         wanted.apply(record);
     }
     drop(first.store);
@@ -132,15 +191,24 @@
     drop(first);
     let bytes = std::fs::read(folder.file()).expect("a file");
     let foreign = [
-        StoreOwner { cluster: "other".to_owned(), ..owner() },
-        StoreOwner { node: NodeId::of("g1"), ..owner() },
+        StoreOwner {
+            cluster: "other".to_owned(),
+            ..owner()
+        },
+        StoreOwner {
+            node: NodeId::of("g1"),
+            ..owner()
+        },
     ];
     for (n, other) in foreign.iter().enumerate() {
         std::fs::write(folder.file(), &bytes).expect("a file");
         let opened = StoreFile::open(&folder.file(), other).expect("a new store");
         let said = opened.quarantined.expect("it says so");
         assert!(!said.contains('\n') && said.contains("g0.redb"), "{said}");
-        assert_eq!((opened.recovered.positions.len(), folder.set_aside()), (0, n + 1));
+        assert_eq!(
+            (opened.recovered.positions.len(), folder.set_aside()),
+            (0, n + 1)
+        );
     }
     std::fs::write(folder.file(), b"no store at all").expect("a file");
     assert!(open(&folder.file()).quarantined.is_some());
@@ -162,17 +230,27 @@
 fn a_commit_torn_at_any_byte_is_there_or_not_or_refused() {
     let folder = Folder::new("torn");
     let mut opened = open(&folder.file());
-    opened.store.commit(&(0..50).map(mark).collect::<Vec<_>>()).expect("room");
+    opened
+        .store
+        .commit(&(0..50).map(mark).collect::<Vec<_>>())
+        .expect("room");
     let before = std::fs::read(folder.file()).expect("a file");
-    opened.store.commit(&(50..60).map(mark).collect::<Vec<_>>()).expect("room");
+    opened
+        .store
+        .commit(&(50..60).map(mark).collect::<Vec<_>>())
+        .expect("room");
     let after = std::fs::read(folder.file()).expect("a file");
     drop(opened);
     assert_eq!(before.len(), after.len(), "the file did not grow");
-    let differ: Vec<_> = (0..after.len()).filter(|at| before[*at] != after[*at]).collect();
+    let differ: Vec<_> = (0..after.len())
+        .filter(|at| before[*at] != after[*at])
+        .collect();
     assert!(differ.len() > 20, "{}", differ.len());
     // Each opening waits for the disk: all offsets take minutes, so CI takes some; STACKGW_EVERY=1 takes all.
-    let stride =
-        std::env::var("STACKGW_EVERY").ok().and_then(|n| n.parse().ok()).unwrap_or(differ.len() / 40);
+    let stride = std::env::var("STACKGW_EVERY")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(differ.len() / 40);
     let (mut old, mut new, mut refused) = (0, 0, 0);
     for forwards in [true, false] {
         for cut in differ.iter().step_by(stride) {
@@ -204,21 +282,38 @@
 fn a_file_damaged_anywhere_never_tells_other_marks() {
     let folder = Folder::new("damaged");
     let mut opened = open(&folder.file());
-    opened.store.commit(&(0..50).map(mark).collect::<Vec<_>>()).expect("room");
+    opened
+        .store
+        .commit(&(0..50).map(mark).collect::<Vec<_>>())
+        .expect("room");
     drop(opened);
     let whole = std::fs::read(folder.file()).expect("a file");
     let mut state = 1u64;
     for _ in 0..150 {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1);
         let at = (state >> 20) as usize % whole.len();
         let mut bytes = whole.clone();
         bytes[at] ^= (state >> 8) as u8 | 1;
-        bytes.truncate(if state.is_multiple_of(5) { at } else { whole.len() });
+        bytes.truncate(if state.is_multiple_of(5) {
+            at
+        } else {
+            whole.len()
+        });
         std::fs::write(folder.file(), &bytes).expect("a file");
         let found = open(&folder.file());
-        let wrong = found.recovered.positions.iter().any(|(key, position)| *position != key.0 as i64 * 1_000);
+        let wrong = found
+            .recovered
+            .positions
+            .iter()
+            .any(|(key, position)| *position != key.0 as i64 * 1_000);
         let part = found.quarantined.is_none() && found.recovered.positions.len() != 50;
-        assert!(!wrong && !part, "byte {at}: {} marks", found.recovered.positions.len());
+        assert!(
+            !wrong && !part,
+            "byte {at}: {} marks",
+            found.recovered.positions.len()
+        );
     }
 }
 
@@ -230,7 +325,10 @@
 
 impl Disk for Short {
     fn commit(&mut self, _: &[Record]) -> Result<(), StoreError> {
-        self.left = self.left.checked_sub(1).ok_or(StoreError("no space left".to_owned()))?;
+        self.left = self
+            .left
+            .checked_sub(1)
+            .ok_or(StoreError("no space left".to_owned()))?;
         Ok(())
     }
 
@@ -243,8 +341,8 @@
 fn a_full_disk_is_said_once_and_nothing_counts_as_stored_after() {
     for movable in [true, false] {
         let (told, done) = channel();
-        let writer =
-            RecordWriter::start(Short { left: 2, movable }, move |d| drop(told.send(d))).expect("a thread");
+        let writer = RecordWriter::start(Short { left: 2, movable }, move |d| drop(told.send(d)))
+            .expect("a thread");
         let mut stored = 0;
         let failed = loop {
             writer.put(mark(1));
@@ -257,7 +355,10 @@
             (stored, failed),
             (
                 2,
-                CommitOutcome::Failed { error: StoreError("no space left".to_owned()), quarantined: movable }
+                CommitOutcome::Failed {
+                    error: StoreError("no space left".to_owned()),
+                    quarantined: movable
+                }
             )
         );
         writer.put(mark(2));
@@ -270,8 +371,8 @@
 fn the_writer_commits_all_before_it_ends() {
     let folder = Folder::new("writer");
     let (told, done) = channel();
-    let writer =
-        RecordWriter::start(open(&folder.file()).store, move |d| drop(told.send(d))).expect("a thread");
+    let writer = RecordWriter::start(open(&folder.file()).store, move |d| drop(told.send(d)))
+        .expect("a thread");
     (0..5_000).for_each(|n| writer.put(mark(n)));
     drop(writer);
     assert_eq!(done.iter().last(), Some(CommitOutcome::Stored(5_000)));
--- a/crates/stackgw-streams/src/channels.rs
+++ b/crates/stackgw-streams/src/channels.rs
@@ -32,16 +32,32 @@
 impl<M: Ord + Clone> Channels<M> {
     /// No connection yet; each may carry so many requests, one at least.
     pub fn new(most: usize) -> Self {
-        Channels { most: most.max(1), channels: BTreeMap::new(), room: BTreeMap::new(), next: 0 }
+        Channels {
+            most: most.max(1),
+            channels: BTreeMap::new(),
+            room: BTreeMap::new(),
+            next: 0,
+        }
     }
 
     /// Places one more request for a member; gives its connection, a new one where none has room.
     pub fn place(&mut self, member: &M) -> ChannelId {
-        let fullest = self.room.get(member).and_then(|room| room.last()).map(|(_, id)| *id);
+        let fullest = self
+            .room
+            .get(member)
+            .and_then(|room| room.last())
+            .map(|(_, id)| *id);
         let channel = fullest.unwrap_or_else(|| {
             let id = ChannelId(self.next);
             self.next += 1;
-            self.channels.insert(id, Channel { member: member.clone(), carries: 0, broken: false });
+            self.channels.insert(
+                id,
+                Channel {
+                    member: member.clone(),
+                    carries: 0,
+                    broken: false,
+                },
+            );
             id
         });
         self.change(channel, |c| c.carries += 1);
@@ -76,10 +92,15 @@
 
     /// Changes a connection and keeps the order of those with room.
     fn change(&mut self, id: ChannelId, change: impl FnOnce(&mut Channel<M>)) {
-        let Some(channel) = self.channels.get_mut(&id) else { return };
+        let Some(channel) = self.channels.get_mut(&id) else {
+            return;
+        };
         let before = channel.carries;
         change(channel);
-        let (after, has_room) = (channel.carries, !channel.broken && channel.carries < self.most);
+        let (after, has_room) = (
+            channel.carries,
+            !channel.broken && channel.carries < self.most,
+        );
         let room = self.room.entry(channel.member.clone()).or_default();
         room.remove(&(before, id));
         if has_room {
--- a/crates/stackgw-streams/src/flow.rs
+++ b/crates/stackgw-streams/src/flow.rs
@@ -109,8 +109,15 @@
         }
         let id = StreamId(self.next);
         self.next += 1;
-        let stream =
-            Stream { held: 0, unread: None, asked: None, queued: false, over: false, until: None, due: None };
+        let stream = Stream {
+            held: 0,
+            unread: None,
+            asked: None,
+            queued: false,
+            over: false,
+            until: None,
+            due: None,
+        };
         self.streams.insert(id, stream);
         Ok(id)
     }
@@ -127,7 +134,9 @@
     /// once it is.
     pub fn asks(&mut self, now: Time, id: StreamId) -> bool {
         let crowded = self.held >= self.rules.all;
-        let Some(stream) = self.streams.get_mut(&id).filter(|stream| !stream.over) else { return false };
+        let Some(stream) = self.streams.get_mut(&id).filter(|stream| !stream.over) else {
+            return false;
+        };
         if stream.held >= self.rules.each {
             return false;
         }
@@ -145,7 +154,9 @@
 
     /// A message came from its member.
     pub fn came(&mut self, now: Time, id: StreamId, bytes: usize) {
-        let Some(stream) = self.streams.get_mut(&id) else { return };
+        let Some(stream) = self.streams.get_mut(&id) else {
+            return;
+        };
         stream.held += bytes;
         self.held += bytes;
         stream.asked = None;
@@ -156,7 +167,9 @@
     /// Its reader took a message.
     pub fn taken(&mut self, now: Time, id: StreamId, bytes: usize) {
         let each = self.rules.each;
-        let Some(stream) = self.streams.get_mut(&id) else { return };
+        let Some(stream) = self.streams.get_mut(&id) else {
+            return;
+        };
         let bytes = bytes.min(stream.held);
         let before = stream.held;
         stream.held -= bytes;
@@ -180,7 +193,9 @@
 
     /// A stream is gone, and what it held with it.
     pub fn close(&mut self, id: StreamId) {
-        let Some(stream) = self.streams.remove(&id) else { return };
+        let Some(stream) = self.streams.remove(&id) else {
+            return;
+        };
         self.held -= stream.held;
         if let Some(due) = stream.due {
             self.order.remove(&(due, id));
@@ -202,7 +217,10 @@
     pub fn due(&mut self, now: Time) -> Vec<(StreamId, End)> {
         let mut ended = Vec::new();
         while let Some((_, id)) = self.order.first().copied().filter(|(at, _)| *at <= now) {
-            let end = self.streams.get(&id).and_then(|stream| self.times(stream).find(|(at, _)| *at <= now));
+            let end = self
+                .streams
+                .get(&id)
+                .and_then(|stream| self.times(stream).find(|(at, _)| *at <= now));
             ended.extend(end.map(|(_, end)| (id, end)));
             self.close(id);
         }
@@ -227,13 +245,19 @@
     /// What may end a stream, and when. A client whose time is over hears that, whatever else is late.
     fn times(&self, stream: &Stream) -> impl Iterator<Item = (Time, End)> {
         let late = stream.until.map(|at| (at, End::Late));
-        let slow = stream.unread.map(|since| (since + self.rules.stall, End::SlowReader));
-        let silent = stream.asked.map(|since| (since + self.rules.silence, End::SilentMember));
+        let slow = stream
+            .unread
+            .map(|since| (since + self.rules.stall, End::SlowReader));
+        let silent = stream
+            .asked
+            .map(|since| (since + self.rules.silence, End::SilentMember));
         [late, slow, silent].into_iter().flatten()
     }
 
     fn reorder(&mut self, id: StreamId) {
-        let Some(stream) = self.streams.get(&id) else { return };
+        let Some(stream) = self.streams.get(&id) else {
+            return;
+        };
         let (old, due) = (stream.due, self.times(stream).map(|(at, _)| at).min());
         if old == due {
             return;
@@ -253,8 +277,12 @@
     fn admit(&mut self) {
         let mut room = self.rules.all.saturating_sub(self.held);
         while room > 0 {
-            let Some(id) = self.queue.pop_front() else { break };
-            let Some(stream) = self.streams.get_mut(&id) else { continue };
+            let Some(id) = self.queue.pop_front() else {
+                break;
+            };
+            let Some(stream) = self.streams.get_mut(&id) else {
+                continue;
+            };
             if std::mem::replace(&mut stream.queued, false) && !stream.over {
                 room = room.saturating_sub(self.rules.each.saturating_sub(stream.held).max(1));
                 self.woken.push(id);
--- a/crates/stackgw-streams/tests/histories.rs
+++ b/crates/stackgw-streams/tests/histories.rs
@@ -6,8 +6,13 @@
 use stackgw_streams::{Channels, End, Flow, Full, StreamId, StreamLimits};
 use std::collections::BTreeMap;
 
-const RULES: StreamLimits =
-    StreamLimits { streams: 8, each: 100, all: 300, stall: 50 * MS, silence: 20 * MS };
+const RULES: StreamLimits = StreamLimits {
+    streams: 8,
+    each: 100,
+    all: 300,
+    stall: 50 * MS,
+    silence: 20 * MS,
+};
 const MESSAGE: usize = 60;
 
 #[derive(Default)]
@@ -27,7 +32,10 @@
         for step in 0..400 {
             now += random.random_range(0..3 * MS);
             for (id, _) in flow.due(now) {
-                assert!(seen.remove(&id).is_some(), "ended twice, seed {seed}, step {step}");
+                assert!(
+                    seen.remove(&id).is_some(),
+                    "ended twice, seed {seed}, step {step}"
+                );
                 waits.remove(&id);
             }
             let ids: Vec<_> = seen.keys().copied().collect();
@@ -57,7 +65,10 @@
                     if !stream.over && !stream.reading && !waits.contains_key(&id) {
                         stream.reading = flow.asks(now, id);
                         let empty = stream.held.is_empty();
-                        assert!(stream.reading || !empty, "an empty one waits, seed {seed}, step {step}");
+                        assert!(
+                            stream.reading || !empty,
+                            "an empty one waits, seed {seed}, step {step}"
+                        );
                         if !stream.reading {
                             waits.insert(id, ());
                         }
@@ -81,15 +92,24 @@
                 waits.remove(&id);
             }
             let sums = seen.values().map(|s| s.held.iter().sum::<usize>());
-            assert!(sums.clone().all(|sum| sum < RULES.each + MESSAGE), "seed {seed}, step {step}");
+            assert!(
+                sums.clone().all(|sum| sum < RULES.each + MESSAGE),
+                "seed {seed}, step {step}"
+            );
             assert_eq!(flow.held(), sums.sum::<usize>(), "seed {seed}, step {step}");
-            assert!(flow.held() < RULES.all + RULES.streams * MESSAGE, "seed {seed}, step {step}");
+            assert!(
+                flow.held() < RULES.all + RULES.streams * MESSAGE,
+                "seed {seed}, step {step}"
+            );
             // Nobody is left waiting whom room or an empty hand would let go on.
             for id in waits.keys() {
                 let stream = &seen[id];
                 let held: usize = stream.held.iter().sum();
                 let stuck = held == 0 || (held < RULES.each && flow.held() == held);
-                assert!(!stuck || flow.held() >= RULES.all, "forgotten, seed {seed}, step {step}");
+                assert!(
+                    !stuck || flow.held() >= RULES.all,
+                    "forgotten, seed {seed}, step {step}"
+                );
             }
         }
     }
@@ -97,7 +117,11 @@
 
 #[test]
 fn room_goes_to_whoever_waited_longest() {
-    let mut flow = Flow::new(StreamLimits { all: 100, each: 80, ..RULES });
+    let mut flow = Flow::new(StreamLimits {
+        all: 100,
+        each: 80,
+        ..RULES
+    });
     let [a, b, c] = [0; 3].map(|_| flow.open().expect("room"));
     for id in [a, b, c] {
         assert!(flow.asks(0, id));
@@ -105,7 +129,11 @@
     }
     assert!(!flow.asks(0, b) && !flow.asks(0, c) && !flow.asks(0, a));
     flow.taken(0, a, 40);
-    assert_eq!(flow.woken(), [a, b], "it has taken all it had; then the first in line");
+    assert_eq!(
+        flow.woken(),
+        [a, b],
+        "it has taken all it had; then the first in line"
+    );
 }
 
 #[test]
@@ -118,7 +146,10 @@
         let due = flow.next_due().expect("a time");
         assert_eq!(flow.due(due - 1), []);
         let ended = flow.due(due);
-        assert_eq!((flow.due(due + MS), flow.len(), flow.held()), (vec![], 0, 0));
+        assert_eq!(
+            (flow.due(due + MS), flow.len(), flow.held()),
+            (vec![], 0, 0)
+        );
         (due, ended[0].1)
     };
     let silent = run(None, &|flow, id| assert!(flow.asks(5, id)));
@@ -158,11 +189,16 @@
             let member = random.random_range(0..3u8);
             if random.random_bool(0.55) {
                 let placed = channels.place(&member);
-                let with_room = carried.values().any(|(m, n, broken)| *m == member && *n < 4 && !broken);
+                let with_room = carried
+                    .values()
+                    .any(|(m, n, broken)| *m == member && *n < 4 && !broken);
                 assert_eq!(!carried.contains_key(&placed), !with_room, "seed {seed}");
                 let channel = carried.entry(placed).or_insert((member, 0, false));
                 channel.1 += 1;
-                assert!(channel.0 == member && channel.1 <= 4 && !channel.2, "seed {seed}");
+                assert!(
+                    channel.0 == member && channel.1 <= 4 && !channel.2,
+                    "seed {seed}"
+                );
             } else if !carried.is_empty() {
                 let at = random.random_range(0..carried.len());
                 let (id, channel) = carried.iter_mut().nth(at).expect("it is there");
