--- a/crates/stackgw-testkit/src/audit.rs
+++ b/crates/stackgw-testkit/src/audit.rs
@@ -97,7 +97,12 @@
 impl Verdict {
     /// Nothing was missed, lost or doubled.
     pub fn good(&self) -> bool {
-        let OutcomeCounts { misses, lost, twice, .. } = self.tally;
+        let OutcomeCounts {
+            misses,
+            lost,
+            twice,
+            ..
+        } = self.tally;
         misses + lost + twice + self.doubled + self.refused_and_ran + self.served_and_never_ran == 0
     }
 }
@@ -153,7 +158,9 @@
             seed: self.seed,
             tally,
             doubled: audit.writes.values().filter(|n| **n > 1).count() as u64,
-            refused_and_ran: count(&|id, answer| *answer == RequestOutcome::Rejected && ran(id) > 0),
+            refused_and_ran: count(&|id, answer| {
+                *answer == RequestOutcome::Rejected && ran(id) > 0
+            }),
             served_and_never_ran: count(&|id, answer| {
                 matches!(answer, RequestOutcome::Served(_)) && ran(id) == 0
             }),
@@ -167,14 +174,19 @@
     }
 
     fn client(&self, n: usize, gateways: &GatewayFleet, shared: &Shared, since: Instant) {
-        let mut rng = SmallRng::seed_from_u64(self.seed.wrapping_mul(1_000_003).wrapping_add(n as u64));
+        let mut rng =
+            SmallRng::seed_from_u64(self.seed.wrapping_mul(1_000_003).wrapping_add(n as u64));
         let mut open: HashMap<usize, Client> = HashMap::new();
         let (mut value, mut session, mut home) = (0u64, 0u64, n % gateways.len());
         let mut asked = 0u64;
         let mut ask = |rng: &mut SmallRng, home: &mut usize, key: &str, value: Option<u64>| {
             asked += 1;
             let id = format!("s{:x}c{n:x}r{asked:x}", self.seed);
-            let at = if self.roam { rng.random_range(0..gateways.len()) } else { *home };
+            let at = if self.roam {
+                rng.random_range(0..gateways.len())
+            } else {
+                *home
+            };
             let Some(address) = gateways.address(at) else {
                 *home = rng.random_range(0..gateways.len());
                 std::thread::sleep(Duration::from_millis(2));
@@ -192,13 +204,19 @@
             let took = u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX);
             if matches!(
                 answer,
-                RequestOutcome::Disconnected | RequestOutcome::TimedOut | RequestOutcome::DuplicateReply
+                RequestOutcome::Disconnected
+                    | RequestOutcome::TimedOut
+                    | RequestOutcome::DuplicateReply
             ) {
                 open.remove(&at);
             }
             let kind = usize::from(value.is_none());
             let mut tally = lock(&shared.tally);
-            let ends = if kind == 0 { &mut tally.writes } else { &mut tally.reads };
+            let ends = if kind == 0 {
+                &mut tally.writes
+            } else {
+                &mut tally.reads
+            };
             match &answer {
                 RequestOutcome::Served(_) => {
                     ends[0] += 1;
@@ -228,7 +246,8 @@
             let next = value + 1;
             // A write that was cut or failed may have run: a later value is never taken for it.
             value = next;
-            let Some((RequestOutcome::Served(_), wrote_at, _)) = ask(&mut rng, &mut home, &key, Some(next))
+            let Some((RequestOutcome::Served(_), wrote_at, _)) =
+                ask(&mut rng, &mut home, &key, Some(next))
             else {
                 continue;
             };
@@ -238,12 +257,14 @@
                 }
                 let tries = if read == 0 { 20 } else { 1 };
                 for _ in 0..tries {
-                    let Some((RequestOutcome::Served(seen), at, _)) = ask(&mut rng, &mut home, &key, None)
+                    let Some((RequestOutcome::Served(seen), at, _)) =
+                        ask(&mut rng, &mut home, &key, None)
                     else {
                         continue;
                     };
-                    let seen =
-                        std::str::from_utf8(&seen).ok().and_then(|hex| u64::from_str_radix(hex, 16).ok());
+                    let seen = std::str::from_utf8(&seen)
+                        .ok()
+                        .and_then(|hex| u64::from_str_radix(hex, 16).ok());
                     let mut tally = lock(&shared.tally);
                     tally.pairs += u64::from(read == 0);
                     if seen.unwrap_or(0) < next {
@@ -262,7 +283,9 @@
     }
 
     fn trouble(&self, store: &ReplicaGroup, gateways: &GatewayFleet, shared: &Shared) {
-        let Some(troubles) = self.troubles else { return };
+        let Some(troubles) = self.troubles else {
+            return;
+        };
         let mut rng = SmallRng::seed_from_u64(self.seed ^ 0x5eed);
         let done = || shared.done.load(Ordering::Relaxed);
         let wait = |span: Duration| {
@@ -284,7 +307,9 @@
                 _ if kills => {}
                 0 if troubles.all => {
                     (0..gateways.len()).for_each(|n| gateways.kill(n));
-                    shared.kills.fetch_add(gateways.len() as u64, Ordering::Relaxed);
+                    shared
+                        .kills
+                        .fetch_add(gateways.len() as u64, Ordering::Relaxed);
                     (0..gateways.len()).for_each(|n| drop(gateways.restart(n)));
                     continue;
                 }
@@ -298,7 +323,8 @@
                 }
                 2 if troubles.slow => {
                     let replicas = store.members.iter().skip(1);
-                    let current = replicas.min_by_key(|member| member.lag_ms.load(Ordering::Relaxed));
+                    let current =
+                        replicas.min_by_key(|member| member.lag_ms.load(Ordering::Relaxed));
                     if let Some(member) = current {
                         let before = member.lag_ms.swap(3_000, Ordering::Relaxed);
                         member.slow_ms.store(100, Ordering::Relaxed);
@@ -335,6 +361,11 @@
 
 fn percentiles(times: &mut [u64]) -> [u64; 2] {
     times.sort_unstable();
-    let at = |share: f64| times.get((times.len() as f64 * share) as usize).copied().unwrap_or(0);
+    let at = |share: f64| {
+        times
+            .get((times.len() as f64 * share) as usize)
+            .copied()
+            .unwrap_or(0)
+    };
     [at(0.5), at(0.99)]
 }
--- a/crates/stackgw-testkit/src/client.rs
+++ b/crates/stackgw-testkit/src/client.rs
@@ -40,7 +40,10 @@
         let socket = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
         socket.set_read_timeout(Some(PATIENCE)).ok()?;
         socket.set_nodelay(true).ok()?;
-        let mut client = Client { socket, frames: FrameDecoder::server(1 << 20) };
+        let mut client = Client {
+            socket,
+            frames: FrameDecoder::server(1 << 20),
+        };
         let mut bytes = Vec::new();
         write::startup(&mut bytes, "client", "core");
         client.socket.write_all(&bytes).ok()?;
@@ -57,12 +60,16 @@
 
     pub(crate) fn select(&mut self, id: &str, key: &str) -> RequestOutcome {
         let comment = format!("/* id={id},c=mine,d=1000,cluster={} */", group());
-        self.ask(&format!("SELECT val FROM state WHERE uid = '{key}' {comment}"))
+        self.ask(&format!(
+            "SELECT val FROM state WHERE uid = '{key}' {comment}"
+        ))
     }
 
     pub(crate) fn look(&mut self, id: &str, key: &str) -> RequestOutcome {
         let comment = format!("/* id={id},c=look,d=1000,cluster={} */", group());
-        self.ask(&format!("SELECT val FROM state WHERE uid = '{key}' {comment}"))
+        self.ask(&format!(
+            "SELECT val FROM state WHERE uid = '{key}' {comment}"
+        ))
     }
 
     /// Asks with an empty query, and waits until the gateway says that it is ready.
@@ -70,7 +77,10 @@
         let mut bytes = Vec::new();
         write::query(&mut bytes, "");
         let sent = self.socket.write_all(&bytes);
-        sent.is_ok() && self.reply().is_ok_and(|reply| reply.iter().any(|frame| frame.kind == b'I'))
+        sent.is_ok()
+            && self
+                .reply()
+                .is_ok_and(|reply| reply.iter().any(|frame| frame.kind == b'I'))
     }
 
     /// Waits no longer than this for answers.
@@ -94,15 +104,23 @@
         }
         if let Some(error) = reply.iter().find(|f| f.kind == b'E') {
             let fields = error.body().split(|b| *b == 0);
-            let code = fields.filter_map(|f| f.strip_prefix(b"C")).next().unwrap_or_default();
+            let code = fields
+                .filter_map(|f| f.strip_prefix(b"C"))
+                .next()
+                .unwrap_or_default();
             return match code {
                 b"53300" | b"57P03" => RequestOutcome::Rejected,
                 b"42601" => RequestOutcome::Malformed,
                 _ => RequestOutcome::Failed,
             };
         }
-        let row = reply.iter().find(|f| f.kind == b'D').and_then(|f| f.body().get(6..));
-        row.map_or(RequestOutcome::Failed, |value| RequestOutcome::Served(value.to_vec()))
+        let row = reply
+            .iter()
+            .find(|f| f.kind == b'D')
+            .and_then(|f| f.body().get(6..));
+        row.map_or(RequestOutcome::Failed, |value| {
+            RequestOutcome::Served(value.to_vec())
+        })
     }
 
     /// Everything up to ReadyForQuery.
@@ -121,7 +139,10 @@
                 Ok(n) if n > 0 => self.frames.feed(&buffer[..n]),
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
                 Err(e)
-                    if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) =>
+                    if matches!(
+                        e.kind(),
+                        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                    ) =>
                 {
                     return Err(RequestOutcome::TimedOut);
                 }
--- a/crates/stackgw-testkit/src/cold_connect.rs
+++ b/crates/stackgw-testkit/src/cold_connect.rs
@@ -62,12 +62,20 @@
     /// When this share of a fleet was ready.
     pub fn ready(&self, share: f64, fleet: usize) -> Option<Duration> {
         let n = (share * fleet as f64).ceil() as usize;
-        self.ready_ms.get(n.checked_sub(1)?).map(|ms| Duration::from_millis(*ms))
+        self.ready_ms
+            .get(n.checked_sub(1)?)
+            .map(|ms| Duration::from_millis(*ms))
     }
 
     /// Served in time, of what was asked in the first so many seconds.
     pub fn worth_within(&self, seconds: usize) -> f64 {
-        let sum = |n: usize| self.seconds.iter().take(seconds).map(|second| second[n]).sum::<u64>();
+        let sum = |n: usize| {
+            self.seconds
+                .iter()
+                .take(seconds)
+                .map(|second| second[n])
+                .sum::<u64>()
+        };
         sum(1) as f64 / sum(0).max(1) as f64
     }
 
@@ -88,8 +96,11 @@
         meanwhile: impl FnOnce() + Send,
     ) -> ColdConnectReport {
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let (all, told, over) =
-            (Mutex::new(ColdConnectReport::default()), Mutex::new(Vec::new()), AtomicBool::new(false));
+        let (all, told, over) = (
+            Mutex::new(ColdConnectReport::default()),
+            Mutex::new(Vec::new()),
+            AtomicBool::new(false),
+        );
         std::thread::scope(|scope| {
             scope.spawn(meanwhile);
             for n in 0..gateways.len() {
@@ -126,14 +137,19 @@
                 std::thread::sleep(Duration::from_millis(5));
                 continue;
             };
-            client.patience(end.saturating_duration_since(Instant::now()).max(Duration::from_millis(1)));
+            client.patience(
+                end.saturating_duration_since(Instant::now())
+                    .max(Duration::from_millis(1)),
+            );
             if !client.is_ready() {
                 continue;
             }
             client.patience(Duration::from_secs(4));
             if std::mem::take(&mut first) {
                 let ms = since.elapsed().as_millis();
-                lock(all).ready_ms.push(u64::try_from(ms).unwrap_or(u64::MAX));
+                lock(all)
+                    .ready_ms
+                    .push(u64::try_from(ms).unwrap_or(u64::MAX));
             }
             // Asked on time whatever became of what was asked before.
             let mut due = Instant::now() + Duration::from_secs_f64(rng.random::<f64>() / self.rate);
@@ -144,10 +160,17 @@
                     return;
                 }
                 asked += 1;
-                let (id, key) = (format!("o{run:x}g{n:x}r{asked:x}"), format!("k{}", asked % 50));
+                let (id, key) = (
+                    format!("o{run:x}g{n:x}r{asked:x}"),
+                    format!("k{}", asked % 50),
+                );
                 let started = Instant::now();
                 let writes = rng.random_range(0..100) < self.writes;
-                let answer = if writes { client.insert(&id, &key, asked) } else { client.look(&id, &key) };
+                let answer = if writes {
+                    client.insert(&id, &key, asked)
+                } else {
+                    client.look(&id, &key)
+                };
                 let mut all = lock(all);
                 all.asked += 1;
                 let second = started.saturating_duration_since(since).as_secs() as usize;
@@ -173,7 +196,9 @@
                 }
                 if matches!(
                     answer,
-                    RequestOutcome::Disconnected | RequestOutcome::TimedOut | RequestOutcome::DuplicateReply
+                    RequestOutcome::Disconnected
+                        | RequestOutcome::TimedOut
+                        | RequestOutcome::DuplicateReply
                 ) {
                     break;
                 }
@@ -209,11 +234,20 @@
     pub fn of(store: &ReplicaGroup, from: Duration) -> Self {
         let mut all = FleetLoad::default();
         for n in 0..store.members.len() {
-            let ObservedLoad { handshakes, worst: cold, fell, taken, shed, probes } = store.borne(n);
+            let ObservedLoad {
+                handshakes,
+                worst: cold,
+                fell,
+                taken,
+                shed,
+                probes,
+            } = store.borne(n);
             let since: Vec<_> = handshakes.into_iter().filter(|at| *at >= from).collect();
             all.handshakes += since.len();
             all.members.push([since.len() as u64, taken, shed]);
-            all.worst_handshakes = all.worst_handshakes.max(worst(since, Duration::from_millis(100)));
+            all.worst_handshakes = all
+                .worst_handshakes
+                .max(worst(since, Duration::from_millis(100)));
             (all.cold, all.fell, all.shed) = (all.cold.max(cold), all.fell + fell, all.shed + shed);
             all.probes += probes;
         }
--- a/crates/stackgw-testkit/src/cold_start.rs
+++ b/crates/stackgw-testkit/src/cold_start.rs
@@ -44,9 +44,14 @@
 
 impl PollCounts {
     fn of(asked: &[PollRecord], from: Duration) -> Self {
-        let here: Vec<_> =
-            asked.iter().filter(|a| a.at >= from && a.fate != PollOutcome::Unreachable).collect();
-        let refused = here.iter().filter(|a| a.fate == PollOutcome::Rejected).count();
+        let here: Vec<_> = asked
+            .iter()
+            .filter(|a| a.at >= from && a.fate != PollOutcome::Unreachable)
+            .collect();
+        let refused = here
+            .iter()
+            .filter(|a| a.fate == PollOutcome::Rejected)
+            .count();
         PollCounts {
             all: here.len(),
             worst: worst(here.iter().map(|a| a.at), Duration::from_millis(100)),
@@ -116,19 +121,34 @@
 
 impl ColdStart {
     /// Plays it; `told` hears of each part as it ends.
-    pub fn play(&self, mut told: impl FnMut(&'static str, &PhaseReport)) -> Result<ColdStartReport, String> {
+    pub fn play(
+        &self,
+        mut told: impl FnMut(&'static str, &PhaseReport),
+    ) -> Result<ColdStartReport, String> {
         let wrong = |e: std::io::Error| e.to_string();
-        let (store, agent) = ReplicaGroup::start_speaking(&[10, 20], Protocol::Postgres).map_err(wrong)?;
-        store.lists().bear(Some(ServiceCapacity { per_second: self.bears, line: Duration::from_secs(1) }));
+        let (store, agent) =
+            ReplicaGroup::start_speaking(&[10, 20], Protocol::Postgres).map_err(wrong)?;
+        store.lists().bear(Some(ServiceCapacity {
+            per_second: self.bears,
+            line: Duration::from_secs(1),
+        }));
         let mut setup = FleetConfig::new(self.program.clone(), self.folder.clone(), vec![agent]);
         (setup.gateways, setup.session_replicas) = (self.fleet, 3.min(self.fleet));
-        setup.mode = if self.start.is_some() { FleetMode::Bootstrap } else { FleetMode::LocalSessions };
+        setup.mode = if self.start.is_some() {
+            FleetMode::Bootstrap
+        } else {
+            FleetMode::LocalSessions
+        };
         setup.start = self.start.clone().unwrap_or_default();
         let gateways = GatewayFleet::prepare(setup)?;
         let all = || drop(gateways.restart_all(0..self.fleet, Duration::ZERO));
-        let bear = |cold| (0..store.members.len()).for_each(|n| store.bear(n, self.bearing(), cold));
+        let bear =
+            |cold| (0..store.members.len()).for_each(|n| store.bear(n, self.bearing(), cold));
         bear(false);
-        let mut line = ColdStartReport { fleet: self.fleet, ..ColdStartReport::default() };
+        let mut line = ColdStartReport {
+            fleet: self.fleet,
+            ..ColdStartReport::default()
+        };
         line.boot = self.part(&store, &gateways, false, &all);
         told(PHASE_NAMES[0], &line.boot);
         bear(false);
--- a/crates/stackgw-testkit/src/flight.rs
+++ b/crates/stackgw-testkit/src/flight.rs
@@ -9,8 +9,8 @@
 use arrow_flight::sql::server::FlightSqlService;
 use arrow_flight::sql::{CommandStatementQuery, ProstMessageExt, SqlInfo, TicketStatementQuery};
 use arrow_flight::{
-    Action, CancelFlightInfoResult, CancelStatus, FlightData, FlightDescriptor, FlightEndpoint, FlightInfo,
-    Ticket,
+    Action, CancelFlightInfoResult, CancelStatus, FlightData, FlightDescriptor, FlightEndpoint,
+    FlightInfo, Ticket,
 };
 use arrow_schema::{DataType, Field, Schema, SchemaRef};
 use futures::{stream, Stream, StreamExt, TryStreamExt};
@@ -26,17 +26,29 @@
 use tonic::{Request, Response, Status};
 
 /// Serves the connections that it is handed, on a thread of its own.
-pub(crate) fn serve(store: Arc<ReplicaGroup>, n: usize) -> std::io::Result<mpsc::UnboundedSender<TcpStream>> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+pub(crate) fn serve(
+    store: Arc<ReplicaGroup>,
+    n: usize,
+) -> std::io::Result<mpsc::UnboundedSender<TcpStream>> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let (sockets, handed) = mpsc::unbounded_channel::<TcpStream>();
     let incoming = UnboundedReceiverStream::new(handed).map(|socket| {
         socket.set_nonblocking(true)?;
         tokio::net::TcpStream::from_std(socket)
     });
-    std::thread::Builder::new().name(format!("m{n}")).spawn(move || {
-        let service = FlightServiceServer::new(Host { store, n }).max_encoding_message_size(usize::MAX);
-        let _ = runtime.block_on(Server::builder().add_service(service).serve_with_incoming(incoming));
-    })?;
+    std::thread::Builder::new()
+        .name(format!("m{n}"))
+        .spawn(move || {
+            let service =
+                FlightServiceServer::new(Host { store, n }).max_encoding_message_size(usize::MAX);
+            let _ = runtime.block_on(
+                Server::builder()
+                    .add_service(service)
+                    .serve_with_incoming(incoming),
+            );
+        })?;
     Ok(sockets)
 }
 
@@ -53,7 +65,12 @@
 
 /// How many batches of how many bytes a key asks for.
 fn bulk(text: &str) -> Option<(u64, usize)> {
-    let (count, bytes) = text.split("'bulk-").nth(1)?.split('\'').next()?.split_once('-')?;
+    let (count, bytes) = text
+        .split("'bulk-")
+        .nth(1)?
+        .split('\'')
+        .next()?
+        .split_once('-')?;
     Some((count.parse().ok()?, bytes.parse().ok()?))
 }
 
@@ -61,13 +78,21 @@
     fn said<T>(&self, mut answer: Response<T>, position: u64) -> Response<T> {
         let primary = self.store.members[self.n].leads();
         let role = if primary { "leader" } else { "follower" };
-        answer.metadata_mut().insert("x-stackgw-role", MetadataValue::from_static(role));
-        answer.metadata_mut().insert("x-stackgw-position", MetadataValue::from(position));
+        answer
+            .metadata_mut()
+            .insert("x-stackgw-role", MetadataValue::from_static(role));
+        answer
+            .metadata_mut()
+            .insert("x-stackgw-position", MetadataValue::from(position));
         answer
     }
 
     /// One batch after another, until the reader leaves or the member's troubles say otherwise.
-    fn batches(&self, count: u64, bytes: usize) -> impl Stream<Item = Result<FlightData, FlightError>> {
+    fn batches(
+        &self,
+        count: u64,
+        bytes: usize,
+    ) -> impl Stream<Item = Result<FlightData, FlightError>> {
         let member = &self.store.members[self.n];
         let works = member.works();
         let ends = |after: &AtomicU64| Some(after.load(Ordering::Relaxed)).filter(|n| *n > 0);
@@ -84,7 +109,10 @@
                 .with_max_flight_data_size(usize::MAX)
                 .build(stream::once(async { first }))
         };
-        let (first, other) = (encode(batch("val"), schema("val")), encode(batch("other"), schema("other")));
+        let (first, other) = (
+            encode(batch("val"), schema("val")),
+            encode(batch("other"), schema("other")),
+        );
         let until = changes.unwrap_or(count).min(count);
         let plain = first.try_collect::<Vec<_>>();
         let messages = async move {
@@ -97,8 +125,9 @@
             let head = stream::iter(head.to_vec());
             Ok::<_, FlightError>(head.chain(stream::iter(repeated.flatten())).map(Ok))
         };
-        let all =
-            stream::once(messages).try_flatten().chain(other.take(if changes.is_some() { 2 } else { 0 }));
+        let all = stream::once(messages)
+            .try_flatten()
+            .chain(other.take(if changes.is_some() { 2 } else { 0 }));
         let mut sent = 0;
         all.then(move |data| {
             let _here = &works;
@@ -123,9 +152,14 @@
         query: CommandStatementQuery,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        let ticket = TicketStatementQuery { statement_handle: query.query.into_bytes().into() };
-        let endpoint = FlightEndpoint::new().with_ticket(Ticket::new(ticket.as_any().encode_to_vec()));
-        let info = FlightInfo::new().with_endpoint(endpoint).with_descriptor(request.into_inner());
+        let ticket = TicketStatementQuery {
+            statement_handle: query.query.into_bytes().into(),
+        };
+        let endpoint =
+            FlightEndpoint::new().with_ticket(Ticket::new(ticket.as_any().encode_to_vec()));
+        let info = FlightInfo::new()
+            .with_endpoint(endpoint)
+            .with_descriptor(request.into_inner());
         Ok(Response::new(info))
     }
 
@@ -157,7 +191,9 @@
             Done::Nonsense => return Err(Status::invalid_argument("no statement of a client")),
             Done::NotHere(_) => {
                 let mut status = Status::failed_precondition("a replica takes no writes");
-                status.metadata_mut().insert("x-stackgw-ran", MetadataValue::from_static("never"));
+                status
+                    .metadata_mut()
+                    .insert("x-stackgw-ran", MetadataValue::from_static("never"));
                 return Err(status);
             }
         };
@@ -187,8 +223,13 @@
             return Err(Status::unimplemented("no such action"));
         }
         // Its stream has been reset by then; what is left is to say so.
-        self.store.members[self.n].cancels.fetch_add(1, Ordering::Relaxed);
-        let body = CancelFlightInfoResult { status: CancelStatus::Cancelled.into() }.encode_to_vec();
+        self.store.members[self.n]
+            .cancels
+            .fetch_add(1, Ordering::Relaxed);
+        let body = CancelFlightInfoResult {
+            status: CancelStatus::Cancelled.into(),
+        }
+        .encode_to_vec();
         let result = arrow_flight::Result { body: body.into() };
         Ok(Response::new(stream::once(async { Ok(result) }).boxed()))
     }
--- a/crates/stackgw-testkit/src/gateways.rs
+++ b/crates/stackgw-testkit/src/gateways.rs
@@ -128,21 +128,42 @@
             .map(|_| UdpSocket::bind("127.0.0.1:0"))
             .collect::<Result<_, _>>()
             .map_err(wrong)?;
-        let ports: Vec<_> =
-            sockets.iter().map(|s| s.local_addr()).collect::<Result<_, _>>().map_err(wrong)?;
+        let ports: Vec<_> = sockets
+            .iter()
+            .map(|s| s.local_addr())
+            .collect::<Result<_, _>>()
+            .map_err(wrong)?;
         let (net, reached) = match setup.relays {
-            true => FaultyNetwork::start(&ports).map(|(net, reached)| (Some(net), reached)).map_err(wrong)?,
+            true => FaultyNetwork::start(&ports)
+                .map(|(net, reached)| (Some(net), reached))
+                .map_err(wrong)?,
             false => (None, ports.clone()),
         };
         let key = setup.folder.join("cluster.key");
-        std::fs::write(&key, format!("a key of this trial alone, {}", std::process::id())).map_err(wrong)?;
-        let seeds: Vec<_> =
-            reached.iter().take(setup.session_replicas).map(|port| format!("\"{port}\"")).collect();
-        let keepers: Vec<_> = (0..setup.session_replicas).map(|n| format!("g{n}")).collect();
+        std::fs::write(
+            &key,
+            format!("a key of this trial alone, {}", std::process::id()),
+        )
+        .map_err(wrong)?;
+        let seeds: Vec<_> = reached
+            .iter()
+            .take(setup.session_replicas)
+            .map(|port| format!("\"{port}\""))
+            .collect();
+        let keepers: Vec<_> = (0..setup.session_replicas)
+            .map(|n| format!("g{n}"))
+            .collect();
         for (n, port) in ports.iter().enumerate() {
             let document = platform(n, &setup);
-            std::fs::write(setup.folder.join(format!("g{n}.json")), document.to_string()).map_err(wrong)?;
-            let store = format!("\n  store: {}", setup.folder.join(format!("g{n}.redb")).display());
+            std::fs::write(
+                setup.folder.join(format!("g{n}.json")),
+                document.to_string(),
+            )
+            .map_err(wrong)?;
+            let store = format!(
+                "\n  store: {}",
+                setup.folder.join(format!("g{n}.redb")).display()
+            );
             let shared = format!(
                 "control: {}\nsessions:\n  cluster: trial\n  listen: {port}\n  advertise: {}\n  seeds: [{}]\n  keys: [{}]\n  keepers: [{}]\n  lease: {}ms\n  horizon: {}ms{}\n",
                 setup.folder.join(format!("g{n}.sock")).display(),
@@ -159,13 +180,16 @@
             } else {
                 shared
             };
-            let flight =
-                format!("flight:\n  listen: 127.0.0.1:0\n  keys: [{}]\n  ticket: 5s\n", key.display());
+            let flight = format!(
+                "flight:\n  listen: 127.0.0.1:0\n  keys: [{}]\n  ticket: 5s\n",
+                key.display()
+            );
             let file = if setup.flight { file + &flight } else { file };
             let users = setup.folder.join("flight.users");
             let file = match setup.auth {
                 Some(way) => {
-                    std::fs::write(&users, format!("# one\n{}:{}\n", USER.0, USER.1)).map_err(wrong)?;
+                    std::fs::write(&users, format!("# one\n{}:{}\n", USER.0, USER.1))
+                        .map_err(wrong)?;
                     format!("{file}  auth: {{{way}: {}}}\n", users.display())
                 }
                 None => file,
@@ -180,9 +204,18 @@
             };
             std::fs::write(setup.folder.join(format!("g{n}.yaml")), file).map_err(wrong)?;
         }
-        let empty = || Gateway { child: None, address: Arc::default(), flight: Arc::default() };
+        let empty = || Gateway {
+            child: None,
+            address: Arc::default(),
+            flight: Arc::default(),
+        };
         let gateways = Mutex::new((0..setup.gateways).map(|_| empty()).collect());
-        Ok(GatewayFleet { gateways, net, setup, ports: Mutex::new(sockets.into_iter().map(Some).collect()) })
+        Ok(GatewayFleet {
+            gateways,
+            net,
+            setup,
+            ports: Mutex::new(sockets.into_iter().map(Some).collect()),
+        })
     }
 
     /// Starts these at once, or this far apart, anew where they ran, and waits until all listen.
@@ -205,7 +238,10 @@
     }
 
     fn signal(&self, n: usize, signal: Signal) {
-        if let Some(pid) = self.pid(n).and_then(|id| Pid::from_raw(i32::try_from(id).ok()?)) {
+        if let Some(pid) = self
+            .pid(n)
+            .and_then(|id| Pid::from_raw(i32::try_from(id).ok()?))
+        {
             let _ = kill_process(pid, signal);
         }
     }
@@ -249,7 +285,10 @@
     pub fn clear_up(&self) {
         for n in (0..self.len()).filter(|_| std::thread::panicking()) {
             let log = self.setup.folder.join(format!("g{n}.log"));
-            eprintln!("g{n}:\n{}", std::fs::read_to_string(log).unwrap_or_default());
+            eprintln!(
+                "g{n}:\n{}",
+                std::fs::read_to_string(log).unwrap_or_default()
+            );
         }
         (0..self.len()).for_each(|n| self.kill(n));
         let _ = std::fs::remove_dir_all(&self.setup.folder);
@@ -263,7 +302,9 @@
     /// Kills a gateway where it stands.
     pub fn kill(&self, n: usize) {
         let mut gateways = lock(&self.gateways);
-        let Some(gateway) = gateways.get_mut(n) else { return };
+        let Some(gateway) = gateways.get_mut(n) else {
+            return;
+        };
         *lock(&gateway.address) = None;
         if let Some(mut child) = gateway.child.take() {
             let _ = child.kill();
@@ -303,17 +344,32 @@
 
     /// Starts a gateway's process.
     fn spawn(&self, n: usize) -> Result<(), String> {
-        let FleetConfig { program, folder, mode, .. } = &self.setup;
+        let FleetConfig {
+            program,
+            folder,
+            mode,
+            ..
+        } = &self.setup;
         let wrong = |e: std::io::Error| format!("{}: {e}", program.display());
         drop(lock(&self.ports).get_mut(n).and_then(Option::take));
         let mut command = Command::new(program);
-        command.arg("run").arg("--config").arg(folder.join(format!("g{n}.json")));
+        command
+            .arg("run")
+            .arg("--config")
+            .arg(folder.join(format!("g{n}.json")));
         if *mode != FleetMode::LocalSessions {
             command.arg("--file").arg(folder.join(format!("g{n}.yaml")));
         }
-        let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().map_err(wrong)?;
+        let mut child = command
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .map_err(wrong)?;
         let stderr = child.stderr.take().ok_or("no log")?;
-        let log = File::options().create(true).append(true).open(folder.join(format!("g{n}.log")));
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(folder.join(format!("g{n}.log")));
         let mut log = log.map_err(wrong)?;
         let address: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
         let flight: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
@@ -322,7 +378,10 @@
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 let _ = writeln!(log, "{line}");
                 for (before, place) in [("listening on ", &found), ("flight sql at ", &flies)] {
-                    let word = line.split(before).nth(1).and_then(|rest| rest.split([',', ' ']).next());
+                    let word = line
+                        .split(before)
+                        .nth(1)
+                        .and_then(|rest| rest.split([',', ' ']).next());
                     if let Some(at) = word.and_then(|at| at.trim().parse().ok()) {
                         *lock(place) = Some(at);
                     }
@@ -339,13 +398,19 @@
     fn listens(&self, n: usize) -> Result<(), String> {
         let since = Instant::now();
         while self.address(n).is_none() {
-            let over = match lock(&self.gateways).get_mut(n).and_then(|g| g.child.as_mut()) {
+            let over = match lock(&self.gateways)
+                .get_mut(n)
+                .and_then(|g| g.child.as_mut())
+            {
                 Some(child) => child.try_wait().map_err(|e| e.to_string())?.is_some(),
                 None => true,
             };
             if over || since.elapsed() > START {
                 self.kill(n);
-                return Err(format!("gateway g{n} did not start: {}", last_line(&self.setup.folder, n)));
+                return Err(format!(
+                    "gateway g{n} did not start: {}",
+                    last_line(&self.setup.folder, n)
+                ));
             }
             std::thread::sleep(Duration::from_millis(2));
         }
@@ -376,7 +441,10 @@
     seeds: &[String],
     key: &Path,
 ) -> String {
-    let mut file = format!("control: {}\n", setup.folder.join(format!("g{n}.sock")).display());
+    let mut file = format!(
+        "control: {}\n",
+        setup.folder.join(format!("g{n}.sock")).display()
+    );
     if setup.start.cluster {
         file += &format!(
             "cluster:\n  name: trial\n  listen: {port}\n  advertise: {reached}\n  seeds: [{}]\n  keys: [{}]\n  expected: {}\n",
@@ -390,7 +458,9 @@
     }
     let folder = setup.folder.display().to_string();
     for line in &setup.start.lines {
-        let line = line.replace("{n}", &n.to_string()).replace("{folder}", &folder);
+        let line = line
+            .replace("{n}", &n.to_string())
+            .replace("{folder}", &folder);
         file += &format!("  {line}\n");
     }
     file
@@ -404,7 +474,11 @@
         json!({"Name": name, "Effect": effect, "Group": "all", "AimNs": 200 * MS, "DeadlineNs": deadline_ms * MS,
             "DedupWindowNs": 0, "LateWorth": 0.5, "Worth": 1.0})
     };
-    let marks = if setup.mode == FleetMode::SharedSessions { "client" } else { "router" };
+    let marks = if setup.mode == FleetMode::SharedSessions {
+        "client"
+    } else {
+        "router"
+    };
     json!({
         "name": format!("g{n}"), "listen": "127.0.0.1:0", "discovery": agent.to_string(), "seed": format!("{:x}", 77 + n),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
--- a/crates/stackgw-testkit/src/lib.rs
+++ b/crates/stackgw-testkit/src/lib.rs
@@ -21,7 +21,9 @@
 pub use cold_connect::{ColdConnectLoad, ColdConnectReport, FleetLoad};
 pub use cold_start::{ColdStart, ColdStartReport, PhaseReport, PollCounts, PHASE_NAMES};
 pub use gateways::{BootstrapConfig, FleetConfig, FleetMode, GatewayFleet, USER};
-pub use list_service::{worst, ListService, PollOutcome, PollRecord, ServiceCapacity, ServiceState};
+pub use list_service::{
+    worst, ListService, PollOutcome, PollRecord, ServiceCapacity, ServiceState,
+};
 pub use network::FaultyNetwork;
 pub use replica_group::{ExecutionLog, FakeMember, Protocol, ReplicaGroup, GROUP};
 pub use slow_start_model::{ObservedLoad, SlowStartModel};
--- a/crates/stackgw-testkit/src/list_service.rs
+++ b/crates/stackgw-testkit/src/list_service.rs
@@ -90,9 +90,14 @@
     /// ListService members at these addresses, the first one as the primary, behind so many doors: gateways that come by different
     /// ones can be treated differently.
     pub fn start(addresses: &[SocketAddr], doors: usize) -> std::io::Result<Arc<Self>> {
-        let entry = |n| ListedMember { phase: "ready", up_since_ms: 0, leads: n == 0 };
-        let listeners: Vec<_> =
-            (0..doors).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
+        let entry = |n| ListedMember {
+            phase: "ready",
+            up_since_ms: 0,
+            leads: n == 0,
+        };
+        let listeners: Vec<_> = (0..doors)
+            .map(|_| TcpListener::bind("127.0.0.1:0"))
+            .collect::<Result<_, _>>()?;
         let lists = Arc::new(ListService {
             addresses: addresses.to_vec(),
             since: Instant::now(),
@@ -104,7 +109,10 @@
                 asked: Vec::new(),
             }),
             changed: Condvar::new(),
-            doors: listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?,
+            doors: listeners
+                .iter()
+                .map(TcpListener::local_addr)
+                .collect::<Result<_, _>>()?,
         });
         for (door, listener) in listeners.into_iter().enumerate() {
             let lists = lists.clone();
@@ -169,7 +177,12 @@
 
     /// The list tells that another member is the primary.
     pub fn lead(&self, n: usize) {
-        self.change(|entries| entries.iter_mut().enumerate().for_each(|(at, entry)| entry.leads = at == n));
+        self.change(|entries| {
+            entries
+                .iter_mut()
+                .enumerate()
+                .for_each(|(at, entry)| entry.leads = at == n)
+        });
     }
 
     fn change(&self, change: impl FnOnce(&mut Vec<ListedMember>)) {
@@ -184,16 +197,27 @@
     /// What a door tells of the list after a version (0: all of it), and the version it is then.
     fn list(&self, state: &State, door: usize, after: u64) -> (u64, String) {
         let newest = state.versions.len() as u64;
-        let now =
-            if let ServiceState::Stale(version) = state.moods[door] { version.min(newest) } else { newest };
-        let at =
-            |version: u64| version.checked_sub(1).and_then(|n| state.versions.get(usize::try_from(n).ok()?));
+        let now = if let ServiceState::Stale(version) = state.moods[door] {
+            version.min(newest)
+        } else {
+            newest
+        };
+        let at = |version: u64| {
+            version
+                .checked_sub(1)
+                .and_then(|n| state.versions.get(usize::try_from(n).ok()?))
+        };
         let before = at(after).filter(|_| after <= now);
         let entry = |(n, entry): (usize, &ListedMember)| {
             // All that changed since, be it there and back.
-            let same =
-                before.is_some() && (after..=now).filter_map(at).all(|entries| entries.get(n) == Some(entry));
-            let (at, role) = (self.addresses[n], if entry.leads { "leader" } else { "follower" });
+            let same = before.is_some()
+                && (after..=now)
+                    .filter_map(at)
+                    .all(|entries| entries.get(n) == Some(entry));
+            let (at, role) = (
+                self.addresses[n],
+                if entry.leads { "leader" } else { "follower" },
+            );
             let (phase, since) = (entry.phase, entry.up_since_ms);
             (!same).then(|| {
                 format!(
@@ -201,9 +225,17 @@
                 )
             })
         };
-        let members: Vec<_> = at(now).into_iter().flatten().enumerate().filter_map(entry).collect();
+        let members: Vec<_> = at(now)
+            .into_iter()
+            .flatten()
+            .enumerate()
+            .filter_map(entry)
+            .collect();
         let (complete, members) = (before.is_none(), members.join(","));
-        (now, format!(r#"{{"revision":{now},"complete":{complete},"members":[{members}]}}"#))
+        (
+            now,
+            format!(r#"{{"revision":{now},"complete":{complete},"members":[{members}]}}"#),
+        )
     }
 
     /// Takes a request in: what becomes of it, and how long it waits in line.
@@ -243,8 +275,13 @@
         }
         std::thread::sleep(wait);
         let watches = line.contains("watch");
-        let after = line.split("after=").nth(1).map(|rest| rest.split(|c: char| !c.is_ascii_digit()));
-        let after = after.and_then(|mut words| words.next()?.parse().ok()).unwrap_or(0);
+        let after = line
+            .split("after=")
+            .nth(1)
+            .map(|rest| rest.split(|c: char| !c.is_ascii_digit()));
+        let after = after
+            .and_then(|mut words| words.next()?.parse().ok())
+            .unwrap_or(0);
         let chunk = |body: &str| format!("{:x}\r\n{body}\r\n", body.len());
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let (mood, (mut version, list)) = {
@@ -276,8 +313,11 @@
                     return;
                 }
                 let told = self.list(&state, door, version);
-                let quiet =
-                    hangs || matches!(state.moods[door], ServiceState::Silent | ServiceState::FirstByteOnly);
+                let quiet = hangs
+                    || matches!(
+                        state.moods[door],
+                        ServiceState::Silent | ServiceState::FirstByteOnly
+                    );
                 if !quiet && (told.0 > version || over.timed_out()) {
                     break told;
                 }
@@ -286,7 +326,11 @@
                 }
             };
             drop(state);
-            let line = if now > version { format!("{list}\n") } else { "\n".to_owned() };
+            let line = if now > version {
+                format!("{list}\n")
+            } else {
+                "\n".to_owned()
+            };
             version = version.max(now);
             if socket.write_all(chunk(&line).as_bytes()).is_err() {
                 return;
@@ -298,7 +342,9 @@
 /// Whether the other side has closed a connection on which it says nothing more.
 fn gone(socket: &TcpStream) -> bool {
     let mut byte = [0];
-    let quiet = socket.set_nonblocking(true).and_then(|()| socket.peek(&mut byte));
+    let quiet = socket
+        .set_nonblocking(true)
+        .and_then(|()| socket.peek(&mut byte));
     let _ = socket.set_nonblocking(false);
     !matches!(&quiet, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
 }
--- a/crates/stackgw-testkit/src/network.rs
+++ b/crates/stackgw-testkit/src/network.rs
@@ -20,7 +20,12 @@
     /// Relays before gateways that listen at these addresses; gives the relays'.
     pub fn start(listen: &[SocketAddr]) -> std::io::Result<(Arc<FaultyNetwork>, Vec<SocketAddr>)> {
         let net = Arc::new(FaultyNetwork::default());
-        let from: HashMap<_, _> = listen.iter().copied().enumerate().map(|(n, at)| (at, n)).collect();
+        let from: HashMap<_, _> = listen
+            .iter()
+            .copied()
+            .enumerate()
+            .map(|(n, at)| (at, n))
+            .collect();
         let mut relays = Vec::new();
         for (to, at) in listen.iter().copied().enumerate() {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
@@ -42,11 +47,21 @@
         lock(&self.cut).clear();
     }
 
-    fn relay(&self, socket: &UdpSocket, at: SocketAddr, to: usize, from: &HashMap<SocketAddr, usize>) {
+    fn relay(
+        &self,
+        socket: &UdpSocket,
+        at: SocketAddr,
+        to: usize,
+        from: &HashMap<SocketAddr, usize>,
+    ) {
         let (mut buffer, mut state) = ([0; 2048], to as u32 + 1);
         while !self.over.load(Ordering::Relaxed) {
-            let Ok((length, sender)) = socket.recv_from(&mut buffer) else { continue };
-            let cut = from.get(&sender).is_none_or(|from| lock(&self.cut).contains(&(*from, to)));
+            let Ok((length, sender)) = socket.recv_from(&mut buffer) else {
+                continue;
+            };
+            let cut = from
+                .get(&sender)
+                .is_none_or(|from| lock(&self.cut).contains(&(*from, to)));
             state = state.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
             let lost = (state >> 8) % 1_000 < self.loss.load(Ordering::Relaxed);
             if !cut && !lost {
--- a/crates/stackgw-testkit/src/replica_group.rs
+++ b/crates/stackgw-testkit/src/replica_group.rs
@@ -20,7 +20,9 @@
 
 /// Milliseconds since 1970.
 pub fn unix_ms() -> u64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -183,15 +185,33 @@
         speaks: Protocol,
         doors: usize,
     ) -> std::io::Result<(Arc<ReplicaGroup>, SocketAddr)> {
-        let replica = |lag: &u64| FakeMember { lag_ms: (*lag).into(), ..FakeMember::default() };
-        let primary = FakeMember { primary: true.into(), ..FakeMember::default() };
-        let members: Vec<_> = std::iter::once(primary).chain(lags_ms.iter().map(replica)).collect();
-        let listeners: Vec<_> =
-            members.iter().map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
-        let addresses: Vec<_> = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
+        let replica = |lag: &u64| FakeMember {
+            lag_ms: (*lag).into(),
+            ..FakeMember::default()
+        };
+        let primary = FakeMember {
+            primary: true.into(),
+            ..FakeMember::default()
+        };
+        let members: Vec<_> = std::iter::once(primary)
+            .chain(lags_ms.iter().map(replica))
+            .collect();
+        let listeners: Vec<_> = members
+            .iter()
+            .map(|_| TcpListener::bind("127.0.0.1:0"))
+            .collect::<Result<_, _>>()?;
+        let addresses: Vec<_> = listeners
+            .iter()
+            .map(TcpListener::local_addr)
+            .collect::<Result<_, _>>()?;
         let lists = ListService::start(&addresses, doors)?;
         let (at, since) = (lists.door(0), Instant::now());
-        let store = Arc::new(ReplicaGroup { data: Mutex::default(), lists, since, members });
+        let store = Arc::new(ReplicaGroup {
+            data: Mutex::default(),
+            lists,
+            since,
+            members,
+        });
         for (n, listener) in listeners.into_iter().enumerate() {
             let store = store.clone();
             let hand: Box<dyn Fn(TcpStream) + Send> = match speaks {
@@ -213,7 +233,11 @@
                 }
             };
             std::thread::spawn(move || {
-                listener.incoming().flatten().filter(|s| store.members[n].takes(s)).for_each(hand);
+                listener
+                    .incoming()
+                    .flatten()
+                    .filter(|s| store.members[n].takes(s))
+                    .for_each(hand);
             });
         }
         Ok((store, at))
@@ -226,7 +250,11 @@
 
     /// The value of a key that the primary holds.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
-        lock(&self.data).log.get(key)?.last().map(|(_, value)| value.clone())
+        lock(&self.data)
+            .log
+            .get(key)?
+            .last()
+            .map(|(_, value)| value.clone())
     }
 
     /// The service that lists the members.
@@ -245,7 +273,10 @@
 
     /// What a member was asked to bear since then, its moments counted from the store's start.
     pub fn borne(&self, n: usize) -> ObservedLoad {
-        lock(&self.members[n].load).as_ref().map(Load::borne).unwrap_or_default()
+        lock(&self.members[n].load)
+            .as_ref()
+            .map(Load::borne)
+            .unwrap_or_default()
     }
 
     /// How long the store has been there.
@@ -343,11 +374,15 @@
             return Some((out, false));
         }
         (frame.kind == b'Q').then_some(())?;
-        let text = String::from_utf8_lossy(frame.body()).trim_end_matches('\0').to_owned();
+        let text = String::from_utf8_lossy(frame.body())
+            .trim_end_matches('\0')
+            .to_owned();
         let (mut wrote, mut at) = (false, None);
         match self.run(n, &text) {
             Done::Report(report) => write::row(&mut out, Some(report.as_bytes())),
-            Done::Nonsense => write::error(&mut out, false, "08P01", "no statement of a client", None),
+            Done::Nonsense => {
+                write::error(&mut out, false, "08P01", "no statement of a client", None)
+            }
             Done::NotHere(position) => {
                 write::error(&mut out, false, "25006", "a replica takes no writes", None);
                 at = Some(position);
@@ -358,7 +393,11 @@
             }
         }
         if let Some(at) = at {
-            let role = if self.members[n].leads() { "leader" } else { "follower" };
+            let role = if self.members[n].leads() {
+                "leader"
+            } else {
+                "follower"
+            };
             write::status(&mut out, "node_role", role);
             write::status(&mut out, "replay_position", &at.to_string());
         }
@@ -368,7 +407,11 @@
 
     /// Every commit up to this is seen there.
     fn position(&self, member: &FakeMember) -> u64 {
-        let lag = if member.leads() { 0 } else { member.lag_ms.load(Ordering::Relaxed) };
+        let lag = if member.leads() {
+            0
+        } else {
+            member.lag_ms.load(Ordering::Relaxed)
+        };
         unix_ms().saturating_sub(lag)
     }
 
@@ -383,7 +426,10 @@
         member.asked.fetch_add(1, Ordering::Relaxed);
         let mut query = Vec::new();
         write::query(&mut query, text);
-        let Ok(statement) = Statement::parse(Frame { kind: b'Q', bytes: query }) else {
+        let Ok(statement) = Statement::parse(Frame {
+            kind: b'Q',
+            bytes: query,
+        }) else {
             return Done::Nonsense;
         };
         let told = lock(&member.told).map(|at| at.elapsed());
@@ -395,20 +441,40 @@
                 return Done::NotHere(at);
             }
             *data.audit.writes.entry(statement.id.clone()).or_default() += 1;
-            let value = text.split("'\\x").nth(1).and_then(|rest| rest.split('\'').next());
+            let value = text
+                .split("'\\x")
+                .nth(1)
+                .and_then(|rest| rest.split('\'').next());
             let value = value.unwrap_or_default().as_bytes().to_vec();
             // Rounded up: a replica that has come this far has it.
             let commit = (unix_ms() + 1).max(data.last);
             data.last = commit;
-            data.log.entry(statement.key.clone()).or_default().push((commit, value.clone()));
+            data.log
+                .entry(statement.key.clone())
+                .or_default()
+                .push((commit, value.clone()));
             return Done::Value(value, commit);
         }
         let behind = unix_ms().saturating_sub(at) > BOUND_MS;
         data.audit.stale += u64::from(behind && statement.class == "look");
         data.audit.reads[usize::from(!member.leads())] += 1;
-        *data.audit.reads_by_id.entry(statement.id.clone()).or_default() += 1;
-        let at = if member.leads() { data.last.max(unix_ms()) } else { at };
-        let seen = data.log.get(&statement.key).into_iter().flatten().rev().find(|(commit, _)| *commit <= at);
+        *data
+            .audit
+            .reads_by_id
+            .entry(statement.id.clone())
+            .or_default() += 1;
+        let at = if member.leads() {
+            data.last.max(unix_ms())
+        } else {
+            at
+        };
+        let seen = data
+            .log
+            .get(&statement.key)
+            .into_iter()
+            .flatten()
+            .rev()
+            .find(|(commit, _)| *commit <= at);
         Done::Value(seen.map(|(_, value)| value.clone()).unwrap_or_default(), at)
     }
 }
@@ -416,7 +482,13 @@
 /// The member's line is full.
 fn turned_away() -> Vec<u8> {
     let mut out = Vec::new();
-    write::error(&mut out, false, "53300", "too many requests wait here", None);
+    write::error(
+        &mut out,
+        false,
+        "53300",
+        "too many requests wait here",
+        None,
+    );
     write::ready(&mut out);
     out
 }
@@ -430,13 +502,20 @@
         if left.is_zero() {
             return socket.set_read_timeout(None).is_ok();
         }
-        if socket.set_read_timeout(Some(left.min(Duration::from_secs(1)))).is_err() {
+        if socket
+            .set_read_timeout(Some(left.min(Duration::from_secs(1))))
+            .is_err()
+        {
             return false;
         }
         match socket.peek(&mut byte) {
             Ok(0) => return false,
             Ok(_) => std::thread::sleep(left.min(Duration::from_millis(2))),
-            Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {}
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                ) => {}
             Err(_) => return false,
         }
     }
--- a/crates/stackgw-testkit/src/slow_start_model.rs
+++ b/crates/stackgw-testkit/src/slow_start_model.rs
@@ -30,7 +30,9 @@
 impl SlowStartModel {
     /// Requests a second that a member of this age can do; `None`: it has been up for long.
     pub(crate) fn at(&self, age: Option<Duration>) -> f64 {
-        let age = age.map_or(1.0, |age| age.as_secs_f64() / self.warm_within.as_secs_f64());
+        let age = age.map_or(1.0, |age| {
+            age.as_secs_f64() / self.warm_within.as_secs_f64()
+        });
         self.per_second * (self.cold_share + (1.0 - self.cold_share) * age.min(1.0))
     }
 }
@@ -132,12 +134,19 @@
             return Took::Down;
         }
         let present = self.present(now);
-        while self.window.front().is_some_and(|(at, _)| *at + self.can.fall_within <= now) {
+        while self
+            .window
+            .front()
+            .is_some_and(|(at, _)| *at + self.can.fall_within <= now)
+        {
             self.within -= self.window.pop_front().map_or(0.0, |(_, work)| work);
         }
         self.window.push_back((now, work));
         self.within += work;
-        if self.started.is_some_and(|at| now < at + self.can.warm_within) {
+        if self
+            .started
+            .is_some_and(|at| now < at + self.can.warm_within)
+        {
             let bears = self.can.fall_multiple * present * self.can.fall_within.as_secs_f64();
             self.borne.worst = self.borne.worst.max(self.within / bears);
             if self.within > bears {
--- a/crates/stackgw-testkit/tests/unit/slow_start_model.rs
+++ b/crates/stackgw-testkit/tests/unit/slow_start_model.rs
@@ -31,5 +31,8 @@
     assert!(warm.borne().shed > 0);
     assert_eq!(cold.borne().fell, 1);
     assert!(cold.borne().worst > 1.0 && cold.request(at(300)) == Took::Down);
-    assert!(matches!(cold.handshake(at(900)), Took::Done(_)), "it is back");
+    assert!(
+        matches!(cold.handshake(at(900)), Took::Done(_)),
+        "it is back"
+    );
 }
