--- a/crates/stackgw-router/tests/digest/scenario.rs
+++ b/crates/stackgw-router/tests/digest/scenario.rs
@@ -117,7 +117,7 @@
         fleet_size,
         instance_index: random.below(fleet_size as usize) as u32,
         zone: 0,
-        tick: random.pick(&[0, MS, 5 * MS, 25 * MS]),
+        tick: random.pick(&[0, MS, 5 * MS, 25 * MS, 400 * MS]),
         polls_endpoint_list: random.chance(0.5),
         poll_grace: SECOND,
         lagging_reads: random.pick(&[
@@ -161,12 +161,14 @@
     let members_per_group = random.pick(&[1, 3, 4, 7]);
     let service_time = random.pick(&[2 * MS, 10 * MS, 40 * MS]);
     let load = random.pick(&[0.05, 0.4, 0.9, 1.8]);
-    let arrival_gap = service_time as f64 / (groups * members_per_group) as f64 / load;
+    let busy_gap = service_time as f64 / (groups * members_per_group) as f64 / load;
+    let is_sparse = random.chance(0.15);
+    let arrival_gap = if is_sparse { 2 * SECOND } else { busy_gap as Span };
     Pace {
         groups,
         members_per_group,
         service_time,
-        arrival_gap: arrival_gap as Span,
+        arrival_gap,
         fault_gap: random.pick(&[200 * MS, SECOND, 20 * SECOND]),
         list_gap: random.pick(&[300 * MS, 2 * SECOND, 20 * SECOND]),
         gossip_gap: random.pick(&[50 * MS, 400 * MS]),
--- a/crates/stackgw-router/tests/digest/simulation.rs
+++ b/crates/stackgw-router/tests/digest/simulation.rs
@@ -72,6 +72,8 @@
 struct OpenRequest {
     class: usize,
     deadline: Time,
+    /// Every member answers it with an error.
+    is_faulty: bool,
     attempts_sent: u32,
     open: Vec<OpenAttempt>,
     ended: bool,
@@ -250,7 +252,8 @@
             is_retry: self.random.chance(0.1),
             requires_strong_read: self.random.chance(0.03),
         };
-        let open = OpenRequest { class, deadline, ..OpenRequest::default() };
+        let is_faulty = self.random.chance(0.03);
+        let open = OpenRequest { class, deadline, is_faulty, ..OpenRequest::default() };
         self.requests.insert(id, open);
         if self.random.chance(0.03) {
             let after = self.random.between(0, deadline - self.now);
@@ -271,8 +274,11 @@
         let now = self.now;
         let Some(open) = self.requests.get_mut(&request) else { return };
         let (class, deadline, number) = (open.class, open.deadline, open.attempts_sent);
+        let is_faulty = open.is_faulty;
         open.attempts_sent += 1;
         let (outcome, took) = self.attempt_fate(class, member);
+        let answers = matches!(outcome, Outcome::Served);
+        let outcome = if answers && is_faulty { Outcome::Error } else { outcome };
         let late = now + took > deadline;
         let outcome = if late { Outcome::TimedOut } else { outcome };
         let after = if late { (deadline - now).max(0) } else { took };
