--- a/crates/stackgw-cluster/tests/fixtures.rs
+++ b/crates/stackgw-cluster/tests/fixtures.rs
@@ -2,7 +2,7 @@
 
 use stackgw_cluster::*;
 use stackgw_router::api::{Time, MS, SECOND};
-use stackgw_sessions::{Message, NodeId, Peer, StoreVersion};
+use stackgw_sessions::{LeaseRequest, Message, NodeId, Peer, StoreVersion};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -54,15 +54,15 @@
 }
 
 fn message() -> Message {
-    Message::Ask {
+    Message::LeaseRequest(LeaseRequest {
         nonce: 9,
-        roster: 300,
-        stamp: Some(StoreVersion {
+        replica_set: 300,
+        store_version: Some(StoreVersion {
             store_id: 70_000,
             records: 4,
             last_incarnation: u64::MAX,
         }),
-    }
+    })
 }
 
 /// Instances by number, and what is on its way between them.
--- a/crates/stackgw-sessions/benches/scale.rs
+++ b/crates/stackgw-sessions/benches/scale.rs
@@ -7,7 +7,7 @@
 use common::*;
 use rand::Rng;
 use stackgw_router::api::{MS, SECOND};
-use stackgw_sessions::{Marks, ReplicaSet, SessionKey};
+use stackgw_sessions::{ReplicaSet, SessionKey, SessionPositions};
 
 const FAIR: Weather = Weather {
     loss: 0.0,
@@ -83,7 +83,7 @@
         );
     }
     let before = resident();
-    let mut marks = Marks::new(1_000_000, 60 * SECOND);
+    let mut marks = SessionPositions::new(1_000_000, 60 * SECOND);
     for n in 0..1_000_000u64 {
         marks.add(
             n as i64,
--- a/crates/stackgw-sessions/src/keeper.rs
+++ b/crates/stackgw-sessions/src/keeper.rs
@@ -1,8 +1,10 @@
 //! An instance as a keeper: the marks that it holds for others, and from whom it would have heard.
 
-use crate::marks::Marks;
-use crate::roster::{NodeId, Peer, ReplicaSet};
-use crate::sessions::UncertaintyReason;
+use crate::identity::{NodeId, Peer};
+use crate::message::LeaseGrant;
+use crate::positions::SessionPositions;
+use crate::replica_set::ReplicaSet;
+use crate::uncertainty::UncertaintyReason;
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -39,7 +41,7 @@
 /// All of it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Keeper {
-    pub(crate) marks: Marks,
+    pub(crate) marks: SessionPositions,
     pub(crate) heard: BTreeMap<NodeId, Heard>,
     /// Everything of this instance's own since then is here.
     pub(crate) own_from: Time,
@@ -51,7 +53,7 @@
 }
 
 impl Keeper {
-    pub(crate) fn new(now: Time, marks: Marks) -> Self {
+    pub(crate) fn new(now: Time, marks: SessionPositions) -> Self {
         Keeper {
             marks,
             heard: BTreeMap::new(),
@@ -106,14 +108,13 @@
     }
 
     /// A pledge has come. It counts from when it was asked for, as its giver counts from later.
-    pub(crate) fn pledged(
-        &mut self,
-        now: Time,
-        from: Peer,
-        nonce: u64,
-        lease: Span,
-        (covers, unbroken_since): (Span, u64),
-    ) {
+    pub(crate) fn pledged(&mut self, now: Time, from: Peer, lease: Span, grant: &LeaseGrant) {
+        let LeaseGrant {
+            nonce,
+            complete_for: covers,
+            unbroken_since,
+            ..
+        } = *grant;
         let Some(heard) = self.heard.get_mut(&from.node) else {
             return;
         };
--- a/crates/stackgw-sessions/src/lib.rs
+++ b/crates/stackgw-sessions/src/lib.rs
@@ -10,21 +10,30 @@
 //! No I/O, no clock, no threads, no randomness: time, messages and the disk's word are handed in. `docs/design/sessions.md`
 //! says why it is built so and when it fails.
 
+mod identity;
 mod keeper;
-mod marks;
 mod message;
+mod output;
+mod positions;
 mod reader;
-mod roster;
+mod record;
+mod replica_set;
 mod sessions;
+mod settings;
 mod source;
+mod status;
+mod uncertainty;
 
-pub use marks::{Marks, RecordedPosition};
-pub use message::{Message, StoreVersion, Undecodable, MARKS_PER_MESSAGE, MOST_BYTES};
-pub use roster::{NodeId, Peer, ReplicaSet, SessionKey};
-pub use sessions::{
-    Counters, Output, PeerStatus, ReadRequirement, Record, Recovered, RequestNumber,
-    SessionInspection, Sessions, Settings, Status, StoreFailure, UncertaintyReason, WriteAdmission,
+pub use identity::{NodeId, Peer, RequestNumber, SessionKey, ANY_INCARNATION};
+pub use message::{
+    DecodeError, LeaseGrant, LeaseRequest, Message, PositionUpdate, MAX_MESSAGE_BYTES,
+    MAX_POSITIONS_PER_MESSAGE,
 };
-
-/// Where the position of a write is not known: later than any position, so that its session's reads must see every commit.
-pub const UNKNOWN_POSITION: stackgw_router::api::Time = stackgw_router::api::Time::MAX;
+pub use output::{Output, ReadRequirement, WriteAdmission};
+pub use positions::{RecordedPosition, SessionPositions, UNKNOWN_POSITION};
+pub use record::{Record, Recovered, StoreFailure, StoreVersion};
+pub use replica_set::ReplicaSet;
+pub use sessions::Sessions;
+pub use settings::Settings;
+pub use status::{Counters, PeerStatus, SessionInspection, Status};
+pub use uncertainty::UncertaintyReason;
--- a/crates/stackgw-sessions/src/message.rs
+++ b/crates/stackgw-sessions/src/message.rs
@@ -1,137 +1,179 @@
-//! What instances say to each other. Authenticity is the carrier's (`stackgw-cluster`): whatever arrives here was sealed
-//! with the shared key, and is believed only as far as its fields can be true.
+//! The messages between instances and their encoding.
+//!
+//! Authenticity is the concern of the carrier (`stackgw-cluster`): whatever arrives here was sealed
+//! with the cluster's key, and is believed only as far as its fields can be true.
+//!
+//! The encoding is postcard: the order of variants and of fields is part of the wire format.
 
-use crate::roster::{Peer, SessionKey};
+use crate::identity::{Peer, SessionKey};
+use crate::record::StoreVersion;
 use serde::{Deserialize, Serialize};
 use stackgw_router::api::{Span, Time};
 use std::fmt;
 
-/// A message is no longer than this once encoded, so that with its envelope it fits a datagram of 1,200 bytes.
-pub const MOST_BYTES: usize = 1_100;
-/// Marks that one message carries at most: each is up to 24 bytes.
-pub const MARKS_PER_MESSAGE: usize = 40;
+/// An encoded message is no longer than this, so that with its envelope it fits a datagram of 1,200
+/// bytes.
+pub const MAX_MESSAGE_BYTES: usize = 1_100;
+/// Positions that one message carries at most. Each takes up to 24 bytes.
+pub const MAX_POSITIONS_PER_MESSAGE: usize = 40;
 
-/// How far a disk has come. A disk that is put back from an old copy comes with fewer records than its instance had.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
-)]
-pub struct StoreVersion {
-    /// Which disk: another one for each that was begun anew.
-    pub store_id: u64,
-    /// Records on it since then.
-    pub records: u64,
-    /// The life before this one that wrote to it; 0: none.
-    pub last_incarnation: u64,
+/// The position of one write, as its writer sends it to an owner of the session.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct PositionUpdate {
+    /// The writer's sequence number for the write.
+    pub sequence: u64,
+    /// Whose write it is.
+    pub key: SessionKey,
+    /// The position of the write.
+    pub position: Time,
+}
+
+/// A replica's request for a lease.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct LeaseRequest {
+    /// Returned with the grant. The lease counts from when this was sent.
+    pub nonce: u64,
+    /// The digest of the requester's replica set.
+    pub replica_set: u64,
+    /// How far the requester's store has come, if it has one.
+    pub store_version: Option<StoreVersion>,
+}
+
+/// A writer's promise to an owner.
+///
+/// Until the lease ends, counted from the sending of the request, no response to a write of a
+/// session of that owner is sent without that owner's acknowledgement; and all whose responses were
+/// sent before are acknowledged, back to `complete_for` before this message.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct LeaseGrant {
+    /// The request's.
+    pub nonce: u64,
+    /// The digest of the writer's replica set, which is the requester's too.
+    pub replica_set: u64,
+    /// So far back no write is missing, in nanoseconds.
+    pub complete_for: Span,
+    /// All incarnations of the writer from this one on left no write that this one does not know
+    /// of.
+    pub unbroken_since: u64,
+    /// How far the writer's store has come, if it has one.
+    pub store_version: Option<StoreVersion>,
 }
 
 /// A message between two instances.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A keeper asks another one, as a source of writes, for its pledge.
-    Ask {
-        /// Comes back with the pledge, which counts from when this was sent.
+    /// A replica requests a lease of another one, as a writer.
+    LeaseRequest(LeaseRequest),
+    /// A writer grants an owner a lease.
+    LeaseGrant(LeaseGrant),
+    /// The receiver's store has come less far than it had before: it was restored from an old copy,
+    /// for instance.
+    StoreOutdated(StoreVersion),
+    /// The replica set of the receiver of a lease request is another one than the requester's: no
+    /// lease.
+    ReplicaSetMismatch {
+        /// The request's.
         nonce: u64,
-        /// The asker's roster.
-        roster: u64,
-        /// How far its disk has come, if it has one.
-        stamp: Option<StoreVersion>,
+        /// The digest of the replica set of the sender of this message.
+        replica_set: u64,
     },
-    /// A source's promise to a home: until the lease is over, counted from the sending of the question, no answer to a write
-    /// of a session of that home leaves without that home's acknowledgement; and all that have left before are
-    /// acknowledged, back to `covers` before this message.
-    Pledge {
-        /// The question's.
-        nonce: u64,
-        /// The source's roster, which is the asker's too.
-        roster: u64,
-        /// So far back nothing is missing, in nanoseconds.
-        covers: Span,
-        /// All incarnations of the source from this one on left nothing that this one does not know of.
-        unbroken_since: u64,
-        /// How far its disk has come, if it has one.
-        stamp: Option<StoreVersion>,
-    },
-    /// The other side's disk is older than what it has said of it before: a copy put back, say.
-    Stale(StoreVersion),
-    /// A keeper's roster is another one than the asker's: no pledge.
-    Differs {
-        /// The question's.
-        nonce: u64,
-        /// The answerer's roster.
-        roster: u64,
-    },
-    /// Marks for a home.
-    Marks(Vec<(u64, SessionKey, Time)>),
-    /// A home holds these marks, by the source's numbers.
-    Held(Vec<u64>),
-    /// A reader asks a home what a session must see.
+    /// Positions for an owner to record.
+    Replicate(Vec<PositionUpdate>),
+    /// An owner has recorded these positions, by the writer's sequence numbers.
+    Acknowledge(Vec<u64>),
+    /// A reader asks an owner which position a session has to see.
     PositionQuery {
-        /// Comes back with the answer.
+        /// Returned with the reply.
         nonce: u64,
-        /// Whose.
+        /// Whose session.
         key: SessionKey,
     },
-    /// A home that would have heard of every write that has left: this is all there is.
-    Sure {
-        /// The question's.
+    /// An owner that knows of every write whose response was sent: this is what the session has to
+    /// see.
+    PositionReply {
+        /// The query's.
         nonce: u64,
         /// The position to be seen, if there is one.
         position: Option<Time>,
     },
-    /// A home that may have missed one.
-    Unsure {
-        /// The question's.
+    /// An owner that may have missed a write.
+    PositionUncertain {
+        /// The query's.
         nonce: u64,
     },
-    /// A guest's write, which a keeper is to carry as its own.
-    Carry {
-        /// The guest's number for it.
-        ticket: u64,
-        /// Whose.
+    /// A write of an instance outside of the replica set, which a replica is to handle as its own.
+    ForwardWrite {
+        /// The forwarding instance's number for it.
+        number: u64,
+        /// Whose write it is.
         key: SessionKey,
-        /// Its position.
+        /// The position of the write.
         position: Time,
     },
-    /// The guest's answer may leave.
-    Carried {
-        /// The guest's number.
-        ticket: u64,
+    /// The response to the forwarded write may be sent.
+    ForwardedWriteReleased {
+        /// The forwarding instance's number for it.
+        number: u64,
     },
 }
 
-/// Bytes that are no message.
+/// Why bytes are not a message between instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Undecodable;
+pub enum DecodeError {
+    /// They are longer than [`MAX_MESSAGE_BYTES`].
+    TooLong,
+    /// They do not encode a message.
+    Malformed,
+    /// They go on after the message.
+    TrailingBytes,
+    /// The message lists more than [`MAX_POSITIONS_PER_MESSAGE`] positions or sequence numbers.
+    TooManyPositions,
+}
 
-impl fmt::Display for Undecodable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("these bytes are no message between instances")
+        f.write_str(match self {
+            Self::TooLong => "the message is too long",
+            Self::Malformed => "the bytes encode no message",
+            Self::TrailingBytes => "bytes follow the message",
+            Self::TooManyPositions => "the message lists too many positions",
+        })
     }
 }
 
-impl std::error::Error for Undecodable {}
+impl std::error::Error for DecodeError {}
 
 impl Message {
-    /// The bytes of a message to one life of an instance.
+    /// The bytes of a message to an incarnation of an instance.
     pub fn encode(&self, to: Peer) -> Vec<u8> {
         postcard::to_allocvec(&(to, self)).unwrap_or_default()
     }
 
-    /// Whom bytes are for, and what they say. All of them must belong to the message.
-    pub fn decode(bytes: &[u8]) -> Result<(Peer, Message), Undecodable> {
-        if bytes.len() > MOST_BYTES {
-            return Err(Undecodable);
+    /// Whom bytes are addressed to, and the message that they encode.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are not exactly one message within the limits, see [`DecodeError`].
+    pub fn decode(bytes: &[u8]) -> Result<(Peer, Message), DecodeError> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(DecodeError::TooLong);
+        }
+        let ((to, message), rest) = postcard::take_from_bytes::<(Peer, Message)>(bytes)
+            .map_err(|_| DecodeError::Malformed)?;
+        if !rest.is_empty() {
+            return Err(DecodeError::TrailingBytes);
         }
-        let (said, rest) =
-            postcard::take_from_bytes::<(Peer, Message)>(bytes).map_err(|_| Undecodable)?;
-        let long = match &said.1 {
-            Message::Marks(marks) => marks.len() > MARKS_PER_MESSAGE,
-            Message::Held(held) => held.len() > MARKS_PER_MESSAGE,
-            _ => false,
-        };
-        if !rest.is_empty() || long {
-            return Err(Undecodable);
+        if message.list_len() > MAX_POSITIONS_PER_MESSAGE {
+            return Err(DecodeError::TooManyPositions);
+        }
+        Ok((to, message))
+    }
+
+    fn list_len(&self) -> usize {
+        match self {
+            Message::Replicate(updates) => updates.len(),
+            Message::Acknowledge(sequences) => sequences.len(),
+            _ => 0,
         }
-        Ok(said)
     }
 }
--- a/crates/stackgw-sessions/src/reader.rs
+++ b/crates/stackgw-sessions/src/reader.rs
@@ -1,7 +1,6 @@
 //! An instance as a reader: what its session reads must see, asked of their homes.
 
-use crate::roster::{NodeId, SessionKey};
-use crate::sessions::RequestNumber;
+use crate::identity::{NodeId, RequestNumber, SessionKey};
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
--- /dev/null
+++ b/crates/stackgw-sessions/src/replica_set.rs
@@ -0,0 +1,83 @@
+//! The session replicas, and which of them own a session.
+
+use crate::identity::{NodeId, SessionKey};
+use stackgw_router::api::Span;
+use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
+
+/// The session replicas as the operator's file names them.
+///
+/// Leases are granted only between replicas whose sets have the same digest.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
+pub struct ReplicaSet {
+    /// Sorted, each once.
+    replicas: Vec<NodeId>,
+    owners_per_session: usize,
+    digest: u64,
+}
+
+impl ReplicaSet {
+    /// These replicas, of which `owners_per_session` own each session. `durations` are those that
+    /// all replicas must have in common.
+    pub fn new(
+        replicas: impl IntoIterator<Item = NodeId>,
+        owners_per_session: usize,
+        durations: &[Span],
+    ) -> Self {
+        let mut replicas: Vec<_> = replicas.into_iter().collect();
+        replicas.sort_unstable();
+        replicas.dedup();
+        let owners_per_session = owners_per_session.clamp(1, replicas.len().max(1));
+        let digest = digest(&replicas, owners_per_session, durations);
+        ReplicaSet {
+            replicas,
+            owners_per_session,
+            digest,
+        }
+    }
+
+    /// Differs between sets that differ in their replicas, owners for each session or durations.
+    pub fn digest(&self) -> u64 {
+        self.digest
+    }
+
+    /// All replicas, in the order of their ids.
+    pub fn replicas(&self) -> &[NodeId] {
+        &self.replicas
+    }
+
+    /// Whether this instance is a replica.
+    pub fn contains(&self, node: NodeId) -> bool {
+        self.replicas.binary_search(&node).is_ok()
+    }
+
+    /// The owners of a session, in the order in which they are to be queried.
+    ///
+    /// By rendezvous hashing: when a replica joins or leaves, only the sessions that it comes to
+    /// own or owned move.
+    pub fn owners(&self, key: SessionKey) -> impl Iterator<Item = NodeId> {
+        let score = |node: &NodeId| xxh3_64_with_seed(&key.0.to_le_bytes(), node.0);
+        let mut best: Vec<(u64, NodeId)> = Vec::with_capacity(self.owners_per_session + 1);
+        for node in &self.replicas {
+            let candidate = (score(node), *node);
+            let rank = best.partition_point(|better| *better > candidate);
+            if rank < self.owners_per_session {
+                best.insert(rank, candidate);
+                best.truncate(self.owners_per_session);
+            }
+        }
+        best.into_iter().map(|(_, node)| node)
+    }
+
+    /// Whether this replica is an owner of a session.
+    pub fn is_owner(&self, key: SessionKey, node: NodeId) -> bool {
+        self.owners(key).any(|owner| owner == node)
+    }
+}
+
+fn digest(replicas: &[NodeId], owners_per_session: usize, durations: &[Span]) -> u64 {
+    let nodes = replicas.iter().map(|node| node.0);
+    let durations = durations.iter().map(|duration| *duration as u64);
+    let numbers = nodes.chain([owners_per_session as u64]).chain(durations);
+    let bytes: Vec<u8> = numbers.flat_map(u64::to_le_bytes).collect();
+    xxh3_64(&bytes)
+}
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -1,18 +1,22 @@
 //! One instance's part in the promise: source, keeper and reader in one state machine.
 
+use crate::identity::{NodeId, Peer, RequestNumber, SessionKey};
 use crate::keeper::{Ack, Keeper, ALWAYS};
-use crate::marks::Marks;
-use crate::message::{Message, StoreVersion, MARKS_PER_MESSAGE};
+use crate::message::{
+    LeaseGrant, LeaseRequest, Message, PositionUpdate, MAX_POSITIONS_PER_MESSAGE,
+};
+use crate::output::{Output, ReadRequirement, WriteAdmission};
+use crate::positions::{SessionPositions, UNKNOWN_POSITION};
 use crate::reader::{Lookup, Reader};
-use crate::roster::{NodeId, Peer, ReplicaSet, SessionKey};
+use crate::record::{Record, StoreFailure, StoreVersion};
+use crate::replica_set::ReplicaSet;
+use crate::settings::Settings;
 use crate::source::{Gate, Own, Source};
-use crate::UNKNOWN_POSITION;
+use crate::status::{PeerStatus, SessionInspection, Status, UncomparedCounters};
+use crate::uncertainty::UncertaintyReason;
 use stackgw_router::api::{Span, Time};
 use std::collections::BTreeMap;
 
-/// A write's answer or a read that waits, by the host's number.
-pub type RequestNumber = u64;
-
 /// Questions for pledges go out so many times in a lease.
 const ASKS_PER_LEASE: Span = 4;
 /// Batches of marks sent at once to a keeper that has to catch up.
@@ -20,307 +24,6 @@
 /// Tries of a guest at one keeper before it turns to the next.
 const CARRY_TRIES: u32 = 3;
 
-/// What an instance is told at start.
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Settings {
-    /// Itself, in this life. A later life has a higher incarnation.
-    pub local: Peer,
-    /// The keepers' names, hashed; one that is not among them is a guest.
-    pub replicas: Vec<NodeId>,
-    /// So many keepers hold each session's marks.
-    pub owners_per_session: usize,
-    /// How long a pledge binds. A write waits this long at most for a keeper that is not there.
-    pub lease: Span,
-    /// After this long every replica holds a write.
-    pub retention: Span,
-    /// A message without an answer is sent again after this.
-    pub resend_interval: Span,
-    /// How long a home's word is waited for.
-    pub lookup_timeout: Span,
-    /// Marks that a keeper holds at most.
-    pub max_positions: usize,
-    /// Own marks that are kept for keepers that lose theirs.
-    pub max_local_writes: usize,
-    /// Writes that wait, and reads that wait, at most.
-    pub max_pending: usize,
-    /// There is a disk; what it had.
-    pub recovered: Option<Recovered>,
-}
-
-impl Settings {
-    fn replica_set(&self) -> ReplicaSet {
-        ReplicaSet::new(
-            self.replicas.iter().copied(),
-            self.owners_per_session,
-            &[self.lease, self.retention],
-        )
-    }
-
-    fn bound(&self) -> Span {
-        self.lease + self.lease / 8
-    }
-}
-
-/// What the disk had at start. All empty for a new one.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub struct Recovered {
-    /// The incarnations from this one on wrote to this disk without a break; this life's for a new one.
-    pub unbroken_since: u64,
-    /// How far it has come.
-    pub store_version: StoreVersion,
-    /// How far others' disks had come, and in which of their lives.
-    pub peer_stores: Vec<(Peer, StoreVersion)>,
-    /// The last roster that was recorded.
-    pub replica_set: Option<u64>,
-    /// Marks held for others.
-    pub positions: Vec<(SessionKey, Time)>,
-    /// Own marks that some home had not acknowledged.
-    pub unacknowledged: Vec<(SessionKey, Time)>,
-    /// Under that roster: sources of which nothing was missing, itself perhaps among them.
-    pub complete_peers: Vec<Peer>,
-}
-
-impl Recovered {
-    /// What was recorded before this, and this.
-    pub fn apply(&mut self, record: Record) {
-        match record {
-            Record::ReplicaSet(digest) if self.replica_set != Some(digest) => {
-                (self.replica_set, self.complete_peers) = (Some(digest), Vec::new());
-            }
-            Record::ReplicaSet(_) => {}
-            Record::Position(key, position) => self.positions.push((key, position)),
-            Record::Unacknowledged(key, position) => self.unacknowledged.push((key, position)),
-            Record::PeerStore(peer, stamp) => {
-                self.peer_stores
-                    .retain(|(known, _)| known.node != peer.node);
-                self.peer_stores.push((peer, stamp));
-            }
-            Record::Invalidated(stamp, unbroken_since) => {
-                // The life that wrote to it last stays the same one.
-                self.store_version = StoreVersion {
-                    last_incarnation: self.store_version.last_incarnation,
-                    ..stamp
-                };
-                (self.unbroken_since, self.complete_peers) = (unbroken_since, Vec::new());
-                return;
-            }
-            Record::CompletePeer(peer) => {
-                self.complete_peers.retain(|known| known.node != peer.node);
-                self.complete_peers.push(peer);
-            }
-        }
-        self.store_version.records = self.store_version.records.saturating_add(1);
-    }
-}
-
-/// What is to be kept on the disk. The host numbers records from 1 in the order in which they are asked for.
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Record {
-    /// The roster from now on; what was recorded of sources under another one is void.
-    ReplicaSet(u64),
-    /// A mark held for others, or for itself as a home.
-    Position(SessionKey, Time),
-    /// An own mark that some home has not acknowledged.
-    Unacknowledged(SessionKey, Time),
-    /// Nothing is missing of this source.
-    CompletePeer(Peer),
-    /// So far another one's disk has come.
-    PeerStore(Peer, StoreVersion),
-    /// The disk begins anew from here, as it turned out to be an old copy: no records, this stamp, unbroken since this
-    /// incarnation.
-    Invalidated(StoreVersion, u64),
-}
-
-/// Why a read must see every commit.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum UncertaintyReason {
-    /// This keeper has not pledged: it is down, cut off or slow.
-    NoLease(NodeId),
-    /// This keeper has another list of keepers, or other times.
-    ReplicaSetMismatch(NodeId),
-    /// This keeper pledges, but writes of less than a horizon ago may be missing.
-    IncompleteHistory(NodeId),
-    /// This instance started less than a horizon ago, without what it held before.
-    RecentlyStarted,
-    /// Its disk failed.
-    StoreFailed,
-    /// No home gave its word in time.
-    OwnersUnresponsive,
-    /// The homes that answered are not sure themselves.
-    OwnersUncertain,
-    /// The session has written, but the write's position is not known.
-    UnknownPosition,
-    /// Too many reads wait.
-    TooManyReads,
-}
-
-impl UncertaintyReason {
-    /// It in words, with the names that the host has for keepers.
-    pub fn describe(&self, name: impl Fn(&NodeId) -> String) -> String {
-        match self {
-            UncertaintyReason::NoLease(node) => format!("no pledge from {}", name(node)),
-            UncertaintyReason::ReplicaSetMismatch(node) => {
-                format!("{} has other keepers or times in its file", name(node))
-            }
-            UncertaintyReason::IncompleteHistory(node) => {
-                format!("less than a horizon known of {}", name(node))
-            }
-            UncertaintyReason::RecentlyStarted => {
-                "started less than a horizon ago without what it held".to_owned()
-            }
-            UncertaintyReason::StoreFailed => "the disk failed".to_owned(),
-            UncertaintyReason::OwnersUnresponsive => "no home answered in time".to_owned(),
-            UncertaintyReason::OwnersUncertain => "the homes are not sure".to_owned(),
-            UncertaintyReason::UnknownPosition => {
-                "the session's write has no known position".to_owned()
-            }
-            UncertaintyReason::TooManyReads => "too many reads wait for their homes".to_owned(),
-        }
-    }
-}
-
-/// What a session read must see.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum ReadRequirement {
-    /// This position, or nothing in particular: the session has not written within the horizon.
-    Position(Option<Time>),
-    /// Every commit made before the read came in.
-    Strong(UncertaintyReason),
-}
-
-/// Whether a write that a member served may wait for its release.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum WriteAdmission {
-    /// [`Output::Release`] follows once the response may be sent.
-    Accepted,
-    /// Too many writes are pending: the response must not be sent.
-    Rejected,
-}
-
-/// What became of the file of a store that accepts no more records.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum StoreFailure {
-    /// It was moved away: no later incarnation reads it.
-    SetAside,
-    /// It could not be moved: a later incarnation would take it for complete.
-    LeftInPlace,
-}
-
-/// What this instance by itself knows of a session.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct SessionInspection {
-    /// The recorded position, if there is one.
-    pub position: Option<crate::marks::RecordedPosition>,
-    /// Whether every write whose response was sent is known here, else why not.
-    pub certainty: Result<(), UncertaintyReason>,
-}
-
-/// What is to be done outside.
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Output {
-    /// Send a message; an incarnation of 0 means whichever life is there.
-    Send(Peer, Message),
-    /// The answer of this write may leave.
-    Release(RequestNumber),
-    /// What this read must see.
-    ReadRequirement(RequestNumber, ReadRequirement),
-    /// Keep this on the disk, and say when it is there.
-    Store(Record),
-}
-
-/// What was done, and what stood in the way.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub struct Counters {
-    /// Reads answered for sure, by this instance's own marks or another's.
-    pub answered_locally: u64,
-    /// Reads answered for sure by another home.
-    pub answered_by_owner: u64,
-    /// Reads that must see every commit.
-    pub strong_reads: u64,
-    /// Writes let out.
-    pub writes_released: u64,
-    /// Writes let out though a home had not acknowledged them, as its pledge was over.
-    pub released_unacknowledged: u64,
-    /// Messages that were for another life, from an earlier one, or told something that cannot be.
-    pub messages_ignored: u64,
-    /// Messages sent.
-    pub messages_sent: u64,
-    /// Own marks dropped for room.
-    pub local_writes_evicted: u64,
-    /// Writes and reads turned away for room.
-    pub rejected: u64,
-    /// Times that the disk turned out to be an old copy.
-    pub outdated_stores: u64,
-}
-
-/// Another keeper, as this instance sees it.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerStatus {
-    /// Which.
-    pub node: NodeId,
-    /// The life last heard; 0: never heard.
-    pub incarnation: u64,
-    /// How long its pledge still holds, where this instance is a keeper.
-    pub lease_held_for: Span,
-    /// How long a pledge to it still binds.
-    pub lease_granted_for: Span,
-    /// Marks that it has not acknowledged.
-    pub unacknowledged: usize,
-}
-
-/// What an instance can tell of itself.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Status {
-    /// Itself.
-    pub local: Peer,
-    /// It is a keeper; else a guest.
-    pub is_replica: bool,
-    /// Why it is not sure, if it is not; a guest never is by itself.
-    pub uncertainty: Option<UncertaintyReason>,
-    /// The other keepers.
-    pub peers: Vec<PeerStatus>,
-    /// Marks held.
-    pub positions: usize,
-    /// Marks pushed out since the start.
-    pub evicted: u64,
-    /// Own marks kept.
-    pub local_writes: usize,
-    /// Writes that wait.
-    pub pending: usize,
-    /// What was done.
-    pub counters: Counters,
-}
-
-/// Counters tell nothing of what an instance will do: two that differ in them alone are the same to a model checker.
-#[derive(Debug, Clone, Copy, Default)]
-struct Counted(Counters);
-
-impl PartialEq for Counted {
-    fn eq(&self, _: &Self) -> bool {
-        true
-    }
-}
-
-impl Eq for Counted {}
-
-impl std::hash::Hash for Counted {
-    fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
-}
-
-impl std::ops::Deref for Counted {
-    type Target = Counters;
-
-    fn deref(&self) -> &Counters {
-        &self.0
-    }
-}
-
-impl std::ops::DerefMut for Counted {
-    fn deref_mut(&mut self) -> &mut Counters {
-        &mut self.0
-    }
-}
-
 /// A write that a guest hands to a keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Errand {
@@ -355,7 +58,7 @@
     stamps: BTreeMap<NodeId, (Peer, Option<StoreVersion>)>,
     stamps_at: Time,
     tick_at: Time,
-    counts: Counted,
+    counts: UncomparedCounters,
 }
 
 impl Sessions {
@@ -363,7 +66,7 @@
     pub fn new(now: Time, mut set: Settings, out: &mut Vec<Output>) -> Self {
         let roster = set.replica_set();
         let me = set.local.node;
-        let mut keeper = Keeper::new(now, Marks::new(set.max_positions, set.retention));
+        let mut keeper = Keeper::new(now, SessionPositions::new(set.max_positions, set.retention));
         let disk = set
             .recovered
             .as_ref()
@@ -375,7 +78,7 @@
         } else {
             set.local.incarnation
         };
-        let mut source = Source::new(now, unbroken, now + set.bound());
+        let mut source = Source::new(now, unbroken, now + set.earlier_lease_bound());
         let same = recovered.replica_set == Some(roster.digest());
         // A guest pledges nothing, so no earlier life of it binds this one. Where the disk shows the same roster, the homes
         // are those that an earlier life pledged to, and their links are bound; else nobody knows whom it pledged to.
@@ -416,7 +119,7 @@
                 .collect(),
             stamps_at: now,
             tick_at: now,
-            counts: Counted::default(),
+            counts: UncomparedCounters::default(),
             set,
         };
         for (key, position) in recovered.unacknowledged {
@@ -598,33 +301,32 @@
             return;
         }
         match message {
-            Message::Ask { stamp, .. } | Message::Pledge { stamp, .. }
-                if self.is_old(from, stamp) =>
-            {
-                self.send(from, Message::Stale(stamp.unwrap_or_default()), out);
-            }
-            Message::Stale(stamp) => self.void(now, stamp, out),
-            Message::Ask { nonce, roster, .. } => self.asked(now, from, nonce, roster, out),
-            Message::Pledge {
-                nonce,
-                roster,
-                covers,
-                unbroken_since,
+            Message::LeaseRequest(LeaseRequest {
+                store_version: stamp,
                 ..
-            } => {
-                if roster == self.roster.digest() {
-                    let set = &self.set;
-                    self.keeper
-                        .pledged(now, from, nonce, set.lease, (covers, unbroken_since));
+            })
+            | Message::LeaseGrant(LeaseGrant {
+                store_version: stamp,
+                ..
+            }) if self.is_old(from, stamp) => {
+                self.send(from, Message::StoreOutdated(stamp.unwrap_or_default()), out);
+            }
+            Message::StoreOutdated(stamp) => self.void(now, stamp, out),
+            Message::LeaseRequest(request) => {
+                self.asked(now, from, request.nonce, request.replica_set, out);
+            }
+            Message::LeaseGrant(grant) => {
+                if grant.replica_set == self.roster.digest() {
+                    self.keeper.pledged(now, from, self.set.lease, &grant);
                 }
             }
-            Message::Differs { .. } => {
+            Message::ReplicaSetMismatch { .. } => {
                 if let Some(heard) = self.keeper.heard.get_mut(&from.node) {
                     heard.differs = true;
                 }
             }
-            Message::Marks(marks) => self.marks(now, from, marks, out),
-            Message::Held(seqs) => {
+            Message::Replicate(marks) => self.marks(now, from, marks, out),
+            Message::Acknowledge(seqs) => {
                 self.source.held(from.node, &seqs);
                 self.catch_up(from.node, 1, out);
                 for seq in seqs {
@@ -641,19 +343,19 @@
                     Err(UncertaintyReason::OwnersUncertain)
                 };
                 let word = match known {
-                    Ok(position) => Message::Sure { nonce, position },
-                    Err(_) => Message::Unsure { nonce },
+                    Ok(position) => Message::PositionReply { nonce, position },
+                    Err(_) => Message::PositionUncertain { nonce },
                 };
                 self.send(from, word, out);
             }
-            Message::Sure { nonce, position } => {
+            Message::PositionReply { nonce, position } => {
                 if let Some(lookup) = self.reader.answered(nonce, from.node) {
                     self.counts.answered_by_owner += 1;
                     self.reader.forgive(from.node);
                     self.need(lookup.ticket, position, out);
                 }
             }
-            Message::Unsure { nonce } => {
+            Message::PositionUncertain { nonce } => {
                 if let Some(lookup) = self.reader.answered(nonce, from.node) {
                     self.reader.shun(now, from.node, self.set.resend_interval);
                     self.look(
@@ -666,12 +368,12 @@
                     );
                 }
             }
-            Message::Carry {
-                ticket,
+            Message::ForwardWrite {
+                number: ticket,
                 key,
                 position,
             } => self.carry(now, from, ticket, key, position, out),
-            Message::Carried { ticket } => {
+            Message::ForwardedWriteReleased { number: ticket } => {
                 if let Some(errand) = self.errands.remove(&ticket) {
                     self.counts.writes_released += 1;
                     out.push(Output::Release(errand.ticket));
@@ -688,7 +390,7 @@
             .acks
             .pop_front_if(|ack| ack.record <= self.stored)
         {
-            self.send(ack.to, Message::Held(ack.seqs), out);
+            self.send(ack.to, Message::Acknowledge(ack.seqs), out);
         }
         self.release(now, out);
     }
@@ -713,7 +415,7 @@
             own.record = None;
         }
         for ack in std::mem::take(&mut self.keeper.acks) {
-            self.send(ack.to, Message::Held(ack.seqs), out);
+            self.send(ack.to, Message::Acknowledge(ack.seqs), out);
         }
         self.release(now, out);
     }
@@ -801,7 +503,7 @@
             uncertainty: self.keeper.sure(now, self.set.retention).err(),
             peers: others.collect(),
             positions: self.keeper.marks.len(),
-            evicted: self.keeper.marks.pushed_out(),
+            evicted: self.keeper.marks.evicted(),
             local_writes: self.source.own.len(),
             pending: self.source.waiting.len() + self.errands.len(),
             counters: *self.counts,
@@ -826,13 +528,10 @@
     }
 
     fn peer(&self, node: NodeId) -> Peer {
-        self.source.links.get(&node).map_or(
-            Peer {
-                node,
-                incarnation: 0,
-            },
-            |link| link.peer,
-        )
+        self.source
+            .links
+            .get(&node)
+            .map_or(Peer::any_incarnation(node), |link| link.peer)
     }
 
     // The source.
@@ -872,12 +571,7 @@
 
     /// Sends its homes a mark that an answer waits for.
     fn tell(&mut self, seq: u64, out: &mut Vec<Output>) {
-        let Some(mark) = self
-            .source
-            .own
-            .get(&seq)
-            .map(|own| (seq, own.key, own.position))
-        else {
+        let Some(mark) = self.source.own.get(&seq).map(|own| own.update(seq)) else {
             return;
         };
         let owing = self
@@ -886,7 +580,7 @@
             .values()
             .filter(|link| link.owes.contains(&seq));
         for peer in owing.map(|link| link.peer).collect::<Vec<_>>() {
-            self.send(peer, Message::Marks(vec![mark]), out);
+            self.send(peer, Message::Replicate(vec![mark]), out);
         }
     }
 
@@ -902,9 +596,11 @@
             .map(|link| link.peer)
             .collect::<Vec<_>>()
         {
-            let marks = self.source.urgent(peer.node, since, MARKS_PER_MESSAGE);
+            let marks = self
+                .source
+                .urgent(peer.node, since, MAX_POSITIONS_PER_MESSAGE);
             if !marks.is_empty() {
-                self.send(peer, Message::Marks(marks), out);
+                self.send(peer, Message::Replicate(marks), out);
             }
         }
         for seq in &self.source.waiting {
@@ -940,7 +636,11 @@
                 match self.carries.remove(&seq) {
                     Some((guest, ticket)) => {
                         self.carried.remove(&(guest, ticket));
-                        self.send(guest, Message::Carried { ticket }, out);
+                        self.send(
+                            guest,
+                            Message::ForwardedWriteReleased { number: ticket },
+                            out,
+                        );
                     }
                     None => out.push(Output::Release(ticket)),
                 }
@@ -965,7 +665,12 @@
         if !self.roster.contains(from.node) || !self.is_replica() || roster != self.roster.digest()
         {
             let roster = self.roster.digest();
-            return self.send(from, Message::Differs { nonce, roster }, out);
+            let replica_set = roster;
+            return self.send(
+                from,
+                Message::ReplicaSetMismatch { nonce, replica_set },
+                out,
+            );
         }
         if let Some(link) = self.source.links.get_mut(&from.node) {
             link.sent = 0;
@@ -983,24 +688,24 @@
         let stamp = self.stamp();
         self.send(
             from,
-            Message::Pledge {
+            Message::LeaseGrant(LeaseGrant {
                 nonce,
-                roster,
-                covers,
+                replica_set: roster,
+                complete_for: covers,
                 unbroken_since,
-                stamp,
-            },
+                store_version: stamp,
+            }),
             out,
         );
     }
 
     fn catch_up(&mut self, node: NodeId, batches: usize, out: &mut Vec<Output>) {
         for _ in 0..batches {
-            let marks = self.source.next_owed(node, MARKS_PER_MESSAGE);
+            let marks = self.source.next_owed(node, MAX_POSITIONS_PER_MESSAGE);
             if marks.is_empty() {
                 return;
             }
-            self.send(self.peer(node), Message::Marks(marks), out);
+            self.send(self.peer(node), Message::Replicate(marks), out);
         }
     }
 
@@ -1014,20 +719,13 @@
         for node in self.keeper.heard.keys().copied().collect::<Vec<_>>() {
             self.nonce += 1;
             self.keeper.asked(now, node, self.nonce);
-            let ask = Message::Ask {
+            let ask = Message::LeaseRequest(LeaseRequest {
                 nonce: self.nonce,
-                roster: self.roster.digest(),
-                stamp: self.stamp(),
-            };
+                replica_set: self.roster.digest(),
+                store_version: self.stamp(),
+            });
             // Whichever life is there: a new one is met by this.
-            self.send(
-                Peer {
-                    node,
-                    incarnation: 0,
-                },
-                ask,
-                out,
-            );
+            self.send(Peer::any_incarnation(node), ask, out);
         }
     }
 
@@ -1119,19 +817,13 @@
         self.voided = self.store(Record::Invalidated(begun, self.source.unbroken_since), out);
     }
 
-    fn marks(
-        &mut self,
-        now: Time,
-        from: Peer,
-        marks: Vec<(u64, SessionKey, Time)>,
-        out: &mut Vec<Output>,
-    ) {
+    fn marks(&mut self, now: Time, from: Peer, marks: Vec<PositionUpdate>, out: &mut Vec<Output>) {
         if self.keeper.broken {
             return;
         }
-        let seqs = marks.iter().map(|(seq, ..)| *seq).collect();
+        let seqs = marks.iter().map(|mark| mark.sequence).collect();
         let mut record = None;
-        for (_, key, position) in marks {
+        for PositionUpdate { key, position, .. } in marks {
             self.keeper.marks.add(now, key, position);
             if self.disk.is_some() {
                 record = Some(self.store(Record::Position(key, position), out));
@@ -1147,7 +839,7 @@
                 });
             }
             Some(_) => self.counts.rejected += 1,
-            None => self.send(from, Message::Held(seqs), out),
+            None => self.send(from, Message::Acknowledge(seqs), out),
         }
     }
 
@@ -1186,14 +878,7 @@
             nonce: self.nonce,
             key,
         };
-        self.send(
-            Peer {
-                node: asked,
-                incarnation: 0,
-            },
-            look,
-            out,
-        );
+        self.send(Peer::any_incarnation(asked), look, out);
     }
 
     fn need(&mut self, ticket: RequestNumber, position: Option<Time>, out: &mut Vec<Output>) {
@@ -1227,20 +912,13 @@
         let turn =
             (errand.key.0 as usize).wrapping_add((errand.tries / CARRY_TRIES) as usize) % keepers;
         errand.tries += 1;
-        let carry = Message::Carry {
-            ticket: nonce,
+        let carry = Message::ForwardWrite {
+            number: nonce,
             key: errand.key,
             position: errand.position,
         };
         let node = self.roster.replicas()[turn];
-        self.send(
-            Peer {
-                node,
-                incarnation: 0,
-            },
-            carry,
-            out,
-        );
+        self.send(Peer::any_incarnation(node), carry, out);
     }
 
     /// A keeper makes a guest's write its own.
--- a/crates/stackgw-sessions/src/source.rs
+++ b/crates/stackgw-sessions/src/source.rs
@@ -1,7 +1,8 @@
 //! An instance as a source of writes: its own marks, to whom they are owed, and what it has pledged.
 
-use crate::roster::{NodeId, Peer, ReplicaSet, SessionKey};
-use crate::sessions::RequestNumber;
+use crate::identity::{NodeId, Peer, RequestNumber, SessionKey};
+use crate::message::PositionUpdate;
+use crate::replica_set::ReplicaSet;
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -24,6 +25,16 @@
     pub(crate) owed: bool,
 }
 
+impl Own {
+    pub(crate) fn update(&self, sequence: u64) -> PositionUpdate {
+        PositionUpdate {
+            sequence,
+            key: self.key,
+            position: self.position,
+        }
+    }
+}
+
 /// What this instance owes one keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Link {
@@ -248,7 +259,7 @@
     }
 
     /// The next marks for a keeper among those whose answers have left.
-    pub(crate) fn next_owed(&mut self, node: NodeId, most: usize) -> Vec<(u64, SessionKey, Time)> {
+    pub(crate) fn next_owed(&mut self, node: NodeId, most: usize) -> Vec<PositionUpdate> {
         let Some(link) = self.links.get_mut(&node) else {
             return Vec::new();
         };
@@ -256,29 +267,21 @@
             .owes
             .range(link.sent.saturating_add(1)..)
             .filter(|seq| !self.waiting.contains(seq));
-        let marks =
-            left.filter_map(|seq| self.own.get(seq).map(|own| (*seq, own.key, own.position)));
+        let marks = left.filter_map(|seq| self.own.get(seq).map(|own| own.update(*seq)));
         let marks: Vec<_> = marks.take(most).collect();
-        link.sent = marks.last().map_or(link.sent, |(seq, ..)| *seq);
+        link.sent = marks.last().map_or(link.sent, |mark| mark.sequence);
         marks
     }
 
     /// The marks that a keeper owes an acknowledgement for before some answer may leave. Danger: what is owed to a keeper that
     /// has long been gone may be far more than what waits.
-    pub(crate) fn urgent(
-        &self,
-        node: NodeId,
-        since: Time,
-        most: usize,
-    ) -> Vec<(u64, SessionKey, Time)> {
+    pub(crate) fn urgent(&self, node: NodeId, since: Time, most: usize) -> Vec<PositionUpdate> {
         let Some(link) = self.links.get(&node) else {
             return Vec::new();
         };
         let owed = self.waiting.iter().filter(|seq| link.owes.contains(seq));
         let own = owed.filter_map(|seq| self.own.get(seq).map(|own| (*seq, own)));
         let due = own.filter(|(_, own)| own.told <= since);
-        due.map(|(seq, own)| (seq, own.key, own.position))
-            .take(most)
-            .collect()
+        due.map(|(seq, own)| own.update(seq)).take(most).collect()
     }
 }
--- /dev/null
+++ b/crates/stackgw-sessions/src/uncertainty.rs
@@ -0,0 +1,49 @@
+//! Why an instance cannot know which position a session has to see.
+
+use crate::identity::NodeId;
+
+/// Why a read must see every commit.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub enum UncertaintyReason {
+    /// This replica has not granted a lease: it is down, partitioned or slow.
+    NoLease(NodeId),
+    /// This replica has another replica set in its file, or other durations.
+    ReplicaSetMismatch(NodeId),
+    /// This replica grants leases, but writes that are younger than the retention may be missing.
+    IncompleteHistory(NodeId),
+    /// This instance started more recently than the retention, without the positions that it had
+    /// recorded before.
+    RecentlyStarted,
+    /// Its store failed.
+    StoreFailed,
+    /// No owner replied in time.
+    OwnersUnresponsive,
+    /// The owners that replied are not certain themselves.
+    OwnersUncertain,
+    /// The session has written, but the position of the write is not known.
+    UnknownPosition,
+    /// Too many reads are pending.
+    TooManyReads,
+}
+
+impl UncertaintyReason {
+    /// The reason in words for operators, with the names that the host has for replicas. These
+    /// texts are part of the log, of the control socket and of `docs/operate/sessions.md`.
+    pub fn describe(&self, name: impl Fn(&NodeId) -> String) -> String {
+        match self {
+            Self::NoLease(node) => format!("no pledge from {}", name(node)),
+            Self::ReplicaSetMismatch(node) => {
+                format!("{} has other keepers or times in its file", name(node))
+            }
+            Self::IncompleteHistory(node) => format!("less than a horizon known of {}", name(node)),
+            Self::RecentlyStarted => {
+                "started less than a horizon ago without what it held".to_owned()
+            }
+            Self::StoreFailed => "the disk failed".to_owned(),
+            Self::OwnersUnresponsive => "no home answered in time".to_owned(),
+            Self::OwnersUncertain => "the homes are not sure".to_owned(),
+            Self::UnknownPosition => "the session's write has no known position".to_owned(),
+            Self::TooManyReads => "too many reads wait for their homes".to_owned(),
+        }
+    }
+}
--- a/crates/stackgw-sessions/tests/common/mod.rs
+++ b/crates/stackgw-sessions/tests/common/mod.rs
@@ -260,7 +260,7 @@
                     };
                     let bytes = message.encode(to);
                     assert!(
-                        bytes.len() <= MOST_BYTES,
+                        bytes.len() <= MAX_MESSAGE_BYTES,
                         "{} bytes: {message:?}",
                         bytes.len()
                     );
--- a/crates/stackgw-sessions/tests/digest.rs
+++ b/crates/stackgw-sessions/tests/digest.rs
@@ -127,7 +127,7 @@
                 self.number(1);
                 let bytes = message.encode(*to);
                 // Behind the destination stands which message it is.
-                let kind = Message::Unsure { nonce: 0 }.encode(*to).len() - 2;
+                let kind = Message::PositionUncertain { nonce: 0 }.encode(*to).len() - 2;
                 self.messages.insert(bytes[kind]);
                 bytes.into_iter().for_each(|byte| self.byte(byte));
             }
@@ -402,34 +402,48 @@
         };
         let stamp = self.wild_stamp();
         let message = match self.below(11) {
-            0 => Message::Ask {
+            0 => Message::LeaseRequest(LeaseRequest {
                 nonce,
-                roster,
-                stamp,
-            },
-            1 => Message::Pledge {
+                replica_set: roster,
+                store_version: stamp,
+            }),
+            1 => Message::LeaseGrant(LeaseGrant {
                 nonce,
-                roster,
-                covers: position,
+                replica_set: roster,
+                complete_for: position,
                 unbroken_since: number,
-                stamp,
+                store_version: stamp,
+            }),
+            2 => Message::StoreOutdated(stamp.unwrap_or_default()),
+            3 => Message::ReplicaSetMismatch {
+                nonce,
+                replica_set: roster,
             },
-            2 => Message::Stale(stamp.unwrap_or_default()),
-            3 => Message::Differs { nonce, roster },
-            4 => Message::Marks(vec![(nonce, key, position), (number, key, position)]),
-            5 => Message::Held(vec![nonce, number]),
+            4 => Message::Replicate(vec![
+                PositionUpdate {
+                    sequence: nonce,
+                    key,
+                    position,
+                },
+                PositionUpdate {
+                    sequence: number,
+                    key,
+                    position,
+                },
+            ]),
+            5 => Message::Acknowledge(vec![nonce, number]),
             6 => Message::PositionQuery { nonce, key },
-            7 => Message::Sure {
+            7 => Message::PositionReply {
                 nonce,
                 position: (number % 2 == 0).then_some(position),
             },
-            8 => Message::Unsure { nonce },
-            9 => Message::Carry {
-                ticket: nonce,
+            8 => Message::PositionUncertain { nonce },
+            9 => Message::ForwardWrite {
+                number: nonce,
                 key,
                 position,
             },
-            _ => Message::Carried { ticket: nonce },
+            _ => Message::ForwardedWriteReleased { number: nonce },
         };
         let other = self.instance();
         let incarnation = self.world.instances[other].incarnation + self.below(40) / 39;
--- a/crates/stackgw-sessions/tests/histories.rs
+++ b/crates/stackgw-sessions/tests/histories.rs
@@ -451,7 +451,7 @@
                 incarnation,
             };
             world.with(3, |s, now, out| {
-                s.handle_message(now, from, to, Message::Unsure { nonce }, out)
+                s.handle_message(now, from, to, Message::PositionUncertain { nonce }, out)
             });
         }
     }
--- a/crates/stackgw-sessions/tests/marks.rs
+++ b/crates/stackgw-sessions/tests/marks.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use stackgw_sessions::{Marks, SessionKey};
+use stackgw_sessions::{SessionKey, SessionPositions};
 
 const HORIZON: i64 = 1_000;
 
@@ -16,7 +16,7 @@
 
     #[test]
     fn a_session_is_told_its_position_or_a_later_one(most in 1..40usize, steps in prop::collection::vec((0..60u64, 0..100i64, 0..80i64), 1..300)) {
-        let mut marks = Marks::new(most, HORIZON);
+        let mut marks = SessionPositions::new(most, HORIZON);
         let (mut now, mut added) = (0, Vec::new());
         for (session, position, span) in steps {
             now += span;
@@ -37,11 +37,11 @@
 
 #[test]
 fn a_session_that_writes_all_the_time_takes_no_more_room() {
-    let mut marks = Marks::new(100, HORIZON);
+    let mut marks = SessionPositions::new(100, HORIZON);
     for now in 0..100_000 {
         marks.add(now / 1_000, key(now as u64 % 7), now);
     }
-    assert_eq!((marks.len(), marks.pushed_out()), (7, 0));
+    assert_eq!((marks.len(), marks.evicted()), (7, 0));
     assert_eq!(
         marks.get(100, key(0)).map(|seen| seen.position),
         Some(99_995)
--- a/crates/stackgw-sessions/tests/peers.rs
+++ b/crates/stackgw-sessions/tests/peers.rs
@@ -27,37 +27,51 @@
 fn message(roster: u64) -> impl Strategy<Value = Message> {
     let roster = prop_oneof![Just(roster), any::<u64>()];
     let key = number().prop_map(SessionKey);
-    let marks = prop::collection::vec((number(), number().prop_map(SessionKey), signed()), 0..5);
+    let update = (number(), number().prop_map(SessionKey), signed()).prop_map(
+        |(sequence, key, position)| PositionUpdate {
+            sequence,
+            key,
+            position,
+        },
+    );
+    let marks = prop::collection::vec(update, 0..5);
     let some = prop::option::of(stamp());
     prop_oneof![
-        (number(), roster.clone(), some.clone()).prop_map(|(nonce, roster, stamp)| Message::Ask {
-            nonce,
-            roster,
-            stamp
+        (number(), roster.clone(), some.clone()).prop_map(|(nonce, roster, stamp)| {
+            Message::LeaseRequest(LeaseRequest {
+                nonce,
+                replica_set: roster,
+                store_version: stamp,
+            })
         }),
         (number(), roster.clone(), signed(), number(), some).prop_map(
-            |(nonce, roster, covers, unbroken_since, stamp)| Message::Pledge {
-                nonce,
-                roster,
-                covers,
-                unbroken_since,
-                stamp
-            }
+            |(nonce, roster, complete_for, unbroken_since, stamp)| Message::LeaseGrant(
+                LeaseGrant {
+                    nonce,
+                    replica_set: roster,
+                    complete_for,
+                    unbroken_since,
+                    store_version: stamp
+                }
+            )
         ),
-        stamp().prop_map(Message::Stale),
-        (number(), roster).prop_map(|(nonce, roster)| Message::Differs { nonce, roster }),
-        marks.prop_map(Message::Marks),
-        prop::collection::vec(number(), 0..5).prop_map(Message::Held),
+        stamp().prop_map(Message::StoreOutdated),
+        (number(), roster).prop_map(|(nonce, roster)| Message::ReplicaSetMismatch {
+            nonce,
+            replica_set: roster
+        }),
+        marks.prop_map(Message::Replicate),
+        prop::collection::vec(number(), 0..5).prop_map(Message::Acknowledge),
         (number(), key.clone()).prop_map(|(nonce, key)| Message::PositionQuery { nonce, key }),
         (number(), prop::option::of(signed()))
-            .prop_map(|(nonce, position)| Message::Sure { nonce, position }),
-        number().prop_map(|nonce| Message::Unsure { nonce }),
-        (number(), key, signed()).prop_map(|(ticket, key, position)| Message::Carry {
-            ticket,
+            .prop_map(|(nonce, position)| Message::PositionReply { nonce, position }),
+        number().prop_map(|nonce| Message::PositionUncertain { nonce }),
+        (number(), key, signed()).prop_map(|(ticket, key, position)| Message::ForwardWrite {
+            number: ticket,
             key,
             position
         }),
-        number().prop_map(|ticket| Message::Carried { ticket }),
+        number().prop_map(|ticket| Message::ForwardedWriteReleased { number: ticket }),
     ]
 }
 
@@ -90,14 +104,14 @@
             prop_assert!(now - 1_000 * SECOND >= HORIZON || status.uncertainty.is_some());
             for output in out.drain(..) {
                 if let Output::Send(to, message) = output {
-                    prop_assert!(message.encode(to).len() <= MOST_BYTES);
+                    prop_assert!(message.encode(to).len() <= MAX_MESSAGE_BYTES);
                 }
             }
         }
     }
 
     #[test]
-    fn bytes_are_a_message_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..MOST_BYTES + 50)) {
+    fn bytes_are_a_message_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..MAX_MESSAGE_BYTES + 50)) {
         if let Ok((to, message)) = Message::decode(&bytes) {
             prop_assert!(message.encode(to).len() <= bytes.len() + 20);
         }
--- a/crates/stackgw-sessions/tests/stored_and_sent.rs
+++ b/crates/stackgw-sessions/tests/stored_and_sent.rs
@@ -19,71 +19,88 @@
     last_incarnation: 1_764_633_550_000,
 };
 
+fn update(sequence: u64, key: SessionKey, position: i64) -> PositionUpdate {
+    PositionUpdate {
+        sequence,
+        key,
+        position,
+    }
+}
+
 fn messages() -> Vec<(&'static str, Message)> {
     let (nonce, roster) = (77, 0xdead_beef_0bad_cafe);
     vec![
         (
             "lease_request",
-            Message::Ask {
+            Message::LeaseRequest(LeaseRequest {
                 nonce,
-                roster,
-                stamp: Some(STAMP),
-            },
+                replica_set: roster,
+                store_version: Some(STAMP),
+            }),
         ),
         (
             "lease_request_without_store",
-            Message::Ask {
+            Message::LeaseRequest(LeaseRequest {
                 nonce,
-                roster,
-                stamp: None,
-            },
+                replica_set: roster,
+                store_version: None,
+            }),
         ),
         (
             "lease_grant",
-            Message::Pledge {
+            Message::LeaseGrant(LeaseGrant {
                 nonce,
-                roster,
-                covers: 60 * SECOND,
+                replica_set: roster,
+                complete_for: 60 * SECOND,
                 unbroken_since: 1_764_633_500_000,
-                stamp: Some(STAMP),
+                store_version: Some(STAMP),
+            }),
+        ),
+        ("store_outdated", Message::StoreOutdated(STAMP)),
+        (
+            "replica_set_mismatch",
+            Message::ReplicaSetMismatch {
+                nonce,
+                replica_set: roster,
             },
         ),
-        ("store_outdated", Message::Stale(STAMP)),
-        ("replica_set_mismatch", Message::Differs { nonce, roster }),
         (
             "replicate",
-            Message::Marks(vec![
-                (1, KEY, POSITION),
-                (2, SessionKey(3), UNKNOWN_POSITION),
-                (300, KEY, -5),
+            Message::Replicate(vec![
+                update(1, KEY, POSITION),
+                update(2, SessionKey(3), UNKNOWN_POSITION),
+                update(300, KEY, -5),
             ]),
         ),
-        ("acknowledge", Message::Held(vec![1, 2, 300])),
+        ("acknowledge", Message::Acknowledge(vec![1, 2, 300])),
         ("position_query", Message::PositionQuery { nonce, key: KEY }),
         (
             "position_reply",
-            Message::Sure {
+            Message::PositionReply {
                 nonce,
                 position: Some(POSITION),
             },
         ),
         (
             "position_reply_none",
-            Message::Sure {
+            Message::PositionReply {
                 nonce,
                 position: None,
             },
         ),
-        ("position_uncertain", Message::Unsure { nonce }),
+        ("position_uncertain", Message::PositionUncertain { nonce }),
         (
             "forward_write",
-            Message::Carry {
-                ticket: 12,
+            Message::ForwardWrite {
+                number: 12,
                 key: KEY,
                 position: POSITION,
             },
         ),
-        ("forwarded_write_released", Message::Carried { ticket: 12 }),
+        (
+            "forwarded_write_released",
+            Message::ForwardedWriteReleased { number: 12 },
+        ),
     ]
 }
 
