--- a/crates/stackgw-sessions/src/lib.rs
+++ b/crates/stackgw-sessions/src/lib.rs
@@ -1,28 +1,49 @@
 //! What each session must see, across gateway instances and restarts.
 //!
-//! One [`Sessions`] stands in each instance, beside its router. It is told of each write that a member served
-//! ([`Sessions::record_write`]) and says when that write's answer may leave ([`Output::Release`]); it is told of each session
-//! read ([`Sessions::begin_read`]) and says what the read must see ([`Output::ReadRequirement`]). Between the two stands one invariant:
+//! One [`Sessions`] stands in each instance, beside its router. The host reports each write that a
+//! member served ([`Sessions::record_write`]) and is told when the response to it may be sent
+//! ([`Output::Release`]). It reports each session read ([`Sessions::begin_read`]) and is told what
+//! the read has to see ([`Output::ReadRequirement`]). Between the two stands one invariant:
 //!
-//! > Once a write's answer has left, every later read of its session, at any instance, learns a position that covers the
-//! > write, or is told that nothing is known ([`ReadRequirement::Strong`]) and must see every commit.
+//! > Once the response to a write was sent, every later read of its session, at any instance, is
+//! > required to see a position that covers the write, or to see every commit
+//! > ([`ReadRequirement::Strong`]).
 //!
-//! No I/O, no clock, no threads, no randomness: time, messages and the disk's word are handed in. `docs/design/sessions.md`
-//! says why it is built so and when it fails.
+//! # Roles
+//!
+//! | role | module | what it does |
+//! | --- | --- | --- |
+//! | writer | `writer`, `write_log`, `peer_replication`, `forwarding` | sends positions to the owners of a session, grants leases, releases responses |
+//! | session replica | `session_replica`, `peer_progress`, `positions` | records positions for others, holds leases of the other replicas, knows whether it is certain |
+//! | reader | `reader` | asks the owners of a session |
+//! | durability | `durability`, `record` | which records are in the store, and whether a peer's store is an old copy |
+//!
+//! `sessions` routes inputs to the roles; `context` is what they have in common.
+//!
+//! There is no I/O, clock, thread or randomness here: time, messages and the completion of store
+//! writes are inputs. The package does not know how messages are carried and sealed
+//! (`stackgw-cluster`), how records are stored (`stackgw-store`) or which member serves a read
+//! (`stackgw-router`). `docs/design/sessions.md` says why it is built so and when it fails.
 
+mod context;
+mod durability;
+mod forwarding;
 mod identity;
-mod keeper;
 mod message;
 mod output;
+mod peer_progress;
+mod peer_replication;
 mod positions;
 mod reader;
 mod record;
 mod replica_set;
+mod session_replica;
 mod sessions;
 mod settings;
-mod source;
 mod status;
 mod uncertainty;
+mod write_log;
+mod writer;
 
 pub use identity::{NodeId, Peer, RequestNumber, SessionKey, ANY_INCARNATION};
 pub use message::{
--- a/crates/stackgw-sessions/src/reader.rs
+++ b/crates/stackgw-sessions/src/reader.rs
@@ -1,62 +1,191 @@
-//! An instance as a reader: what its session reads must see, asked of their homes.
+//! An instance as a reader: finds out which position a session read has to see, from its own
+//! positions or from an owner of the session.
 
-use crate::identity::{NodeId, RequestNumber, SessionKey};
+use crate::context::Context;
+use crate::identity::{NodeId, Peer, RequestNumber, SessionKey};
+use crate::message::Message;
+use crate::output::ReadRequirement;
+use crate::positions::UNKNOWN_POSITION;
+use crate::session_replica::{SessionReplica, REQUESTS_PER_LEASE};
+use crate::uncertainty::UncertaintyReason;
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A read that waits for a home's word.
+/// A read whose position is not known yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Lookup {
-    pub(crate) ticket: RequestNumber,
-    pub(crate) key: SessionKey,
-    pub(crate) asked: NodeId,
-    /// Homes that may be asked next.
-    pub(crate) next: VecDeque<NodeId>,
-    pub(crate) until: Time,
+struct PendingRead {
+    request: RequestNumber,
+    key: SessionKey,
+    /// Owners that may be queried next.
+    remaining: VecDeque<NodeId>,
 }
 
-/// All of it.
+/// A query that is outstanding.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct Lookup {
+    read: PendingRead,
+    owner: NodeId,
+    deadline: Time,
+}
+
+/// The reader's state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(crate) struct Reader {
-    pub(crate) lookups: BTreeMap<u64, Lookup>,
-    /// Homes that gave no word of use are left alone until then, so that not every read waits for them.
-    shunned: BTreeMap<NodeId, Time>,
+    /// By nonce. Each waits equally long, so their deadlines are in the order of the nonces.
+    lookups: BTreeMap<u64, Lookup>,
+    /// Owners that gave no useful reply are not queried until then, so that not every read waits
+    /// for them.
+    avoided_until: BTreeMap<NodeId, Time>,
 }
 
 impl Reader {
-    /// Which of these homes may be asked now.
-    pub(crate) fn worth_asking(
-        &self,
-        now: Time,
-        homes: impl Iterator<Item = NodeId>,
-    ) -> VecDeque<NodeId> {
-        homes
-            .filter(|home| self.shunned.get(home).is_none_or(|until| *until <= now))
-            .collect()
+    /// Starts a read. Its requirement follows at once, or after queries.
+    pub(crate) fn begin_read(
+        &mut self,
+        context: &mut Context<'_>,
+        replica: &SessionReplica,
+        request: RequestNumber,
+        key: SessionKey,
+    ) {
+        let reason = match replica.required_position(context.now, context.instance, key) {
+            Ok(position) => {
+                context.instance.counters.answered_locally += 1;
+                return require_position(context, request, position);
+            }
+            Err(reason) => reason,
+        };
+        if self.lookups.len() >= context.instance.settings.max_pending {
+            context.instance.counters.rejected += 1;
+            return require_strong(context, request, UncertaintyReason::TooManyReads);
+        }
+        let local = context.instance.local().node;
+        let owners = context
+            .instance
+            .replica_set
+            .owners(key)
+            .filter(|owner| *owner != local);
+        let remaining = owners
+            .filter(|owner| !self.is_avoided(context.now, *owner))
+            .collect();
+        let read = PendingRead {
+            request,
+            key,
+            remaining,
+        };
+        self.query_next_owner(context, read, reason);
+    }
+
+    /// The read is no longer waited for.
+    pub(crate) fn cancel_read(&mut self, request: RequestNumber) {
+        self.lookups
+            .retain(|_, lookup| lookup.read.request != request);
+    }
+
+    /// An owner knows the position.
+    pub(crate) fn handle_position_reply(
+        &mut self,
+        context: &mut Context<'_>,
+        from: NodeId,
+        nonce: u64,
+        position: Option<Time>,
+    ) {
+        if let Some(read) = self.take_lookup(nonce, from) {
+            context.instance.counters.answered_by_owner += 1;
+            self.avoided_until.remove(&from);
+            require_position(context, read.request, position);
+        }
+    }
+
+    /// An owner is uncertain itself: the next one is queried.
+    pub(crate) fn handle_uncertain_reply(
+        &mut self,
+        context: &mut Context<'_>,
+        from: NodeId,
+        nonce: u64,
+    ) {
+        if let Some(read) = self.take_lookup(nonce, from) {
+            let resend_interval = context.instance.settings.resend_interval;
+            self.avoid(context.now, from, resend_interval);
+            self.query_next_owner(context, read, UncertaintyReason::OwnersUncertain);
+        }
+    }
+
+    /// Gives up queries that have waited long enough: the next owner is queried.
+    pub(crate) fn handle_timeout(&mut self, context: &mut Context<'_>) {
+        let overdue = self
+            .lookups
+            .iter()
+            .filter(|(_, lookup)| lookup.deadline <= context.now);
+        for nonce in overdue.map(|(nonce, _)| *nonce).collect::<Vec<_>>() {
+            let Some(lookup) = self.lookups.remove(&nonce) else {
+                continue;
+            };
+            let pause = context.instance.settings.lease / REQUESTS_PER_LEASE;
+            self.avoid(context.now, lookup.owner, pause);
+            let reason = UncertaintyReason::OwnersUnresponsive;
+            self.query_next_owner(context, lookup.read, reason);
+        }
     }
 
-    pub(crate) fn shun(&mut self, now: Time, home: NodeId, span: Span) {
-        self.shunned.insert(home, now + span);
+    /// When the next query is to be given up.
+    pub(crate) fn next_deadline(&self) -> Time {
+        let oldest = self.lookups.values().next();
+        oldest.map_or(Time::MAX, |lookup| lookup.deadline)
     }
 
-    pub(crate) fn forgive(&mut self, home: NodeId) {
-        self.shunned.remove(&home);
+    fn query_next_owner(
+        &mut self,
+        context: &mut Context<'_>,
+        mut read: PendingRead,
+        reason: UncertaintyReason,
+    ) {
+        let Some(owner) = read.remaining.pop_front() else {
+            return require_strong(context, read.request, reason);
+        };
+        let nonce = context.next_nonce();
+        let query = Message::PositionQuery {
+            nonce,
+            key: read.key,
+        };
+        let lookup = Lookup {
+            read,
+            owner,
+            deadline: context.now + context.instance.settings.lookup_timeout,
+        };
+        self.lookups.insert(nonce, lookup);
+        context.send(Peer::any_incarnation(owner), query);
     }
 
-    /// The lookup that this home has answered. Danger: taken away by word from anybody else it would never be answered.
-    pub(crate) fn answered(&mut self, nonce: u64, from: NodeId) -> Option<Lookup> {
+    /// The read of the query that this owner was sent.
+    ///
+    /// Danger: if a reply of another instance took the lookup away, the read would never be
+    /// answered.
+    fn take_lookup(&mut self, nonce: u64, from: NodeId) -> Option<PendingRead> {
         self.lookups
             .get(&nonce)
-            .filter(|lookup| lookup.asked == from)?;
-        self.lookups.remove(&nonce)
+            .filter(|lookup| lookup.owner == from)?;
+        self.lookups.remove(&nonce).map(|lookup| lookup.read)
     }
 
-    /// Lookups whose time is over.
-    pub(crate) fn overdue(&self, now: Time) -> Vec<u64> {
-        self.lookups
-            .iter()
-            .filter(|(_, l)| l.until <= now)
-            .map(|(nonce, _)| *nonce)
-            .collect()
+    fn avoid(&mut self, now: Time, owner: NodeId, pause: Span) {
+        self.avoided_until.insert(owner, now + pause);
+    }
+
+    fn is_avoided(&self, now: Time, owner: NodeId) -> bool {
+        self.avoided_until
+            .get(&owner)
+            .is_some_and(|until| *until > now)
     }
 }
+
+fn require_position(context: &mut Context<'_>, request: RequestNumber, position: Option<Time>) {
+    if position == Some(UNKNOWN_POSITION) {
+        return require_strong(context, request, UncertaintyReason::UnknownPosition);
+    }
+    context.require(request, ReadRequirement::Position(position));
+}
+
+fn require_strong(context: &mut Context<'_>, request: RequestNumber, reason: UncertaintyReason) {
+    context.instance.counters.strong_reads += 1;
+    context.require(request, ReadRequirement::Strong(reason));
+}
--- /dev/null
+++ b/crates/stackgw-sessions/src/session_replica.rs
@@ -0,0 +1,372 @@
+//! An instance as a session replica: records positions for others, holds leases of the other
+//! replicas, and knows by them whether it would have heard of every write.
+//!
+//! Invariant: it is certain only while it holds a lease of every other replica, each of which
+//! vouches for all writes of a whole retention. What it records is then all there is.
+
+use crate::context::{Context, Instance};
+use crate::identity::{NodeId, Peer, SessionKey, ANY_INCARNATION};
+use crate::message::{LeaseGrant, LeaseRequest, Message, PositionUpdate};
+use crate::peer_progress::{PeerProgress, COMPLETE_HISTORY};
+use crate::positions::SessionPositions;
+use crate::record::{Record, Recovered};
+use crate::uncertainty::UncertaintyReason;
+use crate::write_log::WriteLog;
+use stackgw_router::api::{Span, Time};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Leases are requested so many times in a lease.
+pub(crate) const REQUESTS_PER_LEASE: Span = 4;
+
+/// An acknowledgement that waits for its record to be stored.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct PendingAcknowledgement {
+    record: u64,
+    to: Peer,
+    sequences: Vec<u64>,
+}
+
+/// The replica's state.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) struct SessionReplica {
+    positions: SessionPositions,
+    peers: BTreeMap<NodeId, PeerProgress>,
+    /// Every write that this instance itself has released since then is known here.
+    local_complete_since: Time,
+    /// The store has a record that none of them is missing.
+    is_recorded_complete: bool,
+    pending_acknowledgements: VecDeque<PendingAcknowledgement>,
+    next_lease_request_at: Time,
+}
+
+impl SessionReplica {
+    pub(crate) fn new(now: Time, positions: SessionPositions) -> Self {
+        SessionReplica {
+            positions,
+            peers: BTreeMap::new(),
+            local_complete_since: now,
+            is_recorded_complete: false,
+            pending_acknowledgements: VecDeque::new(),
+            next_lease_request_at: now,
+        }
+    }
+
+    pub(crate) fn positions(&self) -> &SessionPositions {
+        &self.positions
+    }
+
+    pub(crate) fn positions_mut(&mut self) -> &mut SessionPositions {
+        &mut self.positions
+    }
+
+    /// How long the lease that a replica granted still holds.
+    pub(crate) fn lease_held_for(&self, now: Time, node: NodeId) -> Span {
+        let peer = self.peers.get(&node);
+        peer.map_or(0, |peer| (peer.lease_until - now).max(0))
+    }
+
+    /// When leases are to be requested again.
+    pub(crate) fn next_lease_request_at(&self) -> Time {
+        self.next_lease_request_at
+    }
+
+    /// Takes what the store had of peers, if it was recorded under the replica set in force.
+    pub(crate) fn restore_complete_peers(&mut self, local: NodeId, recovered: &Recovered) {
+        for complete in &recovered.complete_peers {
+            if complete.node == local {
+                self.local_complete_since = COMPLETE_HISTORY;
+                self.is_recorded_complete = true;
+            } else if let Some(peer) = self.peers.get_mut(&complete.node) {
+                peer.incarnation = complete.incarnation;
+                peer.complete_since = COMPLETE_HISTORY;
+                peer.is_recorded_complete = true;
+            }
+        }
+    }
+
+    /// Requests leases of the replicas of a set from now on.
+    pub(crate) fn apply_replica_set(&mut self, context: &Context<'_>) {
+        let now = context.now;
+        let replica_set = &context.instance.replica_set;
+        let local = context.instance.local().node;
+        self.peers.retain(|node, _| replica_set.contains(*node));
+        for node in replica_set.replicas().iter().filter(|node| **node != local) {
+            // A lease granted under another set says nothing of the sessions that this replica has
+            // come to own.
+            let peer = self
+                .peers
+                .entry(*node)
+                .or_insert_with(|| PeerProgress::new(now));
+            peer.reset(now);
+        }
+        self.next_lease_request_at = now;
+    }
+
+    /// Of the sessions that this replica has come to own, it knows its own writes as far back as it
+    /// has retained them.
+    pub(crate) fn adopt_local_writes(&mut self, context: &Context<'_>, log: &WriteLog) {
+        self.local_complete_since = self.local_complete_since.max(log.complete_since());
+        self.is_recorded_complete = false;
+        let instance = &context.instance;
+        let local = instance.local().node;
+        for write in log.writes() {
+            if instance.replica_set.is_owner(write.key, local) {
+                self.positions.add(context.now, write.key, write.position);
+            }
+        }
+    }
+
+    /// This instance has become a replica now.
+    pub(crate) fn join(&mut self, now: Time) {
+        self.local_complete_since = self.local_complete_since.max(now);
+    }
+
+    /// The store was an old copy: what it had of peers does not hold, and what was recorded since
+    /// is missing.
+    pub(crate) fn forget_history(&mut self, now: Time) {
+        self.local_complete_since = now;
+        self.is_recorded_complete = false;
+        for peer in self.peers.values_mut() {
+            peer.incarnation = ANY_INCARNATION;
+            peer.reset(now);
+        }
+        self.next_lease_request_at = now;
+    }
+
+    /// Notes the incarnation of a peer; `false` if it is over.
+    pub(crate) fn note_incarnation(&mut self, now: Time, from: Peer) -> bool {
+        let peer = self.peers.get_mut(&from.node);
+        peer.is_none_or(|peer| peer.note_incarnation(now, from.incarnation))
+    }
+
+    pub(crate) fn handle_lease_grant(
+        &mut self,
+        context: &Context<'_>,
+        from: Peer,
+        grant: &LeaseGrant,
+    ) {
+        if grant.replica_set != context.instance.replica_set.digest() {
+            return;
+        }
+        if let Some(peer) = self.peers.get_mut(&from.node) {
+            let lease = context.instance.settings.lease;
+            peer.apply_grant(context.now, from.incarnation, lease, grant);
+        }
+    }
+
+    /// A peer has refused a lease, as its replica set is another one.
+    pub(crate) fn handle_replica_set_mismatch(&mut self, from: NodeId) {
+        if let Some(peer) = self.peers.get_mut(&from) {
+            peer.replica_set_differs = true;
+        }
+    }
+
+    /// Records positions, and acknowledges them once they are stored.
+    pub(crate) fn handle_positions(
+        &mut self,
+        context: &mut Context<'_>,
+        from: Peer,
+        updates: &[PositionUpdate],
+    ) {
+        if context.instance.durability.has_failed() {
+            return;
+        }
+        let sequences = updates.iter().map(|update| update.sequence).collect();
+        let mut last_record = None;
+        for PositionUpdate { key, position, .. } in updates {
+            self.positions.add(context.now, *key, *position);
+            if context.instance.durability.has_store() {
+                last_record = Some(context.store(Record::Position(*key, *position)));
+            }
+        }
+        match last_record {
+            None => context.send(from, Message::Acknowledge(sequences)),
+            Some(record) => self.acknowledge_when_stored(
+                context,
+                PendingAcknowledgement {
+                    record,
+                    to: from,
+                    sequences,
+                },
+            ),
+        }
+    }
+
+    fn acknowledge_when_stored(
+        &mut self,
+        context: &mut Context<'_>,
+        acknowledgement: PendingAcknowledgement,
+    ) {
+        if self.pending_acknowledgements.len() < context.instance.settings.max_pending {
+            self.pending_acknowledgements.push_back(acknowledgement);
+        } else {
+            // The writer sends these positions again.
+            context.instance.counters.rejected += 1;
+        }
+    }
+
+    /// Sends the acknowledgements whose records are stored.
+    pub(crate) fn acknowledge_stored(&mut self, context: &mut Context<'_>) {
+        while let Some(acknowledgement) = self
+            .pending_acknowledgements
+            .pop_front_if(|pending| context.instance.durability.is_stored(pending.record))
+        {
+            let acknowledge = Message::Acknowledge(acknowledgement.sequences);
+            context.send(acknowledgement.to, acknowledge);
+        }
+    }
+
+    /// Sends all acknowledgements: there is no store any more.
+    pub(crate) fn acknowledge_all(&mut self, context: &mut Context<'_>) {
+        for acknowledgement in std::mem::take(&mut self.pending_acknowledgements) {
+            let acknowledge = Message::Acknowledge(acknowledgement.sequences);
+            context.send(acknowledgement.to, acknowledge);
+        }
+    }
+
+    /// Sends none of the acknowledgements: what they stand for will never be stored.
+    pub(crate) fn drop_acknowledgements(&mut self) {
+        self.pending_acknowledgements.clear();
+    }
+
+    /// Replies to a reader that asks which position a session has to see.
+    pub(crate) fn handle_position_query(
+        &self,
+        context: &mut Context<'_>,
+        from: Peer,
+        nonce: u64,
+        key: SessionKey,
+    ) {
+        let reply = match self.required_position(context.now, context.instance, key) {
+            Ok(position) => Message::PositionReply { nonce, position },
+            Err(_) => Message::PositionUncertain { nonce },
+        };
+        context.send(from, reply);
+    }
+
+    /// Does what is due once in each part of a lease. Whether it was due.
+    pub(crate) fn start_lease_round(&mut self, context: &Context<'_>) -> bool {
+        if !context.instance.is_replica() || self.next_lease_request_at > context.now {
+            return false;
+        }
+        let interval = context.instance.settings.lease / REQUESTS_PER_LEASE;
+        self.next_lease_request_at = context.now + interval;
+        self.positions.expire(context.now);
+        true
+    }
+
+    /// Requests a lease of each other replica.
+    pub(crate) fn request_leases(&mut self, context: &mut Context<'_>) {
+        // Danger: a lease of a replica that acknowledges nothing would block every write.
+        if context.instance.durability.has_failed() {
+            return;
+        }
+        for (node, peer) in &mut self.peers {
+            let nonce = context.next_nonce();
+            peer.note_request(context.now, nonce);
+            let request = LeaseRequest {
+                nonce,
+                replica_set: context.instance.replica_set.digest(),
+                store_version: context.instance.durability.version(),
+            };
+            // To whichever incarnation is running: this one makes itself known to it by the
+            // request.
+            context.send(Peer::any_incarnation(*node), Message::LeaseRequest(request));
+        }
+    }
+
+    /// Has the store record of which replicas no write is missing, so that a restart need not wait
+    /// for a retention.
+    pub(crate) fn record_complete_peers(&mut self, context: &mut Context<'_>) {
+        let durability = &context.instance.durability;
+        if !durability.has_store() || durability.has_failed() || !durability.replica_set_is_stored()
+        {
+            return;
+        }
+        let oldest = context.now - context.instance.settings.retention;
+        for peer in self.take_newly_complete(oldest, context.instance.local()) {
+            context.store(Record::CompletePeer(peer));
+        }
+        let now = context.now;
+        for known in context.instance.durability.due_peer_versions(now, oldest) {
+            let version = known.version.unwrap_or_default();
+            context.store(Record::PeerStore(known.peer, version));
+        }
+    }
+
+    /// The replicas, itself included, of which no write is missing since `oldest` and that are not
+    /// recorded as such.
+    fn take_newly_complete(&mut self, oldest: Time, local: Peer) -> Vec<Peer> {
+        let mut complete = Vec::new();
+        for (node, peer) in &mut self.peers {
+            let is_known = peer.incarnation != ANY_INCARNATION;
+            if peer.complete_since <= oldest && !peer.is_recorded_complete && is_known {
+                peer.is_recorded_complete = true;
+                complete.push(Peer {
+                    node: *node,
+                    incarnation: peer.incarnation,
+                });
+            }
+        }
+        if self.local_complete_since <= oldest && !self.is_recorded_complete {
+            self.is_recorded_complete = true;
+            complete.push(local);
+        }
+        complete
+    }
+
+    /// Whether every write whose response was sent is known here.
+    ///
+    /// # Errors
+    ///
+    /// Why a write may be missing.
+    pub(crate) fn certainty(
+        &self,
+        now: Time,
+        instance: &Instance,
+    ) -> Result<(), UncertaintyReason> {
+        if instance.durability.has_failed() {
+            return Err(UncertaintyReason::StoreFailed);
+        }
+        for (node, peer) in &self.peers {
+            if peer.lease_until <= now {
+                return Err(if peer.replica_set_differs {
+                    UncertaintyReason::ReplicaSetMismatch(*node)
+                } else {
+                    UncertaintyReason::NoLease(*node)
+                });
+            }
+        }
+        let oldest = now.saturating_sub(instance.settings.retention);
+        for (node, peer) in &self.peers {
+            if peer.complete_since > oldest {
+                return Err(UncertaintyReason::IncompleteHistory(*node));
+            }
+        }
+        if self.local_complete_since > oldest {
+            return Err(UncertaintyReason::RecentlyStarted);
+        }
+        Ok(())
+    }
+
+    /// The position that a session has to see, if this replica owns it and is certain.
+    ///
+    /// # Errors
+    ///
+    /// Why it is not known here.
+    pub(crate) fn required_position(
+        &self,
+        now: Time,
+        instance: &Instance,
+        key: SessionKey,
+    ) -> Result<Option<Time>, UncertaintyReason> {
+        if !instance.replica_set.is_owner(key, instance.local().node) {
+            return Err(UncertaintyReason::OwnersUncertain);
+        }
+        self.certainty(now, instance)?;
+        Ok(self
+            .positions
+            .get(now, key)
+            .map(|recorded| recorded.position))
+    }
+}
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -1,947 +1,384 @@
-//! One instance's part in the promise: source, keeper and reader in one state machine.
-
-use crate::identity::{NodeId, Peer, RequestNumber, SessionKey};
-use crate::keeper::{Ack, Keeper, ALWAYS};
-use crate::message::{
-    LeaseGrant, LeaseRequest, Message, PositionUpdate, MAX_POSITIONS_PER_MESSAGE,
-};
-use crate::output::{Output, ReadRequirement, WriteAdmission};
+//! The state machine of one instance: routes each input to the role that it concerns.
+
+use crate::context::{Context, Instance};
+use crate::durability::Durability;
+use crate::forwarding::Origin;
+use crate::identity::{NodeId, Peer, RequestNumber, SessionKey, ANY_INCARNATION};
+use crate::message::{LeaseGrant, LeaseRequest, Message};
+use crate::output::{Output, WriteAdmission};
 use crate::positions::{SessionPositions, UNKNOWN_POSITION};
-use crate::reader::{Lookup, Reader};
-use crate::record::{Record, StoreFailure, StoreVersion};
+use crate::reader::Reader;
+use crate::record::{Record, Recovered, StoreFailure, StoreVersion};
 use crate::replica_set::ReplicaSet;
+use crate::session_replica::SessionReplica;
 use crate::settings::Settings;
-use crate::source::{Gate, Own, Source};
-use crate::status::{PeerStatus, SessionInspection, Status, UncomparedCounters};
-use crate::uncertainty::UncertaintyReason;
-use stackgw_router::api::{Span, Time};
-use std::collections::BTreeMap;
-
-/// Questions for pledges go out so many times in a lease.
-const ASKS_PER_LEASE: Span = 4;
-/// Batches of marks sent at once to a keeper that has to catch up.
-const CATCH_UP: usize = 4;
-/// Tries of a guest at one keeper before it turns to the next.
-const CARRY_TRIES: u32 = 3;
-
-/// A write that a guest hands to a keeper.
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Errand {
-    ticket: RequestNumber,
-    key: SessionKey,
-    position: Time,
-    tries: u32,
-}
-
-/// The state machine. The same inputs give the same outputs.
+use crate::status::{PeerStatus, SessionInspection, Status};
+use crate::write_log::WriteLog;
+use crate::writer::Writer;
+use stackgw_router::api::Time;
+
+/// One instance's part in the guarantee of this package. The same inputs give the same outputs.
+///
+/// `now` is the instance's own clock in nanoseconds, which never goes back within an incarnation.
+/// Outputs are appended to `outputs` in the order in which they are to be carried out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Sessions {
-    set: Settings,
-    /// The disk, as far as it had come when this life or the disk itself began; `None`: there is none, or no more.
-    disk: Option<StoreVersion>,
-    roster: ReplicaSet,
-    /// The record of the roster; no pledge before it is on the disk.
-    roster_record: u64,
-    source: Source,
-    keeper: Keeper,
+    instance: Instance,
+    writer: Writer,
+    replica: SessionReplica,
     reader: Reader,
-    /// A guest's writes, and those that guests handed over here.
-    errands: BTreeMap<u64, Errand>,
-    carried: BTreeMap<(Peer, u64), u64>,
-    carries: BTreeMap<u64, (Peer, u64)>,
-    nonce: u64,
-    /// Records asked for, and those that are on the disk; those that were when it began anew.
-    records: u64,
-    stored: u64,
-    voided: u64,
-    /// How far others' disks had come when last heard of, in which life, and when that was put on this one's.
-    stamps: BTreeMap<NodeId, (Peer, Option<StoreVersion>)>,
-    stamps_at: Time,
-    tick_at: Time,
-    counts: UncomparedCounters,
 }
 
 impl Sessions {
     /// An instance that starts now.
-    pub fn new(now: Time, mut set: Settings, out: &mut Vec<Output>) -> Self {
-        let roster = set.replica_set();
-        let me = set.local.node;
-        let mut keeper = Keeper::new(now, SessionPositions::new(set.max_positions, set.retention));
-        let disk = set
-            .recovered
-            .as_ref()
-            .map(|recovered| recovered.store_version);
-        // Danger: kept beside the marks made of it, what the disk had would stand in memory twice.
-        let recovered = set.recovered.take().unwrap_or_default();
-        let unbroken = if disk.is_some() {
-            recovered.unbroken_since
-        } else {
-            set.local.incarnation
-        };
-        let mut source = Source::new(now, unbroken, now + set.earlier_lease_bound());
-        let same = recovered.replica_set == Some(roster.digest());
-        // A guest pledges nothing, so no earlier life of it binds this one. Where the disk shows the same roster, the homes
-        // are those that an earlier life pledged to, and their links are bound; else nobody knows whom it pledged to.
-        if same || !roster.contains(me) {
-            source.quiet_until = now;
-        }
-        source.take_roster(now, me, &roster);
-        keeper.take_roster(now, me, &roster);
-        for (key, position) in recovered.positions {
-            keeper.marks.add(now, key, position);
-        }
-        for peer in recovered.complete_peers.iter().filter(|_| same) {
-            if peer.node == me {
-                (keeper.own_from, keeper.own_on_disk) = (ALWAYS, true);
-            } else if let Some(heard) = keeper.heard.get_mut(&peer.node) {
-                (heard.incarnation, heard.known_from, heard.on_disk) =
-                    (peer.incarnation, ALWAYS, true);
-            }
-        }
+    pub fn new(now: Time, mut settings: Settings, outputs: &mut Vec<Output>) -> Self {
+        // Danger: retained beside the positions made of it, what the store had would stand in
+        // memory twice.
+        let recovered = settings.recovered.take();
+        let durability = Durability::new(now, recovered.as_ref());
+        let log = new_write_log(now, &settings, recovered.as_ref());
+        let positions = SessionPositions::new(settings.max_positions, settings.retention);
         let mut sessions = Sessions {
-            disk,
-            roster,
-            roster_record: 0,
-            source,
-            keeper,
+            instance: Instance::new(settings, durability),
+            writer: Writer::new(now, log),
+            replica: SessionReplica::new(now, positions),
             reader: Reader::default(),
-            errands: BTreeMap::new(),
-            carried: BTreeMap::new(),
-            carries: BTreeMap::new(),
-            nonce: 0,
-            records: 0,
-            stored: 0,
-            voided: 0,
-            stamps: recovered
-                .peer_stores
-                .iter()
-                .map(|(peer, stamp)| (peer.node, (*peer, Some(*stamp))))
-                .collect(),
-            stamps_at: now,
-            tick_at: now,
-            counts: UncomparedCounters::default(),
-            set,
         };
-        for (key, position) in recovered.unacknowledged {
-            sessions.keep_own(now, key, position, None, true, out);
-        }
-        if !same {
-            sessions.record_roster(out);
-        }
-        sessions.handle_timeout(now, out);
+        sessions.restore(now, recovered.unwrap_or_default(), outputs);
+        sessions.handle_timeout(now, outputs);
         sessions
     }
 
-    /// Whether this instance is a keeper.
+    /// Whether this instance is a session replica.
     pub fn is_replica(&self) -> bool {
-        self.roster.contains(self.set.local.node)
+        self.instance.is_replica()
     }
 
-    /// The roster in force.
+    /// The replica set in force.
     pub fn replica_set(&self) -> &ReplicaSet {
-        &self.roster
+        &self.instance.replica_set
     }
 
-    /// A new list of keepers. What is known under the old one holds no longer.
-    pub fn set_replicas(&mut self, now: Time, keepers: Vec<NodeId>, out: &mut Vec<Output>) {
-        let was = self.is_replica();
-        self.set.replicas = keepers;
-        let roster = self.set.replica_set();
-        if roster == self.roster {
+    /// Replaces the list of replicas. What is known under the old one no longer holds.
+    pub fn set_replicas(&mut self, now: Time, replicas: Vec<NodeId>, outputs: &mut Vec<Output>) {
+        let was_replica = self.is_replica();
+        self.instance.settings.replicas = replicas;
+        let replica_set = self.instance.settings.replica_set();
+        if replica_set == self.instance.replica_set {
             return;
         }
-        self.roster = roster;
-        let me = self.set.local.node;
-        self.source.take_roster(now, me, &self.roster);
-        self.keeper.take_roster(now, me, &self.roster);
-        // Of sessions whose home this has become, it knows its own writes as far back as it has kept them.
-        (self.keeper.own_from, self.keeper.own_on_disk) =
-            (self.keeper.own_from.max(self.source.covered_from), false);
-        for own in self
-            .source
-            .own
-            .values()
-            .filter(|own| self.roster.is_owner(own.key, me))
-        {
-            self.keeper.marks.add(now, own.key, own.position);
-        }
-        if !was && self.is_replica() {
-            self.keeper.own_from = self.keeper.own_from.max(now);
+        self.instance.replica_set = replica_set;
+        let mut context = Context::new(now, &mut self.instance, outputs);
+        self.writer.apply_replica_set(&context);
+        self.replica.apply_replica_set(&context);
+        self.replica.adopt_local_writes(&context, self.writer.log());
+        if !was_replica && context.instance.is_replica() {
+            self.replica.join(now);
         }
-        self.record_roster(out);
-        self.handle_timeout(now, out);
+        context.record_replica_set();
+        self.handle_timeout(now, outputs);
     }
 
-    /// A member served a write of this session and gave its position, if it did. Its answer waits for
-    /// [`Output::Release`]; where it is [`WriteAdmission::Rejected`] the answer must not leave.
+    /// A member served a write of this session and gave its position, if it did.
+    ///
+    /// Where the write is accepted, its response waits for [`Output::Release`]. Where it is
+    /// rejected there is no room to wait, and the response must not be sent.
     pub fn record_write(
         &mut self,
         now: Time,
-        ticket: RequestNumber,
+        request: RequestNumber,
         key: SessionKey,
         position: Option<Time>,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) -> WriteAdmission {
         let position = position.unwrap_or(UNKNOWN_POSITION);
-        if self.source.waiting.len() + self.errands.len() >= self.set.max_pending {
-            self.counts.rejected += 1;
-            return WriteAdmission::Rejected;
-        }
-        if !self.is_replica() {
-            self.nonce += 1;
-            self.errands.insert(
-                self.nonce,
-                Errand {
-                    ticket,
-                    key,
-                    position,
-                    tries: 0,
-                },
-            );
-            self.run_errand(self.nonce, out);
-            self.tick_at = self.tick_at.min(now + self.set.resend_interval);
-            return WriteAdmission::Accepted;
-        }
-        let seq = self.keep_own(now, key, position, Some(ticket), false, out);
-        self.tell(seq, out);
-        self.try_release(now, seq, out);
-        WriteAdmission::Accepted
+        let mut context = Context::new(now, &mut self.instance, outputs);
+        let positions = self.replica.positions_mut();
+        self.writer
+            .record_write(&mut context, positions, request, key, position)
     }
 
-    /// The answer of this write will not leave through here: it failed, or its client has gone.
-    pub fn cancel_write(&mut self, ticket: RequestNumber) {
-        self.errands.retain(|_, errand| errand.ticket != ticket);
-        let waits = |seq: &&u64| {
-            self.source
-                .own
-                .get(*seq)
-                .is_some_and(|own| own.waits == Some(ticket))
-        };
-        let seq = self
-            .source
-            .waiting
-            .iter()
-            .filter(|seq| !self.carries.contains_key(*seq))
-            .find(waits)
-            .copied();
-        if let Some(seq) = seq {
-            self.source.withdraw(seq);
-        }
+    /// The response to this write will not be sent: it failed, or its client has gone.
+    pub fn cancel_write(&mut self, request: RequestNumber) {
+        self.writer.cancel_write(request);
     }
 
-    /// A session read has come in. What it must see follows as [`Output::ReadRequirement`], at once or within the lookups' time.
+    /// A session read has arrived. What it has to see follows as [`Output::ReadRequirement`], at
+    /// once or within the lookup timeout of each owner.
     pub fn begin_read(
         &mut self,
         now: Time,
-        ticket: RequestNumber,
+        request: RequestNumber,
         key: SessionKey,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let me = self.set.local.node;
-        let home = self.roster.is_owner(key, me);
-        let here = if home {
-            self.known_here(now, key)
-        } else {
-            Err(UncertaintyReason::OwnersUncertain)
-        };
-        if let Ok(position) = here {
-            self.counts.answered_locally += 1;
-            return self.need(ticket, position, out);
-        }
-        if self.reader.lookups.len() >= self.set.max_pending {
-            self.counts.rejected += 1;
-            return self.cautious(ticket, UncertaintyReason::TooManyReads, out);
-        }
-        let homes = self.roster.owners(key).filter(|home| *home != me);
-        let next = self.reader.worth_asking(now, homes);
-        self.look(
-            now,
-            ticket,
-            key,
-            next,
-            here.err().unwrap_or(UncertaintyReason::OwnersUncertain),
-            out,
-        );
+        let mut context = Context::new(now, &mut self.instance, outputs);
+        self.reader
+            .begin_read(&mut context, &self.replica, request, key);
     }
 
     /// The read is no longer waited for.
-    pub fn cancel_read(&mut self, ticket: RequestNumber) {
-        self.reader
-            .lookups
-            .retain(|_, lookup| lookup.ticket != ticket);
+    pub fn cancel_read(&mut self, request: RequestNumber) {
+        self.reader.cancel_read(request);
     }
 
-    /// What this instance itself holds of a session, sure or not; for people.
+    /// What this instance itself knows of a session, for operators.
     pub fn inspect_session(&self, now: Time, key: SessionKey) -> SessionInspection {
         SessionInspection {
-            position: self.keeper.marks.get(now, key),
-            certainty: self.keeper.sure(now, self.set.retention),
+            position: self.replica.positions().get(now, key),
+            certainty: self.replica.certainty(now, &self.instance),
         }
     }
 
-    /// A message has come, from this life of an instance to that life of this one.
+    /// A message has arrived, from an incarnation of a peer to an incarnation of this instance.
     pub fn handle_message(
         &mut self,
         now: Time,
         from: Peer,
         to: Peer,
         message: Message,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        let me = self.set.local;
-        let meant = to.node == me.node && (to.incarnation == 0 || to.incarnation == me.incarnation);
-        if !meant || from.node == me.node || from.incarnation == 0 {
-            self.counts.messages_ignored += 1;
-            return;
-        }
-        // Danger: word from a life that is over would stand for the one that came after it.
-        let alive = self.keeper.met(now, from) && self.source.met(from);
-        if !alive {
-            self.counts.messages_ignored += 1;
+        // Danger: a message of an incarnation that is over would stand for the one that came after
+        // it.
+        if !self.is_addressed(from, to) || !self.note_incarnation(now, from) {
+            self.instance.counters.messages_ignored += 1;
             return;
         }
         match message {
-            Message::LeaseRequest(LeaseRequest {
-                store_version: stamp,
-                ..
-            })
-            | Message::LeaseGrant(LeaseGrant {
-                store_version: stamp,
-                ..
-            }) if self.is_old(from, stamp) => {
-                self.send(from, Message::StoreOutdated(stamp.unwrap_or_default()), out);
-            }
-            Message::StoreOutdated(stamp) => self.void(now, stamp, out),
-            Message::LeaseRequest(request) => {
-                self.asked(now, from, request.nonce, request.replica_set, out);
-            }
-            Message::LeaseGrant(grant) => {
-                if grant.replica_set == self.roster.digest() {
-                    self.keeper.pledged(now, from, self.set.lease, &grant);
-                }
-            }
-            Message::ReplicaSetMismatch { .. } => {
-                if let Some(heard) = self.keeper.heard.get_mut(&from.node) {
-                    heard.differs = true;
-                }
-            }
-            Message::Replicate(marks) => self.marks(now, from, marks, out),
-            Message::Acknowledge(seqs) => {
-                self.source.held(from.node, &seqs);
-                self.catch_up(from.node, 1, out);
-                for seq in seqs {
-                    if self.source.waiting.contains(&seq) {
-                        self.try_release(now, seq, out);
-                    }
-                }
-            }
-            Message::PositionQuery { nonce, key } => {
-                let home = self.roster.is_owner(key, me.node);
-                let known = if home {
-                    self.known_here(now, key)
-                } else {
-                    Err(UncertaintyReason::OwnersUncertain)
-                };
-                let word = match known {
-                    Ok(position) => Message::PositionReply { nonce, position },
-                    Err(_) => Message::PositionUncertain { nonce },
-                };
-                self.send(from, word, out);
-            }
-            Message::PositionReply { nonce, position } => {
-                if let Some(lookup) = self.reader.answered(nonce, from.node) {
-                    self.counts.answered_by_owner += 1;
-                    self.reader.forgive(from.node);
-                    self.need(lookup.ticket, position, out);
-                }
-            }
-            Message::PositionUncertain { nonce } => {
-                if let Some(lookup) = self.reader.answered(nonce, from.node) {
-                    self.reader.shun(now, from.node, self.set.resend_interval);
-                    self.look(
-                        now,
-                        lookup.ticket,
-                        lookup.key,
-                        lookup.next,
-                        UncertaintyReason::OwnersUncertain,
-                        out,
-                    );
-                }
-            }
-            Message::ForwardWrite {
-                number: ticket,
-                key,
-                position,
-            } => self.carry(now, from, ticket, key, position, out),
-            Message::ForwardedWriteReleased { number: ticket } => {
-                if let Some(errand) = self.errands.remove(&ticket) {
-                    self.counts.writes_released += 1;
-                    out.push(Output::Release(errand.ticket));
-                }
+            Message::LeaseRequest(LeaseRequest { store_version, .. })
+            | Message::LeaseGrant(LeaseGrant { store_version, .. })
+                if self.is_store_outdated(from, store_version) =>
+            {
+                let reported = store_version.unwrap_or_default();
+                Context::new(now, &mut self.instance, outputs)
+                    .send(from, Message::StoreOutdated(reported));
             }
+            Message::StoreOutdated(reported) => self.invalidate_store(now, reported, outputs),
+            message => self.route_message(now, from, message, outputs),
         }
     }
 
-    /// So many records are on the disk.
-    pub fn handle_records_stored(&mut self, now: Time, records: u64, out: &mut Vec<Output>) {
-        self.stored = self.stored.max(records.min(self.records));
-        while let Some(ack) = self
-            .keeper
-            .acks
-            .pop_front_if(|ack| ack.record <= self.stored)
-        {
-            self.send(ack.to, Message::Acknowledge(ack.seqs), out);
-        }
-        self.release(now, out);
+    /// So many records are in the store.
+    pub fn handle_records_stored(&mut self, now: Time, records: u64, outputs: &mut Vec<Output>) {
+        self.instance.durability.confirm(records);
+        let mut context = Context::new(now, &mut self.instance, outputs);
+        self.replica.acknowledge_stored(&mut context);
+        self.writer.release_ready(&mut context);
     }
 
-    /// The disk takes nothing more. Where its file has been set aside, so that no later life reads it, this one goes on as
-    /// one without a disk. Where it could not be, a later life would take the file for whole: then nothing
-    /// is acknowledged, known for sure or let out any more.
+    /// The store accepts no more records.
+    ///
+    /// Where its file was set aside, so that no later incarnation reads it, this one goes on as one
+    /// without a store. Where it was left in place, a later incarnation would take it for complete:
+    /// then nothing is acknowledged, known for certain or released any more.
     pub fn handle_store_failure(
         &mut self,
         now: Time,
         failure: StoreFailure,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
-        if failure == StoreFailure::LeftInPlace {
-            self.keeper.broken = true;
-            self.keeper.acks.clear();
-            return;
-        }
-        self.disk = None;
-        (self.records, self.stored, self.roster_record) = (0, 0, 0);
-        for own in self.source.own.values_mut() {
-            own.record = None;
-        }
-        for ack in std::mem::take(&mut self.keeper.acks) {
-            self.send(ack.to, Message::Acknowledge(ack.seqs), out);
+        match failure {
+            StoreFailure::LeftInPlace => {
+                self.instance.durability.fail();
+                self.replica.drop_acknowledgements();
+            }
+            StoreFailure::SetAside => {
+                self.instance.durability.remove_store();
+                self.writer.log_mut().forget_records();
+                let mut context = Context::new(now, &mut self.instance, outputs);
+                self.replica.acknowledge_all(&mut context);
+                self.writer.release_ready(&mut context);
+            }
         }
-        self.release(now, out);
     }
 
-    /// Whether answers of writes can leave at all: not after a disk failed whose file stayed in place. A host does better
-    /// to turn writes away before they run.
+    /// Whether responses to writes can be released at all: not after the store failed and its file
+    /// stayed in place. A host does better to reject writes then before they are executed.
     pub fn can_release(&self) -> bool {
-        !(self.keeper.broken && self.is_replica())
+        self.instance.can_release()
     }
 
-    /// When [`Sessions::handle_timeout`] is wanted next.
+    /// When [`Sessions::handle_timeout`] is to be called next.
     pub fn next_deadline(&self) -> Time {
-        let lookup = self
-            .reader
-            .lookups
-            .values()
-            .next()
-            .map_or(Time::MAX, |l| l.until);
-        let ask = if self.is_replica() {
-            self.keeper.ask_at
+        let lease_request = if self.is_replica() {
+            self.replica.next_lease_request_at()
         } else {
             Time::MAX
         };
-        let waits = !self.source.waiting.is_empty() || !self.errands.is_empty();
-        ask.min(lookup)
-            .min(if waits { self.tick_at } else { Time::MAX })
+        lease_request
+            .min(self.reader.next_deadline())
+            .min(self.writer.next_deadline())
     }
 
-    /// Time has come for what waits for it.
-    pub fn handle_timeout(&mut self, now: Time, out: &mut Vec<Output>) {
-        for nonce in self.reader.overdue(now) {
-            let Some(lookup) = self.reader.lookups.remove(&nonce) else {
-                continue;
-            };
-            self.reader
-                .shun(now, lookup.asked, self.set.lease / ASKS_PER_LEASE);
-            self.look(
-                now,
-                lookup.ticket,
-                lookup.key,
-                lookup.next,
-                UncertaintyReason::OwnersUnresponsive,
-                out,
-            );
-        }
-        if self.is_replica() && self.keeper.ask_at <= now {
-            self.keeper.ask_at = now + self.set.lease / ASKS_PER_LEASE;
-            self.keeper.marks.expire(now);
-            let pushed = self.source.expire(
-                now,
-                self.set.retention,
-                self.set.max_local_writes,
-                self.set.local.incarnation,
-            );
-            self.counts.local_writes_evicted += pushed;
-            self.ask(now, out);
-            self.note_whole(now, out);
-        }
-        if self.tick_at <= now {
-            self.tick_at = now + self.set.resend_interval;
-            self.tell_again(now, now - self.set.resend_interval, out);
-            for nonce in self.errands.keys().copied().collect::<Vec<_>>() {
-                self.run_errand(nonce, out);
-            }
+    /// Does what is due by now.
+    pub fn handle_timeout(&mut self, now: Time, outputs: &mut Vec<Output>) {
+        let mut context = Context::new(now, &mut self.instance, outputs);
+        self.reader.handle_timeout(&mut context);
+        if self.replica.start_lease_round(&context) {
+            self.writer.expire(&mut context);
+            self.replica.request_leases(&mut context);
+            self.replica.record_complete_peers(&mut context);
         }
-        self.release(now, out);
+        self.writer.handle_timeout(&mut context);
+        self.writer.release_ready(&mut context);
     }
 
-    /// What it can tell of itself.
+    /// The state of this instance, for operators.
     pub fn status(&self, now: Time) -> Status {
-        let others = self.source.links.iter().map(|(node, link)| PeerStatus {
+        let log = self.writer.log();
+        let peers = log.peers().iter().map(|(node, peer)| PeerStatus {
             node: *node,
-            incarnation: link.peer.incarnation,
-            lease_held_for: self
-                .keeper
-                .heard
-                .get(node)
-                .map_or(0, |h| (h.until - now).max(0)),
-            lease_granted_for: (link.until - now).max(0),
-            unacknowledged: link.owes.len(),
+            incarnation: peer.peer.incarnation,
+            lease_held_for: self.replica.lease_held_for(now, *node),
+            lease_granted_for: (peer.lease_until - now).max(0),
+            unacknowledged: peer.unacknowledged.len(),
         });
         Status {
-            local: self.set.local,
+            local: self.instance.local(),
             is_replica: self.is_replica(),
-            uncertainty: self.keeper.sure(now, self.set.retention).err(),
-            peers: others.collect(),
-            positions: self.keeper.marks.len(),
-            evicted: self.keeper.marks.evicted(),
-            local_writes: self.source.own.len(),
-            pending: self.source.waiting.len() + self.errands.len(),
-            counters: *self.counts,
+            uncertainty: self.replica.certainty(now, &self.instance).err(),
+            peers: peers.collect(),
+            positions: self.replica.positions().len(),
+            evicted: self.replica.positions().evicted(),
+            local_writes: log.len(),
+            pending: self.writer.pending_count(),
+            counters: *self.instance.counters,
+        }
+    }
+
+    /// Takes what the store had.
+    fn restore(&mut self, now: Time, recovered: Recovered, outputs: &mut Vec<Output>) {
+        let is_same_set = recovered.replica_set == Some(self.instance.replica_set.digest());
+        let mut context = Context::new(now, &mut self.instance, outputs);
+        self.writer.apply_replica_set(&context);
+        self.replica.apply_replica_set(&context);
+        if is_same_set {
+            let local = context.instance.local().node;
+            self.replica.restore_complete_peers(local, &recovered);
+        }
+        let positions = self.replica.positions_mut();
+        for (key, position) in recovered.positions {
+            positions.add(now, key, position);
         }
-    }
-
-    fn send(&mut self, to: Peer, message: Message, out: &mut Vec<Output>) {
-        self.counts.messages_sent += 1;
-        out.push(Output::Send(to, message));
-    }
-
-    fn store(&mut self, record: Record, out: &mut Vec<Output>) -> u64 {
-        self.records += 1;
-        out.push(Output::Store(record));
-        self.records
-    }
-
-    fn record_roster(&mut self, out: &mut Vec<Output>) {
-        if self.disk.is_some() {
-            self.roster_record = self.store(Record::ReplicaSet(self.roster.digest()), out);
+        for (key, position) in recovered.unacknowledged {
+            self.writer
+                .restore_unacknowledged(&mut context, positions, key, position);
+        }
+        if !is_same_set {
+            context.record_replica_set();
         }
     }
 
-    fn peer(&self, node: NodeId) -> Peer {
-        self.source
-            .links
-            .get(&node)
-            .map_or(Peer::any_incarnation(node), |link| link.peer)
+    /// Whether a message is for this incarnation, or for whichever is running, and from another
+    /// instance.
+    fn is_addressed(&self, from: Peer, to: Peer) -> bool {
+        let local = self.instance.local();
+        let is_destination =
+            to.incarnation == ANY_INCARNATION || to.incarnation == local.incarnation;
+        let is_origin = from.node != local.node && from.incarnation != ANY_INCARNATION;
+        to.node == local.node && is_destination && is_origin
     }
 
-    // The source.
-
-    /// Keeps an own mark, here as its home too where it is one, and gives its number.
-    fn keep_own(
-        &mut self,
-        now: Time,
-        key: SessionKey,
-        position: Time,
-        waits: Option<RequestNumber>,
-        owed: bool,
-        out: &mut Vec<Output>,
-    ) -> u64 {
-        let mut record = None;
-        if self.roster.is_owner(key, self.set.local.node) {
-            self.keeper.marks.add(now, key, position);
-            if self.disk.is_some() && !owed {
-                record = Some(self.store(Record::Position(key, position), out));
-            }
-        }
-        self.tick_at = self.tick_at.min(now + self.set.resend_interval);
-        self.source.add(
-            now,
-            &self.roster,
-            Own {
-                key,
-                position,
-                waits,
-                at: now,
-                told: now,
-                record,
-                owed,
-            },
-        )
+    /// Notes the incarnation of a peer; `false` if it is over.
+    fn note_incarnation(&mut self, now: Time, from: Peer) -> bool {
+        self.replica.note_incarnation(now, from) && self.writer.log_mut().note_incarnation(from)
     }
 
-    /// Sends its homes a mark that an answer waits for.
-    fn tell(&mut self, seq: u64, out: &mut Vec<Output>) {
-        let Some(mark) = self.source.own.get(&seq).map(|own| own.update(seq)) else {
-            return;
-        };
-        let owing = self
-            .source
-            .links
-            .values()
-            .filter(|link| link.owes.contains(&seq));
-        for peer in owing.map(|link| link.peer).collect::<Vec<_>>() {
-            self.send(peer, Message::Replicate(vec![mark]), out);
-        }
+    fn is_store_outdated(&mut self, from: Peer, version: Option<StoreVersion>) -> bool {
+        self.instance.replica_set.contains(from.node)
+            && self.instance.durability.is_outdated(from, version)
     }
 
-    /// Sends them once more the marks that were last sent by then.
-    fn tell_again(&mut self, now: Time, since: Time, out: &mut Vec<Output>) {
-        if self.source.waiting.is_empty() {
+    /// A peer knows this store to have come further than `reported`: the store begins anew, and so
+    /// does what this instance can be certain of.
+    fn invalidate_store(&mut self, now: Time, reported: StoreVersion, outputs: &mut Vec<Output>) {
+        let incarnation = self.instance.local().incarnation;
+        let begun = self.instance.durability.begin_anew(reported, incarnation);
+        let Some(version) = begun else {
             return;
-        }
-        for peer in self
-            .source
-            .links
-            .values()
-            .map(|link| link.peer)
-            .collect::<Vec<_>>()
-        {
-            let marks = self
-                .source
-                .urgent(peer.node, since, MAX_POSITIONS_PER_MESSAGE);
-            if !marks.is_empty() {
-                self.send(peer, Message::Replicate(marks), out);
-            }
-        }
-        for seq in &self.source.waiting {
-            if let Some(own) = self.source.own.get_mut(seq).filter(|own| own.told <= since) {
-                own.told = now;
-            }
-        }
-    }
-
-    fn release(&mut self, now: Time, out: &mut Vec<Output>) {
-        for seq in self.source.waiting.iter().copied().collect::<Vec<_>>() {
-            self.try_release(now, seq, out);
-        }
+        };
+        // Peers that have believed this incarnation already must not go on from that.
+        self.writer.log_mut().break_history(incarnation);
+        self.replica.forget_history(now);
+        self.instance.counters.outdated_stores += 1;
+        let unbroken_since = self.writer.log().unbroken_since();
+        let record = Context::new(now, &mut self.instance, outputs)
+            .store(Record::Invalidated(version, unbroken_since));
+        self.instance.durability.set_invalidation_record(record);
     }
 
-    fn try_release(&mut self, now: Time, seq: u64, out: &mut Vec<Output>) {
-        let disk = self.disk.is_some();
-        if !self.can_release() {
-            return;
-        }
-        match self.source.gate(now, seq, self.stored, disk) {
-            Gate::Open => {
-                self.counts.writes_released += 1;
-                let owed = self
-                    .source
-                    .links
-                    .values()
-                    .any(|link| link.owes.contains(&seq));
-                self.counts.released_unacknowledged += u64::from(owed);
-                let Some(ticket) = self.source.let_out(now, seq) else {
-                    return;
-                };
-                match self.carries.remove(&seq) {
-                    Some((guest, ticket)) => {
-                        self.carried.remove(&(guest, ticket));
-                        self.send(
-                            guest,
-                            Message::ForwardedWriteReleased { number: ticket },
-                            out,
-                        );
-                    }
-                    None => out.push(Output::Release(ticket)),
-                }
+    fn route_message(
+        &mut self,
+        now: Time,
+        from: Peer,
+        message: Message,
+        outputs: &mut Vec<Output>,
+    ) {
+        let context = &mut Context::new(now, &mut self.instance, outputs);
+        match message {
+            Message::LeaseRequest(request) => {
+                self.writer.handle_lease_request(context, from, &request);
             }
-            Gate::Record => {
-                let Some((key, position)) = self.source.own.get(&seq).map(|o| (o.key, o.position))
-                else {
-                    return;
-                };
-                let record = self.store(Record::Unacknowledged(key, position), out);
-                if let Some(own) = self.source.own.get_mut(&seq) {
-                    (own.record, own.owed) = (Some(record), true);
-                }
+            Message::LeaseGrant(grant) => {
+                self.replica.handle_lease_grant(context, from, &grant);
             }
-            Gate::Shut => {}
-        }
-    }
-
-    /// Another keeper asks for a pledge. Danger: given before it holds all that has left, it would make that keeper sure of
-    /// what it does not know.
-    fn asked(&mut self, now: Time, from: Peer, nonce: u64, roster: u64, out: &mut Vec<Output>) {
-        if !self.roster.contains(from.node) || !self.is_replica() || roster != self.roster.digest()
-        {
-            let roster = self.roster.digest();
-            let replica_set = roster;
-            return self.send(
-                from,
-                Message::ReplicaSetMismatch { nonce, replica_set },
-                out,
-            );
-        }
-        if let Some(link) = self.source.links.get_mut(&from.node) {
-            link.sent = 0;
-        }
-        self.catch_up(from.node, CATCH_UP, out);
-        if !self.source.settled(from.node, now - self.set.lease / 2)
-            || self.roster_record > self.stored
-        {
-            return;
-        }
-        self.source
-            .pledge(now, from.node, self.set.lease, &self.roster);
-        let covers = now - self.source.covered_from;
-        let unbroken_since = self.source.unbroken_since;
-        let stamp = self.stamp();
-        self.send(
-            from,
-            Message::LeaseGrant(LeaseGrant {
-                nonce,
-                replica_set: roster,
-                complete_for: covers,
-                unbroken_since,
-                store_version: stamp,
-            }),
-            out,
-        );
-    }
-
-    fn catch_up(&mut self, node: NodeId, batches: usize, out: &mut Vec<Output>) {
-        for _ in 0..batches {
-            let marks = self.source.next_owed(node, MAX_POSITIONS_PER_MESSAGE);
-            if marks.is_empty() {
-                return;
+            Message::ReplicaSetMismatch { .. } => {
+                self.replica.handle_replica_set_mismatch(from.node);
             }
-            self.send(self.peer(node), Message::Replicate(marks), out);
-        }
-    }
-
-    // The keeper.
-
-    fn ask(&mut self, now: Time, out: &mut Vec<Output>) {
-        // Danger: a pledge to a keeper that acknowledges nothing would hold every write up.
-        if self.keeper.broken {
-            return;
-        }
-        for node in self.keeper.heard.keys().copied().collect::<Vec<_>>() {
-            self.nonce += 1;
-            self.keeper.asked(now, node, self.nonce);
-            let ask = Message::LeaseRequest(LeaseRequest {
-                nonce: self.nonce,
-                replica_set: self.roster.digest(),
-                store_version: self.stamp(),
-            });
-            // Whichever life is there: a new one is met by this.
-            self.send(Peer::any_incarnation(node), ask, out);
-        }
-    }
-
-    /// Puts on the disk of which sources nothing is missing, so that a restart need not wait for a horizon.
-    fn note_whole(&mut self, now: Time, out: &mut Vec<Output>) {
-        if self.disk.is_none() || self.keeper.broken || self.roster_record > self.stored {
-            return;
-        }
-        let before = now - self.set.retention;
-        let mut peers = Vec::new();
-        for (node, heard) in &mut self.keeper.heard {
-            if heard.known_from <= before && !heard.on_disk && heard.incarnation != 0 {
-                heard.on_disk = true;
-                peers.push(Peer {
-                    node: *node,
-                    incarnation: heard.incarnation,
-                });
+            Message::Replicate(updates) => {
+                self.replica.handle_positions(context, from, &updates);
             }
-        }
-        if self.keeper.own_from <= before && !self.keeper.own_on_disk {
-            self.keeper.own_on_disk = true;
-            peers.push(self.set.local);
-        }
-        for peer in peers {
-            self.store(Record::CompletePeer(peer), out);
-        }
-        if self.stamps_at <= before {
-            self.stamps_at = now;
-            for (peer, stamp) in self.stamps.values().copied().collect::<Vec<_>>() {
-                self.store(Record::PeerStore(peer, stamp.unwrap_or_default()), out);
+            Message::Acknowledge(sequences) => {
+                self.writer
+                    .handle_acknowledgement(context, from.node, &sequences);
             }
-        }
-    }
-
-    fn stamp(&self) -> Option<StoreVersion> {
-        let disk = self.disk?;
-        let records = disk
-            .records
-            .saturating_add(self.stored.saturating_sub(self.voided));
-        Some(StoreVersion { records, ..disk })
-    }
-
-    /// Whether a keeper comes with a disk that an earlier life of it had brought further, or had left unused. Danger: it
-    /// would vouch for what is not on it, as a source and as a home.
-    fn is_old(&mut self, from: Peer, stamp: Option<StoreVersion>) -> bool {
-        if !self.roster.contains(from.node) {
-            return false;
-        }
-        let known = self.stamps.get(&from.node).copied();
-        let before = known.filter(|(peer, _)| peer.incarnation < from.incarnation);
-        if let (Some((peer, seen)), Some(stamp)) =
-            (before, stamp.filter(|s| s.store_id != from.incarnation))
-        {
-            let shorter =
-                |s: StoreVersion| s.store_id == stamp.store_id && s.records > stamp.records;
-            if stamp.last_incarnation < peer.incarnation || seen.is_some_and(shorter) {
-                return true;
+            Message::PositionQuery { nonce, key } => {
+                self.replica
+                    .handle_position_query(context, from, nonce, key);
             }
-        }
-        // Within one life a smaller count is that of a message that came late.
-        let further =
-            known.is_none_or(|(peer, seen)| (peer.incarnation, seen) < (from.incarnation, stamp));
-        if further {
-            self.stamps.insert(from.node, (from, stamp));
-        }
-        false
-    }
-
-    /// Others know this disk to be older than it was: it begins anew, and so does what this instance can be sure of.
-    fn void(&mut self, now: Time, told: StoreVersion, out: &mut Vec<Output>) {
-        let Some(disk) = self
-            .disk
-            .as_mut()
-            .filter(|disk| disk.store_id == told.store_id)
-        else {
-            return;
-        };
-        let incarnation = self.set.local.incarnation;
-        *disk = StoreVersion {
-            store_id: incarnation,
-            records: 0,
-            last_incarnation: 0,
-        };
-        let begun = *disk;
-        // Those that have believed this life already must not go on from that.
-        self.source.unbroken_since = incarnation.saturating_add(1);
-        self.keeper.void(now);
-        self.counts.outdated_stores += 1;
-        self.voided = self.store(Record::Invalidated(begun, self.source.unbroken_since), out);
-    }
-
-    fn marks(&mut self, now: Time, from: Peer, marks: Vec<PositionUpdate>, out: &mut Vec<Output>) {
-        if self.keeper.broken {
-            return;
-        }
-        let seqs = marks.iter().map(|mark| mark.sequence).collect();
-        let mut record = None;
-        for PositionUpdate { key, position, .. } in marks {
-            self.keeper.marks.add(now, key, position);
-            if self.disk.is_some() {
-                record = Some(self.store(Record::Position(key, position), out));
+            Message::PositionReply { nonce, position } => {
+                self.reader
+                    .handle_position_reply(context, from.node, nonce, position);
             }
-        }
-        match record {
-            // What finds no room here is sent once more.
-            Some(record) if self.keeper.acks.len() < self.set.max_pending => {
-                self.keeper.acks.push_back(Ack {
-                    record,
-                    to: from,
-                    seqs,
-                });
+            Message::PositionUncertain { nonce } => {
+                self.reader
+                    .handle_uncertain_reply(context, from.node, nonce);
             }
-            Some(_) => self.counts.rejected += 1,
-            None => self.send(from, Message::Acknowledge(seqs), out),
-        }
-    }
-
-    fn known_here(&self, now: Time, key: SessionKey) -> Result<Option<Time>, UncertaintyReason> {
-        self.keeper.sure(now, self.set.retention)?;
-        Ok(self.keeper.marks.get(now, key).map(|seen| seen.position))
-    }
-
-    // The reader.
-
-    fn look(
-        &mut self,
-        now: Time,
-        ticket: RequestNumber,
-        key: SessionKey,
-        mut next: std::collections::VecDeque<NodeId>,
-        why: UncertaintyReason,
-        out: &mut Vec<Output>,
-    ) {
-        let Some(asked) = next.pop_front() else {
-            return self.cautious(ticket, why, out);
-        };
-        self.nonce += 1;
-        let until = now + self.set.lookup_timeout;
-        self.reader.lookups.insert(
-            self.nonce,
-            Lookup {
-                ticket,
+            Message::ForwardWrite {
+                number,
                 key,
-                asked,
-                next,
-                until,
-            },
-        );
-        let look = Message::PositionQuery {
-            nonce: self.nonce,
-            key,
-        };
-        self.send(Peer::any_incarnation(asked), look, out);
-    }
-
-    fn need(&mut self, ticket: RequestNumber, position: Option<Time>, out: &mut Vec<Output>) {
-        match position {
-            Some(UNKNOWN_POSITION) => {
-                self.cautious(ticket, UncertaintyReason::UnknownPosition, out)
+                position,
+            } => {
+                let origin = Origin { peer: from, number };
+                let positions = self.replica.positions_mut();
+                self.writer
+                    .handle_forwarded_write(context, positions, origin, key, position);
+            }
+            Message::ForwardedWriteReleased { number } => {
+                self.writer.handle_forwarded_release(context, number);
             }
-            position => out.push(Output::ReadRequirement(
-                ticket,
-                ReadRequirement::Position(position),
-            )),
+            // Handled before any other role.
+            Message::StoreOutdated(_) => {}
         }
     }
+}
 
-    fn cautious(&mut self, ticket: RequestNumber, why: UncertaintyReason, out: &mut Vec<Output>) {
-        self.counts.strong_reads += 1;
-        out.push(Output::ReadRequirement(
-            ticket,
-            ReadRequirement::Strong(why),
-        ));
-    }
-
-    // Guests.
-
-    /// A guest asks one keeper after another to carry its write.
-    fn run_errand(&mut self, nonce: u64, out: &mut Vec<Output>) {
-        let keepers = self.roster.replicas().len();
-        let Some(errand) = self.errands.get_mut(&nonce).filter(|_| keepers > 0) else {
-            return;
-        };
-        let turn =
-            (errand.key.0 as usize).wrapping_add((errand.tries / CARRY_TRIES) as usize) % keepers;
-        errand.tries += 1;
-        let carry = Message::ForwardWrite {
-            number: nonce,
-            key: errand.key,
-            position: errand.position,
-        };
-        let node = self.roster.replicas()[turn];
-        self.send(Peer::any_incarnation(node), carry, out);
-    }
-
-    /// A keeper makes a guest's write its own.
-    fn carry(
-        &mut self,
-        now: Time,
-        from: Peer,
-        ticket: u64,
-        key: SessionKey,
-        position: Time,
-        out: &mut Vec<Output>,
-    ) {
-        if !self.is_replica() || self.carried.contains_key(&(from, ticket)) {
-            return;
-        }
-        if self.source.waiting.len() >= self.set.max_pending {
-            self.counts.rejected += 1;
-            return;
-        }
-        let seq = self.keep_own(now, key, position, Some(ticket), false, out);
-        self.carried.insert((from, ticket), seq);
-        self.carries.insert(seq, (from, ticket));
-        self.tell(seq, out);
-        self.try_release(now, seq, out);
-    }
+/// The write log at start.
+fn new_write_log(now: Time, settings: &Settings, recovered: Option<&Recovered>) -> WriteLog {
+    let unbroken_since = recovered.map_or(settings.local.incarnation, |recovered| {
+        recovered.unbroken_since
+    });
+    let earlier_leases_until = now + settings.earlier_lease_bound();
+    let mut log = WriteLog::new(now, unbroken_since, earlier_leases_until);
+    let replica_set = settings.replica_set();
+    let recorded_set = recovered.and_then(|recovered| recovered.replica_set);
+    // An instance outside of the replica set grants no lease, so no earlier incarnation of it binds
+    // this one. Where the store shows the same set, leases were granted only to the owners by that
+    // set, and these are taken to be bound. Else nobody knows to whom they were granted.
+    let is_same_set = recorded_set == Some(replica_set.digest());
+    if is_same_set || !replica_set.contains(settings.local.node) {
+        log.release_at_once(now);
+    }
+    log
 }
--- /dev/null
+++ b/crates/stackgw-sessions/src/write_log.rs
@@ -0,0 +1,398 @@
+//! The local writes of an instance: which owners have acknowledged them, which leases bind them,
+//! when their responses may be released.
+//!
+//! Invariant: while a lease that was granted to an owner may bind, the response to a write of a
+//! session of that owner is not released without that owner's acknowledgement.
+
+use crate::durability::Durability;
+use crate::identity::{NodeId, Peer, RequestNumber, SessionKey};
+use crate::message::PositionUpdate;
+use crate::peer_replication::PeerReplication;
+use crate::replica_set::ReplicaSet;
+use stackgw_router::api::{Span, Time};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// A write of this instance.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) struct LocalWrite {
+    pub(crate) key: SessionKey,
+    pub(crate) position: Time,
+    /// Whose response waits for its release; `None`: it was released.
+    pub(crate) request: Option<RequestNumber>,
+    /// When the write was served, then when its response was released.
+    pub(crate) since: Time,
+    /// When the position was last sent to owners that have not acknowledged it.
+    pub(crate) last_sent_at: Time,
+    /// The record that must be in the store first, if there is one.
+    pub(crate) record: Option<u64>,
+    /// That record says that some owner has not acknowledged the write.
+    pub(crate) is_recorded_unacknowledged: bool,
+}
+
+impl LocalWrite {
+    fn update(&self, sequence: u64) -> PositionUpdate {
+        PositionUpdate {
+            sequence,
+            key: self.key,
+            position: self.position,
+        }
+    }
+}
+
+/// What the release of a response still depends on.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum ReleaseCondition {
+    /// Nothing.
+    Met,
+    /// The store must have a record that some owner has not acknowledged the write.
+    NeedsRecord,
+    /// An owner must acknowledge the write or the lease of that owner must end, or the store must
+    /// have its record.
+    Pending,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct Released {
+    at: Time,
+    sequence: u64,
+}
+
+/// The local writes by sequence number, and their replication.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) struct WriteLog {
+    writes: BTreeMap<u64, LocalWrite>,
+    next_sequence: u64,
+    peers: BTreeMap<NodeId, PeerReplication>,
+    /// In the order of their release.
+    released: VecDeque<Released>,
+    /// Writes that wait for their release.
+    pending: BTreeSet<u64>,
+    /// From then on no local write is missing here.
+    complete_since: Time,
+    /// The incarnations from this one on left no unacknowledged write that is missing here.
+    unbroken_since: u64,
+    /// No response to a write is released before.
+    no_release_before: Time,
+    /// Leases that an earlier incarnation granted may bind until then.
+    earlier_leases_until: Time,
+}
+
+impl WriteLog {
+    /// An empty log. Until `earlier_leases_until` nothing is released, unless
+    /// [`WriteLog::release_at_once`] says so.
+    pub(crate) fn new(now: Time, unbroken_since: u64, earlier_leases_until: Time) -> Self {
+        WriteLog {
+            writes: BTreeMap::new(),
+            next_sequence: 1,
+            peers: BTreeMap::new(),
+            released: VecDeque::new(),
+            pending: BTreeSet::new(),
+            complete_since: now,
+            unbroken_since,
+            no_release_before: earlier_leases_until,
+            earlier_leases_until,
+        }
+    }
+
+    /// It is known to whom earlier incarnations may have granted leases: others' writes need not
+    /// wait.
+    pub(crate) fn release_at_once(&mut self, now: Time) {
+        self.no_release_before = now;
+    }
+
+    /// Replicates to the replicas of a set from now on, and to others only as long as a lease
+    /// binds.
+    pub(crate) fn apply_replica_set(&mut self, now: Time, local: NodeId, replica_set: &ReplicaSet) {
+        self.peers
+            .retain(|node, peer| replica_set.contains(*node) || peer.lease_until > now);
+        for node in replica_set.replicas().iter().filter(|node| **node != local) {
+            let lease_until = self.earlier_leases_until;
+            self.peers
+                .entry(*node)
+                .or_insert_with(|| PeerReplication::new(*node, lease_until, replica_set));
+        }
+        for (sequence, write) in &self.writes {
+            for peer in self.peers.values_mut() {
+                if replica_set.is_owner(write.key, peer.peer.node) {
+                    peer.unacknowledged.insert(*sequence);
+                }
+            }
+        }
+    }
+
+    /// Adds a write, and gives its sequence number.
+    pub(crate) fn append(&mut self, now: Time, replica_set: &ReplicaSet, write: LocalWrite) -> u64 {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        for peer in self.peers.values_mut() {
+            let is_owner = replica_set.is_owner(write.key, peer.peer.node);
+            if is_owner || peer.lease_binds(now, write.key) {
+                peer.unacknowledged.insert(sequence);
+            }
+        }
+        if write.request.is_some() {
+            self.pending.insert(sequence);
+        } else {
+            let at = write.since;
+            self.released.push_back(Released { at, sequence });
+        }
+        self.writes.insert(sequence, write);
+        sequence
+    }
+
+    /// Notes the incarnation of a peer; `false` if it is over.
+    pub(crate) fn note_incarnation(&mut self, from: Peer) -> bool {
+        let earlier_leases_until = self.earlier_leases_until;
+        let peer = self.peers.get_mut(&from.node);
+        peer.is_none_or(|peer| peer.note_incarnation(from.incarnation, earlier_leases_until))
+    }
+
+    /// What the release of a write's response still depends on.
+    pub(crate) fn release_condition(
+        &self,
+        now: Time,
+        sequence: u64,
+        durability: &Durability,
+    ) -> ReleaseCondition {
+        let Some(write) = self.writes.get(&sequence) else {
+            return ReleaseCondition::Met;
+        };
+        let is_bound = now < self.no_release_before
+            || self
+                .peers_without(sequence)
+                .any(|peer| peer.lease_until > now);
+        let is_stored = write
+            .record
+            .is_none_or(|record| durability.is_stored(record));
+        if is_bound || !is_stored {
+            return ReleaseCondition::Pending;
+        }
+        let needs_record = durability.has_store() && !write.is_recorded_unacknowledged;
+        if needs_record && self.is_unacknowledged(sequence) {
+            return ReleaseCondition::NeedsRecord;
+        }
+        ReleaseCondition::Met
+    }
+
+    /// Releases the response to a write, and gives its request.
+    pub(crate) fn release(&mut self, now: Time, sequence: u64) -> Option<RequestNumber> {
+        self.pending.remove(&sequence);
+        let write = self.writes.get_mut(&sequence)?;
+        write.since = now;
+        self.released.push_back(Released { at: now, sequence });
+        write.request.take()
+    }
+
+    /// The response to a pending write will not be sent.
+    pub(crate) fn cancel(&mut self, sequence: u64) {
+        if self.pending.remove(&sequence) {
+            self.remove(sequence);
+        }
+    }
+
+    /// Drops writes that are older than the retention, and the oldest beyond so many: earlier ones
+    /// are then no longer vouched for. Gives how many were dropped for lack of room.
+    pub(crate) fn expire(
+        &mut self,
+        now: Time,
+        retention: Span,
+        max_writes: usize,
+        incarnation: u64,
+    ) -> u64 {
+        let oldest = now.saturating_sub(retention);
+        while let Some(expired) = self.released.pop_front_if(|released| released.at < oldest) {
+            self.remove(expired.sequence);
+        }
+        let mut evicted = 0;
+        while self.released.len() > max_writes {
+            let Some(oldest) = self.released.pop_front() else {
+                break;
+            };
+            self.complete_since = self.complete_since.max(oldest.at + 1);
+            if self.remove(oldest.sequence) {
+                self.break_history(incarnation);
+            }
+            evicted += 1;
+        }
+        evicted
+    }
+
+    /// Writes of this incarnation or of earlier ones may be missing here: who relied on them must
+    /// not go on from that.
+    pub(crate) fn break_history(&mut self, incarnation: u64) {
+        self.unbroken_since = incarnation.saturating_add(1);
+    }
+
+    /// Whether a replica may be granted a lease: it has acknowledged all that was released, and
+    /// nothing has waited for its acknowledgement since before a moment.
+    ///
+    /// Danger: where only the way to the replica is cut, its lease requests still arrive, and
+    /// leases that are renewed for ever would block writes for ever.
+    pub(crate) fn may_grant_lease(&self, node: NodeId, waiting_since: Time) -> bool {
+        let is_recent = |sequence: &u64| {
+            let write = self.writes.get(sequence);
+            self.pending.contains(sequence) && write.is_some_and(|w| w.since >= waiting_since)
+        };
+        let peer = self.peers.get(&node);
+        peer.is_some_and(|peer| peer.unacknowledged.iter().all(is_recent))
+    }
+
+    /// Grants a replica a lease.
+    pub(crate) fn grant_lease(
+        &mut self,
+        now: Time,
+        node: NodeId,
+        lease: Span,
+        replica_set: &ReplicaSet,
+    ) {
+        if let Some(peer) = self.peers.get_mut(&node) {
+            peer.grant_lease(now, lease, replica_set);
+        }
+    }
+
+    /// A replica has recorded the positions of these writes.
+    pub(crate) fn acknowledge(&mut self, node: NodeId, sequences: &[u64]) {
+        if let Some(peer) = self.peers.get_mut(&node) {
+            for sequence in sequences {
+                peer.unacknowledged.remove(sequence);
+            }
+        }
+    }
+
+    /// Unacknowledged released writes are sent to a replica from the first one on again.
+    pub(crate) fn restart_catch_up(&mut self, node: NodeId) {
+        if let Some(peer) = self.peers.get_mut(&node) {
+            peer.last_sent = 0;
+        }
+    }
+
+    /// The next released writes that a replica has not acknowledged.
+    pub(crate) fn next_unsent(&mut self, node: NodeId, max_updates: usize) -> Vec<PositionUpdate> {
+        let Some(peer) = self.peers.get_mut(&node) else {
+            return Vec::new();
+        };
+        let released = peer
+            .unsent()
+            .filter(|sequence| !self.pending.contains(sequence));
+        let updates = released.filter_map(|sequence| {
+            self.writes
+                .get(sequence)
+                .map(|write| write.update(*sequence))
+        });
+        let updates: Vec<_> = updates.take(max_updates).collect();
+        peer.last_sent = updates
+            .last()
+            .map_or(peer.last_sent, |update| update.sequence);
+        updates
+    }
+
+    /// Pending writes that a replica has not acknowledged and that were last sent by then.
+    ///
+    /// Danger: what a replica that has long been gone has not acknowledged may be far more than
+    /// what is pending.
+    pub(crate) fn pending_updates(
+        &self,
+        node: NodeId,
+        sent_by: Time,
+        max_updates: usize,
+    ) -> Vec<PositionUpdate> {
+        let Some(peer) = self.peers.get(&node) else {
+            return Vec::new();
+        };
+        let sequences = self
+            .pending
+            .iter()
+            .filter(|s| peer.unacknowledged.contains(s));
+        let writes = sequences.filter_map(|s| self.writes.get(s).map(|write| (s, write)));
+        let due = writes.filter(|(_, write)| write.last_sent_at <= sent_by);
+        due.map(|(sequence, write)| write.update(*sequence))
+            .take(max_updates)
+            .collect()
+    }
+
+    /// Pending writes that were last sent by then are sent now.
+    pub(crate) fn note_sent(&mut self, now: Time, sent_by: Time) {
+        for sequence in &self.pending {
+            let write = self.writes.get_mut(sequence);
+            if let Some(write) = write.filter(|write| write.last_sent_at <= sent_by) {
+                write.last_sent_at = now;
+            }
+        }
+    }
+
+    /// The update for a write, and the replicas that have not acknowledged it.
+    pub(crate) fn replication_of(&self, sequence: u64) -> Option<(PositionUpdate, Vec<Peer>)> {
+        let update = self.writes.get(&sequence)?.update(sequence);
+        let peers = self.peers_without(sequence).map(|peer| peer.peer);
+        Some((update, peers.collect()))
+    }
+
+    /// Whether some replica has not acknowledged a write.
+    pub(crate) fn is_unacknowledged(&self, sequence: u64) -> bool {
+        self.peers_without(sequence).next().is_some()
+    }
+
+    /// The record that some owner has not acknowledged a write was requested.
+    pub(crate) fn note_unacknowledged_record(&mut self, sequence: u64, record: u64) {
+        if let Some(write) = self.writes.get_mut(&sequence) {
+            write.record = Some(record);
+            write.is_recorded_unacknowledged = true;
+        }
+    }
+
+    /// There is no store any more: no write waits for a record.
+    pub(crate) fn forget_records(&mut self) {
+        for write in self.writes.values_mut() {
+            write.record = None;
+        }
+    }
+
+    /// The incarnation of a replica that was last heard of.
+    pub(crate) fn last_known_peer(&self, node: NodeId) -> Peer {
+        let peer = self.peers.get(&node).map(|peer| peer.peer);
+        peer.unwrap_or(Peer::any_incarnation(node))
+    }
+
+    pub(crate) fn write(&self, sequence: u64) -> Option<&LocalWrite> {
+        self.writes.get(&sequence)
+    }
+
+    pub(crate) fn writes(&self) -> impl Iterator<Item = &LocalWrite> {
+        self.writes.values()
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.writes.len()
+    }
+
+    pub(crate) fn peers(&self) -> &BTreeMap<NodeId, PeerReplication> {
+        &self.peers
+    }
+
+    pub(crate) fn pending(&self) -> &BTreeSet<u64> {
+        &self.pending
+    }
+
+    pub(crate) fn complete_since(&self) -> Time {
+        self.complete_since
+    }
+
+    pub(crate) fn unbroken_since(&self) -> u64 {
+        self.unbroken_since
+    }
+
+    fn peers_without(&self, sequence: u64) -> impl Iterator<Item = &PeerReplication> {
+        let peers = self.peers.values();
+        peers.filter(move |peer| peer.unacknowledged.contains(&sequence))
+    }
+
+    /// Removes a write; `true` if some replica had not acknowledged it.
+    fn remove(&mut self, sequence: u64) -> bool {
+        self.writes.remove(&sequence);
+        let mut was_unacknowledged = false;
+        for peer in self.peers.values_mut() {
+            was_unacknowledged |= peer.unacknowledged.remove(&sequence);
+        }
+        was_unacknowledged
+    }
+}
