--- a/crates/stackgw-sessions/benches/scale.rs
+++ b/crates/stackgw-sessions/benches/scale.rs
@@ -1,26 +1,34 @@
-//! Sizes that sockets don't reach, in simulated time: messages for each request, the leases' messages, marks that move when a
-//! keeper joins, memory of a million marks. `cargo bench -p stackgw-sessions --bench scale`.
+//! Sizes that sockets don't reach, in simulated time: messages for each request, the messages of leases, owners that
+//! move when a replica joins, memory of a million positions. `cargo bench -p stackgw-sessions --bench scale`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use common::*;
 use rand::Rng;
-use stackgw_router::api::{MS, SECOND};
+use stackgw_router::api::{Span, MS, SECOND};
 use stackgw_sessions::{ReplicaSet, SessionKey, SessionPositions};
 
-const FAIR: Weather = Weather {
+const RELIABLE: Conditions = Conditions {
     loss: 0.0,
-    repeat: 0.0,
-    delay: MS,
-    sync: MS,
-    off: false,
+    duplication: 0.0,
+    max_delay: MS,
+    max_sync_time: MS,
+    ignore_positions: false,
 };
 
+/// Requests of each kind that messages are counted over.
+const REQUESTS: u64 = 4_000;
+/// Over this time the messages of leases are counted.
+const IDLE_SPAN: Span = 10 * SECOND;
+/// Sessions whose owners are compared between two replica sets.
+const COMPARED_SESSIONS: u64 = 100_000;
+const RECORDED_POSITIONS: u64 = 1_000_000;
+
 fn main() {
-    println!("| instances | keepers | leases' messages a second and keeper | messages a write | messages a read | sure |");
+    println!("| instances | replicas | lease messages a second and replica | messages a write | messages a read | certain |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    for (keepers, guests) in [
+    let sizes = [
         (2, 0),
         (3, 0),
         (5, 0),
@@ -28,77 +36,90 @@
         (5, 45),
         (5, 195),
         (16, 184),
-    ] {
-        let mut world = World::new(1, keepers, guests, false, FAIR);
-        world.pass(HORIZON + 2 * SECOND);
-        let all = keepers + guests;
-        let span = 10 * SECOND;
-        let before = world.messages;
-        world.pass(span);
-        let leases = world.messages - before;
-        let per_second = leases as f64 / 10.0 / keepers as f64;
-        let count = 4_000;
-        let mut cost = [0.0; 2];
-        for (kind, cost) in cost.iter_mut().enumerate() {
-            let (before, started) = (world.messages, world.now);
-            for session in 0..count {
-                let n = world.rng.random_range(0..all);
-                if kind == 0 {
-                    world.write(n, session);
-                } else {
-                    world.read(n, session);
-                }
-                world.pass(MS / 2);
-            }
-            world.pass(20 * MS);
-            let idle = leases as f64 * (world.now - started) as f64 / span as f64;
-            *cost = ((world.messages - before) as f64 - idle) / count as f64;
-        }
-        assert!(world.missed.is_empty());
-        println!(
-            "| {all} | {keepers} | {per_second:.0} | {:.2} | {:.2} | {:.3} |",
-            cost[0],
-            cost[1],
-            world.sure as f64 / count as f64
-        );
+    ];
+    for (replicas, forwarders) in sizes {
+        print_messages(replicas, forwarders);
     }
     println!();
-    println!("| keepers before and after | homes that move | fair share |");
+    println!("| replicas before and after | owners that move | fair share |");
     println!("| --- | --- | --- |");
     for (before, after) in [(2, 3), (5, 6), (6, 5), (15, 16), (199, 200), (200, 199)] {
-        let roster = |n: usize| ReplicaSet::new((0..n).map(node), 2, &[]);
-        let (old, new) = (roster(before), roster(after));
-        let keys = 100_000u64;
-        let moved: usize = (0..keys)
-            .map(|n| {
-                let key = SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-                let old: Vec<_> = old.owners(key).collect();
-                new.owners(key).filter(|home| !old.contains(home)).count()
-            })
-            .sum();
-        let share = 1.0 / before.max(after) as f64;
-        println!(
-            "| {before}, {after} | {:.4} | {share:.4} |",
-            moved as f64 / (2 * keys) as f64
-        );
-    }
-    let before = resident();
-    let mut marks = SessionPositions::new(1_000_000, 60 * SECOND);
-    for n in 0..1_000_000u64 {
-        marks.add(
-            n as i64,
-            SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-            n as i64,
-        );
+        print_moved_owners(before, after);
     }
     println!();
+    print_memory();
+}
+
+fn print_messages(replicas: usize, forwarders: usize) {
+    let mut simulation = Simulation::new(1, replicas, forwarders, false, RELIABLE);
+    simulation.advance(RETENTION + 2 * SECOND);
+    let before = simulation.messages;
+    simulation.advance(IDLE_SPAN);
+    let lease_messages = (simulation.messages - before) as f64 / IDLE_SPAN as f64;
+    let per_second = lease_messages * SECOND as f64 / replicas as f64;
+    let instances = replicas + forwarders;
+    let write = messages_per_request(
+        &mut simulation,
+        instances,
+        lease_messages,
+        Simulation::write,
+    );
+    let read = messages_per_request(&mut simulation, instances, lease_messages, Simulation::read);
+    assert!(simulation.missed.is_empty());
+    let certain = simulation.certain_reads as f64 / REQUESTS as f64;
     println!(
-        "{} marks: {:.0} bytes each",
-        marks.len(),
-        (resident() - before) / marks.len() as f64
+        "| {instances} | {replicas} | {per_second:.0} | {write:.2} | {read:.2} | {certain:.3} |"
     );
 }
 
+/// Messages for each request, without those of leases.
+fn messages_per_request(
+    simulation: &mut Simulation,
+    instances: usize,
+    lease_messages: f64,
+    request: fn(&mut Simulation, usize, u64),
+) -> f64 {
+    let (before, started) = (simulation.messages, simulation.now);
+    for session in 0..REQUESTS {
+        let index = simulation.rng.random_range(0..instances);
+        request(simulation, index, session);
+        simulation.advance(MS / 2);
+    }
+    simulation.advance(20 * MS);
+    let idle = lease_messages * (simulation.now - started) as f64;
+    ((simulation.messages - before) as f64 - idle) / REQUESTS as f64
+}
+
+/// Sessions far apart.
+fn key(n: u64) -> SessionKey {
+    SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+}
+
+fn print_moved_owners(before: usize, after: usize) {
+    let replica_set = |n: usize| ReplicaSet::new((0..n).map(node), 2, &[]);
+    let (old, new) = (replica_set(before), replica_set(after));
+    let moved = |n: u64| {
+        let old: Vec<_> = old.owners(key(n)).collect();
+        new.owners(key(n))
+            .filter(|owner| !old.contains(owner))
+            .count()
+    };
+    let moved: usize = (0..COMPARED_SESSIONS).map(moved).sum();
+    let moved = moved as f64 / (2 * COMPARED_SESSIONS) as f64;
+    let share = 1.0 / before.max(after) as f64;
+    println!("| {before}, {after} | {moved:.4} | {share:.4} |");
+}
+
+fn print_memory() {
+    let before = resident();
+    let mut positions = SessionPositions::new(RECORDED_POSITIONS as usize, 60 * SECOND);
+    for n in 0..RECORDED_POSITIONS {
+        positions.add(n as i64, key(n), n as i64);
+    }
+    let bytes = (resident() - before) / positions.len() as f64;
+    println!("{} positions: {bytes:.0} bytes each", positions.len());
+}
+
 /// Resident memory, in bytes.
 fn resident() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/crates/stackgw-sessions/tests/common/mod.rs
+++ b/crates/stackgw-sessions/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Several instances in simulated time: a network that loses, delays, repeats and cuts, disks, kills, pauses, clocks that
-//! differ; and the truth against which each read is held.
-#![allow(dead_code)]
+//! Several instances in simulated time: a network that loses, delays, duplicates and partitions; stores, crashes, pauses,
+//! clocks that differ; and the truth against which each read is checked.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -8,19 +8,19 @@
 use stackgw_sessions::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const HORIZON: Span = 2 * SECOND;
+pub const RETENTION: Span = 2 * SECOND;
 pub const LEASE: Span = 300 * MS;
 
-pub fn settings(me: usize, incarnation: u64, keepers: usize) -> Settings {
+pub fn settings(index: usize, incarnation: u64, replicas: usize) -> Settings {
     Settings {
         local: Peer {
-            node: node(me),
+            node: node(index),
             incarnation,
         },
-        replicas: (0..keepers).map(node).collect(),
+        replicas: (0..replicas).map(node).collect(),
         owners_per_session: 2,
         lease: LEASE,
-        retention: HORIZON,
+        retention: RETENTION,
         resend_interval: 20 * MS,
         lookup_timeout: 15 * MS,
         max_positions: 10_000,
@@ -30,372 +30,554 @@
     }
 }
 
-pub fn node(n: usize) -> NodeId {
-    NodeId(n as u64 + 1)
+pub fn node(index: usize) -> NodeId {
+    NodeId(index as u64 + 1)
 }
 
-/// One instance, with its clock and its disk.
+/// The store of an instance: what the incarnations since it was created have written.
+struct Store {
+    unbroken_since: u64,
+    records: Vec<Record>,
+}
+
+/// One instance, with its clock and its store.
 pub struct Instance {
-    pub up: Option<Sessions>,
+    pub running: Option<Sessions>,
     pub paused: bool,
     pub incarnation: u64,
-    pub has_disk: bool,
-    disk: Option<(u64, Vec<Record>)>,
+    pub has_store: bool,
+    store: Option<Store>,
+    /// So many records survive a crash.
     synced: usize,
-    base: u64,
-    offset: Time,
-    rate: f64,
+    /// Records of earlier incarnations.
+    recovered: usize,
+    clock_offset: Time,
+    clock_rate: f64,
 }
 
 #[derive(Debug, Clone)]
-enum Happens {
-    Arrives(usize, Peer, Peer, Message),
-    Synced(usize, u64, usize),
+enum Event {
+    Arrival {
+        target: usize,
+        from: Peer,
+        to: Peer,
+        message: Message,
+    },
+    RecordsSynced {
+        target: usize,
+        incarnation: u64,
+        records: usize,
+    },
+}
+
+impl Event {
+    fn target(&self) -> usize {
+        match self {
+            Event::Arrival { target, .. } | Event::RecordsSynced { target, .. } => *target,
+        }
+    }
 }
 
-/// What the world does to them.
+/// What the simulation does to the instances.
 #[derive(Debug, Clone, Copy)]
-pub struct Weather {
+pub struct Conditions {
+    /// The share of messages that are lost.
     pub loss: f64,
-    pub repeat: f64,
-    pub delay: Span,
-    pub sync: Span,
-    /// Marks are ignored: every read is told that nothing needs to be seen. Shows that the trial can fail.
-    pub off: bool,
+    /// The share of messages that arrive twice.
+    pub duplication: f64,
+    pub max_delay: Span,
+    pub max_sync_time: Span,
+    /// Every read is taken to need no position. Shows that the check of reads can fail.
+    pub ignore_positions: bool,
+}
+
+/// All outputs of an instance with the true time at which it gave them.
+pub struct TracedOutput {
+    pub at: Time,
+    pub index: usize,
+    pub output: Output,
+}
+
+struct PendingWrite {
+    key: SessionKey,
+    position: Time,
+    committed_at: Time,
+}
+
+struct PendingRead {
+    key: SessionKey,
+    arrived_at: Time,
+}
+
+struct ReleasedWrite {
+    position: Time,
+    committed_at: Time,
+    released_at: Time,
 }
 
-pub struct World {
+/// An instance that is down or paused.
+struct Outage {
+    index: usize,
+    until: Time,
+}
+
+pub struct Simulation {
     pub now: Time,
     pub rng: SmallRng,
-    pub weather: Weather,
-    pub keepers: usize,
+    pub conditions: Conditions,
+    pub replicas: usize,
     pub instances: Vec<Instance>,
-    pub cut: BTreeSet<(usize, usize)>,
-    agenda: BTreeMap<(Time, u64), Happens>,
-    next: u64,
-    tickets: u64,
-    writes: BTreeMap<(usize, RequestNumber), (SessionKey, Time, Time)>,
-    reads: BTreeMap<(usize, RequestNumber), (SessionKey, Time)>,
-    /// By session: each write whose answer has left, its position, when it was committed and when its answer left.
-    left: BTreeMap<SessionKey, Vec<(Time, Time, Time)>>,
-    pub sure: u64,
-    pub cautious: BTreeMap<UncertaintyReason, u64>,
+    /// No message passes from the first to the second.
+    pub partitions: BTreeSet<(usize, usize)>,
+    outages: Vec<Outage>,
+    events: BTreeMap<(Time, u64), Event>,
+    last_event: u64,
+    last_request: RequestNumber,
+    pending_writes: BTreeMap<(usize, RequestNumber), PendingWrite>,
+    pending_reads: BTreeMap<(usize, RequestNumber), PendingRead>,
+    released_writes: BTreeMap<SessionKey, Vec<ReleasedWrite>>,
+    pub certain_reads: u64,
+    pub strong_reads: BTreeMap<UncertaintyReason, u64>,
     pub released: u64,
+    /// Reads that were not required to see a released write of their session.
     pub missed: Vec<String>,
     pub messages: u64,
-    positions: Time,
+    last_position: Time,
     /// Changes each instance's settings before it starts.
     adjust: fn(&mut Settings),
-    /// All outputs with the true time and the instance, where a test asks for them.
-    pub trace: Option<Vec<(Time, usize, Output)>>,
+    /// Filled where a test puts a list here.
+    pub trace: Option<Vec<TracedOutput>>,
 }
 
-impl World {
-    pub fn new(seed: u64, keepers: usize, guests: usize, disks: bool, weather: Weather) -> Self {
-        World::with_settings(seed, (keepers, guests), disks, weather, |_| {})
+impl Simulation {
+    /// So many replicas, and so many instances that forward their writes to them.
+    pub fn new(
+        seed: u64,
+        replicas: usize,
+        forwarders: usize,
+        has_stores: bool,
+        conditions: Conditions,
+    ) -> Self {
+        let adjust = |_: &mut Settings| {};
+        Self::with_settings(seed, (replicas, forwarders), has_stores, conditions, adjust)
     }
 
     /// The same with settings that differ from the usual ones.
     pub fn with_settings(
         seed: u64,
-        (keepers, guests): (usize, usize),
-        disks: bool,
-        weather: Weather,
+        (replicas, forwarders): (usize, usize),
+        has_stores: bool,
+        conditions: Conditions,
         adjust: fn(&mut Settings),
     ) -> Self {
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
             rng: SmallRng::seed_from_u64(seed),
-            weather,
-            keepers,
+            conditions,
+            replicas,
             instances: Vec::new(),
-            cut: BTreeSet::new(),
-            agenda: BTreeMap::new(),
-            next: 0,
-            tickets: 0,
-            writes: BTreeMap::new(),
-            reads: BTreeMap::new(),
-            left: BTreeMap::new(),
-            sure: 0,
-            cautious: BTreeMap::new(),
+            partitions: BTreeSet::new(),
+            outages: Vec::new(),
+            events: BTreeMap::new(),
+            last_event: 0,
+            last_request: 0,
+            pending_writes: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
+            released_writes: BTreeMap::new(),
+            certain_reads: 0,
+            strong_reads: BTreeMap::new(),
             released: 0,
             missed: Vec::new(),
             messages: 0,
-            positions: 0,
+            last_position: 0,
             adjust,
             trace: None,
         };
-        for n in 0..keepers + guests {
-            let offset = world.rng.random_range(0..1_000) * MS + 100 * SECOND;
-            let rate = 1.0 + (world.rng.random::<f64>() - 0.5) / 100.0;
-            world.instances.push(Instance {
-                up: None,
-                paused: false,
-                incarnation: 0,
-                has_disk: disks,
-                disk: None,
-                synced: 0,
-                base: 0,
-                offset,
-                rate,
-            });
-            world.start(n);
+        for index in 0..replicas + forwarders {
+            simulation.add_instance(has_stores);
+            simulation.start(index);
         }
-        world
+        simulation
     }
 
-    pub fn clock(&self, n: usize) -> Time {
-        let i = &self.instances[n];
-        i.offset + (self.now as f64 * i.rate) as Time
+    fn add_instance(&mut self, has_store: bool) {
+        let clock_offset = self.rng.random_range(0..1_000) * MS + 100 * SECOND;
+        let clock_rate = 1.0 + (self.rng.random::<f64>() - 0.5) / 100.0;
+        self.instances.push(Instance {
+            running: None,
+            paused: false,
+            incarnation: 0,
+            has_store,
+            store: None,
+            synced: 0,
+            recovered: 0,
+            clock_offset,
+            clock_rate,
+        });
     }
 
-    fn at(&mut self, when: Time, what: Happens) {
-        self.next += 1;
-        self.agenda.insert((when, self.next), what);
+    /// What an instance's own clock shows.
+    pub fn clock(&self, index: usize) -> Time {
+        let instance = &self.instances[index];
+        instance.clock_offset + (self.now as f64 * instance.clock_rate) as Time
     }
 
-    /// Starts an instance anew, with what its disk has.
-    pub fn start(&mut self, n: usize) {
-        let now = self.clock(n);
-        let i = &mut self.instances[n];
-        let last = i.incarnation;
-        i.incarnation = (i.incarnation + 1).max(now as u64 / 1_000_000);
-        i.paused = false;
-        let mut set = settings(n, i.incarnation, self.keepers);
-        (self.adjust)(&mut set);
-        if i.has_disk {
-            let (unbroken_since, records) = i.disk.get_or_insert((i.incarnation, Vec::new()));
-            records.truncate(i.synced);
-            let stamp = StoreVersion {
-                store_id: *unbroken_since,
-                records: 0,
-                last_incarnation: last,
-            };
-            let mut recovered = Recovered {
-                unbroken_since: *unbroken_since,
-                store_version: stamp,
-                ..Recovered::default()
-            };
-            records
-                .iter()
-                .cloned()
-                .for_each(|record| recovered.apply(record));
-            i.base = i.synced as u64;
-            set.recovered = Some(recovered);
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.last_event += 1;
+        self.events.insert((at, self.last_event), event);
+    }
+
+    /// Starts an instance with what its store has.
+    pub fn start(&mut self, index: usize) {
+        let now = self.clock(index);
+        let instance = &mut self.instances[index];
+        let last_incarnation = instance.incarnation;
+        instance.incarnation = (instance.incarnation + 1).max(now as u64 / 1_000_000);
+        instance.paused = false;
+        let mut settings = settings(index, instance.incarnation, self.replicas);
+        (self.adjust)(&mut settings);
+        if instance.has_store {
+            settings.recovered = Some(instance.recover(last_incarnation));
         }
-        let mut out = Vec::new();
-        let sessions = Sessions::new(now, set, &mut out);
-        self.instances[n].up = Some(sessions);
-        self.carry_out(n, out);
+        let mut outputs = Vec::new();
+        let sessions = Sessions::new(now, settings, &mut outputs);
+        self.instances[index].running = Some(sessions);
+        self.apply_outputs(index, outputs);
+    }
+
+    pub fn kill(&mut self, index: usize) {
+        self.instances[index].running = None;
+        self.pending_writes.retain(|(at, _), _| *at != index);
+        self.pending_reads.retain(|(at, _), _| *at != index);
     }
 
-    pub fn kill(&mut self, n: usize) {
-        self.instances[n].up = None;
-        self.writes.retain(|(at, _), _| *at != n);
-        self.reads.retain(|(at, _), _| *at != n);
+    pub fn pause(&mut self, index: usize) {
+        self.instances[index].paused = true;
     }
 
-    /// Puts the disk back to what it held so many records ago.
-    pub fn old_disk(&mut self, n: usize, records: usize) {
-        self.instances[n].synced = self.instances[n].synced.saturating_sub(records);
+    /// An instance that was killed or paused runs again at a time, see [`Simulation::end_outages`].
+    pub fn end_outage_at(&mut self, index: usize, until: Time) {
+        self.outages.push(Outage { index, until });
+    }
+
+    /// Starts and resumes the instances whose outage is over by now.
+    pub fn end_outages(&mut self) {
+        let now = self.now;
+        let outages = std::mem::take(&mut self.outages);
+        let (over, still): (Vec<_>, _) =
+            outages.into_iter().partition(|outage| outage.until <= now);
+        self.outages = still;
+        for Outage { index, .. } in over {
+            if self.instances[index].running.is_none() {
+                self.start(index);
+            }
+            self.instances[index].paused = false;
+        }
+    }
+
+    /// Puts the store back to what it had so many records ago.
+    pub fn restore_old_store(&mut self, index: usize, records: usize) {
+        let instance = &mut self.instances[index];
+        instance.synced = instance.synced.saturating_sub(records);
     }
 
     /// Sets an instance's clock forward or back; only while it is down.
-    pub fn set_clock(&mut self, n: usize, by: Span) {
-        self.instances[n].offset += by;
+    pub fn set_clock(&mut self, index: usize, by: Span) {
+        self.instances[index].clock_offset += by;
     }
 
-    pub fn lose_disk(&mut self, n: usize) {
-        let i = &mut self.instances[n];
-        (i.disk, i.synced) = (None, 0);
+    pub fn lose_store(&mut self, index: usize) {
+        let instance = &mut self.instances[index];
+        instance.store = None;
+        instance.synced = 0;
     }
 
-    pub fn with(&mut self, n: usize, act: impl FnOnce(&mut Sessions, Time, &mut Vec<Output>)) {
-        let now = self.clock(n);
-        let mut out = Vec::new();
-        if let Some(up) = self.instances[n].up.as_mut() {
-            act(up, now, &mut out);
+    /// Has an instance handle an input, if it runs.
+    pub fn with(
+        &mut self,
+        index: usize,
+        input: impl FnOnce(&mut Sessions, Time, &mut Vec<Output>),
+    ) {
+        let now = self.clock(index);
+        let mut outputs = Vec::new();
+        if let Some(running) = self.instances[index].running.as_mut() {
+            input(running, now, &mut outputs);
         }
-        self.carry_out(n, out);
+        self.apply_outputs(index, outputs);
+    }
+
+    pub fn is_ready(&self, index: usize) -> bool {
+        let instance = &self.instances[index];
+        instance.running.is_some() && !instance.paused
     }
 
-    pub fn write(&mut self, n: usize, session: u64) {
-        if self.instances[n].up.is_none() || self.instances[n].paused {
+    pub fn write(&mut self, index: usize, session: u64) {
+        if !self.is_ready(index) {
             return;
         }
-        self.tickets += 1;
-        self.positions += MS;
-        let (ticket, key, position) = (self.tickets, SessionKey(session), self.positions);
-        self.writes.insert((n, ticket), (key, position, self.now));
-        self.with(n, |s, now, out| {
-            s.record_write(now, ticket, key, Some(position), out);
+        self.last_request += 1;
+        self.last_position += MS;
+        let (request, key, position) = (self.last_request, SessionKey(session), self.last_position);
+        let committed_at = self.now;
+        let write = PendingWrite {
+            key,
+            position,
+            committed_at,
+        };
+        self.pending_writes.insert((index, request), write);
+        self.with(index, |sessions, now, outputs| {
+            sessions.record_write(now, request, key, Some(position), outputs);
         });
     }
 
-    pub fn read(&mut self, n: usize, session: u64) {
-        if self.instances[n].up.is_none() || self.instances[n].paused {
+    pub fn read(&mut self, index: usize, session: u64) {
+        if !self.is_ready(index) {
             return;
         }
-        self.tickets += 1;
-        let (ticket, key) = (self.tickets, SessionKey(session));
-        self.reads.insert((n, ticket), (key, self.now));
-        self.with(n, |s, now, out| s.begin_read(now, ticket, key, out));
+        self.last_request += 1;
+        let (request, key) = (self.last_request, SessionKey(session));
+        let read = PendingRead {
+            key,
+            arrived_at: self.now,
+        };
+        self.pending_reads.insert((index, request), read);
+        self.with(index, |sessions, now, outputs| {
+            sessions.begin_read(now, request, key, outputs);
+        });
     }
 
-    fn carry_out(&mut self, n: usize, out: Vec<Output>) {
-        for output in out {
+    fn apply_outputs(&mut self, index: usize, outputs: Vec<Output>) {
+        for output in outputs {
             if let Some(trace) = self.trace.as_mut() {
-                trace.push((self.now, n, output.clone()));
+                trace.push(TracedOutput {
+                    at: self.now,
+                    index,
+                    output: output.clone(),
+                });
             }
             match output {
-                Output::Send(to, message) => {
-                    self.messages += 1;
-                    let Some(target) = (0..self.instances.len()).find(|i| node(*i) == to.node)
-                    else {
-                        continue;
-                    };
-                    let from = Peer {
-                        node: node(n),
-                        incarnation: self.instances[n].incarnation,
-                    };
-                    let bytes = message.encode(to);
-                    assert!(
-                        bytes.len() <= MAX_MESSAGE_BYTES,
-                        "{} bytes: {message:?}",
-                        bytes.len()
-                    );
-                    assert_eq!(Message::decode(&bytes), Ok((to, message.clone())));
-                    let copies = 1 + usize::from(self.rng.random::<f64>() < self.weather.repeat);
-                    for _ in 0..copies {
-                        if self.cut.contains(&(n, target))
-                            || self.rng.random::<f64>() < self.weather.loss
-                        {
-                            continue;
-                        }
-                        let mut delay = self
-                            .rng
-                            .random_range(MS / 10..=self.weather.delay.max(MS / 5));
-                        if self.rng.random::<f64>() < self.weather.repeat / 4.0 {
-                            delay += self.rng.random_range(0..2 * LEASE); // Long after it was sent.
-                        }
-                        self.at(
-                            self.now + delay,
-                            Happens::Arrives(target, from, to, message.clone()),
-                        );
-                    }
-                }
-                Output::Release(ticket) => {
-                    if let Some((key, position, at)) = self.writes.remove(&(n, ticket)) {
-                        self.released += 1;
-                        self.left
-                            .entry(key)
-                            .or_default()
-                            .push((position, at, self.now));
+                Output::Send(to, message) => self.send(index, to, &message),
+                Output::Release(request) => self.release(index, request),
+                Output::ReadRequirement(request, requirement) => {
+                    if let Some(read) = self.pending_reads.remove(&(index, request)) {
+                        self.check_read(index, &read, requirement);
                     }
                 }
-                Output::ReadRequirement(ticket, knowledge) => {
-                    let Some((key, came)) = self.reads.remove(&(n, ticket)) else {
-                        continue;
-                    };
-                    self.judge(n, key, came, knowledge);
-                }
-                Output::Store(record) => {
-                    let Some((_, records)) = self.instances[n].disk.as_mut() else {
-                        continue;
-                    };
-                    records.push(record);
-                    let (upto, life) = (records.len(), self.instances[n].incarnation);
-                    let delay = self
-                        .rng
-                        .random_range(MS / 10..=self.weather.sync.max(MS / 5));
-                    self.at(self.now + delay, Happens::Synced(n, life, upto));
-                }
+                Output::Store(record) => self.store(index, record),
             }
         }
     }
 
-    fn judge(&mut self, n: usize, key: SessionKey, came: Time, knowledge: ReadRequirement) {
-        let known = match knowledge {
-            ReadRequirement::Strong(why) if !self.weather.off => {
-                *self.cautious.entry(why).or_default() += 1;
+    fn send(&mut self, index: usize, to: Peer, message: &Message) {
+        self.messages += 1;
+        let mut indices = 0..self.instances.len();
+        let Some(target) = indices.find(|target| node(*target) == to.node) else {
+            return;
+        };
+        let incarnation = self.instances[index].incarnation;
+        let from = Peer {
+            node: node(index),
+            incarnation,
+        };
+        let bytes = message.encode(to);
+        assert!(
+            bytes.len() <= MAX_MESSAGE_BYTES,
+            "{} bytes: {message:?}",
+            bytes.len()
+        );
+        assert_eq!(Message::decode(&bytes), Ok((to, message.clone())));
+        let copies = 1 + usize::from(self.rng.random::<f64>() < self.conditions.duplication);
+        for _ in 0..copies {
+            let is_partitioned = self.partitions.contains(&(index, target));
+            if is_partitioned || self.rng.random::<f64>() < self.conditions.loss {
+                continue;
+            }
+            let max_delay = self.conditions.max_delay.max(MS / 5);
+            let mut delay = self.rng.random_range(MS / 10..=max_delay);
+            if self.rng.random::<f64>() < self.conditions.duplication / 4.0 {
+                delay += self.rng.random_range(0..2 * LEASE); // Long after it was sent.
+            }
+            let message = message.clone();
+            self.schedule(
+                self.now + delay,
+                Event::Arrival {
+                    target,
+                    from,
+                    to,
+                    message,
+                },
+            );
+        }
+    }
+
+    fn release(&mut self, index: usize, request: RequestNumber) {
+        let Some(write) = self.pending_writes.remove(&(index, request)) else {
+            return;
+        };
+        self.released += 1;
+        self.released_writes
+            .entry(write.key)
+            .or_default()
+            .push(ReleasedWrite {
+                position: write.position,
+                committed_at: write.committed_at,
+                released_at: self.now,
+            });
+    }
+
+    fn store(&mut self, index: usize, record: Record) {
+        let instance = &mut self.instances[index];
+        let Some(store) = instance.store.as_mut() else {
+            return;
+        };
+        store.records.push(record);
+        let (records, incarnation) = (store.records.len(), instance.incarnation);
+        let max_sync_time = self.conditions.max_sync_time.max(MS / 5);
+        let sync_time = self.rng.random_range(MS / 10..=max_sync_time);
+        let synced = Event::RecordsSynced {
+            target: index,
+            incarnation,
+            records,
+        };
+        self.schedule(self.now + sync_time, synced);
+    }
+
+    fn check_read(&mut self, index: usize, read: &PendingRead, requirement: ReadRequirement) {
+        let known = match requirement {
+            ReadRequirement::Strong(reason) if !self.conditions.ignore_positions => {
+                *self.strong_reads.entry(reason).or_default() += 1;
                 return;
             }
-            ReadRequirement::Position(known) if !self.weather.off => known,
+            ReadRequirement::Position(known) if !self.conditions.ignore_positions => known,
             _ => None,
         };
-        self.sure += 1;
-        // Clocks' rates differ by a hundredth, so horizons end so much earlier.
-        let since = came - HORIZON + HORIZON / 50;
-        let left = self.left.get(&key).into_iter().flatten();
-        let must = left
-            .filter(|(_, at, left)| *left < came && *at > since)
-            .map(|(position, ..)| *position)
+        self.certain_reads += 1;
+        // Clocks' rates differ by a hundredth, so retentions end so much earlier.
+        let oldest = read.arrived_at - RETENTION + RETENTION / 50;
+        let released = self.released_writes.get(&read.key).into_iter().flatten();
+        let must_see = released
+            .filter(|write| write.released_at < read.arrived_at && write.committed_at > oldest)
+            .map(|write| write.position)
             .max();
-        if must > known {
+        if must_see > known {
+            let at_ms = read.arrived_at / MS;
             self.missed.push(format!(
-                "at {n}, {} ms: must see {must:?}, is told {known:?}",
-                came / MS
+                "at {index}, {at_ms} ms: must see {must_see:?}, is given {known:?}"
             ));
         }
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, span: Span) {
+    pub fn advance(&mut self, span: Span) {
         let end = self.now + span;
         loop {
-            let arrival = self
-                .agenda
+            let event_at = self
+                .events
                 .first_key_value()
                 .map_or(Time::MAX, |((at, _), _)| *at);
-            let due = (0..self.instances.len())
-                .filter(|n| !self.instances[*n].paused)
-                .filter_map(|n| {
-                    let i = &self.instances[n];
-                    let wanted = i.up.as_ref()?.next_deadline();
-                    let at = ((wanted.saturating_sub(i.offset)) as f64 / i.rate) as Time;
-                    let at = at.saturating_add(1);
-                    Some((at.max(self.now), n))
-                })
-                .min();
-            let due_at = due.map_or(Time::MAX, |(at, _)| at);
-            if arrival.min(due_at) > end {
+            let deadline = self.next_deadline();
+            let deadline_at = deadline.map_or(Time::MAX, |(at, _)| at);
+            if event_at.min(deadline_at) > end {
                 break;
             }
-            if due_at < arrival {
-                let Some((at, n)) = due else { break };
+            if deadline_at < event_at {
+                let Some((at, index)) = deadline else { break };
                 self.now = at.max(self.now);
-                self.with(n, |s, now, out| s.handle_timeout(now, out));
+                self.with(index, |sessions, now, outputs| {
+                    sessions.handle_timeout(now, outputs)
+                });
                 continue;
             }
-            let Some(((at, _), what)) = self.agenda.pop_first() else {
+            let Some(((at, _), event)) = self.events.pop_first() else {
                 break;
             };
             self.now = at.max(self.now);
-            match what {
-                // What comes to a paused process waits in its socket.
-                Happens::Arrives(n, ..) | Happens::Synced(n, ..) if self.instances[n].paused => {
-                    self.at(self.now + 20 * MS, what);
-                }
-                Happens::Arrives(n, from, to, message) => {
-                    self.with(n, |s, now, out| {
-                        s.handle_message(now, from, to, message, out)
-                    });
-                }
-                Happens::Synced(n, life, upto) if self.instances[n].incarnation == life => {
-                    let i = &mut self.instances[n];
-                    if i.up.is_some()
-                        && i.disk
-                            .as_ref()
-                            .is_some_and(|(_, records)| records.len() >= upto)
-                    {
-                        i.synced = i.synced.max(upto);
-                        let count = upto as u64 - i.base;
-                        self.with(n, |s, now, out| s.handle_records_stored(now, count, out));
-                    }
-                }
-                Happens::Synced(..) => {}
-            }
+            self.handle_event(event);
         }
         self.now = end;
     }
+
+    /// The first instance to have a timeout, and when.
+    fn next_deadline(&self) -> Option<(Time, usize)> {
+        let running = (0..self.instances.len()).filter(|index| !self.instances[*index].paused);
+        let deadlines = running.filter_map(|index| {
+            let instance = &self.instances[index];
+            let deadline = instance.running.as_ref()?.next_deadline();
+            let elapsed = deadline.saturating_sub(instance.clock_offset) as f64;
+            let at = (elapsed / instance.clock_rate) as Time;
+            Some((at.saturating_add(1).max(self.now), index))
+        });
+        deadlines.min()
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        // What arrives at a paused process waits in its socket.
+        if self.instances[event.target()].paused {
+            return self.schedule(self.now + 20 * MS, event);
+        }
+        match event {
+            Event::Arrival {
+                target,
+                from,
+                to,
+                message,
+            } => {
+                self.with(target, |sessions, now, outputs| {
+                    sessions.handle_message(now, from, to, message, outputs);
+                });
+            }
+            Event::RecordsSynced {
+                target,
+                incarnation,
+                records,
+            } => {
+                self.handle_synced(target, incarnation, records);
+            }
+        }
+    }
+
+    fn handle_synced(&mut self, index: usize, incarnation: u64, records: usize) {
+        let instance = &mut self.instances[index];
+        let has_records = instance
+            .store
+            .as_ref()
+            .is_some_and(|s| s.records.len() >= records);
+        if instance.incarnation != incarnation || instance.running.is_none() || !has_records {
+            return;
+        }
+        instance.synced = instance.synced.max(records);
+        let count = (records - instance.recovered) as u64;
+        self.with(index, |sessions, now, outputs| {
+            sessions.handle_records_stored(now, count, outputs);
+        });
+    }
+}
+
+impl Instance {
+    /// What the store has for an incarnation that starts now. Records that were not synced are gone.
+    fn recover(&mut self, last_incarnation: u64) -> Recovered {
+        let incarnation = self.incarnation;
+        let store = self.store.get_or_insert_with(|| Store {
+            unbroken_since: incarnation,
+            records: Vec::new(),
+        });
+        store.records.truncate(self.synced);
+        let store_version = StoreVersion {
+            store_id: store.unbroken_since,
+            records: 0,
+            last_incarnation,
+        };
+        let mut recovered = Recovered {
+            unbroken_since: store.unbroken_since,
+            store_version,
+            ..Recovered::default()
+        };
+        store
+            .records
+            .iter()
+            .cloned()
+            .for_each(|record| recovered.apply(record));
+        self.recovered = self.synced;
+        recovered
+    }
 }
--- a/crates/stackgw-sessions/tests/histories.rs
+++ b/crates/stackgw-sessions/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Whole histories: random ones held against the promise, and scripted ones for each hard case.
+//! Whole histories: random ones that are checked against the guarantee, and scripted ones for each hard case.
 
 mod common;
 
@@ -7,457 +7,490 @@
 use stackgw_router::api::{MS, SECOND};
 use stackgw_sessions::{Message, Peer, SessionKey, StoreFailure, UncertaintyReason};
 
-const FAIR: Weather = Weather {
+/// Steps of a random history.
+const STEPS: usize = 2_500;
+
+const RELIABLE: Conditions = Conditions {
     loss: 0.0,
-    repeat: 0.0,
-    delay: 2 * MS,
-    sync: 3 * MS,
-    off: false,
+    duplication: 0.0,
+    max_delay: 2 * MS,
+    max_sync_time: 3 * MS,
+    ignore_positions: false,
 };
-const FOUL: Weather = Weather {
+const UNRELIABLE: Conditions = Conditions {
     loss: 0.1,
-    repeat: 0.2,
-    delay: 30 * MS,
-    sync: 10 * MS,
-    off: false,
+    duplication: 0.2,
+    max_delay: 30 * MS,
+    max_sync_time: 10 * MS,
+    ignore_positions: false,
 };
 
-/// Everything at once, by chance.
-fn storm(seed: u64, keepers: usize, guests: usize, disks: bool, weather: Weather) -> World {
-    let mut world = World::new(seed, keepers, guests, disks, weather);
-    let all = keepers + guests;
-    let mut down: Vec<(usize, i64)> = Vec::new();
-    for _ in 0..2_500 {
-        let span = world.rng.random_range(0..12 * MS);
-        world.pass(span);
-        let now = world.now;
-        let (back, still) = down
-            .into_iter()
-            .partition::<Vec<_>, _>(|(_, until)| *until <= now);
-        down = still;
-        for (n, _) in back {
-            if world.instances[n].up.is_none() {
-                world.start(n);
-            }
-            world.instances[n].paused = false;
-        }
-        let n = world.rng.random_range(0..all);
-        let session = world.rng.random_range(0..12);
-        match world.rng.random_range(0..1_000) {
-            0..=1 => {
-                world.kill(n);
-                if world.rng.random::<f64>() < 0.2 {
-                    world.lose_disk(n);
-                }
-                down.push((n, now + world.rng.random_range(0..SECOND)));
-            }
+/// All faults at once, by chance.
+fn random_history(
+    seed: u64,
+    replicas: usize,
+    forwarders: usize,
+    has_stores: bool,
+    conditions: Conditions,
+) -> Simulation {
+    let mut simulation = Simulation::new(seed, replicas, forwarders, has_stores, conditions);
+    let instances = replicas + forwarders;
+    for _ in 0..STEPS {
+        let span = simulation.rng.random_range(0..12 * MS);
+        simulation.advance(span);
+        simulation.end_outages();
+        let index = simulation.rng.random_range(0..instances);
+        let session = simulation.rng.random_range(0..12);
+        match simulation.rng.random_range(0..1_000) {
+            0..=1 => kill_for_a_while(&mut simulation, index),
             2 => {
-                world.instances[n].paused = true;
-                down.push((n, now + world.rng.random_range(0..SECOND)));
+                simulation.pause(index);
+                let until = simulation.now + simulation.rng.random_range(0..SECOND);
+                simulation.end_outage_at(index, until);
             }
             3 => {
-                let to = world.rng.random_range(0..all);
-                world.cut.insert((n, to));
+                let to = simulation.rng.random_range(0..instances);
+                simulation.partitions.insert((index, to));
             }
-            4..=6 => world.cut.clear(),
-            7..=400 => world.write(n, session),
-            _ => world.read(n, session),
+            4..=6 => simulation.partitions.clear(),
+            7..=400 => simulation.write(index, session),
+            _ => simulation.read(index, session),
         }
     }
-    world
+    simulation
+}
+
+fn kill_for_a_while(simulation: &mut Simulation, index: usize) {
+    simulation.kill(index);
+    if simulation.rng.random::<f64>() < 0.2 {
+        simulation.lose_store(index);
+    }
+    let until = simulation.now + simulation.rng.random_range(0..SECOND);
+    simulation.end_outage_at(index, until);
 }
 
 #[test]
-fn no_history_misses_a_write() {
-    let (mut sure, mut cautious, mut released) = (0, 0, 0);
+fn reads_see_released_writes_in_random_histories() {
+    let (mut certain, mut strong, mut released) = (0, 0, 0);
     for seed in 0..60 {
-        let (keepers, guests) = [(1, 0), (2, 0), (3, 0), (3, 2), (5, 1)][seed as usize % 5];
-        let world = storm(seed, keepers, guests, seed % 3 != 0, FOUL);
-        assert!(world.missed.is_empty(), "seed {seed}: {:?}", world.missed);
-        sure += world.sure;
-        cautious += world.cautious.values().sum::<u64>();
-        released += world.released;
+        let (replicas, forwarders) = [(1, 0), (2, 0), (3, 0), (3, 2), (5, 1)][seed as usize % 5];
+        let simulation = random_history(seed, replicas, forwarders, seed % 3 != 0, UNRELIABLE);
+        assert!(
+            simulation.missed.is_empty(),
+            "seed {seed}: {:?}",
+            simulation.missed
+        );
+        certain += simulation.certain_reads;
+        strong += simulation.strong_reads.values().sum::<u64>();
+        released += simulation.released;
     }
     assert!(
-        sure > 5_000 && cautious > 5_000 && released > 10_000,
-        "{sure} {cautious} {released}"
+        certain > 5_000 && strong > 5_000 && released > 10_000,
+        "{certain} {strong} {released}"
     );
 }
 
 #[test]
-fn without_marks_the_same_histories_miss_writes() {
-    let missed = (0..10).map(|seed| {
-        storm(seed, 2, 0, true, Weather { off: true, ..FOUL })
-            .missed
-            .len()
-    });
+fn reads_miss_writes_in_random_histories_when_positions_are_ignored() {
+    let conditions = Conditions {
+        ignore_positions: true,
+        ..UNRELIABLE
+    };
+    let histories = (0..10).map(|seed| random_history(seed, 2, 0, true, conditions));
+    let missed = histories.map(|simulation| simulation.missed.len());
     assert!(missed.sum::<usize>() > 100);
 }
 
-/// A world in which all keepers are sure.
-fn settled(keepers: usize, guests: usize, disks: bool) -> World {
-    let mut world = World::new(7, keepers, guests, disks, FAIR);
-    world.pass(HORIZON + 2 * SECOND);
-    for n in 0..keepers {
-        assert_eq!(why(&world, n), None, "{n}");
+/// A simulation in which all replicas are certain.
+fn certain_cluster(replicas: usize, forwarders: usize, has_stores: bool) -> Simulation {
+    let mut simulation = Simulation::new(7, replicas, forwarders, has_stores, RELIABLE);
+    simulation.advance(RETENTION + 2 * SECOND);
+    for n in 0..replicas {
+        assert_eq!(uncertainty(&simulation, n), None, "{n}");
     }
-    world
+    simulation
 }
 
-fn why(world: &World, n: usize) -> Option<UncertaintyReason> {
-    world.instances[n]
-        .up
-        .as_ref()
-        .and_then(|up| up.status(world.clock(n)).uncertainty)
+fn uncertainty(simulation: &Simulation, n: usize) -> Option<UncertaintyReason> {
+    let running = simulation.instances[n].running.as_ref()?;
+    running.status(simulation.clock(n)).uncertainty
 }
 
 #[test]
-fn a_calm_day_is_sure_of_every_read() {
-    let mut world = settled(3, 2, false);
+fn every_read_is_certain_when_there_are_no_faults() {
+    let mut simulation = certain_cluster(3, 2, false);
     for step in 0..2_000 {
-        let n = world.rng.random_range(0..5);
+        let n = simulation.rng.random_range(0..5);
         if step % 3 == 0 {
-            world.write(n, step % 40);
+            simulation.write(n, step % 40);
         } else {
-            world.read(n, step % 40);
+            simulation.read(n, step % 40);
         }
-        world.pass(5 * MS);
+        simulation.advance(5 * MS);
     }
-    assert!(world.missed.is_empty(), "{:?}", world.missed);
-    assert!(world.cautious.is_empty(), "{:?}", world.cautious);
-    assert!(world.released >= 660, "{}", world.released);
+    assert!(simulation.missed.is_empty(), "{:?}", simulation.missed);
+    assert!(
+        simulation.strong_reads.is_empty(),
+        "{:?}",
+        simulation.strong_reads
+    );
+    assert!(simulation.released >= 660, "{}", simulation.released);
 }
 
 #[test]
-fn a_dead_keeper_holds_writes_up_for_one_lease_and_makes_reads_cautious() {
-    let mut world = settled(2, 0, true);
-    world.kill(1);
-    world.write(0, 1);
-    world.pass(LEASE / 2);
+fn a_dead_replica_delays_writes_by_one_lease_and_makes_reads_strong() {
+    let mut simulation = certain_cluster(2, 0, true);
+    simulation.kill(1);
+    simulation.write(0, 1);
+    simulation.advance(LEASE / 2);
     assert_eq!(
-        world.released, 0,
-        "the dead one may still be taken for sure by others"
+        simulation.released, 0,
+        "the dead one may still be taken for certain by others"
     );
-    world.pass(LEASE);
-    assert_eq!(world.released, 1);
-    world.read(0, 1);
-    world.pass(100 * MS);
+    simulation.advance(LEASE);
+    assert_eq!(simulation.released, 1);
+    simulation.read(0, 1);
+    simulation.advance(100 * MS);
     assert_eq!(
-        (world.sure, world.cautious.len()),
+        (simulation.certain_reads, simulation.strong_reads.len()),
         (0, 1),
         "it may be alive elsewhere, and write"
     );
 }
 
 #[test]
-fn with_disks_all_restart_at_once_and_are_sure_within_two_leases() {
-    let mut world = settled(3, 0, true);
-    world.write(0, 1);
-    world.pass(50 * MS);
-    assert_eq!(world.released, 1);
-    (0..3).for_each(|n| world.kill(n));
-    (0..3).for_each(|n| world.start(n));
-    world.pass(2 * LEASE);
-    (0..3).for_each(|n| world.read(n, 1));
-    world.pass(100 * MS);
-    assert!(world.missed.is_empty(), "{:?}", world.missed);
-    assert_eq!(world.sure, 3, "{:?}", world.cautious);
+fn replicas_with_stores_are_certain_within_two_leases_after_all_restart() {
+    let mut simulation = certain_cluster(3, 0, true);
+    simulation.write(0, 1);
+    simulation.advance(50 * MS);
+    assert_eq!(simulation.released, 1);
+    (0..3).for_each(|n| simulation.kill(n));
+    (0..3).for_each(|n| simulation.start(n));
+    simulation.advance(2 * LEASE);
+    (0..3).for_each(|n| simulation.read(n, 1));
+    simulation.advance(100 * MS);
+    assert!(simulation.missed.is_empty(), "{:?}", simulation.missed);
+    assert_eq!(simulation.certain_reads, 3, "{:?}", simulation.strong_reads);
 }
 
 #[test]
-fn without_disks_a_restart_of_all_is_cautious_for_a_horizon() {
-    let mut world = settled(3, 0, false);
-    (0..3).for_each(|n| world.kill(n));
-    (0..3).for_each(|n| world.start(n));
-    world.pass(HORIZON * 9 / 10);
-    world.read(0, 1);
-    world.pass(100 * MS);
-    assert_eq!(world.sure, 0);
-    world.pass(HORIZON / 5);
-    world.read(0, 1);
-    world.pass(100 * MS);
-    assert_eq!(world.sure, 1);
+fn replicas_without_stores_are_uncertain_for_a_retention_after_all_restart() {
+    let mut simulation = certain_cluster(3, 0, false);
+    (0..3).for_each(|n| simulation.kill(n));
+    (0..3).for_each(|n| simulation.start(n));
+    simulation.advance(RETENTION * 9 / 10);
+    simulation.read(0, 1);
+    simulation.advance(100 * MS);
+    assert_eq!(simulation.certain_reads, 0);
+    simulation.advance(RETENTION / 5);
+    simulation.read(0, 1);
+    simulation.advance(100 * MS);
+    assert_eq!(simulation.certain_reads, 1);
 }
 
 #[test]
-fn a_write_let_out_while_its_homes_were_dead_is_told_when_they_are_back() {
-    let mut world = settled(3, 0, true);
-    world.kill(1);
-    world.kill(2);
-    (0..20).for_each(|session| world.write(0, session));
-    world.pass(2 * LEASE);
-    assert_eq!(world.released, 20);
-    // The one that owes them dies too; its disk remembers.
-    world.kill(0);
-    (0..3).for_each(|n| world.start(n));
-    world.pass(2 * LEASE);
+fn a_write_released_while_its_owners_were_dead_is_replicated_when_they_are_back() {
+    let mut simulation = certain_cluster(3, 0, true);
+    simulation.kill(1);
+    simulation.kill(2);
+    (0..20).for_each(|session| simulation.write(0, session));
+    simulation.advance(2 * LEASE);
+    assert_eq!(simulation.released, 20);
+    // The writer dies too; its store has what they have not acknowledged.
+    simulation.kill(0);
+    (0..3).for_each(|n| simulation.start(n));
+    simulation.advance(2 * LEASE);
     for session in 0..20 {
-        (0..3).for_each(|n| world.read(n, session));
+        (0..3).for_each(|n| simulation.read(n, session));
     }
-    world.pass(200 * MS);
-    assert!(world.missed.is_empty(), "{:?}", world.missed);
-    assert!(world.sure >= 55, "{} {:?}", world.sure, world.cautious);
+    simulation.advance(200 * MS);
+    assert!(simulation.missed.is_empty(), "{:?}", simulation.missed);
+    assert!(
+        simulation.certain_reads >= 55,
+        "{} {:?}",
+        simulation.certain_reads,
+        simulation.strong_reads
+    );
 }
 
 #[test]
-fn one_paused_past_its_lease_knows_it_when_it_wakes() {
-    let mut world = settled(2, 0, true);
-    world.instances[0].paused = true;
-    world.pass(LEASE / 2);
-    world.write(1, 1);
-    world.pass(2 * LEASE);
-    assert_eq!(world.released, 1, "its pledge is over");
-    world.instances[0].paused = false;
-    world.read(0, 1);
-    assert_eq!(world.sure, 0);
-    world.pass(2 * LEASE);
-    world.read(0, 1);
-    world.pass(50 * MS);
-    assert_eq!(world.sure, 1, "{:?}", world.cautious);
-    assert!(world.missed.is_empty(), "{:?}", world.missed);
+fn a_replica_paused_past_its_leases_is_uncertain_when_it_resumes() {
+    let mut simulation = certain_cluster(2, 0, true);
+    simulation.pause(0);
+    simulation.advance(LEASE / 2);
+    simulation.write(1, 1);
+    simulation.advance(2 * LEASE);
+    assert_eq!(simulation.released, 1, "its lease is over");
+    simulation.instances[0].paused = false;
+    simulation.read(0, 1);
+    assert_eq!(simulation.certain_reads, 0);
+    simulation.advance(2 * LEASE);
+    simulation.read(0, 1);
+    simulation.advance(50 * MS);
+    assert_eq!(simulation.certain_reads, 1, "{:?}", simulation.strong_reads);
+    assert!(simulation.missed.is_empty(), "{:?}", simulation.missed);
 }
 
 #[test]
-fn a_cut_in_one_direction_is_a_cut() {
-    let mut world = settled(2, 0, true);
-    world.cut.insert((0, 1));
-    world.write(0, 1);
-    world.pass(3 * LEASE);
-    assert_eq!(world.released, 1);
-    world.read(1, 1);
-    world.pass(50 * MS);
-    assert_eq!(world.sure, 0);
-    world.cut.clear();
-    world.pass(LEASE);
-    world.read(1, 1);
-    world.pass(50 * MS);
+fn a_partition_in_one_direction_makes_reads_strong() {
+    let mut simulation = certain_cluster(2, 0, true);
+    simulation.partitions.insert((0, 1));
+    simulation.write(0, 1);
+    simulation.advance(3 * LEASE);
+    assert_eq!(simulation.released, 1);
+    simulation.read(1, 1);
+    simulation.advance(50 * MS);
+    assert_eq!(simulation.certain_reads, 0);
+    simulation.partitions.clear();
+    simulation.advance(LEASE);
+    simulation.read(1, 1);
+    simulation.advance(50 * MS);
     assert_eq!(
-        (world.sure, world.missed.len()),
+        (simulation.certain_reads, simulation.missed.len()),
         (1, 0),
         "{:?}",
-        world.cautious
+        simulation.strong_reads
     );
 }
 
 #[test]
-fn keepers_with_other_lists_are_cautious() {
-    let mut world = settled(3, 0, true);
-    world.with(0, |s, now, out| {
-        s.set_replicas(now, vec![node(0), node(1)], out)
+fn replicas_with_different_lists_are_uncertain() {
+    let mut simulation = certain_cluster(3, 0, true);
+    simulation.with(0, |sessions, now, outputs| {
+        sessions.set_replicas(now, vec![node(0), node(1)], outputs)
     });
-    world.pass(2 * LEASE);
+    simulation.advance(2 * LEASE);
     for n in 0..3 {
         assert!(
             matches!(
-                why(&world, n),
+                uncertainty(&simulation, n),
                 Some(UncertaintyReason::ReplicaSetMismatch(_) | UncertaintyReason::NoLease(_))
             ),
             "{n}: {:?}",
-            why(&world, n)
+            uncertainty(&simulation, n)
         );
     }
-    world.kill(2);
-    world.with(1, |s, now, out| {
-        s.set_replicas(now, vec![node(0), node(1)], out)
+    simulation.kill(2);
+    simulation.with(1, |sessions, now, outputs| {
+        sessions.set_replicas(now, vec![node(0), node(1)], outputs)
     });
-    world.pass(2 * LEASE);
+    simulation.advance(2 * LEASE);
     assert_eq!(
-        (why(&world, 0), why(&world, 1)),
+        (uncertainty(&simulation, 0), uncertainty(&simulation, 1)),
         (None, None),
-        "up for long, they vouch for their own at once"
+        "they have run for long and vouch for their own writes at once"
     );
 }
 
 #[test]
-fn guests_need_no_place_in_the_list() {
-    let mut world = settled(3, 1, true);
-    world.write(3, 5);
-    world.pass(20 * MS);
-    assert_eq!(world.released, 1);
-    (0..4).for_each(|n| world.read(n, 5));
-    world.pass(20 * MS);
+fn instances_outside_of_the_replica_set_forward_their_writes() {
+    let mut simulation = certain_cluster(3, 1, true);
+    simulation.write(3, 5);
+    simulation.advance(20 * MS);
+    assert_eq!(simulation.released, 1);
+    (0..4).for_each(|n| simulation.read(n, 5));
+    simulation.advance(20 * MS);
     assert_eq!(
-        (world.sure, world.missed.len()),
+        (simulation.certain_reads, simulation.missed.len()),
         (4, 0),
         "{:?}",
-        world.cautious
+        simulation.strong_reads
     );
-    // Cut from all keepers its answer does not leave.
-    world.cut.extend([(3, 0), (3, 1), (3, 2)]);
-    world.write(3, 5);
-    world.pass(10 * LEASE);
-    assert_eq!(world.released, 1);
+    // Partitioned from all replicas its response is not released.
+    simulation.partitions.extend([(3, 0), (3, 1), (3, 2)]);
+    simulation.write(3, 5);
+    simulation.advance(10 * LEASE);
+    assert_eq!(simulation.released, 1);
 }
 
 #[test]
-fn a_disk_that_fails_leaves_no_claim_behind() {
-    let mut world = settled(2, 0, true);
-    world.with(0, |s, now, out| {
-        s.handle_store_failure(now, StoreFailure::SetAside, out)
+fn a_failed_store_vouches_for_nothing() {
+    let mut simulation = certain_cluster(2, 0, true);
+    simulation.with(0, |sessions, now, outputs| {
+        sessions.handle_store_failure(now, StoreFailure::SetAside, outputs)
     });
-    world.lose_disk(0);
-    world.write(0, 1);
-    world.pass(50 * MS);
+    simulation.lose_store(0);
+    simulation.write(0, 1);
+    simulation.advance(50 * MS);
     assert_eq!(
-        (world.released, why(&world, 0)),
+        (simulation.released, uncertainty(&simulation, 0)),
         (1, None),
-        "it lives on without"
+        "it goes on without a store"
     );
-    world.kill(0);
-    world.start(0);
-    world.pass(2 * LEASE);
+    simulation.kill(0);
+    simulation.start(0);
+    simulation.advance(2 * LEASE);
     assert!(
-        why(&world, 1).is_some(),
+        uncertainty(&simulation, 1).is_some(),
         "its writes of before are not vouched for"
     );
-    let mut stuck = settled(2, 0, true);
-    stuck.with(0, |s, now, out| {
-        s.handle_store_failure(now, StoreFailure::LeftInPlace, out)
+    let mut stuck = certain_cluster(2, 0, true);
+    stuck.with(0, |sessions, now, outputs| {
+        sessions.handle_store_failure(now, StoreFailure::LeftInPlace, outputs)
     });
     stuck.write(0, 1);
-    stuck.pass(3 * LEASE);
+    stuck.advance(3 * LEASE);
     assert_eq!(
         stuck.released, 0,
-        "a later life would take that file for whole"
+        "a later incarnation would take that file for complete"
     );
 }
 
 #[test]
-fn a_restart_within_a_lease_is_bound_by_what_the_earlier_life_pledged() {
-    let mut world = settled(2, 0, true);
-    world.kill(0);
-    world.cut.extend([(0, 1), (1, 0)]);
-    world.start(0);
-    world.write(0, 1);
-    world.pass(LEASE / 4);
-    assert_eq!(world.released, 0);
-    world.read(1, 1);
-    world.pass(LEASE * 2);
+fn a_restart_within_a_lease_is_bound_by_leases_of_the_earlier_incarnation() {
+    let mut simulation = certain_cluster(2, 0, true);
+    simulation.kill(0);
+    simulation.partitions.extend([(0, 1), (1, 0)]);
+    simulation.start(0);
+    simulation.write(0, 1);
+    simulation.advance(LEASE / 4);
+    assert_eq!(simulation.released, 0);
+    simulation.read(1, 1);
+    simulation.advance(LEASE * 2);
     assert_eq!(
-        (world.released, world.missed.len()),
+        (simulation.released, simulation.missed.len()),
         (1, 0),
         "{:?}",
-        world.missed
+        simulation.missed
     );
 }
 
 #[test]
-fn a_late_word_of_a_keepers_earlier_life_frees_nobody() {
-    let mut world = settled(2, 0, true);
-    world.cut.extend([(0, 1), (1, 0)]);
-    world.kill(0);
-    world.start(0);
-    let life = world.instances[1].incarnation;
-    for incarnation in [life, life + 1] {
-        let (from, to) = (
-            Peer {
-                node: node(1),
-                incarnation,
-            },
-            Peer {
-                node: node(0),
-                incarnation: 0,
-            },
-        );
-        let look = Message::PositionQuery {
+fn a_late_message_of_an_earlier_incarnation_ends_no_lease() {
+    let mut simulation = certain_cluster(2, 0, true);
+    simulation.partitions.extend([(0, 1), (1, 0)]);
+    simulation.kill(0);
+    simulation.start(0);
+    let earlier = simulation.instances[1].incarnation;
+    for incarnation in [earlier, earlier + 1] {
+        let from = Peer {
+            node: node(1),
+            incarnation,
+        };
+        let to = Peer::any_incarnation(node(0));
+        let query = Message::PositionQuery {
             nonce: 1,
             key: SessionKey(1),
         };
-        world.with(0, |s, now, out| s.handle_message(now, from, to, look, out));
+        simulation.with(0, |sessions, now, outputs| {
+            sessions.handle_message(now, from, to, query, outputs)
+        });
     }
-    world.write(0, 1);
-    world.pass(LEASE / 2);
+    simulation.write(0, 1);
+    simulation.advance(LEASE / 2);
     assert_eq!(
-        world.released, 0,
-        "the later life may hold a pledge of this one's earlier life"
+        simulation.released, 0,
+        "the later incarnation may hold a lease of this one's earlier incarnation"
     );
 }
 
 #[test]
-fn an_old_copy_of_a_disk_is_told_and_begins_anew() {
-    let mut world = settled(2, 0, true);
-    (0..20).for_each(|session| world.write(0, session));
-    world.pass(50 * MS);
-    assert_eq!(world.released, 20);
-    world.kill(0);
-    world.old_disk(0, 15);
-    world.start(0);
-    world.pass(2 * LEASE);
-    let told = [why(&world, 0), why(&world, 1)];
-    (0..20).for_each(|session| world.read(0, session));
-    world.pass(50 * MS);
-    assert_eq!(world.missed.len(), 0, "{:?}", world.missed);
+fn an_old_copy_of_a_store_is_detected_and_begins_anew() {
+    let mut simulation = certain_cluster(2, 0, true);
+    (0..20).for_each(|session| simulation.write(0, session));
+    simulation.advance(50 * MS);
+    assert_eq!(simulation.released, 20);
+    simulation.kill(0);
+    simulation.restore_old_store(0, 15);
+    simulation.start(0);
+    simulation.advance(2 * LEASE);
+    let uncertainties = [uncertainty(&simulation, 0), uncertainty(&simulation, 1)];
+    (0..20).for_each(|session| simulation.read(0, session));
+    simulation.advance(50 * MS);
+    assert_eq!(simulation.missed.len(), 0, "{:?}", simulation.missed);
     assert!(
-        told.iter().all(Option::is_some),
-        "it lacks marks, and may owe some that it does not know of"
+        uncertainties.iter().all(Option::is_some),
+        "it lacks positions, and does not know which of its own are unacknowledged"
+    );
+    simulation.advance(RETENTION);
+    assert_eq!(
+        (uncertainty(&simulation, 0), uncertainty(&simulation, 1)),
+        (None, None)
     );
-    world.pass(HORIZON);
-    assert_eq!((why(&world, 0), why(&world, 1)), (None, None));
 }
 
 #[test]
-fn a_keeper_that_joins_takes_its_share_and_nothing_is_missed() {
-    let mut sure_after = 0;
+fn reads_see_released_writes_while_a_replica_joins() {
+    let mut certain_after = 0;
     for seed in 0..20 {
-        let mut world = World::new(seed, 2, 2, seed % 2 == 0, FAIR);
-        world.pass(HORIZON + SECOND);
-        // Those that keep marks first, the newcomer after them, the guest at any time.
-        let mut turns = vec![
+        let mut simulation = Simulation::new(seed, 2, 2, seed % 2 == 0, RELIABLE);
+        simulation.advance(RETENTION + SECOND);
+        // The replicas first, the new one after them, the forwarding instance at any time.
+        let mut changes = vec![
             (400, 0),
             (430, 1),
             (460, 2),
-            (world.rng.random_range(300..600), 3),
+            (simulation.rng.random_range(300..600), 3),
         ];
-        turns.sort_unstable();
+        changes.sort_unstable();
         for step in 0..1_600 {
-            while turns.first().is_some_and(|(at, _)| *at == step) {
-                let (_, n) = turns.remove(0);
-                world.with(n, |s, now, out| {
-                    s.set_replicas(now, vec![node(0), node(1), node(2)], out)
+            while changes.first().is_some_and(|(at, _)| *at == step) {
+                let (_, n) = changes.remove(0);
+                simulation.with(n, |sessions, now, outputs| {
+                    sessions.set_replicas(now, vec![node(0), node(1), node(2)], outputs)
                 });
             }
-            let (n, session) = (world.rng.random_range(0..4), world.rng.random_range(0..30));
+            let (n, session) = (
+                simulation.rng.random_range(0..4),
+                simulation.rng.random_range(0..30),
+            );
             if step % 3 == 0 {
-                world.write(n, session);
+                simulation.write(n, session);
             } else {
-                world.read(n, session);
+                simulation.read(n, session);
             }
-            let span = world.rng.random_range(0..6 * MS);
-            world.pass(span);
+            let span = simulation.rng.random_range(0..6 * MS);
+            simulation.advance(span);
             if step == 1_200 {
-                world.sure = 0;
+                simulation.certain_reads = 0;
             }
         }
-        assert!(world.missed.is_empty(), "seed {seed}: {:?}", world.missed);
-        sure_after += world.sure;
+        assert!(
+            simulation.missed.is_empty(),
+            "seed {seed}: {:?}",
+            simulation.missed
+        );
+        certain_after += simulation.certain_reads;
     }
-    assert!(sure_after > 1_000, "all are sure again: {sure_after}");
+    assert!(
+        certain_after > 1_000,
+        "all are certain again: {certain_after}"
+    );
 }
 
 #[test]
-fn word_from_another_than_the_asked_home_takes_no_read_away() {
-    let mut world = settled(3, 1, true);
-    world.cut.extend([(0, 3), (1, 3), (2, 3)]);
-    world.read(3, 1);
+fn a_reply_of_another_instance_than_the_queried_owner_ends_no_read() {
+    let mut simulation = certain_cluster(3, 1, true);
+    simulation.partitions.extend([(0, 3), (1, 3), (2, 3)]);
+    simulation.read(3, 1);
     for from in 0..3 {
         for nonce in 0..50 {
-            let incarnation = world.instances[from].incarnation;
+            let incarnation = simulation.instances[from].incarnation;
             let to = Peer {
                 node: node(3),
-                incarnation: world.instances[3].incarnation,
+                incarnation: simulation.instances[3].incarnation,
             };
             let from = Peer {
                 node: node(from),
                 incarnation,
             };
-            world.with(3, |s, now, out| {
-                s.handle_message(now, from, to, Message::PositionUncertain { nonce }, out)
+            simulation.with(3, |sessions, now, outputs| {
+                sessions.handle_message(
+                    now,
+                    from,
+                    to,
+                    Message::PositionUncertain { nonce },
+                    outputs,
+                )
             });
         }
     }
-    world.pass(SECOND);
+    simulation.advance(SECOND);
     assert_eq!(
-        (world.sure, world.cautious.values().sum::<u64>()),
+        (
+            simulation.certain_reads,
+            simulation.strong_reads.values().sum::<u64>()
+        ),
         (0, 1),
         "it is answered, once"
     );
--- a/crates/stackgw-sessions/tests/model.rs
+++ b/crates/stackgw-sessions/tests/model.rs
@@ -1,5 +1,5 @@
-//! The protocol under a model checker: the very state machines, every interleaving of messages that are delivered, repeated or
-//! lost, of crashes, restarts, disks that sync or forget, pauses and time, up to a bound.
+//! The protocol under a model checker: the state machines themselves, in every interleaving of messages that are
+//! delivered, duplicated or lost, of crashes, restarts, stores that sync or are lost, pauses and time, up to a bound.
 
 use stackgw_router::api::Time;
 use stackgw_sessions::*;
@@ -13,38 +13,42 @@
 const KEY: SessionKey = SessionKey(7);
 const POSITION: Time = 5;
 
+const NO_READ_MISSES_A_WRITE: &str = "no read misses a released write";
+const A_READ_IS_CERTAIN: &str = "a read after a write is certain";
+const A_READ_AFTER_A_CRASH_IS_CERTAIN: &str = "and so is one after a crash";
+
 /// What is explored.
 #[derive(Clone)]
 struct Bounds {
     nodes: usize,
     ticks: Time,
     crashes: u8,
-    lost_disks: u8,
-    repeats: u8,
+    lost_stores: u8,
+    duplicates: u8,
     writes: u8,
     reads: u8,
     /// A message arrives within so many ticks, or never.
-    late: Time,
-    horizon: Time,
-    /// The fault put in: records are said to be on the disk when they are not yet.
-    early: bool,
+    max_delay: Time,
+    retention: Time,
+    /// The injected fault: records are reported as stored when they are not yet.
+    acknowledges_early: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Node {
-    up: Option<Sessions>,
+    running: Option<Sessions>,
     incarnation: u64,
-    /// The life that wrote to the disk before.
-    last: u64,
-    disk: Vec<Record>,
+    /// The incarnation that wrote to the store before.
+    last_incarnation: u64,
+    records: Vec<Record>,
     synced: usize,
-    /// Records of earlier lives.
-    base: usize,
+    /// Records of earlier incarnations.
+    recovered: usize,
     unbroken_since: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Flying {
+struct Packet {
     sent: Time,
     from: Peer,
     to: Peer,
@@ -52,40 +56,54 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct World {
+struct Write {
+    committed_at: Time,
+    is_released: bool,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct Read {
+    /// Where it arrived.
+    index: usize,
+    /// How many writes had been released by then.
+    released_before: usize,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct Cluster {
     now: Time,
     nodes: Vec<Node>,
-    net: BTreeSet<Flying>,
+    network: BTreeSet<Packet>,
     crashes: u8,
-    lost_disks: u8,
-    repeats: u8,
+    lost_stores: u8,
+    duplicates: u8,
     writes: u8,
     reads: u8,
-    /// Writes that were committed, when, and whether their answer has left.
-    written: Vec<(Time, bool)>,
-    /// A read that is out: whose, and how many writes had left when it came in.
-    reading: Vec<(usize, usize)>,
+    /// By request.
+    writes_made: Vec<Write>,
+    /// By request.
+    reads_made: Vec<Read>,
     released: usize,
-    sure: bool,
+    certain: bool,
     missed: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Act {
+enum Action {
     Tick,
-    Due(usize),
-    Deliver(Flying),
-    Repeat(Flying),
+    Timeout(usize),
+    Deliver(Packet),
+    Duplicate(Packet),
     Sync(usize),
     Crash(usize),
     Restart(usize),
-    Forget(usize),
+    LoseStore(usize),
     Write(usize),
     Read(usize),
 }
 
-fn id(n: usize) -> NodeId {
-    NodeId(n as u64 + 1)
+fn node_id(index: usize) -> NodeId {
+    NodeId(index as u64 + 1)
 }
 
 impl Bounds {
@@ -95,23 +113,23 @@
             store_version: StoreVersion {
                 store_id: node.unbroken_since,
                 records: 0,
-                last_incarnation: node.last,
+                last_incarnation: node.last_incarnation,
             },
             ..Recovered::default()
         };
-        node.disk[..node.synced]
+        node.records[..node.synced]
             .iter()
             .cloned()
             .for_each(|record| recovered.apply(record));
         Settings {
             local: Peer {
-                node: id(n),
+                node: node_id(n),
                 incarnation: node.incarnation,
             },
-            replicas: (0..self.nodes).map(id).collect(),
+            replicas: (0..self.nodes).map(node_id).collect(),
             owners_per_session: 2,
             lease: LEASE,
-            retention: self.horizon,
+            retention: self.retention,
             resend_interval: 2 * TICK,
             lookup_timeout: TICK,
             max_positions: 100,
@@ -121,257 +139,302 @@
         }
     }
 
-    /// Instances that have lived long: each one's disk says that nothing is missing.
-    fn first(&self) -> World {
-        let roster = ReplicaSet::new((0..self.nodes).map(id), 2, &[LEASE, self.horizon]);
-        let whole = (0..self.nodes).map(|n| {
+    /// Instances that have run for long: the store of each says that no write is missing.
+    fn first(&self) -> Cluster {
+        let replica_set =
+            ReplicaSet::new((0..self.nodes).map(node_id), 2, &[LEASE, self.retention]);
+        let complete = (0..self.nodes).map(|n| {
             Record::CompletePeer(Peer {
-                node: id(n),
+                node: node_id(n),
                 incarnation: 1,
             })
         });
-        let disk: Vec<_> = std::iter::once(Record::ReplicaSet(roster.digest()))
-            .chain(whole)
+        let records: Vec<_> = std::iter::once(Record::ReplicaSet(replica_set.digest()))
+            .chain(complete)
             .collect();
         let node = |_| Node {
-            up: None,
+            running: None,
             incarnation: 2,
-            last: 1,
-            synced: disk.len(),
-            base: disk.len(),
-            disk: disk.clone(),
+            last_incarnation: 1,
+            synced: records.len(),
+            recovered: records.len(),
+            records: records.clone(),
             unbroken_since: 1,
         };
-        let mut world = World {
+        let mut cluster = Cluster {
             now: 100 * TICK,
             nodes: (0..self.nodes).map(node).collect(),
-            net: BTreeSet::new(),
+            network: BTreeSet::new(),
             crashes: 0,
-            lost_disks: 0,
-            repeats: 0,
+            lost_stores: 0,
+            duplicates: 0,
             writes: 0,
             reads: 0,
-            written: Vec::new(),
-            reading: Vec::new(),
+            writes_made: Vec::new(),
+            reads_made: Vec::new(),
             released: 0,
-            sure: false,
+            certain: false,
             missed: false,
         };
-        (0..self.nodes).for_each(|n| self.start(&mut world, n));
-        // Their bounds from before are over, and they have each other's pledges.
+        (0..self.nodes).for_each(|n| self.start(&mut cluster, n));
+        // Leases of earlier incarnations are over, and they hold each other's leases.
         for _ in 0..6 {
-            world.now += TICK;
-            (0..self.nodes)
-                .for_each(|n| self.with(&mut world, n, |s, now, out| s.handle_timeout(now, out)));
-            while let Some(flying) = world.net.pop_first() {
-                self.deliver(&mut world, &flying);
+            cluster.now += TICK;
+            (0..self.nodes).for_each(|n| {
+                self.with(&mut cluster, n, |sessions, now, outputs| {
+                    sessions.handle_timeout(now, outputs)
+                })
+            });
+            while let Some(packet) = cluster.network.pop_first() {
+                self.deliver(&mut cluster, &packet);
             }
         }
-        world
+        cluster
     }
 
-    fn start(&self, world: &mut World, n: usize) {
-        let mut out = Vec::new();
-        let settings = self.settings(n, &world.nodes[n]);
-        world.nodes[n].up = Some(Sessions::new(world.now, settings, &mut out));
-        self.carry_out(world, n, out);
+    fn start(&self, cluster: &mut Cluster, n: usize) {
+        let mut outputs = Vec::new();
+        let settings = self.settings(n, &cluster.nodes[n]);
+        cluster.nodes[n].running = Some(Sessions::new(cluster.now, settings, &mut outputs));
+        self.apply_outputs(cluster, n, outputs);
     }
 
     fn with(
         &self,
-        world: &mut World,
+        cluster: &mut Cluster,
         n: usize,
-        act: impl FnOnce(&mut Sessions, Time, &mut Vec<Output>),
+        input: impl FnOnce(&mut Sessions, Time, &mut Vec<Output>),
     ) {
-        let (now, mut out) = (world.now, Vec::new());
-        if let Some(up) = world.nodes[n].up.as_mut() {
-            act(up, now, &mut out);
+        let (now, mut outputs) = (cluster.now, Vec::new());
+        if let Some(running) = cluster.nodes[n].running.as_mut() {
+            input(running, now, &mut outputs);
         }
-        self.carry_out(world, n, out);
+        self.apply_outputs(cluster, n, outputs);
     }
 
-    fn deliver(&self, world: &mut World, flying: &Flying) {
-        let Some(n) = (0..self.nodes).find(|n| id(*n) == flying.to.node) else {
+    fn deliver(&self, cluster: &mut Cluster, packet: &Packet) {
+        let Some(n) = (0..self.nodes).find(|n| node_id(*n) == packet.to.node) else {
             return;
         };
-        let Flying {
+        let Packet {
             from, to, message, ..
-        } = flying.clone();
-        self.with(world, n, |s, now, out| {
-            s.handle_message(now, from, to, message, out)
+        } = packet.clone();
+        self.with(cluster, n, |sessions, now, outputs| {
+            sessions.handle_message(now, from, to, message, outputs)
         });
     }
 
-    fn carry_out(&self, world: &mut World, n: usize, out: Vec<Output>) {
-        let mut kept = false;
-        for output in out {
+    fn apply_outputs(&self, cluster: &mut Cluster, n: usize, outputs: Vec<Output>) {
+        let mut has_stored = false;
+        for output in outputs {
             match output {
-                Output::Send(to, message) => {
-                    let from = Peer {
-                        node: id(n),
-                        incarnation: world.nodes[n].incarnation,
-                    };
-                    world.net.insert(Flying {
-                        sent: world.now,
-                        from,
-                        to,
-                        message,
-                    });
-                }
+                Output::Send(to, message) => cluster.send(n, to, message),
                 Output::Store(record) => {
-                    world.nodes[n].disk.push(record);
-                    kept = true;
+                    cluster.nodes[n].records.push(record);
+                    has_stored = true;
                 }
-                Output::Release(ticket) => {
-                    world.written[ticket as usize].1 = true;
-                    world.released += 1;
+                Output::Release(request) => {
+                    cluster.writes_made[request as usize].is_released = true;
+                    cluster.released += 1;
                 }
-                Output::ReadRequirement(ticket, knowledge) => {
-                    let (_, left) = world.reading[ticket as usize];
-                    if let ReadRequirement::Position(position) = knowledge {
-                        world.sure = true;
-                        let recent = |at: Time| at > world.now - self.horizon;
-                        let must =
-                            world.written.iter().any(|(at, out)| *out && recent(*at)) && left > 0;
-                        world.missed |= must && position < Some(POSITION);
-                    }
+                Output::ReadRequirement(request, requirement) => {
+                    cluster.check_read(request, requirement, self.retention);
                 }
             }
         }
-        if kept && self.early {
-            let count = (world.nodes[n].disk.len() - world.nodes[n].base) as u64;
-            self.with(world, n, |s, now, out| {
-                s.handle_records_stored(now, count, out)
-            });
+        if has_stored && self.acknowledges_early {
+            let records = cluster.nodes[n].records.len();
+            self.confirm(cluster, n, records);
         }
     }
+
+    /// An instance is told that so many records of its store are stored.
+    fn confirm(&self, cluster: &mut Cluster, n: usize, records: usize) {
+        let count = (records - cluster.nodes[n].recovered) as u64;
+        self.with(cluster, n, |sessions, now, outputs| {
+            sessions.handle_records_stored(now, count, outputs)
+        });
+    }
+
+    fn write(&self, cluster: &mut Cluster, n: usize) {
+        let request = cluster.writes_made.len() as u64;
+        cluster.writes_made.push(Write {
+            committed_at: cluster.now,
+            is_released: false,
+        });
+        cluster.writes += 1;
+        self.with(cluster, n, |sessions, now, outputs| {
+            sessions.record_write(now, request, KEY, Some(POSITION), outputs);
+        });
+    }
+
+    fn read(&self, cluster: &mut Cluster, n: usize) {
+        let request = cluster.reads_made.len() as u64;
+        cluster.reads_made.push(Read {
+            index: n,
+            released_before: cluster.released,
+        });
+        cluster.reads += 1;
+        self.with(cluster, n, |sessions, now, outputs| {
+            sessions.begin_read(now, request, KEY, outputs)
+        });
+    }
+}
+
+impl Cluster {
+    fn send(&mut self, n: usize, to: Peer, message: Message) {
+        let from = Peer {
+            node: node_id(n),
+            incarnation: self.nodes[n].incarnation,
+        };
+        self.network.insert(Packet {
+            sent: self.now,
+            from,
+            to,
+            message,
+        });
+    }
+
+    fn check_read(
+        &mut self,
+        request: RequestNumber,
+        requirement: ReadRequirement,
+        retention: Time,
+    ) {
+        let ReadRequirement::Position(position) = requirement else {
+            return;
+        };
+        self.certain = true;
+        let oldest = self.now - retention;
+        let is_required = |write: &Write| write.is_released && write.committed_at > oldest;
+        let released_before = self.reads_made[request as usize].released_before;
+        let must_see = self.writes_made.iter().any(is_required) && released_before > 0;
+        self.missed |= must_see && position < Some(POSITION);
+    }
+}
+
+impl Node {
+    /// What was not synced is gone.
+    fn crash(&mut self) {
+        self.running = None;
+        self.records.truncate(self.synced);
+    }
+
+    fn lose_store(&mut self) {
+        self.records.clear();
+        self.synced = 0;
+        self.last_incarnation = 0;
+        self.unbroken_since = self.incarnation + 1;
+    }
+
+    fn begin_incarnation(&mut self) {
+        self.last_incarnation = if self.records.is_empty() {
+            0
+        } else {
+            self.incarnation
+        };
+        self.incarnation += 1;
+        self.recovered = self.synced;
+    }
 }
 
 impl Model for Bounds {
-    type State = World;
-    type Action = Act;
+    type State = Cluster;
+    type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<Cluster> {
         vec![self.first()]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
+    fn actions(&self, cluster: &Cluster, actions: &mut Vec<Action>) {
         let start = 106 * TICK;
-        if world.now < start + self.ticks * TICK {
-            acts.push(Act::Tick);
+        if cluster.now < start + self.ticks * TICK {
+            actions.push(Action::Tick);
         }
-        for flying in &world.net {
-            acts.push(Act::Deliver(flying.clone()));
-            if world.repeats < self.repeats {
-                acts.push(Act::Repeat(flying.clone()));
+        for packet in &cluster.network {
+            actions.push(Action::Deliver(packet.clone()));
+            if cluster.duplicates < self.duplicates {
+                actions.push(Action::Duplicate(packet.clone()));
             }
         }
-        for (n, node) in world.nodes.iter().enumerate() {
-            let Some(up) = &node.up else {
-                acts.push(Act::Restart(n));
-                if world.lost_disks < self.lost_disks && !node.disk.is_empty() {
-                    acts.push(Act::Forget(n));
+        for (n, node) in cluster.nodes.iter().enumerate() {
+            let Some(running) = &node.running else {
+                actions.push(Action::Restart(n));
+                if cluster.lost_stores < self.lost_stores && !node.records.is_empty() {
+                    actions.push(Action::LoseStore(n));
                 }
                 continue;
             };
-            if up.next_deadline() <= world.now {
-                acts.push(Act::Due(n));
+            if running.next_deadline() <= cluster.now {
+                actions.push(Action::Timeout(n));
             }
-            if node.synced < node.disk.len() {
-                acts.push(Act::Sync(n));
+            if node.synced < node.records.len() {
+                actions.push(Action::Sync(n));
             }
-            if world.crashes < self.crashes {
-                acts.push(Act::Crash(n));
+            if cluster.crashes < self.crashes {
+                actions.push(Action::Crash(n));
             }
             // What is written and read is the same everywhere, so one of them writes.
-            if world.writes < self.writes && n == 0 {
-                acts.push(Act::Write(n));
+            if cluster.writes < self.writes && n == 0 {
+                actions.push(Action::Write(n));
             }
-            // A read before any write has left shows nothing.
-            if world.reads < self.reads && world.released > 0 {
-                acts.push(Act::Read(n));
+            // A read before any write was released shows nothing.
+            if cluster.reads < self.reads && cluster.released > 0 {
+                actions.push(Action::Read(n));
             }
         }
     }
 
-    fn next_state(&self, before: &World, act: Act) -> Option<World> {
-        let mut world = before.clone();
-        match act {
-            Act::Tick => {
-                world.now += TICK;
-                let since = world.now - self.late * TICK;
-                world.net.retain(|flying| flying.sent > since);
-            }
-            Act::Due(n) => self.with(&mut world, n, |s, now, out| s.handle_timeout(now, out)),
-            Act::Deliver(flying) => {
-                world.net.remove(&flying);
-                self.deliver(&mut world, &flying);
+    fn next_state(&self, before: &Cluster, action: Action) -> Option<Cluster> {
+        let mut cluster = before.clone();
+        match action {
+            Action::Tick => {
+                cluster.now += TICK;
+                let since = cluster.now - self.max_delay * TICK;
+                cluster.network.retain(|packet| packet.sent > since);
             }
-            Act::Repeat(flying) => {
-                world.repeats += 1;
-                self.deliver(&mut world, &flying);
-            }
-            Act::Sync(n) => {
-                world.nodes[n].synced = world.nodes[n].disk.len();
-                let count = (world.nodes[n].synced - world.nodes[n].base) as u64;
-                self.with(&mut world, n, |s, now, out| {
-                    s.handle_records_stored(now, count, out)
-                });
+            Action::Timeout(n) => self.with(&mut cluster, n, |sessions, now, outputs| {
+                sessions.handle_timeout(now, outputs)
+            }),
+            Action::Deliver(packet) => {
+                cluster.network.remove(&packet);
+                self.deliver(&mut cluster, &packet);
             }
-            Act::Crash(n) => {
-                world.crashes += 1;
-                let node = &mut world.nodes[n];
-                node.up = None;
-                node.disk.truncate(node.synced);
+            Action::Duplicate(packet) => {
+                cluster.duplicates += 1;
+                self.deliver(&mut cluster, &packet);
             }
-            Act::Forget(n) => {
-                world.lost_disks += 1;
-                let node = &mut world.nodes[n];
-                (node.disk, node.synced, node.last) = (Vec::new(), 0, 0);
-                node.unbroken_since = node.incarnation + 1;
+            Action::Sync(n) => {
+                let records = cluster.nodes[n].records.len();
+                cluster.nodes[n].synced = records;
+                self.confirm(&mut cluster, n, records);
             }
-            Act::Restart(n) => {
-                let node = &mut world.nodes[n];
-                node.last = if node.disk.is_empty() {
-                    0
-                } else {
-                    node.incarnation
-                };
-                node.incarnation += 1;
-                node.base = node.synced;
-                self.start(&mut world, n);
+            Action::Crash(n) => {
+                cluster.crashes += 1;
+                cluster.nodes[n].crash();
             }
-            Act::Write(n) => {
-                let ticket = world.written.len() as u64;
-                world.written.push((world.now, false));
-                world.writes += 1;
-                self.with(&mut world, n, |s, now, out| {
-                    s.record_write(now, ticket, KEY, Some(POSITION), out);
-                });
+            Action::LoseStore(n) => {
+                cluster.lost_stores += 1;
+                cluster.nodes[n].lose_store();
             }
-            Act::Read(n) => {
-                let ticket = world.reading.len() as u64;
-                world.reading.push((n, world.released));
-                world.reads += 1;
-                self.with(&mut world, n, |s, now, out| {
-                    s.begin_read(now, ticket, KEY, out)
-                });
+            Action::Restart(n) => {
+                cluster.nodes[n].begin_incarnation();
+                self.start(&mut cluster, n);
             }
+            Action::Write(n) => self.write(&mut cluster, n),
+            Action::Read(n) => self.read(&mut cluster, n),
         }
-        Some(world)
+        Some(cluster)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(
-                "no read misses a write that has left",
-                |_, world: &World| !world.missed,
-            ),
-            Property::sometimes("a read after a write is sure", |_, world: &World| {
-                world.sure
+            Property::always(NO_READ_MISSES_A_WRITE, |_, cluster: &Cluster| {
+                !cluster.missed
             }),
-            Property::sometimes("and so is one after a crash", |_, world: &World| {
-                world.sure && world.crashes > 0
+            Property::sometimes(A_READ_IS_CERTAIN, |_, cluster: &Cluster| cluster.certain),
+            Property::sometimes(A_READ_AFTER_A_CRASH_IS_CERTAIN, |_, cluster: &Cluster| {
+                cluster.certain && cluster.crashes > 0
             }),
         ]
     }
@@ -381,24 +444,24 @@
     nodes: 2,
     ticks: 1,
     crashes: 1,
-    lost_disks: 0,
-    repeats: 0,
+    lost_stores: 0,
+    duplicates: 0,
     writes: 1,
     reads: 1,
-    late: 1,
-    horizon: 1_000 * TICK,
-    early: false,
+    max_delay: 1,
+    retention: 1_000 * TICK,
+    acknowledges_early: false,
 };
 
 /// Whether no read missed its write, in all of it or in as much as there was room for.
-fn check(name: &str, bounds: Bounds, most: Option<usize>) -> bool {
+fn check(name: &str, bounds: Bounds, max_states: Option<usize>) -> bool {
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get().min(8));
     let mut builder = bounds.checker().threads(threads);
-    if let Some(most) = most {
-        builder = builder.target_state_count(most);
+    if let Some(max_states) = max_states {
+        builder = builder.target_state_count(max_states);
     }
     // In breadth the shortest way to a fault is found; in depth far fewer states wait in memory.
-    let checker: Box<dyn Checker<Bounds>> = match most {
+    let checker: Box<dyn Checker<Bounds>> = match max_states {
         None => Box::new(builder.spawn_bfs().join()),
         Some(_) => Box::new(builder.spawn_dfs().join()),
     };
@@ -407,20 +470,17 @@
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth(),
-        if most.is_none_or(|most| checker.state_count() < most) {
+        if max_states.is_none_or(|max_states| checker.state_count() < max_states) {
             "all of it"
         } else {
             "as far as memory allowed"
         }
     );
-    if let Some(path) = checker.discovery("no read misses a write that has left") {
+    if let Some(path) = checker.discovery(NO_READ_MISSES_A_WRITE) {
         println!("{name}: {:?}", path.into_actions());
         return false;
     }
-    for property in [
-        "a read after a write is sure",
-        "and so is one after a crash",
-    ] {
+    for property in [A_READ_IS_CERTAIN, A_READ_AFTER_A_CRASH_IS_CERTAIN] {
         assert!(
             checker.discovery(property).is_some(),
             "{name}: never: {property}"
@@ -439,7 +499,7 @@
     assert!(!check(
         "early",
         Bounds {
-            early: true,
+            acknowledges_early: true,
             ..SMALL
         },
         None
@@ -450,31 +510,31 @@
 #[test]
 #[ignore = "takes minutes"]
 fn as_far_as_feasible() {
-    let most = Some(30_000_000);
+    let max_states = Some(30_000_000);
     assert!(check(
-        "two, more time and a lost disk",
+        "two, more time and a lost store",
         Bounds {
             ticks: 2,
-            lost_disks: 1,
+            lost_stores: 1,
             ..SMALL
         },
         None
     ));
     assert!(check(
-        "two, repeats and two crashes",
+        "two, duplicates and two crashes",
         Bounds {
             crashes: 2,
-            repeats: 1,
+            duplicates: 1,
             ..SMALL
         },
-        most
+        max_states
     ));
     let short = Bounds {
         ticks: 6,
-        horizon: 4 * TICK,
-        lost_disks: 1,
+        retention: 4 * TICK,
+        lost_stores: 1,
         ..SMALL
     };
-    assert!(check("two, a short horizon", short, most));
-    assert!(check("three", Bounds { nodes: 3, ..SMALL }, most));
+    assert!(check("two, a short retention", short, max_states));
+    assert!(check("three", Bounds { nodes: 3, ..SMALL }, max_states));
 }
--- a/crates/stackgw-sessions/tests/stored_and_sent.rs
+++ b/crates/stackgw-sessions/tests/stored_and_sent.rs
@@ -1,5 +1,5 @@
 //! What other versions of this program send and have stored stays readable: bytes of each message, hashes that stand in
-//! messages and on disks, and what each kind of record comes to when it is read back.
+//! messages and in stores, and what each kind of record comes to when it is read back.
 
 use stackgw_router::api::SECOND;
 use stackgw_sessions::*;
@@ -13,7 +13,7 @@
 };
 const KEY: SessionKey = SessionKey(0x0123_4567_89ab_cdef);
 const POSITION: i64 = 1_764_633_600_123_456_789;
-const STAMP: StoreVersion = StoreVersion {
+const VERSION: StoreVersion = StoreVersion {
     store_id: 1_764_633_500_000,
     records: 300,
     last_incarnation: 1_764_633_550_000,
@@ -28,21 +28,27 @@
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let (nonce, roster) = (77, 0xdead_beef_0bad_cafe);
+    let mut messages = messages_between_replicas();
+    messages.extend(messages_of_readers_and_forwarders());
+    messages
+}
+
+fn messages_between_replicas() -> Vec<(&'static str, Message)> {
+    let (nonce, replica_set) = (77, 0xdead_beef_0bad_cafe);
     vec![
         (
             "lease_request",
             Message::LeaseRequest(LeaseRequest {
                 nonce,
-                replica_set: roster,
-                store_version: Some(STAMP),
+                replica_set,
+                store_version: Some(VERSION),
             }),
         ),
         (
             "lease_request_without_store",
             Message::LeaseRequest(LeaseRequest {
                 nonce,
-                replica_set: roster,
+                replica_set,
                 store_version: None,
             }),
         ),
@@ -50,19 +56,16 @@
             "lease_grant",
             Message::LeaseGrant(LeaseGrant {
                 nonce,
-                replica_set: roster,
+                replica_set,
                 complete_for: 60 * SECOND,
                 unbroken_since: 1_764_633_500_000,
-                store_version: Some(STAMP),
+                store_version: Some(VERSION),
             }),
         ),
-        ("store_outdated", Message::StoreOutdated(STAMP)),
+        ("store_outdated", Message::StoreOutdated(VERSION)),
         (
             "replica_set_mismatch",
-            Message::ReplicaSetMismatch {
-                nonce,
-                replica_set: roster,
-            },
+            Message::ReplicaSetMismatch { nonce, replica_set },
         ),
         (
             "replicate",
@@ -73,6 +76,12 @@
             ]),
         ),
         ("acknowledge", Message::Acknowledge(vec![1, 2, 300])),
+    ]
+}
+
+fn messages_of_readers_and_forwarders() -> Vec<(&'static str, Message)> {
+    let nonce = 77;
+    vec![
         ("position_query", Message::PositionQuery { nonce, key: KEY }),
         (
             "position_reply",
@@ -140,21 +149,26 @@
 }
 
 #[test]
-fn hashes_of_names_sessions_and_rosters_stay() {
+fn hashes_of_names_sessions_and_replica_sets_stay() {
     let nodes = ["g0", "g1", "g2"].map(NodeId::of);
     assert_eq!(nodes.map(|node| node.0), [NODES[0], NODES[1], NODES[2]]);
     assert_eq!(SessionKey::of(2, "7f3a9c21e0b4d655").0, SESSION);
-    let roster = ReplicaSet::new(nodes, 2, &[800_000_000, 60 * SECOND]);
-    assert_eq!(roster.digest(), ROSTER);
+    let replica_set = ReplicaSet::new(nodes, 2, &[800_000_000, 60 * SECOND]);
+    assert_eq!(replica_set.digest(), REPLICA_SET);
     let place = |node: NodeId| {
         nodes
             .iter()
             .position(|known| *known == node)
             .expect("one of the three")
     };
-    let homes = |n| roster.owners(SessionKey(n)).map(place).collect::<Vec<_>>();
-    let homes: Vec<_> = (0..6).map(homes).collect();
-    assert_eq!(homes, HOMES.map(|homes| homes.to_vec()));
+    let owners = |n| {
+        replica_set
+            .owners(SessionKey(n))
+            .map(place)
+            .collect::<Vec<_>>()
+    };
+    let owners: Vec<_> = (0..6).map(owners).collect();
+    assert_eq!(owners, OWNERS.map(|owners| owners.to_vec()));
 }
 
 /// The ids of `g0`, `g1` and `g2`.
@@ -164,16 +178,19 @@
     2_850_079_368_443_514_579,
 ];
 const SESSION: u64 = 12_907_638_285_093_708_163;
-const ROSTER: u64 = 16_563_709_622_201_792_816;
+const REPLICA_SET: u64 = 16_563_709_622_201_792_816;
 /// Of sessions 0 to 5, by place among the three.
-const HOMES: [[usize; 2]; 6] = [[2, 1], [1, 0], [2, 1], [1, 2], [0, 2], [2, 0]];
+const OWNERS: [[usize; 2]; 6] = [[2, 1], [1, 0], [2, 1], [1, 2], [0, 2], [2, 0]];
 
-#[test]
-fn records_of_each_kind_come_back_as_what_they_say() {
-    let peer = |node, incarnation| Peer {
+fn peer(node: u64, incarnation: u64) -> Peer {
+    Peer {
         node: NodeId(node),
         incarnation,
-    };
+    }
+}
+
+/// A record of each kind but that of an invalidation.
+fn recovered() -> Recovered {
     let records = [
         Record::ReplicaSet(5),
         Record::Position(KEY, POSITION),
@@ -181,59 +198,68 @@
         Record::CompletePeer(peer(7, 3)),
         Record::CompletePeer(peer(8, 3)),
         Record::CompletePeer(peer(7, 4)),
-        Record::PeerStore(peer(7, 3), STAMP),
-        Record::PeerStore(peer(7, 4), STAMP),
+        Record::PeerStore(peer(7, 3), VERSION),
+        Record::PeerStore(peer(7, 4), VERSION),
         Record::ReplicaSet(5),
     ];
     let mut recovered = Recovered {
         unbroken_since: 2,
-        store_version: STAMP,
+        store_version: VERSION,
         ..Recovered::default()
     };
     records
         .into_iter()
         .for_each(|record| recovered.apply(record));
+    recovered
+}
+
+#[test]
+fn records_of_each_kind_come_back_as_what_they_say() {
+    let store_version = StoreVersion {
+        records: 309,
+        ..VERSION
+    };
     let expected = Recovered {
         unbroken_since: 2,
-        store_version: StoreVersion {
-            records: 309,
-            ..STAMP
-        },
-        peer_stores: vec![(peer(7, 4), STAMP)],
+        store_version,
+        peer_stores: vec![(peer(7, 4), VERSION)],
         replica_set: Some(5),
         positions: vec![(KEY, POSITION)],
         unacknowledged: vec![(SessionKey(3), UNKNOWN_POSITION)],
         complete_peers: vec![peer(8, 3), peer(7, 4)],
     };
-    assert_eq!(recovered, expected);
+    assert_eq!(recovered(), expected);
+}
+
+#[test]
+fn an_invalidated_store_begins_anew_and_another_replica_set_is_counted() {
+    let mut store = recovered();
     let begun = StoreVersion {
         store_id: 9,
         records: 0,
         last_incarnation: 0,
     };
-    recovered.apply(Record::Invalidated(begun, 10));
+    store.apply(Record::Invalidated(begun, 10));
     let begun = StoreVersion {
-        last_incarnation: STAMP.last_incarnation,
+        last_incarnation: VERSION.last_incarnation,
         ..begun
     };
     let expected = Recovered {
         unbroken_since: 10,
         store_version: begun,
         complete_peers: Vec::new(),
-        ..expected
+        ..recovered()
     };
-    assert_eq!(recovered, expected);
-    recovered.apply(Record::ReplicaSet(6));
-    let stamp = StoreVersion {
+    assert_eq!(store, expected);
+    store.apply(Record::ReplicaSet(6));
+    let store_version = StoreVersion {
         records: 1,
         ..begun
     };
-    assert_eq!(
-        recovered,
-        Recovered {
-            replica_set: Some(6),
-            store_version: stamp,
-            ..expected
-        }
-    );
+    let expected = Recovered {
+        replica_set: Some(6),
+        store_version,
+        ..expected
+    };
+    assert_eq!(store, expected);
 }
