--- a/crates/stackgw-bootstrap/src/bootstrap.rs
+++ b/crates/stackgw-bootstrap/src/bootstrap.rs
@@ -119,7 +119,7 @@
 
 /// A question that is out, to several where holders are looked for: whose answer comes first is gone by.
 #[derive(Debug, Clone, PartialEq)]
-struct Asking {
+struct PollInFlight {
     to: Vec<SocketAddr>,
     nonce: u32,
     sent: Time,
@@ -127,60 +127,60 @@
 }
 
 /// Parts of a grace after which others are asked again, so that two that are lost leave time for a third.
-const ASKS_PER_GRACE: Span = 4;
+const POLLS_PER_GRACE: Span = 4;
 /// So many are asked at once at most, while holders are lost.
-const WIDTH_MOST: usize = 64;
+const MAX_WIDTH: usize = 64;
 /// The same where the answer is a whole list.
-const WIDTH_WHOLE: usize = 8;
+const MAX_WIDTH_WITHOUT_LIST: usize = 8;
 /// A question without an answer is given up after this share of a grace.
-const WAITS_PER_GRACE: Span = 10;
+const ANSWER_TIMEOUTS_PER_GRACE: Span = 10;
 /// An instance that is asked first thing may be starting itself: nothing is concluded before this.
-const SETTLE: Span = SECOND;
+const SETTLING_TIME: Span = SECOND;
 /// One that went unanswered is tried again after this.
-const AGAIN: Span = SECOND;
+const UNRESPONSIVE_RETRY_INTERVAL: Span = SECOND;
 /// A watch that was opened for want of holders is kept this long at least.
-const ALONE_LEAST: Span = 5 * SECOND;
+const MIN_OPEN_TIME: Span = 5 * SECOND;
 /// The disk is told at least this often that what it has is still vouched for.
-const KEEP_EVERY: Span = 5 * SECOND;
+const PERSIST_INTERVAL: Span = 5 * SECOND;
 /// Those that asked and could not be told yet, at most.
-const WAITING_MOST: usize = 4_096;
+const MAX_WAITING_PEERS: usize = 4_096;
 /// Whole lists told in one pace, for each instance of the fleet; more are told the version alone.
-const WHOLE_PER_PACE: u64 = 2;
+const COMPLETE_LISTS_PER_INTERVAL: u64 = 2;
 /// No word of a peer makes anything older than this.
-const AGO_MOST_MS: u64 = 1_000_000_000;
+const MAX_CLAIMED_MS: u64 = 1_000_000_000;
 
 /// See the module.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bootstrap {
-    set: BootstrapSettings,
-    book: EndpointCache,
-    turns: PollSchedule,
-    circle: Option<WatchLeaders>,
+    settings: BootstrapSettings,
+    cache: EndpointCache,
+    schedule: PollSchedule,
+    leaders: Option<WatchLeaders>,
     rng: Pcg64Mcg,
-    started: Time,
+    started_at: Time,
     watch: Watch,
     /// The watch has brought a list, and when it was last heard.
-    live: bool,
-    heard: Time,
-    alone: bool,
-    asking: Option<Asking>,
-    ask_at: Time,
-    turn: u32,
+    is_live: bool,
+    last_heard_at: Time,
+    is_standalone: bool,
+    in_flight: Option<PollInFlight>,
+    next_poll_at: Time,
+    rotation: u32,
     /// So many are asked at once: one, or twice as many each time while a holder goes unanswered.
     width: usize,
     /// When word last came that the service had vouched for lately, and when it last came from one that has a watch.
     told: Option<Time>,
     told_live: Option<Time>,
-    waiting: BTreeSet<SocketAddr>,
+    waiting_peers: BTreeSet<SocketAddr>,
     /// When the present pace began, and whole lists told in it.
     whole: (Time, u64),
-    kept_at: Option<Time>,
+    persisted_at: Option<Time>,
     /// What its router makes of members; what others make of them has been taken as a start.
     rate: f64,
     expects: bool,
     /// What answers have shown of members, here and elsewhere.
-    seen: Observations,
-    counts: BootstrapCounters,
+    observations: Observations,
+    counters: BootstrapCounters,
 }
 
 impl Bootstrap {
@@ -192,7 +192,7 @@
         out: &mut Vec<Output>,
     ) -> Self {
         let others = set.peers.as_ref();
-        let circle = others.map(|(me, seeds)| {
+        let leaders = others.map(|(me, seeds)| {
             WatchLeaders::new(
                 *me,
                 seeds.iter().copied(),
@@ -201,29 +201,29 @@
             )
         });
         let mut start = Bootstrap {
-            book: EndpointCache::new(set.service_reset_after),
-            turns: PollSchedule::new(set.poll_rate, set.seed),
-            circle,
+            cache: EndpointCache::new(set.service_reset_after),
+            schedule: PollSchedule::new(set.poll_rate, set.seed),
+            leaders,
             rng: Pcg64Mcg::seed_from_u64(set.seed ^ 0x57a7),
-            started: now,
+            started_at: now,
             watch: Watch::Off,
-            live: false,
-            heard: now,
-            alone: false,
-            asking: None,
-            ask_at: now,
-            turn: 0,
+            is_live: false,
+            last_heard_at: now,
+            is_standalone: false,
+            in_flight: None,
+            next_poll_at: now,
+            rotation: 0,
             width: 1,
             told: None,
             told_live: None,
-            waiting: BTreeSet::new(),
+            waiting_peers: BTreeSet::new(),
             whole: (now, 0),
-            kept_at: None,
+            persisted_at: None,
             rate: 0.0,
             expects: false,
-            seen: Observations::default(),
-            counts: BootstrapCounters::default(),
-            set,
+            observations: Observations::default(),
+            counters: BootstrapCounters::default(),
+            settings: set,
         };
         if let Some(CachedEndpoints {
             list,
@@ -231,13 +231,13 @@
             warm_throughput,
         }) = kept
         {
-            start.expect(warm_throughput, out);
+            start.seed_warm_throughput(warm_throughput, out);
             let taken = start
-                .book
-                .take(now, list, Origin::Cached, confirmed_at.min(now), None);
+                .cache
+                .merge(now, list, Origin::Cached, confirmed_at.min(now), None);
             out.push(Output::Endpoints(taken));
         }
-        start.look(now, out);
+        start.update_watch(now, out);
         start
     }
 
@@ -249,23 +249,24 @@
     /// What answers have shown here, to be told to others.
     pub fn record_observations(&mut self, now: Time, seen: impl IntoIterator<Item = Observation>) {
         for seen in seen {
-            self.seen.own(now, seen, self.set.watch_timeout);
+            self.observations
+                .record_own(now, seen, self.settings.watch_timeout);
         }
     }
 
     /// What answers have shown elsewhere.
-    fn sighted(&mut self, now: Time, seen: Vec<Observation>, out: &mut Vec<Output>) {
-        let (keep, known) = (self.set.watch_timeout, &mut self.seen);
+    fn merge_observations(&mut self, now: Time, seen: Vec<Observation>, out: &mut Vec<Output>) {
+        let (keep, known) = (self.settings.watch_timeout, &mut self.observations);
         let news: Vec<_> = seen
             .into_iter()
-            .filter(|seen| known.take(now, *seen, keep))
+            .filter(|seen| known.merge(now, *seen, keep))
             .collect();
-        self.counts.observations_merged += news.len() as u64;
+        self.counters.observations_merged += news.len() as u64;
         out.extend((!news.is_empty()).then_some(Output::Observations(news)));
     }
 
     /// Takes what is known elsewhere for a start, once.
-    fn expect(&mut self, rate: f64, out: &mut Vec<Output>) {
+    fn seed_warm_throughput(&mut self, rate: f64, out: &mut Vec<Output>) {
         let known = rate > 0.0 && rate.is_finite() && self.rate <= 0.0;
         if known && !self.expects {
             self.expects = true;
@@ -275,30 +276,30 @@
 
     /// What is held for the list.
     pub fn cache(&self) -> &EndpointCache {
-        &self.book
+        &self.cache
     }
 
     /// What came and went.
-    pub fn counts(&self) -> BootstrapCounters {
-        self.counts
+    pub fn counters(&self) -> BootstrapCounters {
+        self.counters
     }
 
     /// Who should hold the watch, as seen from here, and whether this instance has one that hears the service.
     pub fn watch_leaders(&self) -> (Vec<SocketAddr>, bool) {
         (
-            self.circle
+            self.leaders
                 .as_ref()
-                .map(WatchLeaders::chosen)
+                .map(WatchLeaders::leader_addresses)
                 .unwrap_or_default(),
-            self.live,
+            self.is_live,
         )
     }
 
     /// The list may be gone by: it is there, and better word is no longer waited for.
     pub fn is_ready(&self, now: Time) -> bool {
-        match self.book.origin() {
+        match self.cache.origin() {
             None => false,
-            Some(Origin::Cached) => now - self.started >= self.set.cached_list_wait,
+            Some(Origin::Cached) => now - self.started_at >= self.settings.cached_list_wait,
             Some(_) => true,
         }
     }
@@ -306,86 +307,88 @@
     /// For how long a client that comes now had better stay away, while this is not ready.
     pub fn retry_after(&self, now: Time) -> Span {
         let kept = self
-            .book
+            .cache
             .origin()
-            .map(|_| self.started + self.set.cached_list_wait);
+            .map(|_| self.started_at + self.settings.cached_list_wait);
         let turn = if let Watch::Due(at) = self.watch {
             at
         } else {
             now
-        } + self.pace();
-        (kept.map_or(turn, |kept| kept.min(turn)) - now).max(self.set.poll_rate.min_pause)
+        } + self.poll_interval();
+        (kept.map_or(turn, |kept| kept.min(turn)) - now).max(self.settings.poll_rate.min_pause)
     }
 
     /// How often others are asked.
-    fn pace(&self) -> Span {
-        (self.set.drain_grace / ASKS_PER_GRACE).max(10 * MS)
+    fn poll_interval(&self) -> Span {
+        (self.settings.drain_grace / POLLS_PER_GRACE).max(10 * MS)
     }
 
-    fn wait(&self) -> Span {
-        (self.set.drain_grace / WAITS_PER_GRACE).max(5 * MS)
+    fn answer_timeout(&self) -> Span {
+        (self.settings.drain_grace / ANSWER_TIMEOUTS_PER_GRACE).max(5 * MS)
     }
 
     /// So many may ask the service as this one would.
-    fn askers(&self) -> u32 {
-        match &self.circle {
-            Some(circle) if !self.alone => {
-                circle.holders().min(self.set.poll_rate.fleet_size.max(1))
-            }
-            _ => self.set.poll_rate.fleet_size.max(1),
+    fn poller_count(&self) -> u32 {
+        match &self.leaders {
+            Some(leaders) if !self.is_standalone => leaders
+                .leader_count()
+                .min(self.settings.poll_rate.fleet_size.max(1)),
+            _ => self.settings.poll_rate.fleet_size.max(1),
         }
     }
 
     /// Somebody with a watch of its own has told lately.
-    fn is_told(&self, now: Time) -> bool {
+    fn has_live_peer(&self, now: Time) -> bool {
         self.told_live
-            .is_some_and(|at| now - at < self.set.watch_timeout)
+            .is_some_and(|at| now - at < self.settings.watch_timeout)
     }
 
     /// Decides whether the watch is wanted, and sees to it.
-    fn look(&mut self, now: Time, out: &mut Vec<Output>) {
-        let settled = now - self.started >= SETTLE;
-        let (holds, seed) = match &self.circle {
+    fn update_watch(&mut self, now: Time, out: &mut Vec<Output>) {
+        let settled = now - self.started_at >= SETTLING_TIME;
+        let (holds, seed) = match &self.leaders {
             None => (true, true),
-            Some(circle) => (circle.holds(), circle.is_seed()),
+            Some(leaders) => (leaders.is_leader(), leaders.is_seed()),
         };
         let holds = holds && (seed || settled);
         // Nobody has had word of the service for too long: whoever wants the list asks itself.
-        let since = self.told.unwrap_or(self.started);
+        let since = self.told.unwrap_or(self.started_at);
         let patience = if self.told.is_some() {
-            self.set.watch_timeout
+            self.settings.watch_timeout
         } else {
-            SETTLE
+            SETTLING_TIME
         };
         let alone = !holds && now - since >= patience;
         match self.watch {
             Watch::Off if holds || alone => {
-                self.alone = alone;
-                let askers = self.askers();
-                self.watch = Watch::Due(self.turns.first(now, askers));
+                self.is_standalone = alone;
+                let askers = self.poller_count();
+                self.watch = Watch::Due(self.schedule.first_poll_at(now, askers));
+            }
+            Watch::Due(_) if !holds && !alone => {
+                (self.watch, self.is_standalone) = (Watch::Off, false)
             }
-            Watch::Due(_) if !holds && !alone => (self.watch, self.alone) = (Watch::Off, false),
-            Watch::Due(_) => self.alone = alone,
+            Watch::Due(_) => self.is_standalone = alone,
             Watch::Open(_) if holds => {
-                let was_alone = std::mem::take(&mut self.alone);
+                let was_alone = std::mem::take(&mut self.is_standalone);
                 out.extend(
-                    (was_alone && self.live)
+                    (was_alone && self.is_live)
                         .then_some(Output::Log(LogEvent::WatchEstablished(true))),
                 );
             }
-            Watch::Open(at) if self.is_told(now) && now - at >= ALONE_LEAST => {
-                (self.watch, self.live, self.alone) = (Watch::Off, false, false);
+            Watch::Open(at) if self.has_live_peer(now) && now - at >= MIN_OPEN_TIME => {
+                (self.watch, self.is_live, self.is_standalone) = (Watch::Off, false, false);
                 out.extend([Output::CloseWatch, Output::Log(LogEvent::WatchReleased)]);
             }
             _ => {}
         }
         if let Watch::Due(at) = self.watch {
             if at <= now {
-                (self.watch, self.live, self.heard) = (Watch::Open(now), false, now);
-                self.turns.asks();
-                self.counts.watches_opened += 1;
-                self.counts.watches_without_leader += u64::from(self.alone);
-                out.push(Output::OpenWatch(self.book.revision()));
+                (self.watch, self.is_live, self.last_heard_at) = (Watch::Open(now), false, now);
+                self.schedule.record_poll();
+                self.counters.watches_opened += 1;
+                self.counters.watches_without_leader += u64::from(self.is_standalone);
+                out.push(Output::OpenWatch(self.cache.revision()));
             }
         }
     }
@@ -394,96 +397,103 @@
     pub fn next_timeout(&self, now: Time) -> Time {
         let watch = match self.watch {
             Watch::Due(at) => at,
-            Watch::Open(_) => self.heard + self.set.watch_timeout,
-            Watch::Off => self
-                .told
-                .map_or(self.started + SETTLE, |at| at + self.set.watch_timeout),
+            Watch::Open(_) => self.last_heard_at + self.settings.watch_timeout,
+            Watch::Off => self.told.map_or(self.started_at + SETTLING_TIME, |at| {
+                at + self.settings.watch_timeout
+            }),
         };
         let later = [
-            self.started + SETTLE,
-            self.started + self.set.cached_list_wait,
+            self.started_at + SETTLING_TIME,
+            self.started_at + self.settings.cached_list_wait,
         ];
         let settle = later
             .into_iter()
             .filter(|at| *at > now)
             .min()
             .unwrap_or(Time::MAX);
-        let ask = match (&self.circle, &self.asking) {
+        let ask = match (&self.leaders, &self.in_flight) {
             (None, _) => Time::MAX,
-            (_, Some(asking)) => asking.sent + self.wait(),
-            _ => self.ask_at,
+            (_, Some(asking)) => asking.sent + self.answer_timeout(),
+            _ => self.next_poll_at,
         };
         watch.max(now + MS).min(settle).min(ask.max(now + MS))
     }
 
     /// Time has come for what waits for it.
     pub fn handle_timeout(&mut self, now: Time, out: &mut Vec<Output>) {
-        if matches!(self.watch, Watch::Open(_)) && now - self.heard >= self.set.watch_timeout {
+        if matches!(self.watch, Watch::Open(_))
+            && now - self.last_heard_at >= self.settings.watch_timeout
+        {
             out.push(Output::CloseWatch);
             self.handle_watch_lost(now, None, out);
         }
         if self
-            .asking
+            .in_flight
             .as_ref()
-            .is_some_and(|asking| now - asking.sent >= self.wait())
+            .is_some_and(|asking| now - asking.sent >= self.answer_timeout())
         {
-            self.counts.polls_unanswered += 1;
-            self.asking = None;
-            self.ask_at = now;
-            self.turn = self.turn.wrapping_add(1);
+            self.counters.polls_unanswered += 1;
+            self.in_flight = None;
+            self.next_poll_at = now;
+            self.rotation = self.rotation.wrapping_add(1);
         }
-        self.look(now, out);
-        if self.asking.is_none() && self.ask_at <= now {
-            self.ask(now, out);
+        self.update_watch(now, out);
+        if self.in_flight.is_none() && self.next_poll_at <= now {
+            self.poll_leaders(now, out);
         }
     }
 
     /// Asks the next holder.
-    fn ask(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn poll_leaders(&mut self, now: Time, out: &mut Vec<Output>) {
         // Chance in every pause: those that started together do not go on together.
-        let pace = self.pace() as f64 * (0.75 + 0.5 * self.rng.random::<f64>());
-        self.ask_at = now + pace as Span;
-        let Some(circle) = self.circle.as_mut() else {
+        let pace = self.poll_interval() as f64 * (0.75 + 0.5 * self.rng.random::<f64>());
+        self.next_poll_at = now + pace as Span;
+        let Some(leaders) = self.leaders.as_mut() else {
             return;
         };
-        let Some((from, _)) = self.set.peers else {
+        let Some((from, _)) = self.settings.peers else {
             return;
         };
         let have = self
-            .book
+            .cache
             .revision()
-            .filter(|_| self.book.origin() != Some(Origin::Cached));
+            .filter(|_| self.cache.origin() != Some(Origin::Cached));
         // Whoever has nothing is sent whole lists.
         let most = if have.is_some() {
-            WIDTH_MOST
+            MAX_WIDTH
         } else {
-            WIDTH_WHOLE
+            MAX_WIDTH_WITHOUT_LIST
         };
-        self.width = if circle.doubts() {
+        self.width = if leaders.has_unanswered_leader() {
             (2 * self.width).min(most)
         } else {
             1
         };
-        let to = circle.asked(now, self.turn, self.width, AGAIN);
+        let to = leaders.select_poll_targets(
+            now,
+            self.rotation,
+            self.width,
+            UNRESPONSIVE_RETRY_INTERVAL,
+        );
         if to.is_empty() {
             return;
         }
-        to.iter().for_each(|to| circle.asks(now, *to));
+        to.iter().for_each(|to| leaders.record_poll(now, *to));
         if self.width > 1 {
-            self.ask_at = now + self.wait();
+            self.next_poll_at = now + self.answer_timeout();
         }
         let nonce = self.rng.random::<u32>().max(1);
-        self.counts.polls_sent += to.len() as u64;
-        let seen = self.seen.news();
+        self.counters.polls_sent += to.len() as u64;
+        let seen = self.observations.take_unsent();
         let ask = Message::Poll {
-            from,
+            sender: from,
             nonce,
-            service: self.set.service_id,
-            have,
-            seen,
+            service_id: self.settings.service_id,
+            known_revision: have,
+            observations: seen,
         };
         out.extend(to.iter().map(|to| Output::Send(*to, ask.clone())));
-        self.asking = Some(Asking {
+        self.in_flight = Some(PollInFlight {
             to,
             nonce,
             sent: now,
@@ -500,40 +510,40 @@
         update: EndpointUpdate,
         out: &mut Vec<Output>,
     ) {
-        self.heard = now;
-        let (had, behind) = (self.book.revision(), self.book.is_behind());
-        let resets = self.book.resets();
-        let taken = self.book.take(now, update, Origin::Service, now, None);
-        self.turns.served();
-        if self.book.resets() > resets {
+        self.last_heard_at = now;
+        let (had, behind) = (self.cache.revision(), self.cache.is_behind());
+        let resets = self.cache.resets();
+        let taken = self.cache.merge(now, update, Origin::Service, now, None);
+        self.schedule.record_success();
+        if self.cache.resets() > resets {
             out.push(Output::Log(LogEvent::ServiceReset));
         }
         if taken == MergeOutcome::Stale {
-            self.counts.stale_updates += 1;
-            if self.book.is_behind() && !behind {
+            self.counters.stale_updates += 1;
+            if self.cache.is_behind() && !behind {
                 out.push(Output::Log(LogEvent::ServiceBehind(
                     had.unwrap_or_default(),
                 )));
             }
             return;
         }
-        let first = !std::mem::replace(&mut self.live, true);
+        let first = !std::mem::replace(&mut self.is_live, true);
         if first {
-            out.push(Output::Log(LogEvent::WatchEstablished(!self.alone)));
+            out.push(Output::Log(LogEvent::WatchEstablished(!self.is_standalone)));
         }
         // That the service is back is news to others too, even where it tells nothing new.
         if first || matches!(taken, MergeOutcome::Complete(_) | MergeOutcome::Changed(_)) {
-            self.push(now, had, out);
+            self.push_changes(now, had, out);
         }
-        self.news(now, taken, out);
+        self.publish(now, taken, out);
     }
 
     /// The watch brought a line without news.
     pub fn handle_watch_heartbeat(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.heard = now;
-        if self.live {
-            self.book.vouched(now);
-            self.news(now, MergeOutcome::Unchanged, out);
+        self.last_heard_at = now;
+        if self.is_live {
+            self.cache.confirm(now);
+            self.publish(now, MergeOutcome::Unchanged, out);
         }
     }
 
@@ -543,25 +553,29 @@
             return;
         }
         if let Some(wait) = wait {
-            self.turns.put_off(now, wait);
+            self.schedule.postpone(now, wait);
         }
-        self.live = false;
-        let askers = self.askers();
-        self.watch = Watch::Due(self.turns.again(now, askers));
-        self.look(now, out);
+        self.is_live = false;
+        let askers = self.poller_count();
+        self.watch = Watch::Due(self.schedule.retry_at(now, askers));
+        self.update_watch(now, out);
     }
 
     /// News for whoever decides by the list, and for the disk.
-    fn news(&mut self, now: Time, taken: MergeOutcome, out: &mut Vec<Output>) {
+    fn publish(&mut self, now: Time, taken: MergeOutcome, out: &mut Vec<Output>) {
         if !matches!(taken, MergeOutcome::Unchanged | MergeOutcome::Stale) {
             out.push(Output::Endpoints(taken));
-            self.kept_at = None;
+            self.persisted_at = None;
         }
-        let due = self.kept_at.is_none_or(|at| now - at >= KEEP_EVERY);
-        if let (true, Some(revision), Some(said)) = (due, self.book.revision(), self.book.said()) {
-            if self.book.origin() != Some(Origin::Cached) {
-                self.kept_at = Some(now);
-                let members = self.book.endpoints().cloned().collect();
+        let due = self
+            .persisted_at
+            .is_none_or(|at| now - at >= PERSIST_INTERVAL);
+        if let (true, Some(revision), Some(said)) =
+            (due, self.cache.revision(), self.cache.confirmed_at())
+        {
+            if self.cache.origin() != Some(Origin::Cached) {
+                self.persisted_at = Some(now);
+                let members = self.cache.endpoints().cloned().collect();
                 let list = EndpointUpdate {
                     revision,
                     complete: true,
@@ -585,9 +599,9 @@
         up: BTreeSet<SocketAddr>,
         out: &mut Vec<Output>,
     ) {
-        if let Some(circle) = self.circle.as_mut() {
-            circle.update_membership(up);
-            self.look(now, out);
+        if let Some(leaders) = self.leaders.as_mut() {
+            leaders.update_membership(up);
+            self.update_watch(now, out);
         }
     }
 
@@ -600,68 +614,71 @@
         moved: bool,
         out: &mut Vec<Output>,
     ) {
-        if let Some(circle) = self.circle.as_mut() {
-            circle.reload(seeds.iter().copied());
+        if let Some(leaders) = self.leaders.as_mut() {
+            leaders.set_seeds(seeds.iter().copied());
         }
-        if self.set.service_id != service || moved {
-            self.set.service_id = service;
-            self.book.other_service();
+        if self.settings.service_id != service || moved {
+            self.settings.service_id = service;
+            self.cache.change_service();
             (self.told, self.told_live) = (None, None);
-            self.started = now;
+            self.started_at = now;
             if matches!(self.watch, Watch::Open(_)) {
                 out.push(Output::CloseWatch);
                 self.watch = Watch::Due(now);
-                self.live = false;
+                self.is_live = false;
             }
         }
-        self.look(now, out);
+        self.update_watch(now, out);
     }
 
     /// Word of another instance.
     pub fn handle_message(&mut self, now: Time, message: Message, out: &mut Vec<Output>) {
         match message {
             Message::Poll {
-                from,
+                sender,
                 nonce,
-                service,
-                have,
-                seen,
-            } if service == self.set.service_id => {
-                self.sighted(now, seen, out);
-                self.answer(now, from, nonce, have, out);
+                service_id,
+                known_revision,
+                observations,
+            } if service_id == self.settings.service_id => {
+                self.merge_observations(now, observations, out);
+                self.answer_poll(now, sender, nonce, known_revision, out);
             }
-            Message::Snapshot(mut tell) if tell.service == self.set.service_id => {
-                self.sighted(now, std::mem::take(&mut tell.seen), out);
-                self.told(now, tell, out);
+            Message::Snapshot(mut tell) if tell.service_id == self.settings.service_id => {
+                self.merge_observations(now, std::mem::take(&mut tell.observations), out);
+                self.handle_snapshot(now, tell, out);
             }
-            _ => self.counts.foreign_messages += 1,
+            _ => self.counters.foreign_messages += 1,
         }
     }
 
     /// What is held, without its entries.
-    fn tell(&mut self, now: Time, nonce: u32) -> Option<EndpointSnapshot> {
-        let seen = self.seen.all(now, self.set.watch_timeout);
-        let (from, _) = self.set.peers.as_ref()?;
-        let age = self.book.age(now).unwrap_or_default();
-        let live = self.live && !self.book.is_behind();
+    fn snapshot_header(&mut self, now: Time, nonce: u32) -> Option<EndpointSnapshot> {
+        let seen = self
+            .observations
+            .next_batch(now, self.settings.watch_timeout);
+        let (from, _) = self.settings.peers.as_ref()?;
+        let age = self.cache.age(now).unwrap_or_default();
+        let live = self.is_live && !self.cache.is_behind();
         Some(EndpointSnapshot {
-            from: *from,
+            sender: *from,
             nonce,
-            service: self.set.service_id,
-            revision: self.book.revision(),
-            said_ago_ms: u64::try_from(age / MS).unwrap_or_default(),
-            live,
-            kept: self.book.origin() == Some(Origin::Cached),
-            put_off_ms: u64::try_from(self.turns.put_off_for(now) / MS).unwrap_or_default(),
-            rate: (self.rate * 1_000.0) as u64,
+            service_id: self.settings.service_id,
+            revision: self.cache.revision(),
+            confirmed_ago_ms: u64::try_from(age / MS).unwrap_or_default(),
+            is_live: live,
+            is_cached: self.cache.origin() == Some(Origin::Cached),
+            retry_after_ms: u64::try_from(self.schedule.remaining_retry_after(now) / MS)
+                .unwrap_or_default(),
+            warm_throughput_millis: (self.rate * 1_000.0) as u64,
             base: None,
-            part: (0, 0),
-            entries: Vec::new(),
-            seen,
+            fragment: (0, 0),
+            endpoints: Vec::new(),
+            observations: seen,
         })
     }
 
-    fn answer(
+    fn answer_poll(
         &mut self,
         now: Time,
         to: SocketAddr,
@@ -669,21 +686,21 @@
         have: Option<u64>,
         out: &mut Vec<Output>,
     ) {
-        self.counts.polls_answered += 1;
-        let Some(tell) = self.tell(now, nonce) else {
+        self.counters.polls_answered += 1;
+        let Some(tell) = self.snapshot_header(now, nonce) else {
             return;
         };
-        if !self.live
-            && (self.book.revision().is_none() || self.book.origin() == Some(Origin::Cached))
+        if !self.is_live
+            && (self.cache.revision().is_none() || self.cache.origin() == Some(Origin::Cached))
         {
             // Told as soon as there is something to tell.
-            if self.waiting.len() < WAITING_MOST {
-                self.waiting.insert(to);
+            if self.waiting_peers.len() < MAX_WAITING_PEERS {
+                self.waiting_peers.insert(to);
             }
         }
-        let known = self.book.revision().is_some();
+        let known = self.cache.revision().is_some();
         let parts = if known {
-            self.parts(now, &tell, have)
+            self.fragments_since(now, &tell, have)
         } else {
             None
         };
@@ -696,19 +713,21 @@
     }
 
     /// What changed since a version, in parts; `None` where that is too much to be told now.
-    fn parts(
+    fn fragments_since(
         &mut self,
         now: Time,
         tell: &EndpointSnapshot,
         have: Option<u64>,
     ) -> Option<Vec<EndpointSnapshot>> {
-        let (base, entries) = self.book.since(have);
+        let (base, entries) = self.cache.changes_since(have);
         if base.is_none() {
-            if now - self.whole.0 >= self.pace() {
+            if now - self.whole.0 >= self.poll_interval() {
                 self.whole = (now, 0);
             }
             self.whole.1 += 1;
-            if self.whole.1 > WHOLE_PER_PACE * u64::from(self.set.poll_rate.fleet_size.max(8)) {
+            if self.whole.1
+                > COMPLETE_LISTS_PER_INTERVAL * u64::from(self.settings.poll_rate.fleet_size.max(8))
+            {
                 return None;
             }
         }
@@ -716,23 +735,23 @@
             base,
             ..tell.clone()
         }
-        .parts(entries)
+        .into_fragments(entries)
     }
 
     /// Tells all others what has changed since a version, and those that waited for it all of it.
-    fn push(&mut self, now: Time, had: Option<u64>, out: &mut Vec<Output>) {
-        let waiting = std::mem::take(&mut self.waiting);
-        let Some(circle) = &self.circle else { return };
-        let others: BTreeSet<_> = circle.others().chain(waiting.iter().copied()).collect();
-        let Some(tell) = self.tell(now, 0) else {
+    fn push_changes(&mut self, now: Time, had: Option<u64>, out: &mut Vec<Output>) {
+        let waiting = std::mem::take(&mut self.waiting_peers);
+        let Some(leaders) = &self.leaders else { return };
+        let others: BTreeSet<_> = leaders.peers().chain(waiting.iter().copied()).collect();
+        let Some(tell) = self.snapshot_header(now, 0) else {
             return;
         };
-        let (base, entries) = self.book.since(had);
+        let (base, entries) = self.cache.changes_since(had);
         let parts = EndpointSnapshot {
             base,
             ..tell.clone()
         }
-        .parts(entries)
+        .into_fragments(entries)
         .filter(|parts| parts.len() == 1);
         let news = parts
             .and_then(|mut parts| parts.pop())
@@ -740,12 +759,12 @@
         let whole = if waiting.is_empty() {
             None
         } else {
-            self.parts(now, &tell, None)
+            self.fragments_since(now, &tell, None)
         };
         for to in others {
             let told = whole.as_ref().filter(|_| waiting.contains(&to));
             let told = told.map_or(std::slice::from_ref(&news), |parts| parts);
-            self.counts.snapshots_pushed += told.len() as u64;
+            self.counters.snapshots_pushed += told.len() as u64;
             out.extend(
                 told.iter()
                     .map(|part| Output::Send(to, Message::Snapshot(part.clone()))),
@@ -753,105 +772,111 @@
         }
     }
 
-    fn told(&mut self, now: Time, tell: EndpointSnapshot, out: &mut Vec<Output>) {
-        if let Some(circle) = self.circle.as_mut() {
-            circle.heard(tell.from);
+    fn handle_snapshot(&mut self, now: Time, tell: EndpointSnapshot, out: &mut Vec<Output>) {
+        if let Some(leaders) = self.leaders.as_mut() {
+            leaders.record_answer(tell.sender);
         }
-        let mine = |asking: &Asking| asking.to.contains(&tell.from) && asking.nonce == tell.nonce;
-        let asked = self.asking.as_ref().is_some_and(mine);
-        if tell.put_off_ms > 0 {
-            self.turns.put_off(
+        let mine =
+            |asking: &PollInFlight| asking.to.contains(&tell.sender) && asking.nonce == tell.nonce;
+        let asked = self.in_flight.as_ref().is_some_and(mine);
+        if tell.retry_after_ms > 0 {
+            self.schedule.postpone(
                 now,
-                MS.saturating_mul(tell.put_off_ms.min(AGO_MOST_MS) as Span),
+                MS.saturating_mul(tell.retry_after_ms.min(MAX_CLAIMED_MS) as Span),
             );
         }
-        if tell.part.1 > 1 {
+        if tell.fragment.1 > 1 {
             // Parts are gathered from one instance at a time; unasked ones only where nothing is known yet.
-            if let Some(asking) = self.asking.as_mut().filter(|_| asked) {
-                asking.to = vec![tell.from];
+            if let Some(asking) = self.in_flight.as_mut().filter(|_| asked) {
+                asking.to = vec![tell.sender];
             }
-            let gathered = match self.asking.as_mut() {
+            let gathered = match self.in_flight.as_mut() {
                 Some(asking) if asked || (tell.nonce == 0 && asking.gathered.is_none()) => {
                     &mut asking.gathered
                 }
                 Some(asking) => match asking.gathered.as_mut() {
-                    Some(gathered) if gathered.fits(&tell) => &mut asking.gathered,
+                    Some(gathered) if gathered.accepts(&tell) => &mut asking.gathered,
                     _ => return,
                 },
                 None if tell.nonce == 0 => {
-                    let asking = Asking {
-                        to: vec![tell.from],
+                    let asking = PollInFlight {
+                        to: vec![tell.sender],
                         nonce: 0,
                         sent: now,
                         gathered: None,
                     };
-                    &mut self.asking.insert(asking).gathered
+                    &mut self.in_flight.insert(asking).gathered
                 }
                 None => return,
             };
             match gathered {
-                Some(gathered) if gathered.fits(&tell) => gathered.add(tell),
+                Some(gathered) if gathered.accepts(&tell) => gathered.add(tell),
                 _ => *gathered = Some(Reassembly::new(tell)),
             }
-            let whole = gathered.as_ref().and_then(Reassembly::whole);
+            let whole = gathered.as_ref().and_then(Reassembly::complete);
             if let Some(whole) = whole {
-                self.asking = None;
-                self.take(now, whole, out);
+                self.in_flight = None;
+                self.merge_snapshot(now, whole, out);
             }
             return;
         }
         if asked {
-            self.asking = None;
-            self.turn = self.turn.wrapping_add(1);
+            self.in_flight = None;
+            self.rotation = self.rotation.wrapping_add(1);
         }
-        self.take(now, tell, out);
+        self.merge_snapshot(now, tell, out);
     }
 
-    fn take(&mut self, now: Time, tell: EndpointSnapshot, out: &mut Vec<Output>) {
-        self.expect(tell.rate as f64 / 1_000.0, out);
-        let said = now - MS.saturating_mul(tell.said_ago_ms.min(AGO_MOST_MS) as Span);
-        let fresh = tell.revision.is_some() && !tell.kept && now - said < self.set.watch_timeout;
-        if fresh && tell.revision >= self.book.revision() {
+    fn merge_snapshot(&mut self, now: Time, tell: EndpointSnapshot, out: &mut Vec<Output>) {
+        self.seed_warm_throughput(tell.warm_throughput_millis as f64 / 1_000.0, out);
+        let said = now - MS.saturating_mul(tell.confirmed_ago_ms.min(MAX_CLAIMED_MS) as Span);
+        let fresh =
+            tell.revision.is_some() && !tell.is_cached && now - said < self.settings.watch_timeout;
+        if fresh && tell.revision >= self.cache.revision() {
             self.told = Some(now);
-            self.told_live = if tell.live { Some(now) } else { self.told_live };
-            if let (Watch::Due(at), true) = (self.watch, Some(said) > self.book.said()) {
+            self.told_live = if tell.is_live {
+                Some(now)
+            } else {
+                self.told_live
+            };
+            if let (Watch::Due(at), true) = (self.watch, Some(said) > self.cache.confirmed_at()) {
                 // The service is there for others: what was put off as it was not is put off no longer.
-                self.turns.served();
-                let askers = self.askers();
-                self.watch = Watch::Due(at.min(self.turns.first(now, askers)));
+                self.schedule.record_success();
+                let askers = self.poller_count();
+                self.watch = Watch::Due(at.min(self.schedule.first_poll_at(now, askers)));
             }
         }
         let Some(revision) = tell.revision else {
-            return self.look(now, out);
+            return self.update_watch(now, out);
         };
-        if tell.part.1 == 0 {
-            self.ask_for(now, revision, fresh);
-            return self.look(now, out);
+        if tell.fragment.1 == 0 {
+            self.poll_for_newer(now, revision, fresh);
+            return self.update_watch(now, out);
         }
         let origin = if fresh { Origin::Peer } else { Origin::Cached };
         let update = EndpointUpdate {
             revision,
             complete: tell.base.is_none(),
-            members: tell.entries,
+            members: tell.endpoints,
         };
-        let taken = self.book.take(now, update, origin, said, tell.base);
+        let taken = self.cache.merge(now, update, origin, said, tell.base);
         match taken {
             MergeOutcome::Stale => {
-                self.counts.stale_updates += 1;
-                self.ask_for(now, revision, fresh);
+                self.counters.stale_updates += 1;
+                self.poll_for_newer(now, revision, fresh);
             }
             taken => {
-                self.counts.snapshots_merged += 1;
-                self.news(now, taken, out);
+                self.counters.snapshots_merged += 1;
+                self.publish(now, taken, out);
             }
         }
-        self.look(now, out);
+        self.update_watch(now, out);
     }
 
     /// What a newer version brings, and could not be taken as it was told, is asked for at once.
-    fn ask_for(&mut self, now: Time, revision: u64, fresh: bool) {
-        if fresh && Some(revision) > self.book.revision() && self.asking.is_none() {
-            self.ask_at = now;
+    fn poll_for_newer(&mut self, now: Time, revision: u64, fresh: bool) {
+        if fresh && Some(revision) > self.cache.revision() && self.in_flight.is_none() {
+            self.next_poll_at = now;
         }
     }
 }
--- a/crates/stackgw-bootstrap/src/connection_pacer.rs
+++ b/crates/stackgw-bootstrap/src/connection_pacer.rs
@@ -30,60 +30,60 @@
 }
 
 /// Each handshake in a row that did not come up in time doubles the wait for the next turn, so often at most.
-const DOUBLED_MOST: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 /// One member that may be cold.
 #[derive(Debug, Clone, PartialEq)]
 struct MemberPacing {
     group: GroupId,
-    name: u64,
+    name_hash: u64,
     /// As the list has it; `None`: nobody knows, and `from` is taken for it.
     started: Option<Time>,
     /// When it started, for all that is known.
-    from: Time,
+    assumed_start: Time,
     /// This instance's next turn, and handshakes in a row that came to nothing.
-    next: Time,
-    failed: u32,
+    next_connection_at: Time,
+    failures: u32,
     /// When it was listed, until a connection is opened.
-    unopened: Option<Time>,
+    listed_at: Option<Time>,
 }
 
 /// See the module.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConnectionPacer {
-    set: PacerConfig,
+    config: PacerConfig,
     rng: Pcg64Mcg,
-    lanes: BTreeMap<MemberId, MemberPacing>,
-    waited: u64,
+    members: BTreeMap<MemberId, MemberPacing>,
+    deferrals: u64,
 }
 
 impl ConnectionPacer {
     /// Deals of an instance that knows no member yet.
-    pub fn new(set: PacerConfig, seed: u64) -> Self {
+    pub fn new(config: PacerConfig, seed: u64) -> Self {
         ConnectionPacer {
-            set,
+            config,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0xdea1),
-            lanes: BTreeMap::new(),
-            waited: 0,
+            members: BTreeMap::new(),
+            deferrals: 0,
         }
     }
 
     /// New connections a second that a member of this age bears.
-    fn bears(&self, age: Span) -> f64 {
-        let warmth = (age as f64 / self.set.warm_up_time.max(1) as f64).clamp(0.0, 1.0);
-        let most = 1.0 / self.set.cold_capacity_share.clamp(0.01, 1.0);
-        self.set.connection_rate.max(0.01) * (1.0 + (most - 1.0) * warmth)
+    fn rate_at_age(&self, age: Span) -> f64 {
+        let warmth = (age as f64 / self.config.warm_up_time.max(1) as f64).clamp(0.0, 1.0);
+        let most = 1.0 / self.config.cold_capacity_share.clamp(0.01, 1.0);
+        self.config.connection_rate.max(0.01) * (1.0 + (most - 1.0) * warmth)
     }
 
     /// When a member that was of some age at `at` has borne so many connections since.
-    fn borne(&self, at: Time, age: Span, count: f64) -> Time {
+    fn time_of_connection(&self, at: Time, age: Span, count: f64) -> Time {
         // While it warms up what it bears grows evenly: with a rate r and a growth g, count = r t + g t t / 2.
         let (rate, warm) = (
-            self.bears(age),
-            (self.set.warm_up_time - age).max(0) as f64 / SECOND as f64,
+            self.rate_at_age(age),
+            (self.config.warm_up_time - age).max(0) as f64 / SECOND as f64,
         );
         let growth = if warm > 0.0 {
-            (self.bears(self.set.warm_up_time) - rate) / warm
+            (self.rate_at_age(self.config.warm_up_time) - rate) / warm
         } else {
             0.0
         };
@@ -109,43 +109,48 @@
         let Some(started) = started else {
             return self.remove_member(member);
         };
-        let known = self.lanes.get(&member);
-        if known.is_some_and(|lane| lane.started == started) {
+        let known = self.members.get(&member);
+        if known.is_some_and(|pacing| pacing.started == started) {
             return;
         }
         let from = started.unwrap_or(now).min(now);
         let name = xxh3_64(name.as_bytes());
-        let lane = MemberPacing {
+        let pacing = MemberPacing {
             group,
-            name,
+            name_hash: name,
             started,
-            from,
-            next: now,
-            failed: 0,
-            unopened: Some(now),
+            assumed_start: from,
+            next_connection_at: now,
+            failures: 0,
+            listed_at: Some(now),
         };
-        self.lanes.insert(member, lane);
+        self.members.insert(member, pacing);
     }
 
     /// The list has been gone through: gives each member that was listed in this moment its place in its group's row.
     pub fn schedule_new_members(&mut self, now: Time) {
         let mut rows: BTreeMap<GroupId, Vec<_>> = BTreeMap::new();
-        for (id, lane) in &self.lanes {
-            rows.entry(lane.group)
-                .or_default()
-                .push((lane.name, *id, lane.from, lane.unopened));
+        for (id, pacing) in &self.members {
+            rows.entry(pacing.group).or_default().push((
+                pacing.name_hash,
+                *id,
+                pacing.assumed_start,
+                pacing.listed_at,
+            ));
         }
         rows.retain(|_, row| row.iter().any(|(_, _, _, unopened)| *unopened == Some(now)));
-        let fleet = f64::from(self.set.fleet_size.max(1));
-        let mine = (f64::from(self.set.instance_number) + self.rng.random::<f64>()) / fleet;
+        let fleet = f64::from(self.config.fleet_size.max(1));
+        let mine = (f64::from(self.config.instance_number) + self.rng.random::<f64>()) / fleet;
         for mut row in rows.into_values() {
             row.sort_unstable();
             let count = row.len() as f64;
             for (rank, (_, id, from, unopened)) in row.into_iter().enumerate() {
                 if unopened == Some(now) {
                     let place = (mine + rank as f64 / count).fract();
-                    let next = self.borne(now, now - from, place * fleet);
-                    self.lanes.entry(id).and_modify(|lane| lane.next = next);
+                    let next = self.time_of_connection(now, now - from, place * fleet);
+                    self.members
+                        .entry(id)
+                        .and_modify(|pacing| pacing.next_connection_at = next);
                 }
             }
         }
@@ -153,58 +158,60 @@
 
     /// Members that are dealt.
     pub fn paced_members(&self) -> impl Iterator<Item = MemberId> + '_ {
-        self.lanes.keys().copied()
+        self.members.keys().copied()
     }
 
     /// From when on this instance may open a connection to a member; `None`: whenever it likes.
     pub fn next_connection_at(&self, now: Time, member: MemberId) -> Option<Time> {
-        let lane = self.lanes.get(&member)?;
-        (now - lane.from < self.set.warm_up_time).then_some(lane.next)
+        let pacing = self.members.get(&member)?;
+        (now - pacing.assumed_start < self.config.warm_up_time).then_some(pacing.next_connection_at)
     }
 
     /// A connection is opened: the next one is for a later turn.
     pub fn record_attempt(&mut self, now: Time, member: MemberId) {
-        let Some(lane) = self.lanes.get(&member) else {
+        let Some(pacing) = self.members.get(&member) else {
             return;
         };
-        let turns =
-            f64::from(1u32 << lane.failed.min(DOUBLED_MOST)) * (0.5 + self.rng.random::<f64>());
-        let next = self.borne(
+        let turns = f64::from(1u32 << pacing.failures.min(MAX_DOUBLINGS))
+            * (0.5 + self.rng.random::<f64>());
+        let next = self.time_of_connection(
             now,
-            now - lane.from,
-            turns * f64::from(self.set.fleet_size.max(1)),
+            now - pacing.assumed_start,
+            turns * f64::from(self.config.fleet_size.max(1)),
         );
-        self.lanes
+        self.members
             .entry(member)
-            .and_modify(|lane| (lane.next, lane.unopened) = (next, None));
+            .and_modify(|pacing| (pacing.next_connection_at, pacing.listed_at) = (next, None));
     }
 
     /// A connection did not come up in time, or was turned away.
     pub fn record_failure(&mut self, now: Time, member: MemberId) {
-        if let Some(lane) = self.lanes.get_mut(&member) {
-            lane.failed = lane.failed.saturating_add(1);
+        if let Some(pacing) = self.members.get_mut(&member) {
+            pacing.failures = pacing.failures.saturating_add(1);
             self.record_attempt(now, member);
         }
     }
 
     /// A connection came up.
     pub fn record_success(&mut self, member: MemberId) {
-        self.lanes.entry(member).and_modify(|lane| lane.failed = 0);
+        self.members
+            .entry(member)
+            .and_modify(|pacing| pacing.failures = 0);
     }
 
     /// Somebody would have opened a connection whose turn had not come.
     pub fn record_deferral(&mut self) {
-        self.waited += 1;
+        self.deferrals += 1;
     }
 
     /// How often that was.
     pub fn deferrals(&self) -> u64 {
-        self.waited
+        self.deferrals
     }
 
     /// Drops a member.
     pub fn remove_member(&mut self, member: MemberId) {
-        self.lanes.remove(&member);
+        self.members.remove(&member);
     }
 }
 
--- a/crates/stackgw-bootstrap/src/endpoint_cache.rs
+++ b/crates/stackgw-bootstrap/src/endpoint_cache.rs
@@ -25,7 +25,7 @@
     Service,
 }
 
-/// What came of word.
+/// What came of update.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MergeOutcome {
     /// The whole list anew; who is missing has gone.
@@ -41,43 +41,43 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-struct Held {
-    entry: Endpoint,
+struct CacheEntry {
+    endpoint: Endpoint,
     /// The version that brought it.
     revision: u64,
     /// The version that told that it drains or is gone, and when that was heard here.
-    bound: Option<(u64, Time)>,
+    drain: Option<(u64, Time)>,
 }
 
 /// See the module.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointCache {
-    held: BTreeMap<String, Held>,
+    entries: BTreeMap<String, CacheEntry>,
     revision: Option<u64>,
     origin: Origin,
     /// When the service last vouched for it, as far as is known.
-    said: Time,
+    confirmed_at: Time,
     /// Since when the service itself has told older lists alone.
     behind_since: Option<Time>,
     /// Entries of members that are gone were dropped up to this version.
-    dropped: u64,
+    dropped_revision: u64,
     reset_after: Span,
     resets: u64,
 }
 
 /// Members that are gone and still held, so that others can be told; beyond it the oldest are dropped.
-const GONE_MOST: usize = 1_024;
+const MAX_REMOVED: usize = 1_024;
 
 impl EndpointCache {
     /// An empty book; a service that tells older lists for longer than `reset_after` is believed.
     pub fn new(reset_after: Span) -> Self {
         EndpointCache {
-            held: BTreeMap::new(),
+            entries: BTreeMap::new(),
             revision: None,
             origin: Origin::Cached,
-            said: 0,
+            confirmed_at: 0,
             behind_since: None,
-            dropped: 0,
+            dropped_revision: 0,
             reset_after,
             resets: 0,
         }
@@ -95,12 +95,12 @@
 
     /// How long ago the service vouched for what is held; `None`: nothing is held.
     pub fn age(&self, now: Time) -> Option<Span> {
-        self.revision.map(|_| (now - self.said).max(0))
+        self.revision.map(|_| (now - self.confirmed_at).max(0))
     }
 
     /// When the service last vouched for what is held, as far as is known.
-    pub fn said(&self) -> Option<Time> {
-        self.revision.map(|_| self.said)
+    pub fn confirmed_at(&self) -> Option<Time> {
+        self.revision.map(|_| self.confirmed_at)
     }
 
     /// The service tells older lists than what is held.
@@ -114,60 +114,64 @@
     }
 
     /// The service vouches for what is held: nothing has changed since it was told.
-    pub fn vouched(&mut self, said: Time) {
+    pub fn confirm(&mut self, confirmed_at: Time) {
         if self.origin != Origin::Cached && self.behind_since.is_none() {
-            self.said = self.said.max(said);
+            self.confirmed_at = self.confirmed_at.max(confirmed_at);
         }
     }
 
     /// Another service counts from now on: its versions mean nothing beside the earlier one's.
-    pub fn other_service(&mut self) {
+    pub fn change_service(&mut self) {
         if self.revision.is_some() {
-            (self.revision, self.origin, self.behind_since, self.dropped) =
-                (Some(0), Origin::Cached, None, 0);
-            for held in self.held.values_mut() {
+            (
+                self.revision,
+                self.origin,
+                self.behind_since,
+                self.dropped_revision,
+            ) = (Some(0), Origin::Cached, None, 0);
+            for held in self.entries.values_mut() {
                 held.revision = 0;
-                held.bound = held.bound.map(|(_, at)| (0, at));
+                held.drain = held.drain.map(|(_, at)| (0, at));
             }
         }
     }
 
     /// Takes word that its source vouched for at `said`. Changes are those since `base`, where it names one.
-    pub fn take(
+    pub fn merge(
         &mut self,
         now: Time,
-        word: EndpointUpdate,
+        update: EndpointUpdate,
         origin: Origin,
-        said: Time,
+        confirmed_at: Time,
         base: Option<u64>,
     ) -> MergeOutcome {
         let known = self.revision;
-        let older = known.is_some_and(|known| word.revision < known);
+        let older = known.is_some_and(|known| update.revision < known);
         match origin {
             // Kept word fills an empty book, and no other.
-            Origin::Cached if known.is_some() || !word.complete => return MergeOutcome::Stale,
+            Origin::Cached if known.is_some() || !update.complete => return MergeOutcome::Stale,
             Origin::Peer if older => return MergeOutcome::Stale,
             Origin::Peer
-                if !word.complete
+                if !update.complete
                     && base.is_none_or(|base| known.is_none_or(|known| base > known)) =>
             {
                 return MergeOutcome::Stale;
             }
-            Origin::Peer if known == Some(word.revision) && self.origin != Origin::Cached => {
-                self.vouched(said);
+            Origin::Peer if known == Some(update.revision) && self.origin != Origin::Cached => {
+                self.confirm(confirmed_at);
                 return MergeOutcome::Unchanged;
             }
             Origin::Service if older => {
                 let since = *self.behind_since.get_or_insert(now);
-                if !word.complete || now - since < self.reset_after {
+                if !update.complete || now - since < self.reset_after {
                     return MergeOutcome::Stale;
                 }
                 self.resets += 1;
-                self.dropped = word.revision;
+                self.dropped_revision = update.revision;
                 // Counted anew: what this list says of drains is older than them, what it changes later is not.
-                for held in self.held.values_mut() {
-                    held.revision = word.revision;
-                    held.bound = held.bound.map(|(_, at)| (word.revision, at));
+                for held in self.entries.values_mut() {
+                    held.revision = update.revision;
+                    held.drain = held.drain.map(|(_, at)| (update.revision, at));
                 }
             }
             _ => {}
@@ -175,28 +179,39 @@
         if origin == Origin::Service {
             self.behind_since = None;
         }
-        let whole = word.complete || known.is_none();
+        let whole = update.complete || known.is_none();
         let confirms = self.origin == Origin::Cached;
         let mut changed = Vec::new();
         if whole {
-            let named: BTreeSet<_> = word.members.iter().map(|e| e.id.as_str()).collect();
+            let named: BTreeSet<_> = update.members.iter().map(|e| e.id.as_str()).collect();
             let missing = self
-                .held
+                .entries
                 .values_mut()
-                .filter(|held| !named.contains(held.entry.id.as_str()));
-            for held in missing.filter(|held| held.entry.phase != Lifecycle::Removed) {
-                (held.entry.phase, held.revision) = (Lifecycle::Removed, word.revision);
-                held.bound = held.bound.or(Some((word.revision, now)));
+                .filter(|held| !named.contains(held.endpoint.id.as_str()));
+            for held in missing.filter(|held| held.endpoint.phase != Lifecycle::Removed) {
+                (held.endpoint.phase, held.revision) = (Lifecycle::Removed, update.revision);
+                held.drain = held.drain.or(Some((update.revision, now)));
             }
         }
-        for entry in word.members {
-            changed.extend(self.enter(now, entry, word.revision, known == Some(word.revision)));
+        for entry in update.members {
+            changed.extend(self.apply_endpoint(
+                now,
+                entry,
+                update.revision,
+                known == Some(update.revision),
+            ));
         }
-        (self.revision, self.origin) = (Some(word.revision), origin);
-        self.said = if origin == Origin::Service { now } else { said };
-        self.prune();
+        (self.revision, self.origin) = (Some(update.revision), origin);
+        self.confirmed_at = if origin == Origin::Service {
+            now
+        } else {
+            confirmed_at
+        };
+        self.drop_oldest_removed();
         match (origin, confirms || whole) {
-            (Origin::Cached, _) => MergeOutcome::Cached(self.endpoints().map(cautious).collect()),
+            (Origin::Cached, _) => {
+                MergeOutcome::Cached(self.endpoints().map(without_claims).collect())
+            }
             // What was kept has been confirmed: it holds without the caution.
             (_, true) => MergeOutcome::Complete(self.endpoints().cloned().collect()),
             (_, false) if changed.is_empty() => MergeOutcome::Unchanged,
@@ -205,77 +220,77 @@
     }
 
     /// Writes one entry down; gives it back as it stands where that is news.
-    fn enter(
+    fn apply_endpoint(
         &mut self,
         now: Time,
         mut entry: Endpoint,
         revision: u64,
         repeats: bool,
     ) -> Option<Endpoint> {
-        let before = self.held.get(&entry.id);
-        let mut bound = before.and_then(|held| held.bound);
+        let before = self.entries.get(&entry.id);
+        let mut drain = before.and_then(|held| held.drain);
         if entry.phase == Lifecycle::Serving {
             // A drain binds until newer word of the same count, or a start after it, ends it.
             let ended = |(told, at): (u64, Time)| revision > told || entry.up_since_ms * MS > at;
-            match (bound.filter(|bound| !ended(*bound)), before) {
-                (Some(_), Some(held)) => entry.phase = held.entry.phase,
-                _ => bound = None,
+            match (drain.filter(|drain| !ended(*drain)), before) {
+                (Some(_), Some(held)) => entry.phase = held.endpoint.phase,
+                _ => drain = None,
             }
         } else {
-            bound = bound.or(Some((revision, now)));
+            drain = drain.or(Some((revision, now)));
         }
-        let same = before.is_some_and(|held| held.entry == entry);
+        let same = before.is_some_and(|held| held.endpoint == entry);
         // Danger: one that is as it was may have changed there and back, and whoever is asked by one that knows it as it was
         // between would leave that one with it.
         let revision = before
             .filter(|_| same && repeats)
             .map_or(revision, |held| held.revision);
-        self.held.insert(
+        self.entries.insert(
             entry.id.clone(),
-            Held {
-                entry: entry.clone(),
+            CacheEntry {
+                endpoint: entry.clone(),
                 revision,
-                bound,
+                drain,
             },
         );
         (!same).then_some(entry)
     }
 
-    fn prune(&mut self) {
+    fn drop_oldest_removed(&mut self) {
         let mut gone: Vec<_> = self
-            .held
+            .entries
             .values()
-            .filter(|h| h.entry.phase == Lifecycle::Removed)
+            .filter(|h| h.endpoint.phase == Lifecycle::Removed)
             .collect();
-        if gone.len() <= GONE_MOST {
+        if gone.len() <= MAX_REMOVED {
             return;
         }
         gone.sort_by_key(|held| held.revision);
-        let past: Vec<_> = gone[..gone.len() - GONE_MOST]
+        let past: Vec<_> = gone[..gone.len() - MAX_REMOVED]
             .iter()
-            .map(|h| h.entry.id.clone())
+            .map(|h| h.endpoint.id.clone())
             .collect();
         for id in past {
-            self.dropped = self
-                .dropped
-                .max(self.held.remove(&id).map_or(0, |held| held.revision));
+            self.dropped_revision = self
+                .dropped_revision
+                .max(self.entries.remove(&id).map_or(0, |held| held.revision));
         }
     }
 
     /// The members that are not gone.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        self.held
+        self.entries
             .values()
-            .map(|held| &held.entry)
+            .map(|held| &held.endpoint)
             .filter(|entry| entry.phase != Lifecycle::Removed)
     }
 
     /// For one that has this version: what changed since, or (`None`, with the whole list) where that is not known.
-    pub fn since(&self, base: Option<u64>) -> (Option<u64>, Vec<Endpoint>) {
-        match base.filter(|base| *base >= self.dropped && self.revision >= Some(*base)) {
+    pub fn changes_since(&self, base: Option<u64>) -> (Option<u64>, Vec<Endpoint>) {
+        match base.filter(|base| *base >= self.dropped_revision && self.revision >= Some(*base)) {
             Some(base) => {
-                let news = self.held.values().filter(|held| held.revision > base);
-                (Some(base), news.map(|held| held.entry.clone()).collect())
+                let news = self.entries.values().filter(|held| held.revision > base);
+                (Some(base), news.map(|held| held.endpoint.clone()).collect())
             }
             None => (None, self.endpoints().cloned().collect()),
         }
@@ -283,7 +298,7 @@
 }
 
 /// An entry as kept word has it: it leads nobody, and may have just started.
-fn cautious(entry: &Endpoint) -> Endpoint {
+fn without_claims(entry: &Endpoint) -> Endpoint {
     Endpoint {
         leader: false,
         up_since_ms: -1,
--- a/crates/stackgw-bootstrap/src/message.rs
+++ b/crates/stackgw-bootstrap/src/message.rs
@@ -1,14 +1,14 @@
-//! What instances tell each other of the list, as datagrams' bodies.
+//! What instances snapshot each other of the list, as datagrams' bodies.
 
 use crate::endpoint::Endpoint;
-use crate::observation::{Observation, SEEN_EACH};
+use crate::observation::{Observation, MAX_OBSERVATIONS_PER_MESSAGE};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// Bytes of one datagram's body at most.
-pub const MOST_BYTES: usize = 1_100;
+pub const MAX_BODY_BYTES: usize = 1_100;
 /// Parts of one list at most.
-pub const PARTS_MOST: u16 = 1_024;
+pub const MAX_FRAGMENTS: u16 = 1_024;
 
 /// One datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -16,15 +16,15 @@
     /// What has changed since the version that I have?
     Poll {
         /// Where the answer goes.
-        from: SocketAddr,
+        sender: SocketAddr,
         /// Names this question.
         nonce: u32,
         /// The service whose versions are meant.
-        service: u64,
+        service_id: u64,
         /// The version held; `None`: nothing, or kept word.
-        have: Option<u64>,
+        known_revision: Option<u64>,
         /// What the asker has learned of members since it asked last.
-        seen: Vec<Observation>,
+        observations: Vec<Observation>,
     },
     /// What is known.
     Snapshot(EndpointSnapshot),
@@ -34,31 +34,31 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointSnapshot {
     /// Who tells.
-    pub from: SocketAddr,
+    pub sender: SocketAddr,
     /// The question's; 0: nobody asked.
     pub nonce: u32,
     /// As in the question.
-    pub service: u64,
+    pub service_id: u64,
     /// The version held; `None`: nothing.
     pub revision: Option<u64>,
     /// How long ago the service vouched for it, in milliseconds.
-    pub said_ago_ms: u64,
+    pub confirmed_ago_ms: u64,
     /// It has a watch that hears the service.
-    pub live: bool,
+    pub is_live: bool,
     /// It has kept word alone: passed on, that is still kept word, however young.
-    pub kept: bool,
+    pub is_cached: bool,
     /// For how long the service wants to be left alone, in milliseconds.
-    pub put_off_ms: u64,
+    pub retry_after_ms: u64,
     /// Requests in a thousand seconds that a warm member answers the teller; a start, never proof.
-    pub rate: u64,
+    pub warm_throughput_millis: u64,
     /// The entries are what changed since this version; `None`: they are all.
     pub base: Option<u64>,
     /// Which part this is, from 0 on, of how many; of 0 parts: the entries are not told here.
-    pub part: (u16, u16),
+    pub fragment: (u16, u16),
     /// The entries.
-    pub entries: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
     /// What is known of members; beside the first part alone.
-    pub seen: Vec<Observation>,
+    pub observations: Vec<Observation>,
 }
 
 impl Message {
@@ -71,14 +71,16 @@
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (message, rest) = postcard::take_from_bytes::<Message>(bytes).ok()?;
         let sound = match &message {
-            Message::Poll { seen, .. } => seen.len() <= SEEN_EACH,
-            Message::Snapshot(tell) => {
-                let (part, parts) = tell.part;
+            Message::Poll { observations, .. } => {
+                observations.len() <= MAX_OBSERVATIONS_PER_MESSAGE
+            }
+            Message::Snapshot(snapshot) => {
+                let (part, parts) = snapshot.fragment;
                 let finite = |e: &Endpoint| e.size.is_finite() && e.size >= 0.0 && !e.id.is_empty();
-                parts <= PARTS_MOST
-                    && (part < parts || (parts == 0 && tell.entries.is_empty()))
-                    && tell.entries.iter().all(finite)
-                    && tell.seen.len() <= SEEN_EACH
+                parts <= MAX_FRAGMENTS
+                    && (part < parts || (parts == 0 && snapshot.endpoints.is_empty()))
+                    && snapshot.endpoints.iter().all(finite)
+                    && snapshot.observations.len() <= MAX_OBSERVATIONS_PER_MESSAGE
             }
         };
         (sound && rest.is_empty()).then_some(message)
@@ -87,8 +89,9 @@
 
 impl EndpointSnapshot {
     /// Splits entries over as many parts as they need; `None`: they need too many.
-    pub fn parts(self, entries: Vec<Endpoint>) -> Option<Vec<EndpointSnapshot>> {
-        let room = MOST_BYTES.saturating_sub(Message::Snapshot(self.clone()).encode().len() + 16);
+    pub fn into_fragments(self, entries: Vec<Endpoint>) -> Option<Vec<EndpointSnapshot>> {
+        let room =
+            MAX_BODY_BYTES.saturating_sub(Message::Snapshot(self.clone()).encode().len() + 16);
         let (mut parts, mut now, mut bytes) = (Vec::new(), Vec::new(), 0);
         for entry in entries {
             let size = postcard::to_allocvec(&entry).map_or(usize::MAX, |bytes| bytes.len());
@@ -105,18 +108,18 @@
         parts.push(now);
         let count = u16::try_from(parts.len())
             .ok()
-            .filter(|count| *count <= PARTS_MOST)?;
+            .filter(|count| *count <= MAX_FRAGMENTS)?;
         let seen = |n| {
             if n == 0 {
-                self.seen.clone()
+                self.observations.clone()
             } else {
                 Vec::new()
             }
         };
         let part = |(n, entries)| EndpointSnapshot {
-            part: (n as u16, count),
-            entries,
-            seen: seen(n),
+            fragment: (n as u16, count),
+            endpoints: entries,
+            observations: seen(n),
             ..self.clone()
         };
         Some(parts.into_iter().enumerate().map(part).collect())
@@ -132,30 +135,39 @@
 
 impl Reassembly {
     /// Begins with any part.
-    pub fn new(tell: EndpointSnapshot) -> Self {
-        let mut gathered = Reassembly {
-            parts: vec![None; usize::from(tell.part.1)],
-            first: tell.clone(),
+    pub fn new(snapshot: EndpointSnapshot) -> Self {
+        let mut reassembly = Reassembly {
+            parts: vec![None; usize::from(snapshot.fragment.1)],
+            first: snapshot.clone(),
         };
-        gathered.add(tell);
-        gathered
+        reassembly.add(snapshot);
+        reassembly
     }
 
     /// Whether a part is of the same answer.
-    pub fn fits(&self, tell: &EndpointSnapshot) -> bool {
-        let of = |t: &EndpointSnapshot| (t.from, t.nonce, t.service, t.revision, t.base, t.part.1);
-        of(&self.first) == of(tell)
+    pub fn accepts(&self, snapshot: &EndpointSnapshot) -> bool {
+        let of = |t: &EndpointSnapshot| {
+            (
+                t.sender,
+                t.nonce,
+                t.service_id,
+                t.revision,
+                t.base,
+                t.fragment.1,
+            )
+        };
+        of(&self.first) == of(snapshot)
     }
 
     /// Adds a part.
-    pub fn add(&mut self, tell: EndpointSnapshot) {
-        if let Some(part) = self.parts.get_mut(usize::from(tell.part.0)) {
-            *part = Some(tell.entries);
+    pub fn add(&mut self, snapshot: EndpointSnapshot) {
+        if let Some(part) = self.parts.get_mut(usize::from(snapshot.fragment.0)) {
+            *part = Some(snapshot.endpoints);
         }
     }
 
     /// The whole answer, once it is here.
-    pub fn whole(&self) -> Option<EndpointSnapshot> {
+    pub fn complete(&self) -> Option<EndpointSnapshot> {
         let entries = self
             .parts
             .iter()
@@ -163,7 +175,7 @@
             .collect::<Option<Vec<_>>>()?
             .concat();
         Some(EndpointSnapshot {
-            entries,
+            endpoints: entries,
             ..self.first.clone()
         })
     }
--- a/crates/stackgw-bootstrap/src/observation.rs
+++ b/crates/stackgw-bootstrap/src/observation.rs
@@ -7,9 +7,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// One datagram carries so many at most.
-pub const SEEN_EACH: usize = 12;
+pub const MAX_OBSERVATIONS_PER_MESSAGE: usize = 12;
 /// So many members are remembered.
-const SEEN_MOST: usize = 4_096;
+const MAX_OBSERVED_MEMBERS: usize = 4_096;
 
 /// A member as some instance's answers showed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,59 +44,70 @@
 /// The latest sighting of each member.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Observations {
-    held: BTreeMap<u64, Observation>,
+    latest: BTreeMap<u64, Observation>,
     /// What this instance's own answers showed and nobody has been told yet.
-    news: BTreeSet<u64>,
+    unsent: BTreeSet<u64>,
     /// The member told last, where not all fit.
-    told: u64,
+    last_in_batch: u64,
 }
 
 impl Observations {
     /// Takes one of this instance's own, for others to be told.
-    pub fn own(&mut self, now: Time, seen: Observation, keep: Span) {
-        if self.take(now, seen, keep) {
-            self.news.insert(seen.member_hash);
+    pub fn record_own(&mut self, now: Time, observation: Observation, max_age: Span) {
+        if self.merge(now, observation, max_age) {
+            self.unsent.insert(observation.member_hash);
         }
     }
 
-    /// Takes one that is no older than `keep`, unless a later one of its member is held; whether it was news.
-    pub fn take(&mut self, now: Time, seen: Observation, keep: Span) -> bool {
-        let old = now - seen.observed_at() >= keep || seen.observed_at() > now + keep;
-        let full = self.held.len() >= SEEN_MOST && !self.held.contains_key(&seen.member_hash);
-        let known = self.held.get(&seen.member_hash);
+    /// Takes one that is no older than `max_age`, unless a later one of its member is held; whether it was news.
+    pub fn merge(&mut self, now: Time, observation: Observation, max_age: Span) -> bool {
+        let old =
+            now - observation.observed_at() >= max_age || observation.observed_at() > now + max_age;
+        let full = self.latest.len() >= MAX_OBSERVED_MEMBERS
+            && !self.latest.contains_key(&observation.member_hash);
+        let known = self.latest.get(&observation.member_hash);
         // Positions never go back, so the greater one is the later word; of one position that with a role says more.
         let order = |s: &Observation| (s.position_ms, s.is_primary.is_some(), s.observed_at_ms);
-        if old || full || known.is_some_and(|known| order(known) >= order(&seen)) {
+        if old || full || known.is_some_and(|known| order(known) >= order(&observation)) {
             return false;
         }
-        self.held.insert(seen.member_hash, seen);
+        self.latest.insert(observation.member_hash, observation);
         true
     }
 
     /// What own answers have shown since this was asked last, no more than one datagram carries; the rest waits. Danger: passed
     /// on, others' word would go round and round.
-    pub fn news(&mut self) -> Vec<Observation> {
-        let told: Vec<_> = self.news.iter().take(SEEN_EACH).copied().collect();
-        self.news.retain(|member| !told.contains(member));
+    pub fn take_unsent(&mut self) -> Vec<Observation> {
+        let told: Vec<_> = self
+            .unsent
+            .iter()
+            .take(MAX_OBSERVATIONS_PER_MESSAGE)
+            .copied()
+            .collect();
+        self.unsent.retain(|member| !told.contains(member));
         told.iter()
-            .filter_map(|member| self.held.get(member))
+            .filter_map(|member| self.latest.get(member))
             .copied()
             .collect()
     }
 
     /// What is known and not yet old, all of it over so many calls as it takes.
-    pub fn all(&mut self, now: Time, keep: Span) -> Vec<Observation> {
-        self.held.retain(|_, seen| now - seen.observed_at() < keep);
-        let held = &self.held;
-        self.news.retain(|member| held.contains_key(member));
-        let later = self.held.range(self.told.saturating_add(1)..);
+    pub fn next_batch(&mut self, now: Time, max_age: Span) -> Vec<Observation> {
+        self.latest
+            .retain(|_, observation| now - observation.observed_at() < max_age);
+        let held = &self.latest;
+        self.unsent.retain(|member| held.contains_key(member));
+        let later = self.latest.range(self.last_in_batch.saturating_add(1)..);
         let next: Vec<_> = later
-            .chain(self.held.range(..=self.told))
-            .take(SEEN_EACH)
+            .chain(self.latest.range(..=self.last_in_batch))
+            .take(MAX_OBSERVATIONS_PER_MESSAGE)
             .collect();
         let last = next.last().map_or(0, |(member, _)| **member);
-        let told = next.into_iter().map(|(_, seen)| *seen).collect();
-        self.told = last;
+        let told = next
+            .into_iter()
+            .map(|(_, observation)| *observation)
+            .collect();
+        self.last_in_batch = last;
         told
     }
 }
--- a/crates/stackgw-bootstrap/src/watch_leaders.rs
+++ b/crates/stackgw-bootstrap/src/watch_leaders.rs
@@ -11,23 +11,23 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Asks that went unanswered in a row before an instance is left out.
-const UNANSWERED: u32 = 3;
+const MAX_UNANSWERED_POLLS: u32 = 3;
 /// Holders at least: with three, one may be killed while another is stopped or cut off.
 pub const MIN_WATCH_LEADERS: u32 = 3;
 /// Instances that one holder answers; more of them want more holders.
-const EACH_ANSWERS: u32 = 250;
+const FOLLOWERS_PER_LEADER: u32 = 250;
 
 /// Everyone that may hold the watch, as one instance sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct WatchLeaders {
-    me: SocketAddr,
+    local_address: SocketAddr,
     seeds: BTreeSet<SocketAddr>,
-    up: BTreeSet<SocketAddr>,
+    live_peers: BTreeSet<SocketAddr>,
     /// All that may hold the watch, first those that should.
-    order: Vec<SocketAddr>,
+    succession: Vec<SocketAddr>,
     /// Asks in a row without an answer, and the last one.
     unanswered: BTreeMap<SocketAddr, (u32, Time)>,
-    holders: u32,
+    leader_count: u32,
 }
 
 fn rank(address: &SocketAddr) -> u64 {
@@ -37,121 +37,133 @@
 impl WatchLeaders {
     /// Seen from an instance of a fleet of about this size.
     pub fn new(
-        me: SocketAddr,
+        local_address: SocketAddr,
         seeds: impl IntoIterator<Item = SocketAddr>,
         fleet: u32,
         least: u32,
     ) -> Self {
-        let mut circle = WatchLeaders {
-            me,
+        let mut leaders = WatchLeaders {
+            local_address,
             seeds: seeds.into_iter().collect(),
-            up: BTreeSet::new(),
-            order: Vec::new(),
+            live_peers: BTreeSet::new(),
+            succession: Vec::new(),
             unanswered: BTreeMap::new(),
-            holders: least.max(fleet.div_ceil(EACH_ANSWERS)),
+            leader_count: least.max(fleet.div_ceil(FOLLOWERS_PER_LEADER)),
         };
-        circle.arrange();
-        circle
+        leaders.rebuild_succession();
+        leaders
     }
 
     /// How many hold the watch.
-    pub fn holders(&self) -> u32 {
-        self.holders
+    pub fn leader_count(&self) -> u32 {
+        self.leader_count
     }
 
     /// Who is there, by the membership.
-    pub fn update_membership(&mut self, up: BTreeSet<SocketAddr>) {
+    pub fn update_membership(&mut self, live_peers: BTreeSet<SocketAddr>) {
         let seeds = &self.seeds;
         self.unanswered
-            .retain(|address, _| up.contains(address) || seeds.contains(address));
-        self.up = up;
-        self.arrange();
+            .retain(|address, _| live_peers.contains(address) || seeds.contains(address));
+        self.live_peers = live_peers;
+        self.rebuild_succession();
     }
 
     /// Other seeds from now on.
-    pub fn reload(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
+    pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.seeds = seeds.into_iter().collect();
-        self.arrange();
+        self.rebuild_succession();
     }
 
     /// Everyone else that is there.
-    pub fn others(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.up
+    pub fn peers(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+        self.live_peers
             .union(&self.seeds)
             .copied()
-            .filter(|address| *address != self.me)
+            .filter(|address| *address != self.local_address)
     }
 
     /// Whether an instance goes unanswered.
-    fn lost(&self, address: &SocketAddr) -> bool {
+    fn is_unresponsive(&self, address: &SocketAddr) -> bool {
         self.unanswered
             .get(address)
-            .is_some_and(|(count, _)| *count >= UNANSWERED)
+            .is_some_and(|(count, _)| *count >= MAX_UNANSWERED_POLLS)
     }
 
-    fn arrange(&mut self) {
-        let mut order: Vec<_> = self.up.union(&self.seeds).copied().collect();
-        if !order.contains(&self.me) {
-            order.push(self.me);
+    fn rebuild_succession(&mut self) {
+        let mut succession: Vec<_> = self.live_peers.union(&self.seeds).copied().collect();
+        if !succession.contains(&self.local_address) {
+            succession.push(self.local_address);
         }
-        order
+        succession
             .sort_by_cached_key(|address| (!self.seeds.contains(address), rank(address), *address));
-        self.order = order;
+        self.succession = succession;
     }
 
-    fn here(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        let here = self.order.iter().filter(|address| !self.lost(address));
-        here.take(self.holders as usize).copied()
+    fn leaders(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+        let here = self
+            .succession
+            .iter()
+            .filter(|address| !self.is_unresponsive(address));
+        here.take(self.leader_count as usize).copied()
     }
 
     /// Those that should hold the watch now.
-    pub fn chosen(&self) -> Vec<SocketAddr> {
-        self.here().collect()
+    pub fn leader_addresses(&self) -> Vec<SocketAddr> {
+        self.leaders().collect()
     }
 
     /// Whether this instance should.
-    pub fn holds(&self) -> bool {
-        self.here().any(|address| address == self.me)
+    pub fn is_leader(&self) -> bool {
+        self.leaders().any(|address| address == self.local_address)
     }
 
     /// Whether this instance is one that is always looked for.
     pub fn is_seed(&self) -> bool {
-        self.seeds.contains(&self.me)
+        self.seeds.contains(&self.local_address)
     }
 
-    /// A holder has not answered yet. Once as many asks as [`UNANSWERED`] are out, the next in the order takes its place.
-    pub fn doubts(&self) -> bool {
-        self.here()
+    /// A holder has not answered yet. Once as many asks as [`MAX_UNANSWERED_POLLS`] are out, the next in the order takes its place.
+    pub fn has_unanswered_leader(&self) -> bool {
+        self.leaders()
             .any(|address| self.unanswered.contains_key(&address))
     }
 
     /// Whom to ask: a holder, in turn; beside it the next in the order until there are `width`, for when holders are lost by
     /// the dozen; and the lost one that was asked longest ago, so that one that is back is found.
-    pub fn asked(&self, now: Time, turn: u32, width: usize, again: Span) -> Vec<SocketAddr> {
+    pub fn select_poll_targets(
+        &self,
+        now: Time,
+        turn: u32,
+        width: usize,
+        again: Span,
+    ) -> Vec<SocketAddr> {
         let there = self
-            .order
+            .succession
             .iter()
-            .filter(|address| **address != self.me && !self.lost(address));
+            .filter(|address| **address != self.local_address && !self.is_unresponsive(address));
         let mut others: Vec<_> = there.copied().collect();
-        let holders = self.here().filter(|address| *address != self.me).count();
+        let holders = self
+            .leaders()
+            .filter(|address| *address != self.local_address)
+            .count();
         let mut asked = Vec::new();
         if holders > 0 {
             // Everybody begins elsewhere.
-            let next = (rank(&self.me) as usize % holders + turn as usize) % holders;
+            let next = (rank(&self.local_address) as usize % holders + turn as usize) % holders;
             asked.push(others.remove(next));
             asked.extend(others.into_iter().take(width.saturating_sub(1)));
         }
         // Those behind the last holder would not hold the watch, were they back.
-        let last = self.here().last();
+        let last = self.leaders().last();
         let before = self
-            .order
+            .succession
             .iter()
             .take_while(|address| Some(**address) != last);
         let lost = before.filter_map(|address| {
             let (_, at) = self
                 .unanswered
                 .get(address)
-                .filter(|_| self.lost(address))?;
+                .filter(|_| self.is_unresponsive(address))?;
             (now - at >= again).then_some((*at, *address))
         });
         asked.extend(lost.min().map(|(_, address)| address));
@@ -159,13 +171,13 @@
     }
 
     /// One was asked.
-    pub fn asks(&mut self, now: Time, address: SocketAddr) {
+    pub fn record_poll(&mut self, now: Time, address: SocketAddr) {
         let (count, last) = self.unanswered.entry(address).or_insert((0, now));
         (*count, *last) = (count.saturating_add(1), now);
     }
 
     /// Word came from one.
-    pub fn heard(&mut self, address: SocketAddr) {
+    pub fn record_answer(&mut self, address: SocketAddr) {
         self.unanswered.remove(&address);
     }
 }
--- a/crates/stackgw-bootstrap/tests/digest.rs
+++ b/crates/stackgw-bootstrap/tests/digest.rs
@@ -137,7 +137,7 @@
         self.optional(book.revision());
         self.origin(book.origin());
         self.optional_time(book.age(now));
-        self.optional_time(book.said());
+        self.optional_time(book.confirmed_at());
         self.flag(book.is_behind());
         self.unsigned(book.resets());
         let present: Vec<_> = book.endpoints().collect();
@@ -168,7 +168,7 @@
     /// What an instance says of itself.
     fn instance(&mut self, now: Time, start: &Bootstrap) {
         self.book(now, start.cache());
-        self.counts(start.counts());
+        self.counts(start.counters());
         let (holders, live) = start.watch_leaders();
         holders.into_iter().for_each(|holder| self.address(holder));
         self.flag(live);
@@ -239,25 +239,25 @@
     let entries = if fragments == 0 { 0 } else { below(rng, 4) };
     let version = sim.version() + below(rng, 20) as u64 / 18;
     Message::Snapshot(EndpointSnapshot {
-        from: address(from),
+        sender: address(from),
         nonce: if chance(rng, 0.7) { 0 } else { rng.random() },
-        service: service_id(if chance(rng, 0.9) { "s" } else { "other" }),
+        service_id: service_id(if chance(rng, 0.9) { "s" } else { "other" }),
         revision: chance(rng, 0.9).then_some(version.saturating_sub(below(rng, 4) as u64)),
-        said_ago_ms: below(rng, 9_000) as u64,
-        live: chance(rng, 0.5),
-        kept: chance(rng, 0.3),
-        put_off_ms: if chance(rng, 0.1) {
+        confirmed_ago_ms: below(rng, 9_000) as u64,
+        is_live: chance(rng, 0.5),
+        is_cached: chance(rng, 0.3),
+        retry_after_ms: if chance(rng, 0.1) {
             below(rng, 5_000) as u64
         } else {
             0
         },
-        rate: below(rng, 3) as u64 * 150_000,
+        warm_throughput_millis: below(rng, 3) as u64 * 150_000,
         base: chance(rng, 0.5).then_some(version.saturating_sub(below(rng, 3) as u64)),
-        part: (below(rng, fragments.max(1) as usize) as u16, fragments),
-        entries: (0..entries)
+        fragment: (below(rng, fragments.max(1) as usize) as u16, fragments),
+        endpoints: (0..entries)
             .map(|_| any_entry(rng, sim.now, members))
             .collect(),
-        seen: (0..below(rng, 3))
+        observations: (0..below(rng, 3))
             .map(|_| any_sighting(rng, sim.now, members))
             .collect(),
     })
@@ -466,12 +466,12 @@
             let said = now - below(&mut rng, 4_000) as Span * MS;
             let base = chance(&mut rng, 0.7).then_some(version - below(&mut rng, 4) as u64);
             match below(&mut rng, 12) {
-                0 => book.vouched(said),
-                1 if chance(&mut rng, 0.2) => book.other_service(),
-                _ => digest.taken(&book.take(now, update, origin, said, base)),
+                0 => book.confirm(said),
+                1 if chance(&mut rng, 0.2) => book.change_service(),
+                _ => digest.taken(&book.merge(now, update, origin, said, base)),
             }
             digest.book(now, &book);
-            let since = book.since(base);
+            let since = book.changes_since(base);
             digest.optional(since.0);
             digest.stored(&since.1);
         }
@@ -497,14 +497,14 @@
             now += below(&mut rng, 3_000) as Span * MS;
             let askers = 1 + below(&mut rng, fleet as usize) as u32;
             match below(&mut rng, 6) {
-                0 => digest.signed(turns.first(now, askers)),
-                1 => turns.served(),
-                2 => turns.put_off(now, below(&mut rng, 5_000) as Span * MS),
-                3 => turns.asks(),
-                _ => digest.signed(turns.again(now, askers)),
+                0 => digest.signed(turns.first_poll_at(now, askers)),
+                1 => turns.record_success(),
+                2 => turns.postpone(now, below(&mut rng, 5_000) as Span * MS),
+                3 => turns.record_poll(),
+                _ => digest.signed(turns.retry_at(now, askers)),
             }
-            digest.signed(turns.span(askers));
-            digest.signed(turns.put_off_for(now));
+            digest.signed(turns.window(askers));
+            digest.signed(turns.remaining_retry_after(now));
         }
     }
     digest.print("start-turns");
@@ -566,12 +566,12 @@
             for _ in 0..below(&mut rng, members / 4) {
                 let seen = any_sighting(&mut rng, now, members);
                 match chance(&mut rng, 0.5) {
-                    true => known.own(now, seen, 5 * SECOND),
-                    false => digest.flag(known.take(now, seen, 5 * SECOND)),
+                    true => known.record_own(now, seen, 5 * SECOND),
+                    false => digest.flag(known.merge(now, seen, 5 * SECOND)),
                 }
             }
-            digest.stored(&known.news());
-            digest.stored(&known.all(now, 5 * SECOND));
+            digest.stored(&known.take_unsent());
+            digest.stored(&known.next_batch(now, 5 * SECOND));
         }
     }
     digest.print("start-sightings");
--- a/crates/stackgw-bootstrap/tests/histories.rs
+++ b/crates/stackgw-bootstrap/tests/histories.rs
@@ -269,8 +269,8 @@
     let mut back: Vec<_> = (0..100)
         .flat_map(|n| {
             let mut turns = stackgw_bootstrap::PollSchedule::new(pace(n), u64::from(n));
-            turns.put_off(now, 2 * SECOND);
-            [turns.again(now, 100), turns.first(now, 3)]
+            turns.postpone(now, 2 * SECOND);
+            [turns.retry_at(now, 100), turns.first_poll_at(now, 3)]
         })
         .collect();
     back.sort_unstable();
@@ -302,10 +302,10 @@
             // Every third time the service says that it wants an hour for itself.
             let put_off = n % 3 == 2;
             if put_off {
-                turns.put_off(now, 3_600 * SECOND);
+                turns.postpone(now, 3_600 * SECOND);
             }
-            turns.asks();
-            let next = turns.again(now, 300);
+            turns.record_poll();
+            let next = turns.retry_at(now, 300);
             // What was said long ago keeps nobody; with the ask that fails late it is six seconds, a dial included.
             let most = if put_off { 4600 * MS } else { 2600 * MS };
             assert!(
--- a/crates/stackgw-bootstrap/tests/stored_and_sent.rs
+++ b/crates/stackgw-bootstrap/tests/stored_and_sent.rs
@@ -80,19 +80,19 @@
 
 fn tell() -> EndpointSnapshot {
     EndpointSnapshot {
-        from: peer(7_000),
+        sender: peer(7_000),
         nonce: 0xdead_beef,
-        service: service_id("list"),
+        service_id: service_id("list"),
         revision: Some(70_000),
-        said_ago_ms: 1_234,
-        live: true,
-        kept: false,
-        put_off_ms: 0,
-        rate: 285_500,
+        confirmed_ago_ms: 1_234,
+        is_live: true,
+        is_cached: false,
+        retry_after_ms: 0,
+        warm_throughput_millis: 285_500,
         base: None,
-        part: (0, 1),
-        entries: entries(),
-        seen: sightings(),
+        fragment: (0, 1),
+        endpoints: entries(),
+        observations: sightings(),
     }
 }
 
@@ -105,11 +105,11 @@
 
 fn fragments() -> Vec<Message> {
     let whole = EndpointSnapshot {
-        entries: Vec::new(),
+        endpoints: Vec::new(),
         ..tell()
     };
     whole
-        .parts(many_entries())
+        .into_fragments(many_entries())
         .expect("few enough")
         .into_iter()
         .map(Message::Snapshot)
@@ -118,44 +118,44 @@
 
 fn datagrams() -> Vec<(String, Message)> {
     let first_question = Message::Poll {
-        from: peer(7_001),
+        sender: peer(7_001),
         nonce: 1,
-        service: service_id("list"),
-        have: None,
-        seen: Vec::new(),
+        service_id: service_id("list"),
+        known_revision: None,
+        observations: Vec::new(),
     };
     let later_question = Message::Poll {
-        from: peer_v6(),
+        sender: peer_v6(),
         nonce: u32::MAX,
-        service: service_id("another"),
-        have: Some(69_999),
-        seen: sightings(),
+        service_id: service_id("another"),
+        known_revision: Some(69_999),
+        observations: sightings(),
     };
     let nothing = EndpointSnapshot {
         nonce: 0,
         revision: None,
-        live: false,
-        put_off_ms: 1_500,
-        rate: 0,
-        part: (0, 0),
-        entries: Vec::new(),
-        seen: Vec::new(),
+        is_live: false,
+        retry_after_ms: 1_500,
+        warm_throughput_millis: 0,
+        fragment: (0, 0),
+        endpoints: Vec::new(),
+        observations: Vec::new(),
         ..tell()
     };
     let version_only = EndpointSnapshot {
-        part: (0, 0),
-        entries: Vec::new(),
+        fragment: (0, 0),
+        endpoints: Vec::new(),
         ..tell()
     };
     let changes = EndpointSnapshot {
         base: Some(69_998),
-        from: peer_v6(),
+        sender: peer_v6(),
         ..tell()
     };
     let cached = EndpointSnapshot {
-        kept: true,
-        live: false,
-        said_ago_ms: 86_400_000,
+        is_cached: true,
+        is_live: false,
+        confirmed_ago_ms: 86_400_000,
         ..tell()
     };
     let mut datagrams = vec![
@@ -227,7 +227,7 @@
     let fragments = fragments();
     assert_eq!(fragments.len(), 3);
     let entries = fragments.into_iter().flat_map(|fragment| match fragment {
-        Message::Snapshot(tell) => tell.entries,
+        Message::Snapshot(tell) => tell.endpoints,
         Message::Poll { .. } => Vec::new(),
     });
     assert!(entries.eq(many_entries()));
--- a/crates/stackgw-gateway/src/reducer/start.rs
+++ b/crates/stackgw-gateway/src/reducer/start.rs
@@ -27,7 +27,7 @@
 impl Starting {
     /// One line for the log.
     pub(super) fn line(&self, now: Time) -> String {
-        let (counts, cache) = (self.start.counts(), self.start.cache());
+        let (counts, cache) = (self.start.counters(), self.start.cache());
         let (holders, live) = self.start.watch_leaders();
         let origin = cache.origin().map_or("nothing", word);
         let age = cache
@@ -56,7 +56,7 @@
     }
 
     fn tell(&self, now: Time) -> Value {
-        let (counts, cache) = (self.start.counts(), self.start.cache());
+        let (counts, cache) = (self.start.counters(), self.start.cache());
         let (holders, live) = self.start.watch_leaders();
         json!({
             "service": self.service,
