--- a/crates/stackgw-bootstrap/benches/scale.rs
+++ b/crates/stackgw-bootstrap/benches/scale.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::*;
-use stackgw_bootstrap::{ConnectionPacer, PacerConfig};
+use stackgw_bootstrap::{ConnectionPacer, ListedMember, PacerConfig, StartTime};
 use stackgw_router::api::{GroupId, MemberId, Span, Time, MS, SECOND};
 
 const FLEETS: [usize; 4] = [100, 300, 500, 2_000];
@@ -65,12 +65,15 @@
     let of = |number: usize| {
         let mut deal = ConnectionPacer::new(set(number as u32), SEED + number as u64);
         for n in 0..members {
+            let (name, start_time) = (format!("m{n}"), StartTime::At(now));
             deal.update_member(
                 now,
-                MemberId(n),
-                &format!("m{n}"),
-                GroupId(2),
-                Some(Some(now)),
+                ListedMember {
+                    id: MemberId(n),
+                    name: &name,
+                    group: GroupId(2),
+                    start_time,
+                },
             );
         }
         deal.schedule_new_members(now);
--- a/crates/stackgw-bootstrap/src/endpoint_cache.rs
+++ b/crates/stackgw-bootstrap/src/endpoint_cache.rs
@@ -10,7 +10,7 @@
 //! One exception to the last line: a service that goes on telling an older list for long has lost its state and counts anew.
 //! What it told of drains before binds on until those members are known to have started again.
 
-use crate::endpoint::{Endpoint, EndpointUpdate};
+use crate::endpoint::{Endpoint, EndpointUpdate, UP_SINCE_UNKNOWN};
 use stackgw_router::api::{Lifecycle, Span, Time, MS};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -301,7 +301,7 @@
 fn without_claims(entry: &Endpoint) -> Endpoint {
     Endpoint {
         leader: false,
-        up_since_ms: -1,
+        up_since_ms: UP_SINCE_UNKNOWN,
         ..entry.clone()
     }
 }
--- a/crates/stackgw-bootstrap/src/lib.rs
+++ b/crates/stackgw-bootstrap/src/lib.rs
@@ -23,8 +23,8 @@
 pub use bootstrap::{
     Bootstrap, BootstrapCounters, BootstrapSettings, CachedEndpoints, LogEvent, Output,
 };
-pub use connection_pacer::{ConnectionPacer, PacerConfig};
-pub use endpoint::{Endpoint, EndpointUpdate};
+pub use connection_pacer::{ConnectionPacer, ListedMember, PacerConfig};
+pub use endpoint::{Endpoint, EndpointUpdate, StartTime};
 pub use endpoint_cache::{EndpointCache, MergeOutcome, Origin};
 pub use message::{EndpointSnapshot, Message};
 pub use observation::{Observation, Observations};
--- a/crates/stackgw-bootstrap/tests/digest.rs
+++ b/crates/stackgw-bootstrap/tests/digest.rs
@@ -530,11 +530,25 @@
             let number = below(&mut rng, 6) as u32;
             let member = MemberId(number);
             let group = GroupId(number % 2);
-            let started = now - below(&mut rng, 12_000) as Span * MS;
-            let started =
-                [None, Some(None), Some(Some(started)), Some(Some(started))][below(&mut rng, 4)];
+            let started_at = StartTime::At(now - below(&mut rng, 12_000) as Span * MS);
+            let start_times = [
+                StartTime::LongAgo,
+                StartTime::Unknown,
+                started_at,
+                started_at,
+            ];
+            let start_time = start_times[below(&mut rng, 4)];
+            let name = format!("m{number}");
             match below(&mut rng, 8) {
-                0 | 1 => deal.update_member(now, member, &format!("m{number}"), group, started),
+                0 | 1 => deal.update_member(
+                    now,
+                    ListedMember {
+                        id: member,
+                        name: &name,
+                        group,
+                        start_time,
+                    },
+                ),
                 2 => deal.schedule_new_members(now),
                 3 => deal.record_attempt(now, member),
                 4 => deal.record_failure(now, member),
--- a/crates/stackgw-bootstrap/tests/unit/connection_pacer.rs
+++ b/crates/stackgw-bootstrap/tests/unit/connection_pacer.rs
@@ -1,116 +1,132 @@
-//! What of `connection_pacer.rs` is seen from inside only.
+//! The pace of connections to members that are warming up, over all instances of a fleet.
 
-use super::*;
-use stackgw_router::api::MS;
+use super::{ConnectionPacer, ListedMember, PacerConfig, StartTime};
+use stackgw_router::api::{GroupId, MemberId, Time, MS, SECOND};
 
-const OPENS: f64 = 30.0;
-const FLEET: u32 = 300;
+const CONNECTION_RATE: f64 = 30.0;
+const FLEET_SIZE: u32 = 300;
+const MEMBERS: [u32; 3] = [0, 1, 2];
 
-fn dealt(number: u32) -> ConnectionPacer {
-    let set = PacerConfig {
-        instance_number: number,
-        fleet_size: FLEET,
-        connection_rate: OPENS,
+fn pacer(instance_number: u32) -> ConnectionPacer {
+    let config = PacerConfig {
+        instance_number,
+        fleet_size: FLEET_SIZE,
+        connection_rate: CONNECTION_RATE,
         cold_capacity_share: 0.25,
         warm_up_time: 10 * SECOND,
     };
-    ConnectionPacer::new(set, u64::from(number) * 7)
+    ConnectionPacer::new(config, u64::from(instance_number) * 7)
 }
 
-fn listed(deal: &mut ConnectionPacer, now: Time, started: Option<Option<Time>>) {
-    for n in 0..3 {
-        deal.update_member(now, MemberId(n), &format!("m{n}"), GroupId(2), started);
+fn list_members(pacer: &mut ConnectionPacer, now: Time, start_time: StartTime) {
+    for n in MEMBERS {
+        let name = format!("m{n}");
+        pacer.update_member(
+            now,
+            ListedMember {
+                id: MemberId(n),
+                name: &name,
+                group: GroupId(2),
+                start_time,
+            },
+        );
     }
-    deal.schedule_new_members(now);
+    pacer.schedule_new_members(now);
 }
 
-/// When each instance's first turn at each member comes.
-fn turns(now: Time, started: Option<Time>) -> Vec<[Time; 3]> {
-    (0..FLEET)
-        .map(|n| {
-            let mut deal = dealt(n);
-            listed(&mut deal, now, Some(started));
-            [0, 1, 2].map(|m| {
-                deal.next_connection_at(now, MemberId(m))
-                    .expect("it is cold")
-            })
+/// When each instance may first connect to each member.
+fn first_connections(now: Time, start_time: StartTime) -> Vec<[Time; 3]> {
+    let of_instance = |n| {
+        let mut pacer = pacer(n);
+        list_members(&mut pacer, now, start_time);
+        MEMBERS.map(|member| {
+            pacer
+                .next_connection_at(now, MemberId(member))
+                .expect("it is cold")
         })
-        .collect()
+    };
+    (0..FLEET_SIZE).map(of_instance).collect()
 }
 
 #[test]
-fn a_cold_member_is_asked_evenly_and_everybody_has_one_connection_early() {
+fn connections_to_a_cold_member_are_spread_and_every_instance_has_one_early() {
     let now = 100 * SECOND;
-    for started in [Some(now), None] {
-        let turns = turns(now, started);
+    for start_time in [StartTime::At(now), StartTime::Unknown] {
+        let connections = first_connections(now, start_time);
         for member in 0..3 {
-            let mut at: Vec<_> = turns.iter().map(|t| t[member] - now).collect();
+            let mut at: Vec<_> = connections
+                .iter()
+                .map(|of_instance| of_instance[member] - now)
+                .collect();
             at.sort_unstable();
             for tenth in 0..60 {
                 let (from, to) = (tenth * SECOND / 10, (tenth + 1) * SECOND / 10);
                 let here = at.iter().filter(|at| (from..to).contains(*at)).count() as f64;
-                let bears = OPENS * (1.0 + 3.0 * (to as f64 / SECOND as f64) / 10.0) / 10.0;
+                let capacity =
+                    CONNECTION_RATE * (1.0 + 3.0 * (to as f64 / SECOND as f64) / 10.0) / 10.0;
                 assert!(
-                    here <= bears + 3.0,
-                    "{here} in tenth {tenth}, {bears} are borne"
+                    here <= capacity + 3.0,
+                    "{here} in tenth {tenth}, which can take {capacity}"
                 );
             }
             assert!(at.last() < Some(&(7 * SECOND)), "{at:?}");
         }
-        let first = turns
-            .iter()
-            .map(|t| t.iter().min().copied().unwrap_or(now) - now)
-            .max();
+        let earliest =
+            |of_instance: &[Time; 3]| of_instance.iter().min().copied().unwrap_or(now) - now;
+        let last = connections.iter().map(earliest).max();
         assert!(
-            first < Some(3 * SECOND),
-            "the last to have any connection: {first:?}"
+            last < Some(3 * SECOND),
+            "the last to have any connection: {last:?}"
         );
     }
 }
 
 #[test]
-fn turns_at_one_that_is_half_warm_come_sooner_and_warm_ones_are_not_dealt() {
+fn connections_come_sooner_when_a_member_is_half_warm_and_are_not_paced_when_it_is_warm() {
     let now = 100 * SECOND;
-    let last = |turns: Vec<[Time; 3]>| turns.iter().flatten().max().copied().unwrap_or(0) - now;
-    let (cold, half) = (
-        last(turns(now, Some(now))),
-        last(turns(now, Some(now - 5 * SECOND))),
-    );
-    assert!(half < cold * 2 / 3, "{half} {cold}");
-    let mut deal = dealt(7);
-    listed(&mut deal, now, Some(Some(now - SECOND)));
-    assert!(deal.next_connection_at(now, MemberId(1)).is_some());
+    let last = |connections: Vec<[Time; 3]>| {
+        connections.iter().flatten().max().copied().unwrap_or(0) - now
+    };
+    let cold = last(first_connections(now, StartTime::At(now)));
+    let half_warm = last(first_connections(now, StartTime::At(now - 5 * SECOND)));
+    assert!(half_warm < cold * 2 / 3, "{half_warm} {cold}");
+    let mut pacer = pacer(7);
+    list_members(&mut pacer, now, StartTime::At(now - SECOND));
+    assert!(pacer.next_connection_at(now, MemberId(1)).is_some());
     assert_eq!(
-        deal.next_connection_at(now + 9 * SECOND, MemberId(1)),
+        pacer.next_connection_at(now + 9 * SECOND, MemberId(1)),
         None,
         "warm by its age"
     );
-    listed(&mut deal, now, None);
+    list_members(&mut pacer, now, StartTime::LongAgo);
     assert_eq!(
-        deal.next_connection_at(now, MemberId(1)),
+        pacer.next_connection_at(now, MemberId(1)),
         None,
         "warm by the list"
     );
     assert_eq!(
-        deal.next_connection_at(now, MemberId(9)),
+        pacer.next_connection_at(now, MemberId(9)),
         None,
-        "never heard of"
+        "never listed"
     );
 }
 
 #[test]
-fn each_connection_takes_a_turn_and_each_failure_doubles_the_wait() {
+fn each_attempt_has_to_wait_and_each_failure_doubles_the_wait() {
     let now = 100 * SECOND;
     let wait = |failures: u32| {
         let mut sum = 0;
-        for number in 0..50 {
-            let mut deal = dealt(number);
-            listed(&mut deal, now, Some(Some(now)));
-            deal.record_attempt(now, MemberId(0));
+        for instance in 0..50 {
+            let mut pacer = pacer(instance);
+            list_members(&mut pacer, now, StartTime::At(now));
+            pacer.record_attempt(now, MemberId(0));
             for _ in 0..failures {
-                deal.record_failure(now, MemberId(0));
+                pacer.record_failure(now, MemberId(0));
             }
-            sum += deal.next_connection_at(now, MemberId(0)).expect("cold") - now;
+            sum += pacer
+                .next_connection_at(now, MemberId(0))
+                .expect("it is cold")
+                - now;
         }
         sum / 50
     };
@@ -120,19 +136,19 @@
         (wait(9) - wait(12)).abs() < wait(9) / 3,
         "no more than so often"
     );
-    let mut deal = dealt(0);
-    listed(&mut deal, now, Some(Some(now)));
-    let before = deal.next_connection_at(now, MemberId(0));
-    listed(&mut deal, now + MS, Some(Some(now)));
+    let mut pacer = pacer(0);
+    list_members(&mut pacer, now, StartTime::At(now));
+    let before = pacer.next_connection_at(now, MemberId(0));
+    list_members(&mut pacer, now + MS, StartTime::At(now));
     assert_eq!(
-        deal.next_connection_at(now, MemberId(0)),
+        pacer.next_connection_at(now, MemberId(0)),
         before,
-        "the same word changes nothing"
+        "the same entry changes nothing"
     );
-    listed(&mut deal, now + MS, Some(Some(now + MS)));
+    list_members(&mut pacer, now + MS, StartTime::At(now + MS));
     assert_ne!(
-        deal.next_connection_at(now, MemberId(0)),
+        pacer.next_connection_at(now, MemberId(0)),
         before,
-        "another start is another turn"
+        "another start is paced anew"
     );
 }
--- a/crates/stackgw-bootstrap/tests/unit/observation.rs
+++ b/crates/stackgw-bootstrap/tests/unit/observation.rs
@@ -1,69 +1,72 @@
-//! What of `observation.rs` is seen from inside only.
+//! Observations of members: which one replaces another, and what is sent when not all fit into one datagram.
 
-use super::*;
+use super::{Observation, Observations, MAX_OBSERVATIONS_PER_MESSAGE, MAX_OBSERVED_MEMBERS};
 use stackgw_router::api::SECOND;
+use std::collections::BTreeSet;
 
-fn seen(member: u64, position_ms: u64, leads: Option<bool>, at_ms: u64) -> Observation {
+fn observation(
+    member_hash: u64,
+    position_ms: u64,
+    is_primary: Option<bool>,
+    observed_at_ms: u64,
+) -> Observation {
     Observation {
-        member_hash: member,
+        member_hash,
         position_ms,
-        is_primary: leads,
-        observed_at_ms: at_ms,
+        is_primary,
+        observed_at_ms,
     }
 }
 
 #[test]
-fn later_word_of_a_member_takes_the_place_of_earlier_word_and_grows_old() {
-    let (now, keep) = (100 * SECOND, 5 * SECOND);
+fn later_observations_replace_earlier_ones_and_expire() {
+    let (now, max_age) = (100 * SECOND, 5 * SECOND);
     let mut known = Observations::default();
-    assert!(known.merge(now, seen(1, 99_000, Some(true), 99_990), keep));
+    assert!(known.merge(now, observation(1, 99_000, Some(true), 99_990), max_age));
     assert!(
-        !known.merge(now, seen(1, 98_000, Some(false), 99_995), keep),
+        !known.merge(now, observation(1, 98_000, Some(false), 99_995), max_age),
         "an older position"
     );
     assert!(
-        !known.merge(now, seen(1, 99_000, None, 99_999), keep),
+        !known.merge(now, observation(1, 99_000, None, 99_999), max_age),
         "it says less"
     );
-    known.record_own(now, seen(1, 99_500, Some(false), 99_999), keep);
+    known.record_own(now, observation(1, 99_500, Some(false), 99_999), max_age);
     assert!(
-        !known.merge(now, seen(2, 94_000, None, 95_000), keep),
+        !known.merge(now, observation(2, 94_000, None, 95_000), max_age),
         "too old"
     );
     assert!(
-        !known.merge(now, seen(2, 94_000, None, u64::MAX), keep),
-        "not of this world"
+        !known.merge(now, observation(2, 94_000, None, u64::MAX), max_age),
+        "far in the future"
     );
-    known.merge(now, seen(3, 99_000, None, 99_000), keep);
+    known.merge(now, observation(3, 99_000, None, 99_000), max_age);
+    let own = observation(1, 99_500, Some(false), 99_999);
     assert_eq!(
         known.take_unsent(),
-        [seen(1, 99_500, Some(false), 99_999)],
-        "others' word is not passed on"
+        [own],
+        "those of peers are not passed on"
     );
-    assert!(known.take_unsent().is_empty(), "told once");
-    assert_eq!(known.next_batch(now, keep).len(), 2);
-    assert!(known.next_batch(now + keep, keep).is_empty());
+    assert!(known.take_unsent().is_empty(), "sent once");
+    assert_eq!(known.next_batch(now, max_age).len(), 2);
+    assert!(known.next_batch(now + max_age, max_age).is_empty());
 }
 
 #[test]
-fn more_than_one_datagram_carries_is_told_in_turn_and_all_is_bounded() {
-    let (now, keep) = (100 * SECOND, 5 * SECOND);
+fn batches_go_round_all_members_when_one_datagram_cannot_carry_them() {
+    let (now, max_age) = (100 * SECOND, 5 * SECOND);
     let mut known = Observations::default();
     for n in 0..(MAX_OBSERVED_MEMBERS as u64 + 10) {
-        known.record_own(now, seen(n + 1, 99_000, None, 99_000), keep);
+        known.record_own(now, observation(n + 1, 99_000, None, 99_000), max_age);
     }
     let rounds = MAX_OBSERVED_MEMBERS.div_ceil(MAX_OBSERVATIONS_PER_MESSAGE);
-    let all: BTreeSet<_> = (0..rounds)
-        .flat_map(|_| known.next_batch(now, keep))
-        .map(|s| s.member_hash)
-        .collect();
+    let all = (0..rounds).flat_map(|_| known.next_batch(now, max_age));
+    let all: BTreeSet<_> = all.map(|observation| observation.member_hash).collect();
     assert_eq!(all.len(), MAX_OBSERVED_MEMBERS);
-    let news: BTreeSet<_> = (0..rounds)
-        .flat_map(|_| known.take_unsent())
-        .map(|s| s.member_hash)
-        .collect();
+    let own = (0..rounds).flat_map(|_| known.take_unsent());
+    let own: BTreeSet<_> = own.map(|observation| observation.member_hash).collect();
     assert_eq!(
-        (news.len(), known.take_unsent().len()),
+        (own.len(), known.take_unsent().len()),
         (MAX_OBSERVED_MEMBERS, 0)
     );
 }
--- a/crates/stackgw-gateway/src/reducer/start.rs
+++ b/crates/stackgw-gateway/src/reducer/start.rs
@@ -4,8 +4,8 @@
 use super::*;
 use serde_json::{json, Value};
 use stackgw_bootstrap::{
-    Bootstrap, BootstrapSettings, CachedEndpoints, ConnectionPacer, LogEvent, MergeOutcome,
-    Message, Observation, Origin, Output, PacerConfig, PollRate,
+    Bootstrap, BootstrapSettings, CachedEndpoints, ConnectionPacer, ListedMember, LogEvent,
+    MergeOutcome, Message, Observation, Origin, Output, PacerConfig, PollRate,
 };
 
 /// Everything of it.
@@ -315,11 +315,13 @@
             let Some(deal) = starting.deal.as_mut() else {
                 continue;
             };
-            let started = match entry.up_since_ms {
-                0 => None,
-                ms => Some(Some(ms * MS).filter(|_| ms > 0)),
+            let listed = ListedMember {
+                id: member,
+                name: &entry.id,
+                group: GroupId(entry.cell),
+                start_time: entry.start_time(),
             };
-            deal.update_member(now, member, &entry.id, GroupId(entry.cell), started);
+            deal.update_member(now, listed);
             starting.ways.insert(member);
         }
         if let Some(deal) = starting.deal.as_mut() {
