--- a/crates/stackgw-bootstrap/src/endpoint_cache.rs
+++ b/crates/stackgw-bootstrap/src/endpoint_cache.rs
@@ -1,75 +1,140 @@
-//! What an instance holds for the list, from whichever source, and what each source's word is good for.
+//! The endpoint list as this instance knows it, and the rules by which updates from different sources are merged into it.
 //!
-//! | word | taken when | good for |
+//! | source | accepted when | trusted for |
 //! | --- | --- | --- |
-//! | the service's own, no older than what is held | always | everything |
-//! | a peer's, heard from the service lately | newer than what is held, or what is held is kept word | everything |
-//! | kept (a disk's, the platform's, or a peer's that lost the service) | nothing is held | members to try: no primary, no warmth |
-//! | any that is older than what is held | never | nothing: what was told since binds |
+//! | the list service | it is no older than the cache | everything |
+//! | a peer that has heard the service lately | it is newer than the cache, or the cache holds a cached list | everything |
+//! | a cached list: the disk's, the platform's, or that of a peer which has lost the service | the cache is empty | members to try; no primary, nobody warm |
+//! | any that is older than the cache | never | nothing: drains that were announced since still bind |
 //!
-//! One exception to the last line: a service that goes on telling an older list for long has lost its state and counts anew.
-//! What it told of drains before binds on until those members are known to have started again.
+//! There is one exception to the last line: a service that sends an older list alone for long has lost its state and counts
+//! its versions anew. Drains that it announced before bind until those members are known to have started again.
+//!
+//! This module knows nothing of polls, watches or messages.
 
-use crate::endpoint::{Endpoint, EndpointUpdate, UP_SINCE_UNKNOWN};
-use stackgw_router::api::{Lifecycle, Span, Time, MS};
+use crate::endpoint::{Endpoint, EndpointUpdate, StartTime, UP_SINCE_UNKNOWN};
+use stackgw_router::api::{Lifecycle, Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where word of the list comes from.
+/// Where an update of the endpoint list comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Origin {
-    /// A disk's, the platform's, or that of a peer which has lost the service: as it was, for all that is known.
+    /// The disk, the platform, or a peer that has lost the service: the list as it once was.
     Cached,
     /// A peer that hears the service.
     Peer,
-    /// The service itself.
+    /// The list service itself.
+    Service,
+}
+
+/// The source of one update.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum UpdateSource {
+    /// A cached list.
+    Cached {
+        /// When the service last confirmed it, as far as is known.
+        confirmed_at: Time,
+    },
+    /// A peer that hears the service.
+    Peer {
+        /// When the service last confirmed what the peer sent.
+        confirmed_at: Time,
+        /// The version since which an incomplete update has all changes.
+        base: Option<u64>,
+    },
+    /// The list service itself, at this moment.
     Service,
 }
 
-/// What came of update.
+impl UpdateSource {
+    fn origin(self) -> Origin {
+        match self {
+            UpdateSource::Cached { .. } => Origin::Cached,
+            UpdateSource::Peer { .. } => Origin::Peer,
+            UpdateSource::Service => Origin::Service,
+        }
+    }
+
+    fn confirmed_at(self, now: Time) -> Time {
+        match self {
+            UpdateSource::Cached { confirmed_at } | UpdateSource::Peer { confirmed_at, .. } => {
+                confirmed_at
+            }
+            UpdateSource::Service => now,
+        }
+    }
+}
+
+/// What became of an update.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MergeOutcome {
-    /// The whole list anew; who is missing has gone.
+    /// The complete list is to be taken anew; members that are missing in it are removed.
     Complete(Vec<Endpoint>),
-    /// The whole list, but as kept: nobody in it is known to lead or to be warm.
+    /// The complete list, but from a cached copy: nobody in it is known to be a primary or to be warm.
     Cached(Vec<Endpoint>),
-    /// Entries that changed.
+    /// These entries have changed.
     Changed(Vec<Endpoint>),
-    /// It is what was held already.
+    /// The cache had all of it.
     Unchanged,
-    /// It is older than what is held, and tells nothing.
+    /// It is older than the cache, or cannot be applied to it, and was ignored.
     Stale,
 }
 
+/// What has changed since a version.
+#[derive(Debug, Clone, PartialEq)]
+pub struct EndpointDelta {
+    /// The version since which these are the changes; `None`: they are the complete list.
+    pub base: Option<u64>,
+    /// The entries.
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// When a member was announced to drain or to be removed.
+#[derive(Debug, Clone, Copy, PartialEq)]
+struct DrainMark {
+    /// The version that announced it.
+    revision: u64,
+    /// When this instance learned it.
+    noted_at: Time,
+}
+
+impl DrainMark {
+    /// Whether a version that lists the member as serving ends the drain: it is newer, or the member has started since.
+    fn is_ended_by(&self, endpoint: &Endpoint, revision: u64) -> bool {
+        revision > self.revision
+            || matches!(endpoint.start_time(), StartTime::At(started_at) if started_at > self.noted_at)
+    }
+}
+
 #[derive(Debug, Clone, PartialEq)]
 struct CacheEntry {
     endpoint: Endpoint,
     /// The version that brought it.
     revision: u64,
-    /// The version that told that it drains or is gone, and when that was heard here.
-    drain: Option<(u64, Time)>,
+    drain: Option<DrainMark>,
 }
 
-/// See the module.
+/// The endpoint list as this instance knows it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointCache {
     entries: BTreeMap<String, CacheEntry>,
     revision: Option<u64>,
     origin: Origin,
-    /// When the service last vouched for it, as far as is known.
+    /// When the service last confirmed the list, as far as is known.
     confirmed_at: Time,
-    /// Since when the service itself has told older lists alone.
+    /// Since when the service itself has sent older lists alone.
     behind_since: Option<Time>,
-    /// Entries of members that are gone were dropped up to this version.
+    /// Entries of removed members were dropped up to this version.
     dropped_revision: u64,
     reset_after: Span,
     resets: u64,
 }
 
-/// Members that are gone and still held, so that others can be told; beyond it the oldest are dropped.
+/// Removed members that are remembered, so that peers can be told of them; beyond it the oldest are dropped.
 const MAX_REMOVED: usize = 1_024;
 
 impl EndpointCache {
-    /// An empty book; a service that tells older lists for longer than `reset_after` is believed.
+    /// An empty cache. A service that sends older lists alone for longer than `reset_after` is believed.
     pub fn new(reset_after: Span) -> Self {
         EndpointCache {
             entries: BTreeMap::new(),
@@ -83,225 +148,271 @@
         }
     }
 
-    /// The version held, if anything is.
+    /// The version of the list; `None`: the cache is empty.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// Where what is held comes from.
+    /// Where the list comes from; `None`: the cache is empty.
     pub fn origin(&self) -> Option<Origin> {
         self.revision.map(|_| self.origin)
     }
 
-    /// How long ago the service vouched for what is held; `None`: nothing is held.
+    /// Whether there is a list, and the service or a peer that hears it has sent or confirmed it.
+    pub fn is_confirmed(&self) -> bool {
+        self.origin().is_some_and(|origin| origin != Origin::Cached)
+    }
+
+    /// How long ago the service confirmed the list; `None`: the cache is empty.
     pub fn age(&self, now: Time) -> Option<Span> {
-        self.revision.map(|_| (now - self.confirmed_at).max(0))
+        self.confirmed_at().map(|at| (now - at).max(0))
     }
 
-    /// When the service last vouched for what is held, as far as is known.
+    /// When the service last confirmed the list, as far as is known; `None`: the cache is empty.
     pub fn confirmed_at(&self) -> Option<Time> {
         self.revision.map(|_| self.confirmed_at)
     }
 
-    /// The service tells older lists than what is held.
+    /// Whether the service sends older lists than this one.
     pub fn is_behind(&self) -> bool {
         self.behind_since.is_some()
     }
 
-    /// How often a service that counts anew was believed.
+    /// How often a service that counts its versions anew was believed.
     pub fn resets(&self) -> u64 {
         self.resets
     }
 
-    /// The service vouches for what is held: nothing has changed since it was told.
+    /// The service has confirmed that nothing has changed.
     pub fn confirm(&mut self, confirmed_at: Time) {
         if self.origin != Origin::Cached && self.behind_since.is_none() {
             self.confirmed_at = self.confirmed_at.max(confirmed_at);
         }
     }
 
-    /// Another service counts from now on: its versions mean nothing beside the earlier one's.
+    /// Another service numbers the list from now on: its versions cannot be compared with those of the earlier one.
     pub fn change_service(&mut self) {
-        if self.revision.is_some() {
-            (
-                self.revision,
-                self.origin,
-                self.behind_since,
-                self.dropped_revision,
-            ) = (Some(0), Origin::Cached, None, 0);
-            for held in self.entries.values_mut() {
-                held.revision = 0;
-                held.drain = held.drain.map(|(_, at)| (0, at));
-            }
+        if self.revision.is_none() {
+            return;
         }
+        self.revision = Some(0);
+        self.origin = Origin::Cached;
+        self.behind_since = None;
+        self.dropped_revision = 0;
+        self.renumber_entries(0);
     }
 
-    /// Takes word that its source vouched for at `said`. Changes are those since `base`, where it names one.
+    /// Merges an update into the list.
     pub fn merge(
         &mut self,
         now: Time,
         update: EndpointUpdate,
-        origin: Origin,
-        confirmed_at: Time,
-        base: Option<u64>,
+        source: UpdateSource,
     ) -> MergeOutcome {
-        let known = self.revision;
-        let older = known.is_some_and(|known| update.revision < known);
-        match origin {
-            // Kept word fills an empty book, and no other.
-            Origin::Cached if known.is_some() || !update.complete => return MergeOutcome::Stale,
-            Origin::Peer if older => return MergeOutcome::Stale,
-            Origin::Peer
-                if !update.complete
-                    && base.is_none_or(|base| known.is_none_or(|known| base > known)) =>
-            {
-                return MergeOutcome::Stale;
-            }
-            Origin::Peer if known == Some(update.revision) && self.origin != Origin::Cached => {
-                self.confirm(confirmed_at);
-                return MergeOutcome::Unchanged;
-            }
-            Origin::Service if older => {
-                let since = *self.behind_since.get_or_insert(now);
-                if !update.complete || now - since < self.reset_after {
-                    return MergeOutcome::Stale;
-                }
-                self.resets += 1;
-                self.dropped_revision = update.revision;
-                // Counted anew: what this list says of drains is older than them, what it changes later is not.
-                for held in self.entries.values_mut() {
-                    held.revision = update.revision;
-                    held.drain = held.drain.map(|(_, at)| (update.revision, at));
-                }
+        let early_outcome = match source {
+            UpdateSource::Cached { .. } => self.screen_cached(&update),
+            UpdateSource::Peer { confirmed_at, base } => {
+                self.screen_peer(&update, confirmed_at, base)
             }
-            _ => {}
+            UpdateSource::Service => self.screen_service(now, &update),
+        };
+        match early_outcome {
+            Some(outcome) => outcome,
+            None => self.apply(now, update, source),
         }
-        if origin == Origin::Service {
-            self.behind_since = None;
+    }
+
+    /// A cached list fills an empty cache, and no other.
+    fn screen_cached(&self, update: &EndpointUpdate) -> Option<MergeOutcome> {
+        (self.revision.is_some() || !update.complete).then_some(MergeOutcome::Stale)
+    }
+
+    fn screen_peer(
+        &mut self,
+        update: &EndpointUpdate,
+        confirmed_at: Time,
+        base: Option<u64>,
+    ) -> Option<MergeOutcome> {
+        let has_gap = !update.complete && (base.is_none() || base > self.revision);
+        if self.is_newer_than(update) || has_gap {
+            return Some(MergeOutcome::Stale);
         }
-        let whole = update.complete || known.is_none();
-        let confirms = self.origin == Origin::Cached;
-        let mut changed = Vec::new();
-        if whole {
-            let named: BTreeSet<_> = update.members.iter().map(|e| e.id.as_str()).collect();
-            let missing = self
-                .entries
-                .values_mut()
-                .filter(|held| !named.contains(held.endpoint.id.as_str()));
-            for held in missing.filter(|held| held.endpoint.phase != Lifecycle::Removed) {
-                (held.endpoint.phase, held.revision) = (Lifecycle::Removed, update.revision);
-                held.drain = held.drain.or(Some((update.revision, now)));
+        if self.revision == Some(update.revision) && self.origin != Origin::Cached {
+            self.confirm(confirmed_at);
+            return Some(MergeOutcome::Unchanged);
+        }
+        None
+    }
+
+    fn screen_service(&mut self, now: Time, update: &EndpointUpdate) -> Option<MergeOutcome> {
+        if self.is_newer_than(update) {
+            let behind_since = *self.behind_since.get_or_insert(now);
+            if !update.complete || now - behind_since < self.reset_after {
+                return Some(MergeOutcome::Stale);
             }
+            self.accept_reset(update.revision);
+        }
+        self.behind_since = None;
+        None
+    }
+
+    fn is_newer_than(&self, update: &EndpointUpdate) -> bool {
+        self.revision
+            .is_some_and(|revision| update.revision < revision)
+    }
+
+    /// The service counts its versions anew. What this list says of drains is older than they are, what it changes later is
+    /// not.
+    fn accept_reset(&mut self, revision: u64) {
+        self.resets += 1;
+        self.dropped_revision = revision;
+        self.renumber_entries(revision);
+    }
+
+    fn renumber_entries(&mut self, revision: u64) {
+        for entry in self.entries.values_mut() {
+            entry.revision = revision;
+            entry.drain = entry.drain.map(|drain| DrainMark { revision, ..drain });
         }
-        for entry in update.members {
-            changed.extend(self.apply_endpoint(
-                now,
-                entry,
-                update.revision,
-                known == Some(update.revision),
-            ));
+    }
+
+    fn apply(&mut self, now: Time, update: EndpointUpdate, source: UpdateSource) -> MergeOutcome {
+        let is_complete = update.complete || self.revision.is_none();
+        let confirms_cached = self.origin == Origin::Cached;
+        let is_repeat = self.revision == Some(update.revision);
+        if is_complete {
+            self.remove_missing(now, &update);
         }
-        (self.revision, self.origin) = (Some(update.revision), origin);
-        self.confirmed_at = if origin == Origin::Service {
-            now
-        } else {
-            confirmed_at
-        };
+        let mut changed = Vec::new();
+        for endpoint in update.members {
+            changed.extend(self.apply_endpoint(now, endpoint, update.revision, is_repeat));
+        }
+        self.revision = Some(update.revision);
+        self.origin = source.origin();
+        self.confirmed_at = source.confirmed_at(now);
         self.drop_oldest_removed();
-        match (origin, confirms || whole) {
-            (Origin::Cached, _) => {
-                MergeOutcome::Cached(self.endpoints().map(without_claims).collect())
+        if self.origin == Origin::Cached {
+            return MergeOutcome::Cached(self.endpoints().map(without_claims).collect());
+        }
+        // A cached list that has been confirmed is passed on anew, as its members' roles and ages hold now.
+        if is_complete || confirms_cached {
+            return MergeOutcome::Complete(self.endpoints().cloned().collect());
+        }
+        if changed.is_empty() {
+            return MergeOutcome::Unchanged;
+        }
+        MergeOutcome::Changed(changed)
+    }
+
+    /// Marks members as removed that a complete list no longer names.
+    fn remove_missing(&mut self, now: Time, update: &EndpointUpdate) {
+        let revision = update.revision;
+        let listed: BTreeSet<_> = update
+            .members
+            .iter()
+            .map(|endpoint| endpoint.id.as_str())
+            .collect();
+        for entry in self.entries.values_mut() {
+            if listed.contains(entry.endpoint.id.as_str())
+                || entry.endpoint.phase == Lifecycle::Removed
+            {
+                continue;
             }
-            // What was kept has been confirmed: it holds without the caution.
-            (_, true) => MergeOutcome::Complete(self.endpoints().cloned().collect()),
-            (_, false) if changed.is_empty() => MergeOutcome::Unchanged,
-            (_, false) => MergeOutcome::Changed(changed),
+            entry.endpoint.phase = Lifecycle::Removed;
+            entry.revision = revision;
+            entry.drain = entry.drain.or(Some(DrainMark {
+                revision,
+                noted_at: now,
+            }));
         }
     }
 
-    /// Writes one entry down; gives it back as it stands where that is news.
+    /// Stores one entry of a version; returns it, as it now stands, if it has changed. `is_repeat`: the cache had the version
+    /// already.
     fn apply_endpoint(
         &mut self,
         now: Time,
-        mut entry: Endpoint,
+        mut endpoint: Endpoint,
         revision: u64,
-        repeats: bool,
+        is_repeat: bool,
     ) -> Option<Endpoint> {
-        let before = self.entries.get(&entry.id);
-        let mut drain = before.and_then(|held| held.drain);
-        if entry.phase == Lifecycle::Serving {
-            // A drain binds until newer word of the same count, or a start after it, ends it.
-            let ended = |(told, at): (u64, Time)| revision > told || entry.up_since_ms * MS > at;
-            match (drain.filter(|drain| !ended(*drain)), before) {
-                (Some(_), Some(held)) => entry.phase = held.endpoint.phase,
-                _ => drain = None,
+        let previous = self.entries.get(&endpoint.id);
+        let mut drain = previous.and_then(|entry| entry.drain);
+        if endpoint.phase == Lifecycle::Serving {
+            drain = drain.filter(|drain| !drain.is_ended_by(&endpoint, revision));
+            if let (Some(_), Some(entry)) = (drain, previous) {
+                endpoint.phase = entry.endpoint.phase;
             }
         } else {
-            drain = drain.or(Some((revision, now)));
-        }
-        let same = before.is_some_and(|held| held.endpoint == entry);
-        // Danger: one that is as it was may have changed there and back, and whoever is asked by one that knows it as it was
-        // between would leave that one with it.
-        let revision = before
-            .filter(|_| same && repeats)
-            .map_or(revision, |held| held.revision);
-        self.entries.insert(
-            entry.id.clone(),
-            CacheEntry {
-                endpoint: entry.clone(),
+            drain = drain.or(Some(DrainMark {
                 revision,
-                drain,
-            },
-        );
-        (!same).then_some(entry)
+                noted_at: now,
+            }));
+        }
+        let is_same = previous.is_some_and(|entry| entry.endpoint == endpoint);
+        // Danger: an entry that is as it was may have changed and changed back in between. It gets the new version, or a peer
+        // that knows it as it was between would never be told that it has changed back.
+        let revision = match previous {
+            Some(entry) if is_same && is_repeat => entry.revision,
+            _ => revision,
+        };
+        let entry = CacheEntry {
+            endpoint: endpoint.clone(),
+            revision,
+            drain,
+        };
+        self.entries.insert(endpoint.id.clone(), entry);
+        (!is_same).then_some(endpoint)
     }
 
     fn drop_oldest_removed(&mut self) {
-        let mut gone: Vec<_> = self
-            .entries
-            .values()
-            .filter(|h| h.endpoint.phase == Lifecycle::Removed)
-            .collect();
-        if gone.len() <= MAX_REMOVED {
+        let is_removed = |entry: &&CacheEntry| entry.endpoint.phase == Lifecycle::Removed;
+        let mut removed: Vec<_> = self.entries.values().filter(is_removed).collect();
+        if removed.len() <= MAX_REMOVED {
             return;
         }
-        gone.sort_by_key(|held| held.revision);
-        let past: Vec<_> = gone[..gone.len() - MAX_REMOVED]
+        removed.sort_by_key(|entry| entry.revision);
+        let excess = &removed[..removed.len() - MAX_REMOVED];
+        let ids: Vec<_> = excess
             .iter()
-            .map(|h| h.endpoint.id.clone())
+            .map(|entry| entry.endpoint.id.clone())
             .collect();
-        for id in past {
-            self.dropped_revision = self
-                .dropped_revision
-                .max(self.entries.remove(&id).map_or(0, |held| held.revision));
+        for id in ids {
+            let revision = self.entries.remove(&id).map_or(0, |entry| entry.revision);
+            self.dropped_revision = self.dropped_revision.max(revision);
         }
     }
 
-    /// The members that are not gone.
+    /// The members that are not removed, by name.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
-        self.entries
-            .values()
-            .map(|held| &held.endpoint)
-            .filter(|entry| entry.phase != Lifecycle::Removed)
+        let endpoints = self.entries.values().map(|entry| &entry.endpoint);
+        endpoints.filter(|endpoint| endpoint.phase != Lifecycle::Removed)
     }
 
-    /// For one that has this version: what changed since, or (`None`, with the whole list) where that is not known.
-    pub fn changes_since(&self, base: Option<u64>) -> (Option<u64>, Vec<Endpoint>) {
+    /// What has changed since a version, or the complete list where that is not known.
+    pub fn changes_since(&self, base: Option<u64>) -> EndpointDelta {
         match base.filter(|base| *base >= self.dropped_revision && self.revision >= Some(*base)) {
             Some(base) => {
-                let news = self.entries.values().filter(|held| held.revision > base);
-                (Some(base), news.map(|held| held.endpoint.clone()).collect())
+                let changed = self.entries.values().filter(|entry| entry.revision > base);
+                let endpoints = changed.map(|entry| entry.endpoint.clone()).collect();
+                EndpointDelta {
+                    base: Some(base),
+                    endpoints,
+                }
             }
-            None => (None, self.endpoints().cloned().collect()),
+            None => EndpointDelta {
+                base: None,
+                endpoints: self.endpoints().cloned().collect(),
+            },
         }
     }
 }
 
-/// An entry as kept word has it: it leads nobody, and may have just started.
-fn without_claims(entry: &Endpoint) -> Endpoint {
+/// An entry as a cached list proves it: nobody is known to be the primary, and each may just have started.
+fn without_claims(endpoint: &Endpoint) -> Endpoint {
     Endpoint {
         leader: false,
         up_since_ms: UP_SINCE_UNKNOWN,
-        ..entry.clone()
+        ..endpoint.clone()
     }
 }
--- a/crates/stackgw-bootstrap/src/lib.rs
+++ b/crates/stackgw-bootstrap/src/lib.rs
@@ -1,37 +1,61 @@
-//! How an instance comes to know the list of members, where hundreds of them start or come back in the same second.
+//! How an instance comes to know the endpoint list, where hundreds of them start or come back in the same second.
 //!
-//! One [`Bootstrap`] stands in each instance. It says when this instance asks the list service itself (in turns, so that all
-//! together stay within what the service bears), whom of the others it asks instead, what it tells them, what each source's
-//! word is good for, and when it is ready. Two invariants:
+//! One [`Bootstrap`] runs in each instance. It decides when this instance polls the list service itself (spread over the fleet,
+//! so that all polls together stay within the service's capacity), which peers it polls instead, what it sends to them, what
+//! each source of the list is trusted for, and when the instance is ready. Two invariants:
 //!
-//! > What was told of a drain binds until newer word, or a start after it, ends it, whatever is heard from whom.
+//! > A drain that was announced binds until a newer version, or a later start of that member, ends it, whatever is heard from
+//! > whom.
 //!
-//! > No version is held that is older than one held before, unless the service itself has told older ones alone for long.
+//! > The list never goes back to an older version, unless the service itself has sent older ones alone for long.
 //!
-//! No I/O, no clock, no threads: time, messages, the disk's word and a seed are handed in. `docs/design/start.md` says why it
-//! is built so and when it fails.
+//! | module | job |
+//! | --- | --- |
+//! | `bootstrap` | routes inputs to the parts below, and their outputs to the caller |
+//! | `endpoint_cache` | the list; which update is merged into it, and trusted for what |
+//! | `watch_leaders` | which instances watch the service for the fleet |
+//! | `service_watch`, `poll_schedule` | this instance's own watch, and when the service may be polled |
+//! | `leader_poller` | polls to the leaders, and their answers |
+//! | `snapshot_sender` | answers to peers, and pushes of changes |
+//! | `message`, `fragments` | the datagrams |
+//! | `readiness`, `peer_contact` | when the instance is ready; when the service counts as lost to all peers |
+//! | `observation`, `warm_throughput` | first estimates about members, exchanged among instances |
+//! | `connection_pacer` | when this instance may connect to members that are warming up; apart from the rest |
+//!
+//! There is no I/O, no clock and no thread here: times, messages, the stored list and a seed are handed in, and
+//! [`Output`]s are handed out. `docs/design/start.md` has the reasons for the design and when it fails.
 
 mod bootstrap;
 mod connection_pacer;
 mod endpoint;
 mod endpoint_cache;
+mod fragments;
+mod leader_poller;
 mod message;
 mod observation;
+mod output;
+mod peer_contact;
 mod poll_schedule;
+mod readiness;
+mod service_watch;
+mod settings;
+mod snapshot_sender;
+mod warm_throughput;
 mod watch_leaders;
 
-pub use bootstrap::{
-    Bootstrap, BootstrapCounters, BootstrapSettings, CachedEndpoints, LogEvent, Output,
-};
+pub use bootstrap::Bootstrap;
 pub use connection_pacer::{ConnectionPacer, ListedMember, PacerConfig};
 pub use endpoint::{Endpoint, EndpointUpdate, StartTime};
-pub use endpoint_cache::{EndpointCache, MergeOutcome, Origin};
-pub use message::{EndpointSnapshot, Message};
+pub use endpoint_cache::{EndpointCache, EndpointDelta, MergeOutcome, Origin, UpdateSource};
+pub use message::{EndpointSnapshot, Fragment, Message, Poll};
 pub use observation::{Observation, Observations};
+pub use output::{BootstrapCounters, CachedEndpoints, LogEvent, Output};
 pub use poll_schedule::{PollRate, PollSchedule};
+pub use service_watch::WatchScope;
+pub use settings::{BootstrapSettings, PeerSettings, Reload};
 pub use watch_leaders::MIN_WATCH_LEADERS;
 
-/// A service's name as datagrams carry it.
+/// A list service's name as datagrams carry it.
 pub fn service_id(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
--- a/crates/stackgw-bootstrap/src/message.rs
+++ b/crates/stackgw-bootstrap/src/message.rs
@@ -1,182 +1,117 @@
-//! What instances snapshot each other of the list, as datagrams' bodies.
+//! The datagrams by which instances exchange the endpoint list, and their encoding. Lists of several datagrams are split and
+//! put together in [`crate::fragments`].
+//!
+//! The order of fields and variants is the wire format: `tests/stored_and_sent.rs` holds it fast.
 
 use crate::endpoint::Endpoint;
 use crate::observation::{Observation, MAX_OBSERVATIONS_PER_MESSAGE};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes of one datagram's body at most.
-pub const MAX_BODY_BYTES: usize = 1_100;
-/// Parts of one list at most.
+/// Fragments of one list at most.
 pub const MAX_FRAGMENTS: u16 = 1_024;
+/// The nonce of a snapshot that nobody polled for.
+pub const UNSOLICITED: u32 = 0;
 
 /// One datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// What has changed since the version that I have?
-    Poll {
-        /// Where the answer goes.
-        sender: SocketAddr,
-        /// Names this question.
-        nonce: u32,
-        /// The service whose versions are meant.
-        service_id: u64,
-        /// The version held; `None`: nothing, or kept word.
-        known_revision: Option<u64>,
-        /// What the asker has learned of members since it asked last.
-        observations: Vec<Observation>,
-    },
-    /// What is known.
+    /// Asks what has changed since the version that the sender has.
+    Poll(Poll),
+    /// What the sender knows.
     Snapshot(EndpointSnapshot),
 }
 
-/// What an instance knows of the list, in one or more parts.
+/// The question what has changed since a version.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct Poll {
+    /// Where the answer goes.
+    pub sender: SocketAddr,
+    /// Identifies this poll; never [`UNSOLICITED`].
+    pub nonce: u32,
+    /// The service whose versions are meant.
+    pub service_id: u64,
+    /// The sender's version; `None`: it has none, or a cached list alone.
+    pub known_revision: Option<u64>,
+    /// What the sender has observed of members since its poll before.
+    pub observations: Vec<Observation>,
+}
+
+/// Which of a list's datagrams this is.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Fragment {
+    /// Its number, from 0 on.
+    pub index: u16,
+    /// The number of datagrams; 0: the entries are left out.
+    pub count: u16,
+}
+
+impl Fragment {
+    /// Of a snapshot that leaves its entries out.
+    pub const WITHOUT_ENTRIES: Fragment = Fragment { index: 0, count: 0 };
+    /// Of a snapshot that fits into one datagram.
+    pub const ONLY: Fragment = Fragment { index: 0, count: 1 };
+}
+
+/// What an instance knows of the endpoint list, in one or more datagrams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointSnapshot {
-    /// Who tells.
+    /// The instance that sent it.
     pub sender: SocketAddr,
-    /// The question's; 0: nobody asked.
+    /// That of the poll that it answers, or [`UNSOLICITED`].
     pub nonce: u32,
-    /// As in the question.
+    /// The service whose versions are meant.
     pub service_id: u64,
-    /// The version held; `None`: nothing.
+    /// The sender's version; `None`: it has no list.
     pub revision: Option<u64>,
-    /// How long ago the service vouched for it, in milliseconds.
+    /// How long ago the service confirmed it, in milliseconds.
     pub confirmed_ago_ms: u64,
-    /// It has a watch that hears the service.
+    /// The sender has a watch that hears the service.
     pub is_live: bool,
-    /// It has kept word alone: passed on, that is still kept word, however young.
+    /// The sender has a cached list alone. Passed on, that stays a cached list, however young.
     pub is_cached: bool,
-    /// For how long the service wants to be left alone, in milliseconds.
+    /// For how long the service asks not to be polled, in milliseconds.
     pub retry_after_ms: u64,
-    /// Requests in a thousand seconds that a warm member answers the teller; a start, never proof.
+    /// Requests in a thousand seconds that a warm member answers the sender: a first estimate, never proof.
     pub warm_throughput_millis: u64,
-    /// The entries are what changed since this version; `None`: they are all.
+    /// The version since which the entries are what has changed; `None`: they are the complete list.
     pub base: Option<u64>,
-    /// Which part this is, from 0 on, of how many; of 0 parts: the entries are not told here.
-    pub fragment: (u16, u16),
+    /// Which datagram of the list this is.
+    pub fragment: Fragment,
     /// The entries.
     pub endpoints: Vec<Endpoint>,
-    /// What is known of members; beside the first part alone.
+    /// What is known of members; in the first fragment alone.
     pub observations: Vec<Observation>,
 }
 
 impl Message {
-    /// Its bytes.
+    /// The datagram's body.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// From bytes, which may be anything.
+    /// Reads a datagram's body, which may be any bytes; `None`: it is not a valid message.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (message, rest) = postcard::take_from_bytes::<Message>(bytes).ok()?;
-        let sound = match &message {
-            Message::Poll { observations, .. } => {
-                observations.len() <= MAX_OBSERVATIONS_PER_MESSAGE
-            }
-            Message::Snapshot(snapshot) => {
-                let (part, parts) = snapshot.fragment;
-                let finite = |e: &Endpoint| e.size.is_finite() && e.size >= 0.0 && !e.id.is_empty();
-                parts <= MAX_FRAGMENTS
-                    && (part < parts || (parts == 0 && snapshot.endpoints.is_empty()))
-                    && snapshot.endpoints.iter().all(finite)
-                    && snapshot.observations.len() <= MAX_OBSERVATIONS_PER_MESSAGE
-            }
+        let is_valid = match &message {
+            Message::Poll(poll) => poll.observations.len() <= MAX_OBSERVATIONS_PER_MESSAGE,
+            Message::Snapshot(snapshot) => snapshot.is_valid(),
         };
-        (sound && rest.is_empty()).then_some(message)
+        (is_valid && rest.is_empty()).then_some(message)
     }
 }
 
 impl EndpointSnapshot {
-    /// Splits entries over as many parts as they need; `None`: they need too many.
-    pub fn into_fragments(self, entries: Vec<Endpoint>) -> Option<Vec<EndpointSnapshot>> {
-        let room =
-            MAX_BODY_BYTES.saturating_sub(Message::Snapshot(self.clone()).encode().len() + 16);
-        let (mut parts, mut now, mut bytes) = (Vec::new(), Vec::new(), 0);
-        for entry in entries {
-            let size = postcard::to_allocvec(&entry).map_or(usize::MAX, |bytes| bytes.len());
-            if size > room {
-                return None;
-            }
-            if bytes + size > room {
-                parts.push(std::mem::take(&mut now));
-                bytes = 0;
-            }
-            bytes += size;
-            now.push(entry);
-        }
-        parts.push(now);
-        let count = u16::try_from(parts.len())
-            .ok()
-            .filter(|count| *count <= MAX_FRAGMENTS)?;
-        let seen = |n| {
-            if n == 0 {
-                self.observations.clone()
-            } else {
-                Vec::new()
-            }
-        };
-        let part = |(n, entries)| EndpointSnapshot {
-            fragment: (n as u16, count),
-            endpoints: entries,
-            observations: seen(n),
-            ..self.clone()
-        };
-        Some(parts.into_iter().enumerate().map(part).collect())
+    fn is_valid(&self) -> bool {
+        let Fragment { index, count } = self.fragment;
+        let has_valid_fragment = index < count || (count == 0 && self.endpoints.is_empty());
+        count <= MAX_FRAGMENTS
+            && has_valid_fragment
+            && self.endpoints.iter().all(is_valid_endpoint)
+            && self.observations.len() <= MAX_OBSERVATIONS_PER_MESSAGE
     }
 }
 
-/// Gathers the parts of one answer.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Reassembly {
-    first: EndpointSnapshot,
-    parts: Vec<Option<Vec<Endpoint>>>,
-}
-
-impl Reassembly {
-    /// Begins with any part.
-    pub fn new(snapshot: EndpointSnapshot) -> Self {
-        let mut reassembly = Reassembly {
-            parts: vec![None; usize::from(snapshot.fragment.1)],
-            first: snapshot.clone(),
-        };
-        reassembly.add(snapshot);
-        reassembly
-    }
-
-    /// Whether a part is of the same answer.
-    pub fn accepts(&self, snapshot: &EndpointSnapshot) -> bool {
-        let of = |t: &EndpointSnapshot| {
-            (
-                t.sender,
-                t.nonce,
-                t.service_id,
-                t.revision,
-                t.base,
-                t.fragment.1,
-            )
-        };
-        of(&self.first) == of(snapshot)
-    }
-
-    /// Adds a part.
-    pub fn add(&mut self, snapshot: EndpointSnapshot) {
-        if let Some(part) = self.parts.get_mut(usize::from(snapshot.fragment.0)) {
-            *part = Some(snapshot.endpoints);
-        }
-    }
-
-    /// The whole answer, once it is here.
-    pub fn complete(&self) -> Option<EndpointSnapshot> {
-        let entries = self
-            .parts
-            .iter()
-            .cloned()
-            .collect::<Option<Vec<_>>>()?
-            .concat();
-        Some(EndpointSnapshot {
-            endpoints: entries,
-            ..self.first.clone()
-        })
-    }
+fn is_valid_endpoint(endpoint: &Endpoint) -> bool {
+    endpoint.size.is_finite() && endpoint.size >= 0.0 && !endpoint.id.is_empty()
 }
--- /dev/null
+++ b/crates/stackgw-bootstrap/src/snapshot_sender.rs
@@ -0,0 +1,149 @@
+//! Sending the endpoint list to peers: answers to their polls, and pushes when the list has changed.
+
+use crate::endpoint_cache::{EndpointCache, EndpointDelta};
+use crate::message::EndpointSnapshot;
+use stackgw_router::api::{Span, Time};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// Peers that polled and could not be answered yet, at most.
+const MAX_WAITING_PEERS: usize = 4_096;
+/// Complete lists sent in one poll interval, for each instance of the fleet; further peers get the version alone.
+const COMPLETE_LISTS_PER_INTERVAL: u64 = 2;
+/// A smaller fleet may be sent as many complete lists as one of this size.
+const MIN_BUDGETED_FLEET: u32 = 8;
+
+/// Limits how many complete lists are sent.
+#[derive(Debug, Clone, PartialEq)]
+struct CompleteListBudget {
+    interval: Span,
+    max_per_interval: u64,
+    interval_began_at: Time,
+    sent: u64,
+}
+
+impl CompleteListBudget {
+    /// Counts a complete list that is to be sent. Returns whether it may be.
+    fn try_spend(&mut self, now: Time) -> bool {
+        if now - self.interval_began_at >= self.interval {
+            self.interval_began_at = now;
+            self.sent = 0;
+        }
+        self.sent += 1;
+        self.sent <= self.max_per_interval
+    }
+}
+
+/// Sends the endpoint list to peers.
+#[derive(Debug, Clone, PartialEq)]
+pub struct SnapshotSender {
+    /// Peers that are sent the complete list as soon as there is one.
+    waiting_peers: BTreeSet<SocketAddr>,
+    budget: CompleteListBudget,
+}
+
+impl SnapshotSender {
+    /// A sender for a fleet of this size, whose instances poll once in `poll_interval`.
+    pub fn new(now: Time, fleet_size: u32, poll_interval: Span) -> Self {
+        let budget = CompleteListBudget {
+            interval: poll_interval,
+            max_per_interval: COMPLETE_LISTS_PER_INTERVAL
+                * u64::from(fleet_size.max(MIN_BUDGETED_FLEET)),
+            interval_began_at: now,
+            sent: 0,
+        };
+        SnapshotSender {
+            waiting_peers: BTreeSet::new(),
+            budget,
+        }
+    }
+
+    /// A peer has polled before there was anything to send.
+    pub fn add_waiting_peer(&mut self, peer: SocketAddr) {
+        if self.waiting_peers.len() < MAX_WAITING_PEERS {
+            self.waiting_peers.insert(peer);
+        }
+    }
+
+    /// The answer to a peer that has a version: `header` with what has changed since, or alone where that is not known or too
+    /// much.
+    pub fn answer(
+        &mut self,
+        now: Time,
+        header: EndpointSnapshot,
+        cache: &EndpointCache,
+        known_revision: Option<u64>,
+    ) -> Vec<EndpointSnapshot> {
+        let has_list = cache.revision().is_some();
+        let fragments = if has_list {
+            self.fragments_since(now, &header, cache, known_revision)
+        } else {
+            None
+        };
+        fragments.unwrap_or_else(|| vec![header])
+    }
+
+    /// What has changed since a version, in fragments; `None`: it is too much to be sent now.
+    fn fragments_since(
+        &mut self,
+        now: Time,
+        header: &EndpointSnapshot,
+        cache: &EndpointCache,
+        known_revision: Option<u64>,
+    ) -> Option<Vec<EndpointSnapshot>> {
+        let EndpointDelta { base, endpoints } = cache.changes_since(known_revision);
+        if base.is_none() && !self.budget.try_spend(now) {
+            return None;
+        }
+        EndpointSnapshot {
+            base,
+            ..header.clone()
+        }
+        .into_fragments(endpoints)
+    }
+
+    /// What is sent to whom after the list has changed: to peers that wait for it all of it, to the others what has changed
+    /// since a version, or `header` alone where that is more than one datagram.
+    pub fn push(
+        &mut self,
+        now: Time,
+        header: EndpointSnapshot,
+        cache: &EndpointCache,
+        previous_revision: Option<u64>,
+        peers: impl Iterator<Item = SocketAddr>,
+    ) -> Vec<(SocketAddr, EndpointSnapshot)> {
+        let waiting_peers = std::mem::take(&mut self.waiting_peers);
+        let recipients: BTreeSet<_> = peers.chain(waiting_peers.iter().copied()).collect();
+        let changes = vec![single_datagram_since(&header, cache, previous_revision)];
+        let complete = if waiting_peers.is_empty() {
+            None
+        } else {
+            self.fragments_since(now, &header, cache, None)
+        };
+        let mut sent = Vec::new();
+        for peer in recipients {
+            let complete = complete.as_ref().filter(|_| waiting_peers.contains(&peer));
+            let datagrams = complete.unwrap_or(&changes);
+            sent.extend(datagrams.iter().map(|datagram| (peer, datagram.clone())));
+        }
+        sent
+    }
+}
+
+fn single_datagram_since(
+    header: &EndpointSnapshot,
+    cache: &EndpointCache,
+    previous_revision: Option<u64>,
+) -> EndpointSnapshot {
+    let EndpointDelta { base, endpoints } = cache.changes_since(previous_revision);
+    let fragments = EndpointSnapshot {
+        base,
+        ..header.clone()
+    }
+    .into_fragments(endpoints)
+    .unwrap_or_default();
+    match <[EndpointSnapshot; 1]>::try_from(fragments) {
+        Ok([snapshot]) => snapshot,
+        Err(_) => header.clone(),
+    }
+}
--- a/crates/stackgw-bootstrap/tests/common/mod.rs
+++ b/crates/stackgw-bootstrap/tests/common/mod.rs
@@ -164,9 +164,10 @@
                 service_capacity: self.bears,
                 min_pause: 100 * MS,
             },
-            peers: self
-                .talks
-                .then(|| (address(n), (0..self.seeds).map(address).collect())),
+            peers: self.talks.then(|| PeerSettings {
+                advertised_address: address(n),
+                seeds: (0..self.seeds).map(address).collect(),
+            }),
             min_watch_leaders: MIN_WATCH_LEADERS,
             service_id: service_id("s"),
             drain_grace: GRACE,
--- a/crates/stackgw-bootstrap/tests/digest.rs
+++ b/crates/stackgw-bootstrap/tests/digest.rs
@@ -87,7 +87,7 @@
 
     fn note(&mut self, note: &LogEvent) {
         let (number, value) = match note {
-            LogEvent::WatchEstablished(for_all) => (1, u64::from(*for_all)),
+            LogEvent::WatchEstablished(scope) => (1, u64::from(*scope == WatchScope::Fleet)),
             LogEvent::WatchReleased => (2, 0),
             LogEvent::ServiceBehind(version) => (3, *version),
             LogEvent::ServiceReset => (4, 0),
@@ -169,9 +169,11 @@
     fn instance(&mut self, now: Time, start: &Bootstrap) {
         self.book(now, start.cache());
         self.counts(start.counters());
-        let (holders, live) = start.watch_leaders();
-        holders.into_iter().for_each(|holder| self.address(holder));
-        self.flag(live);
+        start
+            .watch_leaders()
+            .into_iter()
+            .for_each(|leader| self.address(leader));
+        self.flag(start.is_watch_live());
         self.flag(start.is_ready(now));
         self.signed(start.retry_after(now));
         self.signed(start.next_timeout(now));
@@ -205,6 +207,15 @@
     (rng.random::<f64>() * end as f64) as usize
 }
 
+/// The source of an update, as earlier versions named it: by origin, age and base.
+fn source_of(origin: Origin, confirmed_at: Time, base: Option<u64>) -> UpdateSource {
+    match origin {
+        Origin::Cached => UpdateSource::Cached { confirmed_at },
+        Origin::Peer => UpdateSource::Peer { confirmed_at, base },
+        Origin::Service => UpdateSource::Service,
+    }
+}
+
 fn any_phase(rng: &mut Pcg64Mcg) -> Lifecycle {
     [
         Lifecycle::Serving,
@@ -253,7 +264,10 @@
         },
         warm_throughput_millis: below(rng, 3) as u64 * 150_000,
         base: chance(rng, 0.5).then_some(version.saturating_sub(below(rng, 3) as u64)),
-        fragment: (below(rng, fragments.max(1) as usize) as u16, fragments),
+        fragment: Fragment {
+            index: below(rng, fragments.max(1) as usize) as u16,
+            count: fragments,
+        },
         endpoints: (0..entries)
             .map(|_| any_entry(rng, sim.now, members))
             .collect(),
@@ -322,7 +336,7 @@
                 sim.nodes[*n]
                     .start
                     .as_ref()
-                    .is_some_and(|start| start.watch_leaders().1)
+                    .is_some_and(|start| start.is_watch_live())
             };
             let watching: Vec<_> = (0..fleet).filter(watches).collect();
             watching.into_iter().for_each(|n| sim.kill(n));
@@ -354,7 +368,15 @@
             );
             let seeds: Vec<_> = (0..below(rng, 4)).map(address).collect();
             sim.call(n, |start, now, out| {
-                start.reload(now, &seeds, service_id(name), moved, out)
+                start.reload(
+                    now,
+                    Reload {
+                        seeds: &seeds,
+                        service_id: service_id(name),
+                        has_service_moved: moved,
+                    },
+                    out,
+                )
             });
         }
         3 => {
@@ -468,12 +490,12 @@
             match below(&mut rng, 12) {
                 0 => book.confirm(said),
                 1 if chance(&mut rng, 0.2) => book.change_service(),
-                _ => digest.taken(&book.merge(now, update, origin, said, base)),
+                _ => digest.taken(&book.merge(now, update, source_of(origin, said, base))),
             }
             digest.book(now, &book);
-            let since = book.changes_since(base);
-            digest.optional(since.0);
-            digest.stored(&since.1);
+            let delta = book.changes_since(base);
+            digest.optional(delta.base);
+            digest.stored(&delta.endpoints);
         }
     }
     digest.print("start-lists-taken");
--- a/crates/stackgw-bootstrap/tests/model.rs
+++ b/crates/stackgw-bootstrap/tests/model.rs
@@ -103,7 +103,10 @@
                 service_capacity: 1_000.0,
                 min_pause: MS,
             },
-            peers: Some((address(n), vec![address(0), address(1), address(2)])),
+            peers: Some(PeerSettings {
+                advertised_address: address(n),
+                seeds: vec![address(0), address(1), address(2)],
+            }),
             min_watch_leaders: self.holders,
             service_id: service_id("s"),
             drain_grace: SECOND,
--- a/crates/stackgw-bootstrap/tests/stored_and_sent.rs
+++ b/crates/stackgw-bootstrap/tests/stored_and_sent.rs
@@ -4,7 +4,7 @@
 use serde::de::{DeserializeOwned, Deserializer, Error, Visitor};
 use serde::Serialize;
 use stackgw_bootstrap::{
-    service_id, Endpoint, EndpointSnapshot, EndpointUpdate, Message, Observation,
+    service_id, Endpoint, EndpointSnapshot, EndpointUpdate, Fragment, Message, Observation, Poll,
 };
 use stackgw_router::api::Lifecycle;
 use std::net::SocketAddr;
@@ -90,7 +90,7 @@
         retry_after_ms: 0,
         warm_throughput_millis: 285_500,
         base: None,
-        fragment: (0, 1),
+        fragment: Fragment::ONLY,
         endpoints: entries(),
         observations: sightings(),
     }
@@ -117,33 +117,33 @@
 }
 
 fn datagrams() -> Vec<(String, Message)> {
-    let first_question = Message::Poll {
+    let first_question = Message::Poll(Poll {
         sender: peer(7_001),
         nonce: 1,
         service_id: service_id("list"),
         known_revision: None,
         observations: Vec::new(),
-    };
-    let later_question = Message::Poll {
+    });
+    let later_question = Message::Poll(Poll {
         sender: peer_v6(),
         nonce: u32::MAX,
         service_id: service_id("another"),
         known_revision: Some(69_999),
         observations: sightings(),
-    };
+    });
     let nothing = EndpointSnapshot {
         nonce: 0,
         revision: None,
         is_live: false,
         retry_after_ms: 1_500,
         warm_throughput_millis: 0,
-        fragment: (0, 0),
+        fragment: Fragment::WITHOUT_ENTRIES,
         endpoints: Vec::new(),
         observations: Vec::new(),
         ..tell()
     };
     let version_only = EndpointSnapshot {
-        fragment: (0, 0),
+        fragment: Fragment::WITHOUT_ENTRIES,
         endpoints: Vec::new(),
         ..tell()
     };
@@ -228,7 +228,7 @@
     assert_eq!(fragments.len(), 3);
     let entries = fragments.into_iter().flat_map(|fragment| match fragment {
         Message::Snapshot(tell) => tell.endpoints,
-        Message::Poll { .. } => Vec::new(),
+        Message::Poll(_) => Vec::new(),
     });
     assert!(entries.eq(many_entries()));
 }
--- a/crates/stackgw-gateway/src/reducer/start.rs
+++ b/crates/stackgw-gateway/src/reducer/start.rs
@@ -5,7 +5,8 @@
 use serde_json::{json, Value};
 use stackgw_bootstrap::{
     Bootstrap, BootstrapSettings, CachedEndpoints, ConnectionPacer, ListedMember, LogEvent,
-    MergeOutcome, Message, Observation, Origin, Output, PacerConfig, PollRate,
+    MergeOutcome, Message, Observation, Origin, Output, PacerConfig, PeerSettings, PollRate,
+    Reload, WatchScope,
 };
 
 /// Everything of it.
@@ -28,7 +29,7 @@
     /// One line for the log.
     pub(super) fn line(&self, now: Time) -> String {
         let (counts, cache) = (self.start.counters(), self.start.cache());
-        let (holders, live) = self.start.watch_leaders();
+        let (holders, live) = (self.start.watch_leaders(), self.start.is_watch_live());
         let origin = cache.origin().map_or("nothing", word);
         let age = cache
             .age(now)
@@ -57,7 +58,7 @@
 
     fn tell(&self, now: Time) -> Value {
         let (counts, cache) = (self.start.counters(), self.start.cache());
-        let (holders, live) = self.start.watch_leaders();
+        let (holders, live) = (self.start.watch_leaders(), self.start.is_watch_live());
         json!({
             "service": self.service,
             "revision": cache.revision(), "origin": cache.origin().map(word), "age_ms": cache.age(now).map(|age| age / MS),
@@ -105,7 +106,10 @@
         };
         let set = BootstrapSettings {
             poll_rate: pace,
-            peers: others.map(|others| (others.advertised_address(), others.seeds.clone())),
+            peers: others.map(|others| PeerSettings {
+                advertised_address: others.advertised_address(),
+                seeds: others.seeds.clone(),
+            }),
             min_watch_leaders: stackgw_bootstrap::MIN_WATCH_LEADERS,
             service_id: stackgw_bootstrap::service_id(&file.service),
             drain_grace: self.limits.drain_grace,
@@ -188,8 +192,8 @@
                 }
                 Output::Endpoints(MergeOutcome::Unchanged | MergeOutcome::Stale) => {}
                 Output::Log(note) => out.push(Effect::Log(match note {
-                    LogEvent::WatchEstablished(true) => "holds a watch of the list for the fleet".to_owned(),
-                    LogEvent::WatchEstablished(false) => {
+                    LogEvent::WatchEstablished(WatchScope::Fleet) => "holds a watch of the list for the fleet".to_owned(),
+                    LogEvent::WatchEstablished(WatchScope::Standalone) => {
                         "watches the list for itself: nobody tells it who hears the service".to_owned()
                     }
                     LogEvent::WatchReleased => "leaves the watch of the list to others".to_owned(),
@@ -452,7 +456,15 @@
         starting.service = file.service.clone();
         let service = stackgw_bootstrap::service_id(&file.service);
         self.with_start(now, out, |start, outputs| {
-            start.reload(now, seeds, service, moved, outputs)
+            start.reload(
+                now,
+                Reload {
+                    seeds,
+                    service_id: service,
+                    has_service_moved: moved,
+                },
+                outputs,
+            )
         });
     }
 
