--- a/crates/stackgw-gateway/src/config.rs
+++ b/crates/stackgw-gateway/src/config.rs
@@ -2,7 +2,7 @@
 //! its fields. Each error is one plain line that names the variable or field.
 
 use crate::discovery::{self, ListUpdate};
-use crate::limits::{Limits, Platform, LEAST_DESCRIPTORS};
+use crate::limits::{Limits, Platform, MIN_DESCRIPTORS};
 use serde_json::Value;
 use stackgw_cluster::{Key, Keyring};
 use stackgw_settings::PlatformSettings;
@@ -279,9 +279,9 @@
             memory_mb: count("memory_mb")?,
             sockets: count("sockets")?,
         };
-        if platform.sockets < LEAST_DESCRIPTORS {
+        if platform.sockets < MIN_DESCRIPTORS {
             return Err(format!(
-                "limits.sockets: {} are fewer than {LEAST_DESCRIPTORS}",
+                "limits.sockets: {} are fewer than {MIN_DESCRIPTORS}",
                 platform.sockets
             ));
         }
