--- a/crates/stackgw-gateway/src/io/calls.rs
+++ b/crates/stackgw-gateway/src/io/calls.rs
@@ -1,7 +1,7 @@
 //! Other fronts' requests: from threads of their own, through a door, to the reducer and back.
 
 use super::{RelayedStream, Shell};
-use crate::pg::{write, Frame};
+use crate::pg::{message_kind, write, Frame};
 use crate::reducer::{CallId, FinalResponse, Input};
 use async_channel::{Receiver, Sender};
 use std::rc::Rc;
@@ -105,7 +105,14 @@
                 let mut bytes = Vec::new();
                 write::query(&mut bytes, &statement);
                 shell.calls.borrow_mut().insert(call, told);
-                shell.input(Input::Call(call, Frame { kind: b'Q', bytes }, streams));
+                shell.input(Input::Call(
+                    call,
+                    Frame {
+                        kind: message_kind::client::QUERY,
+                        bytes,
+                    },
+                    streams,
+                ));
             }
             Knock::Gone(call) => {
                 shell.calls.borrow_mut().remove(&call);
--- a/crates/stackgw-gateway/src/io/members.rs
+++ b/crates/stackgw-gateway/src/io/members.rs
@@ -2,6 +2,7 @@
 
 use super::link::{Link, Turn, Turns};
 use super::{Member, Shell};
+use crate::pg::message_kind::server;
 use crate::pg::FrameDecoder;
 use crate::reducer::{CloseReason, ConnectionId, Input};
 use async_io::Async;
@@ -64,7 +65,7 @@
             link.hold(frames.pending_bytes());
             match frame {
                 Ok(frame) => {
-                    whole = frame.kind == b'Z';
+                    whole = frame.kind == server::READY_FOR_QUERY;
                     shell.input(Input::MemberFrame(id, frame));
                 }
                 Err(_) => return CloseReason::ProtocolError,
--- a/crates/stackgw-gateway/src/pg/reply.rs
+++ b/crates/stackgw-gateway/src/pg/reply.rs
@@ -1,29 +1,25 @@
-//! A member's reply, gathered until it is whole.
+//! A member's reply, gathered message by message until it is complete.
 
-use super::Frame;
+use super::message_kind::server;
+use super::{parse_load_report, Frame};
 use stackgw_router::api::{LoadReport, Time, MS};
-use stackgw_settings::record_load_field;
 
-/// A message that has no place in a reply, or too many of them.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OutOfPlace;
-
-impl std::fmt::Display for OutOfPlace {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the message has no place in a reply")
-    }
-}
+/// The body of AuthenticationOk.
+const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
-impl std::error::Error for OutOfPlace {}
+/// A message that has no place in a reply, or a reply that is too large.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("the message has no place in a reply")]
+pub struct UnexpectedMessage;
 
 /// What a reply amounts to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyOutcome {
-    /// One row, whole.
+    /// One complete row.
     Row,
     /// An error with this SQLSTATE.
     Error([u8; 5]),
-    /// Neither: complete, but without a row, or an answer to nothing.
+    /// Neither: complete, but without a row, or an answer to an empty query.
     NoRow,
 }
 
@@ -32,111 +28,122 @@
 pub struct Reply {
     /// The row's description, the row and its completion, as they came.
     pub row: Vec<u8>,
-    rows: usize,
-    described: bool,
-    complete: bool,
-    ready: bool,
-    failed: Option<[u8; 5]>,
+    has_description: bool,
+    has_row: bool,
+    has_completion: bool,
+    is_ready: bool,
+    sqlstate: Option<[u8; 5]>,
     /// The member says that it is the primary, or that it is not.
     pub primary: Option<bool>,
-    /// Its position, or the commit time of a write.
+    /// Its position, or the commit time of a write, in Unix nanoseconds.
     pub position: Option<Time>,
-    /// The load report that rode along.
+    /// The load report that came with the reply.
     pub report: LoadReport,
 }
 
 impl Reply {
-    /// Takes the next message. `Ok(true)`: the member is ready again, the reply is over. `Err`: the message has no
-    /// place here.
-    pub fn take(&mut self, frame: &Frame, most: usize) -> Result<bool, OutOfPlace> {
-        let (body, open) = (frame.body(), self.ended().is_none());
+    /// Takes the next message; the row's messages may take `max_bytes`. `Ok(true)`: the member is ready again, the reply is
+    /// over.
+    ///
+    /// # Errors
+    ///
+    /// The message has no place here: the reply is malformed.
+    pub fn take(&mut self, frame: &Frame, max_bytes: usize) -> Result<bool, UnexpectedMessage> {
+        let body = frame.body();
+        let is_open = self.ended().is_none();
         match frame.kind {
-            b'T' if open && !self.described && one_field(body) => {
-                self.described = true;
+            server::ROW_DESCRIPTION if is_open && !self.has_description && is_one_field(body) => {
+                self.has_description = true;
                 self.row.extend_from_slice(&frame.bytes);
             }
-            b'D' if open && self.described && self.rows == 0 && one_column(body) => {
-                self.rows = 1;
+            server::DATA_ROW
+                if is_open && self.has_description && !self.has_row && is_one_column(body) =>
+            {
+                self.has_row = true;
                 self.row.extend_from_slice(&frame.bytes);
             }
-            b'C' if open && is_text(body) => {
-                self.complete = true;
+            server::COMMAND_COMPLETE if is_open && is_text(body) => {
+                self.has_completion = true;
                 self.row.extend_from_slice(&frame.bytes);
             }
-            b'I' if open => self.complete = true,
-            b'E' if open => self.failed = Some(sqlstate(body).ok_or(OutOfPlace)?),
-            b'S' => self.status(body),
-            b'N' | b'K' | b'A' => {}
-            b'R' if body == [0; 4] => {}
-            b'Z' if matches!(body, b"I" | b"T" | b"E") => {
-                self.ready = true;
+            server::EMPTY_QUERY_RESPONSE if is_open => self.has_completion = true,
+            server::ERROR_RESPONSE if is_open => {
+                self.sqlstate = Some(parse_sqlstate(body).ok_or(UnexpectedMessage)?)
+            }
+            server::PARAMETER_STATUS => self.take_parameter(body),
+            server::NOTICE_RESPONSE | server::BACKEND_KEY_DATA | server::NOTIFICATION_RESPONSE => {}
+            server::AUTHENTICATION if body == AUTHENTICATION_OK => {}
+            server::READY_FOR_QUERY if matches!(body, b"I" | b"T" | b"E") => {
+                self.is_ready = true;
                 return Ok(true);
             }
-            _ => return Err(OutOfPlace),
+            _ => return Err(UnexpectedMessage),
         }
-        if self.row.len() > most {
-            return Err(OutOfPlace);
+        if self.row.len() > max_bytes {
+            return Err(UnexpectedMessage);
         }
         Ok(false)
     }
 
-    /// The member is ready again behind it: the reply is whole.
+    /// Whether the member is ready again behind it, so that nothing of it is missing.
     pub fn is_complete(&self) -> bool {
-        self.ready
+        self.is_ready
     }
 
     /// How it ended, once the member is ready again or has closed; `None`: it had not come so far.
     pub fn ended(&self) -> Option<ReplyOutcome> {
-        match (self.failed, self.complete) {
-            (Some(code), _) => Some(ReplyOutcome::Error(code)),
-            (None, true) if self.rows == 1 => Some(ReplyOutcome::Row),
+        match (self.sqlstate, self.has_completion) {
+            (Some(sqlstate), _) => Some(ReplyOutcome::Error(sqlstate)),
+            (None, true) if self.has_row => Some(ReplyOutcome::Row),
             (None, true) => Some(ReplyOutcome::NoRow),
             (None, false) => None,
         }
     }
 
-    /// The text of the one column of the row, as probes get it.
+    /// The text of the row's one column, as health checks get it.
     pub fn column(&self) -> Option<&str> {
         std::str::from_utf8(column_value(&self.row)??).ok()
     }
 
-    /// A value that cannot be read tells nothing; it is no reason to drop the row beside it.
-    fn status(&mut self, body: &[u8]) {
+    /// Takes a parameter's value. One that cannot be read is no reason to drop the row beside it.
+    fn take_parameter(&mut self, body: &[u8]) {
         let mut parts = body
-            .split(|b| *b == 0)
+            .split(|byte| *byte == 0)
             .map(|part| std::str::from_utf8(part).unwrap_or_default());
-        match (
-            parts.next().unwrap_or_default(),
-            parts.next().unwrap_or_default(),
-        ) {
+        let name = parts.next().unwrap_or_default();
+        let value = parts.next().unwrap_or_default();
+        match (name, value) {
             ("node_role", "leader") => self.primary = Some(true),
             ("node_role", "follower") => self.primary = Some(false),
-            ("replay_position", at) => {
-                let ms = at
-                    .parse::<i64>()
-                    .ok()
-                    .filter(|ms| (1..1 << 43).contains(ms));
-                self.position = ms.map(|ms| ms * MS);
-            }
+            ("replay_position", position) => self.position = parse_position(position),
             ("server_load", load) => self.report = parse_load_report(load).unwrap_or_default(),
             _ => {}
         }
     }
 }
 
+/// A position in Unix milliseconds; 0 stands for none.
+fn parse_position(text: &str) -> Option<Time> {
+    let ms = text
+        .parse::<i64>()
+        .ok()
+        .filter(|ms| (1..1 << 43).contains(ms));
+    ms.map(|ms| ms * MS)
+}
+
 /// The one column of a row whose description stands before it; `Some(None)`: it is null.
 pub fn column_value(row: &[u8]) -> Option<Option<&[u8]>> {
-    let description = 1 + u32::from_be_bytes(*row.get(1..)?.first_chunk()?) as usize;
+    let description_bytes = 1 + u32::from_be_bytes(*row.get(1..)?.first_chunk()?) as usize;
     // Type, length, number of columns, length of the column.
-    let row = row.get(description..)?;
+    let row = row.get(description_bytes..)?;
     match usize::try_from(i32::from_be_bytes(*row.get(7..)?.first_chunk()?)) {
         Ok(length) => Some(Some(row.get(11..)?.get(..length)?)),
         Err(_) => Some(None),
     }
 }
 
-/// The row has one column, and its length is that of the row.
-fn one_column(body: &[u8]) -> bool {
+/// Whether a data row has one column, whose length is that of the row.
+fn is_one_column(body: &[u8]) -> bool {
     let [0, 1, a, b, c, d, value @ ..] = body else {
         return false;
     };
@@ -146,84 +153,41 @@
     }
 }
 
-/// The row's description names one column.
-fn one_field(body: &[u8]) -> bool {
+/// Table, column, type, its size, its modifier and its format, behind a field's name.
+const FIELD_TAIL_BYTES: usize = 18;
+
+/// Whether a row's description names one column.
+fn is_one_field(body: &[u8]) -> bool {
     let Some(fields) = body.strip_prefix(&[0, 1]) else {
         return false;
     };
-    fields
-        .iter()
-        .position(|b| *b == 0)
-        .is_some_and(|name| fields.len() == name + 1 + FIELD_TAIL)
+    let name_length = fields.iter().position(|byte| *byte == 0);
+    name_length.is_some_and(|length| fields.len() == length + 1 + FIELD_TAIL_BYTES)
 }
 
-/// Table, column, type, its size, its modifier and its format, behind a field's name.
-const FIELD_TAIL: usize = 18;
-
-/// One text with its end.
+/// Whether a body is one text with its zero byte.
 fn is_text(body: &[u8]) -> bool {
     body.split_last().is_some_and(|(end, text)| {
-        *end == 0 && !text.is_empty() && text.iter().all(|b| b.is_ascii_graphic() || *b == b' ')
+        *end == 0
+            && !text.is_empty()
+            && text
+                .iter()
+                .all(|byte| byte.is_ascii_graphic() || *byte == b' ')
     })
 }
 
-/// The code of an error whose fields are whole: each a letter and a text with its end, then one more end.
-fn sqlstate(body: &[u8]) -> Option<[u8; 5]> {
+/// The code of an error whose fields are complete: each a letter and a text with its zero byte, then one more zero byte.
+fn parse_sqlstate(body: &[u8]) -> Option<[u8; 5]> {
     let fields = body.strip_suffix(&[0, 0])?;
-    let whole = |f: &[u8]| {
-        f.split_first()
-            .is_some_and(|(kind, _)| kind.is_ascii_alphabetic())
-    };
-    let mut code = None;
-    for field in fields.split(|b| *b == 0) {
-        if !whole(field) {
+    let mut sqlstate = None;
+    for field in fields.split(|byte| *byte == 0) {
+        let (kind, _) = field.split_first()?;
+        if !kind.is_ascii_alphabetic() {
             return None;
         }
-        code = code.or(field.strip_prefix(b"C"));
-    }
-    let code: [u8; 5] = code?.try_into().ok()?;
-    code.iter()
-        .all(|b| b.is_ascii_uppercase() || b.is_ascii_digit())
-        .then_some(code)
-}
-
-/// Reads `name=value` pairs; names without a meaning here are skipped. One that cannot be read spoils them all, and so
-/// does one named twice or one that no member can have.
-pub fn parse_load_report(text: &str) -> Option<LoadReport> {
-    let mut report = LoadReport::default();
-    let mut named = Vec::new();
-    for pair in text.split(',').filter(|p| !p.is_empty()) {
-        let (name, value) = pair.split_once('=')?;
-        let number = value.parse::<f64>().ok().filter(|n| n.is_finite())?;
-        if named.contains(&name) {
-            return None;
-        }
-        named.push(name);
-        match name {
-            "x0" => report.position = Some(nanoseconds(value)?),
-            "x1" if number != 0.0 && number != 1.0 => return None,
-            "inflight" | "queue" | "util" if !(0.0..LOAD_MOST).contains(&number) => return None,
-            _ => record_load_field(&mut report, name, number),
-        }
-    }
-    Some(report)
-}
-
-/// No member holds as many requests.
-const LOAD_MOST: f64 = 1e6;
-
-/// Seconds as a decimal number, cut (never rounded up) to whole nanoseconds; a float of Unix times is too coarse.
-fn nanoseconds(text: &str) -> Option<Time> {
-    let (whole, part) = text.split_once('.').unwrap_or((text, ""));
-    let plain = |digits: &str| digits.bytes().all(|b| b.is_ascii_digit());
-    if !plain(whole) || !plain(part) || whole.is_empty() {
-        return text
-            .parse::<f64>()
-            .ok()
-            .filter(|s| *s >= 0.0 && *s < 8e9)
-            .map(|s| (s * 1e9).floor() as Time);
+        sqlstate = sqlstate.or(field.strip_prefix(b"C"));
     }
-    let digits = format!("{:0<9}", part.get(..part.len().min(9))?);
-    let whole = whole.parse::<Time>().ok().filter(|s| *s < 8_000_000_000)?;
-    Some(whole * 1_000_000_000 + digits.parse::<Time>().ok()?)
+    let sqlstate: [u8; 5] = sqlstate?.try_into().ok()?;
+    let is_valid = |byte: &u8| byte.is_ascii_uppercase() || byte.is_ascii_digit();
+    sqlstate.iter().all(is_valid).then_some(sqlstate)
 }
--- /dev/null
+++ b/crates/stackgw-gateway/src/pg/sql.rs
@@ -0,0 +1,99 @@
+//! The two forms of SQL that the gateway forwards: a read of one key, and an insert of one value.
+
+/// What a statement is about, as far as its SQL alone says.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct StatementTarget<'a> {
+    /// The quoted key.
+    pub key: &'a str,
+    /// It writes the key.
+    pub writes: bool,
+}
+
+/// Reads a statement without its comment; `None` where it has neither form.
+pub(super) fn parse_target(sql: &str) -> Option<StatementTarget<'_>> {
+    let mut rest = Tokens(sql);
+    let first = rest.word()?;
+    let target = if first.eq_ignore_ascii_case("select") {
+        StatementTarget {
+            key: parse_select(&mut rest)?,
+            writes: false,
+        }
+    } else if first.eq_ignore_ascii_case("insert") {
+        StatementTarget {
+            key: parse_insert(&mut rest)?,
+            writes: true,
+        }
+    } else {
+        return None;
+    };
+    (rest.is_empty() && !target.key.is_empty()).then_some(target)
+}
+
+/// `SELECT column FROM table WHERE column = 'key'`, behind its first word; gives the key.
+fn parse_select<'a>(rest: &mut Tokens<'a>) -> Option<&'a str> {
+    rest.word()?;
+    rest.keyword("from")?;
+    rest.word()?;
+    rest.keyword("where")?;
+    rest.word()?;
+    rest.symbol('=')?;
+    rest.quoted()
+}
+
+/// `INSERT INTO table (column, column) VALUES ('key', '\xhex') RETURNING column`, behind its first word; gives the key.
+fn parse_insert<'a>(rest: &mut Tokens<'a>) -> Option<&'a str> {
+    rest.keyword("into")?;
+    rest.word()?;
+    rest.symbol('(')?;
+    rest.word()?;
+    rest.symbol(',')?;
+    rest.word()?;
+    rest.symbol(')')?;
+    rest.keyword("values")?;
+    rest.symbol('(')?;
+    let key = rest.quoted()?;
+    rest.symbol(',')?;
+    let digits = rest.quoted()?.strip_prefix("\\x")?;
+    if digits.len() % 2 != 0 || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return None;
+    }
+    rest.symbol(')')?;
+    rest.keyword("returning")?;
+    rest.word()?;
+    Some(key)
+}
+
+/// The text that is not read yet.
+struct Tokens<'a>(&'a str);
+
+impl<'a> Tokens<'a> {
+    /// The next word: letters, digits and underscores.
+    fn word(&mut self) -> Option<&'a str> {
+        let text = self.0.trim_start();
+        let ends = |c: char| !c.is_ascii_alphanumeric() && c != '_';
+        let (word, rest) = text.split_at(text.find(ends).unwrap_or(text.len()));
+        self.0 = rest;
+        (!word.is_empty()).then_some(word)
+    }
+
+    fn keyword(&mut self, keyword: &str) -> Option<()> {
+        self.word()?.eq_ignore_ascii_case(keyword).then_some(())
+    }
+
+    fn symbol(&mut self, symbol: char) -> Option<()> {
+        self.0 = self.0.trim_start().strip_prefix(symbol)?;
+        Some(())
+    }
+
+    /// The text between the next two quotation marks.
+    fn quoted(&mut self) -> Option<&'a str> {
+        self.symbol('\'')?;
+        let (inner, rest) = self.0.split_once('\'')?;
+        self.0 = rest;
+        Some(inner)
+    }
+
+    fn is_empty(&self) -> bool {
+        self.0.trim().is_empty()
+    }
+}
--- a/crates/stackgw-gateway/src/pg/statement.rs
+++ b/crates/stackgw-gateway/src/pg/statement.rs
@@ -1,27 +1,75 @@
-//! A client's statement: checked for its form, read for what decisions need, passed on as it came but for `d`.
+//! A client's statement: checked for its form, read for what decisions need, forwarded as it came but for its timeout `d`.
 
+use super::sql::{parse_target, StatementTarget};
 use super::Frame;
-use std::fmt;
 use std::ops::Range;
 
-/// Why a statement is not passed on.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
+/// Header of a query message: its type and its length.
+const HEADER_BYTES: usize = 5;
+/// Timeouts are below this, in milliseconds.
+const TIMEOUT_MS_END: u64 = 1 << 32;
+/// Positions are below this, in Unix milliseconds.
+const POSITION_MS_END: u64 = 1 << 43;
+
+/// Why a statement is not forwarded. Its text is sent to the client.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("{}", self.message())]
+pub enum StatementError {
+    /// The query's text lacks its zero byte.
+    Unterminated,
+    /// The query is no UTF-8.
+    NotText,
+    /// No comment.
+    NoComment,
+    /// The SQL is neither of the two known forms.
+    UnknownForm,
+    /// The comment does not end with the statement.
+    UnterminatedComment,
+    /// A part of the comment has no `=`.
+    NotAPair,
+    /// A field of the comment is there twice.
+    DuplicateField,
+    /// No `id`, or an empty one.
+    NoId,
+    /// No `c`.
+    NoClass,
+    /// No `d`.
+    NoTimeout,
+    /// `d` is no number, or too large a one.
+    InvalidTimeout,
+    /// `after` is no number, or too large a one.
+    InvalidPosition,
+    /// `cluster` is missing or no number.
+    InvalidCluster,
+}
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.0)
+impl StatementError {
+    /// The text for the client.
+    pub const fn message(self) -> &'static str {
+        match self {
+            StatementError::Unterminated => "the query has no end",
+            StatementError::NotText => "the query is no text",
+            StatementError::NoComment => "the statement has no comment",
+            StatementError::UnknownForm => "the statement is of no known form",
+            StatementError::UnterminatedComment => "the comment has no end",
+            StatementError::NotAPair => "the comment holds no name=value",
+            StatementError::DuplicateField => "the comment names something twice",
+            StatementError::NoId => "the comment has no id",
+            StatementError::NoClass => "the comment has no c",
+            StatementError::NoTimeout => "the comment has no d",
+            StatementError::InvalidTimeout => "d is no number of milliseconds",
+            StatementError::InvalidPosition => "after is no position",
+            StatementError::InvalidCluster => "cluster is no number",
+        }
     }
 }
 
-impl std::error::Error for Malformed {}
-
-/// What the decisions need of a statement, and the bytes it came in.
+/// What the decisions need of a statement, and the bytes in which it came.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Statement {
     bytes: Vec<u8>,
-    /// Where the digits of `d` stand.
-    d: Range<usize>,
+    /// Where the digits of `d` stand in the bytes.
+    timeout_digits: Range<usize>,
     /// The request's id.
     pub id: String,
     /// The quoted key.
@@ -34,104 +82,67 @@
     pub cluster: u32,
     /// The position that a read has to see, in Unix milliseconds.
     pub after_ms: Option<i64>,
-    /// The client repeats an earlier try.
+    /// The client retries an earlier attempt.
     pub repeat: bool,
     /// The statement writes.
     pub write: bool,
 }
 
-/// Header of a query message.
-const HEAD: usize = 5;
-
 impl Statement {
     /// Whether a query message holds no statement at all.
     pub fn is_empty(frame: &Frame) -> bool {
-        frame
-            .body()
-            .iter()
-            .all(|b| b.is_ascii_whitespace() || matches!(b, b';' | 0))
+        let is_blank = |byte: &u8| byte.is_ascii_whitespace() || matches!(byte, b';' | 0);
+        frame.body().iter().all(is_blank)
     }
 
-    /// The quoted key of a query message, and whether it writes, as far as its words alone tell.
-    pub fn asks(frame: &Frame) -> Option<(&str, bool)> {
+    /// What a query message is about, as far as its SQL alone says.
+    pub fn target(frame: &Frame) -> Option<StatementTarget<'_>> {
         let text = std::str::from_utf8(frame.body()).ok()?;
-        form(text.split_at(text.rfind("/*")?).0)
+        parse_target(text.split_at(text.rfind("/*")?).0)
     }
 
-    /// Reads a query message; it is kept whole.
-    pub fn parse(frame: Frame) -> Result<Self, Malformed> {
+    /// Reads a query message, whose bytes are kept.
+    ///
+    /// # Errors
+    ///
+    /// The first thing that is wrong with it.
+    pub fn parse(frame: Frame) -> Result<Self, StatementError> {
         let text = frame
             .body()
             .strip_suffix(b"\0")
-            .ok_or(Malformed("the query has no end"))?;
-        let text = std::str::from_utf8(text).map_err(|_| Malformed("the query is no text"))?;
-        let open = text
-            .rfind("/*")
-            .ok_or(Malformed("the statement has no comment"))?;
-        let (sql, comment) = text.split_at(open);
-        let (key, write) = form(sql).ok_or(Malformed("the statement is of no known form"))?;
-        let inner = comment
-            .strip_prefix("/*")
-            .and_then(|c| c.strip_suffix("*/"));
-        let inner = inner
-            .filter(|c| !c.contains("*/"))
-            .ok_or(Malformed("the comment has no end"))?;
-        let mut at = HEAD + open + 2;
-        let (mut id, mut class, mut d, mut cluster, mut after, mut repeat) =
-            (None, None, None, None, None, None);
-        for part in inner.split(',') {
-            let trimmed = part.trim();
-            let (name, value) = trimmed
-                .split_once('=')
-                .ok_or(Malformed("the comment holds no name=value"))?;
-            let start = at + (part.len() - part.trim_start().len()) + name.len() + 1;
-            let mut twice = false;
-            match name {
-                "id" => twice = id.replace(value).is_some(),
-                "c" => twice = class.replace(value).is_some(),
-                "d" => twice = d.replace((value, start..start + value.len())).is_some(),
-                "cluster" => twice = cluster.replace(value).is_some(),
-                "after" => twice = after.replace(value).is_some(),
-                "r" => twice = repeat.replace(value).is_some(),
-                _ => {}
-            }
-            if twice {
-                return Err(Malformed("the comment names something twice"));
-            }
-            at += part.len() + 1;
-        }
-        let id = id
+            .ok_or(StatementError::Unterminated)?;
+        let text = std::str::from_utf8(text).map_err(|_| StatementError::NotText)?;
+        let comment_at = text.rfind("/*").ok_or(StatementError::NoComment)?;
+        let (sql, comment) = text.split_at(comment_at);
+        let target = parse_target(sql).ok_or(StatementError::UnknownForm)?;
+        let fields = CommentFields::parse(comment, HEADER_BYTES + comment_at)?;
+        let id = fields
+            .id
             .filter(|id| !id.is_empty())
-            .ok_or(Malformed("the comment has no id"))?;
-        let (wait, d) = d.ok_or(Malformed("the comment has no d"))?;
-        let wait_ms = digits(wait)
-            .filter(|d| *d < 1 << 32)
-            .ok_or(Malformed("d is no number of milliseconds"))?;
-        let cluster = cluster.and_then(digits).and_then(|n| u32::try_from(n).ok());
-        let after_ms = match after {
-            None => None,
-            Some(text) => {
-                let ms = digits(text)
-                    .filter(|ms| *ms < 1 << 43)
-                    .ok_or(Malformed("after is no position"))?;
-                Some(ms as i64).filter(|ms| *ms > 0)
-            }
-        };
+            .ok_or(StatementError::NoId)?;
+        let timeout = fields.timeout.ok_or(StatementError::NoTimeout)?;
+        let wait_ms = parse_timeout(timeout.text)?;
+        let cluster = fields
+            .cluster
+            .and_then(parse_digits)
+            .and_then(|number| u32::try_from(number).ok());
+        let after_ms = fields.after.map(parse_after).transpose()?.flatten();
+        let class = fields.class.ok_or(StatementError::NoClass)?;
         Ok(Statement {
             id: id.to_owned(),
-            key: key.to_owned(),
-            class: class.ok_or(Malformed("the comment has no c"))?.to_owned(),
+            key: target.key.to_owned(),
+            class: class.to_owned(),
             wait_ms,
-            cluster: cluster.ok_or(Malformed("cluster is no number"))?,
+            cluster: cluster.ok_or(StatementError::InvalidCluster)?,
             after_ms,
-            repeat: repeat == Some("1"),
-            write,
-            d,
+            repeat: fields.repeat == Some("1"),
+            write: target.writes,
+            timeout_digits: timeout.at,
             bytes: frame.bytes,
         })
     }
 
-    /// Bytes held, those of the names that are kept beside the message included.
+    /// Bytes that it takes, those of the names that are kept beside the message included.
     pub fn size_bytes(&self) -> usize {
         self.bytes.len() + 2 * self.id.len() + self.key.len() + self.class.len()
     }
@@ -139,86 +150,89 @@
     /// The message as it came, `d` set to the time that this attempt may take.
     pub fn with_timeout(&self, wait_ms: u64) -> Vec<u8> {
         let digits = wait_ms.to_string();
-        let mut out = Vec::with_capacity(self.bytes.len() + digits.len());
-        out.extend_from_slice(&self.bytes[..self.d.start]);
-        out.extend_from_slice(digits.as_bytes());
-        out.extend_from_slice(&self.bytes[self.d.end..]);
-        let length = (out.len() as u32 - 1).to_be_bytes();
-        out[1..HEAD].copy_from_slice(&length);
-        out
+        let mut message = Vec::with_capacity(self.bytes.len() + digits.len());
+        message.extend_from_slice(&self.bytes[..self.timeout_digits.start]);
+        message.extend_from_slice(digits.as_bytes());
+        message.extend_from_slice(&self.bytes[self.timeout_digits.end..]);
+        let length = (message.len() as u32 - 1).to_be_bytes();
+        message[1..HEADER_BYTES].copy_from_slice(&length);
+        message
     }
 }
 
-fn digits(text: &str) -> Option<u64> {
-    text.bytes()
-        .all(|b| b.is_ascii_digit())
-        .then(|| text.parse().ok())
-        .flatten()
+/// A value of the comment, and where in the message it stands.
+struct Located<'a> {
+    text: &'a str,
+    at: Range<usize>,
 }
 
-/// Takes one word, of letters alone or as a name.
-fn word<'a>(text: &mut &'a str) -> Option<&'a str> {
-    *text = text.trim_start();
-    let end = text
-        .find(|c: char| !c.is_ascii_alphanumeric() && c != '_')
-        .unwrap_or(text.len());
-    let (word, rest) = text.split_at(end);
-    *text = rest;
-    Some(word).filter(|w| !w.is_empty())
+/// The fields of a statement's comment that mean something here.
+#[derive(Default)]
+struct CommentFields<'a> {
+    id: Option<&'a str>,
+    class: Option<&'a str>,
+    timeout: Option<Located<'a>>,
+    cluster: Option<&'a str>,
+    after: Option<&'a str>,
+    repeat: Option<&'a str>,
 }
 
-fn keyword(text: &mut &str, wanted: &str) -> Option<()> {
-    word(text)
-        .filter(|w| w.eq_ignore_ascii_case(wanted))
-        .map(|_| ())
+impl<'a> CommentFields<'a> {
+    /// Reads a comment that begins at this place of the message.
+    fn parse(comment: &'a str, comment_at: usize) -> Result<Self, StatementError> {
+        let inner = comment
+            .strip_prefix("/*")
+            .and_then(|comment| comment.strip_suffix("*/"));
+        let inner = inner
+            .filter(|inner| !inner.contains("*/"))
+            .ok_or(StatementError::UnterminatedComment)?;
+        let mut fields = CommentFields::default();
+        let mut part_at = comment_at + "/*".len();
+        for part in inner.split(',') {
+            let (name, value) = part
+                .trim()
+                .split_once('=')
+                .ok_or(StatementError::NotAPair)?;
+            let leading_spaces = part.len() - part.trim_start().len();
+            let value_at = part_at + leading_spaces + name.len() + "=".len();
+            let replaced = match name {
+                "id" => fields.id.replace(value).is_some(),
+                "c" => fields.class.replace(value).is_some(),
+                "d" => {
+                    let at = value_at..value_at + value.len();
+                    fields
+                        .timeout
+                        .replace(Located { text: value, at })
+                        .is_some()
+                }
+                "cluster" => fields.cluster.replace(value).is_some(),
+                "after" => fields.after.replace(value).is_some(),
+                "r" => fields.repeat.replace(value).is_some(),
+                _ => false,
+            };
+            if replaced {
+                return Err(StatementError::DuplicateField);
+            }
+            part_at += part.len() + ",".len();
+        }
+        Ok(fields)
+    }
 }
 
-fn sign(text: &mut &str, wanted: char) -> Option<()> {
-    *text = text.trim_start().strip_prefix(wanted)?;
-    Some(())
+fn parse_digits(text: &str) -> Option<u64> {
+    let all_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+    all_digits.then(|| text.parse().ok()).flatten()
 }
 
-fn quoted<'a>(text: &mut &'a str) -> Option<&'a str> {
-    sign(text, '\'')?;
-    let (inner, rest) = text.split_once('\'')?;
-    *text = rest;
-    Some(inner)
+fn parse_timeout(text: &str) -> Result<u64, StatementError> {
+    let ms = parse_digits(text).filter(|ms| *ms < TIMEOUT_MS_END);
+    ms.ok_or(StatementError::InvalidTimeout)
 }
 
-/// The quoted key and whether it writes, where the statement is a read of one key or an insert of one value.
-fn form(mut sql: &str) -> Option<(&str, bool)> {
-    let text = &mut sql;
-    let first = word(text)?;
-    let (key, write) = if first.eq_ignore_ascii_case("select") {
-        word(text)?;
-        keyword(text, "from")?;
-        word(text)?;
-        keyword(text, "where")?;
-        word(text)?;
-        sign(text, '=')?;
-        (quoted(text)?, false)
-    } else if first.eq_ignore_ascii_case("insert") {
-        keyword(text, "into")?;
-        word(text)?;
-        sign(text, '(')?;
-        word(text)?;
-        sign(text, ',')?;
-        word(text)?;
-        sign(text, ')')?;
-        keyword(text, "values")?;
-        sign(text, '(')?;
-        let key = quoted(text)?;
-        sign(text, ',')?;
-        let value = quoted(text)?.strip_prefix("\\x")?;
-        if value.len() % 2 != 0 || !value.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return None;
-        }
-        sign(text, ')')?;
-        keyword(text, "returning")?;
-        word(text)?;
-        (key, true)
-    } else {
-        return None;
-    };
-    (text.trim().is_empty() && !key.is_empty()).then_some((key, write))
+/// A position in Unix milliseconds; 0 asks for none.
+fn parse_after(text: &str) -> Result<Option<i64>, StatementError> {
+    let ms = parse_digits(text)
+        .filter(|ms| *ms < POSITION_MS_END)
+        .ok_or(StatementError::InvalidPosition)?;
+    Ok(Some(ms as i64).filter(|ms| *ms > 0))
 }
--- a/crates/stackgw-gateway/src/pg/write.rs
+++ b/crates/stackgw-gateway/src/pg/write.rs
@@ -1,4 +1,12 @@
-//! Messages that the gateway writes itself.
+//! Messages that the gateway writes itself. Each function appends its messages to `out`.
+
+use super::code;
+use super::message_kind::{client, server};
+
+/// The rest of a field's description behind its name: no table, no type, text format.
+const FIELD_TAIL: [u8; 18] = [0; 18];
+/// NegotiateProtocolVersion's body: minor version 0 is the newest, no option is known.
+const NO_OPTIONS: [u8; 8] = [0; 8];
 
 fn message(out: &mut Vec<u8>, kind: u8, body: &[u8]) {
     out.push(kind);
@@ -10,33 +18,37 @@
 pub fn row(out: &mut Vec<u8>, value: Option<&[u8]>) {
     let mut description = vec![0, 1];
     description.extend(b"val\0");
-    description.extend([0; 18]);
-    message(out, b'T', &description);
+    description.extend(FIELD_TAIL);
+    message(out, server::ROW_DESCRIPTION, &description);
     let mut data = vec![0, 1];
     data.extend(value.map_or(-1, |value| value.len() as i32).to_be_bytes());
     data.extend_from_slice(value.unwrap_or_default());
-    message(out, b'D', &data);
-    message(out, b'C', b"SELECT 1\0");
+    message(out, server::DATA_ROW, &data);
+    message(out, server::COMMAND_COMPLETE, b"SELECT 1\0");
 }
 
 /// ParameterStatus.
 pub fn status(out: &mut Vec<u8>, name: &str, value: &str) {
-    message(out, b'S', format!("{name}\0{value}\0").as_bytes());
+    message(
+        out,
+        server::PARAMETER_STATUS,
+        format!("{name}\0{value}\0").as_bytes(),
+    );
 }
 
 /// ReadyForQuery, outside a transaction.
 pub fn ready(out: &mut Vec<u8>) {
-    message(out, b'Z', b"I");
+    message(out, server::READY_FOR_QUERY, b"I");
 }
 
 /// EmptyQueryResponse.
 pub fn empty(out: &mut Vec<u8>) {
-    message(out, b'I', b"");
+    message(out, server::EMPTY_QUERY_RESPONSE, b"");
 }
 
 /// What follows a client's startup: welcome, parameters, key for cancelling, ReadyForQuery.
 pub fn welcome(out: &mut Vec<u8>, process: u32, secret: u32) {
-    message(out, b'R', &0u32.to_be_bytes());
+    message(out, server::AUTHENTICATION, &0u32.to_be_bytes());
     for (name, value) in [
         ("server_version", "16.0"),
         ("server_encoding", "UTF8"),
@@ -49,13 +61,13 @@
     }
     let mut key = process.to_be_bytes().to_vec();
     key.extend(secret.to_be_bytes());
-    message(out, b'K', &key);
+    message(out, server::BACKEND_KEY_DATA, &key);
     ready(out);
 }
 
-/// NegotiateProtocolVersion: this minor version is the newest, no option is known.
+/// NegotiateProtocolVersion: minor version 0 is the newest, no option is known.
 pub fn negotiate(out: &mut Vec<u8>) {
-    message(out, b'v', &[0; 8]);
+    message(out, server::NEGOTIATE_PROTOCOL_VERSION, &NO_OPTIONS);
 }
 
 /// ErrorResponse; `fatal` where the connection ends with it.
@@ -74,20 +86,20 @@
         body.push(0);
     }
     body.push(0);
-    message(out, b'E', &body);
+    message(out, server::ERROR_RESPONSE, &body);
 }
 
 /// A simple query.
 pub fn query(out: &mut Vec<u8>, text: &str) {
     let mut body = text.as_bytes().to_vec();
     body.push(0);
-    message(out, b'Q', &body);
+    message(out, client::QUERY, &body);
 }
 
 /// The startup packet.
 pub fn startup(out: &mut Vec<u8>, user: &str, database: &str) {
     let body = format!("user\0{user}\0database\0{database}\0\0");
     out.extend((body.len() as u32 + 8).to_be_bytes());
-    out.extend(super::code::VERSION_3.to_be_bytes());
+    out.extend(code::VERSION_3.to_be_bytes());
     out.extend_from_slice(body.as_bytes());
 }
--- a/crates/stackgw-gateway/src/reducer/clients.rs
+++ b/crates/stackgw-gateway/src/reducer/clients.rs
@@ -435,9 +435,11 @@
                 .iter()
                 .filter_map(|place| self.requests.get(&place.request?));
             let mut joins = |frame: &Frame| {
-                let asks = Statement::asks(frame).filter(|_| frame.kind == b'Q');
-                let apart = |(key, write), s: &Statement| s.key != key || !(write || s.write);
-                asks.is_some_and(|asks| asked.all(|open| apart(asks, &open.statement)))
+                let target = Statement::target(frame).filter(|_| frame.kind == b'Q');
+                let apart = |target: StatementTarget<'_>, s: &Statement| {
+                    s.key != target.key || !(target.writes || s.write)
+                };
+                target.is_some_and(|target| asked.all(|open| apart(target, &open.statement)))
             };
             let next = client.next.pop_front_if(|(_, frame)| free || joins(frame));
             let Some((came, frame)) = next else { break };
@@ -592,7 +594,7 @@
             self.counters.turned_away += 1;
             return;
         }
-        let asked = Statement::parse(frame).map_err(|why| FinalResponse::Malformed(why.0));
+        let asked = Statement::parse(frame).map_err(|why| FinalResponse::Malformed(why.message()));
         match asked.and_then(|statement| self.ask(now, came, Requester::Client(id), statement, out))
         {
             Ok(request) => {
@@ -652,7 +654,7 @@
             ));
         }
         self.counters.taken += 1;
-        let asked = Statement::parse(frame).map_err(|why| FinalResponse::Malformed(why.0));
+        let asked = Statement::parse(frame).map_err(|why| FinalResponse::Malformed(why.message()));
         match asked.and_then(|statement| self.ask(now, now, Requester::Call(call), statement, out))
         {
             Ok(request) => {
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -16,7 +16,7 @@
 use crate::counters::Counters;
 use crate::discovery::{ListEntry, ListUpdate, WatchError};
 use crate::limits::Limits;
-use crate::pg::{self, code, write, Frame, Reply, ReplyOutcome, Statement};
+use crate::pg::{self, code, write, Frame, Reply, ReplyOutcome, Statement, StatementTarget};
 use crate::pool::Pool;
 use stackgw_router::{api::*, Router};
 use stackgw_settings::{GossipCodec, NameTable, PlatformSettings};
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -175,7 +175,8 @@
 ];
 
 fn parsed(frame: Frame) -> String {
-    let begins = Statement::asks(&frame).map(|(key, write)| format!("{key},{write}"));
+    let begins =
+        Statement::target(&frame).map(|target| format!("{},{}", target.key, target.writes));
     let empty = Statement::is_empty(&frame);
     let read = match Statement::parse(frame) {
         Ok(read) => {
