--- a/crates/stackgw-gateway/src/config.rs
+++ b/crates/stackgw-gateway/src/config.rs
@@ -290,7 +290,7 @@
             PlatformSettings::from_json(settings).map_err(|e| format!("settings: {e}"))?;
         let known = match doc.get("known") {
             None | Some(Value::Null) => None,
-            Some(list) => Some(discovery::list(list).map_err(|e| format!("known: {e}"))?),
+            Some(list) => Some(discovery::endpoint_list(list).map_err(|e| format!("known: {e}"))?),
         };
         Ok(Config {
             name: word("name", "ROUTER_NAME")?,
--- a/crates/stackgw-gateway/src/io/discovery.rs
+++ b/crates/stackgw-gateway/src/io/discovery.rs
@@ -1,9 +1,9 @@
-//! The list's agent: the watch, and single calls.
+//! The list service: the watch, and single requests for the complete list.
 
 use super::Shell;
 use crate::discovery::{
-    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, Malformed, WatchError,
-    WatchEvent, WatchParser,
+    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, ListUpdate, RequestedList,
+    WatchError, WatchEvent, WatchParser,
 };
 use crate::reducer::Input;
 use async_io::{Async, Timer};
@@ -15,97 +15,124 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Asks, and gives the answer's pieces as they come.
-fn answer(
-    shell: Rc<Shell>,
-    at: SocketAddr,
-    watch_after: Option<Option<u64>>,
-) -> impl Stream<Item = Result<HttpEvent, WatchError>> {
-    let limits = &shell.limits;
-    let http = HttpLineReader::new(limits.head_bytes, limits.list_bytes);
-    let state = (shell, None::<Async<TcpStream>>, http, VecDeque::new());
-    stream::try_unfold(
-        state,
-        move |(shell, socket, mut http, mut pieces)| async move {
-            let mut socket = match socket {
-                Some(socket) => socket,
-                None => {
-                    let io = |e: std::io::Error| WatchError::from(e.to_string());
-                    let mut socket = Async::<TcpStream>::connect(at).await.map_err(io)?;
-                    socket
-                        .write_all(&endpoint_request(at, watch_after))
-                        .await
-                        .map_err(io)?;
-                    if watch_after.is_some() {
-                        shell.input(Input::WatchConnected);
-                    }
-                    socket
+/// An answer that is being read.
+struct Response {
+    socket: Async<TcpStream>,
+    reader: HttpLineReader,
+    /// What has been read and not been given out.
+    events: VecDeque<HttpEvent>,
+}
+
+impl Response {
+    /// Connects and sends a request.
+    async fn request(
+        shell: &Rc<Shell>,
+        address: SocketAddr,
+        requested: RequestedList,
+    ) -> Result<Self, WatchError> {
+        let io_error = |error: std::io::Error| WatchError::from(error.to_string());
+        let mut socket = Async::<TcpStream>::connect(address)
+            .await
+            .map_err(io_error)?;
+        let request = endpoint_request(address, requested);
+        socket.write_all(&request).await.map_err(io_error)?;
+        if matches!(requested, RequestedList::Watch(_)) {
+            shell.input(Input::WatchConnected);
+        }
+        let limits = &shell.limits;
+        Ok(Response {
+            socket,
+            reader: HttpLineReader::new(limits.head_bytes, limits.list_bytes),
+            events: VecDeque::new(),
+        })
+    }
+
+    /// What comes next of the answer.
+    async fn next(&mut self, buffer: &mut [u8]) -> Result<Option<HttpEvent>, WatchError> {
+        while self.events.is_empty() {
+            match self.socket.read(buffer).await {
+                Ok(0) => {
+                    let events = self.reader.finish().map_err(|error| error.to_string())?;
+                    self.events.extend(events);
+                    self.events.push_back(HttpEvent::End);
                 }
-            };
-            let mut buffer = vec![0; shell.limits.read_bytes];
-            while pieces.is_empty() {
-                match socket.read(&mut buffer).await {
-                    Ok(0) => {
-                        pieces.extend(http.end().map_err(|e: Malformed| e.to_string())?);
-                        pieces.push_back(HttpEvent::End);
-                    }
-                    Ok(n) => {
-                        let fed = http.feed(&buffer[..n]);
-                        pieces.extend(fed.map_err(|e| WatchError {
-                            reason: e.to_string(),
-                            retry_after: http.retry_after(),
-                        })?);
-                    }
-                    // Nothing has been read; the watch goes on.
-                    Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                    Err(e) => return Err(e.to_string().into()),
+                Ok(count) => {
+                    let events =
+                        self.reader
+                            .feed(&buffer[..count])
+                            .map_err(|error| WatchError {
+                                reason: error.to_string(),
+                                retry_after: self.reader.retry_after(),
+                            })?;
+                    self.events.extend(events);
                 }
+                // Nothing has been read; the answer goes on.
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error.to_string().into()),
             }
-            Ok(pieces
-                .pop_front()
-                .map(|piece| (piece, (shell, Some(socket), http, pieces))))
-        },
-    )
+        }
+        Ok(self.events.pop_front())
+    }
+}
+
+/// Sends a request, and gives the answer's parts as they come.
+fn request(
+    shell: Rc<Shell>,
+    address: SocketAddr,
+    requested: RequestedList,
+) -> impl Stream<Item = Result<HttpEvent, WatchError>> {
+    let state = (shell, None::<Response>);
+    stream::try_unfold(state, move |(shell, response)| async move {
+        let mut response = match response {
+            Some(response) => response,
+            None => Response::request(&shell, address, requested).await?,
+        };
+        let mut buffer = vec![0; shell.limits.read_bytes];
+        let event = response.next(&mut buffer).await?;
+        Ok(event.map(|event| (event, (shell, Some(response)))))
+    })
 }
 
 /// Hands over each line of a watch until it ends.
-pub(super) async fn watch(shell: Rc<Shell>, at: SocketAddr, after: Option<u64>) {
-    let mut pieces = pin!(answer(shell.clone(), at, Some(after)));
-    let mut objects = WatchParser::new(shell.limits.list_bytes);
-    let why = loop {
-        match pieces.next().await {
-            Some(Ok(HttpEvent::Line(line))) => match objects.push_line(line) {
+pub(super) async fn watch(shell: Rc<Shell>, address: SocketAddr, after: Option<u64>) {
+    let mut events = pin!(request(shell.clone(), address, RequestedList::Watch(after)));
+    let mut parser = WatchParser::new(shell.limits.list_bytes);
+    let error = loop {
+        match events.next().await {
+            Some(Ok(HttpEvent::Line(line))) => match parser.push_line(line) {
                 Ok(WatchEvent::Heartbeat) => shell.input(Input::WatchKeepalive),
                 Ok(WatchEvent::List(list)) => shell.input(Input::EndpointList(list)),
                 Ok(WatchEvent::Incomplete) => {}
-                Err(e) => break e.to_string().into(),
+                Err(error) => break error.to_string().into(),
             },
             Some(Ok(HttpEvent::End)) | None => break "ended".into(),
-            Some(Err(e)) => break e,
+            Some(Err(error)) => break error,
         }
     };
-    shell.input(Input::WatchLost(why));
+    shell.input(Input::WatchLost(error));
 }
 
-/// Asks for the whole list once.
-pub(super) async fn fetch(shell: Rc<Shell>, at: SocketAddr) {
-    let whole = async {
-        let mut pieces = pin!(answer(shell.clone(), at, None));
-        let mut body = Vec::new();
-        loop {
-            match pieces.next().await? {
-                Ok(HttpEvent::Line(line)) => body.extend(line),
-                Ok(HttpEvent::End) => break parse_endpoint_list(&body).ok(),
-                Err(_) => break None,
-            }
-        }
-    };
+/// Asks for the complete list once.
+pub(super) async fn fetch(shell: Rc<Shell>, address: SocketAddr) {
+    let timeout = Duration::from_nanos(shell.limits.watch_idle_timeout as u64);
     let late = async {
-        Timer::after(Duration::from_nanos(shell.limits.watch_idle_timeout as u64)).await;
+        Timer::after(timeout).await;
         None
     };
-    match future::or(whole, late).await {
+    match future::or(read_list(&shell, address), late).await {
         Some(list) => shell.input(Input::EndpointList(list)),
         None => shell.input(Input::FetchFailed),
     }
 }
+
+async fn read_list(shell: &Rc<Shell>, address: SocketAddr) -> Option<ListUpdate> {
+    let mut events = pin!(request(shell.clone(), address, RequestedList::Complete));
+    let mut body = Vec::new();
+    loop {
+        match events.next().await? {
+            Ok(HttpEvent::Line(line)) => body.extend(line),
+            Ok(HttpEvent::End) => return parse_endpoint_list(&body).ok(),
+            Err(_) => return None,
+        }
+    }
+}
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -6,8 +6,8 @@
 use common::*;
 use stackgw_gateway::config::{ClusterConfig, Config, SessionSharingConfig};
 use stackgw_gateway::discovery::{
-    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, ListUpdate, WatchError,
-    WatchEvent, WatchParser,
+    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, ListUpdate, RequestedList,
+    WatchError, WatchEvent, WatchParser,
 };
 use stackgw_gateway::limits::{Limits, Platform};
 use stackgw_gateway::pg::{
@@ -521,12 +521,13 @@
     let mut out = String::new();
     for host in ["127.0.0.1:8500", "[::1]:80"] {
         let host = host.parse().expect("an address");
-        for watch_after in [None, Some(None), Some(Some(0)), Some(Some(u64::MAX))] {
-            line(
-                &mut out,
-                "request",
-                hex(&endpoint_request(host, watch_after)),
-            );
+        for requested in [
+            RequestedList::Complete,
+            RequestedList::Watch(None),
+            RequestedList::Watch(Some(0)),
+            RequestedList::Watch(Some(u64::MAX)),
+        ] {
+            line(&mut out, "request", hex(&endpoint_request(host, requested)));
         }
     }
     compare("list_requests.txt", &out);
@@ -551,7 +552,7 @@
             }
         }
     }
-    let ended = match parser.end() {
+    let ended = match parser.finish() {
         Ok(pieces) => pieces.iter().map(name).collect::<Vec<_>>().join(", "),
         Err(malformed) => format!("error: {malformed}"),
     };
