--- a/crates/stackgw-cli/src/cmd/run.rs
+++ b/crates/stackgw-cli/src/cmd/run.rs
@@ -24,9 +24,12 @@
         let config = Config::from_env(|name| match &config {
             Some(path) if name == "ROUTER_CONFIG" => Some(path.display().to_string()),
             _ => std::env::var(name).ok(),
-        })?;
+        })
+        .map_err(|error| error.to_string())?;
         let config = match file {
-            Some(file) => config.with_operator(&file)?,
+            Some(file) => config
+                .with_operator(&file)
+                .map_err(|error| error.to_string())?,
             None => config,
         };
         let front = front(&config)?;
@@ -37,9 +40,10 @@
 /// The front beside the first protocol's, and the back, that the operator's file turns on.
 #[cfg(feature = "flight")]
 fn front(config: &Config) -> Result<Option<stackgw_gateway::FrontendFactory>, String> {
-    let Some((file, ring)) = config.operator.flight.clone() else {
+    let Some(flight) = config.operator.flight.clone() else {
         return Ok(None);
     };
+    let (file, ring) = (flight.options, flight.keyring);
     let ms = |duration: stackgw_config::Duration| {
         i64::try_from(duration.as_millis()).unwrap_or(i64::MAX) * MS
     };
--- /dev/null
+++ b/crates/stackgw-gateway/src/config/file.rs
@@ -0,0 +1,56 @@
+//! Files that the configuration names: the platform's document, and secrets of keys.
+
+use super::error::{FileError, KeyError};
+use stackgw_cluster::{Key, Keyring};
+use std::path::{Path, PathBuf};
+
+/// The platform's document is no longer.
+const MAX_DOCUMENT_BYTES: u64 = 16 << 20;
+/// A secret's file is no longer.
+const MAX_SECRET_BYTES: u64 = 4 << 10;
+
+/// The text of the platform's document.
+pub(super) fn read_document(path: &Path) -> Result<String, FileError> {
+    require_plain_file(path, MAX_DOCUMENT_BYTES)?;
+    Ok(std::fs::read_to_string(path)?)
+}
+
+/// The keys of a cluster from the files that hold their secrets; errors name the field that lists the files.
+pub(super) fn read_keyring(
+    field: &'static str,
+    cluster: &str,
+    files: &[PathBuf],
+) -> Result<Keyring, KeyError> {
+    let keys = files
+        .iter()
+        .map(|path| read_key(field, cluster, path))
+        .collect::<Result<_, _>>()?;
+    Keyring::new(keys).ok_or(KeyError::NoFile { field })
+}
+
+fn read_key(field: &'static str, cluster: &str, path: &Path) -> Result<Key, KeyError> {
+    let secret = read_secret(path).map_err(|source| KeyError::File {
+        field,
+        path: path.to_owned(),
+        source,
+    })?;
+    let key = Key::new(cluster, secret.trim_ascii());
+    key.ok_or_else(|| KeyError::TooShort {
+        field,
+        path: path.to_owned(),
+    })
+}
+
+fn read_secret(path: &Path) -> Result<Vec<u8>, FileError> {
+    require_plain_file(path, MAX_SECRET_BYTES)?;
+    Ok(std::fs::read(path)?)
+}
+
+/// Danger: reading a pipe would block the whole gateway.
+fn require_plain_file(path: &Path, max_bytes: u64) -> Result<(), FileError> {
+    let metadata = std::fs::metadata(path)?;
+    if !metadata.is_file() || metadata.len() > max_bytes {
+        return Err(FileError::NotPlainOrTooLarge);
+    }
+    Ok(())
+}
--- a/crates/stackgw-gateway/src/io/mod.rs
+++ b/crates/stackgw-gateway/src/io/mod.rs
@@ -13,7 +13,7 @@
 mod signals;
 mod timers;
 
-use crate::config::{Config, Reread};
+use crate::config::{Config, ConfigReloader};
 use crate::limits::Limits;
 use crate::reducer::{CallId, ClientId, CloseReason, ConnectionId, Effect, Input, Reducer};
 use async_executor::{LocalExecutor, Task};
@@ -105,7 +105,7 @@
     clock: Clock,
     log: Logger,
     executor: Rc<LocalExecutor<'static>>,
-    reread: Reread,
+    reloader: ConfigReloader,
     queue: RefCell<VecDeque<Input>>,
     handling: Cell<bool>,
     clients: RefCell<HashMap<ClientId, Client>>,
@@ -361,7 +361,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let limits = config.limits.clone();
     let clock = Clock::new();
-    let (session_sharing, reread) = (config.session_sharing.clone(), config.reread());
+    let (session_sharing, reloader) = (config.session_sharing.clone(), config.reloader());
     let (cluster_config, start, name) = (
         config.cluster.clone(),
         config.bootstrap.clone(),
@@ -396,7 +396,7 @@
         clock,
         log,
         executor: executor.clone(),
-        reread,
+        reloader,
         queue: RefCell::default(),
         handling: Cell::new(false),
         clients: RefCell::default(),
--- a/crates/stackgw-gateway/src/io/signals.rs
+++ b/crates/stackgw-gateway/src/io/signals.rs
@@ -14,7 +14,7 @@
 pub(super) async fn run(shell: Rc<Shell>, mut signals: Signals) {
     while let Some(signal) = signals.next().await {
         match signal {
-            Ok(Signal::Hup) => shell.input(Input::Reload(shell.reread.read().map(Box::new))),
+            Ok(Signal::Hup) => shell.input(Input::Reload(shell.reloader.reload().map(Box::new))),
             Ok(Signal::Usr1) => shell.input(Input::Report),
             Ok(_) => shell.input(Input::Terminate),
             Err(_) => {}
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -12,7 +12,7 @@
 mod start;
 mod streams;
 
-use crate::config::Config;
+use crate::config::{Config, ConfigError};
 use crate::counters::Counters;
 use crate::discovery::{ListEntry, ListUpdate, WatchError};
 use crate::limits::Limits;
@@ -153,7 +153,7 @@
     /// The time that [`Reducer::next_due`] named has come.
     TimerDue,
     /// The configuration as it stands now, or why it cannot be used.
-    Reload(Result<Box<Config>, String>),
+    Reload(Result<Box<Config>, ConfigError>),
     /// Finish what was taken and end.
     Terminate,
     /// New connections are no longer taken; all that waited have been handed over.
--- a/crates/stackgw-gateway/src/reducer/reload.rs
+++ b/crates/stackgw-gateway/src/reducer/reload.rs
@@ -1,6 +1,7 @@
 //! A new configuration for a running gateway.
 
 use super::*;
+use crate::config::{ConfigError, FlightConfig};
 
 /// The parts of a configuration that a running gateway cannot change.
 #[derive(Debug, PartialEq)]
@@ -11,7 +12,7 @@
     pub(super) settings: PlatformSettings,
     pub(super) limits: Limits,
     /// What another front runs by: its thread has it from its start on.
-    flight: Option<(stackgw_config::Flight, stackgw_cluster::Keyring)>,
+    flight: Option<FlightConfig>,
 }
 
 impl Fixed {
@@ -53,7 +54,7 @@
     pub(super) fn reload(
         &mut self,
         now: Time,
-        config: Result<Box<Config>, String>,
+        config: Result<Box<Config>, ConfigError>,
         out: &mut Vec<Effect>,
     ) {
         self.counters.reloads += 1;
--- a/crates/stackgw-gateway/src/reducer/streams.rs
+++ b/crates/stackgw-gateway/src/reducer/streams.rs
@@ -2,7 +2,7 @@
 //! belongs to its client and is never begun again elsewhere. It counts as load at its member until it waits for its reader.
 
 use super::*;
-use crate::config::Operator;
+use crate::config::OperatorConfig;
 
 /// What is asked of a member that speaks another front's protocol.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -50,13 +50,13 @@
 }
 
 impl Backs {
-    pub(super) fn new(operator: &Operator) -> Self {
-        let Some((flight, _)) = &operator.flight else {
+    pub(super) fn new(operator: &OperatorConfig) -> Self {
+        let Some(flight) = &operator.flight else {
             return Backs::default();
         };
         Backs {
-            groups: flight.groups.iter().copied().collect(),
-            members: flight.members.iter().cloned().collect(),
+            groups: flight.options.groups.iter().copied().collect(),
+            members: flight.options.members.iter().cloned().collect(),
         }
     }
 
--- a/crates/stackgw-gateway/tests/config.rs
+++ b/crates/stackgw-gateway/tests/config.rs
@@ -58,7 +58,9 @@
         ),
     ] {
         assert!(whole.contains(from), "{from}");
-        let problem = Config::from_text(&whole.replace(from, to), |_| None).expect_err(from);
+        let problem = Config::from_text(&whole.replace(from, to), |_| None)
+            .expect_err(from)
+            .to_string();
         assert!(
             problem.contains(says) && !problem.contains('\n'),
             "{from}: {problem}"
--- a/crates/stackgw-gateway/tests/digest.rs
+++ b/crates/stackgw-gateway/tests/digest.rs
@@ -8,7 +8,9 @@
 use common::*;
 use stackgw_bootstrap::CachedEndpoints;
 use stackgw_cluster::{Key, Keyring};
-use stackgw_gateway::config::{ClusterConfig, Config, SessionSharingConfig};
+use stackgw_gateway::config::{
+    ClusterConfig, Config, ConfigError, FlightConfig, SessionSharingConfig,
+};
 use stackgw_gateway::pg::Frame;
 use stackgw_gateway::reducer::{
     CallId, ClientId, CloseReason, ConnectionId, Effect, FinalResponse, Incarnation, Input,
@@ -489,7 +491,10 @@
             _ => r#""members": ["m3"]"#,
         };
         let file = format!(r#"{{"listen": "127.0.0.1:0", "keys": ["k"], {members}}}"#);
-        config.operator.flight = Some((serde_json::from_str(&file).expect("a part"), ring()));
+        config.operator.flight = Some(FlightConfig {
+            options: serde_json::from_str(&file).expect("a part"),
+            keyring: ring(),
+        });
     }
     if options.sessions {
         let keepers = match random.below(3) {
@@ -1321,12 +1326,7 @@
         let bad = self.random.chance(20);
         let mut config = match Config::from_text(&text, |_| None) {
             Ok(config) if !bad => config,
-            _ => {
-                return self.input(
-                    index,
-                    Input::Reload(Err("ROUTER_CONFIG: no JSON".to_owned())),
-                )
-            }
+            _ => return self.input(index, Input::Reload(Err(ConfigError::NoFile))),
         };
         let options = self.options;
         let mut random = Random(self.random.next());
--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -254,7 +254,7 @@
                 let config = if good {
                     config
                 } else {
-                    Err("ROUTER_CONFIG: no JSON".to_owned())
+                    Err(stackgw_gateway::config::ConfigError::NoFile)
                 };
                 world.see(&rig.input(Input::Reload(config)));
             }
--- a/crates/stackgw-gateway/tests/reducer.rs
+++ b/crates/stackgw-gateway/tests/reducer.rs
@@ -1183,7 +1183,8 @@
     assert!(!effects
         .iter()
         .any(|e| matches!(e, Effect::OpenWatch(..) | Effect::CloseWatch)));
-    let effects = rig.input(Input::Reload(Err("ROUTER_CONFIG: no JSON".into())));
+    let unusable = stackgw_gateway::config::Config::from_text("{", |_| None).expect_err("no JSON");
+    let effects = rig.input(Input::Reload(Err(unusable)));
     assert!(
         matches!(&effects[..], [Effect::Log(line)] if line.contains("no JSON")),
         "{effects:?}"
--- a/crates/stackgw-gateway/tests/streams.rs
+++ b/crates/stackgw-gateway/tests/streams.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use stackgw_cluster::{Key, Keyring};
-use stackgw_gateway::config::Config;
+use stackgw_gateway::config::{Config, FlightConfig};
 use stackgw_gateway::reducer::{
     BackendRequest, CallId, CloseReason, ConnectionId, Effect, FinalResponse, Input, StreamHeader,
 };
@@ -22,7 +22,10 @@
         Key::new("flight", b"a secret of this test").expect("a key")
     ])
     .expect("keys");
-    config.operator.flight = Some((serde_json::from_str(&file).expect("a part"), ring));
+    config.operator.flight = Some(FlightConfig {
+        options: serde_json::from_str(&file).expect("a part"),
+        keyring: ring,
+    });
     config
 }
 
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -887,8 +887,8 @@
     say("good", from_env(Some(&path)));
     let good = from_env(Some(&path)).expect("a configuration");
     // What runs already: the file wins.
-    let again = good.reread();
-    let read = || again.read().map_err(|e| e.to_string());
+    let again = good.reloader();
+    let read = || again.reload().map_err(|e| e.to_string());
     say("read again", read());
     folder.file(
         "good.json",
@@ -907,7 +907,7 @@
     let unnamed = Config::from_text(&config_text("null"), |_| None).expect("a configuration");
     say(
         "read again where none was named",
-        unnamed.reread().read().map_err(|e| e.to_string()),
+        unnamed.reloader().reload().map_err(|e| e.to_string()),
     );
     compare("files.txt", &out);
 }
@@ -970,7 +970,7 @@
                         .map_or("-".to_owned(), |path| path.display().to_string()),
                     operator
                         .flight
-                        .map_or("-".to_owned(), |(file, _)| file.listen.to_string()),
+                        .map_or("-".to_owned(), |flight| flight.options.listen.to_string()),
                     sessions.unwrap_or("-".to_owned()),
                     cluster.unwrap_or("-".to_owned()),
                     bootstrap.is_some(),
