--- a/crates/stackgw-gateway/src/io/clients.rs
+++ b/crates/stackgw-gateway/src/io/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: the listener, and one task for each connection.
 
-use super::link::{Link, Turn, Turns};
+use super::connection::{Link, Turn, Turns};
 use super::{Client, Shell};
 use crate::pg::FrameDecoder;
 use crate::reducer::{ClientId, CloseReason, Input};
--- a/crates/stackgw-gateway/src/io/link.rs
+++ b/crates/stackgw-gateway/src/io/connection/mod.rs
@@ -327,5 +327,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/link.rs"]
+#[path = "../../../tests/unit/connection.rs"]
 mod tests;
--- a/crates/stackgw-gateway/src/io/members.rs
+++ b/crates/stackgw-gateway/src/io/members.rs
@@ -1,6 +1,6 @@
 //! Members: one task for each connection.
 
-use super::link::{Link, Turn, Turns};
+use super::connection::{Link, Turn, Turns};
 use super::{Member, Shell};
 use crate::pg::message_kind::server;
 use crate::pg::FrameDecoder;
--- a/crates/stackgw-gateway/src/io/mod.rs
+++ b/crates/stackgw-gateway/src/io/mod.rs
@@ -1,16 +1,16 @@
 //! The I/O side: tasks that read and hand inputs to the reducer, and the shell that carries its effects out. Nothing
 //! here decides. One thread, one executor.
 
-mod backs;
-mod calls;
+mod backends;
 mod clients;
-mod cluster;
+mod connection;
 mod control;
+mod datagrams;
 mod discovery;
-mod link;
+mod frontends;
 mod members;
-mod peers;
 mod signals;
+mod storage;
 mod timers;
 
 use crate::config::{Config, ConfigReloader};
@@ -18,10 +18,10 @@
 use crate::reducer::{CallId, ClientId, CloseReason, ConnectionId, Effect, Input, Reducer};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
-pub use backs::{BackendChannels, BackendCommand, BackendEvent, RelayedStream};
-pub use calls::{FrontendResponse, RequestGuard, RequestHandle};
+pub use backends::{BackendChannels, BackendCommand, BackendEvent, RelayedStream};
+use connection::{Budget, Link, Written};
+pub use frontends::{FrontendResponse, RequestGuard, RequestHandle};
 use futures_lite::future;
-use link::{Budget, Link, Written};
 use slog::{info, Logger};
 use stackgw_router::api::Time;
 use std::cell::{Cell, RefCell};
@@ -333,11 +333,11 @@
         .as_deref()
         .map(control::listen)
         .transpose()?;
-    let mut shared = cluster::start(&config, &log)?;
+    let mut shared = storage::start(&config, &log)?;
     let (mut running, mut line, mut to_back) = (None, None, None);
     if let Some(front) = front {
-        let (door, knocks) = calls::RequestHandle::new();
-        let (behind, asks, told) = backs::lines();
+        let (door, knocks) = frontends::RequestHandle::new();
+        let (behind, asks, told) = backends::lines();
         running = Some(front(door, behind, log.clone())?);
         (line, to_back) = (Some((knocks, told)), Some(asks));
     }
@@ -377,7 +377,7 @@
     {
         reducer.join_cluster(clock.now(), cluster_config, shared.life.peer(&name));
     }
-    let kept = start.as_ref().and_then(|start| cluster::kept(start, &log));
+    let kept = start.as_ref().and_then(|start| storage::kept(start, &log));
     let (kept, keeper) = kept.map_or((None, None), |(kept, writer)| (kept, Some(writer)));
     if let Some(start) = &start {
         reducer.enable_bootstrap(
@@ -431,7 +431,7 @@
     executor.spawn(timers::run(shell.clone())).detach();
     if let Some(socket) = shell.datagrams.clone() {
         executor
-            .spawn(peers::run(
+            .spawn(datagrams::run(
                 shell.clone(),
                 socket,
                 shell.limits.datagram_bytes,
@@ -442,7 +442,7 @@
     if let Some(socket) = shell.cluster.clone() {
         let input = |_, bytes| Input::ClusterDatagram(bytes);
         executor
-            .spawn(peers::run(
+            .spawn(datagrams::run(
                 shell.clone(),
                 socket,
                 stackgw_cluster::MAX_DATAGRAM_BYTES,
@@ -451,7 +451,7 @@
             .detach();
     }
     if let Some(word) = disk {
-        executor.spawn(cluster::disk(shell.clone(), word)).detach();
+        executor.spawn(storage::disk(shell.clone(), word)).detach();
     }
     if let Some(listener) = control {
         executor
@@ -459,8 +459,10 @@
             .detach();
     }
     if let Some((knocks, told)) = line {
-        executor.spawn(calls::run(shell.clone(), knocks)).detach();
-        executor.spawn(backs::run(shell.clone(), told)).detach();
+        executor
+            .spawn(frontends::run(shell.clone(), knocks))
+            .detach();
+        executor.spawn(backends::run(shell.clone(), told)).detach();
     }
     executor.spawn(clients::see_leave(shell.clone())).detach();
     executor
--- a/crates/stackgw-gateway/tests/unit/link.rs
+++ b/crates/stackgw-gateway/tests/unit/connection.rs
@@ -1,4 +1,4 @@
-//! What of `link.rs` is seen from inside only.
+//! What of `io/connection` is seen from inside only.
 
 use super::*;
 use std::net::{Ipv4Addr, TcpListener};
