--- a/crates/stackgw-cli/src/cmd/run.rs
+++ b/crates/stackgw-cli/src/cmd/run.rs
@@ -33,7 +33,7 @@
             None => config,
         };
         let front = front(&config)?;
-        stackgw_gateway::run_with_frontend(config, front)
+        stackgw_gateway::run_with_frontend(config, front).map_err(|error| error.to_string())
     }
 }
 
@@ -91,6 +91,7 @@
     Ok(Some(Box::new(move |door, behind, log| {
         stackgw_flight::start(settings, door, behind, log)
             .map(|running| Box::new(running) as Box<dyn std::any::Any>)
+            .map_err(Into::into)
     })))
 }
 
--- a/crates/stackgw-gateway/src/io/clients.rs
+++ b/crates/stackgw-gateway/src/io/clients.rs
@@ -1,161 +1,231 @@
-//! Clients: the listener, and one task for each connection.
+//! Clients' connections: one task for each, and the effects that concern them.
 
-use super::connection::{Link, Turn, Turns};
-use super::{Client, Shell};
+use super::connection::{
+    Connection, ConnectionEvent, ConnectionEvents, ReadBudget, ReadLimits, WriteProgress,
+};
+use super::driver::Driver;
+use super::flag::Flag;
+use crate::limits::Limits;
 use crate::pg::FrameDecoder;
 use crate::reducer::{ClientId, CloseReason, Input};
-use async_io::{Async, Timer};
+use async_executor::Task;
+use async_io::Async;
 use futures_lite::{future, StreamExt};
-use rustix::event::{poll, PollFd, Timespec};
-use std::net::{TcpListener, TcpStream};
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeSet, HashMap};
+use std::net::TcpStream;
 use std::rc::Rc;
-use std::time::Duration;
-
-/// Takes connections while the reducer has room, until it has the listener closed.
-pub(super) async fn accept(shell: Rc<Shell>, listener: Async<TcpListener>) {
-    // Danger: hundreds may connect at once; past the line's end the kernel lets the usual ones wait for seconds.
-    let _ = rustix::net::listen(listener.get_ref(), shell.limits.backlog);
-    let (mut next, mut turn) = (0, 0);
-    let pause = Duration::from_nanos(shell.limits.error_backoff as u64);
-    loop {
-        let stopped = async {
-            shell.stops_listening.wait(true).await;
-            None
+
+/// A client's connection and its task. Dropped, it is closed.
+pub(super) struct Client {
+    pub(super) connection: Rc<Connection>,
+    _task: Task<()>,
+}
+
+/// All clients' connections, and what the listener is to do.
+pub(super) struct Clients {
+    pub(super) connections: RefCell<HashMap<ClientId, Client>>,
+    next_id: Cell<u64>,
+    /// Clients with complete messages that are not taken yet.
+    waiting: RefCell<BTreeSet<ClientId>>,
+    /// Clients whose tasks hold bytes, so that they may not be read on.
+    pub(super) with_pending_bytes: RefCell<BTreeSet<ClientId>>,
+    /// Whether there are any such clients.
+    pub(super) any_pending_bytes: Flag,
+    /// Bytes that the clients' tasks hold.
+    budget: Rc<ReadBudget>,
+    /// New connections are accepted.
+    pub(super) accepts: Flag,
+    /// The listener is to be closed.
+    pub(super) stops_listening: Flag,
+}
+
+impl Clients {
+    pub(super) fn new(limits: &Limits) -> Self {
+        Clients {
+            connections: RefCell::default(),
+            next_id: Cell::new(0),
+            waiting: RefCell::default(),
+            with_pending_bytes: RefCell::default(),
+            any_pending_bytes: Flag::default(),
+            budget: ReadBudget::new(limits.client_bytes),
+            accepts: Flag::default(),
+            stops_listening: Flag::default(),
+        }
+    }
+
+    fn connection(&self, id: ClientId) -> Option<Rc<Connection>> {
+        let connections = self.connections.borrow();
+        connections.get(&id).map(|client| client.connection.clone())
+    }
+
+    fn contains(&self, id: ClientId) -> bool {
+        self.connections.borrow().contains_key(&id)
+    }
+}
+
+impl Driver {
+    /// Takes a connection that was accepted.
+    pub(super) fn open_client(self: &Rc<Self>, socket: Async<TcpStream>) {
+        let limits = ReadLimits {
+            max_pending_bytes: self.limits.read_ahead_bytes,
+            linger_bytes: self.limits.linger_bytes,
         };
-        let taken = async {
-            shell.accepts.wait(true).await;
-            Some(listener.accept().await)
+        let connection = Connection::new(socket, limits, &self.clients.budget);
+        let id = ClientId(self.clients.next_id.get());
+        self.clients.next_id.set(id.0 + 1);
+        let task = self
+            .executor
+            .spawn(serve(self.clone(), id, connection.clone()));
+        let client = Client {
+            connection,
+            _task: task,
         };
-        match future::or(stopped, taken).await {
-            Some(Ok((socket, _))) => {
-                open(&shell, &mut next, socket);
-                turn += 1;
-                if turn % shell.limits.accept_batch == 0 {
-                    future::yield_now().await;
-                }
-            }
-            // Out of descriptors, or the client has gone already: neither may end the listener.
-            Some(Err(_)) => drop(Timer::after(pause).await),
-            None => break,
+        self.clients.connections.borrow_mut().insert(id, client);
+        self.handle_input(Input::ClientConnected(id));
+    }
+
+    /// Writes to a client, and closes its connection behind that where nothing follows.
+    pub(super) fn write_to_client(&self, id: ClientId, bytes: Vec<u8>, close: bool) {
+        let Some(connection) = self.clients.connection(id) else {
+            return;
+        };
+        if close {
+            connection.close_when_written();
+            connection.wake();
+        }
+        match connection.write(bytes) {
+            WriteProgress::Complete => self.queue_input(Input::ClientFlushed(id)),
+            WriteProgress::Partial => {}
+            WriteProgress::Broken => self.lose_client(id),
         }
     }
-    // Whoever stands in line has been accepted by this machine, and is served.
-    while let Ok((socket, _)) = listener.get_ref().accept() {
-        if let Ok(socket) = Async::new(socket) {
-            open(&shell, &mut next, socket);
+
+    /// Closes a client's connection unless it has sent something by now.
+    pub(super) fn close_client_if_quiet(&self, id: ClientId) {
+        let closed = self
+            .clients
+            .connection(id)
+            .is_some_and(|connection| connection.close_if_quiet());
+        if closed {
+            self.lose_client(id);
         }
     }
-    drop(listener);
-    shell.input(Input::ListenerClosed);
-}
 
-fn open(shell: &Rc<Shell>, next: &mut u64, socket: Async<TcpStream>) {
-    let limits = &shell.limits;
-    let link = Link::new(
-        socket,
-        limits.read_ahead_bytes,
-        limits.linger_bytes,
-        &shell.client_budget,
-    );
-    let id = ClientId(*next);
-    *next += 1;
-    let task = shell.executor.spawn(serve(shell.clone(), id, link.clone()));
-    shell
-        .clients
-        .borrow_mut()
-        .insert(id, Client { link, _task: task });
-    shell.input(Input::ClientConnected(id));
-}
+    /// Closes a client's connection; the client, if there was one.
+    pub(super) fn remove_client(&self, id: ClientId) -> Option<Client> {
+        let client = self.clients.connections.borrow_mut().remove(&id);
+        self.clients.with_pending_bytes.borrow_mut().remove(&id);
+        client
+    }
 
-/// Tells the reducer of clients that leave while what they have sent is not read on.
-///
-/// Danger: the end of a connection is read behind its last byte. One whose bytes wait for room, for the statements before
-/// them or for the rest of a message would be served, statement by statement, long after it has gone.
-pub(super) async fn see_leave(shell: Rc<Shell>) {
-    let pace = Duration::from_nanos(shell.limits.disconnect_poll_interval as u64);
-    let now = Timespec {
-        tv_sec: 0,
-        tv_nsec: 0,
-    };
-    loop {
-        shell.holds.wait(true).await;
-        Timer::after(pace).await;
-        let holding: Vec<_> = shell.holding.borrow().iter().copied().collect();
-        for some in holding.chunks(shell.limits.disconnect_poll_batch) {
-            let link = |id: &ClientId| Some((*id, shell.clients.borrow().get(id)?.link.clone()));
-            let links: Vec<_> = some.iter().filter_map(link).collect();
-            let mut asked: Vec<_> = links.iter().map(|(_, link)| link.closes()).collect();
-            // Where it cannot be asked, the end is read in its turn.
-            let seen = poll(&mut asked, Some(&now)).unwrap_or_default();
-            let over = |asked: &PollFd<'_>| seen > 0 && !asked.revents().is_empty();
-            let gone: Vec<_> = links
-                .iter()
-                .zip(&asked)
-                .filter(|(_, a)| over(a))
-                .map(|((id, _), _)| *id)
-                .collect();
-            for id in gone {
-                shell.close_client(id, false);
-                shell.input(Input::ClientClosed(id, CloseReason::Disconnected));
-            }
-            future::yield_now().await;
+    /// Closes a client's connection and tells the reducer.
+    fn lose_client(&self, id: ClientId) {
+        if self.remove_client(id).is_some() {
+            self.queue_input(Input::ClientClosed(id, CloseReason::Disconnected));
         }
-        shell.holds.set(!shell.holding.borrow().is_empty());
     }
-}
 
-async fn serve(shell: Rc<Shell>, id: ClientId, link: Rc<Link>) {
-    let limits = &shell.limits;
-    let mut frames = FrameDecoder::client(limits.startup_bytes, limits.statement_bytes);
-    let mut turns = Turns {
-        link: link.clone(),
-        buffer: shell.buffer.clone(),
-    };
-    while let Some(turn) = turns.next().await {
-        match turn {
-            Turn::Bytes(bytes) => frames.feed(&bytes),
-            Turn::Written => shell.input(Input::ClientFlushed(id)),
-            Turn::Woken => {}
-            Turn::Closed => {
-                shell.close_client(id, false);
-                return shell.input(Input::ClientClosed(id, CloseReason::Disconnected));
-            }
+    /// The process ends: what has been written goes out, nothing follows.
+    pub(super) fn finish_writing_to_clients(&self) {
+        for client in self.clients.connections.borrow().values() {
+            client.connection.finish_writing();
         }
-        let mut taken = 0;
-        while shell.takes(id) {
-            if taken == limits.messages_per_turn {
+    }
+
+    /// Wakes the tasks of those clients whose next message is taken now.
+    pub(super) fn resume_waiting_clients(&self) {
+        let reducer = self.reducer.borrow();
+        self.clients.waiting.borrow_mut().retain(|id| {
+            let is_taken = reducer.accepts_frame(*id);
+            if let Some(client) = self
+                .clients
+                .connections
+                .borrow()
+                .get(id)
+                .filter(|_| is_taken)
+            {
+                client.connection.wake();
+            }
+            !is_taken && self.clients.contains(*id)
+        });
+    }
+
+    /// Whether a client's next message is taken now.
+    fn takes_message(&self, id: ClientId) -> bool {
+        self.reducer.borrow().accepts_frame(id)
+    }
+
+    /// Hands over the messages that are complete, as far as they are taken now.
+    async fn hand_over_messages(self: &Rc<Self>, id: ClientId, frames: &mut FrameDecoder) {
+        let mut handed_over = 0;
+        while self.takes_message(id) {
+            if handed_over == self.limits.messages_per_turn {
                 // Danger: one that sends hundreds of messages at once would keep all others waiting.
-                taken = 0;
+                handed_over = 0;
                 future::yield_now().await;
                 continue;
             }
-            taken += 1;
+            handed_over += 1;
             match frames.next_frame() {
-                Some(Ok(frame)) => shell.input(Input::ClientFrame(id, frame)),
-                // The stream ends once the reducer's last word to this client is written.
-                Some(Err(_)) => shell.input(Input::ClientClosed(id, CloseReason::ProtocolError)),
+                Some(Ok(frame)) => self.handle_input(Input::ClientFrame(id, frame)),
+                // The stream ends once the reducer's last answer to this client is written.
+                Some(Err(_)) => {
+                    self.handle_input(Input::ClientClosed(id, CloseReason::ProtocolError))
+                }
                 None => break,
             }
         }
-        if !shell.clients.borrow().contains_key(&id) {
+    }
+
+    /// Notes what a client's task holds and what that means for reading on.
+    fn note_pending_bytes(
+        self: &Rc<Self>,
+        id: ClientId,
+        connection: &Connection,
+        pending_bytes: usize,
+    ) {
+        connection.set_pending_bytes(pending_bytes);
+        if pending_bytes == 0 {
+            self.clients.with_pending_bytes.borrow_mut().remove(&id);
             return;
         }
-        if link.is_closing() {
-            frames.clear();
+        self.clients.with_pending_bytes.borrow_mut().insert(id);
+        self.clients.any_pending_bytes.set(true);
+        self.handle_input(Input::ClientReadAhead(id, pending_bytes));
+        if !self.takes_message(id) {
+            self.clients.waiting.borrow_mut().insert(id);
         }
-        let held = frames.pending_bytes();
-        link.hold(held);
-        if held == 0 {
-            shell.holding.borrow_mut().remove(&id);
-        } else {
-            shell.holding.borrow_mut().insert(id);
-            shell.holds.set(true);
-            shell.input(Input::ClientReadAhead(id, held));
-            if !shell.takes(id) {
-                shell.waiting.borrow_mut().insert(id);
+    }
+}
+
+/// Reads a client's connection until it is over.
+async fn serve(driver: Rc<Driver>, id: ClientId, connection: Rc<Connection>) {
+    let limits = &driver.limits;
+    let mut frames = FrameDecoder::client(limits.startup_bytes, limits.statement_bytes);
+    let mut events = ConnectionEvents {
+        connection: connection.clone(),
+        buffer: driver.read_buffer.clone(),
+    };
+    while let Some(event) = events.next().await {
+        match event {
+            ConnectionEvent::Read(bytes) => frames.feed(&bytes),
+            ConnectionEvent::Written => driver.handle_input(Input::ClientFlushed(id)),
+            ConnectionEvent::Woken => {}
+            ConnectionEvent::Closed => {
+                driver.remove_client(id);
+                return driver.handle_input(Input::ClientClosed(id, CloseReason::Disconnected));
             }
         }
-        // Nor would one that sends without a pause.
+        driver.hand_over_messages(id, &mut frames).await;
+        if !driver.clients.contains(id) {
+            return;
+        }
+        if connection.is_closing() {
+            frames.clear();
+        }
+        driver.note_pending_bytes(id, &connection, frames.pending_bytes());
+        // Danger: one that sends without a pause would keep all others waiting.
         future::yield_now().await;
     }
 }
--- a/crates/stackgw-gateway/src/io/control.rs
+++ b/crates/stackgw-gateway/src/io/control.rs
@@ -1,6 +1,7 @@
 //! The local socket: one question a connection, a line of JSON each way.
 
-use super::Shell;
+use super::driver::Driver;
+use crate::error::GatewayError;
 use crate::reducer::{Input, StatusQuery};
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -14,97 +15,127 @@
 use std::time::Duration;
 
 /// A question is no longer.
-const QUESTION_BYTES: usize = 4 << 10;
-/// So many may ask at once; more wait in line.
-const ASKERS: usize = 4;
-/// Whoever has not asked, or not read the answer, by then is let go.
-const PATIENCE: Duration = Duration::from_secs(2);
+const MAX_QUESTION_BYTES: usize = 4 << 10;
+/// One read's bytes of a question.
+const READ_BYTES: usize = 512;
+/// So many connections are served at once; more wait in the backlog.
+const MAX_CONNECTIONS: usize = 4;
+/// Whoever has not asked, or not read the answer, by then is disconnected.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after an error of the listener.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
+/// Pace at which a full house is looked at again.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Only the gateway's own user may ask.
+const SOCKET_MODE: u32 = 0o600;
 
-/// Those who wait for an answer.
+/// The reducer's answers, by the number of their question.
 #[derive(Debug, Default)]
-pub(super) struct Askers {
-    next: Cell<u64>,
-    told: RefCell<HashMap<u64, Value>>,
+pub(super) struct Answers {
+    next_question: Cell<u64>,
+    by_question: RefCell<HashMap<u64, Value>>,
 }
 
-impl Askers {
-    pub(super) fn tell(&self, asker: u64, answer: Value) {
-        self.told.borrow_mut().insert(asker, answer);
+impl Answers {
+    pub(super) fn insert(&self, question: u64, answer: Value) {
+        self.by_question.borrow_mut().insert(question, answer);
+    }
+
+    fn take(&self, question: u64) -> Option<Value> {
+        self.by_question.borrow_mut().remove(&question)
+    }
+
+    fn number_question(&self) -> u64 {
+        let question = self.next_question.get();
+        self.next_question.set(question + 1);
+        question
     }
 }
 
 /// Opens the socket. What an ended process left there is removed; any other file stays, and is an error.
-pub(super) fn listen(path: &Path) -> Result<Async<UnixListener>, String> {
-    let wrong = |e: std::io::Error| format!("control: {}: {e}", path.display());
-    if std::fs::symlink_metadata(path).is_ok_and(|about| about.file_type().is_socket())
-        && UnixStream::connect(path).is_err()
-    {
-        std::fs::remove_file(path).map_err(wrong)?;
+pub(super) fn listen(path: &Path) -> Result<Async<UnixListener>, GatewayError> {
+    bind(path).map_err(|source| GatewayError::Control {
+        path: path.to_owned(),
+        source,
+    })
+}
+
+fn bind(path: &Path) -> std::io::Result<Async<UnixListener>> {
+    let is_socket =
+        std::fs::symlink_metadata(path).is_ok_and(|metadata| metadata.file_type().is_socket());
+    if is_socket && UnixStream::connect(path).is_err() {
+        std::fs::remove_file(path)?;
     }
-    let listener = Async::<UnixListener>::bind(path).map_err(wrong)?;
-    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(wrong)?;
+    let listener = Async::<UnixListener>::bind(path)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(SOCKET_MODE))?;
     Ok(listener)
 }
 
-/// Takes askers, a few at a time.
-pub(super) async fn run(shell: Rc<Shell>, listener: Async<UnixListener>) {
+/// Serves connections, a few at a time.
+pub(super) async fn run(driver: Rc<Driver>, listener: Async<UnixListener>) {
     let open = Rc::new(Cell::new(0usize));
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            Timer::after(Duration::from_millis(100)).await;
+            Timer::after(ACCEPT_BACKOFF).await;
             continue;
         };
-        while open.get() >= ASKERS {
-            Timer::after(Duration::from_millis(10)).await;
+        while open.get() >= MAX_CONNECTIONS {
+            Timer::after(CAPACITY_POLL_INTERVAL).await;
         }
         open.set(open.get() + 1);
-        let (shell, open) = (shell.clone(), open.clone());
-        let executor = shell.executor.clone();
-        let task = async move {
-            let late = async {
-                Timer::after(PATIENCE).await;
-            };
-            future::or(answer(&shell, socket), late).await;
-            open.set(open.get() - 1);
-        };
-        executor.spawn(task).detach();
+        let connection = serve_within_timeout(driver.clone(), socket, open.clone());
+        driver.spawn(connection);
     }
 }
 
-async fn answer(shell: &Rc<Shell>, mut socket: Async<UnixStream>) {
-    let (mut asked, mut buffer) = (Vec::new(), [0; 512]);
-    while !asked.contains(&b'\n') && asked.len() < QUESTION_BYTES {
+async fn serve_within_timeout(
+    driver: Rc<Driver>,
+    socket: Async<UnixStream>,
+    open: Rc<Cell<usize>>,
+) {
+    let timeout = async {
+        Timer::after(CONNECTION_TIMEOUT).await;
+    };
+    future::or(serve(&driver, socket), timeout).await;
+    open.set(open.get() - 1);
+}
+
+async fn serve(driver: &Rc<Driver>, mut socket: Async<UnixStream>) {
+    let question = read_question(&mut socket).await;
+    let answer = parse_question(&question).and_then(|question| ask_reducer(driver, question));
+    let answer = answer.unwrap_or_else(|| json!({"error": "no question that is known here"}));
+    let _ = socket.write_all(format!("{answer}\n").as_bytes()).await;
+}
+
+async fn read_question(socket: &mut Async<UnixStream>) -> Vec<u8> {
+    let mut question = Vec::new();
+    let mut buffer = [0; READ_BYTES];
+    while !question.contains(&b'\n') && question.len() < MAX_QUESTION_BYTES {
         match socket.read(&mut buffer).await {
-            Ok(n) if n > 0 => asked.extend_from_slice(&buffer[..n]),
+            Ok(count) if count > 0 => question.extend_from_slice(&buffer[..count]),
             _ => break,
         }
     }
-    let answer = match question(&asked) {
-        Some(question) => {
-            let asker = shell.askers.next.get();
-            shell.askers.next.set(asker + 1);
-            shell.input(Input::StatusQuery(asker, question));
-            // An input from outside the reducer's own turn is handled by the time this returns.
-            shell.askers.told.borrow_mut().remove(&asker)
-        }
-        None => None,
-    };
-    let answer = answer.unwrap_or_else(|| json!({"error": "no question that is known here"}));
-    let _ = socket.write_all(format!("{answer}\n").as_bytes()).await;
+    question
+}
+
+fn ask_reducer(driver: &Rc<Driver>, question: StatusQuery) -> Option<Value> {
+    let number = driver.control_answers.number_question();
+    driver.handle_input(Input::StatusQuery(number, question));
+    // An input from outside the handling of another one has been handled by the time this returns.
+    driver.control_answers.take(number)
 }
 
-fn question(asked: &[u8]) -> Option<StatusQuery> {
-    let line = asked.split(|b| *b == b'\n').next()?;
-    let asked: Value = serde_json::from_slice(line).ok()?;
-    match asked.get("ask")?.as_str()? {
+fn parse_question(text: &[u8]) -> Option<StatusQuery> {
+    let line = text.split(|byte| *byte == b'\n').next()?;
+    let question: Value = serde_json::from_slice(line).ok()?;
+    match question.get("ask")?.as_str()? {
         "sessions" => Some(StatusQuery::Sessions),
         "list" => Some(StatusQuery::EndpointList),
         "session" => {
-            let group = u32::try_from(asked.get("group")?.as_u64()?).ok()?;
-            Some(StatusQuery::Session(
-                group,
-                asked.get("session")?.as_str()?.to_owned(),
-            ))
+            let group = u32::try_from(question.get("group")?.as_u64()?).ok()?;
+            let session = question.get("session")?.as_str()?;
+            Some(StatusQuery::Session(group, session.to_owned()))
         }
         _ => None,
     }
--- a/crates/stackgw-gateway/src/io/discovery.rs
+++ b/crates/stackgw-gateway/src/io/discovery.rs
@@ -1,13 +1,15 @@
 //! The list service: the watch, and single requests for the complete list.
 
-use super::Shell;
+use super::driver::Driver;
 use crate::discovery::{
     endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, ListUpdate, RequestedList,
     WatchError, WatchEvent, WatchParser,
 };
 use crate::reducer::Input;
+use async_executor::Task;
 use async_io::{Async, Timer};
 use futures_lite::{future, stream, AsyncReadExt, AsyncWriteExt, Stream, StreamExt};
+use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -15,6 +17,32 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// The tasks that talk to the list service. A task that is replaced or dropped ends.
+#[derive(Default)]
+pub(super) struct ListRequests {
+    watch: RefCell<Option<Task<()>>>,
+    fetch: RefCell<Option<Task<()>>>,
+}
+
+impl Driver {
+    /// Opens a watch of what changes after a version, in place of any other.
+    pub(super) fn open_watch(self: &Rc<Self>, address: SocketAddr, after: Option<u64>) {
+        let task = self.executor.spawn(watch(self.clone(), address, after));
+        *self.list_requests.watch.borrow_mut() = Some(task);
+    }
+
+    pub(super) fn close_watch(&self) {
+        let task = self.list_requests.watch.borrow_mut().take();
+        drop(task);
+    }
+
+    /// Asks for the complete list, in place of any other such request.
+    pub(super) fn fetch_list(self: &Rc<Self>, address: SocketAddr) {
+        let task = self.executor.spawn(fetch(self.clone(), address));
+        *self.list_requests.fetch.borrow_mut() = Some(task);
+    }
+}
+
 /// An answer that is being read.
 struct Response {
     socket: Async<TcpStream>,
@@ -26,7 +54,7 @@
 impl Response {
     /// Connects and sends a request.
     async fn request(
-        shell: &Rc<Shell>,
+        driver: &Rc<Driver>,
         address: SocketAddr,
         requested: RequestedList,
     ) -> Result<Self, WatchError> {
@@ -37,9 +65,9 @@
         let request = endpoint_request(address, requested);
         socket.write_all(&request).await.map_err(io_error)?;
         if matches!(requested, RequestedList::Watch(_)) {
-            shell.input(Input::WatchConnected);
+            driver.handle_input(Input::WatchConnected);
         }
-        let limits = &shell.limits;
+        let limits = &driver.limits;
         Ok(Response {
             socket,
             reader: HttpLineReader::new(limits.head_bytes, limits.list_bytes),
@@ -77,31 +105,35 @@
 
 /// Sends a request, and gives the answer's parts as they come.
 fn request(
-    shell: Rc<Shell>,
+    driver: Rc<Driver>,
     address: SocketAddr,
     requested: RequestedList,
 ) -> impl Stream<Item = Result<HttpEvent, WatchError>> {
-    let state = (shell, None::<Response>);
-    stream::try_unfold(state, move |(shell, response)| async move {
+    let state = (driver, None::<Response>);
+    stream::try_unfold(state, move |(driver, response)| async move {
         let mut response = match response {
             Some(response) => response,
-            None => Response::request(&shell, address, requested).await?,
+            None => Response::request(&driver, address, requested).await?,
         };
-        let mut buffer = vec![0; shell.limits.read_bytes];
+        let mut buffer = vec![0; driver.limits.read_bytes];
         let event = response.next(&mut buffer).await?;
-        Ok(event.map(|event| (event, (shell, Some(response)))))
+        Ok(event.map(|event| (event, (driver, Some(response)))))
     })
 }
 
 /// Hands over each line of a watch until it ends.
-pub(super) async fn watch(shell: Rc<Shell>, address: SocketAddr, after: Option<u64>) {
-    let mut events = pin!(request(shell.clone(), address, RequestedList::Watch(after)));
-    let mut parser = WatchParser::new(shell.limits.list_bytes);
+async fn watch(driver: Rc<Driver>, address: SocketAddr, after: Option<u64>) {
+    let mut events = pin!(request(
+        driver.clone(),
+        address,
+        RequestedList::Watch(after)
+    ));
+    let mut parser = WatchParser::new(driver.limits.list_bytes);
     let error = loop {
         match events.next().await {
             Some(Ok(HttpEvent::Line(line))) => match parser.push_line(line) {
-                Ok(WatchEvent::Heartbeat) => shell.input(Input::WatchKeepalive),
-                Ok(WatchEvent::List(list)) => shell.input(Input::EndpointList(list)),
+                Ok(WatchEvent::Heartbeat) => driver.handle_input(Input::WatchKeepalive),
+                Ok(WatchEvent::List(list)) => driver.handle_input(Input::EndpointList(list)),
                 Ok(WatchEvent::Incomplete) => {}
                 Err(error) => break error.to_string().into(),
             },
@@ -109,24 +141,24 @@
             Some(Err(error)) => break error,
         }
     };
-    shell.input(Input::WatchLost(error));
+    driver.handle_input(Input::WatchLost(error));
 }
 
 /// Asks for the complete list once.
-pub(super) async fn fetch(shell: Rc<Shell>, address: SocketAddr) {
-    let timeout = Duration::from_nanos(shell.limits.watch_idle_timeout as u64);
+async fn fetch(driver: Rc<Driver>, address: SocketAddr) {
+    let timeout = Duration::from_nanos(driver.limits.watch_idle_timeout as u64);
     let late = async {
         Timer::after(timeout).await;
         None
     };
-    match future::or(read_list(&shell, address), late).await {
-        Some(list) => shell.input(Input::EndpointList(list)),
-        None => shell.input(Input::FetchFailed),
+    match future::or(read_list(&driver, address), late).await {
+        Some(list) => driver.handle_input(Input::EndpointList(list)),
+        None => driver.handle_input(Input::FetchFailed),
     }
 }
 
-async fn read_list(shell: &Rc<Shell>, address: SocketAddr) -> Option<ListUpdate> {
-    let mut events = pin!(request(shell.clone(), address, RequestedList::Complete));
+async fn read_list(driver: &Rc<Driver>, address: SocketAddr) -> Option<ListUpdate> {
+    let mut events = pin!(request(driver.clone(), address, RequestedList::Complete));
     let mut body = Vec::new();
     loop {
         match events.next().await? {
--- /dev/null
+++ b/crates/stackgw-gateway/src/io/driver.rs
@@ -0,0 +1,159 @@
+//! Drives the reducer: hands it inputs one at a time and carries out the effects that it asks for.
+
+use super::backends::Backends;
+use super::clients::Clients;
+use super::clock::Clock;
+use super::control::Answers;
+use super::discovery::ListRequests;
+use super::flag::Flag;
+use super::frontends::OpenRequests;
+use super::members::Members;
+use super::timers::Alarm;
+use crate::config::ConfigReloader;
+use crate::limits::Limits;
+use crate::reducer::{Effect, Input, Reducer};
+use async_executor::LocalExecutor;
+use async_io::Async;
+use slog::{info, Logger};
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::future::Future;
+use std::net::UdpSocket;
+use std::rc::Rc;
+
+/// Everything the tasks share.
+pub(super) struct Driver {
+    pub(super) reducer: RefCell<Reducer>,
+    /// Inputs that wait for the one that is being handled.
+    pub(super) inputs: RefCell<VecDeque<Input>>,
+    pub(super) is_handling: Cell<bool>,
+    pub(super) limits: Limits,
+    pub(super) clock: Clock,
+    pub(super) log: Logger,
+    pub(super) executor: Rc<LocalExecutor<'static>>,
+    pub(super) reloader: ConfigReloader,
+    pub(super) clients: Clients,
+    pub(super) members: Members,
+    pub(super) backends: Backends,
+    pub(super) open_requests: OpenRequests,
+    pub(super) list_requests: ListRequests,
+    pub(super) datagrams: DatagramSockets,
+    pub(super) storage: Storage,
+    pub(super) control_answers: Answers,
+    pub(super) alarm: Alarm,
+    /// The gateway ends.
+    pub(super) exits: Flag,
+    /// One read's bytes, shared by all connections of this one thread.
+    pub(super) read_buffer: Rc<RefCell<Vec<u8>>>,
+}
+
+/// Sockets for datagrams, where they are turned on.
+#[derive(Default)]
+pub(super) struct DatagramSockets {
+    /// To other gateways, as the platform names them.
+    pub(super) peers: Option<Rc<Async<UdpSocket>>>,
+    /// To other instances of the operator's cluster.
+    pub(super) cluster: Option<Rc<Async<UdpSocket>>>,
+}
+
+/// What writes to the disk, where that is turned on.
+#[derive(Default)]
+pub(super) struct Storage {
+    /// Records of sessions.
+    pub(super) records: Option<stackgw_store::RecordWriter>,
+    /// The endpoint list.
+    pub(super) endpoint_list: Option<stackgw_store::EndpointListWriter>,
+}
+
+impl Driver {
+    /// Hands an input to the reducer and carries out what it asks for, until nothing is left. An input that comes up while
+    /// another one is handled waits for it.
+    pub(super) fn handle_input(self: &Rc<Self>, input: Input) {
+        self.queue_input(input);
+        if self.is_handling.replace(true) {
+            return;
+        }
+        let mut effects = Vec::new();
+        loop {
+            let Some(input) = self.inputs.borrow_mut().pop_front() else {
+                break;
+            };
+            self.reducer
+                .borrow_mut()
+                .handle(self.clock.now(), input, &mut effects);
+            for effect in effects.drain(..) {
+                self.execute(effect);
+            }
+        }
+        self.is_handling.set(false);
+        self.resume_waiting_clients();
+        self.alarm.set(self.reducer.borrow().next_due());
+    }
+
+    /// Leaves an input for the loop that is handling inputs now.
+    pub(super) fn queue_input(&self, input: Input) {
+        self.inputs.borrow_mut().push_back(input);
+    }
+
+    /// Runs a task until the gateway ends.
+    pub(super) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        self.executor.spawn(task).detach();
+    }
+
+    /// Carries out an effect. What follows from it at once is queued as an input.
+    pub(super) fn execute(self: &Rc<Self>, effect: Effect) {
+        match effect {
+            Effect::AcceptClients(accepts) => self.clients.accepts.set(accepts),
+            Effect::ClientWrite {
+                client,
+                bytes,
+                close,
+            } => self.write_to_client(client, bytes, close),
+            Effect::ClientClose(client) => drop(self.remove_client(client)),
+            Effect::ClientCloseIfIdle(client) => self.close_client_if_quiet(client),
+            Effect::StopListening => self.clients.stops_listening.set(true),
+            Effect::MemberConnect(id, address) => self.open_member_connection(id, address),
+            Effect::MemberWrite(id, bytes) => self.write_to_member(id, bytes),
+            Effect::MemberClose(id) => self.close_member_connection(id),
+            Effect::BackendConnect(id, address) => self.open_backend_connection(id, address),
+            Effect::BackendSend(id, request) => self.execute_on_backend(id, request),
+            Effect::CallCompleted(call, answer) => self.answer_frontend_request(call, answer),
+            Effect::CallStreaming(call, id) => self.answer_frontend_request_by_stream(call, id),
+            Effect::OpenWatch(address, after) => self.open_watch(address, after),
+            Effect::CloseWatch => self.close_watch(),
+            Effect::FetchEndpoints(address) => self.fetch_list(address),
+            Effect::GossipDatagram(to, bytes) => {
+                send_datagram(self.datagrams.peers.as_deref(), to, &bytes)
+            }
+            Effect::ClusterDatagram(to, bytes) => {
+                send_datagram(self.datagrams.cluster.as_deref(), to, &bytes)
+            }
+            Effect::StoreRecord(record) => {
+                if let Some(writer) = &self.storage.records {
+                    writer.put(record);
+                }
+            }
+            Effect::StoreEndpoints(list) => {
+                if let Some(writer) = &self.storage.endpoint_list {
+                    writer.put(*list);
+                }
+            }
+            Effect::StatusReply(question, answer) => self.control_answers.insert(question, answer),
+            Effect::Log(text) => info!(self.log, "{text}"),
+            Effect::Report(counters) => info!(self.log, "{counters}"),
+            Effect::Exit => self.exit(),
+        }
+    }
+
+    fn exit(&self) {
+        self.finish_writing_to_clients();
+        self.exits.set(true);
+    }
+}
+
+/// Sends a datagram where there is a socket. One that cannot leave now is lost, as any may be; what matters is sent again.
+fn send_datagram(socket: Option<&Async<UdpSocket>>, to: std::net::SocketAddr, bytes: &[u8]) {
+    if let Some(socket) = socket {
+        let _ = socket.get_ref().send_to(bytes, to);
+    }
+}
--- a/crates/stackgw-gateway/src/io/frontends.rs
+++ b/crates/stackgw-gateway/src/io/frontends.rs
@@ -1,20 +1,39 @@
-//! Other fronts' requests: from threads of their own, through a door, to the reducer and back.
+//! Other frontends' requests: from threads of their own, through a channel, to the reducer and back.
 
-use super::{RelayedStream, Shell};
+use super::backends::RelayedStream;
+use super::driver::Driver;
 use crate::pg::{message_kind, write, Frame};
-use crate::reducer::{CallId, FinalResponse, Input};
+use crate::reducer::{CallId, ConnectionId, FinalResponse, Input};
 use async_channel::{Receiver, Sender};
+use std::cell::RefCell;
+use std::collections::HashMap;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// What comes through the door.
-pub(super) enum Knock {
-    Ask(CallId, String, bool, Sender<FrontendResponse>),
-    Gone(CallId),
+/// The answer of a gateway that ends before the request's.
+const GATEWAY_ENDS: FrontendResponse =
+    FrontendResponse::Final(FinalResponse::Unavailable("the gateway ends"));
+
+/// What comes from another frontend.
+pub(super) enum FrontendMessage {
+    /// A request.
+    Execute(FrontendRequest),
+    /// Nobody waits for that request any more.
+    Cancel(CallId),
+}
+
+/// Another frontend's request.
+pub(super) struct FrontendRequest {
+    id: CallId,
+    /// In the form of the first protocol.
+    statement: String,
+    /// Its answer may be a stream.
+    accepts_stream: bool,
+    response: Sender<FrontendResponse>,
 }
 
-/// How another front's request is answered.
+/// How another frontend's request is answered.
 pub enum FrontendResponse {
     /// By its one final answer.
     Final(FinalResponse),
@@ -22,101 +41,136 @@
     Stream(RelayedStream),
 }
 
-/// The way to the reducer for another front. Clones lead to the same one.
+/// The way to the reducer for another frontend. Clones lead to the same one.
 #[derive(Clone)]
 pub struct RequestHandle {
-    knocks: Sender<Knock>,
-    next: Arc<AtomicU64>,
+    messages: Sender<FrontendMessage>,
+    next_id: Arc<AtomicU64>,
 }
 
-/// Dropped, it tells the reducer that nobody waits any more, unless the answer has come and was no stream.
+/// Cancels its request when dropped, unless the final answer has come.
 pub struct RequestGuard {
-    door: RequestHandle,
-    call: Option<CallId>,
+    handle: RequestHandle,
+    /// `None`: nothing is left to cancel.
+    request: Option<CallId>,
 }
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        if let Some(call) = self.call.take() {
-            let _ = self.door.knocks.try_send(Knock::Gone(call));
+        if let Some(request) = self.request.take() {
+            let _ = self
+                .handle
+                .messages
+                .try_send(FrontendMessage::Cancel(request));
         }
     }
 }
 
 impl RequestHandle {
-    pub(super) fn new() -> (RequestHandle, Receiver<Knock>) {
-        let (knocks, line) = async_channel::unbounded();
-        (
-            RequestHandle {
-                knocks,
-                next: Arc::default(),
-            },
-            line,
-        )
+    pub(super) fn new() -> (RequestHandle, Receiver<FrontendMessage>) {
+        let (messages, receiver) = async_channel::unbounded();
+        let handle = RequestHandle {
+            messages,
+            next_id: Arc::default(),
+        };
+        (handle, receiver)
     }
 
-    /// Asks with a statement in the form of our first protocol; gives its one final answer. Dropped before that, the client
-    /// is gone. How many may ask at once is the caller's to bound.
+    /// Executes a statement in the form of the first protocol; gives its one final answer. Dropped before that, the client
+    /// is gone. How many may be executed at once is the caller's to bound.
     pub async fn execute(&self, statement: String) -> FinalResponse {
-        match self.knock(statement, false).await {
-            (FrontendResponse::Final(ended), _) => ended,
+        match self.send(statement, false).await {
+            (FrontendResponse::Final(answer), _) => answer,
             (FrontendResponse::Stream(_), _) => {
                 FinalResponse::Failed("a stream came where one value was asked for")
             }
         }
     }
 
-    /// The same where the answer may be a stream. What comes beside it is kept for as long as the stream is read.
+    /// The same where the answer may be a stream. The guard beside it is kept for as long as the stream is read.
     pub async fn execute_streaming(&self, statement: String) -> (FrontendResponse, RequestGuard) {
-        self.knock(statement, true).await
+        self.send(statement, true).await
     }
 
-    async fn knock(&self, statement: String, streams: bool) -> (FrontendResponse, RequestGuard) {
-        const OVER: FrontendResponse =
-            FrontendResponse::Final(FinalResponse::Unavailable("the gateway ends"));
-        let call = CallId(self.next.fetch_add(1, Ordering::Relaxed));
-        let (told, word) = async_channel::bounded(1);
-        let mut waits = RequestGuard {
-            door: self.clone(),
-            call: None,
+    async fn send(
+        &self,
+        statement: String,
+        accepts_stream: bool,
+    ) -> (FrontendResponse, RequestGuard) {
+        let id = CallId(self.next_id.fetch_add(1, Ordering::Relaxed));
+        let (response, receiver) = async_channel::bounded(1);
+        let mut guard = RequestGuard {
+            handle: self.clone(),
+            request: None,
+        };
+        let request = FrontendRequest {
+            id,
+            statement,
+            accepts_stream,
+            response,
         };
-        if self
-            .knocks
-            .send(Knock::Ask(call, statement, streams, told))
-            .await
-            .is_err()
-        {
-            return (OVER, waits);
+        let message = FrontendMessage::Execute(request);
+        if self.messages.send(message).await.is_err() {
+            return (GATEWAY_ENDS, guard);
+        }
+        guard.request = Some(id);
+        let response = receiver.recv().await.unwrap_or(GATEWAY_ENDS);
+        if matches!(response, FrontendResponse::Final(_)) {
+            guard.request = None;
+        }
+        (response, guard)
+    }
+}
+
+/// Other frontends' requests that are open, and who waits for each.
+#[derive(Default)]
+pub(super) struct OpenRequests(RefCell<HashMap<CallId, Sender<FrontendResponse>>>);
+
+impl OpenRequests {
+    fn insert(&self, id: CallId, response: Sender<FrontendResponse>) {
+        self.0.borrow_mut().insert(id, response);
+    }
+
+    fn remove(&self, id: CallId) -> Option<Sender<FrontendResponse>> {
+        self.0.borrow_mut().remove(&id)
+    }
+}
+
+impl Driver {
+    /// Gives a request its one final answer.
+    pub(super) fn answer_frontend_request(&self, id: CallId, answer: FinalResponse) {
+        if let Some(response) = self.open_requests.remove(id) {
+            let _ = response.try_send(FrontendResponse::Final(answer));
         }
-        waits.call = Some(call);
-        let ended = word.recv().await.unwrap_or(OVER);
-        if matches!(ended, FrontendResponse::Final(_)) {
-            waits.call = None;
+    }
+
+    /// Gives a request the stream that has just begun on a connection.
+    pub(super) fn answer_frontend_request_by_stream(&self, id: CallId, connection: ConnectionId) {
+        let response = self.open_requests.remove(id);
+        let stream = self.backends.take_started_stream(connection);
+        if let (Some(response), Some(stream)) = (response, stream) {
+            let _ = response.try_send(FrontendResponse::Stream(stream));
         }
-        (ended, waits)
     }
 }
 
-/// Hands over what comes through the door.
-pub(super) async fn run(shell: Rc<Shell>, line: Receiver<Knock>) {
-    while let Ok(knock) = line.recv().await {
-        match knock {
-            Knock::Ask(call, statement, streams, told) => {
+/// Hands over what comes from other frontends.
+pub(super) async fn run(driver: Rc<Driver>, messages: Receiver<FrontendMessage>) {
+    while let Ok(message) = messages.recv().await {
+        match message {
+            FrontendMessage::Execute(request) => {
                 let mut bytes = Vec::new();
-                write::query(&mut bytes, &statement);
-                shell.calls.borrow_mut().insert(call, told);
-                shell.input(Input::Call(
-                    call,
-                    Frame {
-                        kind: message_kind::client::QUERY,
-                        bytes,
-                    },
-                    streams,
-                ));
+                write::query(&mut bytes, &request.statement);
+                driver.open_requests.insert(request.id, request.response);
+                let frame = Frame {
+                    kind: message_kind::client::QUERY,
+                    bytes,
+                };
+                driver.handle_input(Input::Call(request.id, frame, request.accepts_stream));
             }
-            Knock::Gone(call) => {
-                shell.calls.borrow_mut().remove(&call);
-                shell.input(Input::CallCancelled(call));
+            FrontendMessage::Cancel(id) => {
+                drop(driver.open_requests.remove(id));
+                driver.handle_input(Input::CallCancelled(id));
             }
         }
     }
--- /dev/null
+++ b/crates/stackgw-gateway/src/io/listener.rs
@@ -0,0 +1,50 @@
+//! Accepts clients' connections.
+
+use super::driver::Driver;
+use async_io::{Async, Timer};
+use futures_lite::future;
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Accepts connections while the reducer has capacity, until it has the listener closed.
+pub(super) async fn run(driver: Rc<Driver>, listener: Async<TcpListener>) {
+    // Danger: hundreds may connect at once; past the backlog the kernel lets the usual ones wait for seconds.
+    let _ = rustix::net::listen(listener.get_ref(), driver.limits.backlog);
+    let mut accepted = 0;
+    let backoff = Duration::from_nanos(driver.limits.error_backoff as u64);
+    loop {
+        let stopped = async {
+            driver.clients.stops_listening.wait().await;
+            None
+        };
+        let next = async {
+            driver.clients.accepts.wait().await;
+            Some(listener.accept().await)
+        };
+        match future::or(stopped, next).await {
+            Some(Ok((socket, _))) => {
+                driver.open_client(socket);
+                accepted += 1;
+                if accepted % driver.limits.accept_batch == 0 {
+                    future::yield_now().await;
+                }
+            }
+            // Out of descriptors, or the client has gone already: neither may end the listener.
+            Some(Err(_)) => drop(Timer::after(backoff).await),
+            None => break,
+        }
+    }
+    accept_backlog(&driver, &listener);
+    drop(listener);
+    driver.handle_input(crate::reducer::Input::ListenerClosed);
+}
+
+/// Whoever is in the backlog has been accepted by this machine, and is served.
+fn accept_backlog(driver: &Rc<Driver>, listener: &Async<TcpListener>) {
+    while let Ok((socket, _)) = listener.get_ref().accept() {
+        if let Ok(socket) = Async::new(socket) {
+            driver.open_client(socket);
+        }
+    }
+}
--- a/crates/stackgw-gateway/src/io/signals.rs
+++ b/crates/stackgw-gateway/src/io/signals.rs
@@ -1,6 +1,6 @@
-//! Signals: SIGTERM and SIGINT end the gateway, SIGHUP reads its configuration anew, SIGUSR1 prints the counters.
+//! Signals: SIGTERM and SIGINT end the gateway, SIGHUP reloads its configuration, SIGUSR1 prints the counters.
 
-use super::Shell;
+use super::driver::Driver;
 use crate::reducer::Input;
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
@@ -11,12 +11,15 @@
 }
 
 /// Hands over each signal.
-pub(super) async fn run(shell: Rc<Shell>, mut signals: Signals) {
+pub(super) async fn run(driver: Rc<Driver>, mut signals: Signals) {
     while let Some(signal) = signals.next().await {
         match signal {
-            Ok(Signal::Hup) => shell.input(Input::Reload(shell.reloader.reload().map(Box::new))),
-            Ok(Signal::Usr1) => shell.input(Input::Report),
-            Ok(_) => shell.input(Input::Terminate),
+            Ok(Signal::Hup) => {
+                let config = driver.reloader.reload().map(Box::new);
+                driver.handle_input(Input::Reload(config));
+            }
+            Ok(Signal::Usr1) => driver.handle_input(Input::Report),
+            Ok(_) => driver.handle_input(Input::Terminate),
             Err(_) => {}
         }
     }
--- /dev/null
+++ b/crates/stackgw-gateway/src/io/startup.rs
@@ -0,0 +1,319 @@
+//! Opens what a gateway needs, in the order in which its parts depend on each other, and runs it to its end.
+
+use super::backends::{self, BackendChannels, BackendCommand, BackendEvent, Backends};
+use super::clients::Clients;
+use super::clock::Clock;
+use super::control::{self, Answers};
+use super::discovery::ListRequests;
+use super::driver::{DatagramSockets, Driver, Storage};
+use super::flag::Flag;
+use super::frontends::{self, FrontendMessage, OpenRequests, RequestHandle};
+use super::members::Members;
+use super::timers::{self, Alarm};
+use super::{datagrams, disconnects, listener, signals, storage};
+use crate::config::{Config, ConfigReloader};
+use crate::error::GatewayError;
+use crate::limits::Limits;
+use crate::reducer::{Effect, Incarnation, Input, Reducer};
+use crate::FrontendFactory;
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use async_io::Async;
+use async_signal::Signals;
+use slog::{info, Logger};
+use stackgw_store::{CommitOutcome, EndpointListWriter, RecordWriter};
+use std::any::Any;
+use std::cell::{Cell, RefCell};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::os::unix::net::UnixListener;
+use std::rc::Rc;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// Serves until the reducer has the gateway end.
+///
+/// # Errors
+///
+/// Something that the configuration names cannot be opened.
+pub(crate) fn serve(
+    config: Config,
+    frontend: Option<FrontendFactory>,
+    log: Logger,
+) -> Result<(), GatewayError> {
+    // First of all: a signal that came before would end the program.
+    let signals = signals::listen().map_err(GatewayError::Signals)?;
+    let control = config
+        .operator
+        .control
+        .as_deref()
+        .map(control::listen)
+        .transpose()?;
+    let cluster = ClusterAccess::open(&config, &log)?;
+    let frontend = frontend
+        .map(|factory| RunningFrontend::start(factory, &log))
+        .transpose()?;
+    let listener = listen(config.listen, &log)?;
+    let peers = match config.peer_listen {
+        Some(address) => Some(bind_datagrams("peer_listen", address)?),
+        None => None,
+    };
+    let clock = Clock::new();
+    let core = Core::new(config, cluster.as_ref(), clock, &log);
+    let (cluster_socket, record_writer, store_results) = match cluster {
+        Some(cluster) => (Some(cluster.socket), cluster.writer, cluster.store_results),
+        None => (None, None, None),
+    };
+    let datagrams = DatagramSockets {
+        peers,
+        cluster: cluster_socket,
+    };
+    let (running, backend_commands, frontend_inputs) = match frontend {
+        Some(frontend) => (
+            Some(frontend.running),
+            Some(frontend.commands),
+            Some(frontend.inputs),
+        ),
+        None => (None, None, None),
+    };
+    let (driver, effects) =
+        core.into_driver(clock, log, datagrams, record_writer, backend_commands);
+    let sources = InputSources {
+        signals,
+        control,
+        store_results,
+        frontend: frontend_inputs,
+        listener,
+    };
+    sources.spawn_tasks(&driver);
+    for effect in effects {
+        driver.execute(effect);
+    }
+    driver.handle_input(Input::Start);
+    async_io::block_on(driver.executor.run(driver.exits.wait()));
+    drop(running);
+    Ok(())
+}
+
+fn listen(address: SocketAddr, log: &Logger) -> Result<Async<TcpListener>, GatewayError> {
+    let error = |source| GatewayError::Listen {
+        field: "listen",
+        address,
+        source,
+    };
+    let listener = Async::<TcpListener>::bind(address).map_err(error)?;
+    let bound = listener.get_ref().local_addr().map_err(error)?;
+    info!(log, "listening on {bound}");
+    Ok(listener)
+}
+
+fn bind_datagrams(
+    field: &'static str,
+    address: SocketAddr,
+) -> Result<Rc<Async<UdpSocket>>, GatewayError> {
+    let socket = Async::<UdpSocket>::bind(address).map_err(|source| GatewayError::Listen {
+        field,
+        address,
+        source,
+    })?;
+    Ok(Rc::new(socket))
+}
+
+/// This instance as a part of the operator's cluster.
+struct ClusterAccess {
+    socket: Rc<Async<UdpSocket>>,
+    incarnation: Incarnation,
+    writer: Option<RecordWriter>,
+    store_results: Option<Receiver<CommitOutcome>>,
+}
+
+impl ClusterAccess {
+    /// Binds the socket and opens the store, if the operator's file asks for them.
+    fn open(config: &Config, log: &Logger) -> Result<Option<Self>, GatewayError> {
+        let Some(cluster) = &config.cluster else {
+            return Ok(None);
+        };
+        let field = match config.session_sharing {
+            Some(_) => "sessions.listen",
+            None => "cluster.listen",
+        };
+        let socket = bind_datagrams(field, cluster.options.listen)?;
+        let started_at = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        let access = match storage::open_session_store(config, log)? {
+            Some(store) => ClusterAccess {
+                socket,
+                incarnation: store.incarnation,
+                writer: Some(store.writer),
+                store_results: Some(store.results),
+            },
+            None => ClusterAccess {
+                socket,
+                incarnation: Incarnation {
+                    number: u64::try_from(started_at.as_millis()).unwrap_or(u64::MAX),
+                    recovered: None,
+                },
+                writer: None,
+                store_results: None,
+            },
+        };
+        Ok(Some(access))
+    }
+}
+
+/// Another frontend, and its backend.
+struct RunningFrontend {
+    /// Dropped, both end.
+    running: Box<dyn Any>,
+    commands: Sender<BackendCommand>,
+    inputs: FrontendInputs,
+}
+
+/// Where inputs of another frontend and its backend come from.
+struct FrontendInputs {
+    messages: Receiver<FrontendMessage>,
+    events: Receiver<BackendEvent>,
+}
+
+impl RunningFrontend {
+    fn start(factory: FrontendFactory, log: &Logger) -> Result<Self, GatewayError> {
+        let (handle, messages) = RequestHandle::new();
+        let (backend, gateway) = BackendChannels::new();
+        let running = factory(handle, backend, log.clone()).map_err(GatewayError::Frontend)?;
+        Ok(RunningFrontend {
+            running,
+            commands: gateway.commands,
+            inputs: FrontendInputs {
+                messages,
+                events: gateway.events,
+            },
+        })
+    }
+}
+
+/// The reducer, with all that is turned on, before its first input.
+struct Core {
+    reducer: Reducer,
+    /// What it asks for already.
+    effects: Vec<Effect>,
+    limits: Limits,
+    reloader: ConfigReloader,
+    list_writer: Option<EndpointListWriter>,
+}
+
+impl Core {
+    fn new(config: Config, cluster: Option<&ClusterAccess>, clock: Clock, log: &Logger) -> Self {
+        let limits = config.limits.clone();
+        let reloader = config.reloader();
+        let name = config.name.clone();
+        let session_sharing = config.session_sharing.clone();
+        let cluster_config = config.cluster.clone();
+        let bootstrap = config.bootstrap.clone();
+        let mut reducer = Reducer::new(config);
+        let mut effects = Vec::new();
+        if let Some(ClusterAccess { incarnation, .. }) = cluster {
+            if let Some(session_sharing) = &session_sharing {
+                reducer.enable_session_sharing(
+                    clock.now(),
+                    session_sharing,
+                    incarnation.clone(),
+                    &mut effects,
+                );
+            } else if let Some(cluster_config) = &cluster_config {
+                reducer.join_cluster(clock.now(), cluster_config, incarnation.peer(&name));
+            }
+        }
+        let mut list_writer = None;
+        if let Some(bootstrap) = &bootstrap {
+            let store = storage::open_endpoint_list(bootstrap, log);
+            let cluster = cluster_config.as_ref().map(|cluster| &cluster.options);
+            reducer.enable_bootstrap(clock.now(), bootstrap, cluster, store.cached, &mut effects);
+            list_writer = store.writer;
+        }
+        Core {
+            reducer,
+            effects,
+            limits,
+            reloader,
+            list_writer,
+        }
+    }
+
+    /// The driver of this reducer, and the effects that it is to carry out first.
+    fn into_driver(
+        self,
+        clock: Clock,
+        log: Logger,
+        datagrams: DatagramSockets,
+        record_writer: Option<RecordWriter>,
+        backend_commands: Option<Sender<BackendCommand>>,
+    ) -> (Rc<Driver>, Vec<Effect>) {
+        let driver = Driver {
+            reducer: RefCell::new(self.reducer),
+            inputs: RefCell::default(),
+            is_handling: Cell::new(false),
+            clock,
+            log,
+            executor: Rc::new(LocalExecutor::new()),
+            reloader: self.reloader,
+            clients: Clients::new(&self.limits),
+            members: Members::new(&self.limits),
+            backends: Backends::new(backend_commands),
+            open_requests: OpenRequests::default(),
+            list_requests: ListRequests::default(),
+            datagrams,
+            storage: Storage {
+                records: record_writer,
+                endpoint_list: self.list_writer,
+            },
+            control_answers: Answers::default(),
+            alarm: Alarm::default(),
+            exits: Flag::default(),
+            read_buffer: Rc::new(RefCell::new(vec![0; self.limits.read_bytes])),
+            limits: self.limits,
+        };
+        (Rc::new(driver), self.effects)
+    }
+}
+
+/// Where inputs come from, beside the sockets that the driver itself sends by.
+struct InputSources {
+    signals: Signals,
+    control: Option<Async<UnixListener>>,
+    store_results: Option<Receiver<CommitOutcome>>,
+    frontend: Option<FrontendInputs>,
+    listener: Async<TcpListener>,
+}
+
+impl InputSources {
+    /// Starts a task for each.
+    fn spawn_tasks(self, driver: &Rc<Driver>) {
+        driver.spawn(signals::run(driver.clone(), self.signals));
+        driver.spawn(timers::run(driver.clone()));
+        if let Some(socket) = driver.datagrams.peers.clone() {
+            let max_bytes = driver.limits.datagram_bytes;
+            driver.spawn(datagrams::run(
+                driver.clone(),
+                socket,
+                max_bytes,
+                Input::GossipDatagram,
+            ));
+        }
+        if let Some(socket) = driver.datagrams.cluster.clone() {
+            let max_bytes = stackgw_cluster::MAX_DATAGRAM_BYTES;
+            let input = |_, bytes| Input::ClusterDatagram(bytes);
+            driver.spawn(datagrams::run(driver.clone(), socket, max_bytes, input));
+        }
+        if let Some(results) = self.store_results {
+            driver.spawn(storage::run(driver.clone(), results));
+        }
+        if let Some(listener) = self.control {
+            driver.spawn(control::run(driver.clone(), listener));
+        }
+        if let Some(frontend) = self.frontend {
+            driver.spawn(frontends::run(driver.clone(), frontend.messages));
+            driver.spawn(backends::run(driver.clone(), frontend.events));
+        }
+        driver.spawn(disconnects::run(driver.clone()));
+        driver.spawn(listener::run(driver.clone(), self.listener));
+    }
+}
--- a/crates/stackgw-gateway/src/io/storage.rs
+++ b/crates/stackgw-gateway/src/io/storage.rs
@@ -1,109 +1,106 @@
-//! The operator's cluster: its start, and the disk's word.
+//! What the gateway keeps on a disk, where the operator's file asks for that: records of sessions, and the endpoint list.
 
-use super::Shell;
-use crate::config::Config;
+use super::driver::Driver;
+use crate::config::{Config, SessionSharingConfig};
 use crate::reducer::{Incarnation, Input};
 use async_channel::Receiver;
-use async_io::Async;
 use slog::{info, Logger};
+use stackgw_bootstrap::CachedEndpoints;
 use stackgw_sessions::NodeId;
-use stackgw_store::{CommitOutcome, EndpointListWriter, RecordWriter, StoreFile, StoreOwner};
-use std::net::UdpSocket;
+use stackgw_store::{
+    CommitOutcome, EndpointListWriter, RecordWriter, StoreError, StoreFile, StoreOwner,
+};
+use std::path::Path;
 use std::rc::Rc;
-use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What turns sessions across instances on.
-pub(super) struct Start {
-    pub(super) socket: Rc<Async<UdpSocket>>,
-    pub(super) life: Incarnation,
-    pub(super) writer: Option<RecordWriter>,
-    pub(super) disk: Option<Receiver<CommitOutcome>>,
+/// The store of sessions' records, open.
+pub(super) struct SessionStore {
+    pub(super) incarnation: Incarnation,
+    pub(super) writer: RecordWriter,
+    /// What became of the records.
+    pub(super) results: Receiver<CommitOutcome>,
 }
 
-/// Binds the socket and opens the store, if the operator's file asks for them. A store that another process has, or that can
-/// neither be used nor set aside, ends the start: a later life would take it for whole.
-pub(super) fn start(config: &Config, log: &Logger) -> Result<Option<Start>, String> {
-    let Some(cluster) = &config.cluster else {
+/// Opens the store of sessions' records, if the operator's file names one.
+///
+/// A store that another process has, or that can neither be used nor set aside, is an error: a later incarnation would take it
+/// for complete.
+pub(super) fn open_session_store(
+    config: &Config,
+    log: &Logger,
+) -> Result<Option<SessionStore>, StoreError> {
+    let Some(session_sharing) = &config.session_sharing else {
         return Ok(None);
     };
-    let at = cluster.options.listen;
-    let field = if config.session_sharing.is_some() {
-        "sessions.listen"
-    } else {
-        "cluster.listen"
-    };
-    let socket = Async::<UdpSocket>::bind(at).map_err(|e| format!("{field}: {at}: {e}"))?;
-    let socket = Rc::new(socket);
-    let now = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_millis();
-    let mut life = Incarnation {
-        number: u64::try_from(now).unwrap_or(u64::MAX),
-        recovered: None,
+    let Some(path) = &session_sharing.options.store else {
+        return Ok(None);
     };
-    let (mut writer, mut disk) = (None, None);
-    let file = config
-        .session_sharing
-        .as_ref()
-        .map(|session_sharing| &session_sharing.options);
-    if let Some((file, path)) = file.and_then(|file| Some((file, file.store.as_ref()?))) {
-        let node = NodeId::of(&config.name);
-        let owner = StoreOwner {
-            cluster: file.cluster.clone(),
-            node,
-            retention_ms: file.horizon.as_millis(),
-        };
-        let opened = StoreFile::open(path, &owner).map_err(|failed| failed.to_string())?;
-        if let Some(said) = opened.quarantined {
-            info!(log, "{said}; starting cautiously");
-        }
-        life = Incarnation {
-            number: opened.incarnation,
-            recovered: Some(opened.recovered),
-        };
-        let (told, word) = async_channel::unbounded();
-        let done = move |done| drop(told.send_blocking(done));
-        writer =
-            Some(RecordWriter::start(opened.store, done).map_err(|failed| failed.to_string())?);
-        disk = Some(word);
+    let opened = StoreFile::open(path, &owner(config, session_sharing))?;
+    if let Some(reason) = opened.quarantined {
+        info!(log, "{reason}; starting cautiously");
     }
-    Ok(Some(Start {
-        socket,
-        life,
+    let incarnation = Incarnation {
+        number: opened.incarnation,
+        recovered: Some(opened.recovered),
+    };
+    let (sender, results) = async_channel::unbounded();
+    let writer = RecordWriter::start(opened.store, move |done| drop(sender.send_blocking(done)))?;
+    Ok(Some(SessionStore {
+        incarnation,
         writer,
-        disk,
+        results,
     }))
 }
 
-/// The list as the disk kept it, and what keeps it from now on, if the operator's file names a place. What cannot be read is
-/// said, and costs a start no more than that.
-pub(super) fn kept(
-    start: &stackgw_config::Bootstrap,
+fn owner(config: &Config, session_sharing: &SessionSharingConfig) -> StoreOwner {
+    StoreOwner {
+        cluster: session_sharing.options.cluster.clone(),
+        node: NodeId::of(&config.name),
+        retention_ms: session_sharing.options.horizon.as_millis(),
+    }
+}
+
+/// Hands over what became of records.
+pub(super) async fn run(driver: Rc<Driver>, results: Receiver<CommitOutcome>) {
+    while let Ok(done) = results.recv().await {
+        driver.handle_input(Input::StoreEvent(done));
+    }
+}
+
+/// The endpoint list as the disk has it, and what keeps it from now on.
+#[derive(Default)]
+pub(super) struct EndpointListStore {
+    pub(super) cached: Option<CachedEndpoints>,
+    pub(super) writer: Option<EndpointListWriter>,
+}
+
+/// Opens the file of the endpoint list, if the operator's file names one. What cannot be read is logged, and costs a start no
+/// more than that.
+pub(super) fn open_endpoint_list(
+    bootstrap: &stackgw_config::Bootstrap,
     log: &Logger,
-) -> Option<(
-    Option<stackgw_bootstrap::CachedEndpoints>,
-    EndpointListWriter,
-)> {
-    let path = start.list.as_ref()?;
-    let kept = stackgw_store::read_endpoint_list(path, &start.service).unwrap_or_else(|failed| {
-        info!(log, "{failed}; starting without it");
-        None
-    });
-    let told = log.clone();
-    let said = move |failed: stackgw_store::StoreError| info!(told, "{failed}");
-    match EndpointListWriter::start(path, &start.service, said) {
-        Ok(writer) => Some((kept, writer)),
+) -> EndpointListStore {
+    let Some(path) = &bootstrap.list else {
+        return EndpointListStore::default();
+    };
+    let cached = read_endpoint_list(path, &bootstrap.service, log);
+    let writer_log = log.clone();
+    let log_failure = move |failed: StoreError| info!(writer_log, "{failed}");
+    match EndpointListWriter::start(path, &bootstrap.service, log_failure) {
+        Ok(writer) => EndpointListStore {
+            cached,
+            writer: Some(writer),
+        },
         Err(failed) => {
             info!(log, "{failed}");
-            None
+            EndpointListStore::default()
         }
     }
 }
 
-/// Hands over the disk's word.
-pub(super) async fn disk(shell: Rc<Shell>, word: Receiver<CommitOutcome>) {
-    while let Ok(done) = word.recv().await {
-        shell.input(Input::StoreEvent(done));
-    }
+fn read_endpoint_list(path: &Path, service: &str, log: &Logger) -> Option<CachedEndpoints> {
+    stackgw_store::read_endpoint_list(path, service).unwrap_or_else(|failed| {
+        info!(log, "{failed}; starting without it");
+        None
+    })
 }
--- a/crates/stackgw-gateway/src/io/timers.rs
+++ b/crates/stackgw-gateway/src/io/timers.rs
@@ -1,6 +1,6 @@
 //! The one timer of the I/O side; the reducer keeps the order of all others.
 
-use super::Shell;
+use super::driver::Driver;
 use crate::reducer::Input;
 use async_io::Timer;
 use futures_lite::{future, Stream, StreamExt};
@@ -21,56 +21,59 @@
     /// Sets the moment; the task is woken only where that comes sooner than what it waits for.
     pub(super) fn set(&self, due: Option<Time>) {
         let before = self.due.replace(due);
-        if due.is_some_and(|at| before.is_none_or(|b| at < b)) {
-            if let Some(waker) = self.waker.borrow_mut().take() {
-                waker.wake();
-            }
+        let is_sooner = due.is_some_and(|due| before.is_none_or(|before| due < before));
+        if !is_sooner {
+            return;
+        }
+        if let Some(waker) = self.waker.borrow_mut().take() {
+            waker.wake();
         }
     }
 }
 
 /// A stream that yields each time the alarm goes off.
-struct Rings {
-    shell: Rc<Shell>,
+struct AlarmStream {
+    driver: Rc<Driver>,
     timer: Timer,
-    set_for: Option<Time>,
+    /// What the timer is set for.
+    timer_due: Option<Time>,
 }
 
-impl Stream for Rings {
+impl Stream for AlarmStream {
     type Item = ();
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<()>> {
-        *self.shell.alarm.waker.borrow_mut() = Some(cx.waker().clone());
+        *self.driver.alarm.waker.borrow_mut() = Some(cx.waker().clone());
         loop {
-            let Some(due) = self.shell.alarm.due.get() else {
+            let Some(due) = self.driver.alarm.due.get() else {
                 return Poll::Pending;
             };
-            if due <= self.shell.clock.now() {
+            if due <= self.driver.clock.now() {
                 return Poll::Ready(Some(()));
             }
-            if self.set_for != Some(due) {
-                self.set_for = Some(due);
-                let at = self.shell.clock.instant(due);
+            if self.timer_due != Some(due) {
+                self.timer_due = Some(due);
+                let at = self.driver.clock.instant(due);
                 self.timer.set_at(at);
             }
             if self.timer.poll_next(cx).is_pending() {
                 return Poll::Pending;
             }
-            self.set_for = None;
+            self.timer_due = None;
         }
     }
 }
 
 /// Tells the reducer whenever its next timer is due.
-pub(super) async fn run(shell: Rc<Shell>) {
-    let mut rings = Rings {
-        shell: shell.clone(),
+pub(super) async fn run(driver: Rc<Driver>) {
+    let mut alarm = AlarmStream {
+        driver: driver.clone(),
         timer: Timer::never(),
-        set_for: None,
+        timer_due: None,
     };
-    while rings.next().await.is_some() {
+    while alarm.next().await.is_some() {
         // What has come goes first: after a pause, answers that are here already are not given up for time.
         future::yield_now().await;
-        shell.input(Input::TimerDue);
+        driver.handle_input(Input::TimerDue);
     }
 }
--- a/crates/stackgw-gateway/tests/reducer.rs
+++ b/crates/stackgw-gateway/tests/reducer.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::*;
+use stackgw_gateway::config::{Config, ConfigError};
 use stackgw_gateway::pg::write;
 use stackgw_gateway::reducer::{ClientId, CloseReason, ConnectionId, Effect, Input, TickClock};
 use stackgw_router::api::{MS, SECOND};
@@ -22,6 +23,11 @@
     (rig, client, conn.expect("an attempt"))
 }
 
+/// Why a document that is no JSON cannot be used.
+fn unusable_config() -> ConfigError {
+    Config::from_text("{", |_| None).expect_err("no JSON")
+}
+
 #[test]
 fn ready_is_said_only_once_a_list_is_known() {
     let mut rig = Rig::new("null");
@@ -1183,8 +1189,7 @@
     assert!(!effects
         .iter()
         .any(|e| matches!(e, Effect::OpenWatch(..) | Effect::CloseWatch)));
-    let unusable = stackgw_gateway::config::Config::from_text("{", |_| None).expect_err("no JSON");
-    let effects = rig.input(Input::Reload(Err(unusable)));
+    let effects = rig.input(Input::Reload(Err(unusable_config())));
     assert!(
         matches!(&effects[..], [Effect::Log(line)] if line.contains("no JSON")),
         "{effects:?}"
