--- a/crates/stackgw-cli/src/cmd/run.rs
+++ b/crates/stackgw-cli/src/cmd/run.rs
@@ -24,22 +24,26 @@
         let config = Config::from_env(|name| match &config {
             Some(path) if name == "ROUTER_CONFIG" => Some(path.display().to_string()),
             _ => std::env::var(name).ok(),
-        })?;
+        })
+        .map_err(|error| error.to_string())?;
         let config = match file {
-            Some(file) => config.with_operator(&file)?,
+            Some(file) => config
+                .with_operator(&file)
+                .map_err(|error| error.to_string())?,
             None => config,
         };
         let front = front(&config)?;
-        stackgw_gateway::run_with_frontend(config, front)
+        stackgw_gateway::run_with_frontend(config, front).map_err(|error| error.to_string())
     }
 }
 
 /// The front beside the first protocol's, and the back, that the operator's file turns on.
 #[cfg(feature = "flight")]
 fn front(config: &Config) -> Result<Option<stackgw_gateway::FrontendFactory>, String> {
-    let Some((file, ring)) = config.operator.flight.clone() else {
+    let Some(flight) = config.operator.flight.clone() else {
         return Ok(None);
     };
+    let (file, ring) = (flight.options, flight.keyring);
     let ms = |duration: stackgw_config::Duration| {
         i64::try_from(duration.as_millis()).unwrap_or(i64::MAX) * MS
     };
@@ -87,6 +91,7 @@
     Ok(Some(Box::new(move |door, behind, log| {
         stackgw_flight::start(settings, door, behind, log)
             .map(|running| Box::new(running) as Box<dyn std::any::Any>)
+            .map_err(Into::into)
     })))
 }
 
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -6,8 +6,8 @@
 use common::*;
 use stackgw_gateway::config::{ClusterConfig, Config, SessionSharingConfig};
 use stackgw_gateway::discovery::{
-    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, ListUpdate, WatchError,
-    WatchEvent, WatchParser,
+    endpoint_request, parse_endpoint_list, HttpEvent, HttpLineReader, ListUpdate, RequestedList,
+    WatchError, WatchEvent, WatchParser,
 };
 use stackgw_gateway::limits::{Limits, Platform};
 use stackgw_gateway::pg::{
@@ -175,7 +175,8 @@
 ];
 
 fn parsed(frame: Frame) -> String {
-    let begins = Statement::asks(&frame).map(|(key, write)| format!("{key},{write}"));
+    let begins =
+        Statement::target(&frame).map(|target| format!("{},{}", target.key, target.writes));
     let empty = Statement::is_empty(&frame);
     let read = match Statement::parse(frame) {
         Ok(read) => {
@@ -520,12 +521,13 @@
     let mut out = String::new();
     for host in ["127.0.0.1:8500", "[::1]:80"] {
         let host = host.parse().expect("an address");
-        for watch_after in [None, Some(None), Some(Some(0)), Some(Some(u64::MAX))] {
-            line(
-                &mut out,
-                "request",
-                hex(&endpoint_request(host, watch_after)),
-            );
+        for requested in [
+            RequestedList::Complete,
+            RequestedList::Watch(None),
+            RequestedList::Watch(Some(0)),
+            RequestedList::Watch(Some(u64::MAX)),
+        ] {
+            line(&mut out, "request", hex(&endpoint_request(host, requested)));
         }
     }
     compare("list_requests.txt", &out);
@@ -550,7 +552,7 @@
             }
         }
     }
-    let ended = match parser.end() {
+    let ended = match parser.finish() {
         Ok(pieces) => pieces.iter().map(name).collect::<Vec<_>>().join(", "),
         Err(malformed) => format!("error: {malformed}"),
     };
@@ -885,8 +887,8 @@
     say("good", from_env(Some(&path)));
     let good = from_env(Some(&path)).expect("a configuration");
     // What runs already: the file wins.
-    let again = good.reread();
-    let read = || again.read().map_err(|e| e.to_string());
+    let again = good.reloader();
+    let read = || again.reload().map_err(|e| e.to_string());
     say("read again", read());
     folder.file(
         "good.json",
@@ -905,7 +907,7 @@
     let unnamed = Config::from_text(&config_text("null"), |_| None).expect("a configuration");
     say(
         "read again where none was named",
-        unnamed.reread().read().map_err(|e| e.to_string()),
+        unnamed.reloader().reload().map_err(|e| e.to_string()),
     );
     compare("files.txt", &out);
 }
@@ -968,7 +970,7 @@
                         .map_or("-".to_owned(), |path| path.display().to_string()),
                     operator
                         .flight
-                        .map_or("-".to_owned(), |(file, _)| file.listen.to_string()),
+                        .map_or("-".to_owned(), |flight| flight.options.listen.to_string()),
                     sessions.unwrap_or("-".to_owned()),
                     cluster.unwrap_or("-".to_owned()),
                     bootstrap.is_some(),
