--- a/crates/stackgw-sessions/benches/scale.rs
+++ b/crates/stackgw-sessions/benches/scale.rs
@@ -1,5 +1,6 @@
-//! Sizes that sockets don't reach, in simulated time: messages for each request, the messages of leases, owners that
-//! move when a replica joins, memory of a million positions. `cargo bench -p stackgw-sessions --bench scale`.
+//! Sizes that sockets don't reach, in simulated time: messages for each request, the messages of
+//! leases, owners that move when a replica joins, memory of a million positions. `cargo bench -p
+//! stackgw-sessions --bench scale`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/stackgw-sessions/src/durability.rs
+++ b/crates/stackgw-sessions/src/durability.rs
@@ -4,7 +4,7 @@
 //! Invariant: a store that was restored from an old copy is found to be outdated by every peer that
 //! knew it to have come further, and nothing that is missing from it is taken for complete.
 
-use crate::identity::{NodeId, Peer};
+use crate::identity::{Freshness, NodeId, Peer};
 use crate::record::{Recovered, StoreVersion};
 use stackgw_router::api::Time;
 use std::collections::BTreeMap;
@@ -148,18 +148,23 @@
         self.requested_before_version = record;
     }
 
-    /// Notes how far the store of a replica has come, unless it is outdated: an earlier incarnation
-    /// of that replica had brought it further, or had run without it.
+    /// Compares the store of a replica with what was known of it, and notes how far it has come.
+    /// It is outdated where an earlier incarnation of that replica had brought it further, or had
+    /// run without it.
     ///
     /// Danger: a replica with an outdated store would vouch for what is missing from it, as a
     /// writer and as an owner.
-    pub(crate) fn is_outdated(&mut self, from: Peer, version: Option<StoreVersion>) -> bool {
+    pub(crate) fn check_peer_store(
+        &mut self,
+        from: Peer,
+        version: Option<StoreVersion>,
+    ) -> Freshness {
         let known = self.peer_versions.get(&from.node).copied();
         let earlier = known.filter(|known| known.peer.incarnation < from.incarnation);
         let recovered = version.filter(|version| version.store_id != from.incarnation);
         if let (Some(earlier), Some(recovered)) = (earlier, recovered) {
             if earlier.proves_outdated(recovered) {
-                return true;
+                return Freshness::Outdated;
             }
         }
         // Within one incarnation a smaller number of records is that of a message that arrived
@@ -174,7 +179,7 @@
             };
             self.peer_versions.insert(from.node, peer_version);
         }
-        false
+        Freshness::Current
     }
 
     /// What is to be recorded of peers' stores, once in each retention.
--- a/crates/stackgw-sessions/src/identity.rs
+++ b/crates/stackgw-sessions/src/identity.rs
@@ -49,6 +49,16 @@
     }
 }
 
+/// How what a peer shows of itself, its incarnation or its store, compares with what was known of
+/// it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Freshness {
+    /// As recent as what was known, or more so.
+    Current,
+    /// Something later was known.
+    Outdated,
+}
+
 /// A session in its group, by a hash of both.
 ///
 /// Two sessions with the same key see each other's positions. Each then reads data that is newer
--- a/crates/stackgw-sessions/src/peer_progress.rs
+++ b/crates/stackgw-sessions/src/peer_progress.rs
@@ -1,7 +1,7 @@
 //! What a session replica knows of another one as a writer: the lease that it granted, and from
 //! when on its writes are known here.
 
-use crate::identity::ANY_INCARNATION;
+use crate::identity::{Freshness, ANY_INCARNATION};
 use crate::message::LeaseGrant;
 use stackgw_router::api::{Span, Time};
 use std::collections::VecDeque;
@@ -105,12 +105,14 @@
         self.replica_set_differs = false;
     }
 
-    /// Notes the incarnation of a peer; `false` if it is over. Leases of earlier ones hold no
-    /// longer.
-    pub(crate) fn note_incarnation(&mut self, now: Time, incarnation: u64) -> bool {
+    /// Notes the incarnation of a message. Leases of earlier ones hold no longer.
+    pub(crate) fn note_incarnation(&mut self, now: Time, incarnation: u64) -> Freshness {
+        if incarnation < self.incarnation {
+            return Freshness::Outdated;
+        }
         if incarnation > self.incarnation && self.lease_until > now {
             self.lease_until = now;
         }
-        incarnation >= self.incarnation
+        Freshness::Current
     }
 }
--- a/crates/stackgw-sessions/src/peer_replication.rs
+++ b/crates/stackgw-sessions/src/peer_replication.rs
@@ -1,6 +1,6 @@
 //! How far a replica has received the local writes, and which lease it was granted.
 
-use crate::identity::{NodeId, Peer, SessionKey};
+use crate::identity::{Freshness, NodeId, Peer, SessionKey};
 use crate::replica_set::ReplicaSet;
 use stackgw_router::api::{Span, Time};
 use std::collections::BTreeSet;
@@ -48,7 +48,7 @@
         self.lease_replica_set.clone_from(replica_set);
     }
 
-    /// Notes its incarnation; `false` if it is over.
+    /// Notes the incarnation of a message.
     ///
     /// What an earlier incarnation acknowledged is in its store, or the later one is uncertain
     /// until that is older than the retention. A lease that an earlier one was granted no longer
@@ -57,14 +57,17 @@
         &mut self,
         incarnation: u64,
         earlier_leases_until: Time,
-    ) -> bool {
+    ) -> Freshness {
+        if incarnation < self.peer.incarnation {
+            return Freshness::Outdated;
+        }
         if incarnation > self.peer.incarnation {
             // Danger: an earlier incarnation of this instance may have granted its lease to this
             // incarnation of the replica, not to the one that was last heard of.
             self.peer.incarnation = incarnation;
             self.lease_until = self.lease_until.min(earlier_leases_until);
         }
-        incarnation == self.peer.incarnation
+        Freshness::Current
     }
 
     /// Unacknowledged writes that were not sent since its last lease request, in order.
--- a/crates/stackgw-sessions/src/session_replica.rs
+++ b/crates/stackgw-sessions/src/session_replica.rs
@@ -5,7 +5,7 @@
 //! vouches for all writes of a whole retention. What it records is then all there is.
 
 use crate::context::{Context, Instance};
-use crate::identity::{NodeId, Peer, SessionKey, ANY_INCARNATION};
+use crate::identity::{Freshness, NodeId, Peer, SessionKey, ANY_INCARNATION};
 use crate::message::{LeaseGrant, LeaseRequest, Message, PositionUpdate};
 use crate::peer_progress::{PeerProgress, COMPLETE_HISTORY};
 use crate::positions::SessionPositions;
@@ -26,6 +26,12 @@
     sequences: Vec<u64>,
 }
 
+impl PendingAcknowledgement {
+    fn send(self, context: &mut Context<'_>) {
+        context.send(self.to, Message::Acknowledge(self.sequences));
+    }
+}
+
 /// The replica's state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct SessionReplica {
@@ -133,10 +139,13 @@
         self.next_lease_request_at = now;
     }
 
-    /// Notes the incarnation of a peer; `false` if it is over.
-    pub(crate) fn note_incarnation(&mut self, now: Time, from: Peer) -> bool {
-        let peer = self.peers.get_mut(&from.node);
-        peer.is_none_or(|peer| peer.note_incarnation(now, from.incarnation))
+    /// Notes the incarnation of a message.
+    pub(crate) fn note_incarnation(&mut self, now: Time, from: Peer) -> Freshness {
+        self.peers
+            .get_mut(&from.node)
+            .map_or(Freshness::Current, |peer| {
+                peer.note_incarnation(now, from.incarnation)
+            })
     }
 
     pub(crate) fn handle_lease_grant(
@@ -154,7 +163,7 @@
         }
     }
 
-    /// A peer has refused a lease, as its replica set is another one.
+    /// A peer has granted no lease, as its replica set is another one.
     pub(crate) fn handle_replica_set_mismatch(&mut self, from: NodeId) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.replica_set_differs = true;
@@ -211,16 +220,14 @@
             .pending_acknowledgements
             .pop_front_if(|pending| context.instance.durability.is_stored(pending.record))
         {
-            let acknowledge = Message::Acknowledge(acknowledgement.sequences);
-            context.send(acknowledgement.to, acknowledge);
+            acknowledgement.send(context);
         }
     }
 
     /// Sends all acknowledgements: there is no store any more.
     pub(crate) fn acknowledge_all(&mut self, context: &mut Context<'_>) {
         for acknowledgement in std::mem::take(&mut self.pending_acknowledgements) {
-            let acknowledge = Message::Acknowledge(acknowledgement.sequences);
-            context.send(acknowledgement.to, acknowledge);
+            acknowledgement.send(context);
         }
     }
 
@@ -244,15 +251,16 @@
         context.send(from, reply);
     }
 
-    /// Does what is due once in each part of a lease. Whether it was due.
-    pub(crate) fn start_lease_round(&mut self, context: &Context<'_>) -> bool {
-        if !context.instance.is_replica() || self.next_lease_request_at > context.now {
-            return false;
-        }
+    /// Whether leases are to be requested again.
+    pub(crate) fn is_lease_round_due(&self, context: &Context<'_>) -> bool {
+        context.instance.is_replica() && self.next_lease_request_at <= context.now
+    }
+
+    /// Schedules the next round of lease requests, and drops expired positions.
+    pub(crate) fn begin_lease_round(&mut self, context: &Context<'_>) {
         let interval = context.instance.settings.lease / REQUESTS_PER_LEASE;
         self.next_lease_request_at = context.now + interval;
         self.positions.expire(context.now);
-        true
     }
 
     /// Requests a lease of each other replica.
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -3,8 +3,8 @@
 use crate::context::{Context, Instance};
 use crate::durability::Durability;
 use crate::forwarding::Origin;
-use crate::identity::{NodeId, Peer, RequestNumber, SessionKey, ANY_INCARNATION};
-use crate::message::{LeaseGrant, LeaseRequest, Message};
+use crate::identity::{Freshness, NodeId, Peer, RequestNumber, SessionKey, ANY_INCARNATION};
+use crate::message::Message;
 use crate::output::{Output, WriteAdmission};
 use crate::positions::{SessionPositions, UNKNOWN_POSITION};
 use crate::reader::Reader;
@@ -141,21 +141,14 @@
     ) {
         // Danger: a message of an incarnation that is over would stand for the one that came after
         // it.
-        if !self.is_addressed(from, to) || !self.note_incarnation(now, from) {
+        if !self.is_addressed(from, to) || self.note_incarnation(now, from) == Freshness::Outdated {
             self.instance.counters.messages_ignored += 1;
             return;
         }
-        match message {
-            Message::LeaseRequest(LeaseRequest { store_version, .. })
-            | Message::LeaseGrant(LeaseGrant { store_version, .. })
-                if self.is_store_outdated(from, store_version) =>
-            {
-                let reported = store_version.unwrap_or_default();
-                Context::new(now, &mut self.instance, outputs)
-                    .send(from, Message::StoreOutdated(reported));
-            }
-            Message::StoreOutdated(reported) => self.invalidate_store(now, reported, outputs),
-            message => self.route_message(now, from, message, outputs),
+        match self.outdated_store(from, &message) {
+            Some(reported) => Context::new(now, &mut self.instance, outputs)
+                .send(from, Message::StoreOutdated(reported)),
+            None => self.route_message(now, from, message, outputs),
         }
     }
 
@@ -215,7 +208,8 @@
     pub fn handle_timeout(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let mut context = Context::new(now, &mut self.instance, outputs);
         self.reader.handle_timeout(&mut context);
-        if self.replica.start_lease_round(&context) {
+        if self.replica.is_lease_round_due(&context) {
+            self.replica.begin_lease_round(&context);
             self.writer.expire(&mut context);
             self.replica.request_leases(&mut context);
             self.replica.record_complete_peers(&mut context);
@@ -280,14 +274,28 @@
         to.node == local.node && is_destination && is_origin
     }
 
-    /// Notes the incarnation of a peer; `false` if it is over.
-    fn note_incarnation(&mut self, now: Time, from: Peer) -> bool {
-        self.replica.note_incarnation(now, from) && self.writer.log_mut().note_incarnation(from)
+    /// Notes the incarnation of a message.
+    fn note_incarnation(&mut self, now: Time, from: Peer) -> Freshness {
+        match self.replica.note_incarnation(now, from) {
+            Freshness::Current => self.writer.log_mut().note_incarnation(from),
+            Freshness::Outdated => Freshness::Outdated,
+        }
     }
 
-    fn is_store_outdated(&mut self, from: Peer, version: Option<StoreVersion>) -> bool {
-        self.instance.replica_set.contains(from.node)
-            && self.instance.durability.is_outdated(from, version)
+    /// How far the store of a message's sender has come, if it had come further before.
+    fn outdated_store(&mut self, from: Peer, message: &Message) -> Option<StoreVersion> {
+        let version = match message {
+            Message::LeaseRequest(request) => request.store_version,
+            Message::LeaseGrant(grant) => grant.store_version,
+            _ => return None,
+        };
+        if !self.instance.replica_set.contains(from.node) {
+            return None;
+        }
+        match self.instance.durability.check_peer_store(from, version) {
+            Freshness::Current => None,
+            Freshness::Outdated => Some(version.unwrap_or_default()),
+        }
     }
 
     /// A peer knows this store to have come further than `reported`: the store begins anew, and so
@@ -323,6 +331,7 @@
             Message::LeaseGrant(grant) => {
                 self.replica.handle_lease_grant(context, from, &grant);
             }
+            Message::StoreOutdated(reported) => self.invalidate_store(now, reported, outputs),
             Message::ReplicaSetMismatch { .. } => {
                 self.replica.handle_replica_set_mismatch(from.node);
             }
@@ -358,8 +367,6 @@
             Message::ForwardedWriteReleased { number } => {
                 self.writer.handle_forwarded_release(context, number);
             }
-            // Handled before any other role.
-            Message::StoreOutdated(_) => {}
         }
     }
 }
--- a/crates/stackgw-sessions/src/write_log.rs
+++ b/crates/stackgw-sessions/src/write_log.rs
@@ -5,7 +5,7 @@
 //! session of that owner is not released without that owner's acknowledgement.
 
 use crate::durability::Durability;
-use crate::identity::{NodeId, Peer, RequestNumber, SessionKey};
+use crate::identity::{Freshness, NodeId, Peer, RequestNumber, SessionKey};
 use crate::message::PositionUpdate;
 use crate::peer_replication::PeerReplication;
 use crate::replica_set::ReplicaSet;
@@ -140,11 +140,14 @@
         sequence
     }
 
-    /// Notes the incarnation of a peer; `false` if it is over.
-    pub(crate) fn note_incarnation(&mut self, from: Peer) -> bool {
+    /// Notes the incarnation of a message.
+    pub(crate) fn note_incarnation(&mut self, from: Peer) -> Freshness {
         let earlier_leases_until = self.earlier_leases_until;
-        let peer = self.peers.get_mut(&from.node);
-        peer.is_none_or(|peer| peer.note_incarnation(from.incarnation, earlier_leases_until))
+        self.peers
+            .get_mut(&from.node)
+            .map_or(Freshness::Current, |peer| {
+                peer.note_incarnation(from.incarnation, earlier_leases_until)
+            })
     }
 
     /// What the release of a write's response still depends on.
--- a/crates/stackgw-sessions/tests/common/mod.rs
+++ b/crates/stackgw-sessions/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Several instances in simulated time: a network that loses, delays, duplicates and partitions; stores, crashes, pauses,
-//! clocks that differ; and the truth against which each read is checked.
+//! Several instances in simulated time: a network that loses, delays, duplicates and partitions;
+//! stores, crashes, pauses, clocks that differ; and the truth against which each read is checked.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use rand::rngs::SmallRng;
@@ -554,7 +554,8 @@
 }
 
 impl Instance {
-    /// What the store has for an incarnation that starts now. Records that were not synced are gone.
+    /// What the store has for an incarnation that starts now. Records that were not synced are
+    /// gone.
     fn recover(&mut self, last_incarnation: u64) -> Recovered {
         let incarnation = self.incarnation;
         let store = self.store.get_or_insert_with(|| Store {
--- a/crates/stackgw-sessions/tests/digest/main.rs
+++ b/crates/stackgw-sessions/tests/digest/main.rs
@@ -1,5 +1,6 @@
-//! A digest of all outputs of several instances over random histories. Equal before and after a change that is
-//! meant to change nothing. `cargo test -p stackgw-sessions --test digest -- --ignored --nocapture`.
+//! A digest of all outputs of several instances over random histories. Equal before and after a
+//! change that is meant to change nothing. `cargo test -p stackgw-sessions --test digest --
+//! --ignored --nocapture`.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/stackgw-sessions/tests/forged_messages.rs
+++ b/crates/stackgw-sessions/tests/forged_messages.rs
@@ -1,4 +1,5 @@
-//! Messages that make no sense, from peers that hold the key: nothing breaks, nothing grows, and they make nobody certain.
+//! Messages that make no sense, from peers that hold the key: nothing breaks, nothing grows, and
+//! they make nobody certain.
 
 mod common;
 
--- a/crates/stackgw-sessions/tests/histories.rs
+++ b/crates/stackgw-sessions/tests/histories.rs
@@ -1,4 +1,5 @@
-//! Whole histories: random ones that are checked against the guarantee, and scripted ones for each hard case.
+//! Whole histories: random ones that are checked against the guarantee, and scripted ones for each
+//! hard case.
 
 mod common;
 
--- a/crates/stackgw-sessions/tests/model.rs
+++ b/crates/stackgw-sessions/tests/model.rs
@@ -1,5 +1,6 @@
-//! The protocol under a model checker: the state machines themselves, in every interleaving of messages that are
-//! delivered, duplicated or lost, of crashes, restarts, stores that sync or are lost, pauses and time, up to a bound.
+//! The protocol under a model checker: the state machines themselves, in every interleaving of
+//! messages that are delivered, duplicated or lost, of crashes, restarts, stores that sync or are
+//! lost, pauses and time, up to a bound.
 
 use stackgw_router::api::Time;
 use stackgw_sessions::*;
@@ -506,7 +507,8 @@
     ));
 }
 
-/// Minutes; run by hand: `cargo test --release -p stackgw-sessions --test model -- --ignored --nocapture`.
+/// Minutes; run by hand: `cargo test --release -p stackgw-sessions --test model -- --ignored
+/// --nocapture`.
 #[test]
 #[ignore = "takes minutes"]
 fn as_far_as_feasible() {
--- a/crates/stackgw-sessions/tests/stored_and_sent.rs
+++ b/crates/stackgw-sessions/tests/stored_and_sent.rs
@@ -1,5 +1,6 @@
-//! What other versions of this program send and have stored stays readable: bytes of each message, hashes that stand in
-//! messages and in stores, and what each kind of record comes to when it is read back.
+//! What other versions of this program send and have stored stays readable: bytes of each message,
+//! hashes that stand in messages and in stores, and what each kind of record comes to when it is
+//! read back.
 
 use stackgw_router::api::SECOND;
 use stackgw_sessions::*;
