--- a/crates/stackgw-router/tests/digest/simulation.rs
+++ b/crates/stackgw-router/tests/digest/simulation.rs
@@ -292,8 +292,8 @@
         const NEVER: Span = 1_000 * SECOND;
         let now = self.now;
         let travel = self.random.between(MS / 10, 3 * MS);
+        let connecting = self.random.between(0, self.settings.limits.connect_timeout);
         let work = self.random.exponential(self.pace.service_time);
-        let connect_timeout = self.settings.limits.connect_timeout;
         let refuses = self.settings.lagging_reads != LaggingReads::ServedStale;
         let draw = self.random.fraction();
         let Some(member) = self.members.get_mut(&id) else { return (Outcome::ConnectFailed, travel) };
@@ -308,7 +308,7 @@
             Fault::Full if draw < 0.9 => return (Outcome::Overloaded, travel),
             Fault::Resetting if draw < 0.6 => return (Outcome::ConnectionReset, travel + work),
             Fault::Unreachable => return (Outcome::ConnectFailed, travel),
-            Fault::SlowToConnect if draw < 0.7 => return (Outcome::ConnectFailed, connect_timeout),
+            Fault::SlowToConnect if draw < 0.7 => return (Outcome::ConnectFailed, connecting),
             _ if misrouted => return (Outcome::Misrouted, travel),
             Fault::Failing if draw < 0.8 => return (Outcome::Error, travel),
             _ => {}
@@ -339,11 +339,12 @@
             matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Overloaded | Outcome::Misrouted);
         let finished = served || self.requests.get(&id).is_some_and(|request| request.ended);
         self.requests.entry(id).and_modify(|request| request.ended |= served);
+        let report = self.report(attempt.member);
+        let age = self.random_age();
         let state = self.members.get(&attempt.member);
         let lag = state.map_or(0, |member| if member.is_primary { 0 } else { member.lag });
         let tells_position = self.settings.positions_in_responses || class >= FIRST_WRITE && served;
         let reported = spoke && self.settings.load_reporting == LoadReporting::OnResponses;
-        let report = self.report(attempt.member);
         let answer = AttemptResult {
             request: id,
             attempt: number,
@@ -352,7 +353,7 @@
             elapsed: self.now - attempt.sent_at,
             request_finished: finished,
             is_primary: state.map(|member| member.is_primary).filter(|_| spoke),
-            position: Some(self.now - lag).filter(|_| spoke && tells_position),
+            position: Some(self.now - lag - age).filter(|_| spoke && tells_position),
             load_report: if reported { report } else { LoadReport::default() },
         };
         self.hand(Event::AttemptEnded(answer), digest);
@@ -361,12 +362,23 @@
 
     // ---- Members ----
 
-    fn report(&self, id: MemberId) -> LoadReport {
+    /// How long ago what a member says was true: mostly just now.
+    fn random_age(&mut self) -> Span {
+        if self.random.chance(0.3) {
+            self.random.exponential(150 * MS)
+        } else {
+            0
+        }
+    }
+
+    fn report(&mut self, id: MemberId) -> LoadReport {
+        let age = self.random_age();
+        let is_mistaken = self.random.chance(0.01);
         let Some(member) = self.members.get(&id) else { return LoadReport::default() };
         let lag = if member.is_primary { 0 } else { member.lag };
         LoadReport {
-            position: Some(self.now - lag).filter(|_| self.settings.reports_carry_position),
-            is_primary: Some(member.is_primary),
+            position: Some(self.now - lag - age).filter(|_| self.settings.reports_carry_position),
+            is_primary: Some(member.is_primary != is_mistaken),
             ..LoadReport::default()
         }
     }
