--- a/crates/stackgw-router/src/state.rs
+++ b/crates/stackgw-router/src/state.rs
@@ -1,4 +1,4 @@
-//! What the decision module keeps: plain records and arithmetic on them. Nothing here decides or is tuned; every
+//! What the decision module keeps: records and arithmetic on them. Nothing here decides or is tuned; every
 //! decision stands in router.rs.
 
 use crate::api::*;
@@ -6,26 +6,26 @@
 
 /// What the router knows of one member.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct Node {
+pub(crate) struct MemberState {
     pub(crate) group: GroupId,
     pub(crate) weight: f64,
     pub(crate) started: Option<Time>,
-    pub(crate) standing: Lifecycle,
+    pub(crate) lifecycle: Lifecycle,
     /// When this router was told that the member drains or is gone.
     pub(crate) told: Time,
     /// Listed as gone where that does not bind: it may serve all the same.
-    pub(crate) doubted: bool,
+    pub(crate) removal_in_doubt: bool,
     pub(crate) listed_primary: bool,
     /// Latest position heard; it never goes back, so it holds from then on.
     pub(crate) position: Time,
     /// How far behind it was when last heard.
     pub(crate) lag: Span,
     /// Position (or moment) of its latest word that it is a replica.
-    pub(crate) replica_at: Time,
+    pub(crate) replica_as_of: Time,
     pub(crate) in_flight: u32,
     pub(crate) sent_at: Time,
     pub(crate) limit: f64,
-    pub(crate) since_cut: u32,
+    pub(crate) samples_since_cut: u32,
     pub(crate) strain: f64,
     pub(crate) latency: f64,
     /// When the latest of those attempts was sent that have been answered, and the share that never is.
@@ -35,34 +35,39 @@
     pub(crate) quiet_since: Time,
     /// Out of rotation until a trial succeeds.
     pub(crate) out: bool,
-    pub(crate) trial_at: Time,
-    pub(crate) trial_wait: Span,
-    pub(crate) strikes: u32,
-    pub(crate) probed_at: Time,
-    pub(crate) probe_out: bool,
+    pub(crate) half_open_at: Time,
+    pub(crate) half_open_wait: Span,
+    pub(crate) failure_score: u32,
+    pub(crate) checked_at: Time,
+    pub(crate) check_pending: bool,
     /// Its place in the rotation: the member with the least goes next.
     pub(crate) turn: f64,
     /// Sends to it while cold, within the last fall window.
     pub(crate) cold_sends: VecDeque<Time>,
     /// Where connections to it are dealt: those that are free, and from when on one may be opened.
-    pub(crate) ways: Option<(u32, Time)>,
+    pub(crate) connection_permits: Option<(u32, Time)>,
 }
 
-impl Node {
+impl MemberState {
     /// A member of which nothing has been heard.
     pub(crate) fn unheard(member: &Member) -> Self {
-        Node { group: member.group, started: member.started_at, lag: Span::MAX / 2, ..Node::default() }
+        MemberState {
+            group: member.group,
+            started: member.started_at,
+            lag: Span::MAX / 2,
+            ..MemberState::default()
+        }
     }
 
     /// Share of its capacity that it surely has by its age.
-    pub(crate) fn warmth(&self, now: Time, rules: &Obligations) -> f64 {
+    pub(crate) fn slow_start_factor(&self, now: Time, rules: &Obligations) -> f64 {
         let age = self.started.map_or(rules.warm_up_time, |s| (now - s).max(0)) as f64;
         rules.cold_capacity_share
             + (1.0 - rules.cold_capacity_share) * (age / rules.warm_up_time.max(1) as f64).min(1.0)
     }
 
     pub(crate) fn belief(&self) -> MemberSnapshot {
-        let Node { in_flight, out, strain, limit, .. } = *self;
+        let MemberState { in_flight, out, strain, limit, .. } = *self;
         MemberSnapshot {
             in_flight,
             ejected: out,
@@ -73,56 +78,58 @@
     }
 
     /// It can be reached now.
-    pub(crate) fn has_way(&self, now: Time) -> bool {
-        self.ways.is_none_or(|(free, from)| free > 0 || now >= from)
+    pub(crate) fn has_connection_permit(&self, now: Time) -> bool {
+        self.connection_permits.is_none_or(|(free, from)| free > 0 || now >= from)
     }
 
     /// Connections to it are dealt, and none is free.
-    pub(crate) fn has_none_free(&self) -> bool {
-        self.ways.is_some_and(|(free, _)| free == 0)
+    pub(crate) fn needs_new_connection(&self) -> bool {
+        self.connection_permits.is_some_and(|(free, _)| free == 0)
     }
 
     /// Something goes to it: one way less, until the host says what there is.
-    pub(crate) fn take_way(&mut self) {
-        self.ways = self.ways.map(|(free, from)| if free > 0 { (free - 1, from) } else { (0, Time::MAX) });
+    pub(crate) fn take_connection_permit(&mut self) {
+        self.connection_permits =
+            self.connection_permits
+                .map(|(free, from)| if free > 0 { (free - 1, from) } else { (0, Time::MAX) });
     }
 
     /// A probe is out, and was sent inside this span.
-    pub(crate) fn asked_within(&self, now: Time, span: Span) -> bool {
-        self.probe_out && now - self.probed_at < span
+    pub(crate) fn is_check_pending_within(&self, now: Time, span: Span) -> bool {
+        self.check_pending && now - self.checked_at < span
     }
 
     /// Gone, or taken to be gone and out of use, since before a moment, with nothing in flight.
-    fn is_past(&self, before: Time) -> bool {
-        let gone = self.standing == Lifecycle::Removed || self.doubted && self.out;
+    fn is_unused_since(&self, before: Time) -> bool {
+        let gone = self.lifecycle == Lifecycle::Removed || self.removal_in_doubt && self.out;
         gone && self.in_flight == 0 && self.told < before
     }
 
     /// No probe is out, and none was sent inside this span.
-    pub(crate) fn unasked_for(&self, now: Time, span: Span) -> bool {
-        !self.probe_out && now - self.probed_at >= span
+    pub(crate) fn is_unchecked_for(&self, now: Time, span: Span) -> bool {
+        !self.check_pending && now - self.checked_at >= span
     }
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Group {
+pub(crate) struct GroupState {
     /// Who belongs to it, so that no request walks over the whole fleet.
     pub(crate) members: Vec<MemberId>,
     /// Last member to claim the primary's role, and the claim's position.
     pub(crate) primary: Option<MemberId>,
-    pub(crate) claim: Time,
-    pub(crate) held: BTreeSet<RequestId>,
+    pub(crate) claimed_at: Time,
+    pub(crate) queued: BTreeSet<RequestId>,
     /// How far the rotation has come.
     pub(crate) turn: f64,
 }
 
 /// Drops the members that have been past use since before a moment, and groups that are left with nothing.
-pub(crate) fn drop_past(
-    nodes: &mut BTreeMap<MemberId, Node>,
-    groups: &mut BTreeMap<GroupId, Group>,
+pub(crate) fn forget_unavailable(
+    nodes: &mut BTreeMap<MemberId, MemberState>,
+    groups: &mut BTreeMap<GroupId, GroupState>,
     before: Time,
 ) -> Vec<Action> {
-    let past: Vec<_> = nodes.iter().filter(|(_, n)| n.is_past(before)).map(|(id, _)| *id).collect();
+    let past: Vec<_> = nodes.iter().filter(|(_, n)| n.is_unused_since(before)).map(|(id, _)| *id).collect();
     for id in &past {
         nodes.remove(id);
         for group in groups.values_mut() {
@@ -130,13 +137,13 @@
             group.primary = group.primary.filter(|primary| primary != id);
         }
     }
-    groups.retain(|_, group| !group.members.is_empty() || !group.held.is_empty());
+    groups.retain(|_, group| !group.members.is_empty() || !group.queued.is_empty());
     past.into_iter().map(Action::ForgetMember).collect()
 }
 
 /// The ledger entry of a request: what was sent, what may have run.
 #[derive(Debug, Default)]
-pub(crate) struct Entry {
+pub(crate) struct RequestState {
     pub(crate) request: Request,
     pub(crate) arrived: Time,
     pub(crate) sent: u32,
@@ -145,8 +152,8 @@
     /// When the first attempt that may have run was sent.
     pub(crate) may_have_run: Option<Time>,
     /// Members that turned it away since the last probe round, and those that answered with an error.
-    pub(crate) tried: Vec<MemberId>,
-    pub(crate) erred: Vec<MemberId>,
+    pub(crate) rejected_by: Vec<MemberId>,
+    pub(crate) failed_at: Vec<MemberId>,
 }
 
 impl GossipUpdate {
@@ -162,7 +169,7 @@
 }
 
 /// A share below one that differs between routers and members.
-pub(crate) fn scatter(mix: u64) -> f64 {
+pub(crate) fn hash_fraction(mix: u64) -> f64 {
     let mix = (mix ^ (mix >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     ((mix ^ (mix >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 40) as f64 / (1u64 << 24) as f64
 }
