--- a/crates/stackgw-router/tests/common/mod.rs
+++ b/crates/stackgw-router/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A router under test with a hand-driven clock. Each test file uses part of it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use stackgw_router::{api::*, Router};
 
