--- a/crates/stackgw-gateway/tests/common/mod.rs
+++ b/crates/stackgw-gateway/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! What the gateway's tests share: a configuration, client messages, and a reducer driven by hand.
 #![allow(dead_code)]
 
+pub mod fixtures;
+
 use stackgw_gateway::config::Config;
 use stackgw_gateway::discovery::{parse_endpoint_list, ListUpdate};
 use stackgw_gateway::pg::{write, Frame};
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn a_statement_is_read_and_changed_in_its_wait_alone(
+    fn a_forwarded_statement_differs_in_its_timeout_alone(
         key in "[0-9a-f]{1,32}", value in proptest::option::of(a_body()), d in 0u64..100_000, left in 1u64..100_000,
         after in proptest::option::of(1i64..1 << 42), repeat in any::<bool>()
     ) {
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn replies_of_any_bytes_do_no_harm(kinds in proptest::collection::vec((any::<u8>(), a_body()), 0..10)) {
+    fn a_reply_keeps_within_its_limit_whatever_its_bytes(kinds in proptest::collection::vec((any::<u8>(), a_body()), 0..10)) {
         let mut reply = Reply::default();
         for (kind, body) in kinds {
             if reply.take(&message(kind, &body), MOST).is_err() {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_length_out_of_range_is_bad_before_its_bytes_have_come() {
+fn a_length_out_of_range_is_an_error_before_its_bytes_have_come() {
     let mut bytes = vec![b'Q'];
     bytes.extend(((MOST + 1) as u32).to_be_bytes());
     assert!(frames(FrameDecoder::server(MOST), &bytes, &[]).1);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_buffer_that_is_never_empty_does_not_grow() {
+fn a_buffer_does_not_grow_when_it_is_never_empty() {
     let (mut parser, bytes) = (FrameDecoder::server(MOST), message(b'C', &[7; 100]).bytes);
     parser.feed(&bytes[..50]);
     for _ in 0..1000 {
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_reply_tells_role_position_and_report() {
+fn a_reply_gives_role_position_and_load_report() {
     let mut reply = Reply::default();
     let mut all = row(b"v");
     all.extend([
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_position_of_a_report_is_never_rounded_up() {
+fn a_position_of_a_load_report_is_never_rounded_up() {
     let position = |text: &str| parse_load_report(text).and_then(|r| r.position);
     assert_eq!(
         position("x0=1767225600.9999999999"),
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_value_that_cannot_be_read_costs_no_row() {
+fn a_row_is_taken_when_a_parameter_beside_it_is_unreadable() {
     let mut reply = Reply::default();
     let spoilt = [
         status("node_role", "?"),
@@ -292,13 +292,13 @@
 }
 
 #[test]
-fn a_start_that_no_clock_can_tell_is_no_list() {
+fn a_list_is_malformed_when_a_start_is_later_than_any_clock() {
     let text = three().replacen("\"up_since_ms\":0", "\"up_since_ms\":1e14", 1);
     assert!(parse_endpoint_list(text.as_bytes()).is_err());
 }
 
 #[test]
-fn a_row_is_one_row_of_one_whole_column() {
+fn a_row_is_accepted_only_when_it_is_one_complete_column() {
     let take = |frames: &[Frame]| {
         frames
             .iter()
@@ -351,7 +351,7 @@
 
 /// Judged before its bytes have come: one that waits for them waits for as long as the other side likes.
 #[test]
-fn a_message_is_judged_by_its_type_and_length_at_once() {
+fn a_message_is_checked_by_its_type_and_length_before_it_is_complete() {
     let bad = |mut parser: FrameDecoder, bytes: &[u8]| {
         parser.feed(bytes);
         parser.next_frame().is_some_and(|frame| frame.is_err())
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn a_load_that_cannot_be_spoils_its_report() {
+fn a_load_report_is_unreadable_when_one_value_is_impossible() {
     for text in [
         "x0=1,x0=2",
         "x1=7",
