--- a/crates/stackgw-router/src/state/gossip.rs
+++ b/crates/stackgw-router/src/state/gossip.rs
@@ -1,6 +1,6 @@
 //! What members said of themselves, in which form it came in, and what is to be passed on of it.
 
-use super::LatencySample;
+use super::measure::LatencySample;
 use crate::api::{Action, AttemptResult, GossipUpdate, LoadReport, MemberId, Time};
 use std::collections::BTreeMap;
 
--- a/crates/stackgw-router/src/state/member.rs
+++ b/crates/stackgw-router/src/state/member.rs
@@ -1,6 +1,6 @@
 //! What the router knows of one member.
 
-use super::Observation;
+use super::gossip::Observation;
 use crate::api::{
     ConnectionPermits, GroupId, Lifecycle, Member, MemberId, MemberSnapshot, Obligations, Span, Time,
 };
--- a/crates/stackgw-router/src/state/table.rs
+++ b/crates/stackgw-router/src/state/table.rs
@@ -1,6 +1,7 @@
 //! All members, and the groups that they belong to.
 
-use super::{Candidate, MemberState, Role};
+use super::measure::Role;
+use super::member::{Candidate, MemberState};
 use crate::api::{GroupId, Lifecycle, Member, MemberId, RequestId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
--- a/crates/stackgw-router/tests/policy_size.rs
+++ b/crates/stackgw-router/tests/policy_size.rs
@@ -7,8 +7,8 @@
 const MAX_LINES: usize = 840;
 const MAX_COLUMNS: usize = 110;
 
-/// Files beside the policy files that may declare numbers: the interface, with its units of time.
-const INTERFACE: &str = "src/api.rs";
+/// The only file beside the policy files that may declare numbers.
+const UNITS_OF_TIME: &str = "src/api/time.rs";
 
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().expect("the repository's root exists")
@@ -63,7 +63,7 @@
     let package = Path::new(env!("CARGO_MANIFEST_DIR")).canonicalize().expect("the package exists");
     let policy: Vec<PathBuf> = policy_files().iter().filter_map(|file| file.canonicalize().ok()).collect();
     for file in source_files(&package.join("src")) {
-        if policy.contains(&file) || file.ends_with(INTERFACE) {
+        if policy.contains(&file) || file.ends_with(UNITS_OF_TIME) {
             continue;
         }
         for line in read(&file).lines() {
