--- a/crates/stackgw-gateway/src/io/driver.rs
+++ b/crates/stackgw-gateway/src/io/driver.rs
@@ -18,7 +18,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::future::Future;
-use std::net::UdpSocket;
+use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
 /// Everything the tasks share.
@@ -152,7 +152,7 @@
 }
 
 /// Sends a datagram where there is a socket. One that cannot leave now is lost, as any may be; what matters is sent again.
-fn send_datagram(socket: Option<&Async<UdpSocket>>, to: std::net::SocketAddr, bytes: &[u8]) {
+fn send_datagram(socket: Option<&Async<UdpSocket>>, to: SocketAddr, bytes: &[u8]) {
     if let Some(socket) = socket {
         let _ = socket.get_ref().send_to(bytes, to);
     }
--- a/crates/stackgw-gateway/src/io/listener.rs
+++ b/crates/stackgw-gateway/src/io/listener.rs
@@ -1,6 +1,7 @@
 //! Accepts clients' connections.
 
 use super::driver::Driver;
+use crate::reducer::Input;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::net::TcpListener;
@@ -37,7 +38,7 @@
     }
     accept_backlog(&driver, &listener);
     drop(listener);
-    driver.handle_input(crate::reducer::Input::ListenerClosed);
+    driver.handle_input(Input::ListenerClosed);
 }
 
 /// Whoever is in the backlog has been accepted by this machine, and is served.
--- a/crates/stackgw-gateway/src/io/startup.rs
+++ b/crates/stackgw-gateway/src/io/startup.rs
@@ -39,60 +39,89 @@
     frontend: Option<FrontendFactory>,
     log: Logger,
 ) -> Result<(), GatewayError> {
-    // First of all: a signal that came before would end the program.
-    let signals = signals::listen().map_err(GatewayError::Signals)?;
-    let control = config
-        .operator
-        .control
-        .as_deref()
-        .map(control::listen)
-        .transpose()?;
-    let cluster = ClusterAccess::open(&config, &log)?;
-    let frontend = frontend
-        .map(|factory| RunningFrontend::start(factory, &log))
-        .transpose()?;
-    let listener = listen(config.listen, &log)?;
-    let peers = match config.peer_listen {
-        Some(address) => Some(bind_datagrams("peer_listen", address)?),
-        None => None,
-    };
-    let clock = Clock::new();
-    let core = Core::new(config, cluster.as_ref(), clock, &log);
-    let (cluster_socket, record_writer, store_results) = match cluster {
-        Some(cluster) => (Some(cluster.socket), cluster.writer, cluster.store_results),
-        None => (None, None, None),
-    };
-    let datagrams = DatagramSockets {
-        peers,
-        cluster: cluster_socket,
-    };
-    let (running, backend_commands, frontend_inputs) = match frontend {
-        Some(frontend) => (
-            Some(frontend.running),
-            Some(frontend.commands),
-            Some(frontend.inputs),
-        ),
-        None => (None, None, None),
-    };
-    let (driver, effects) =
-        core.into_driver(clock, log, datagrams, record_writer, backend_commands);
-    let sources = InputSources {
-        signals,
-        control,
-        store_results,
-        frontend: frontend_inputs,
-        listener,
-    };
-    sources.spawn_tasks(&driver);
-    for effect in effects {
-        driver.execute(effect);
-    }
-    driver.handle_input(Input::Start);
-    async_io::block_on(driver.executor.run(driver.exits.wait()));
-    drop(running);
+    Gateway::open(config, frontend, log)?.run();
     Ok(())
 }
 
+/// A gateway with all that it needs open, before its first input.
+struct Gateway {
+    driver: Rc<Driver>,
+    /// What the reducer asks for already.
+    effects: Vec<Effect>,
+    sources: InputSources,
+    /// Dropped, the other frontend and its backend end.
+    running_frontend: Option<Box<dyn Any>>,
+}
+
+impl Gateway {
+    fn open(
+        config: Config,
+        frontend: Option<FrontendFactory>,
+        log: Logger,
+    ) -> Result<Self, GatewayError> {
+        // First of all: a signal that came before would end the program.
+        let signals = signals::listen().map_err(GatewayError::Signals)?;
+        let control = config.operator.control.as_deref();
+        let control = control.map(control::listen).transpose()?;
+        let cluster = ClusterAccess::open(&config, &log)?;
+        let frontend = match frontend {
+            Some(factory) => RunningFrontend::start(factory, &log)?,
+            None => RunningFrontend::default(),
+        };
+        let listener = listen(config.listen, &log)?;
+        let peers = match config.peer_listen {
+            Some(address) => Some(bind_datagrams("peer_listen", address)?),
+            None => None,
+        };
+        let clock = Clock::new();
+        let core = Core::new(config, cluster.as_ref(), clock, &log);
+        let (cluster_socket, record_writer, store_results) = match cluster {
+            Some(cluster) => (Some(cluster.socket), cluster.writer, cluster.store_results),
+            None => (None, None, None),
+        };
+        let outputs = Outputs {
+            datagrams: DatagramSockets {
+                peers,
+                cluster: cluster_socket,
+            },
+            record_writer,
+            backend_commands: frontend.commands,
+        };
+        let (driver, effects) = core.into_driver(clock, log, outputs);
+        let sources = InputSources {
+            signals,
+            control,
+            store_results,
+            frontend: frontend.inputs,
+            listener,
+        };
+        Ok(Gateway {
+            driver,
+            effects,
+            sources,
+            running_frontend: frontend.running,
+        })
+    }
+
+    fn run(self) {
+        let driver = self.driver;
+        self.sources.spawn_tasks(&driver);
+        for effect in self.effects {
+            driver.execute(effect);
+        }
+        driver.handle_input(Input::Start);
+        async_io::block_on(driver.executor.run(driver.exits.wait()));
+        drop(self.running_frontend);
+    }
+}
+
+/// What the driver sends by, beside clients' and members' connections.
+struct Outputs {
+    datagrams: DatagramSockets,
+    record_writer: Option<RecordWriter>,
+    backend_commands: Option<Sender<BackendCommand>>,
+}
+
 fn listen(address: SocketAddr, log: &Logger) -> Result<Async<TcpListener>, GatewayError> {
     let error = |source| GatewayError::Listen {
         field: "listen",
@@ -160,12 +189,13 @@
     }
 }
 
-/// Another frontend, and its backend.
+/// Another frontend and its backend, where there is one.
+#[derive(Default)]
 struct RunningFrontend {
     /// Dropped, both end.
-    running: Box<dyn Any>,
-    commands: Sender<BackendCommand>,
-    inputs: FrontendInputs,
+    running: Option<Box<dyn Any>>,
+    commands: Option<Sender<BackendCommand>>,
+    inputs: Option<FrontendInputs>,
 }
 
 /// Where inputs of another frontend and its backend come from.
@@ -179,13 +209,14 @@
         let (handle, messages) = RequestHandle::new();
         let (backend, gateway) = BackendChannels::new();
         let running = factory(handle, backend, log.clone()).map_err(GatewayError::Frontend)?;
+        let inputs = FrontendInputs {
+            messages,
+            events: gateway.events,
+        };
         Ok(RunningFrontend {
-            running,
-            commands: gateway.commands,
-            inputs: FrontendInputs {
-                messages,
-                events: gateway.events,
-            },
+            running: Some(running),
+            commands: Some(gateway.commands),
+            inputs: Some(inputs),
         })
     }
 }
@@ -239,14 +270,7 @@
     }
 
     /// The driver of this reducer, and the effects that it is to carry out first.
-    fn into_driver(
-        self,
-        clock: Clock,
-        log: Logger,
-        datagrams: DatagramSockets,
-        record_writer: Option<RecordWriter>,
-        backend_commands: Option<Sender<BackendCommand>>,
-    ) -> (Rc<Driver>, Vec<Effect>) {
+    fn into_driver(self, clock: Clock, log: Logger, outputs: Outputs) -> (Rc<Driver>, Vec<Effect>) {
         let driver = Driver {
             reducer: RefCell::new(self.reducer),
             inputs: RefCell::default(),
@@ -257,12 +281,12 @@
             reloader: self.reloader,
             clients: Clients::new(&self.limits),
             members: Members::new(&self.limits),
-            backends: Backends::new(backend_commands),
+            backends: Backends::new(outputs.backend_commands),
             open_requests: OpenRequests::default(),
             list_requests: ListRequests::default(),
-            datagrams,
+            datagrams: outputs.datagrams,
             storage: Storage {
-                records: record_writer,
+                records: outputs.record_writer,
                 endpoint_list: self.list_writer,
             },
             control_answers: Answers::default(),
