--- /dev/null
+++ b/crates/stackgw-bootstrap/src/bootstrap/watch.rs
@@ -0,0 +1,159 @@
+//! The watch of the list service: whether it is wanted, and what it brings.
+
+use super::Bootstrap;
+use crate::endpoint::EndpointUpdate;
+use crate::endpoint_cache::MergeOutcome;
+use crate::output::{CachedEndpoints, LogEvent, Output};
+use crate::service_watch::{WatchChange, WatchScope};
+use crate::update_source::UpdateSource;
+use stackgw_router::api::{Span, Time, SECOND};
+
+/// A list that is still confirmed is stored anew this often.
+const PERSIST_INTERVAL: Span = 5 * SECOND;
+
+impl Bootstrap {
+    /// Opens, schedules or releases the watch, as it is wanted now.
+    pub(super) fn update_watch(&mut self, now: Time, out: &mut Vec<Output>) {
+        let wanted = self.wanted_watch(now);
+        match self
+            .watch
+            .update(now, wanted, self.contact.has_live_peer(now))
+        {
+            Some(WatchChange::Opened(scope)) => {
+                self.counters.watches_opened += 1;
+                self.counters.watches_without_leader += u64::from(scope == WatchScope::Standalone);
+                out.push(Output::OpenWatch(self.cache.revision()));
+            }
+            Some(WatchChange::Promoted) => {
+                out.push(Output::Log(LogEvent::WatchEstablished(WatchScope::Fleet)));
+            }
+            Some(WatchChange::Released) => {
+                out.extend([Output::CloseWatch, Output::Log(LogEvent::WatchReleased)]);
+            }
+            None => {}
+        }
+    }
+
+    /// For whom this instance should watch the service; `None`: others do.
+    fn wanted_watch(&self, now: Time) -> Option<WatchScope> {
+        let is_leader = self.leaders.as_ref().is_none_or(|leaders| {
+            leaders.is_leader() && (leaders.is_seed() || self.readiness.has_settled(now))
+        });
+        if is_leader {
+            return Some(WatchScope::Fleet);
+        }
+        // No peer has heard the service for too long: whoever wants the list polls it for itself.
+        let is_service_lost = now >= self.contact.lost_at(self.readiness.started_at());
+        is_service_lost.then_some(WatchScope::Standalone)
+    }
+
+    /// The watch has brought a list, or changes of it.
+    pub fn handle_watch_update(
+        &mut self,
+        now: Time,
+        update: EndpointUpdate,
+        out: &mut Vec<Output>,
+    ) {
+        let previous_revision = self.cache.revision();
+        let outcome = self.merge_from_service(now, update, out);
+        if outcome == MergeOutcome::Stale {
+            return;
+        }
+        let became_live = self.watch.become_live();
+        if became_live {
+            out.push(Output::Log(LogEvent::WatchEstablished(self.watch.scope())));
+        }
+        // That the service is back is news to peers too, even where it brings nothing new.
+        if became_live
+            || matches!(
+                outcome,
+                MergeOutcome::Complete(_) | MergeOutcome::Changed(_)
+            )
+        {
+            self.push_changes(now, previous_revision, out);
+        }
+        self.publish(now, outcome, out);
+    }
+
+    fn merge_from_service(
+        &mut self,
+        now: Time,
+        update: EndpointUpdate,
+        out: &mut Vec<Output>,
+    ) -> MergeOutcome {
+        let previous_revision = self.cache.revision();
+        let was_behind = self.cache.is_behind();
+        let previous_resets = self.cache.resets();
+        let outcome = self.cache.merge(now, update, UpdateSource::Service);
+        self.watch.record_answer(now);
+        if self.cache.resets() > previous_resets {
+            out.push(Output::Log(LogEvent::ServiceReset));
+        }
+        if outcome == MergeOutcome::Stale {
+            self.counters.stale_updates += 1;
+            if self.cache.is_behind() && !was_behind {
+                let revision = previous_revision.unwrap_or_default();
+                out.push(Output::Log(LogEvent::ServiceBehind(revision)));
+            }
+        }
+        outcome
+    }
+
+    /// The watch has brought a sign of life without changes.
+    pub fn handle_watch_heartbeat(&mut self, now: Time, out: &mut Vec<Output>) {
+        self.watch.record_contact(now);
+        if self.watch.is_live() {
+            self.cache.confirm(now);
+            self.persist_if_due(now, out);
+        }
+    }
+
+    /// The watch has ended, or could not be opened. `retry_after`: the service is overloaded and asks not to be polled for so
+    /// long.
+    pub fn handle_watch_lost(
+        &mut self,
+        now: Time,
+        retry_after: Option<Span>,
+        out: &mut Vec<Output>,
+    ) {
+        if self.watch.handle_lost(now, retry_after) {
+            self.update_watch(now, out);
+        }
+    }
+
+    /// Hands the list on to whoever routes by it, and to the disk.
+    pub(super) fn publish(&mut self, now: Time, outcome: MergeOutcome, out: &mut Vec<Output>) {
+        if !matches!(outcome, MergeOutcome::Unchanged | MergeOutcome::Stale) {
+            out.push(Output::Endpoints(outcome));
+            self.persisted_at = None;
+        }
+        self.persist_if_due(now, out);
+    }
+
+    fn persist_if_due(&mut self, now: Time, out: &mut Vec<Output>) {
+        let is_due = self
+            .persisted_at
+            .is_none_or(|at| now - at >= PERSIST_INTERVAL);
+        if !is_due || !self.cache.is_confirmed() {
+            return;
+        }
+        let (Some(revision), Some(confirmed_at)) =
+            (self.cache.revision(), self.cache.confirmed_at())
+        else {
+            return;
+        };
+        self.persisted_at = Some(now);
+        let members = self.cache.endpoints().cloned().collect();
+        let list = EndpointUpdate {
+            revision,
+            complete: true,
+            members,
+        };
+        let warm_throughput = self.warm_throughput.measured();
+        out.push(Output::Persist(CachedEndpoints {
+            list,
+            confirmed_at,
+            warm_throughput,
+        }));
+    }
+}
--- a/crates/stackgw-bootstrap/src/endpoint_cache.rs
+++ b/crates/stackgw-bootstrap/src/endpoint_cache.rs
@@ -13,58 +13,10 @@
 //! This module knows nothing of polls, watches or messages.
 
 use crate::endpoint::{Endpoint, EndpointUpdate, StartTime, UP_SINCE_UNKNOWN};
+use crate::update_source::{Origin, UpdateSource};
 use stackgw_router::api::{Lifecycle, Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where an update of the endpoint list comes from.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Origin {
-    /// The disk, the platform, or a peer that has lost the service: the list as it once was.
-    Cached,
-    /// A peer that hears the service.
-    Peer,
-    /// The list service itself.
-    Service,
-}
-
-/// The source of one update.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum UpdateSource {
-    /// A cached list.
-    Cached {
-        /// When the service last confirmed it, as far as is known.
-        confirmed_at: Time,
-    },
-    /// A peer that hears the service.
-    Peer {
-        /// When the service last confirmed what the peer sent.
-        confirmed_at: Time,
-        /// The version since which an incomplete update has all changes.
-        base: Option<u64>,
-    },
-    /// The list service itself, at this moment.
-    Service,
-}
-
-impl UpdateSource {
-    fn origin(self) -> Origin {
-        match self {
-            UpdateSource::Cached { .. } => Origin::Cached,
-            UpdateSource::Peer { .. } => Origin::Peer,
-            UpdateSource::Service => Origin::Service,
-        }
-    }
-
-    fn confirmed_at(self, now: Time) -> Time {
-        match self {
-            UpdateSource::Cached { confirmed_at } | UpdateSource::Peer { confirmed_at, .. } => {
-                confirmed_at
-            }
-            UpdateSource::Service => now,
-        }
-    }
-}
-
 /// What became of an update.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MergeOutcome {
--- a/crates/stackgw-bootstrap/src/lib.rs
+++ b/crates/stackgw-bootstrap/src/lib.rs
@@ -12,7 +12,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `bootstrap` | routes inputs to the parts below, and their outputs to the caller |
-//! | `endpoint_cache` | the list; which update is merged into it, and trusted for what |
+//! | `endpoint_cache`, `update_source` | the list; which update is merged into it, and trusted for what |
 //! | `watch_leaders` | which instances watch the service for the fleet |
 //! | `service_watch`, `poll_schedule` | this instance's own watch, and when the service may be polled |
 //! | `leader_poller` | polls to the leaders, and their answers |
@@ -40,19 +40,21 @@
 mod service_watch;
 mod settings;
 mod snapshot_sender;
+mod update_source;
 mod warm_throughput;
 mod watch_leaders;
 
 pub use bootstrap::Bootstrap;
 pub use connection_pacer::{ConnectionPacer, ListedMember, PacerConfig};
 pub use endpoint::{Endpoint, EndpointUpdate, StartTime};
-pub use endpoint_cache::{EndpointCache, EndpointDelta, MergeOutcome, Origin, UpdateSource};
+pub use endpoint_cache::{EndpointCache, EndpointDelta, MergeOutcome};
 pub use message::{EndpointSnapshot, Fragment, Message, Poll};
 pub use observation::{Observation, Observations};
 pub use output::{BootstrapCounters, CachedEndpoints, LogEvent, Output};
 pub use poll_schedule::{PollRate, PollSchedule};
 pub use service_watch::WatchScope;
 pub use settings::{BootstrapSettings, PeerSettings, Reload};
+pub use update_source::{Origin, UpdateSource};
 pub use watch_leaders::MIN_WATCH_LEADERS;
 
 /// A list service's name as datagrams carry it.
--- a/crates/stackgw-bootstrap/src/readiness.rs
+++ b/crates/stackgw-bootstrap/src/readiness.rs
@@ -1,6 +1,6 @@
 //! When an instance is ready to route by its list, and when it has been up long enough to judge what it hears of peers.
 
-use crate::endpoint_cache::Origin;
+use crate::update_source::Origin;
 use stackgw_router::api::{Span, Time, SECOND};
 
 /// A peer that is polled first thing may be starting itself: nothing is concluded from its silence before this.
--- /dev/null
+++ b/crates/stackgw-bootstrap/src/update_source.rs
@@ -0,0 +1,54 @@
+//! Where an update of the endpoint list comes from, and when the list service confirmed it.
+
+use stackgw_router::api::Time;
+
+/// Where an update of the endpoint list comes from.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum Origin {
+    /// The disk, the platform, or a peer that has lost the service: the list as it once was.
+    Cached,
+    /// A peer that hears the service.
+    Peer,
+    /// The list service itself.
+    Service,
+}
+
+/// The source of one update.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum UpdateSource {
+    /// A cached list.
+    Cached {
+        /// When the service last confirmed it, as far as is known.
+        confirmed_at: Time,
+    },
+    /// A peer that hears the service.
+    Peer {
+        /// When the service last confirmed what the peer sent.
+        confirmed_at: Time,
+        /// The version since which an incomplete update has all changes.
+        base: Option<u64>,
+    },
+    /// The list service itself, at this moment.
+    Service,
+}
+
+impl UpdateSource {
+    /// Where the update comes from.
+    pub fn origin(self) -> Origin {
+        match self {
+            UpdateSource::Cached { .. } => Origin::Cached,
+            UpdateSource::Peer { .. } => Origin::Peer,
+            UpdateSource::Service => Origin::Service,
+        }
+    }
+
+    /// When the service last confirmed the update, as far as is known; the service itself does so now.
+    pub fn confirmed_at(self, now: Time) -> Time {
+        match self {
+            UpdateSource::Cached { confirmed_at } | UpdateSource::Peer { confirmed_at, .. } => {
+                confirmed_at
+            }
+            UpdateSource::Service => now,
+        }
+    }
+}
