--- a/crates/stackgw-bootstrap/src/endpoint_cache.rs
+++ b/crates/stackgw-bootstrap/src/endpoint_cache.rs
@@ -82,7 +82,7 @@
     resets: u64,
 }
 
-/// Removed members that are remembered, so that peers can be told of them; beyond it the oldest are dropped.
+/// Removed members that are remembered, so that peers can be notified; beyond it the oldest are dropped.
 const MAX_REMOVED: usize = 1_024;
 
 impl EndpointCache {
@@ -303,7 +303,7 @@
         }
         let is_same = previous.is_some_and(|entry| entry.endpoint == endpoint);
         // Danger: an entry that is as it was may have changed and changed back in between. It gets the new version, or a peer
-        // that knows it as it was between would never be told that it has changed back.
+        // that knows it as it was between would never learn that it has changed back.
         let revision = match previous {
             Some(entry) if is_same && is_repeat => entry.revision,
             _ => revision,
--- a/crates/stackgw-bootstrap/src/message.rs
+++ b/crates/stackgw-bootstrap/src/message.rs
@@ -1,7 +1,7 @@
 //! The datagrams by which instances exchange the endpoint list, and their encoding. Lists of several datagrams are split and
 //! put together in [`crate::fragments`].
 //!
-//! The order of fields and variants is the wire format: `tests/stored_and_sent.rs` holds it fast.
+//! The order of fields and variants is the wire format: `tests/stored_and_sent.rs` fails when it changes.
 
 use crate::endpoint::Endpoint;
 use crate::observation::{Observation, MAX_OBSERVATIONS_PER_MESSAGE};
--- a/crates/stackgw-bootstrap/src/observation.rs
+++ b/crates/stackgw-bootstrap/src/observation.rs
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Observations {
     latest: BTreeMap<u64, Observation>,
-    /// Members that this instance's own observations are of which no peer has been told yet.
+    /// Members with an observation of this instance's own that was not sent yet.
     unsent: BTreeSet<u64>,
     /// The last member of the batch before, where not all members fit into one.
     last_in_batch: u64,
@@ -89,7 +89,7 @@
         true
     }
 
-    /// This instance's own observations that no peer has been told yet, as many as one datagram carries. Danger: observations
+    /// This instance's own observations that were not sent yet, as many as one datagram carries. Danger: observations
     /// of others must not be passed on here, or they would circulate without end.
     pub fn take_unsent(&mut self) -> Vec<Observation> {
         let members: Vec<_> = self
--- a/crates/stackgw-bootstrap/src/service_watch.rs
+++ b/crates/stackgw-bootstrap/src/service_watch.rs
@@ -215,7 +215,7 @@
         };
     }
 
-    /// The service is overloaded, as a peer was told.
+    /// The service is overloaded, as a peer has passed on.
     pub fn postpone(&mut self, now: Time, retry_after: Span) {
         self.schedule.postpone(now, retry_after);
     }
--- a/crates/stackgw-bootstrap/tests/common/mod.rs
+++ b/crates/stackgw-bootstrap/tests/common/mod.rs
@@ -1,9 +1,10 @@
 //! What the tests and the bench share: a fleet in simulated time, and its addresses and endpoints.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod simulation;
 
+#[allow(unused_imports, reason = "each test file uses a part of it")]
 pub use simulation::{Instance, ServiceState, Simulation, DRAIN_GRACE};
 
 use stackgw_bootstrap::Endpoint;
--- a/crates/stackgw-bootstrap/tests/common/simulation.rs
+++ b/crates/stackgw-bootstrap/tests/common/simulation.rs
@@ -1,12 +1,19 @@
 //! A fleet of [`Bootstrap`]s in simulated time: a list service that fails, a network that loses, delays and cuts, instances
 //! that are killed and started anew. Everything follows from one seed.
 
+mod instance;
+mod list_service;
+
+pub use instance::Instance;
+pub use list_service::ServiceState;
+
 use super::{address, endpoint, instance_at};
+use list_service::HEARTBEAT_INTERVAL;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use stackgw_bootstrap::{
-    service_id, Bootstrap, BootstrapSettings, CachedEndpoints, Endpoint, EndpointUpdate,
-    MergeOutcome, Message, Observation, Output, PeerSettings, PollRate, MIN_WATCH_LEADERS,
+    service_id, Bootstrap, BootstrapSettings, Endpoint, EndpointUpdate, MergeOutcome, Message,
+    Output, PeerSettings, PollRate, MIN_WATCH_LEADERS,
 };
 use stackgw_router::api::{Lifecycle, Span, Time, MS, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,29 +22,11 @@
 pub const DRAIN_GRACE: Span = SECOND;
 /// The watch timeout of every instance.
 const WATCH_TIMEOUT: Span = 5 * SECOND;
-/// From the opening of a watch to its first answer.
-const WATCH_OPENING_TIME: Span = 2 * MS;
-/// From a change of the list to the watches: behind what a watch begins with.
-const CHANGE_DELAY: Span = 3 * MS;
-/// Between signs of life on a watch without changes.
-const HEARTBEAT_INTERVAL: Span = 2 * SECOND;
 /// Between updates of the cluster's membership.
 const MEMBERSHIP_INTERVAL: Span = SECOND;
 /// A datagram takes this long at least, and up to one [`MS`] longer.
 const MIN_LATENCY: Span = MS / 5;
 
-/// How the list service behaves towards an instance.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ServiceState {
-    Up,
-    Down,
-    Silent,
-    /// It refuses to answer, and asks not to be polled for so long.
-    Overloaded(Span),
-    /// It answers with the list as it was at this version.
-    Behind(usize),
-}
-
 /// One life of an instance; what was meant for an earlier one is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Target {
@@ -61,48 +50,6 @@
     MembershipUpdate,
 }
 
-/// One instance of the fleet.
-pub struct Instance {
-    /// `None`: it does not run.
-    pub bootstrap: Option<Bootstrap>,
-    stopped_at: Time,
-    /// What its disk has.
-    pub cached: Option<CachedEndpoints>,
-    incarnation: u32,
-    /// Rises with each watch.
-    watch: u32,
-    is_watching: bool,
-    /// The version up to which its watch has been served.
-    watched_revision: u64,
-    next_timeout: Time,
-    /// When it first was ready in this life.
-    pub ready_at: Option<Time>,
-    /// The phase of each member, by name, as its router knows it.
-    pub routed_phases: BTreeMap<String, Lifecycle>,
-    highest_revision: u64,
-    /// What it learned of members from peers.
-    pub observations: Vec<Observation>,
-}
-
-impl Instance {
-    fn stopped() -> Self {
-        Instance {
-            bootstrap: None,
-            stopped_at: 0,
-            cached: None,
-            incarnation: 0,
-            watch: 0,
-            is_watching: false,
-            watched_revision: 0,
-            next_timeout: Time::MAX,
-            ready_at: None,
-            routed_phases: BTreeMap::new(),
-            highest_revision: 0,
-            observations: Vec::new(),
-        }
-    }
-}
-
 /// A fleet in simulated time.
 pub struct Simulation {
     pub now: Time,
@@ -253,98 +200,6 @@
         instance.watch += 1;
     }
 
-    /// Changes how the list service behaves towards these instances.
-    pub fn set_service_state(&mut self, which: impl Iterator<Item = usize>, state: ServiceState) {
-        for n in which {
-            self.service_states[n] = state;
-            if state == ServiceState::Down && self.instances[n].is_watching {
-                self.instances[n].is_watching = false;
-                self.schedule(self.now, Event::WatchLost(self.watch_target(n), None));
-            }
-            self.serve_watch(n);
-        }
-    }
-
-    /// Changes the list; watches are served.
-    pub fn change_list(&mut self, change: impl FnOnce(&mut Vec<Endpoint>)) {
-        let mut list = self.versions.last().cloned().unwrap_or_default();
-        change(&mut list);
-        self.versions.push(list);
-        (0..self.instances.len()).for_each(|n| self.serve_watch(n));
-    }
-
-    pub fn drain(&mut self, member: usize) {
-        self.change_list(|list| list[member].phase = Lifecycle::Draining);
-    }
-
-    /// What is in the list of a version and was not in some version since another: all that changed, be it there and back.
-    fn changes_between(&self, after: u64, version: usize) -> Vec<Endpoint> {
-        let versions = &self.versions[after as usize - 1..version];
-        let has_changed =
-            |endpoint: &&Endpoint| versions.iter().any(|list| !list.contains(endpoint));
-        self.versions[version - 1]
-            .iter()
-            .filter(has_changed)
-            .cloned()
-            .collect()
-    }
-
-    /// Sends on a watch what it has missed.
-    fn serve_watch(&mut self, n: usize) {
-        let (version, watched) = (self.versions.len(), self.instances[n].watched_revision);
-        let is_open = self.instances[n].is_watching && self.service_states[n] == ServiceState::Up;
-        if !is_open || watched >= version as u64 {
-            return;
-        }
-        let members = self.changes_between(watched, version);
-        let update = EndpointUpdate {
-            revision: version as u64,
-            complete: false,
-            members,
-        };
-        self.instances[n].watched_revision = version as u64;
-        self.schedule(
-            self.now + CHANGE_DELAY,
-            Event::WatchUpdate(self.watch_target(n), update),
-        );
-    }
-
-    fn open_watch(&mut self, n: usize, after: Option<u64>) {
-        self.instances[n].watch += 1;
-        let (watch, at) = (self.watch_target(n), self.now + WATCH_OPENING_TIME);
-        if self.service_states[n] != ServiceState::Down {
-            self.polls.push(self.now);
-        }
-        match self.service_states[n] {
-            ServiceState::Down => self.schedule(at, Event::WatchLost(watch, None)),
-            ServiceState::Silent => {}
-            ServiceState::Overloaded(wait) => {
-                self.schedule(at, Event::WatchLost(watch, Some(wait)))
-            }
-            ServiceState::Up => self.answer_watch(watch, at, after, self.versions.len()),
-            ServiceState::Behind(version) => self.answer_watch(watch, at, after, version),
-        }
-    }
-
-    /// Answers a watch with what has changed after a version, or with all of the list.
-    fn answer_watch(&mut self, watch: WatchTarget, at: Time, after: Option<u64>, version: usize) {
-        let revision = version as u64;
-        let base = after.filter(|after| (1..=revision).contains(after));
-        let members = match base {
-            Some(base) => self.changes_between(base, version),
-            None => self.versions[version - 1].clone(),
-        };
-        let instance = &mut self.instances[watch.target.instance];
-        (instance.is_watching, instance.watched_revision) = (true, revision);
-        let update = EndpointUpdate {
-            revision,
-            complete: base.is_none(),
-            members,
-        };
-        self.schedule(at, Event::WatchUpdate(watch, update));
-        self.schedule(at + HEARTBEAT_INTERVAL, Event::WatchHeartbeat(watch));
-    }
-
     /// Calls one instance, if it runs, and carries out what it asks for.
     pub fn call(&mut self, n: usize, act: impl FnOnce(&mut Bootstrap, Time, &mut Vec<Output>)) {
         let (now, mut out) = (self.now, Vec::new());
--- /dev/null
+++ b/crates/stackgw-bootstrap/tests/common/simulation/list_service.rs
@@ -0,0 +1,117 @@
+//! The list service of a simulated fleet: its versions, its faults, and the watches that it serves.
+
+use super::{Event, Simulation, WatchTarget};
+use stackgw_bootstrap::{Endpoint, EndpointUpdate};
+use stackgw_router::api::{Lifecycle, Span, Time, MS, SECOND};
+
+/// From the opening of a watch to its first answer.
+const WATCH_OPENING_TIME: Span = 2 * MS;
+/// From a change of the list to the watches: behind what a watch begins with.
+const CHANGE_DELAY: Span = 3 * MS;
+/// Between signs of life on a watch without changes.
+pub(super) const HEARTBEAT_INTERVAL: Span = 2 * SECOND;
+/// How the list service behaves towards an instance.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ServiceState {
+    Up,
+    Down,
+    Silent,
+    /// It refuses to answer, and asks not to be polled for so long.
+    Overloaded(Span),
+    /// It answers with the list as it was at this version.
+    Behind(usize),
+}
+
+impl Simulation {
+    /// Changes how the list service behaves towards these instances.
+    pub fn set_service_state(&mut self, which: impl Iterator<Item = usize>, state: ServiceState) {
+        for n in which {
+            self.service_states[n] = state;
+            if state == ServiceState::Down && self.instances[n].is_watching {
+                self.instances[n].is_watching = false;
+                self.schedule(self.now, Event::WatchLost(self.watch_target(n), None));
+            }
+            self.serve_watch(n);
+        }
+    }
+
+    /// Changes the list; watches are served.
+    pub fn change_list(&mut self, change: impl FnOnce(&mut Vec<Endpoint>)) {
+        let mut list = self.versions.last().cloned().unwrap_or_default();
+        change(&mut list);
+        self.versions.push(list);
+        (0..self.instances.len()).for_each(|n| self.serve_watch(n));
+    }
+
+    pub fn drain(&mut self, member: usize) {
+        self.change_list(|list| list[member].phase = Lifecycle::Draining);
+    }
+
+    /// What is in the list of a version and was not in some version since another: all that changed, be it there and back.
+    fn changes_between(&self, after: u64, version: usize) -> Vec<Endpoint> {
+        let versions = &self.versions[after as usize - 1..version];
+        let has_changed =
+            |endpoint: &&Endpoint| versions.iter().any(|list| !list.contains(endpoint));
+        self.versions[version - 1]
+            .iter()
+            .filter(has_changed)
+            .cloned()
+            .collect()
+    }
+
+    /// Sends on a watch what it has missed.
+    pub(super) fn serve_watch(&mut self, n: usize) {
+        let (version, watched) = (self.versions.len(), self.instances[n].watched_revision);
+        let is_open = self.instances[n].is_watching && self.service_states[n] == ServiceState::Up;
+        if !is_open || watched >= version as u64 {
+            return;
+        }
+        let members = self.changes_between(watched, version);
+        let update = EndpointUpdate {
+            revision: version as u64,
+            complete: false,
+            members,
+        };
+        self.instances[n].watched_revision = version as u64;
+        self.schedule(
+            self.now + CHANGE_DELAY,
+            Event::WatchUpdate(self.watch_target(n), update),
+        );
+    }
+
+    pub(super) fn open_watch(&mut self, n: usize, after: Option<u64>) {
+        self.instances[n].watch += 1;
+        let (watch, at) = (self.watch_target(n), self.now + WATCH_OPENING_TIME);
+        if self.service_states[n] != ServiceState::Down {
+            self.polls.push(self.now);
+        }
+        match self.service_states[n] {
+            ServiceState::Down => self.schedule(at, Event::WatchLost(watch, None)),
+            ServiceState::Silent => {}
+            ServiceState::Overloaded(wait) => {
+                self.schedule(at, Event::WatchLost(watch, Some(wait)))
+            }
+            ServiceState::Up => self.answer_watch(watch, at, after, self.versions.len()),
+            ServiceState::Behind(version) => self.answer_watch(watch, at, after, version),
+        }
+    }
+
+    /// Answers a watch with what has changed after a version, or with all of the list.
+    fn answer_watch(&mut self, watch: WatchTarget, at: Time, after: Option<u64>, version: usize) {
+        let revision = version as u64;
+        let base = after.filter(|after| (1..=revision).contains(after));
+        let members = match base {
+            Some(base) => self.changes_between(base, version),
+            None => self.versions[version - 1].clone(),
+        };
+        let instance = &mut self.instances[watch.target.instance];
+        (instance.is_watching, instance.watched_revision) = (true, revision);
+        let update = EndpointUpdate {
+            revision,
+            complete: base.is_none(),
+            members,
+        };
+        self.schedule(at, Event::WatchUpdate(watch, update));
+        self.schedule(at + HEARTBEAT_INTERVAL, Event::WatchHeartbeat(watch));
+    }
+}
--- a/crates/stackgw-bootstrap/tests/digest/main.rs
+++ b/crates/stackgw-bootstrap/tests/digest/main.rs
@@ -57,7 +57,7 @@
         let mut sim = Simulation::new(120, 40, 60.0, true, seed);
         sim.suspicion_time = 15 * SECOND;
         play(&mut digest, &mut rng, &mut sim, 10, 1_500);
-        // Most are killed at once, so that many instances are asked in vain.
+        // Most are killed at once, so that many polls go unanswered.
         let stays = below(&mut rng, 120);
         (0..120)
             .filter(|n| n % 40 != stays % 40)
--- a/crates/stackgw-bootstrap/tests/digest/random.rs
+++ b/crates/stackgw-bootstrap/tests/digest/random.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// An answer that may be of any instance, complete or in fragments, asked for or not, right or not.
+/// An answer that may be of any instance, complete or in fragments, solicited or not, valid or not.
 pub fn any_answer(rng: &mut Pcg64Mcg, sim: &Simulation, from: usize) -> Message {
     let members = sim.versions[0].len();
     let fragments = [0, 1, 1, 2, 3][below(rng, 5)];
