--- /dev/null
+++ b/crates/stackgw-adapter/src/line.rs
@@ -0,0 +1,162 @@
+//! Lines of the wire: a message name and `name=value` fields, parsed without guessing. What the fields mean is not known here.
+
+use thiserror::Error;
+
+/// What is wrong with the input, and where.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error("line {line}, {field}: {problem}")]
+pub struct InputError {
+    /// The line's number, from 1.
+    pub line: u64,
+    /// The field at fault, or the message where no field is.
+    pub field: String,
+    /// What is wrong with it.
+    pub problem: String,
+}
+
+/// Fields whose text runs to the end of the line.
+const TEXT_FIELDS: [&str; 2] = ["Conf", "NoteText"];
+
+/// One line, split into its fields.
+#[derive(Debug)]
+pub struct Line<'a> {
+    number: u64,
+    /// The message's name.
+    pub name: &'a str,
+    fields: Vec<Field<'a>>,
+}
+
+/// A field of a line.
+#[derive(Debug, Clone, Copy)]
+struct Field<'a> {
+    name: &'a str,
+    text: &'a str,
+}
+
+impl<'a> Line<'a> {
+    /// Splits a line without its line end.
+    pub fn parse(number: u64, text: &'a str) -> Result<Self, InputError> {
+        let error = |field: &str, problem: &str| InputError {
+            line: number,
+            field: field.to_owned(),
+            problem: problem.to_owned(),
+        };
+        let (name, mut rest) = split_at_space(text);
+        if name.is_empty() {
+            return Err(error("message", "no name"));
+        }
+        let mut fields: Vec<Field> = Vec::new();
+        while let Some(part) = rest {
+            let Some((key, after)) = part.split_once('=') else {
+                return Err(error(name, &format!("'{part}' is not name=value")));
+            };
+            if key.is_empty() || key.contains(' ') {
+                return Err(error(name, &format!("'{key}' is no field name")));
+            }
+            if fields.iter().any(|field| field.name == key) {
+                return Err(error(key, "given twice"));
+            }
+            let (text, next) = if TEXT_FIELDS.contains(&key) {
+                (after, None)
+            } else {
+                split_at_space(after)
+            };
+            fields.push(Field { name: key, text });
+            rest = next;
+        }
+        Ok(Line {
+            number,
+            name,
+            fields,
+        })
+    }
+
+    /// An error about one field of this line.
+    pub fn error(&self, field: &str, problem: impl Into<String>) -> InputError {
+        InputError {
+            line: self.number,
+            field: field.to_owned(),
+            problem: problem.into(),
+        }
+    }
+
+    /// A field's text, if the line has it.
+    pub fn optional_text(&self, field: &str) -> Option<&'a str> {
+        let mut fields = self.fields.iter();
+        fields.find(|f| f.name == field).map(|f| f.text)
+    }
+
+    /// A field's text; absent or empty is an error.
+    pub fn text(&self, field: &str) -> Result<&'a str, InputError> {
+        match self.optional_text(field) {
+            None => Err(self.error(field, format!("missing in '{}'", self.name))),
+            Some("") => Err(self.error(field, "empty")),
+            Some(v) => Ok(v),
+        }
+    }
+
+    /// A whole number, if the line has it.
+    pub fn optional_integer(&self, field: &str) -> Result<Option<i64>, InputError> {
+        let parse = |v: &str| {
+            v.parse()
+                .map_err(|_| self.error(field, format!("'{v}' is no whole number")))
+        };
+        self.optional_text(field).map(parse).transpose()
+    }
+
+    /// A whole number that must be there.
+    pub fn integer(&self, field: &str) -> Result<i64, InputError> {
+        self.text(field)?;
+        self.optional_integer(field)?
+            .ok_or_else(|| self.error(field, "missing"))
+    }
+
+    /// A whole number from 0 to 2^32 - 1 that must be there.
+    pub fn index(&self, field: &str) -> Result<u32, InputError> {
+        let value = self.integer(field)?;
+        u32::try_from(value).map_err(|_| self.error(field, format!("{value} is out of range")))
+    }
+
+    /// A finite number, if the line has it.
+    pub fn optional_number(&self, field: &str) -> Result<Option<f64>, InputError> {
+        self.optional_text(field)
+            .map(|v| self.parse_number(field, v))
+            .transpose()
+    }
+
+    /// A truth value; absent is false.
+    pub fn flag(&self, field: &str) -> Result<bool, InputError> {
+        match self.optional_text(field) {
+            None | Some("0") => Ok(false),
+            Some("1") => Ok(true),
+            Some(v) => Err(self.error(field, format!("'{v}' is neither 0 nor 1"))),
+        }
+    }
+
+    /// The `name:value` pairs of a load report.
+    pub fn number_pairs(&self, field: &str) -> Result<Vec<(&'a str, f64)>, InputError> {
+        let Some(text) = self.optional_text(field).filter(|t| !t.is_empty()) else {
+            return Ok(Vec::new());
+        };
+        let pair = |p: &'a str| {
+            let (name, value) = p
+                .split_once(':')
+                .ok_or_else(|| self.error(field, format!("'{p}' is not name:value")))?;
+            Ok((name, self.parse_number(field, value)?))
+        };
+        text.split(',').map(pair).collect()
+    }
+
+    fn parse_number(&self, field: &str, text: &str) -> Result<f64, InputError> {
+        let number = text.parse::<f64>().ok().filter(|n| n.is_finite());
+        number.ok_or_else(|| self.error(field, format!("'{text}' is no number")))
+    }
+}
+
+/// What comes before the first space, and what comes after it, if there is one.
+fn split_at_space(text: &str) -> (&str, Option<&str>) {
+    match text.split_once(' ') {
+        Some((before, after)) => (before, Some(after)),
+        None => (text, None),
+    }
+}
--- /dev/null
+++ b/crates/stackgw-adapter/src/member_pages.rs
@@ -0,0 +1,103 @@
+//! Numbered pages of list entries, which later lines refer to: a `page` line announces how many `item` lines follow.
+
+use crate::line::{InputError, Line};
+use stackgw_router::api::{GroupId, Lifecycle, Member, MemberId};
+use std::collections::HashMap;
+
+/// The highest number of a page.
+const MAX_PAGE: u32 = 15;
+
+/// A list entry, as yet without an instance's own number.
+#[derive(Debug, Clone)]
+pub struct ListedMember {
+    /// Its name on the wire.
+    pub name: String,
+    /// The entry; its id has no meaning.
+    pub member: Member,
+}
+
+impl ListedMember {
+    fn parse(line: &Line) -> Result<Self, InputError> {
+        let weight = line.optional_number("Weight")?.unwrap_or(1.0);
+        if weight < 0.0 {
+            return Err(line.error("Weight", "below 0"));
+        }
+        let lifecycle = match line.text("Readiness")? {
+            "in_service" => Lifecycle::Serving,
+            "terminating" => Lifecycle::Draining,
+            "terminated" => Lifecycle::Removed,
+            other => return Err(line.error("Readiness", format!("'{other}' is unknown"))),
+        };
+        let group = GroupId(line.index("Shard")?);
+        let zone = match line.optional_text("Area") {
+            Some(_) => line.index("Area")?,
+            None => 0,
+        };
+        let member = Member {
+            id: MemberId(0),
+            group,
+            zone,
+            weight,
+            started_at: line.optional_integer("StartedAtNs")?.filter(|t| *t != 0),
+            lifecycle,
+            listed_primary: line.optional_number("Leads")?.unwrap_or(0.0) > 0.0,
+        };
+        Ok(ListedMember {
+            name: line.text("Server")?.to_owned(),
+            member,
+        })
+    }
+}
+
+/// A page whose entries are still coming.
+#[derive(Debug)]
+struct PageInProgress {
+    page: u32,
+    /// How many entries are missing; above 0.
+    missing: u32,
+}
+
+/// The pages of a process; a page that is announced again replaces the one before.
+#[derive(Debug, Default)]
+pub struct MemberPages {
+    pages: HashMap<u32, Vec<ListedMember>>,
+    in_progress: Option<PageInProgress>,
+}
+
+impl MemberPages {
+    /// The entries of a page that was announced before.
+    pub fn get(&self, page: u32) -> Option<&[ListedMember]> {
+        self.pages.get(&page).map(Vec::as_slice)
+    }
+
+    /// Takes a `page` line.
+    pub fn begin_page(&mut self, line: &Line) -> Result<(), InputError> {
+        let page = line.index("Buffer")?;
+        if page > MAX_PAGE {
+            return Err(line.error("Buffer", "must lie between 0 and 15"));
+        }
+        let missing = line.index("MembersList")?;
+        self.pages.insert(page, Vec::new());
+        self.in_progress = (missing > 0).then_some(PageInProgress { page, missing });
+        Ok(())
+    }
+
+    /// Takes the next entry of the page whose entries are coming. False where there is no such page: the line is no entry.
+    pub fn add_entry(&mut self, line: &Line) -> Result<bool, InputError> {
+        let Some(progress) = &mut self.in_progress else {
+            return Ok(false);
+        };
+        if line.name != "item" {
+            let missing = progress.missing;
+            let problem = format!("{missing} more item lines were announced");
+            return Err(line.error("MembersList", problem));
+        }
+        let entry = ListedMember::parse(line)?;
+        self.pages.entry(progress.page).or_default().push(entry);
+        progress.missing -= 1;
+        if progress.missing == 0 {
+            self.in_progress = None;
+        }
+        Ok(true)
+    }
+}
--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -20,7 +20,7 @@
     output
 }
 
-fn power_on(instance: &str) -> String {
+fn power_on_lines(instance: &str) -> String {
     format!(
         "power_on GatewayId={instance} Seed=7 Conf={CONF}\n\
          page Buffer=3 MembersList=2\n\
@@ -30,10 +30,10 @@
     )
 }
 
-fn opening() -> String {
+fn first_batch() -> String {
     format!(
         "clock NowNs=9000000000 seq=1\n{}go\n",
-        power_on("gateway_0")
+        power_on_lines("gateway_0")
     )
 }
 
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_read_is_sent_on_answered_and_done_with() {
-    let input = opening()
+    let input = first_batch()
         + "clock NowNs=9001000000 seq=2\n\
            probe_done GatewayId=gateway_0 Server=beta TookNs=1000000 Status=delivered Stats=x0:7.999,x1:0\n"
         + READ
@@ -69,11 +69,11 @@
 
 #[test]
 fn an_instance_killed_and_started_in_one_batch_knows_nothing_of_its_past() {
-    let input = opening()
+    let input = first_batch()
         + "clock NowNs=9001000000 seq=2\n"
         + "query RequestId=r1 GatewayId=gateway_0 DropDeadNs=9750000000 Service=1 Cluster=4 Sess=s\n"
         + "halt GatewayId=gateway_0\n"
-        + &power_on("gateway_0")
+        + &power_on_lines("gateway_0")
         + "resolved GatewayId=gateway_0 RequestId=r1 Attempt=0 Server=alpha Status=dropped TookNs=1\ngo\n";
     let text = stdout(&run(&input));
     let after = text.split("done seq=1").nth(1).expect("a second reply");
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_batch_of_megabytes_gets_one_reply_and_one_answer_for_each_request() {
-    let mut input = opening() + "clock NowNs=9001000000 seq=2\n";
+    let mut input = first_batch() + "clock NowNs=9001000000 seq=2\n";
     for n in 0..20_000 {
         input += &format!(
             "query GatewayId=gateway_0 RequestId=long-name-{n:030} DropDeadNs=9101000000 Service=1 Cluster=4\n"
@@ -131,7 +131,7 @@
 fn instances_split_over_processes_act_as_in_one() {
     let day = |names: &[&str]| {
         let mut input = "clock NowNs=9000000000 seq=1\n".to_owned();
-        names.iter().for_each(|n| input += &power_on(n));
+        names.iter().for_each(|n| input += &power_on_lines(n));
         input += "go\n";
         for step in 0..200_i64 {
             let now = 9_000_000_000 + (step + 1) * 10_000_000;
@@ -165,7 +165,12 @@
 
 #[test]
 fn malformed_input_names_its_line_and_field_and_ends_the_run() {
-    let batch = |line: &str| format!("{}clock NowNs=9001000000 seq=2\n{line}\ngo\n", opening());
+    let batch = |line: &str| {
+        format!(
+            "{}clock NowNs=9001000000 seq=2\n{line}\ngo\n",
+            first_batch()
+        )
+    };
     let cases = [
         (
             batch("query GatewayId=gateway_0 RequestId=r DropDeadNs=soon Service=0 Cluster=4"),
@@ -196,8 +201,8 @@
         (batch(""), "line 9, message"),
         (batch("clock NowNs=9002000000 seq=3"), "line 9, clock"),
         ("go\n".to_owned(), "line 1, go"),
-        (opening() + "clock NowNs=9001000000 seq=2\n", "line 9, go"),
-        (opening() + "clock NowNs=9001000000 seq=2\ngo", "line 9, text"),
+        (first_batch() + "clock NowNs=9001000000 seq=2\n", "line 9, go"),
+        (first_batch() + "clock NowNs=9001000000 seq=2\ngo", "line 9, text"),
     ];
     for (input, place) in cases {
         let output = run(&input);
