--- a/crates/stackgw-cli/src/cmd/check.rs
+++ b/crates/stackgw-cli/src/cmd/check.rs
@@ -1,5 +1,6 @@
-//! `stackgw check` and `stackgw schema`.
+//! `stackgw check` and `stackgw schema`: the operator's file, checked and explained.
 
+use crate::error::CommandResult;
 use clap::Args;
 use std::path::PathBuf;
 
@@ -15,15 +16,18 @@
 
 impl Check {
     /// Says whether the file can be used.
-    pub fn run(self) -> Result<(), String> {
+    ///
+    /// # Errors
+    /// Where it can't; the message names the file, the line and the field.
+    pub fn run(self) -> CommandResult {
         let read = stackgw_config::read(&self.file);
         if self.json {
             let problem = read.as_ref().err();
-            let told = serde_json::json!({"file": self.file, "good": problem.is_none(),
+            let outcome = serde_json::json!({"file": self.file, "good": problem.is_none(),
                 "line": problem.and_then(|p| p.line), "problem": problem.map(|p| &p.what)});
-            println!("{told}");
+            println!("{outcome}");
         }
-        let operator = read.map_err(|problem| problem.to_string())?;
+        let operator = read?;
         if !self.json {
             let sessions = match operator.sessions {
                 Some(s) => format!("on, keepers {}", s.keepers.join(", ")),
@@ -38,8 +42,8 @@
     }
 }
 
-/// Prints the schema.
-pub fn schema() -> Result<(), String> {
+/// Prints the JSON Schema of the operator's file.
+pub fn schema() -> CommandResult {
     println!("{:#}", stackgw_config::schema());
     Ok(())
 }
--- a/crates/stackgw-cli/src/cmd/demo.rs
+++ b/crates/stackgw-cli/src/cmd/demo.rs
@@ -1,18 +1,28 @@
 //! `stackgw demo`: gateways are killed between writes and reads on loopback, and the audit says what sessions saw.
 
-use super::measure_start::{play, Way, OPENS_USE};
+use crate::error::CommandResult;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
+use stackgw_testkit::measure::cold_start::{
+    BootstrapChoice, ColdStartPlan, PhaseReport, DEFAULT_HANDSHAKE_FRACTION,
+};
 use stackgw_testkit::{
-    Faults, FleetConfig, FleetMode, GatewayFleet, Protocol, ReplicaGroup, SessionAudit, Verdict,
-    GROUP,
+    run_audit, AuditPlan, Faults, FleetConfig, FleetMode, GatewayFleet, GroupConfig, Protocol,
+    ReplicaGroup, RequestCounts, Verdict, GROUP,
 };
+use std::path::Path;
 use std::time::Duration;
 
+/// Fewer gateways than this are no fleet.
+const MIN_FLEET: u16 = 3;
+
+/// Requests a second at all gateways of a fleet that starts together.
+const FLEET_LOAD: f64 = 300.0;
+
 /// Stand-ins, gateways and clients on loopback; gateways are killed.
 #[derive(Args)]
 pub struct Demo {
-    /// GatewayFleet.
+    /// Gateways.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=16))]
     gateways: u16,
     /// So many of them keep marks; all, unless said otherwise.
@@ -70,202 +80,242 @@
 }
 
 impl Demo {
-    /// Runs it and prints the verdict; an error where a read missed its write, or a request was lost or doubled.
-    pub fn run(self) -> Result<(), String> {
+    /// Runs the demo and prints the verdict.
+    ///
+    /// # Errors
+    /// Where a read missed its write, or a request was lost or ran twice.
+    pub fn run(self) -> CommandResult {
         if self.start {
-            return self.show_start();
+            return self.show_cold_start();
         }
-        let folder = std::env::temp_dir().join(format!("stackgw-demo-{}", std::process::id()));
+        let name = format!("stackgw-demo-{}", std::process::id());
+        let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let verdict = self.play(&folder);
-        // A verdict that is bad leaves the logs for whoever looks into it.
-        let keep = verdict
+        let verdict = self.audit(&folder);
+        // A bad verdict leaves the logs for whoever looks into it.
+        let leaves_logs = verdict
             .as_ref()
-            .is_ok_and(|verdict| !verdict.good() && !self.off);
-        if !keep {
+            .is_ok_and(|verdict| !verdict.is_good() && !self.off);
+        if !leaves_logs {
             let _ = std::fs::remove_dir_all(&folder);
         }
         let verdict = verdict?;
         if self.json {
-            println!(
-                "{}",
-                serde_json::to_string(&verdict).map_err(|e| e.to_string())?
-            );
+            println!("{}", serde_json::to_string(&verdict)?);
         } else {
-            print(&verdict);
+            print_verdict(&verdict);
         }
-        match verdict.good() {
-            true => Ok(()),
-            false if self.off => Err(
-                "sessions missed their writes, as they do where marks are not shared".to_owned(),
-            ),
-            false => Err(format!(
-                "the audit found faults; the logs are in {}",
-                folder.display()
-            )),
+        if verdict.is_good() {
+            Ok(())
+        } else if self.off {
+            Err("sessions missed their writes, as they do where marks are not shared".into())
+        } else {
+            let folder = folder.display();
+            Err(format!("the audit found faults; the logs are in {folder}").into())
         }
     }
 
-    /// Plays a fleet's cold start and says of each part what it cost.
-    fn show_start(&self) -> Result<(), String> {
-        let program = std::env::current_exe().map_err(|e| e.to_string())?;
-        let fleet = usize::from(self.gateways.max(3));
+    /// Plays a fleet's cold start, and prints of each phase what it cost.
+    fn show_cold_start(&self) -> CommandResult {
+        let fleet = usize::from(self.gateways.max(MIN_FLEET));
         println!("{fleet} gateways, three members, one list service; each part lasts ten seconds");
-        let said = |name: &'static str, part: &stackgw_testkit::PhaseReport| {
-            let ready = part
-                .ready_ms
-                .map_or("never".to_owned(), |ms| format!("after {ms} ms"));
-            println!(
-                "{name}: {} list asks ({} in the worst 100 ms), ready {ready}, {:.1}% served in time, {} handshakes, \
-                 cold members at {:.0}% of what they fall at",
-                part.asks.all, part.asks.worst, part.worth * 100.0, part.burden.handshakes, part.burden.cold * 100.0
-            );
-        };
-        let way = Way {
-            cluster: true,
-            opens: Some(OPENS_USE),
+        let plan = ColdStartPlan {
+            program: std::env::current_exe()?,
+            fleet,
+            bootstrap: Some(BootstrapChoice {
+                has_cluster: true,
+                handshake_fraction: Some(DEFAULT_HANDSHAKE_FRACTION),
+            }),
+            load: FLEET_LOAD,
+            seed: self.seed,
+            kept_folder: None,
         };
-        let line = play(program, fleet, Some(way), 300.0, self.seed, None, said)?;
+        let report = plan.run(print_phase)?;
         if self.json {
-            println!(
-                "{}",
-                serde_json::to_string(&line).map_err(|e| e.to_string())?
-            );
+            println!("{}", serde_json::to_string(&report)?);
+        }
+        let faults_of = |phase: &&PhaseReport| phase.faults + phase.member_load.collapses;
+        match report.phases().iter().map(faults_of).sum::<u64>() {
+            0 => Ok(()),
+            faults => Err(format!("{faults} requests or members were broken").into()),
         }
-        let broken: u64 = line
-            .parts()
-            .iter()
-            .map(|part| part.broken + part.burden.fell)
-            .sum();
-        (broken == 0)
-            .then_some(())
-            .ok_or_else(|| format!("{broken} requests or members were broken"))
     }
 
-    fn play(&self, folder: &std::path::Path) -> Result<Verdict, String> {
-        #[cfg(feature = "flight")]
-        let (flight, speaks) = (
-            self.flight,
-            if self.flight {
-                Protocol::FlightSql
-            } else {
-                Protocol::Postgres
-            },
-        );
-        #[cfg(not(feature = "flight"))]
-        let (flight, speaks) = (false, Protocol::Postgres);
-        let (store, agent) =
-            ReplicaGroup::start_speaking(&self.lag_ms, speaks).map_err(|e| e.to_string())?;
+    /// Audits sessions while gateways are killed.
+    fn audit(&self, folder: &Path) -> CommandResult<Verdict> {
+        let group = ReplicaGroup::start_with(GroupConfig {
+            protocol: self.member_protocol(),
+            ..GroupConfig::new(&self.lag_ms)
+        })?;
+        let gateways = GatewayFleet::start(self.fleet_config(&group, folder)?)?;
+        if self.kill_every_ms == 0 && !self.off {
+            // A calm run is to show what it is like once all are sure of each other.
+            let settle_ms = self.horizon_ms + 3 * self.lease_ms;
+            std::thread::sleep(Duration::from_millis(settle_ms));
+        }
+        let bar = self.progress_bar();
+        let verdict = run_audit(&self.audit_plan(), &group, &gateways, |counts| {
+            bar.set_position(counts.pairs.min(self.pairs));
+            bar.set_message(format!("{} misses", counts.misses));
+        });
+        bar.finish_and_clear();
+        if self.hold {
+            hold(&gateways);
+        }
+        Ok(verdict)
+    }
+
+    fn fleet_config(&self, group: &ReplicaGroup, folder: &Path) -> CommandResult<FleetConfig> {
         let gateways = usize::from(self.gateways);
-        let keepers = usize::from(self.keepers.unwrap_or(self.gateways)).clamp(1, gateways);
-        let program = std::env::current_exe().map_err(|e| e.to_string())?;
-        let gateways = GatewayFleet::start(FleetConfig {
+        let session_replicas = usize::from(self.keepers.unwrap_or(self.gateways));
+        let lists = vec![group.list_address()];
+        Ok(FleetConfig {
             gateways,
-            session_replicas: keepers,
+            session_replicas: session_replicas.clamp(1, gateways),
             mode: if self.off {
                 FleetMode::LocalSessions
             } else {
                 FleetMode::SharedSessions
             },
-            disks: !self.no_disks,
+            has_disks: !self.no_disks,
             lease_ms: self.lease_ms,
             retention_ms: self.horizon_ms,
-            relays: true,
-            flight,
-            speaks,
-            ..FleetConfig::new(program, folder.to_owned(), vec![agent])
-        })?;
-        if self.kill_every_ms == 0 && !self.off {
-            // A calm run is to show what it is like once all are sure of each other.
-            std::thread::sleep(Duration::from_millis(self.horizon_ms + 3 * self.lease_ms));
+            has_relays: true,
+            has_flight_sql: self.has_flight_sql(),
+            member_protocol: self.member_protocol(),
+            ..FleetConfig::new(std::env::current_exe()?, folder.to_owned(), lists)
+        })
+    }
+
+    #[cfg(feature = "flight")]
+    fn has_flight_sql(&self) -> bool {
+        self.flight
+    }
+
+    #[cfg(not(feature = "flight"))]
+    fn has_flight_sql(&self) -> bool {
+        false
+    }
+
+    fn member_protocol(&self) -> Protocol {
+        #[cfg(feature = "flight")]
+        if self.flight {
+            return Protocol::FlightSql;
         }
-        let troubles = Faults {
-            kill_every: Duration::from_millis(self.kill_every_ms.max(1)),
-            all: true,
-            disks: true,
-            pause: Some(Duration::from_millis(self.lease_ms * 2)),
-            slow: true,
-            cut: Some(Duration::from_millis(self.lease_ms * 2)),
+        Protocol::Postgres
+    }
+
+    fn audit_plan(&self) -> AuditPlan {
+        let two_leases = Duration::from_millis(self.lease_ms * 2);
+        let faults = Faults {
+            kill_interval: Duration::from_millis(self.kill_every_ms.max(1)),
+            kill_all: true,
+            delete_disks: true,
+            pause: Some(two_leases),
+            slow_replica: true,
+            partition: Some(two_leases),
         };
-        let trial = SessionAudit {
+        AuditPlan {
             clients: usize::from(self.clients),
             pairs: self.pairs,
-            reads: self.reads,
-            pause: Duration::from_millis(self.pause_ms),
+            later_reads: self.reads,
+            read_pause: Duration::from_millis(self.pause_ms),
             roam: true,
             seed: self.seed,
-            troubles: (self.kill_every_ms > 0).then_some(troubles),
-            most: Duration::from_secs(self.most_s),
-        };
-        let bar = if self.json {
-            ProgressBar::hidden()
-        } else {
-            ProgressBar::new(self.pairs)
-        };
+            faults: (self.kill_every_ms > 0).then_some(faults),
+            time_limit: Duration::from_secs(self.most_s),
+        }
+    }
+
+    fn progress_bar(&self) -> ProgressBar {
+        if self.json {
+            return ProgressBar::hidden();
+        }
+        let bar = ProgressBar::new(self.pairs);
         if let Ok(style) = ProgressStyle::with_template("{bar:30} {pos}/{len} pairs, {msg}") {
             bar.set_style(style);
         }
-        let verdict = trial.run(&store, &gateways, |tally| {
-            bar.set_position(tally.pairs.min(self.pairs));
-            bar.set_message(format!("{} misses", tally.misses));
-        });
-        bar.finish_and_clear();
-        if self.hold {
-            hold(&gateways);
-        }
-        Ok(verdict)
+        bar
     }
 }
 
+fn print_phase(name: &'static str, phase: &PhaseReport) {
+    let ready = match phase.ready_ms {
+        Some(ms) => format!("after {ms} ms"),
+        None => "never".to_owned(),
+    };
+    println!(
+        "{name}: {} list asks ({} in the worst 100 ms), ready {ready}, {:.1}% served in time, {} handshakes, \
+         cold members at {:.0}% of what they fall at",
+        phase.polls.total,
+        phase.polls.peak,
+        phase.served_fraction * 100.0,
+        phase.member_load.handshakes,
+        phase.member_load.peak_overload * 100.0
+    );
+}
+
 /// Says where the gateways listen, and waits until standard input ends.
 fn hold(gateways: &GatewayFleet) {
-    for n in 0..gateways.len() {
-        let at = |at: Option<std::net::SocketAddr>| {
-            at.map_or("not there".to_owned(), |at| at.to_string())
+    for index in 0..gateways.len() {
+        let address = match gateways.address(index) {
+            Some(address) => address.to_string(),
+            None => "not there".to_owned(),
+        };
+        let flight = match gateways.flight_address(index) {
+            Some(address) => format!(", flight sql at {address}"),
+            None => String::new(),
         };
-        let flight = gateways
-            .flight(n)
-            .map(|at| format!(", flight sql at {at}"))
-            .unwrap_or_default();
-        println!("g{n}: listens at {}{flight}", at(gateways.address(n)));
+        println!("g{index}: listens at {address}{flight}");
     }
     println!("classes look, mine and buy; group {GROUP}; the end of standard input ends it");
     let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
 }
 
-fn print(verdict: &Verdict) {
-    let tally = &verdict.tally;
-    let [primary, replicas] = verdict.reads_at;
-    let share = 100.0 * replicas as f64 / (primary + replicas).max(1) as f64;
-    let ends = |of: &[u64; 4]| {
-        format!(
-            "{} served, {} refused, {} failed, {} cut by kills",
-            of[0], of[1], of[2], of[3]
-        )
-    };
+fn print_verdict(verdict: &Verdict) {
+    let counts = &verdict.counts;
     println!(
         "{} write-read pairs in {:.1} s, {} kills, seed {}",
-        tally.pairs, verdict.seconds, verdict.kills, verdict.seed
+        counts.pairs, verdict.seconds, verdict.kills, verdict.seed
     );
     println!(
         "writes: {}; 50% within {} us, 99% within {} us",
-        ends(&tally.writes),
-        verdict.write_us[0],
-        verdict.write_us[1]
+        describe(&counts.writes),
+        verdict.write_us.p50,
+        verdict.write_us.p99
     );
     println!(
         "reads: {}; 50% within {} us, 99% within {} us",
-        ends(&tally.reads),
-        verdict.read_us[0],
-        verdict.read_us[1]
+        describe(&counts.reads),
+        verdict.read_us.p50,
+        verdict.read_us.p99
     );
-    println!("reads run by replicas: {share:.1}%");
+    let by_replicas = 100.0 * verdict.reads_by_role.replica_fraction();
+    println!("reads run by replicas: {by_replicas:.1}%");
     println!(
         "missed own write {}, no answer {}, two answers {}, doubled writes {}, refused but run {}, served but never run {}",
-        tally.misses, tally.lost, tally.twice, verdict.doubled, verdict.refused_and_ran, verdict.served_and_never_ran
+        counts.misses,
+        counts.unanswered,
+        counts.duplicate_replies,
+        verdict.duplicate_writes,
+        verdict.rejected_but_executed,
+        verdict.served_but_not_executed
     );
     for miss in &verdict.first_misses {
         println!("  {miss}");
     }
-    println!("verdict: {}", if verdict.good() { "good" } else { "bad" });
+    println!(
+        "verdict: {}",
+        if verdict.is_good() { "good" } else { "bad" }
+    );
+}
+
+fn describe(counts: &RequestCounts) -> String {
+    let RequestCounts {
+        served,
+        rejected,
+        failed,
+        disconnected,
+    } = counts;
+    format!("{served} served, {rejected} refused, {failed} failed, {disconnected} cut by kills")
 }
--- a/crates/stackgw-cli/src/cmd/list.rs
+++ b/crates/stackgw-cli/src/cmd/list.rs
@@ -1,14 +1,15 @@
-//! `stackgw list`: where a running gateway's list of members is from, as it tells at its local socket.
+//! `stackgw list`: where a running gateway's list of members is from.
 
-use super::sessions::{ask, text};
+use crate::control_socket::{ask, entries, plain_text};
+use crate::error::CommandResult;
 use clap::Args;
-use serde_json::json;
+use serde_json::{json, Value};
 use std::path::PathBuf;
 
 /// Ask a running gateway where its list of members is from.
 #[derive(Args)]
 #[command(after_help = "Example:\n  stackgw list /run/stackgw/g0.sock")]
-pub struct Ask {
+pub struct ListQuery {
     /// The socket that the gateway's file names as `control`.
     socket: PathBuf,
     /// Print the answer as JSON.
@@ -16,44 +17,51 @@
     json: bool,
 }
 
-impl Ask {
+impl ListQuery {
     /// Asks and prints.
-    pub fn run(self) -> Result<(), String> {
-        let told = ask(&self.socket, &json!({"ask": "list"}))?;
+    ///
+    /// # Errors
+    /// Where the gateway can't be asked.
+    pub fn run(self) -> CommandResult {
+        let answer = ask(&self.socket, &json!({"ask": "list"}))?;
         if self.json {
-            println!("{told}");
-            return Ok(());
-        }
-        let ready = if told["ready"] == true {
-            "ready"
-        } else {
-            "not ready"
-        };
-        let watch = if told["watch"] == true {
-            ", watches the service"
+            println!("{answer}");
         } else {
-            ""
-        };
-        println!(
-            "{ready}: {} members, version {}{watch}",
-            told["members"], told["revision"]
-        );
-        if told["origin"].is_string() {
-            println!(
-                "from {}, vouched for {} ms ago",
-                text(&told["origin"]),
-                told["age_ms"]
-            );
-        }
-        if told["behind"] == true {
-            println!("the list service tells older lists than this one");
-        }
-        for holder in told["holders"].as_array().into_iter().flatten() {
-            println!("should hold the watch: {}", text(holder));
-        }
-        if told["counts"].is_object() {
-            println!("counts {}", told["counts"]);
+            print_list(&answer);
         }
         Ok(())
     }
 }
+
+fn print_list(answer: &Value) {
+    let ready = if answer["ready"] == true {
+        "ready"
+    } else {
+        "not ready"
+    };
+    let watch = if answer["watch"] == true {
+        ", watches the service"
+    } else {
+        ""
+    };
+    println!(
+        "{ready}: {} members, version {}{watch}",
+        answer["members"], answer["revision"]
+    );
+    if answer["origin"].is_string() {
+        println!(
+            "from {}, vouched for {} ms ago",
+            plain_text(&answer["origin"]),
+            answer["age_ms"]
+        );
+    }
+    if answer["behind"] == true {
+        println!("the list service tells older lists than this one");
+    }
+    for leader in entries(answer, "holders") {
+        println!("should hold the watch: {}", plain_text(leader));
+    }
+    if answer["counts"].is_object() {
+        println!("counts {}", answer["counts"]);
+    }
+}
--- /dev/null
+++ b/crates/stackgw-cli/src/cmd/measure/sessions.rs
@@ -0,0 +1,183 @@
+//! `stackgw measure sessions`: what shared sessions cost.
+
+use super::table::{print_head, print_row, Column};
+use crate::error::CommandResult;
+use clap::Args;
+use serde::Serialize;
+use stackgw_testkit::measure::sessions::SessionCostPlan;
+use stackgw_testkit::{FleetMode, Percentiles};
+
+/// Sessions across instances: off, always cautious, on without disks, on with disks.
+#[derive(Args)]
+pub struct SessionsCost {
+    /// Fleets of so many gateways.
+    #[arg(long, value_delimiter = ',', default_values_t = [2u16, 3, 5])]
+    instances: Vec<u16>,
+    /// Rounds; each plays every case once.
+    #[arg(long, default_value_t = 3)]
+    rounds: u64,
+    /// Pairs in the busy part of each.
+    #[arg(long, default_value_t = 2_000)]
+    pairs: u64,
+    /// Print each case as a line of JSON.
+    #[arg(long)]
+    json: bool,
+}
+
+/// A retention that no measurement outlasts: all reads stay cautious.
+const ENDLESS_RETENTION_MS: u64 = 3_000_000;
+
+const RETENTION_MS: u64 = 2_000;
+
+/// What is measured, each one in every round.
+struct Case {
+    name: &'static str,
+    mode: FleetMode,
+    has_disks: bool,
+    retention_ms: u64,
+}
+
+const CASES: [Case; 4] = [
+    Case {
+        name: "off",
+        mode: FleetMode::LocalSessions,
+        has_disks: false,
+        retention_ms: RETENTION_MS,
+    },
+    Case {
+        name: "cautious",
+        mode: FleetMode::SharedSessions,
+        has_disks: false,
+        retention_ms: ENDLESS_RETENTION_MS,
+    },
+    Case {
+        name: "on, no disks",
+        mode: FleetMode::SharedSessions,
+        has_disks: false,
+        retention_ms: RETENTION_MS,
+    },
+    Case {
+        name: "on, disks",
+        mode: FleetMode::SharedSessions,
+        has_disks: true,
+        retention_ms: RETENTION_MS,
+    },
+];
+
+/// One case in one round, as it is printed in JSON.
+#[derive(Serialize)]
+struct Line {
+    instances: u16,
+    round: u64,
+    case: &'static str,
+    write_us: Percentiles,
+    read_us: Percentiles,
+    /// The fraction of the session reads that replicas ran, on a calm day.
+    replicas: f64,
+    /// Processor time of all gateways for each request, in microseconds.
+    cpu_us: f64,
+    /// Resident memory of one gateway, in MiB.
+    memory_mb: f64,
+    misses: u64,
+}
+
+const COLUMNS: [Column<Line>; 8] = [
+    Column {
+        heading: "write p50 us",
+        figure: |line| line.write_us.p50 as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "write p99 us",
+        figure: |line| line.write_us.p99 as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "read p50 us",
+        figure: |line| line.read_us.p50 as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "read p99 us",
+        figure: |line| line.read_us.p99 as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "by replicas",
+        figure: |line| line.replicas,
+        digits: 3,
+    },
+    Column {
+        heading: "cpu us a request",
+        figure: |line| line.cpu_us,
+        digits: 0,
+    },
+    Column {
+        heading: "MiB",
+        figure: |line| line.memory_mb,
+        digits: 1,
+    },
+    Column {
+        heading: "misses",
+        figure: |line| line.misses as f64,
+        digits: 0,
+    },
+];
+
+impl SessionsCost {
+    pub(super) fn run(self) -> CommandResult {
+        let mut lines = Vec::new();
+        for instances in &self.instances {
+            for round in 0..self.rounds {
+                for case in &CASES {
+                    let line = self.measure(*instances, round, case)?;
+                    if self.json {
+                        println!("{}", serde_json::to_string(&line)?);
+                    }
+                    lines.push(line);
+                }
+            }
+        }
+        if !self.json {
+            for instances in &self.instances {
+                print_table(*instances, &lines);
+            }
+        }
+        Ok(())
+    }
+
+    fn measure(&self, instances: u16, round: u64, case: &Case) -> CommandResult<Line> {
+        let plan = SessionCostPlan {
+            program: std::env::current_exe()?,
+            gateways: usize::from(instances),
+            mode: case.mode,
+            has_disks: case.has_disks,
+            retention_ms: case.retention_ms,
+            pairs: self.pairs,
+            seed: round * 1_000 + u64::from(instances) * 10 + 1,
+        };
+        let cost = plan.run()?;
+        Ok(Line {
+            instances,
+            round,
+            case: case.name,
+            write_us: cost.write_us,
+            read_us: cost.read_us,
+            replicas: cost.replica_fraction,
+            cpu_us: cost.cpu_us_per_request,
+            memory_mb: cost.memory_mib,
+            misses: cost.misses,
+        })
+    }
+}
+
+/// Prints the medians over the rounds, with the least and the most.
+fn print_table(instances: u16, lines: &[Line]) {
+    println!("{instances} gateways: median (least to most) over the rounds");
+    print_head(&["case"], &COLUMNS);
+    for case in &CASES {
+        let is_round = |line: &&Line| line.instances == instances && line.case == case.name;
+        let rounds: Vec<_> = lines.iter().filter(is_round).collect();
+        print_row(&[case.name], &COLUMNS, &rounds);
+    }
+}
--- /dev/null
+++ b/crates/stackgw-cli/src/cmd/measure/start.rs
@@ -0,0 +1,198 @@
+//! `stackgw measure start`: a fleet of real processes that starts at once, with and without its list service.
+
+use super::table::{print_head, print_row, Column};
+use crate::error::CommandResult;
+use clap::Args;
+use stackgw_testkit::measure::cold_start::{
+    BootstrapChoice, ColdStartPlan, ColdStartReport, PhaseReport, DEFAULT_HANDSHAKE_FRACTION,
+    PHASE_NAMES,
+};
+use std::path::PathBuf;
+
+/// Fleets that start at once: what list service and members bear, how soon clients are served.
+#[derive(Args)]
+pub struct StartCost {
+    /// Fleets of so many gateways.
+    #[arg(long, value_delimiter = ',', default_values_t = [100u16, 200, 300])]
+    gateways: Vec<u16>,
+    /// Which ways to come to know the list are measured.
+    #[arg(long, value_delimiter = ',', default_values_t = ["off".to_owned(), "alone".to_owned(), "cluster".to_owned()])]
+    cases: Vec<String>,
+    /// An earlier version of this program, measured as the case `before`.
+    #[arg(long)]
+    before: Option<PathBuf>,
+    /// Requests a second at all gateways together; the members can do twice as many, warm.
+    #[arg(long, default_value_t = 600.0)]
+    load: f64,
+    /// Rounds; each plays every case once.
+    #[arg(long, default_value_t = 3)]
+    rounds: u64,
+    /// Part of what a cold member can do that handshakes may take, where connections are dealt.
+    #[arg(long, default_value_t = DEFAULT_HANDSHAKE_FRACTION)]
+    opens: f64,
+    /// For the choices by chance; each round takes the next one.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// Print each case as a line of JSON.
+    #[arg(long)]
+    json: bool,
+    /// Keep the gateways' files and logs here, with their counters after each part.
+    #[arg(long)]
+    logs: Option<PathBuf>,
+}
+
+/// One case in one round.
+struct Round {
+    case: String,
+    report: ColdStartReport,
+}
+
+const COLUMNS: [Column<PhaseReport>; 13] = [
+    Column {
+        heading: "list asks",
+        figure: |phase| phase.polls.total as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "in the worst 100 ms",
+        figure: |phase| phase.polls.peak as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "refused",
+        figure: |phase| phase.polls.rejected as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "99% ready, ms",
+        figure: |phase| phase.ready_ms.map_or(f64::INFINITY, |ms| ms as f64),
+        digits: 0,
+    },
+    Column {
+        heading: "served in time",
+        figure: |phase| phase.served_fraction,
+        digits: 3,
+    },
+    Column {
+        heading: "in the first 5 s",
+        figure: |phase| phase.served_fraction_first,
+        digits: 3,
+    },
+    Column {
+        heading: "members could",
+        figure: |phase| phase.attainable.first_seconds,
+        digits: 3,
+    },
+    Column {
+        heading: "answered",
+        figure: |phase| phase.answered_fraction,
+        digits: 3,
+    },
+    Column {
+        heading: "handshakes",
+        figure: |phase| phase.member_load.handshakes as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "at one in its worst 100 ms",
+        figure: |phase| phase.member_load.peak_handshakes as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "cold, of what it falls at",
+        figure: |phase| phase.member_load.peak_overload,
+        digits: 2,
+    },
+    Column {
+        heading: "fell",
+        figure: |phase| phase.member_load.collapses as f64,
+        digits: 0,
+    },
+    Column {
+        heading: "broken",
+        figure: |phase| phase.faults as f64,
+        digits: 0,
+    },
+];
+
+impl StartCost {
+    pub(super) fn run(&self) -> CommandResult {
+        let mut cases = self.cases.clone();
+        if self.before.is_some() {
+            cases.insert(0, "before".to_owned());
+        }
+        for fleet in &self.gateways {
+            let rounds = self.measure_rounds(usize::from(*fleet), &cases)?;
+            if !self.json {
+                print_table(*fleet, &cases, &rounds);
+            }
+        }
+        Ok(())
+    }
+
+    /// Measures all rounds of a fleet; in JSON each case is printed as it ends.
+    fn measure_rounds(&self, fleet: usize, cases: &[String]) -> CommandResult<Vec<Round>> {
+        let mut rounds = Vec::new();
+        for round in 0..self.rounds {
+            let seed = self.seed + round;
+            for case in cases {
+                let report = self.plan(fleet, case, seed)?.run(|_, _| {})?;
+                if self.json {
+                    let line = serde_json::json!({"case": case, "seed": seed, "line": report});
+                    println!("{line}");
+                }
+                let case = case.clone();
+                rounds.push(Round { case, report });
+            }
+        }
+        Ok(rounds)
+    }
+
+    fn plan(&self, fleet: usize, case: &str, seed: u64) -> CommandResult<ColdStartPlan> {
+        let program = match (&self.before, case) {
+            (Some(before), "before") => before.clone(),
+            _ => std::env::current_exe()?,
+        };
+        let folder = format!("{case}-{fleet}-{seed}");
+        Ok(ColdStartPlan {
+            program,
+            fleet,
+            bootstrap: self.bootstrap(case)?,
+            load: self.load,
+            seed,
+            kept_folder: self.logs.as_ref().map(|logs| logs.join(folder)),
+        })
+    }
+
+    fn bootstrap(&self, case: &str) -> CommandResult<Option<BootstrapChoice>> {
+        let paced = Some(self.opens);
+        let choice = |has_cluster, handshake_fraction| {
+            Ok(Some(BootstrapChoice {
+                has_cluster,
+                handshake_fraction,
+            }))
+        };
+        match case {
+            "before" | "off" => Ok(None),
+            "alone" => choice(false, paced),
+            "undealt" => choice(true, None),
+            "cluster" => choice(true, paced),
+            other => {
+                Err(format!("cases: '{other}' is none of off, alone, undealt, cluster").into())
+            }
+        }
+    }
+}
+
+/// Prints the medians over the rounds, with the least and the most.
+fn print_table(fleet: u16, cases: &[String], rounds: &[Round]) {
+    println!("{fleet} gateways: median (least to most) over the rounds");
+    print_head(&["case", "part"], &COLUMNS);
+    for case in cases {
+        for (phase, name) in PHASE_NAMES.iter().enumerate() {
+            let rounds = rounds.iter().filter(|round| round.case == *case);
+            let phases: Vec<_> = rounds.map(|round| round.report.phases()[phase]).collect();
+            print_row(&[case, name], &COLUMNS, &phases);
+        }
+    }
+}
--- a/crates/stackgw-cli/src/cmd/mod.rs
+++ b/crates/stackgw-cli/src/cmd/mod.rs
@@ -1,13 +1,10 @@
-//! A file for each sub-command.
+//! The sub-commands, a file each. A command parses its arguments, calls a library, and prints what comes of it.
 
 pub mod check;
 pub mod demo;
 pub mod list;
 pub mod measure;
 #[cfg(feature = "flight")]
-pub mod measure_flight;
-pub mod measure_start;
-#[cfg(feature = "flight")]
 pub mod query;
 pub mod run;
 pub mod sessions;
--- a/crates/stackgw-cli/src/cmd/run.rs
+++ b/crates/stackgw-cli/src/cmd/run.rs
@@ -1,7 +1,9 @@
 //! `stackgw run`, and `stackgw` alone.
 
+use crate::error::CommandResult;
 use clap::Args;
 use stackgw_gateway::config::Config;
+use stackgw_gateway::FrontendFactory;
 #[cfg(feature = "flight")]
 use stackgw_router::api::MS;
 use std::path::PathBuf;
@@ -19,27 +21,25 @@
 
 impl Run {
     /// Serves until it is told to end.
-    pub fn run(self) -> Result<(), String> {
+    pub fn run(self) -> CommandResult {
         let Run { file, config } = self;
         let config = Config::from_env(|name| match &config {
             Some(path) if name == "ROUTER_CONFIG" => Some(path.display().to_string()),
             _ => std::env::var(name).ok(),
-        })
-        .map_err(|error| error.to_string())?;
+        })?;
         let config = match file {
-            Some(file) => config
-                .with_operator(&file)
-                .map_err(|error| error.to_string())?,
+            Some(file) => config.with_operator(&file)?,
             None => config,
         };
         let front = front(&config)?;
-        stackgw_gateway::run_with_frontend(config, front).map_err(|error| error.to_string())
+        stackgw_gateway::run_with_frontend(config, front)?;
+        Ok(())
     }
 }
 
 /// The front beside the first protocol's, and the back, that the operator's file turns on.
 #[cfg(feature = "flight")]
-fn front(config: &Config) -> Result<Option<stackgw_gateway::FrontendFactory>, String> {
+fn front(config: &Config) -> CommandResult<Option<FrontendFactory>> {
     let Some(flight) = config.operator.flight.clone() else {
         return Ok(None);
     };
@@ -97,9 +97,9 @@
 
 /// A build without Flight SQL says so where it is asked for.
 #[cfg(not(feature = "flight"))]
-fn front(config: &Config) -> Result<Option<stackgw_gateway::FrontendFactory>, String> {
+fn front(config: &Config) -> CommandResult<Option<FrontendFactory>> {
     match config.operator.flight {
-        Some(_) => Err("flight: this build has no Arrow Flight SQL".to_owned()),
+        Some(_) => Err("flight: this build has no Arrow Flight SQL".into()),
         None => Ok(None),
     }
 }
--- a/crates/stackgw-cli/src/cmd/sessions.rs
+++ b/crates/stackgw-cli/src/cmd/sessions.rs
@@ -1,19 +1,16 @@
-//! `stackgw sessions`: what a running gateway tells at its local socket.
+//! `stackgw sessions`: what a running gateway holds of sessions.
 
+use crate::control_socket::{ask, entries, plain_text};
+use crate::error::CommandResult;
 use clap::Args;
 use serde_json::{json, Value};
-use std::io::{BufRead, BufReader, Write};
-use std::os::unix::net::UnixStream;
-use std::path::{Path, PathBuf};
-use std::time::Duration;
-
-const PATIENCE: Duration = Duration::from_secs(3);
+use std::path::PathBuf;
 
 /// Ask a running gateway what it holds of sessions.
 #[derive(Args)]
 #[command(after_help = "Examples:\n  stackgw sessions /run/stackgw/g0.sock\n  \
     stackgw sessions /run/stackgw/g0.sock --group 2 --session 7f3a9c21e0b4d655")]
-pub struct Ask {
+pub struct SessionsQuery {
     /// The socket that the gateway's file names as `control`.
     socket: PathBuf,
     /// Ask of one session: its key, as its statements quote it.
@@ -27,120 +24,95 @@
     json: bool,
 }
 
-/// Puts a question to a gateway's socket.
-pub fn ask(socket: &Path, question: &Value) -> Result<Value, String> {
-    let wrong = |e: std::io::Error| format!("{}: {e}", socket.display());
-    let mut stream = UnixStream::connect(socket).map_err(wrong)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(wrong)?;
-    stream
-        .write_all(format!("{question}\n").as_bytes())
-        .map_err(wrong)?;
-    let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).map_err(wrong)?;
-    let told: Value =
-        serde_json::from_str(&line).map_err(|e| format!("{}: {e}", socket.display()))?;
-    match told.get("error").and_then(Value::as_str) {
-        Some(error) => Err(format!("{}: {error}", socket.display())),
-        None => Ok(told),
-    }
-}
-
-impl Ask {
+impl SessionsQuery {
     /// Asks and prints.
-    pub fn run(self) -> Result<(), String> {
+    ///
+    /// # Errors
+    /// Where the gateway can't be asked.
+    pub fn run(self) -> CommandResult {
         let question = match (&self.session, self.group) {
             (Some(session), Some(group)) => {
                 json!({"ask": "session", "group": group, "session": session})
             }
             _ => json!({"ask": "sessions"}),
         };
-        let told = ask(&self.socket, &question)?;
+        let answer = ask(&self.socket, &question)?;
         if self.json {
-            println!("{told}");
+            println!("{answer}");
         } else if self.session.is_some() {
-            session(&told);
+            print_session(&answer);
         } else {
-            sessions(&told);
+            print_sessions(&answer);
         }
         Ok(())
     }
 }
 
-/// A value as people write it.
-pub fn text(value: &Value) -> String {
-    value
-        .as_str()
-        .map_or_else(|| value.to_string(), str::to_owned)
-}
-
-fn because(told: &Value) -> String {
-    match &told["unsure_because"] {
+/// Whether reads are cautious, and why.
+fn certainty(answer: &Value) -> String {
+    match &answer["unsure_because"] {
         Value::Null => "sure".to_owned(),
-        why => format!("cautious: {}", text(why)),
+        reason => format!("cautious: {}", plain_text(reason)),
     }
 }
 
-fn session(told: &Value) {
-    let homes: Vec<_> = told["homes"]
-        .as_array()
-        .into_iter()
-        .flatten()
-        .map(text)
-        .collect();
-    println!("homes: {}", homes.join(", "));
-    println!("here: {}", because(told));
-    match &told["mark"] {
+fn print_session(answer: &Value) {
+    let owners: Vec<_> = entries(answer, "homes").map(plain_text).collect();
+    println!("homes: {}", owners.join(", "));
+    println!("here: {}", certainty(answer));
+    match &answer["mark"] {
         Value::Null => println!("mark: none"),
         mark => {
-            let pushed = if mark["pushed_out"] == true {
+            let shared = if mark["pushed_out"] == true {
                 ", of a cell that others share"
             } else {
                 ""
             };
             println!(
-                "mark: position {} ms, {} ms old{pushed}",
-                text(&mark["position_ms"]),
+                "mark: position {} ms, {} ms old{shared}",
+                plain_text(&mark["position_ms"]),
                 mark["age_ms"]
             );
         }
     }
 }
 
-fn sessions(told: &Value) {
-    let role = if told["keeper"] == true {
+fn print_sessions(answer: &Value) {
+    let role = if answer["keeper"] == true {
         "keeper"
     } else {
         "guest"
     };
     println!(
         "{} ({role}, incarnation {}): {}",
-        text(&told["name"]),
-        told["incarnation"],
-        because(told)
+        plain_text(&answer["name"]),
+        answer["incarnation"],
+        certainty(answer)
     );
     println!(
         "marks {} (pushed out {}), own {}, waiting {}",
-        told["marks"], told["marks_pushed_out"], told["own_marks"], told["waiting"]
+        answer["marks"], answer["marks_pushed_out"], answer["own_marks"], answer["waiting"]
     );
-    for keeper in told["keepers"].as_array().into_iter().flatten() {
+    for replica in entries(answer, "keepers") {
         println!(
             "keeper {}: pledged for {} ms, bound for {} ms, owed {}",
-            text(&keeper["name"]),
-            keeper["pledged_for_ms"],
-            keeper["bound_for_ms"],
-            keeper["owed"]
+            plain_text(&replica["name"]),
+            replica["pledged_for_ms"],
+            replica["bound_for_ms"],
+            replica["owed"]
         );
     }
-    for instance in told["instances"].as_array().into_iter().flatten() {
-        let up = if instance["up"] == true { "up" } else { "gone" };
+    for instance in entries(answer, "instances") {
+        let state = if instance["up"] == true { "up" } else { "gone" };
         println!(
-            "instance {} at {}: {up}",
-            text(&instance["name"]),
-            text(&instance["address"])
+            "instance {} at {}: {state}",
+            plain_text(&instance["name"]),
+            plain_text(&instance["address"])
         );
     }
-    for (why, count) in told["cautious_because"].as_object().into_iter().flatten() {
-        println!("cautious reads: {count}, {why}");
+    let reasons = answer["cautious_because"].as_object();
+    for (reason, count) in reasons.into_iter().flatten() {
+        println!("cautious reads: {count}, {reason}");
     }
-    println!("counts {}", told["counts"]);
+    println!("counts {}", answer["counts"]);
 }
--- a/crates/stackgw-cli/src/main.rs
+++ b/crates/stackgw-cli/src/main.rs
@@ -1,6 +1,8 @@
 //! `stackgw`: one gateway, configured by its environment where no sub-command is named, and what operators need around it.
 
 mod cmd;
+mod control_socket;
+mod error;
 
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
@@ -27,9 +29,9 @@
     /// Print the JSON Schema of the operator's file.
     Schema,
     /// Ask a running gateway what it holds of sessions, and why one is read cautiously.
-    Sessions(cmd::sessions::Ask),
+    Sessions(cmd::sessions::SessionsQuery),
     /// Ask a running gateway where its list of members is from.
-    List(cmd::list::Ask),
+    List(cmd::list::ListQuery),
     /// Stand-ins, gateways and clients on loopback; gateways are killed, and the audit says what sessions saw.
     Demo(cmd::demo::Demo),
     /// Ask a gateway, or a member, by Arrow Flight SQL.
@@ -45,13 +47,13 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         None => cmd::run::Run::default().run(),
         Some(Command::Run(run)) => run.run(),
         Some(Command::Check(check)) => check.run(),
         Some(Command::Schema) => cmd::check::schema(),
-        Some(Command::Sessions(ask)) => ask.run(),
-        Some(Command::List(ask)) => ask.run(),
+        Some(Command::Sessions(query)) => query.run(),
+        Some(Command::List(query)) => query.run(),
         Some(Command::Demo(demo)) => demo.run(),
         #[cfg(feature = "flight")]
         Some(Command::Query(query)) => query.run(),
@@ -62,7 +64,7 @@
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
             eprintln!("stackgw: {problem}");
--- a/crates/stackgw-cli/tests/discovery.rs
+++ b/crates/stackgw-cli/tests/discovery.rs
@@ -1,9 +1,12 @@
 //! Discovery that fails in every way in which it can, and comes back at the worst moment; clients that fill the gateway up
 //! meanwhile. Sockets.
 
-mod fixture;
+mod common;
 
-use fixture::*;
+use common::gateway_common::{entry, list_text, query, sqlstate, startup};
+use common::gateway_process::GatewayProcess;
+use common::pg_connection::{frame_kinds, insert, PgConnection, TIMEOUT};
+use common::scripted_member::start_member;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Sender};
@@ -116,9 +119,9 @@
         .into_iter()
         .map(|(how, fails)| {
             std::thread::spawn(move || {
-                let (told, seen) = channel();
+                let (told, statements) = channel();
                 let (_go, held) = channel();
-                let port = member(true, told, held);
+                let port = start_member(true, told, held);
                 let at =
                     |phase| entry(1, phase, "leader").replace(":7001\"", &format!(":{port}\""));
                 let lists = [
@@ -127,14 +130,14 @@
                 ];
                 let (back, is_back) = channel();
                 let agent = failing(how, fails, lists, back);
-                let gateway = Gateway::start(&format!("discovery-{how:?}"), agent);
-                let mut client = gateway.client();
+                let gateway = GatewayProcess::start(&format!("discovery-{how:?}"), agent);
+                let mut client = gateway.ready_client();
                 client.write(&[insert("k1")]);
-                assert_eq!(kinds(&client.answer()), "TDCZ", "{how:?}");
-                let back = is_back.recv_timeout(WAIT).expect("its return");
+                assert_eq!(frame_kinds(&client.read_reply()), "TDCZ", "{how:?}");
+                let back = is_back.recv_timeout(TIMEOUT).expect("its return");
                 // The counters say when the second list has come.
-                gateway.until("lists", |n| n == 2);
-                (how, back.elapsed(), seen.try_iter().count())
+                gateway.wait_for_counter("lists", |n| n == 2);
+                (how, back.elapsed(), statements.try_iter().count())
             })
         })
         .collect();
@@ -150,51 +153,53 @@
     }
 }
 
+/// Connects hundreds of clients that ask whether the gateway is ready. Those with a place hear nothing until there is a list; the
+/// others are rejected at once. Gives the former, and the number of the latter.
+fn fill_with_waiting_clients(
+    gateway: &GatewayProcess,
+    places: usize,
+) -> (Vec<PgConnection>, usize) {
+    let mut waiting = Vec::new();
+    let mut rejected = 0;
+    for n in 0..400 {
+        let mut client = gateway.connect();
+        client.write(&[startup(), query("")]);
+        let last = client.read_reply().last().map(|f| f.kind);
+        assert_eq!(last, Some(b'Z'), "each is let in");
+        if waiting.len() < places {
+            waiting.push(client);
+            continue;
+        }
+        let error = client.next().and_then(|f| sqlstate(&f.bytes));
+        assert_eq!(error.as_deref(), Some("53300"), "client {n}");
+        assert!(client.next().is_none(), "and it is over");
+        rejected += 1;
+    }
+    (waiting, rejected)
+}
+
 /// Hundreds of clients that connect, ask whether the gateway is ready, and stay, while discovery is down: the watch, the members and
 /// a refusal for whoever comes then still find descriptors.
 #[test]
 fn clients_that_wait_for_discovery_leave_room_for_it_for_members_and_for_refusals() {
-    let (told, _seen) = channel();
-    let (_go, held) = channel();
-    let port = member(true, told, held);
+    let (sender, _statements) = channel();
+    let (_release, released) = channel();
+    let port = start_member(true, sender, released);
     let listed = entry(1, "ready", "leader").replace(":7001\"", &format!(":{port}\""));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     // 54% of the 96 descriptors that are not the gateway's own.
     let places = 52;
-    let gateway = Gateway::start("full", listener.local_addr().expect("an address"));
-    let (mut waiting, mut refused) = (Vec::new(), 0);
-    for n in 0..400 {
-        let mut wire = gateway.connect();
-        wire.write(&[startup(), query("")]);
-        assert_eq!(
-            wire.answer().last().map(|f| f.kind),
-            Some(b'Z'),
-            "each is let in"
-        );
-        // Those with a place hear nothing until there is a list; the others are told so at once.
-        if waiting.len() == places {
-            assert_eq!(
-                wire.next().and_then(|f| sqlstate(&f.bytes)).as_deref(),
-                Some("53300"),
-                "client {n}"
-            );
-            assert!(wire.next().is_none(), "and it is over");
-            refused += 1;
-        } else {
-            waiting.push(wire);
-        }
-    }
-    assert!(refused > 300);
-    let mut asks = gateway.connect();
-    asks.write(&[startup(), insert("k1")]);
-    asks.answer();
+    let gateway = GatewayProcess::start("full", listener.local_addr().expect("an address"));
+    let (mut waiting, rejected) = fill_with_waiting_clients(&gateway, places);
+    assert!(rejected > 300);
+    let mut late = gateway.connect();
+    late.write(&[startup(), insert("k1")]);
+    late.read_reply();
     assert_eq!(
-        asks.next().and_then(|f| sqlstate(&f.bytes)).as_deref(),
+        late.next().and_then(|f| sqlstate(&f.bytes)).as_deref(),
         Some("53300")
     );
-    let held = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
-        .expect("its descriptors")
-        .count();
+    let held = gateway.descriptors();
     assert!(held <= 128, "{held} descriptors");
     // Discovery is back.
     let mut watch = listener.accept().expect("the watch").0;
@@ -202,17 +207,25 @@
     watch
         .write_all(format!("{HEAD}{list}").as_bytes())
         .expect("written");
-    for wire in &mut waiting {
-        assert_eq!(kinds(&wire.answer()), "IZ", "whoever waited is told");
+    for connection in &mut waiting {
+        assert_eq!(
+            frame_kinds(&connection.read_reply()),
+            "IZ",
+            "whoever waited is told"
+        );
     }
     waiting[0].write(&[insert("k1")]);
     assert_eq!(
-        kinds(&waiting[0].answer()),
+        frame_kinds(&waiting[0].read_reply()),
         "TDCZ",
         "members are reached with all places taken"
     );
     drop(waiting);
-    let mut client = gateway.client();
+    let mut client = gateway.ready_client();
     client.write(&[insert("k2")]);
-    assert_eq!(kinds(&client.answer()), "TDCZ", "members are reached");
+    assert_eq!(
+        frame_kinds(&client.read_reply()),
+        "TDCZ",
+        "members are reached"
+    );
 }
--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -1,8 +1,14 @@
 //! The binary on loopback, between small stand-ins of clients, members and the list's agent.
 
-mod fixture;
+mod common;
 
-use fixture::*;
+use common::gateway_common::{
+    config_text, entry, list_text, message, query, row, sqlstate, startup,
+};
+use common::gateway_process::{start_fixture, GatewayFixture, GatewayProcess};
+use common::pg_connection::{frame_kinds, insert, select, PgConnection, TIMEOUT};
+use common::scripted_list_service::{start_recording_list_service, start_updating_list_service};
+use common::scripted_member::{start_member, CORRUPTED_KEYS};
 use std::io::Write;
 use std::process::Command;
 use std::sync::mpsc::channel;
@@ -10,27 +16,31 @@
 
 #[test]
 fn requests_go_to_members_and_their_rows_come_back() {
-    let Fixture { gateway, seen, .. } = start_fixture("rows");
-    let _client = gateway.client();
+    let GatewayFixture {
+        gateway,
+        statements,
+        ..
+    } = start_fixture("rows");
+    let _client = gateway.ready_client();
     // Startup and query in one piece; then two queries at once, answered in order.
     let mut eager = gateway.connect();
     eager.write(&[startup(), insert("k1")]);
-    assert_eq!(eager.answer().last().map(|f| f.kind), Some(b'Z'));
-    let answer = eager.answer();
-    assert_eq!(kinds(&answer), "TDCZ");
+    assert_eq!(eager.read_reply().last().map(|f| f.kind), Some(b'Z'));
+    let answer = eager.read_reply();
+    assert_eq!(frame_kinds(&answer), "TDCZ");
     assert_eq!(answer[..3], row(b"k1")[..], "as the member gave it");
     eager.write(&[select("k2"), insert("k3")]);
-    assert_eq!(eager.answer()[1], row(b"k2")[1]);
-    assert_eq!(eager.answer()[1], row(b"k3")[1]);
+    assert_eq!(eager.read_reply()[1], row(b"k2")[1]);
+    assert_eq!(eager.read_reply()[1], row(b"k3")[1]);
     // Split at every byte.
     let mut slow = gateway.connect();
     for byte in [startup().bytes, select("k4").bytes].concat() {
         slow.socket.write_all(&[byte]).expect("written");
     }
-    slow.answer();
-    assert_eq!(slow.answer()[1], row(b"k4")[1]);
+    slow.read_reply();
+    assert_eq!(slow.read_reply()[1], row(b"k4")[1]);
     // What members saw differs from what was asked in `d` alone.
-    let texts: Vec<_> = seen.try_iter().collect();
+    let texts: Vec<_> = statements.try_iter().collect();
     assert!(texts.len() >= 4);
     for text in texts {
         let (before, rest) = text.split_once(",d=").expect("its time");
@@ -45,15 +55,19 @@
 
 #[test]
 fn bad_bytes_end_their_own_connection_and_no_other() {
-    let Fixture { gateway, seen, .. } = start_fixture("bad");
-    let mut good = gateway.client();
+    let GatewayFixture {
+        gateway,
+        statements,
+        ..
+    } = start_fixture("bad");
+    let mut good = gateway.ready_client();
     let mut bad = gateway.connect();
     bad.socket
         .write_all(b"GET / HTTP/1.1\r\n\r\n")
         .expect("written");
     let last = std::iter::from_fn(|| bad.next()).last();
     assert_eq!(last.map(|f| f.kind), Some(b'E'), "one word, then the end");
-    let mut out_of_place = gateway.client();
+    let mut out_of_place = gateway.ready_client();
     out_of_place.write(&[message(b'?', b"x")]);
     assert_eq!(
         std::iter::from_fn(|| out_of_place.next())
@@ -62,18 +76,18 @@
         Some(b'E')
     );
     good.write(&[query("SELECT 1")]);
-    assert_eq!(kinds(&good.answer()), "EZ");
+    assert_eq!(frame_kinds(&good.read_reply()), "EZ");
     good.write(&[select("k1")]);
-    assert_eq!(kinds(&good.answer()), "TDCZ");
+    assert_eq!(frame_kinds(&good.read_reply()), "TDCZ");
     assert_eq!(
-        seen.try_iter().count(),
+        statements.try_iter().count(),
         1,
         "nothing malformed was passed on"
     );
     gateway.signal("USR1");
-    let counters = gateway.line("counters taken=2");
+    let counters = gateway.wait_for_line("counters taken=2");
     assert!(gateway
-        .line("member m1: ")
+        .wait_for_line("member m1: ")
         .contains(" 0 in flight (0 on connections)"));
     assert!(
         counters.contains(" malformed=1") && counters.contains(" clients_bad=2"),
@@ -83,28 +97,32 @@
 
 #[test]
 fn values_of_the_largest_size_pass_both_ways() {
-    let Fixture { gateway, seen, .. } = start_fixture("large");
-    let mut client = gateway.client();
+    let GatewayFixture {
+        gateway,
+        statements,
+        ..
+    } = start_fixture("large");
+    let mut client = gateway.ready_client();
     // The stand-in answers with the key, so a long key makes a large row.
     let key = "k".repeat(64 << 10);
     client.write(&[select(&key)]);
-    assert_eq!(client.answer()[1], row(key.as_bytes())[1]);
+    assert_eq!(client.read_reply()[1], row(key.as_bytes())[1]);
     let value = "9f".repeat(64 << 10);
     let text = format!("INSERT INTO state (uid, val) VALUES ('k', '\\x{value}') RETURNING val");
     client.write(&[query(&format!(
         "{text} /* id=a2,c=buy,d=20000,cluster=2 */"
     ))]);
-    assert_eq!(kinds(&client.answer()), "TDCZ");
-    assert!(seen.try_iter().any(|t| t.starts_with(&text)));
+    assert_eq!(frame_kinds(&client.read_reply()), "TDCZ");
+    assert!(statements.try_iter().any(|t| t.starts_with(&text)));
     // Members may hold larger ones than clients write here.
-    let mut many: Vec<_> = (0..4).map(|_| gateway.client()).collect();
+    let mut many: Vec<_> = (0..4).map(|_| gateway.ready_client()).collect();
     many.iter_mut()
         .for_each(|client| client.write(&[select("big-400000")]));
     for client in &mut many {
-        assert_eq!(client.answer()[1], row(&vec![b'v'; 400_000])[1]);
+        assert_eq!(client.read_reply()[1], row(&vec![b'v'; 400_000])[1]);
     }
     // One byte more than any statement needs ends the connection.
-    let mut greedy = gateway.client();
+    let mut greedy = gateway.ready_client();
     greedy.write(&[query(&"x".repeat(1 << 20))]);
     // Its error may be lost with what was not read; nothing else comes.
     assert!(std::iter::from_fn(|| greedy.next()).all(|f| f.kind == b'E'));
@@ -112,8 +130,8 @@
 
 #[test]
 fn more_clients_than_places_stay_within_the_descriptors_and_are_served() {
-    let Fixture { gateway, .. } = start_fixture("many");
-    let mut clients: Vec<_> = (0..200).map(|_| gateway.client()).collect();
+    let GatewayFixture { gateway, .. } = start_fixture("many");
+    let mut clients: Vec<_> = (0..200).map(|_| gateway.ready_client()).collect();
     // One that is turned away tries again, and finds the place of one idle longer.
     let served = (0..1000).any(|_| {
         let last = clients.last_mut().expect("a client");
@@ -121,7 +139,7 @@
         let answer = last.next().expect("an answer");
         if answer.kind == b'E' {
             assert_eq!(sqlstate(&answer.bytes).as_deref(), Some("53300"));
-            clients.push(gateway.client());
+            clients.push(gateway.ready_client());
         }
         answer.kind == b'T'
     });
@@ -130,25 +148,23 @@
         clients[0].next().is_none(),
         "the one idle longest made room"
     );
-    let held = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
-        .expect("its descriptors")
-        .count();
+    let held = gateway.descriptors();
     assert!(held <= 128, "{held} descriptors");
     gateway.signal("USR1");
-    let counters = gateway.line("counters ");
+    let counters = gateway.wait_for_line("counters ");
     assert!(!counters.contains(" clients_evicted=0 "), "{counters}");
 }
 
 #[test]
 fn where_all_places_are_busy_a_new_client_is_turned_away_at_once() {
-    let Fixture {
+    let GatewayFixture {
         gateway,
-        go: _silent,
+        release: _unreleased,
         ..
     } = start_fixture("busy");
     // 128 descriptors leave 52 places. Statements that no member answers yet hold them all.
     let busy = (0..52).map(|_| {
-        let mut client = gateway.client();
+        let mut client = gateway.ready_client();
         client.write(&[insert("slow")]);
         client
     });
@@ -156,7 +172,7 @@
     for _ in 0..20 {
         let mut late = gateway.connect();
         late.write(&[startup(), insert("slow")]);
-        late.answer();
+        late.read_reply();
         let answer = late.next().expect("an answer");
         assert_eq!(sqlstate(&answer.bytes).as_deref(), Some("53300"));
         assert!(late.next().is_none(), "closed after it");
@@ -165,9 +181,9 @@
 
 #[test]
 fn clients_that_do_not_read_hold_nobody_up() {
-    let Fixture { gateway, .. } = start_fixture("slow");
+    let GatewayFixture { gateway, .. } = start_fixture("slow");
     let key = "k".repeat(60 << 10);
-    let mut stuck: Vec<_> = (0..20).map(|_| gateway.client()).collect();
+    let mut stuck: Vec<_> = (0..20).map(|_| gateway.ready_client()).collect();
     for client in &mut stuck {
         // Each asks many times and reads nothing; what does not fit waits on its side.
         client.socket.set_nonblocking(true).expect("non-blocking");
@@ -177,10 +193,10 @@
             }
         }
     }
-    let mut good = gateway.client();
+    let mut good = gateway.ready_client();
     for _ in 0..20 {
         good.write(&[select("k1")]);
-        assert_eq!(kinds(&good.answer()), "TDCZ");
+        assert_eq!(frame_kinds(&good.read_reply()), "TDCZ");
     }
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).expect("its state");
@@ -199,39 +215,39 @@
 
 #[test]
 fn sigterm_loses_nothing_that_was_taken() {
-    let Fixture {
+    let GatewayFixture {
         mut gateway,
-        seen,
-        go,
+        statements,
+        release,
         ..
     } = start_fixture("term");
-    let mut busy = gateway.client();
-    let mut idle = gateway.client();
+    let mut busy = gateway.ready_client();
+    let mut idle = gateway.ready_client();
     busy.write(&[insert("slow")]);
-    assert!(seen
-        .recv_timeout(WAIT)
+    assert!(statements
+        .recv_timeout(TIMEOUT)
         .expect("the statement")
         .contains("'slow'"));
     gateway.signal("TERM");
-    gateway.line("ending, 1 requests in hand");
+    gateway.wait_for_line("ending, 1 requests in hand");
     // New clients still come, and are served.
     let mut late = gateway.connect();
     late.write(&[startup(), select("k1")]);
-    late.answer();
-    assert_eq!(kinds(&late.answer()), "TDCZ");
-    go[0].send(()).expect("the member waits");
-    assert_eq!(kinds(&busy.answer()), "TDCZ");
+    late.read_reply();
+    assert_eq!(frame_kinds(&late.read_reply()), "TDCZ");
+    release[0].send(()).expect("the member waits");
+    assert_eq!(frame_kinds(&busy.read_reply()), "TDCZ");
     // Once none comes any more, those that are there are served on; then they are closed between requests.
-    gateway.line("no longer listening, ");
+    gateway.wait_for_line("no longer listening, ");
     idle.write(&[select("k2")]);
-    assert_eq!(kinds(&idle.answer()), "TDCZ");
+    assert_eq!(frame_kinds(&idle.read_reply()), "TDCZ");
     assert!(late.next().is_none() && idle.next().is_none() && busy.next().is_none());
-    let line = gateway.line("counters ");
+    let line = gateway.wait_for_line("counters ");
     assert!(
         line.contains(" answered_served=3 answered_refused=0 answered_failed=0"),
         "{line}"
     );
-    assert!(gateway.ended().success());
+    assert!(gateway.wait_for_exit().success());
 }
 
 #[test]
@@ -284,8 +300,8 @@
 /// A second copy behind an answer belongs to nobody; the next request is not served with it.
 #[test]
 fn a_second_copy_behind_an_answer_is_never_the_next_ones_answer() {
-    let Fixture { gateway, .. } = start_fixture("copies");
-    let mut client = gateway.client();
+    let GatewayFixture { gateway, .. } = start_fixture("copies");
+    let mut client = gateway.ready_client();
     for n in 0..40 {
         let key = format!("twice-{n}");
         client.write(&[if n % 2 == 0 {
@@ -293,98 +309,106 @@
         } else {
             insert(&key)
         }]);
-        assert_eq!(client.answer()[1], row(key.as_bytes())[1]);
+        assert_eq!(client.read_reply()[1], row(key.as_bytes())[1]);
     }
     gateway.signal("USR1");
-    let counters = gateway.line("counters ");
+    let counters = gateway.wait_for_line("counters ");
     assert!(!counters.contains(" members_unasked=0 "), "{counters}");
 }
 
 /// Whatever is spoilt reaches no client: a read is asked for again, a write that may have run fails at once.
 #[test]
 fn spoilt_answers_reach_no_client_and_no_write_is_sent_twice() {
-    let Fixture { gateway, seen, .. } = start_fixture("spoilt");
-    let mut client = gateway.client();
+    let GatewayFixture {
+        gateway,
+        statements,
+        ..
+    } = start_fixture("spoilt");
+    let mut client = gateway.ready_client();
     for kind in ["noise", "huge", "short", "tag"] {
         let key = format!("spoilt-{kind}");
         client.write(&[select(&key)]);
-        assert_eq!(client.answer()[1], row(key.as_bytes())[1]);
-        SPOILT.lock().expect("no panic").remove(&key);
-        while seen.try_recv().is_ok() {}
+        assert_eq!(client.read_reply()[1], row(key.as_bytes())[1]);
+        CORRUPTED_KEYS.lock().expect("no panic").remove(&key);
+        while statements.try_recv().is_ok() {}
         client.write(&[insert(&key)]);
-        let answer = client.answer();
-        assert_eq!(kinds(&answer), "EZ");
+        let answer = client.read_reply();
+        assert_eq!(frame_kinds(&answer), "EZ");
         assert_eq!(
             sqlstate(&answer[0].bytes).as_deref(),
             Some("58000"),
             "it may have run"
         );
-        assert_eq!(seen.try_iter().count(), 1, "sent once");
+        assert_eq!(statements.try_iter().count(), 1, "sent once");
         client.write(&[insert("fine")]);
-        assert_eq!(client.answer()[1], row(b"fine")[1], "its member serves on");
+        assert_eq!(
+            client.read_reply()[1],
+            row(b"fine")[1],
+            "its member serves on"
+        );
     }
 }
 
 /// SIGHUP under load, twice: the list comes from the new address, the old one's versions do not bind, none is lost.
 #[test]
 fn sighup_moves_to_the_new_list_and_loses_nothing() {
-    let Fixture {
+    let GatewayFixture {
         mut gateway,
-        seen,
-        go,
+        statements,
+        release,
         entries,
     } = start_fixture("reload");
-    let (mut busy, mut client) = (gateway.client(), gateway.client());
+    let (mut busy, mut client) = (gateway.ready_client(), gateway.ready_client());
     busy.write(&[insert("slow")]);
-    assert!(seen
-        .recv_timeout(WAIT)
+    assert!(statements
+        .recv_timeout(TIMEOUT)
         .expect("the statement")
         .contains("'slow'"));
     // What cannot be used changes nothing: no file, half a file, a wrong field.
     let whole = std::fs::read_to_string(&gateway.config).expect("the file");
     std::fs::remove_file(&gateway.config).expect("gone");
     gateway.signal("HUP");
-    gateway.line("the old configuration stays in force: ROUTER_CONFIG");
+    gateway.wait_for_line("the old configuration stays in force: ROUTER_CONFIG");
     for (text, says) in [
         (&whole[..whole.len() / 2], "no JSON"),
         (&whole.replace("8c1f", "zz"), "seed: 'zz'"),
     ] {
         std::fs::write(&gateway.config, text).expect("a file");
         gateway.signal("HUP");
-        gateway.line(says);
+        gateway.wait_for_line(says);
         client.write(&[select("k1")]);
-        assert_eq!(kinds(&client.answer()), "TDCZ");
+        assert_eq!(frame_kinds(&client.read_reply()), "TDCZ");
     }
     // Two new ones: the first knows the primary and one replica, the second, in other versions, the other replica.
     let mut watched = Vec::new();
     for n in [1, 2] {
         let (told, asked) = channel();
         let list = list_text(n as u64, true, &[entries[0].clone(), entries[n].clone()]);
-        gateway.write_config(agent_that_tells(list, told));
+        gateway.write_config(start_recording_list_service(list, told));
         gateway.signal("HUP");
-        gateway.line("configuration read anew");
-        let line = asked.recv_timeout(WAIT).expect("a watch");
+        gateway.wait_for_line("configuration read anew");
+        let line = asked.recv_timeout(TIMEOUT).expect("a watch");
         assert!(
             line.contains("watch=1 "),
             "the whole list is asked for: {line}"
         );
         watched.push(asked);
         client.write(&[insert("k2")]);
-        assert_eq!(kinds(&client.answer()), "TDCZ");
+        assert_eq!(frame_kinds(&client.read_reply()), "TDCZ");
     }
     // Beside SIGTERM too: what was taken is answered, and it ends in order.
     gateway.signal("HUP");
     gateway.signal("TERM");
     gateway.signal("HUP");
-    gateway.line("ending, 1 requests in hand");
-    go[0].send(()).expect("the member waits");
-    assert_eq!(kinds(&busy.answer()), "TDCZ");
-    let line = gateway.line("counters ");
+    gateway.wait_for_line("ending, 1 requests in hand");
+    release[0].send(()).expect("the member waits");
+    assert_eq!(frame_kinds(&busy.read_reply()), "TDCZ");
+    let line = gateway.wait_for_line("counters ");
     assert!(
         line.contains(" answered_failed=0 answered_gone=0") && line.contains(" reloads_failed=3"),
         "{line}"
     );
-    assert!(gateway.ended().success());
+    assert!(gateway.wait_for_exit().success());
 }
 
 /// A client's bytes after its startup, and whether that is done at all.
@@ -449,33 +473,37 @@
 
 #[test]
 fn every_bad_client_gets_an_error_or_a_close_in_time_and_usual_ones_are_served() {
-    let Fixture { gateway, seen, .. } = start_fixture("rude");
-    let mut usual = gateway.client();
+    let GatewayFixture {
+        gateway,
+        statements,
+        ..
+    } = start_fixture("rude");
+    let mut usual = gateway.ready_client();
     let open = |done: bool, bytes: &[u8]| {
-        let mut wire = gateway.connect();
+        let mut connection = gateway.connect();
         if done {
-            wire.write(&[startup()]);
-            wire.answer();
+            connection.write(&[startup()]);
+            connection.read_reply();
         }
-        let _ = wire.socket.write_all(bytes);
-        wire
+        let _ = connection.socket.write_all(bytes);
+        connection
     };
     let all: Vec<_> = bad_clients()
         .into_iter()
         .map(|(name, done, bytes)| (name, open(done, &bytes)))
         .collect();
-    for (name, mut wire) in all {
+    for (name, mut connection) in all {
         // All were opened before, so that even the last wait is short; the limit itself is the reducer's to test.
-        let first = wire.next();
+        let first = connection.next();
         assert!(
             first.is_none_or(|f| f.kind == b'E'),
             "{name}: an error or the end"
         );
         usual.write(&[select("k1")]);
-        assert_eq!(kinds(&usual.answer()), "TDCZ", "{name}");
+        assert_eq!(frame_kinds(&usual.read_reply()), "TDCZ", "{name}");
     }
     assert!(
-        seen.try_iter().all(|text| text.contains("'k1'")),
+        statements.try_iter().all(|text| text.contains("'k1'")),
         "nothing unusable was passed on"
     );
 }
@@ -483,9 +511,9 @@
 /// A close over unread bytes is a reset, which may overtake the error.
 #[test]
 fn an_error_reaches_a_client_that_is_still_sending() {
-    let Fixture { gateway, .. } = start_fixture("sending");
+    let GatewayFixture { gateway, .. } = start_fixture("sending");
     for _ in 0..20 {
-        let mut client = gateway.client();
+        let mut client = gateway.ready_client();
         let mut out = client.socket.try_clone().expect("its other half");
         let sender = std::thread::spawn(move || {
             let piece = vec![b'7'; 64 << 10];
@@ -501,31 +529,35 @@
 /// Found with 256 descriptors: hundreds that connect and say nothing must not take the places of those that ask.
 #[test]
 fn hundreds_of_silent_connections_take_no_place_from_those_that_ask() {
-    let Fixture { gateway, .. } = start_fixture("silent");
-    let mut usual = gateway.client();
+    let GatewayFixture { gateway, .. } = start_fixture("silent");
+    let mut usual = gateway.ready_client();
     let mut silent = Vec::new();
     for n in 0..400 {
         silent.push(gateway.connect());
         if n % 40 == 0 {
             usual.write(&[select("k1")]);
             assert_eq!(
-                kinds(&usual.answer()),
+                frame_kinds(&usual.read_reply()),
                 "TDCZ",
                 "one that has a place keeps it"
             );
             let mut new = gateway.connect();
             new.write(&[startup(), select("k2")]);
-            new.answer();
-            assert_eq!(kinds(&new.answer()), "TDCZ", "a new one finds a place");
+            new.read_reply();
+            assert_eq!(
+                frame_kinds(&new.read_reply()),
+                "TDCZ",
+                "a new one finds a place"
+            );
         }
     }
     assert!(
-        silent.iter_mut().all(|wire| wire.next().is_none()),
+        silent
+            .iter_mut()
+            .all(|connection| connection.next().is_none()),
         "each is closed"
     );
-    let held = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
-        .expect("its descriptors")
-        .count();
+    let held = gateway.descriptors();
     assert!(held <= 128, "{held} descriptors");
 }
 
@@ -533,55 +565,37 @@
 /// once and staying. What is held in the second half is what was held in the first.
 #[test]
 fn many_generations_of_members_and_clients_leave_descriptors_and_memory_level() {
-    let (told, seen) = channel();
-    let (tell, news) = channel();
-    let mut go = Vec::new();
+    let (sender, statements) = channel();
+    let (tell, updates) = channel();
+    let mut release = Vec::new();
     let mut new_entry = |n: u32, phase: &str, primary: bool| {
         let (send, receive) = channel();
-        go.push(send);
-        let port = member(primary, told.clone(), receive);
+        release.push(send);
+        let port = start_member(primary, sender.clone(), receive);
         let role = if primary { "leader" } else { "follower" };
         entry(n, phase, role).replace(&format!(":{}\"", 7000 + n), &format!(":{port}\""))
     };
     let (primary, mut old) = (new_entry(1, "ready", true), new_entry(2, "ready", false));
-    let gateway = Gateway::start(
+    let gateway = GatewayProcess::start(
         "long",
-        agent_with_news(list_text(1, true, &[primary, old.clone()]), news),
+        start_updating_list_service(list_text(1, true, &[primary, old.clone()]), updates),
     );
-    let of = |what: &str| format!("/proc/{}/{what}", gateway.child.id());
-    let descriptors = || {
-        std::fs::read_dir(of("fd"))
-            .expect("its descriptors")
-            .count()
-    };
-    let memory = || {
-        let status = std::fs::read_to_string(of("status")).expect("its state");
-        let kib = status
-            .lines()
-            .find_map(|l| l.strip_prefix("VmRSS:"))
-            .expect("its memory");
-        kib.trim()
-            .trim_end_matches(" kB")
-            .trim()
-            .parse::<usize>()
-            .expect("a number")
-    };
     // What a gateway holds that has served one; members in use may add a few connections each, and no more.
-    drop(gateway.client());
-    let most = descriptors() + 12;
-    let settled = |stay: &mut Vec<Wire>, when: &str| {
+    drop(gateway.ready_client());
+    let most = gateway.descriptors() + 12;
+    let settled = |stay: &mut Vec<PgConnection>, when: &str| {
         stay.clear();
-        let (mut client, begun) = (gateway.client(), Instant::now());
-        while descriptors() > most {
+        let (mut client, begun) = (gateway.ready_client(), Instant::now());
+        while gateway.descriptors() > most {
             assert!(
-                begun.elapsed() < WAIT,
+                begun.elapsed() < TIMEOUT,
                 "{when}: {} descriptors, {most} at most",
-                descriptors()
+                gateway.descriptors()
             );
             client.write(&[query("")]);
-            assert_eq!(kinds(&client.answer()), "IZ");
+            assert_eq!(frame_kinds(&client.read_reply()), "IZ");
         }
-        memory()
+        gateway.resident_kib()
     };
     let (mut stay, mut half) = (Vec::new(), 0);
     for n in 0..60u32 {
@@ -591,7 +605,7 @@
             .expect("the watch");
         old = next;
         for k in 0..8 {
-            let mut client = gateway.client();
+            let mut client = gateway.ready_client();
             client.write(&[select(&format!("s{n}-{k}"))]);
             let answer = client.next().expect("an answer");
             // Where all places are busy one is told so; nobody waits here for long.
@@ -600,8 +614,8 @@
                 stay.push(client);
             }
         }
-        while seen.try_recv().is_ok() {}
-        assert!(descriptors() <= 128);
+        while statements.try_recv().is_ok() {}
+        assert!(gateway.descriptors() <= 128);
         if n == 29 {
             half = settled(&mut stay, "half");
         }
@@ -609,6 +623,6 @@
     let end = settled(&mut stay, "end");
     assert!(end <= half + 2048, "KiB {half} and {end}");
     gateway.signal("USR1");
-    let counters = gateway.line("counters ");
+    let counters = gateway.wait_for_line("counters ");
     assert!(counters.contains(" lists=61 "), "{counters}");
 }
--- a/crates/stackgw-cli/tests/ending.rs
+++ b/crates/stackgw-cli/tests/ending.rs
@@ -1,33 +1,35 @@
 //! The end of a gateway under load: whatever a connection's bytes were doing just then, each statement that was read gets its one
 //! answer.
 
-mod fixture;
+mod common;
 
-use fixture::*;
+use common::gateway_common::sqlstate;
+use common::gateway_process::{start_fixture, GatewayFixture};
+use common::pg_connection::{insert, TIMEOUT};
 use std::io::Write;
 
 /// Found by reading: the end answered what was in hand and ended in the same moment; statements that a client's task had read and
 /// could not hand over yet went with the process.
 #[test]
 fn statements_that_wait_behind_a_full_line_are_answered_before_the_end() {
-    let Fixture {
+    let GatewayFixture {
         mut gateway,
-        seen,
-        go,
+        statements,
+        release,
         ..
     } = start_fixture("behind");
-    let mut client = gateway.client();
+    let mut client = gateway.ready_client();
     // One that its member never answers, and far more behind it than one client may have in hand.
     client.write(&[insert("slow")]);
-    assert!(seen
-        .recv_timeout(WAIT)
+    assert!(statements
+        .recv_timeout(TIMEOUT)
         .expect("the statement")
         .contains("'slow'"));
     let behind = 300;
     client.write(&(0..behind).map(|_| insert("slow")).collect::<Vec<_>>());
     gateway.signal("TERM");
     let codes: Vec<_> =
-        std::iter::from_fn(|| Some(client.answer()).filter(|answer| !answer.is_empty()))
+        std::iter::from_fn(|| Some(client.read_reply()).filter(|answer| !answer.is_empty()))
             .map(|answer| sqlstate(&answer[0].bytes).expect("an error"))
             .collect();
     assert_eq!(codes.len(), 1 + behind, "one answer each");
@@ -37,29 +39,29 @@
         "they never ran"
     );
     assert!(
-        seen.try_iter().next().is_none(),
+        statements.try_iter().next().is_none(),
         "and nothing more was sent on"
     );
-    assert!(gateway.ended().success());
-    drop(go);
+    assert!(gateway.wait_for_exit().success());
+    drop(release);
 }
 
 /// Clients that write on without a pause, up to the end: what was in hand is answered, what comes behind it is refused, in order.
 #[test]
 fn what_is_in_hand_is_answered_at_the_end_under_a_flood_of_statements() {
-    let Fixture {
+    let GatewayFixture {
         mut gateway,
-        seen,
-        go,
+        statements,
+        release,
         ..
     } = start_fixture("write-on");
-    let mut clients: Vec<_> = (0..4).map(|_| gateway.client()).collect();
+    let mut clients: Vec<_> = (0..4).map(|_| gateway.ready_client()).collect();
     for client in &mut clients {
         client.write(&[insert("slow")]);
     }
     for _ in 0..clients.len() {
-        assert!(seen
-            .recv_timeout(WAIT)
+        assert!(statements
+            .recv_timeout(TIMEOUT)
             .expect("the statement")
             .contains("'slow'"));
     }
@@ -73,7 +75,7 @@
                     move || while socket.write_all(&insert("slow").bytes).is_ok() {},
                 );
             std::thread::spawn(move || {
-                let first = client.answer();
+                let first = client.read_reply();
                 assert_eq!(
                     sqlstate(&first[0].bytes).as_deref(),
                     Some("58000"),
@@ -81,7 +83,7 @@
                 );
                 let mut rest = 0;
                 // A close over what it still writes may cut the last one off.
-                while let [error, .., _] = &client.answer()[..] {
+                while let [error, .., _] = &client.read_reply()[..] {
                     assert_eq!(sqlstate(&error.bytes).as_deref(), Some("57P03"));
                     rest += 1;
                 }
@@ -98,7 +100,10 @@
         rest.iter().all(|rest| *rest >= 64),
         "those in line too: {rest:?}"
     );
-    assert!(gateway.ended().success());
-    assert!(seen.try_iter().next().is_none(), "nothing more was sent on");
-    drop(go);
+    assert!(gateway.wait_for_exit().success());
+    assert!(
+        statements.try_iter().next().is_none(),
+        "nothing more was sent on"
+    );
+    drop(release);
 }
--- a/crates/stackgw-cli/tests/flight.rs
+++ b/crates/stackgw-cli/tests/flight.rs
@@ -1,24 +1,25 @@
 //! Flight SQL before real gateways on loopback, by the client of the `arrow-flight` package: served by members that speak our
-//! first protocol, under the same audit.
+//! first protocol, under the same executions.
 #![cfg(feature = "flight")]
 
-mod driver;
+mod common;
 
 use arrow_array::cast::AsArray;
 use arrow_array::{ArrayRef, BinaryArray, RecordBatch, StringArray};
 use arrow_flight::{FlightInfo, Ticket};
 use arrow_schema::{DataType, Field, Schema};
-use driver::{code, fetch, sql, Fixture, Sql};
+use common::group_fixture::GroupFixture;
+use common::protocol_client::{connect_sql, fetch_values, grpc_code, SqlClient};
 use futures::TryStreamExt;
-use stackgw_testkit::{Client, Protocol, USER};
+use stackgw_testkit::{Client, FlightAuth, Protocol, FLIGHT_USER};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tonic::Code;
 
 /// Members of our first protocol, one replica.
-fn fixture(name: &str, auth: Option<&'static str>) -> Fixture {
-    Fixture::with(name, &[20], Protocol::Postgres, auth)
+fn fixture(name: &str, auth: Option<FlightAuth>) -> GroupFixture {
+    GroupFixture::with_auth(name, &[20], Protocol::Postgres, auth)
 }
 
 fn run<T>(work: impl std::future::Future<Output = T>) -> T {
@@ -34,22 +35,22 @@
 }
 
 /// Comes again while it is refused: a gateway that has just started may not know its members yet.
-async fn patiently(client: &mut Sql, info: FlightInfo) -> Vec<Vec<u8>> {
+async fn fetch_with_retries(client: &mut SqlClient, info: FlightInfo) -> Vec<Vec<u8>> {
     loop {
-        match fetch(client, info.clone()).await {
+        match fetch_values(client, info.clone()).await {
             Ok(values) => return values,
-            Err(e) => assert_eq!(code(&*e), Some(Code::Unavailable), "{e:?}"),
+            Err(e) => assert_eq!(grpc_code(&*e), Some(Code::Unavailable), "{e:?}"),
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// As [`patiently`], for a write.
-async fn written(client: &mut Sql, text: &str) {
+/// As [`fetch_with_retries`], for a write.
+async fn write_with_retries(client: &mut SqlClient, text: &str) {
     loop {
         match client.execute_update(text.to_owned(), None).await {
             Ok(rows) => return assert_eq!(rows, 1),
-            Err(e) => assert_eq!(code(&e), Some(Code::Unavailable), "{e:?}"),
+            Err(e) => assert_eq!(grpc_code(&e), Some(Code::Unavailable), "{e:?}"),
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -63,21 +64,24 @@
     let fixture = fixture("write", None);
     run(async {
         for round in 0..5 {
-            let mut writer = sql(fixture.flight(round % 2), "buy").await;
-            written(&mut writer, INSERT).await;
+            let mut writer = connect_sql(fixture.flight_address(round % 2), "buy").await;
+            write_with_retries(&mut writer, INSERT).await;
             for n in 0..2 {
-                let mut reader = sql(fixture.flight(n), "mine").await;
+                let mut reader = connect_sql(fixture.flight_address(n), "mine").await;
                 let info = reader
                     .execute(SELECT.to_owned(), None)
                     .await
                     .expect("a ticket");
-                assert_eq!(patiently(&mut reader, info).await, [b"6869".to_vec()]);
+                assert_eq!(
+                    fetch_with_retries(&mut reader, info).await,
+                    [b"6869".to_vec()]
+                );
             }
         }
     });
-    let audit = fixture.store.audit();
+    let executions = fixture.group.executions();
     assert_eq!(
-        (audit.writes.len(), audit.writes.values().max()),
+        (executions.writes.len(), executions.writes.values().max()),
         (5, Some(&1))
     );
 }
@@ -86,7 +90,7 @@
 fn prepared_statements_take_their_parameters() {
     let fixture = fixture("prepared", None);
     run(async {
-        let mut writer = sql(fixture.flight(0), "buy").await;
+        let mut writer = connect_sql(fixture.flight_address(0), "buy").await;
         let text = "INSERT INTO state (uid, val) VALUES (?, ?) RETURNING val";
         let mut insert = writer
             .prepare(text.to_owned(), None)
@@ -109,9 +113,9 @@
         let row = RecordBatch::try_new(Arc::new(Schema::new(fields)), vec![key.clone(), value])
             .expect("a row");
         insert.set_parameters(row).expect("they fit");
-        written(&mut writer, INSERT).await; // So that the primary is known.
+        write_with_retries(&mut writer, INSERT).await; // So that the primary is known.
         assert_eq!(insert.execute_update().await.expect("served"), 1);
-        let mut reader = sql(fixture.flight(0), "mine").await;
+        let mut reader = connect_sql(fixture.flight_address(0), "mine").await;
         let mut select = reader
             .prepare("SELECT val FROM state WHERE uid = ?".to_owned(), None)
             .await
@@ -120,7 +124,10 @@
         let row = RecordBatch::try_new(Arc::new(Schema::new(fields)), vec![key]).expect("a row");
         select.set_parameters(row).expect("they fit");
         let info = select.execute().await.expect("a ticket");
-        assert_eq!(patiently(&mut reader, info).await, [b"01ff".to_vec()]);
+        assert_eq!(
+            fetch_with_retries(&mut reader, info).await,
+            [b"01ff".to_vec()]
+        );
         select.close().await.expect("closed");
     });
 }
@@ -129,7 +136,7 @@
 fn a_ticket_is_good_at_another_instance_and_after_a_restart_but_not_for_ever_and_not_if_forged() {
     let fixture = fixture("ticket", None);
     run(async {
-        let mut first = sql(fixture.flight(0), "look").await;
+        let mut first = connect_sql(fixture.flight_address(0), "look").await;
         let info = first
             .execute(SELECT.to_owned(), None)
             .await
@@ -143,13 +150,16 @@
             .expect("a connection");
         assert!(waits.is_ready());
         for n in 0..2 {
-            let mut other = sql(fixture.flight(n), "look").await;
+            let mut other = connect_sql(fixture.flight_address(n), "look").await;
             assert_eq!(
-                fetch(&mut other, info.clone()).await.expect("served").len(),
+                fetch_values(&mut other, info.clone())
+                    .await
+                    .expect("served")
+                    .len(),
                 1
             );
         }
-        let mut other = sql(fixture.flight(1), "look").await;
+        let mut other = connect_sql(fixture.flight_address(1), "look").await;
         let mut forged = info.clone();
         let bytes = forged.endpoint[0]
             .ticket
@@ -162,18 +172,18 @@
         changed[middle] ^= 1;
         forged.endpoint[0].ticket = Some(Ticket::new(changed));
         assert_eq!(
-            code(&*fetch(&mut other, forged).await.expect_err("forged")),
+            grpc_code(&*fetch_values(&mut other, forged).await.expect_err("forged")),
             Some(Code::Unauthenticated)
         );
         let since = Instant::now();
         loop {
-            match fetch(&mut other, info.clone()).await {
-                Err(e) if code(&*e) == Some(Code::Unavailable) => {}
+            match fetch_values(&mut other, info.clone()).await {
+                Err(e) if grpc_code(&*e) == Some(Code::Unavailable) => {}
                 Ok(_) => assert!(
                     since.elapsed() < Duration::from_secs(20),
                     "it never expires"
                 ),
-                Err(e) => break assert_eq!(code(&*e), Some(Code::Unauthenticated), "{e:?}"),
+                Err(e) => break assert_eq!(grpc_code(&*e), Some(Code::Unauthenticated), "{e:?}"),
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -184,7 +194,7 @@
 fn what_is_missing_or_contradicts_is_named() {
     let fixture = fixture("wrong", None);
     run(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         for (statement, names) in [
             (
                 "SELECT val FROM state WHERE uid = 'k' /* c=mine */",
@@ -201,24 +211,24 @@
                 .await
                 .expect_err(statement);
             assert!(error.to_string().contains(names), "{error}");
-            assert_eq!(code(&error), Some(Code::InvalidArgument), "{error:?}");
+            assert_eq!(grpc_code(&error), Some(Code::InvalidArgument), "{error:?}");
         }
         let error = client
             .execute_update(SELECT.to_owned(), None)
             .await
             .expect_err("it reads");
-        assert_eq!(code(&error), Some(Code::InvalidArgument), "{error:?}");
+        assert_eq!(grpc_code(&error), Some(Code::InvalidArgument), "{error:?}");
         let error = client.begin_transaction().await.expect_err("none");
-        assert_eq!(code(&error), Some(Code::Unimplemented), "{error:?}");
+        assert_eq!(grpc_code(&error), Some(Code::Unimplemented), "{error:?}");
     });
-    assert!(fixture.store.audit().writes.is_empty());
+    assert!(fixture.group.executions().writes.is_empty());
 }
 
 #[test]
 fn catalogs_and_sql_info_are_told() {
     let fixture = fixture("catalogs", None);
     run(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let info = client.get_catalogs().await.expect("catalogs");
         let ticket = info.endpoint[0].ticket.clone().expect("a ticket");
         let batches: Vec<_> = client
@@ -257,10 +267,10 @@
     let fixture = fixture("silent", None);
     run(async {
         // First a write, so that the primary is known.
-        let mut writer = sql(fixture.flight(0), "buy").await;
-        written(&mut writer, INSERT).await;
-        fixture.store.members[0]
-            .silent
+        let mut writer = connect_sql(fixture.flight_address(0), "buy").await;
+        write_with_retries(&mut writer, INSERT).await;
+        fixture.group.members[0]
+            .unresponsive
             .store(true, Ordering::Relaxed);
         let since = Instant::now();
         let error = writer
@@ -268,7 +278,7 @@
             .await
             .expect_err("no answer");
         assert!(
-            matches!(code(&error), Some(Code::Aborted | Code::Unavailable)),
+            matches!(grpc_code(&error), Some(Code::Aborted | Code::Unavailable)),
             "{error:?}"
         );
         assert!(
@@ -277,53 +287,61 @@
             since.elapsed()
         );
     });
-    assert_eq!(fixture.store.audit().writes.len(), 1);
+    assert_eq!(fixture.group.executions().writes.len(), 1);
 }
 
 #[test]
 fn who_asks_shows_it_or_is_told_nothing() {
-    for way in ["basic", "bearer"] {
-        let fixture = fixture(way, Some(way));
+    for auth in [FlightAuth::Basic, FlightAuth::Bearer] {
+        let fixture = fixture(auth.name(), Some(auth));
         run(async {
-            let mut stranger = sql(fixture.flight(0), "look").await;
+            let mut stranger = connect_sql(fixture.flight_address(0), "look").await;
             let error = stranger
                 .execute(SELECT.to_owned(), None)
                 .await
                 .expect_err("nobody");
-            assert_eq!(code(&error), Some(Code::Unauthenticated), "{error:?}");
+            assert_eq!(grpc_code(&error), Some(Code::Unauthenticated), "{error:?}");
             stranger.set_token("not a token".to_owned());
             let error = stranger.get_catalogs().await.expect_err("nobody");
-            assert_eq!(code(&error), Some(Code::Unauthenticated), "{error:?}");
-            let mut known = sql(fixture.flight(0), "buy").await;
-            if way == "basic" {
+            assert_eq!(grpc_code(&error), Some(Code::Unauthenticated), "{error:?}");
+            let mut known = connect_sql(fixture.flight_address(0), "buy").await;
+            if auth == FlightAuth::Basic {
                 let error = known
-                    .handshake(USER.0, "another secret")
+                    .handshake(FLIGHT_USER.name, "another secret")
                     .await
                     .expect_err("a wrong one");
-                assert_eq!(code(&error), Some(Code::Unauthenticated), "{error:?}");
-                known.handshake(USER.0, USER.1).await.expect("welcome");
+                assert_eq!(grpc_code(&error), Some(Code::Unauthenticated), "{error:?}");
+                known
+                    .handshake(FLIGHT_USER.name, FLIGHT_USER.secret)
+                    .await
+                    .expect("welcome");
             } else {
-                known.set_token(USER.1.to_owned());
+                known.set_token(FLIGHT_USER.secret.to_owned());
             }
-            written(&mut known, INSERT).await;
+            write_with_retries(&mut known, INSERT).await;
             // What one gateway gave is good at the other, and after a restart.
             fixture.gateways.restart(0).expect("it starts");
             let token = known.token().cloned().expect("a token");
             for n in 0..2 {
-                let mut other = sql(fixture.flight(n), "look").await;
+                let mut other = connect_sql(fixture.flight_address(n), "look").await;
                 other.set_token(token.clone());
                 let info = other
                     .execute(SELECT.to_owned(), None)
                     .await
                     .expect("a ticket");
-                patiently(&mut other, info).await;
+                fetch_with_retries(&mut other, info).await;
             }
         });
     }
 }
 
-/// What `stackgw query` prints, and what it complains of.
-fn query(args: &[&str]) -> (String, String) {
+/// What `stackgw query` writes.
+struct QueryOutput {
+    stdout: String,
+    stderr: String,
+}
+
+fn query(args: &[&str]) -> QueryOutput {
     let program = env!("CARGO_BIN_EXE_stackgw");
     let done = std::process::Command::new(program)
         .arg("query")
@@ -331,75 +349,72 @@
         .output()
         .expect("it runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (text(&done.stdout), text(&done.stderr))
+    QueryOutput {
+        stdout: text(&done.stdout),
+        stderr: text(&done.stderr),
+    }
+}
+
+/// Reads the key `k1`; retries for a while where that is rejected.
+fn query_key(address: &str, further_args: &[&str]) -> QueryOutput {
+    let args = [address, "--class", "mine", "--group", "2", "--key", "k1"];
+    let since = Instant::now();
+    loop {
+        let output = query(&[&args[..], further_args].concat());
+        let QueryOutput { stderr, .. } = &output;
+        if !stderr.contains("temporarily") && !stderr.contains("unavailable")
+            || since.elapsed().as_secs() > 5
+        {
+            return output;
+        }
+    }
 }
 
 #[test]
 fn the_query_command_writes_answers_in_each_form_and_errors_in_a_line() {
     let fixture = fixture("query", None);
-    run(async { written(&mut sql(fixture.flight(0), "buy").await, INSERT).await });
-    let at = fixture.flight(0).to_string();
-    let (group, file) = (
-        ["--class", "mine", "--group", "2"],
-        fixture.folder.join("answer.parquet"),
-    );
-    let ask = |more: &[&str]| {
-        let since = Instant::now();
-        loop {
-            let (out, err) = query(&[&[at.as_str()], &group[..], more].concat());
-            if !err.contains("temporarily") && !err.contains("unavailable")
-                || since.elapsed().as_secs() > 5
-            {
-                return (out, err);
-            }
-        }
-    };
-    let key = ["--key", "k1"];
-    let (table, _) = ask(&key);
+    run(async {
+        let mut client = connect_sql(fixture.flight_address(0), "buy").await;
+        write_with_retries(&mut client, INSERT).await;
+    });
+    let address = fixture.flight_address(0).to_string();
+    let table = query_key(&address, &[]).stdout;
     assert!(
         table.contains("| val") && table.contains("| 36383639"),
         "{table}"
     );
-    let (csv, _) = ask(&[&key[..], &["--format", "csv"]].concat());
+    let csv = query_key(&address, &["--format", "csv"]).stdout;
     assert_eq!(csv, "val\n6869\n");
-    let (json, _) = ask(&[&key[..], &["--format", "json"]].concat());
+    let json = query_key(&address, &["--format", "json"]).stdout;
     assert_eq!(json.trim(), r#"{"val":"36383639"}"#);
+    let file = fixture.folder.join("answer.parquet");
     let path = file.display().to_string();
-    let (_, problem) = ask(&[&key[..], &["--format", "parquet", "--output", &path]].concat());
+    let problem = query_key(&address, &["--format", "parquet", "--output", &path]).stderr;
     let bytes = std::fs::read(&file).expect("a file");
     assert!(
         problem.is_empty() && bytes.starts_with(b"PAR1") && bytes.ends_with(b"PAR1"),
         "{problem}"
     );
-    let (row, _) = query(&[&at, "--class", "buy", "--group", "2", INSERT]);
+    let row = query(&[&address, "--class", "buy", "--group", "2", INSERT]).stdout;
     assert_eq!(row, "1 row written\n");
+    check_query_errors(&address);
+}
+
+fn check_query_errors(address: &str) {
+    let no_class = [address, "--key", "k1"];
+    let quote = [address, "--class", "look", "--group", "2", "--key", "k'1"];
+    let nobody = ["127.0.0.1:1", "--key", "k1"];
+    let no_file = [address, "--key", "k1", "--user", "/nowhere/at/all"];
     for (args, problem) in [
-        (
-            &[at.as_str(), "--key", "k1"][..],
-            "x-stackgw-class is missing",
-        ),
-        (
-            &[
-                at.as_str(),
-                "--class",
-                "look",
-                "--group",
-                "2",
-                "--key",
-                "k'1",
-            ],
-            "--key: holds a quote",
-        ),
-        (&["127.0.0.1:1", "--key", "k1"], "127.0.0.1:1: "),
-        (
-            &[at.as_str(), "--key", "k1", "--user", "/nowhere/at/all"],
-            "/nowhere/at/all: No such file",
-        ),
+        (&no_class[..], "x-stackgw-class is missing"),
+        (&quote, "--key: holds a quote"),
+        (&nobody, "127.0.0.1:1: "),
+        (&no_file, "/nowhere/at/all: No such file"),
     ] {
-        let (out, err) = query(args);
+        let QueryOutput { stdout, stderr } = query(args);
         assert!(
-            out.is_empty() && err.contains(problem) && err.lines().count() == 1,
-            "{err}"
+            stdout.is_empty() && stderr.contains(problem) && stderr.lines().count() == 1,
+            "{stderr}"
         );
     }
 }
--- a/crates/stackgw-cli/tests/floods.rs
+++ b/crates/stackgw-cli/tests/floods.rs
@@ -2,9 +2,10 @@
 //! they do to their own connection is theirs; all others are served, and memory stays within the limits.
 #![cfg(feature = "flight")]
 
-mod driver;
+mod common;
 
-use driver::{served, Ask, Fixture};
+use common::group_fixture::GroupFixture;
+use common::protocol_client::{served, ClientRequest};
 use stackgw_testkit::Protocol;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -108,17 +109,26 @@
 
 /// Does something to a gateway; afterwards, and while that connection is still there, others are served and memory holds.
 fn bears(name: &str, does: impl FnOnce(SocketAddr) -> Option<Raw>) {
-    let fixture = Fixture::new(name, &[20], Protocol::Postgres);
-    let mut driver = fixture.driver(0, Protocol::FlightSql);
-    assert_eq!(driver.patiently(&Ask::write("k", 1)), served(1));
-    let _open = does(fixture.flight(0));
+    let fixture = GroupFixture::new(name, &[20], Protocol::Postgres);
+    let mut client = fixture.client(0, Protocol::FlightSql);
+    assert_eq!(
+        client.send_with_retries(&ClientRequest::write("k", 1)),
+        served(1)
+    );
+    let _open = does(fixture.flight_address(0));
     let since = Instant::now();
-    assert_eq!(driver.patiently(&Ask::write("k", 2)), served(2));
-    assert_eq!(driver.patiently(&Ask::read("mine", "k")), served(2));
+    assert_eq!(
+        client.send_with_retries(&ClientRequest::write("k", 2)),
+        served(2)
+    );
+    assert_eq!(
+        client.send_with_retries(&ClientRequest::read("mine", "k")),
+        served(2)
+    );
     assert_eq!(
         fixture
-            .driver(0, Protocol::Postgres)
-            .patiently(&Ask::read("mine", "k")),
+            .client(0, Protocol::Postgres)
+            .send_with_retries(&ClientRequest::read("mine", "k")),
         served(2)
     );
     assert!(
@@ -126,7 +136,7 @@
         "{:?}",
         since.elapsed()
     );
-    let mb = fixture.peak_mb(0);
+    let mb = fixture.peak_memory_mib(0);
     assert!(mb < 96, "{name}: {mb} MB");
 }
 
--- a/crates/stackgw-cli/tests/leaving.rs
+++ b/crates/stackgw-cli/tests/leaving.rs
@@ -1,8 +1,11 @@
 //! Clients that leave, in every way in which they can, while what they asked for waits: nothing is sent on for them.
 
-mod fixture;
+mod common;
 
-use fixture::*;
+use common::gateway_common::{list_text, message, query, sqlstate, startup};
+use common::gateway_process::{start_fixture_with, GatewayFixture, GatewayProcess};
+use common::pg_connection::{frame_kinds, insert, PgConnection};
+use common::scripted_list_service::start_updating_list_service;
 use std::io::Write;
 use std::net::Shutdown;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,10 +14,10 @@
 use std::thread::JoinHandle;
 
 /// Two replicas and no primary, so that writes wait; with the word that brings the primary.
-fn without_primary(name: &str) -> (Fixture, impl FnOnce() -> Sender<String>) {
+fn without_primary(name: &str) -> (GatewayFixture, impl FnOnce() -> Sender<String>) {
     let (tell, news) = channel();
     let fixture = start_fixture_with(name, |entries| {
-        agent_with_news(list_text(1, true, &entries[1..]), news)
+        start_updating_list_service(list_text(1, true, &entries[1..]), news)
     });
     let primary = list_text(2, false, &fixture.entries[..1]);
     // The agent ends with the last sender, and would take what it has just written along.
@@ -31,12 +34,15 @@
     sends: Vec<u8>,
     /// Whether it reads what it is told; a close over what is unread is a reset.
     reads: bool,
-    leaves: fn(Wire),
+    leaves: fn(PgConnection),
 }
 
-fn half_closes(wire: Wire) {
-    wire.socket.shutdown(Shutdown::Write).expect("half-closed");
-    std::mem::forget(wire);
+fn half_closes(connection: PgConnection) {
+    connection
+        .socket
+        .shutdown(Shutdown::Write)
+        .expect("half-closed");
+    std::mem::forget(connection);
 }
 
 fn leavers() -> Vec<Leaver> {
@@ -72,8 +78,8 @@
             many(300),
             half_closes,
         ),
-        leaver("says that it ends", gone(), |mut wire| {
-            wire.write(&[message(b'X', b"")])
+        leaver("says that it ends", gone(), |mut connection| {
+            connection.write(&[message(b'X', b"")])
         }),
         Leaver {
             reads: false,
@@ -88,7 +94,7 @@
 }
 
 /// Clients that send what is no statement without a pause, and come again when they are let go.
-fn flood(gateway: &Gateway, clients: usize) -> (Arc<AtomicBool>, Vec<JoinHandle<()>>) {
+fn flood(gateway: &GatewayProcess, clients: usize) -> (Arc<AtomicBool>, Vec<JoinHandle<()>>) {
     let over = Arc::new(AtomicBool::new(false));
     let (address, mut threads) = (gateway.address, Vec::new());
     for _ in 0..clients {
@@ -108,8 +114,15 @@
 }
 
 fn nothing_begins_for_the_gone(name: &str, flooding: usize) {
-    let (Fixture { gateway, seen, .. }, primary_comes) = without_primary(name);
-    let mut stays = gateway.client();
+    let (
+        GatewayFixture {
+            gateway,
+            statements,
+            ..
+        },
+        primary_comes,
+    ) = without_primary(name);
+    let mut stays = gateway.ready_client();
     let (over, threads) = flood(&gateway, flooding);
     let mut here = Vec::new();
     for Leaver {
@@ -119,27 +132,28 @@
         leaves,
     } in leavers()
     {
-        let mut wire = gateway.connect();
-        wire.write(&[startup()]);
+        let mut connection = gateway.connect();
+        connection.write(&[startup()]);
         if reads {
-            wire.answer();
+            connection.read_reply();
         }
-        wire.socket.write_all(&sends).expect(way);
-        here.push((leaves, wire));
+        connection.socket.write_all(&sends).expect(way);
+        here.push((leaves, connection));
     }
     let all = here.len() as u64;
     if flooding == 0 {
-        gateway.until("taken", |n| n == all);
+        gateway.wait_for_counter("taken", |n| n == all);
         // Two have all that they sent read ahead, the third as much as is read of one.
-        gateway.until("ahead_bytes", |n| n > 2 * 498_000 + 4 * (136 << 10));
+        gateway.wait_for_counter("ahead_bytes", |n| n > 2 * 498_000 + 4 * (136 << 10));
     }
-    here.into_iter().for_each(|(leaves, wire)| leaves(wire));
+    here.into_iter()
+        .for_each(|(leaves, connection)| leaves(connection));
     if flooding == 0 {
         // Each is seen to leave, whatever of it has not been read.
-        gateway.until("answered_gone", |n| n == all);
+        gateway.wait_for_counter("answered_gone", |n| n == all);
     } else {
         // What they asked may not have been taken by now; none of them is here any more.
-        gateway.until("clients_open", |n| n <= flooding as u64 + 1);
+        gateway.wait_for_counter("clients_open", |n| n <= flooding as u64 + 1);
     }
     over.store(true, Ordering::Relaxed);
     threads
@@ -147,8 +161,8 @@
         .for_each(|thread| thread.join().expect("no panic"));
     let _agent = primary_comes();
     stays.write(&[insert("here")]);
-    assert_eq!(kinds(&stays.answer()), "TDCZ");
-    let sent: Vec<_> = seen.try_iter().collect();
+    assert_eq!(frame_kinds(&stays.read_reply()), "TDCZ");
+    let sent: Vec<_> = statements.try_iter().collect();
     assert_eq!(sent.len(), 1, "{sent:?}");
     assert!(sent[0].contains("'here'"));
 }
@@ -167,30 +181,41 @@
 /// One that cancels and stays has given up that request, and no other.
 #[test]
 fn nothing_is_sent_on_for_a_cancelled_request() {
-    let (Fixture { gateway, seen, .. }, primary_comes) = without_primary("cancelled");
+    let (
+        GatewayFixture {
+            gateway,
+            statements,
+            ..
+        },
+        primary_comes,
+    ) = without_primary("cancelled");
     // It has the list once it says so.
-    drop(gateway.client());
+    drop(gateway.ready_client());
     let mut client = gateway.connect();
     client.write(&[startup()]);
     let key = client
-        .answer()
+        .read_reply()
         .into_iter()
         .find(|f| f.kind == b'K')
         .expect("the key");
     client.write(&[insert("gone"), insert("gone-too")]);
-    gateway.until("taken", |n| n == 2);
+    gateway.wait_for_counter("taken", |n| n == 2);
     let mut by = gateway.connect();
     let _ = by
         .socket
         .write_all(&[&[0, 0, 0, 16, 4, 210, 22, 46], key.body()].concat());
     assert!(by.next().is_none(), "it is told nothing");
     assert_eq!(
-        sqlstate(&client.answer()[0].bytes).as_deref(),
+        sqlstate(&client.read_reply()[0].bytes).as_deref(),
         Some("57014")
     );
     let _agent = primary_comes();
-    assert_eq!(kinds(&client.answer()), "TDCZ", "the other one is served");
-    let sent: Vec<_> = seen.try_iter().collect();
+    assert_eq!(
+        frame_kinds(&client.read_reply()),
+        "TDCZ",
+        "the other one is served"
+    );
+    let sent: Vec<_> = statements.try_iter().collect();
     assert!(
         sent.len() == 1 && sent[0].contains("'gone-too'"),
         "{sent:?}"
--- a/crates/stackgw-cli/tests/sessions.rs
+++ b/crates/stackgw-cli/tests/sessions.rs
@@ -1,8 +1,8 @@
 //! Sessions across real processes on loopback: gateways are killed, paused, started anew with and without their disks, between
-//! paired writes and reads. The stand-ins' audit is the judge. Every wait is for an event and bounded.
+//! paired writes and reads. The audit of what members executed is the judge. Every wait is for an event and bounded.
 
 use stackgw_testkit::{
-    Faults, FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, SessionAudit, Verdict,
+    run_audit, AuditPlan, Faults, FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, Verdict,
 };
 use std::path::PathBuf;
 use std::process::Command;
@@ -15,112 +15,116 @@
 const RETENTION_MS: u64 = 4_000;
 
 struct Fixture {
-    store: Arc<ReplicaGroup>,
+    group: Arc<ReplicaGroup>,
     gateways: GatewayFleet,
     folder: PathBuf,
 }
 
 impl Fixture {
-    fn new(name: &str, gateways: usize, keepers: usize, mode: FleetMode, disks: bool) -> Self {
+    fn new(
+        name: &str,
+        gateways: usize,
+        session_replicas: usize,
+        mode: FleetMode,
+        has_disks: bool,
+    ) -> Self {
         let folder =
             std::env::temp_dir().join(format!("stackgw-sessions-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let (store, agent) = ReplicaGroup::start(&[20, 1_500]).expect("members");
+        let group = ReplicaGroup::start(&[20, 1_500]).expect("members");
+        let program = env!("CARGO_BIN_EXE_stackgw").into();
+        let lists = vec![group.list_address()];
         let gateways = GatewayFleet::start(FleetConfig {
             gateways,
-            session_replicas: keepers,
+            session_replicas,
             mode,
-            disks,
+            has_disks,
             lease_ms: LEASE_MS,
             retention_ms: RETENTION_MS,
-            relays: true,
-            ..FleetConfig::new(
-                env!("CARGO_BIN_EXE_stackgw").into(),
-                folder.clone(),
-                vec![agent],
-            )
+            has_relays: true,
+            ..FleetConfig::new(program, folder.clone(), lists)
         });
         Fixture {
-            store,
-            gateways: gateways.unwrap_or_else(|why| panic!("{why}")),
+            group,
+            gateways: gateways.unwrap_or_else(|error| panic!("{error}")),
             folder,
         }
     }
 
-    /// What a gateway says of its sessions.
-    fn told(&self, n: usize) -> serde_json::Value {
-        let asked = Command::new(env!("CARGO_BIN_EXE_stackgw"))
+    /// What a gateway reports of its sessions.
+    fn session_status(&self, gateway: usize) -> serde_json::Value {
+        let output = Command::new(env!("CARGO_BIN_EXE_stackgw"))
             .arg("sessions")
-            .arg(self.gateways.control(n))
+            .arg(self.gateways.control_socket(gateway))
             .arg("--json")
             .output();
-        serde_json::from_slice(&asked.expect("it runs").stdout).unwrap_or_default()
+        serde_json::from_slice(&output.expect("it runs").stdout).unwrap_or_default()
     }
 
-    /// Waits until all these are sure.
-    fn sure(&self, keepers: usize) -> Duration {
-        let since = Instant::now();
-        while !(0..keepers).all(|n| self.told(n)["sure"] == true) {
+    /// Waits until all session replicas are sure of what they know; gives how long that took.
+    fn wait_until_sure(&self, session_replicas: usize) -> Duration {
+        let started = Instant::now();
+        while !(0..session_replicas).all(|n| self.session_status(n)["sure"] == true) {
             assert!(
-                since.elapsed() < Duration::from_secs(30),
+                started.elapsed() < Duration::from_secs(30),
                 "{}",
-                self.told(0)
+                self.session_status(0)
             );
             std::thread::sleep(Duration::from_millis(20));
         }
-        since.elapsed()
+        started.elapsed()
     }
 
-    fn run(&self, trial: &SessionAudit) -> Verdict {
-        trial.run(&self.store, &self.gateways, |_| {})
+    fn run(&self, plan: &AuditPlan) -> Verdict {
+        run_audit(plan, &self.group, &self.gateways, |_| {})
     }
 }
 
 impl Drop for Fixture {
     fn drop(&mut self) {
-        self.gateways.clear_up();
+        self.gateways.clean_up();
     }
 }
 
 /// Each run has other keys and ids than any before.
-fn trial(pairs: u64) -> SessionAudit {
+fn audit_plan(pairs: u64) -> AuditPlan {
     static SEED: AtomicU64 = AtomicU64::new(11);
-    SessionAudit {
+    AuditPlan {
         clients: 6,
         pairs,
-        reads: 1,
-        pause: Duration::from_millis(5),
+        later_reads: 1,
+        read_pause: Duration::from_millis(5),
         roam: true,
         seed: SEED.fetch_add(1, Ordering::Relaxed),
-        troubles: None,
-        most: Duration::from_secs(120),
+        faults: None,
+        time_limit: Duration::from_secs(120),
     }
 }
 
-fn storm(kill_every_ms: u64) -> Faults {
+fn all_faults(kill_every_ms: u64) -> Faults {
     Faults {
-        kill_every: Duration::from_millis(kill_every_ms),
-        all: true,
-        disks: true,
+        kill_interval: Duration::from_millis(kill_every_ms),
+        kill_all: true,
+        delete_disks: true,
         pause: Some(Duration::from_millis(2 * LEASE_MS)),
-        slow: true,
-        cut: Some(Duration::from_millis(2 * LEASE_MS)),
+        slow_replica: true,
+        partition: Some(Duration::from_millis(2 * LEASE_MS)),
     }
 }
 
 #[test]
 fn no_read_misses_its_write_while_gateways_are_killed_between_them() {
-    for (name, gateways, keepers, disks) in [("two", 2, 2, true), ("three", 4, 3, false)] {
-        let fixture = Fixture::new(name, gateways, keepers, FleetMode::SharedSessions, disks);
-        let pause = Duration::from_millis(20);
-        let verdict = fixture.run(&SessionAudit {
-            troubles: Some(storm(150)),
-            pause,
-            ..trial(400)
+    for (name, gateways, replicas, disks) in [("two", 2, 2, true), ("three", 4, 3, false)] {
+        let fixture = Fixture::new(name, gateways, replicas, FleetMode::SharedSessions, disks);
+        let read_pause = Duration::from_millis(20);
+        let verdict = fixture.run(&AuditPlan {
+            faults: Some(all_faults(150)),
+            read_pause,
+            ..audit_plan(400)
         });
-        assert!(verdict.good(), "{verdict:?}");
+        assert!(verdict.is_good(), "{verdict:?}");
         assert!(
-            verdict.tally.pairs >= 400 && verdict.kills > 0,
+            verdict.counts.pairs >= 400 && verdict.kills > 0,
             "{verdict:?}"
         );
     }
@@ -129,35 +133,35 @@
 #[test]
 fn with_marks_in_each_process_alone_the_same_run_misses_writes() {
     let fixture = Fixture::new("off", 2, 2, FleetMode::LocalSessions, false);
-    let verdict = fixture.run(&SessionAudit {
-        troubles: Some(storm(250)),
-        ..trial(300)
+    let verdict = fixture.run(&AuditPlan {
+        faults: Some(all_faults(250)),
+        ..audit_plan(300)
     });
-    assert!(verdict.tally.misses > 0, "{verdict:?}");
-    assert_eq!(verdict.doubled + verdict.refused_and_ran, 0);
+    assert!(verdict.counts.misses > 0, "{verdict:?}");
+    assert_eq!(verdict.duplicate_writes + verdict.rejected_but_executed, 0);
 }
 
 #[test]
 fn on_a_calm_day_reads_are_sure_and_replicas_serve_them() {
     let fixture = Fixture::new("calm", 3, 2, FleetMode::SharedSessions, true);
-    fixture.sure(2);
-    let calm = SessionAudit {
-        pause: Duration::from_millis(600),
-        reads: 4,
-        ..trial(30)
+    fixture.wait_until_sure(2);
+    let calm = AuditPlan {
+        read_pause: Duration::from_millis(600),
+        later_reads: 4,
+        ..audit_plan(30)
     };
     let verdict = fixture.run(&calm);
-    assert!(verdict.good(), "{verdict:?}");
+    assert!(verdict.is_good(), "{verdict:?}");
     assert!(
-        verdict.reads_at[1] > verdict.reads_at[0],
+        verdict.reads_by_role.replicas > verdict.reads_by_role.primary,
         "past the window after a write: {verdict:?}"
     );
     // A busy machine may keep a process waiting past a lease.
     let cautious: u64 = (0..3)
-        .filter_map(|n| fixture.told(n)["counts"]["cautious"].as_u64())
+        .filter_map(|n| fixture.session_status(n)["counts"]["cautious"].as_u64())
         .sum();
     assert!(
-        cautious * 10 <= verdict.tally.reads[0],
+        cautious * 10 <= verdict.counts.reads.served,
         "{cautious} of {verdict:?}"
     );
 }
@@ -165,79 +169,79 @@
 #[test]
 fn with_disks_all_restart_at_once_and_are_sure_again_within_a_second_or_so() {
     let fixture = Fixture::new("all", 2, 2, FleetMode::SharedSessions, true);
-    fixture.sure(2);
+    fixture.wait_until_sure(2);
     // Wait for the disk to have it that nothing is missing: that is written with the next questions.
     std::thread::sleep(Duration::from_millis(2 * LEASE_MS));
-    assert!(fixture.run(&trial(20)).good());
+    assert!(fixture.run(&audit_plan(20)).is_good());
     for _ in 0..2 {
         (0..2).for_each(|n| fixture.gateways.kill(n));
         (0..2).for_each(|n| fixture.gateways.restart(n).expect("it starts"));
-        let took = fixture.sure(2);
+        let took = fixture.wait_until_sure(2);
         assert!(took < Duration::from_millis(RETENTION_MS), "{took:?}");
-        assert!(fixture.run(&trial(20)).good());
+        assert!(fixture.run(&audit_plan(20)).is_good());
     }
-    // Without them, a horizon.
+    // Without them, the retention time.
     (0..2).for_each(|n| fixture.gateways.kill(n));
-    (0..2).for_each(|n| fixture.gateways.lose_disk(n));
+    (0..2).for_each(|n| fixture.gateways.delete_disk(n));
     (0..2).for_each(|n| fixture.gateways.restart(n).expect("it starts"));
-    assert!(fixture.sure(2) > Duration::from_millis(RETENTION_MS / 2));
+    assert!(fixture.wait_until_sure(2) > Duration::from_millis(RETENTION_MS / 2));
 }
 
 #[test]
 fn the_only_current_replica_slows_down_right_after_the_write() {
     let fixture = Fixture::new("slow", 2, 2, FleetMode::SharedSessions, true);
-    fixture.sure(2);
-    fixture.store.members[1]
+    fixture.wait_until_sure(2);
+    fixture.group.members[1]
         .lag_ms
         .store(2_500, Ordering::Relaxed);
-    fixture.store.members[1]
-        .slow_ms
+    fixture.group.members[1]
+        .delay_ms
         .store(80, Ordering::Relaxed);
-    let verdict = fixture.run(&SessionAudit {
-        pause: Duration::from_millis(1_100),
-        ..trial(30)
+    let verdict = fixture.run(&AuditPlan {
+        read_pause: Duration::from_millis(1_100),
+        ..audit_plan(30)
     });
-    assert!(verdict.good(), "{verdict:?}");
+    assert!(verdict.is_good(), "{verdict:?}");
 }
 
 #[test]
 fn gateways_cut_from_each_other_miss_nothing_while_clients_roam() {
     let fixture = Fixture::new("cut", 2, 2, FleetMode::SharedSessions, true);
-    fixture.sure(2);
-    let net = fixture.gateways.net().expect("relays");
+    fixture.wait_until_sure(2);
+    let network = fixture.gateways.network().expect("relays");
     for cuts in [&[(0, 1), (1, 0)][..], &[(0, 1)], &[(1, 0)]] {
-        cuts.iter().for_each(|(from, to)| net.cut(*from, *to));
-        let verdict = fixture.run(&trial(60));
-        assert!(verdict.good(), "{cuts:?} {verdict:?}");
-        net.mend();
-        net.loss.store(150, Ordering::Relaxed);
-        let verdict = fixture.run(&trial(60));
-        assert!(verdict.good(), "after {cuts:?}, with loss: {verdict:?}");
-        net.loss.store(0, Ordering::Relaxed);
+        cuts.iter().for_each(|(from, to)| network.block(*from, *to));
+        let verdict = fixture.run(&audit_plan(60));
+        assert!(verdict.is_good(), "{cuts:?} {verdict:?}");
+        network.heal();
+        network.loss_per_thousand.store(150, Ordering::Relaxed);
+        let verdict = fixture.run(&audit_plan(60));
+        assert!(verdict.is_good(), "after {cuts:?}, with loss: {verdict:?}");
+        network.loss_per_thousand.store(0, Ordering::Relaxed);
     }
-    fixture.sure(2);
+    fixture.wait_until_sure(2);
 }
 
 #[test]
 fn a_gateway_paused_past_its_lease_wakes_cautious() {
     let fixture = Fixture::new("pause", 2, 2, FleetMode::SharedSessions, true);
-    fixture.sure(2);
+    fixture.wait_until_sure(2);
     for n in 0..2 {
-        fixture.gateways.pause(n, true);
+        fixture.gateways.pause(n);
         // Meanwhile the other one lets writes out that the paused one was sure to hear of.
         let clients = std::thread::scope(|scope| {
             let run = scope.spawn(|| {
-                fixture.run(&SessionAudit {
-                    most: Duration::from_millis(8 * LEASE_MS),
-                    ..trial(40)
+                fixture.run(&AuditPlan {
+                    time_limit: Duration::from_millis(8 * LEASE_MS),
+                    ..audit_plan(40)
                 })
             });
             std::thread::sleep(Duration::from_millis(3 * LEASE_MS));
-            fixture.gateways.pause(n, false);
+            fixture.gateways.resume(n);
             run.join()
         });
         let verdict = clients.expect("no panic");
-        assert!(verdict.good() && verdict.tally.pairs > 0, "{verdict:?}");
+        assert!(verdict.is_good() && verdict.counts.pairs > 0, "{verdict:?}");
     }
 }
 
@@ -245,35 +249,38 @@
 fn a_gateway_killed_between_the_commit_and_the_answer_doubles_nothing() {
     let fixture = Fixture::new("commit", 2, 2, FleetMode::SharedSessions, true);
     // The primary commits at once and answers later: most kills fall between the two.
-    fixture.store.members[0]
-        .slow_ms
+    fixture.group.members[0]
+        .delay_ms
         .store(60, Ordering::Relaxed);
-    let troubles = Faults {
-        kill_every: Duration::from_millis(120),
-        all: false,
-        disks: false,
+    let faults = Faults {
+        kill_interval: Duration::from_millis(120),
+        kill_all: false,
+        delete_disks: false,
         pause: None,
-        slow: false,
-        cut: None,
+        slow_replica: false,
+        partition: None,
     };
-    let verdict = fixture.run(&SessionAudit {
-        troubles: Some(troubles),
-        ..trial(60)
+    let verdict = fixture.run(&AuditPlan {
+        faults: Some(faults),
+        ..audit_plan(60)
     });
-    assert!(verdict.good() && verdict.tally.writes[3] > 0, "{verdict:?}");
+    assert!(
+        verdict.is_good() && verdict.counts.writes.disconnected > 0,
+        "{verdict:?}"
+    );
 }
 
 #[test]
 fn a_killed_keeper_is_named_as_the_reason() {
     let fixture = Fixture::new("why", 2, 2, FleetMode::SharedSessions, true);
-    fixture.sure(2);
+    fixture.wait_until_sure(2);
     fixture.gateways.kill(1);
     let since = Instant::now();
-    while fixture.told(0)["unsure_because"] != "no pledge from g1" {
+    while fixture.session_status(0)["unsure_because"] != "no pledge from g1" {
         assert!(
             since.elapsed() < Duration::from_secs(20),
             "{}",
-            fixture.told(0)
+            fixture.session_status(0)
         );
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -290,7 +297,7 @@
             .count()
             == 1
     );
-    fixture.sure(2);
+    fixture.wait_until_sure(2);
 }
 
 #[test]
@@ -304,13 +311,13 @@
     let key = fixture.folder.join("cluster.key").display().to_string();
     std::fs::write(&file, text.replace(&key, &other.display().to_string())).expect("a file");
     fixture.gateways.restart(1).expect("it starts");
-    let verdict = fixture.run(&trial(60));
-    assert!(verdict.good(), "{verdict:?}");
-    assert_eq!(fixture.told(0)["sure"], false);
+    let verdict = fixture.run(&audit_plan(60));
+    assert!(verdict.is_good(), "{verdict:?}");
+    assert_eq!(fixture.session_status(0)["sure"], false);
     assert!(
-        fixture.told(0)["counts"]["unknown_key"].as_u64() > Some(0),
+        fixture.session_status(0)["counts"]["unknown_key"].as_u64() > Some(0),
         "{}",
-        fixture.told(0)
+        fixture.session_status(0)
     );
 }
 
--- a/crates/stackgw-cli/tests/start.rs
+++ b/crates/stackgw-cli/tests/start.rs
@@ -1,11 +1,11 @@
-//! Fleets of real processes that start at once, lose their list service, their holders of the watch, half of each other or
-//! their members' warmth. The stand-ins' audit is the judge. Every wait is for an event and bounded.
+//! Fleets of real processes that start at once, lose their list service, their leaders of the watch, half of each other or their
+//! members' warmth. The audit of what members executed is the judge. Every wait is for an event and bounded.
 
 use serde_json::Value;
 use stackgw_testkit::{
-    worst, BootstrapConfig, Client, ColdConnectLoad, ColdConnectReport, FleetConfig, FleetMode,
-    GatewayFleet, ObservedLoad, PollOutcome, Protocol, ReplicaGroup, RequestOutcome,
-    ServiceCapacity, ServiceState, SlowStartModel,
+    peak_in_window, BootstrapConfig, Client, ColdConnectLoad, ColdConnectReport, FleetConfig,
+    FleetMode, GatewayFleet, GroupConfig, ListedPhase, ObservedLoad, PollOutcome, PollRecord,
+    ReplicaGroup, RequestOutcome, ServiceCapacity, ServiceState, SlowStartModel,
 };
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
@@ -14,12 +14,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const GRACE: Duration = Duration::from_millis(1_000);
-/// A holder that is gone is replaced within this.
-const REPLACED: Duration = Duration::from_secs(4);
+/// How long after a drain was announced a member may still get requests.
+const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
+/// A leader of the watch that is gone is replaced within this.
+const LEADER_REPLACED_WITHIN: Duration = Duration::from_secs(4);
 
 struct Fixture {
-    store: Arc<ReplicaGroup>,
+    group: Arc<ReplicaGroup>,
     gateways: GatewayFleet,
     folder: PathBuf,
 }
@@ -29,37 +30,48 @@
 }
 
 impl Fixture {
-    /// GatewayFleet that are set up and do not run yet, every other one at the list's second door.
-    fn new(name: &str, gateways: usize, cluster: bool, bears: u32) -> Self {
-        Self::with(name, gateways, cluster, bears, &[])
+    /// Gateways that are set up and do not run yet, every other one at the list service's second listener.
+    fn new(name: &str, gateways: usize, has_cluster: bool, list_service_rate: u32) -> Self {
+        Self::with_lines(name, gateways, has_cluster, list_service_rate, &[])
     }
 
     /// As [`Fixture::new`], with further lines in the operator's file.
-    fn with(name: &str, gateways: usize, cluster: bool, bears: u32, further: &[&str]) -> Self {
+    fn with_lines(
+        name: &str,
+        gateways: usize,
+        has_cluster: bool,
+        list_service_rate: u32,
+        further_lines: &[&str],
+    ) -> Self {
         let folder =
-            std::env::temp_dir().join(format!("stackgw-bootstrap-{}-{name}", std::process::id()));
+            std::env::temp_dir().join(format!("stackgw-start-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let (store, _) =
-            ReplicaGroup::start_behind(&[20, 20], Protocol::Postgres, 2).expect("members");
-        let doors = vec![store.lists().door(0), store.lists().door(1)];
-        let mut setup =
-            FleetConfig::new(env!("CARGO_BIN_EXE_stackgw").into(), folder.clone(), doors);
-        (
-            setup.gateways,
-            setup.session_replicas,
-            setup.mode,
-            setup.relays,
-        ) = (gateways, 3, FleetMode::Bootstrap, cluster);
-        let mut lines = vec![
-            format!("bears: {bears}"),
+        let group = ReplicaGroup::start_with(GroupConfig {
+            list_listeners: 2,
+            ..GroupConfig::new(&[20, 20])
+        });
+        let group = group.expect("members");
+        let lists = (0..2).map(|n| group.list_service().address(n)).collect();
+        let mut yaml_lines = vec![
+            format!("bears: {list_service_rate}"),
             "list: \"{folder}/g{n}.list\"".to_owned(),
         ];
-        lines.extend(further.iter().map(|line| (*line).to_owned()));
-        setup.start = BootstrapConfig { cluster, lines };
-        let gateways = GatewayFleet::prepare(setup).unwrap_or_else(|why| panic!("{why}"));
-        Fixture {
-            store,
+        yaml_lines.extend(further_lines.iter().map(|line| (*line).to_owned()));
+        let program = env!("CARGO_BIN_EXE_stackgw").into();
+        let gateways = GatewayFleet::prepare(FleetConfig {
             gateways,
+            session_replicas: 3,
+            mode: FleetMode::Bootstrap,
+            has_relays: has_cluster,
+            bootstrap: BootstrapConfig {
+                has_cluster,
+                yaml_lines,
+            },
+            ..FleetConfig::new(program, folder.clone(), lists)
+        });
+        Fixture {
+            group,
+            gateways: gateways.unwrap_or_else(|error| panic!("{error}")),
             folder,
         }
     }
@@ -67,13 +79,13 @@
     fn start(&self, which: impl Iterator<Item = usize> + Clone) {
         self.gateways
             .restart_all(which, Duration::ZERO)
-            .unwrap_or_else(|why| panic!("{why}"));
+            .unwrap_or_else(|error| panic!("{error}"));
     }
 
-    /// What a gateway says of its list.
-    fn told(&self, n: usize) -> Value {
+    /// What a gateway reports of its list; null where it does not answer.
+    fn list_status(&self, gateway: usize) -> Value {
         let ask = || -> std::io::Result<String> {
-            let mut stream = UnixStream::connect(self.gateways.control(n))?;
+            let mut stream = UnixStream::connect(self.gateways.control_socket(gateway))?;
             stream.write_all(b"{\"ask\":\"list\"}\n")?;
             let mut line = String::new();
             BufReader::new(stream).read_line(&mut line)?;
@@ -85,98 +97,98 @@
             .unwrap_or_default()
     }
 
-    /// Waits until this holds of what each of these says; gives how long that took.
-    fn until(
+    /// Waits until this holds of what each of these reports; gives how long that took.
+    fn wait_until(
         &self,
         what: &str,
-        most: Duration,
+        timeout: Duration,
         which: impl Iterator<Item = usize> + Clone,
         holds: impl Fn(&Value) -> bool,
     ) -> Duration {
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
-            let told: Vec<_> = which.clone().map(|n| (n, self.told(n))).collect();
-            if told.iter().all(|(_, told)| holds(told)) {
-                return since.elapsed();
+            let statuses: Vec<_> = which.clone().map(|n| (n, self.list_status(n))).collect();
+            if statuses.iter().all(|(_, status)| holds(status)) {
+                return started.elapsed();
             }
-            assert!(since.elapsed() < most, "{what}: {told:?}");
+            assert!(started.elapsed() < timeout, "{what}: {statuses:?}");
             std::thread::sleep(ms(10));
         }
     }
 
-    /// Waits until all these have the service's version, and not as kept word.
-    fn know(&self, most: Duration, which: impl Iterator<Item = usize> + Clone) -> Duration {
-        let version = self.store.lists().version();
-        self.until("the newest list", most, which, |told| {
-            told["revision"] == version
-                && told["origin"] != "kept word"
-                && told["origin"].is_string()
+    /// Waits until all these have the service's newest revision, and not from a disk.
+    fn wait_until_current(
+        &self,
+        timeout: Duration,
+        which: impl Iterator<Item = usize> + Clone,
+    ) -> Duration {
+        let revision = self.group.list_service().revision();
+        self.wait_until("the newest list", timeout, which, |status| {
+            status["revision"] == revision
+                && status["origin"] != "kept word"
+                && status["origin"].is_string()
         })
     }
 
-    fn holders(&self) -> Vec<usize> {
+    /// The gateways that hold a watch.
+    fn watch_leaders(&self) -> Vec<usize> {
         (0..self.gateways.len())
-            .filter(|n| self.told(*n)["watch"] == true)
+            .filter(|n| self.list_status(*n)["watch"] == true)
             .collect()
     }
 
-    fn asked(&self) -> usize {
-        self.store
-            .lists()
-            .asked()
-            .iter()
-            .filter(|asked| asked.fate != PollOutcome::Unreachable)
-            .count()
+    /// Requests that reached the list service.
+    fn polls(&self) -> usize {
+        let polls = self.group.list_service().polls();
+        let reached = |poll: &&PollRecord| poll.outcome != PollOutcome::Unreachable;
+        polls.iter().filter(reached).count()
     }
 
-    fn play(
+    fn run_load(
         &self,
         rate: f64,
-        lasts: Duration,
+        duration: Duration,
         meanwhile: impl FnOnce() + Send,
     ) -> ColdConnectReport {
-        let opening = ColdConnectLoad {
+        let load = ColdConnectLoad {
             rate,
-            writes: 30,
-            lasts,
+            write_percentage: 30,
+            duration,
             seed: 7,
         };
-        opening.run(&self.store, &self.gateways, Instant::now(), meanwhile)
+        load.run(&self.group, &self.gateways, Instant::now(), meanwhile)
     }
 
     /// All members start anew, cold, and the list says so.
-    fn members_start(&self) {
+    fn restart_members(&self) {
         for n in 0..3 {
-            self.store.bear(n, bearing(), true);
-            self.store.announce_start(n);
+            self.group.set_cold_capacity(n, member_model());
+            self.group.announce_start(n);
         }
     }
 
-    /// Requests that a member was given.
-    fn given(&self, n: usize) -> u64 {
-        self.store.members[n].asked.load(Ordering::Relaxed)
+    /// Requests that a member got.
+    fn requests_of(&self, member: usize) -> u64 {
+        self.group.members[member].requests.load(Ordering::Relaxed)
     }
 
-    /// What a member has borne; it never came near falling over.
-    fn stands(&self, n: usize) -> ObservedLoad {
-        let borne = self.store.borne(n);
+    /// What has come to a member, which never collapsed.
+    fn load_of_standing_member(&self, member: usize) -> ObservedLoad {
+        let load = self.group.observed_load(member);
         assert!(
-            borne.fell == 0 && borne.worst < 1.0,
-            "member {n}: {} of what it falls at",
-            borne.worst
+            load.collapses == 0 && load.peak_overload < 1.0,
+            "member {member}: {} of what it collapses at",
+            load.peak_overload
         );
-        borne
+        load
     }
 
-    /// Nothing was lost, doubled or stale.
-    fn sound(&self, opened: &ColdConnectReport) {
-        assert_eq!((opened.lost, opened.doubled), (0, 0), "{opened:?}");
-        let audit = self.store.audit();
+    /// Nothing was lost, ran twice or was too old.
+    fn check_soundness(&self, report: &ColdConnectReport) {
+        assert_eq!((report.lost, report.duplicate_writes), (0, 0), "{report:?}");
+        let executions = self.group.executions();
         assert_eq!(
-            (
-                audit.stale,
-                audit.writes.values().filter(|n| **n > 1).count()
-            ),
+            (executions.stale_reads, executions.duplicate_writes()),
             (0, 0)
         );
     }
@@ -184,7 +196,7 @@
 
 impl Drop for Fixture {
     fn drop(&mut self) {
-        self.gateways.clear_up();
+        self.gateways.clean_up();
     }
 }
 
@@ -192,35 +204,35 @@
 fn all_that_start_at_once_ask_in_turns_and_keep_to_the_services_word() {
     let fixture = Fixture::new("turns", 16, false, 10);
     fixture.start(0..16);
-    fixture.know(ms(20_000), 0..16);
-    let asked = fixture.store.lists().asked();
+    fixture.wait_until_current(ms(20_000), 0..16);
+    let polls = fixture.group.list_service().polls();
     // Sixteen asks over two seconds; in step all would fall into one moment.
     assert!(
-        worst(asked.iter().map(|asked| asked.at), ms(100)) <= 6,
-        "{asked:?}"
+        peak_in_window(polls.iter().map(|poll| poll.at), ms(100)) <= 6,
+        "{polls:?}"
     );
     // Dead and back: again not all at once.
-    let lists = fixture.store.lists();
-    lists.mood(None, ServiceState::Down);
-    fixture.until("a lost watch", ms(5_000), 0..16, |told| {
-        told["watch"] == false
+    let lists = fixture.group.list_service();
+    lists.set_state(ServiceState::Down);
+    fixture.wait_until("a lost watch", ms(5_000), 0..16, |status| {
+        status["watch"] == false
+    });
+    lists.set_capacity(ServiceCapacity {
+        rate: 10.0,
+        max_queue_wait: ms(300),
     });
-    lists.bear(Some(ServiceCapacity {
-        per_second: 10.0,
-        line: ms(300),
-    }));
     let from = lists.elapsed();
-    lists.mood(None, ServiceState::Up);
-    fixture.until("a watch again", ms(40_000), 0..16, |told| {
-        told["watch"] == true
+    lists.set_state(ServiceState::Up);
+    fixture.wait_until("a watch again", ms(40_000), 0..16, |status| {
+        status["watch"] == true
     });
     let back: Vec<_> = lists
-        .asked()
+        .polls()
         .into_iter()
-        .filter(|asked| asked.at >= from)
+        .filter(|poll| poll.at >= from)
         .collect();
     assert!(
-        worst(back.iter().map(|asked| asked.at), ms(100)) <= 6,
+        peak_in_window(back.iter().map(|poll| poll.at), ms(100)) <= 6,
         "{back:?}"
     );
     assert!(back.len() <= 40, "{}", back.len());
@@ -229,31 +241,34 @@
 #[test]
 fn a_gateway_that_knows_nothing_refuses_at_once_and_says_when_to_come_back() {
     let fixture = Fixture::new("nothing", 1, false, 10);
-    fixture.store.lists().mood(None, ServiceState::Truncated);
+    fixture
+        .group
+        .list_service()
+        .set_state(ServiceState::Truncated);
     fixture.start(0..1);
-    fixture.until("a lost watch", ms(5_000), 0..1, |told| {
-        told["counts"]["watches"].as_u64() >= Some(1)
+    fixture.wait_until("a lost watch", ms(5_000), 0..1, |status| {
+        status["counts"]["watches"].as_u64() >= Some(1)
     });
     let address = fixture.gateways.address(0).expect("it runs");
     let mut client = Client::connect(address).expect("a connection");
     let since = Instant::now();
     let text = "SELECT val FROM state WHERE uid = 'k' /* id=n1,c=look,d=1000,cluster=2 */";
-    assert_eq!(client.ask(text), RequestOutcome::Rejected);
+    assert_eq!(client.query(text), RequestOutcome::Rejected);
     assert!(since.elapsed() < ms(300), "{:?}", since.elapsed());
     let mut waits = Client::connect(address).expect("a connection");
-    waits.patience(ms(200));
+    waits.set_reply_timeout(ms(200));
     assert!(!waits.is_ready(), "half a list is none");
     for mood in [ServiceState::FirstByteOnly, ServiceState::Silent] {
-        fixture.store.lists().mood(None, mood);
+        fixture.group.list_service().set_state(mood);
         std::thread::sleep(ms(300));
-        assert_eq!(fixture.told(0)["ready"], false);
+        assert_eq!(fixture.list_status(0)["ready"], false);
     }
-    fixture.store.lists().mood(None, ServiceState::Up);
+    fixture.group.list_service().set_state(ServiceState::Up);
     // A watch that hangs is given up after its silence.
-    fixture.know(ms(20_000), 0..1);
+    fixture.wait_until_current(ms(20_000), 0..1);
     let mut client = Client::connect(address).expect("a connection");
     assert_eq!(
-        client.ask(&text.replace("n1", "n2")),
+        client.query(&text.replace("n1", "n2")),
         RequestOutcome::Served(Vec::new())
     );
 }
@@ -262,90 +277,93 @@
 fn few_hold_the_watch_and_lost_holders_are_replaced() {
     let fixture = Fixture::new("holders", 9, true, 50);
     fixture.start(0..9);
-    fixture.know(ms(10_000), 0..9);
-    let before = fixture.asked();
+    fixture.wait_until_current(ms(10_000), 0..9);
+    let before = fixture.polls();
     assert!(before <= 6, "{before} asks for 9 gateways");
     // All holders are killed at once, and a drain is told: the rest finds new ones and hears of it.
-    let lost = fixture.holders();
+    let lost = fixture.watch_leaders();
     assert!((1..=4).contains(&lost.len()), "{lost:?}");
     lost.iter().for_each(|n| fixture.gateways.kill(*n));
-    fixture.store.announce(2, "draining");
+    fixture.group.announce(2, ListedPhase::Draining);
     let rest: Vec<_> = (0..9).filter(|n| !lost.contains(n)).collect();
-    let took = fixture.know(REPLACED, rest.iter().copied());
-    assert!(fixture.asked() - before <= 8, "{took:?}");
+    let took = fixture.wait_until_current(LEADER_REPLACED_WITHIN, rest.iter().copied());
+    assert!(fixture.polls() - before <= 8, "{took:?}");
     // A holder that is stopped for five seconds is passed over, and wakes to what it missed.
-    let stopped = fixture.holders()[0];
-    fixture.gateways.pause(stopped, true);
-    fixture.store.announce(1, "draining");
-    fixture.know(REPLACED, rest.iter().copied().filter(|n| *n != stopped));
+    let stopped = fixture.watch_leaders()[0];
+    fixture.gateways.pause(stopped);
+    fixture.group.announce(1, ListedPhase::Draining);
+    fixture.wait_until_current(
+        LEADER_REPLACED_WITHIN,
+        rest.iter().copied().filter(|n| *n != stopped),
+    );
     std::thread::sleep(ms(5_000));
-    fixture.gateways.pause(stopped, false);
-    fixture.know(ms(2_000), std::iter::once(stopped));
+    fixture.gateways.resume(stopped);
+    fixture.wait_until_current(ms(2_000), std::iter::once(stopped));
     // Those that were killed come back and are told.
     fixture.start(lost.iter().copied());
-    fixture.know(ms(5_000), 0..9);
+    fixture.wait_until_current(ms(5_000), 0..9);
 }
 
 #[test]
 fn a_drain_is_everywhere_within_the_grace_under_load_and_with_datagrams_lost() {
     let fixture = Fixture::new("drain", 8, true, 50);
     fixture.start(0..8);
-    fixture.know(ms(10_000), 0..8);
-    let net = fixture.gateways.net().expect("relays");
-    net.loss.store(300, Ordering::Relaxed);
-    let opened = fixture.play(20.0, ms(6_000), || {
+    fixture.wait_until_current(ms(10_000), 0..8);
+    let network = fixture.gateways.network().expect("relays");
+    network.loss_per_thousand.store(300, Ordering::Relaxed);
+    let report = fixture.run_load(20.0, ms(6_000), || {
         std::thread::sleep(ms(2_000));
-        fixture.store.announce(2, "draining");
+        fixture.group.announce(2, ListedPhase::Draining);
     });
-    fixture.sound(&opened);
-    let after = fixture.store.audit().after_drain;
+    fixture.check_soundness(&report);
+    let after = fixture.group.executions().latest_after_drain;
     assert!(
-        after <= GRACE + ms(50),
+        after <= DRAIN_GRACE + ms(50),
         "a request {after:?} after the drain was told"
     );
-    assert!(opened.worth() > 0.9, "{opened:?}");
+    assert!(report.served_fraction() > 0.9, "{report:?}");
 }
 
 #[test]
 fn a_service_that_comes_back_behind_is_not_believed() {
     let fixture = Fixture::new("behind", 6, true, 50);
     fixture.start(0..6);
-    fixture.know(ms(10_000), 0..6);
-    fixture.store.announce(2, "draining");
-    fixture.know(ms(5_000), 0..6);
-    let lists = fixture.store.lists();
-    lists.mood(None, ServiceState::Down);
-    fixture.until("lost watches", ms(10_000), 0..6, |told| {
-        told["watch"] == false
+    fixture.wait_until_current(ms(10_000), 0..6);
+    fixture.group.announce(2, ListedPhase::Draining);
+    fixture.wait_until_current(ms(5_000), 0..6);
+    let lists = fixture.group.list_service();
+    lists.set_state(ServiceState::Down);
+    fixture.wait_until("lost watches", ms(10_000), 0..6, |status| {
+        status["watch"] == false
     });
-    lists.mood(None, ServiceState::Stale(1));
+    lists.set_state(ServiceState::Stale(1));
     fixture.gateways.kill(0);
     fixture.start(0..1);
     let since = Instant::now();
-    while !(0..6).any(|n| fixture.told(n)["behind"] == true) {
+    while !(0..6).any(|n| fixture.list_status(n)["behind"] == true) {
         assert!(since.elapsed() < ms(20_000), "nobody noticed");
         std::thread::sleep(ms(20));
     }
     // One that starts now has the disk's word and its peers'; the service's older one undoes neither.
-    fixture.until("no older list", ms(5_000), 0..6, |told| {
-        told["revision"] == 2
+    fixture.wait_until("no older list", ms(5_000), 0..6, |status| {
+        status["revision"] == 2
     });
-    let before = fixture.given(2);
-    let opened = fixture.play(10.0, ms(1_500), || {});
-    fixture.sound(&opened);
-    assert_eq!(fixture.given(2), before, "the drain binds");
-    lists.mood(None, ServiceState::Up);
-    fixture.store.announce(2, "ready");
-    fixture.know(ms(10_000), 0..6);
+    let before = fixture.requests_of(2);
+    let report = fixture.run_load(10.0, ms(1_500), || {});
+    fixture.check_soundness(&report);
+    assert_eq!(fixture.requests_of(2), before, "the drain binds");
+    lists.set_state(ServiceState::Up);
+    fixture.group.announce(2, ListedPhase::Ready);
+    fixture.wait_until_current(ms(10_000), 0..6);
 }
 
 #[test]
 fn kept_word_serves_without_the_service_and_its_primary_gets_no_write() {
     let fixture = Fixture::new("kept", 8, true, 50);
     fixture.start(0..8);
-    fixture.know(ms(10_000), 0..8);
-    fixture.until("a list on each disk", ms(5_000), 0..8, |told| {
-        told["ready"] == true
+    fixture.wait_until_current(ms(10_000), 0..8);
+    fixture.wait_until("a list on each disk", ms(5_000), 0..8, |status| {
+        status["ready"] == true
     });
     for n in 0..8 {
         let since = Instant::now();
@@ -356,8 +374,8 @@
     }
     // An hour passes for the disks; the service dies, another member leads, all gateways are killed.
     (0..8).for_each(|n| fixture.gateways.kill(n));
-    fixture.store.lists().mood(None, ServiceState::Down);
-    fixture.store.promote(1);
+    fixture.group.list_service().set_state(ServiceState::Down);
+    fixture.group.promote(1);
     for n in 0..8 {
         let file = fixture.folder.join(format!("g{n}.list"));
         let text = std::fs::read_to_string(&file).expect("a list");
@@ -366,120 +384,129 @@
         head["said_ms"] = Value::from(head["said_ms"].as_i64().expect("a time") - 3_600_000);
         std::fs::write(&file, format!("{head}\n{list}")).expect("it is written");
     }
-    let before = fixture.store.audit();
-    let opened = fixture.play(10.0, ms(6_000), || fixture.start(0..8));
-    assert_eq!(opened.ready_ms.len(), 8, "{opened:?}");
-    fixture.sound(&opened);
-    let audit = fixture.store.audit();
+    let before = fixture.group.executions();
+    let report = fixture.run_load(10.0, ms(6_000), || fixture.start(0..8));
+    assert_eq!(report.ready_ms.len(), 8, "{report:?}");
+    fixture.check_soundness(&report);
+    let executions = fixture.group.executions();
     assert_eq!(
-        audit.misplaced, before.misplaced,
+        executions.misrouted_writes, before.misrouted_writes,
         "a write went to the primary on the disk"
     );
     assert!(
-        audit.writes.len() > before.writes.len(),
+        executions.writes.len() > before.writes.len(),
         "writes found the new one"
     );
-    (0..8).for_each(|n| assert_eq!(fixture.told(n)["origin"], "kept word"));
+    (0..8).for_each(|n| assert_eq!(fixture.list_status(n)["origin"], "kept word"));
 }
 
 #[test]
 fn halves_that_are_cut_apart_go_on_and_agree_again_once_they_are_healed() {
     let fixture = Fixture::new("halves", 8, true, 50);
     fixture.start(0..8);
-    fixture.know(ms(10_000), 0..8);
-    let (net, lists) = (
-        fixture.gateways.net().expect("relays"),
-        fixture.store.lists(),
+    fixture.wait_until_current(ms(10_000), 0..8);
+    let (network, lists) = (
+        fixture.gateways.network().expect("relays"),
+        fixture.group.list_service(),
     );
-    let opened = fixture.play(10.0, ms(9_000), || {
+    let report = fixture.run_load(10.0, ms(9_000), || {
         for (a, b) in (0..8)
             .flat_map(|a| (0..8).map(move |b| (a, b)))
             .filter(|(a, b)| a % 2 != b % 2)
         {
-            net.cut(a, b);
+            network.block(a, b);
         }
-        lists.mood(Some(1), ServiceState::Silent);
+        lists.set_listener_state(1, ServiceState::Silent);
         std::thread::sleep(ms(500));
         // Meanwhile another member leads, and one drains: only one half is told.
-        fixture.store.promote(1);
-        lists.lead(1);
-        fixture.store.announce(2, "draining");
-        fixture.know(ms(5_000), (0..8).step_by(2));
+        fixture.group.promote(1);
+        lists.announce_primary(1);
+        fixture.group.announce(2, ListedPhase::Draining);
+        fixture.wait_until_current(ms(5_000), (0..8).step_by(2));
         std::thread::sleep(ms(2_000));
         assert!(
-            (1..8).step_by(2).all(|n| fixture.told(n)["revision"] == 1),
+            (1..8)
+                .step_by(2)
+                .all(|n| fixture.list_status(n)["revision"] == 1),
             "the other half cannot know"
         );
-        net.mend();
-        fixture.know(ms(3_000), 0..8);
-        std::thread::sleep(GRACE);
-        let before = fixture.given(2);
+        network.heal();
+        fixture.wait_until_current(ms(3_000), 0..8);
+        std::thread::sleep(DRAIN_GRACE);
+        let before = fixture.requests_of(2);
         std::thread::sleep(ms(500));
-        assert_eq!(fixture.given(2), before, "told, and new work all the same");
+        assert_eq!(
+            fixture.requests_of(2),
+            before,
+            "told, and new work all the same"
+        );
     });
-    fixture.sound(&opened);
-    lists.mood(Some(1), ServiceState::Up);
+    fixture.check_soundness(&report);
+    lists.set_listener_state(1, ServiceState::Up);
 }
 
-fn bearing() -> SlowStartModel {
+fn member_model() -> SlowStartModel {
     SlowStartModel {
-        per_second: 300.0,
-        cold_share: 0.25,
-        warm_within: ms(10_000),
-        fall_multiple: 4.0,
-        fall_within: ms(1_000),
-        handshake: 2.0,
-        probe: 0.1,
-        line: ms(300),
-        down: ms(1_000),
+        warm_rate: 300.0,
+        cold_fraction: 0.25,
+        warm_up_time: ms(10_000),
+        overload_multiple: 4.0,
+        overload_window: ms(1_000),
+        handshake_cost: 2.0,
+        health_check_cost: 0.1,
+        max_queue_wait: ms(300),
+        collapse_time: ms(1_000),
     }
 }
 
 #[test]
 fn seven_in_ten_killed_in_a_burst_and_all_anew_before_cold_members() {
     let fixture = Fixture::new("herd", 10, true, 50);
-    (0..3).for_each(|n| fixture.store.bear(n, bearing(), false));
+    (0..3).for_each(|n| fixture.group.set_capacity(n, member_model()));
     fixture.start(0..10);
-    fixture.know(ms(10_000), 0..10);
-    let opened = fixture.play(20.0, ms(5_000), || {
+    fixture.wait_until_current(ms(10_000), 0..10);
+    let report = fixture.run_load(20.0, ms(5_000), || {
         std::thread::sleep(ms(2_000));
         (0..7).for_each(|n| fixture.gateways.kill(n));
         std::thread::sleep(ms(100));
         fixture.start(0..7);
     });
-    fixture.sound(&opened);
-    assert!(opened.worth() > 0.8, "{opened:?}");
-    fixture.members_start();
-    fixture.know(ms(5_000), 0..10);
-    let opened = fixture.play(20.0, ms(5_000), || fixture.start(0..10));
-    fixture.sound(&opened);
-    (0..3).for_each(|n| drop(fixture.stands(n)));
+    fixture.check_soundness(&report);
+    assert!(report.served_fraction() > 0.8, "{report:?}");
+    fixture.restart_members();
+    fixture.wait_until_current(ms(5_000), 0..10);
+    let report = fixture.run_load(20.0, ms(5_000), || fixture.start(0..10));
+    fixture.check_soundness(&report);
+    (0..3).for_each(|n| drop(fixture.load_of_standing_member(n)));
 }
 
 #[test]
 fn cold_members_are_connected_to_in_turns_and_roles_are_learned_from_others() {
     // Six a second at each, growing to twenty-four.
-    let fixture = Fixture::with("dealt", 24, true, 50, &["opens: 6"]);
-    (0..3).for_each(|n| fixture.store.bear(n, bearing(), false));
+    let fixture = Fixture::with_lines("dealt", 24, true, 50, &["opens: 6"]);
+    (0..3).for_each(|n| fixture.group.set_capacity(n, member_model()));
     fixture.start(0..24);
-    fixture.know(ms(10_000), 0..24);
-    fixture.play(8.0, ms(6_000), || {});
+    fixture.wait_until_current(ms(10_000), 0..24);
+    fixture.run_load(8.0, ms(6_000), || {});
     // All start anew, gateways and members.
-    fixture.members_start();
-    let from = fixture.store.elapsed();
-    let opened = fixture.play(8.0, ms(6_000), || fixture.start(0..24));
-    fixture.sound(&opened);
-    assert!(opened.served + opened.late > opened.asked / 3, "{opened:?}");
+    fixture.restart_members();
+    let from = fixture.group.elapsed();
+    let report = fixture.run_load(8.0, ms(6_000), || fixture.start(0..24));
+    fixture.check_soundness(&report);
+    assert!(
+        report.served_in_time + report.served_late > report.requests / 3,
+        "{report:?}"
+    );
     for n in 0..3 {
-        let borne = fixture.stands(n);
+        let load = fixture.load_of_standing_member(n);
         // In one second the turns that fall into it, and those that chance moves; without turns all 24 and more.
-        let dealt = worst(
-            borne.handshakes.into_iter().filter(|at| *at >= from),
+        let in_a_second = peak_in_window(
+            load.handshakes.into_iter().filter(|at| *at >= from),
             ms(1_000),
         );
         assert!(
-            dealt <= 16,
-            "member {n}: {dealt} new connections in a second"
+            in_a_second <= 16,
+            "member {n}: {in_a_second} new connections in a second"
         );
     }
 }
@@ -488,42 +515,42 @@
 fn a_service_that_dies_while_half_have_the_list_leaves_the_others_to_be_told() {
     let fixture = Fixture::new("half", 10, true, 50);
     fixture.start(0..5);
-    fixture.know(ms(10_000), 0..5);
-    fixture.store.announce(2, "draining");
-    fixture.know(ms(5_000), 0..5);
-    fixture.store.lists().mood(None, ServiceState::Down);
-    fixture.until("lost watches", ms(10_000), 0..5, |told| {
-        told["watch"] == false
+    fixture.wait_until_current(ms(10_000), 0..5);
+    fixture.group.announce(2, ListedPhase::Draining);
+    fixture.wait_until_current(ms(5_000), 0..5);
+    fixture.group.list_service().set_state(ServiceState::Down);
+    fixture.wait_until("lost watches", ms(10_000), 0..5, |status| {
+        status["watch"] == false
     });
     // These never reach the service, and have no disk to go by.
-    let before = fixture.given(2);
-    let opened = fixture.play(10.0, ms(3_000), || fixture.start(5..10));
-    fixture.sound(&opened);
-    assert_eq!(opened.ready_ms.len(), 10, "{opened:?}");
-    fixture.until("the list of the others", ms(2_000), 5..10, |told| {
-        told["revision"] == 2
+    let before = fixture.requests_of(2);
+    let report = fixture.run_load(10.0, ms(3_000), || fixture.start(5..10));
+    fixture.check_soundness(&report);
+    assert_eq!(report.ready_ms.len(), 10, "{report:?}");
+    fixture.wait_until("the list of the others", ms(2_000), 5..10, |status| {
+        status["revision"] == 2
     });
-    assert_eq!(fixture.given(2), before, "the drain binds them too");
+    assert_eq!(fixture.requests_of(2), before, "the drain binds them too");
     // Back, it is believed by all, and the old half's word no longer counts as kept.
-    fixture.store.lists().mood(None, ServiceState::Up);
-    fixture.store.announce(2, "ready");
-    fixture.know(ms(20_000), 0..10);
+    fixture.group.list_service().set_state(ServiceState::Up);
+    fixture.group.announce(2, ListedPhase::Ready);
+    fixture.wait_until_current(ms(20_000), 0..10);
 }
 
 #[test]
 fn a_fleet_grows_and_shrinks_within_seconds() {
     let fixture = Fixture::new("grows", 24, true, 50);
     fixture.start(0..8);
-    fixture.know(ms(10_000), 0..8);
+    fixture.wait_until_current(ms(10_000), 0..8);
     fixture.start(8..24);
-    fixture.know(ms(10_000), 0..24);
+    fixture.wait_until_current(ms(10_000), 0..24);
     assert!(
-        fixture.asked() <= 14,
+        fixture.polls() <= 14,
         "{} asks for 24 gateways",
-        fixture.asked()
+        fixture.polls()
     );
     // Of the four that are left none held the watch.
     (0..20).for_each(|n| fixture.gateways.kill(n));
-    fixture.store.announce(2, "draining");
-    fixture.know(REPLACED, 20..24);
+    fixture.group.announce(2, ListedPhase::Draining);
+    fixture.wait_until_current(LEADER_REPLACED_WITHIN, 20..24);
 }
--- a/crates/stackgw-cli/tests/streams.rs
+++ b/crates/stackgw-cli/tests/streams.rs
@@ -1,25 +1,28 @@
 //! Bulk streams through real gateways, and what may happen to one halfway.
 #![cfg(feature = "flight")]
 
-mod driver;
+mod common;
 
 use arrow_flight::{Action, CancelFlightInfoRequest, CancelFlightInfoResult, FlightData, Ticket};
-use driver::{code, messages, served, sql, Ask, Fixture, Sql};
+use common::group_fixture::GroupFixture;
+use common::protocol_client::{
+    connect_sql, fetch_messages, grpc_code, served, ClientRequest, SqlClient,
+};
 use futures::{Stream, StreamExt};
 use prost::Message;
-use stackgw_testkit::Protocol;
+use stackgw_testkit::{ListedPhase, Protocol};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 use tonic::{Code, Request, Status};
 
 /// A fixture that knows its primary, and a runtime for its clients.
-fn fixture(name: &str, lags_ms: &[u64]) -> (Fixture, tokio::runtime::Runtime) {
-    let fixture = Fixture::new(name, lags_ms, Protocol::FlightSql);
+fn fixture(name: &str, lags_ms: &[u64]) -> (GroupFixture, tokio::runtime::Runtime) {
+    let fixture = GroupFixture::new(name, lags_ms, Protocol::FlightSql);
     for n in 0..2 {
         assert_eq!(
             fixture
-                .driver(n, Protocol::FlightSql)
-                .patiently(&Ask::write("k", 1)),
+                .client(n, Protocol::FlightSql)
+                .send_with_retries(&ClientRequest::write("k", 1)),
             served(1)
         );
     }
@@ -39,13 +42,13 @@
 type Messages = std::pin::Pin<Box<dyn Stream<Item = Result<FlightData, Status>>>>;
 
 /// Begins a stream; comes again for a while where it is refused.
-async fn begin(client: &mut Sql, text: &str) -> Messages {
+async fn begin(client: &mut SqlClient, text: &str) -> Messages {
     let since = Instant::now();
     loop {
-        match messages(client, text).await {
+        match fetch_messages(client, text).await {
             Ok(stream) => return Box::pin(stream),
             Err(error) => {
-                let refused = code(&*error) == Some(Code::Unavailable);
+                let refused = grpc_code(&*error) == Some(Code::Unavailable);
                 assert!(
                     refused && since.elapsed() < Duration::from_secs(5),
                     "{error:?}"
@@ -73,24 +76,24 @@
 
 /// Sets a trouble of all members.
 fn all(
-    fixture: &Fixture,
-    trouble: impl Fn(&stackgw_testkit::FakeMember) -> &AtomicU64,
+    fixture: &GroupFixture,
+    fault: impl Fn(&stackgw_testkit::FakeMember) -> &AtomicU64,
     value: u64,
 ) {
     fixture
-        .store
+        .group
         .members
         .iter()
-        .for_each(|m| trouble(m).store(value, Ordering::Relaxed));
+        .for_each(|m| fault(m).store(value, Ordering::Relaxed));
 }
 
 /// Reads that ran since the last look, and no id twice.
-fn none_twice(fixture: &Fixture) {
-    let audit = fixture.store.audit();
+fn none_twice(fixture: &GroupFixture) {
+    let executions = fixture.group.executions();
     assert!(
-        audit.reads_by_id.values().all(|ran| *ran == 1),
+        executions.reads_by_id.values().all(|ran| *ran == 1),
         "{:?}",
-        audit.reads_by_id
+        executions.reads_by_id
     );
 }
 
@@ -99,7 +102,7 @@
     let (fixture, runtime) = fixture("whole", &[20, 20]);
     runtime.block_on(async {
         for (batches, bytes) in [(1, 10), (50, 64 << 10), (20, 1 << 20)] {
-            let mut client = sql(fixture.flight(0), "look").await;
+            let mut client = connect_sql(fixture.flight_address(0), "look").await;
             let mut stream = begin(&mut client, &bulk(batches, bytes)).await;
             let (messages, body, error) = drain(&mut stream).await;
             assert!(error.is_none(), "{error:?}");
@@ -117,22 +120,22 @@
 fn a_client_that_cancels_halfway_stops_the_work_within_a_second() {
     let (fixture, runtime) = fixture("cancel", &[20, 20]);
     runtime.block_on(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
         for _ in 0..20 {
             stream.next().await.expect("more").expect("good");
         }
-        assert_eq!(fixture.running(), 1);
+        assert_eq!(fixture.group.in_flight(), 1);
         drop(stream);
         tokio::time::sleep(Duration::from_millis(10)).await;
     });
-    fixture.rests(Duration::from_secs(1));
+    fixture.wait_until_idle(Duration::from_secs(1));
     let cancels = || {
         fixture
-            .store
+            .group
             .members
             .iter()
-            .map(|m| m.cancels.load(Ordering::Relaxed))
+            .map(|m| m.cancellations.load(Ordering::Relaxed))
             .sum::<u64>()
     };
     let since = Instant::now();
@@ -149,7 +152,7 @@
 fn cancel_flight_info_stops_what_runs_before_it_begins_and_halfway() {
     let (fixture, runtime) = fixture("action", &[20]);
     runtime.block_on(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let info = client
             .execute(bulk(1_000_000, 64 << 10), None)
             .await
@@ -164,7 +167,7 @@
                 body: body.into(),
             }
         };
-        let mut other = sql(fixture.flight(0), "look").await;
+        let mut other = connect_sql(fixture.flight_address(0), "look").await;
         let error = other
             .do_action(Request::new(stop()))
             .await
@@ -197,26 +200,26 @@
             Code::Cancelled
         );
         // Before it begins.
-        all(&fixture, |m| &m.slow_ms, 5_000);
-        let mut asks = client.clone();
-        let asked = async { asks.inner_mut().do_get(ticket()).await.map(|_| ()) };
+        all(&fixture, |m| &m.delay_ms, 5_000);
+        let mut caller = client.clone();
+        let call = async { caller.inner_mut().do_get(ticket()).await.map(|_| ()) };
         let stops = async {
             while other.do_action(Request::new(stop())).await.is_err() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        let (asked, ()) = tokio::join!(asked, stops);
-        assert_eq!(asked.expect_err("it was stopped").code(), Code::Cancelled);
+        let (call, ()) = tokio::join!(call, stops);
+        assert_eq!(call.expect_err("it was stopped").code(), Code::Cancelled);
     });
-    fixture.rests(Duration::from_secs(1));
+    fixture.wait_until_idle(Duration::from_secs(1));
 }
 
 #[test]
 fn a_member_that_stops_sending_halfway_ends_the_stream_once_and_in_time() {
     let (fixture, runtime) = fixture("stalls", &[20, 20]);
-    all(&fixture, |m| &m.stalls_after, 5);
+    all(&fixture, |m| &m.stall_after_batches, 5);
     runtime.block_on(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let since = Instant::now();
         let mut stream = begin(&mut client, &bulk(1_000, 1_000)).await;
         let (messages, _, error) = drain(&mut stream).await;
@@ -229,20 +232,20 @@
         );
     });
     none_twice(&fixture);
-    fixture.rests(Duration::from_secs(1));
+    fixture.wait_until_idle(Duration::from_secs(1));
 }
 
 #[test]
 fn a_member_that_dies_halfway_ends_the_stream_and_nobody_begins_it_again() {
     let (fixture, runtime) = fixture("dies", &[20, 20]);
     runtime.block_on(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
         stream.next().await.expect("more").expect("good");
         let n = (0..3)
-            .find(|n| fixture.store.members[*n].running.load(Ordering::Relaxed) > 0)
+            .find(|n| fixture.group.members[*n].in_flight.load(Ordering::Relaxed) > 0)
             .expect("one runs");
-        fixture.store.kill(n);
+        fixture.group.kill(n);
         assert_eq!(
             drain(&mut stream).await.2.expect("an end").code(),
             Code::Aborted
@@ -258,11 +261,11 @@
 fn a_member_that_drains_halfway_finishes_its_stream() {
     let (fixture, runtime) = fixture("drains", &[20]);
     runtime.block_on(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let mut stream = begin(&mut client, &bulk(400, 64 << 10)).await;
         stream.next().await.expect("more").expect("good");
         for n in 0..2 {
-            fixture.store.announce(n, "draining");
+            fixture.group.announce(n, ListedPhase::Draining);
         }
         tokio::time::sleep(Duration::from_millis(1_200)).await;
         let (messages, _, error) = drain(&mut stream).await;
@@ -274,22 +277,22 @@
 #[test]
 fn a_schema_that_changes_between_two_batches_ends_the_stream() {
     let (fixture, runtime) = fixture("schema", &[20]);
-    all(&fixture, |m| &m.changes_after, 4);
+    all(&fixture, |m| &m.change_schema_after_batches, 4);
     runtime.block_on(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let mut stream = begin(&mut client, &bulk(100, 1_000)).await;
         let (messages, _, error) = drain(&mut stream).await;
         assert_eq!(error.expect("an end").code(), Code::Aborted);
         assert!(messages <= 5, "{messages}");
     });
-    fixture.rests(Duration::from_secs(1));
+    fixture.wait_until_idle(Duration::from_secs(1));
 }
 
 #[test]
 fn a_batch_beyond_the_limit_ends_its_stream_and_no_other() {
     let (fixture, runtime) = fixture("large", &[20]);
     runtime.block_on(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let mut other = begin(&mut client, &bulk(100, 64 << 10)).await;
         other.next().await.expect("more").expect("good");
         let mut stream = begin(&mut client, &bulk(3, 3 << 20)).await;
@@ -309,13 +312,13 @@
         // Each on a connection of its own: what one leaves unread takes the room of its own connection.
         let mut slow = Vec::new();
         for _ in 0..100 {
-            let mut client = sql(fixture.flight(0), "look").await;
+            let mut client = connect_sql(fixture.flight_address(0), "look").await;
             let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
             stream.next().await.expect("more").expect("good");
             slow.push(stream);
         }
         // Quick statements and a whole stream go by.
-        let mut quick = sql(fixture.flight(0), "look").await;
+        let mut quick = connect_sql(fixture.flight_address(0), "look").await;
         for _ in 0..10 {
             let mut stream = begin(&mut quick, &bulk(1, 10)).await;
             assert!(drain(&mut stream).await.2.is_none());
@@ -328,8 +331,8 @@
             assert_eq!(end, Code::ResourceExhausted);
         }
     });
-    fixture.rests(Duration::from_secs(1));
-    let memory = fixture.peak_mb(0);
+    fixture.wait_until_idle(Duration::from_secs(1));
+    let memory = fixture.peak_memory_mib(0);
     assert!(memory < 192, "{memory} MB");
 }
 
@@ -337,7 +340,7 @@
 fn a_clients_time_ends_its_stream() {
     let (fixture, runtime) = fixture("late", &[20]);
     runtime.block_on(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let text = format!("{} /* d=500 */", bulk(1_000_000, 64 << 10));
         let since = Instant::now();
         let mut stream = begin(&mut client, &text).await;
@@ -351,14 +354,14 @@
             since.elapsed()
         );
     });
-    fixture.rests(Duration::from_secs(1));
+    fixture.wait_until_idle(Duration::from_secs(1));
 }
 
 #[test]
 fn a_ticket_of_a_stream_is_good_at_another_gateway() {
     let (fixture, runtime) = fixture("ticket", &[20]);
     runtime.block_on(async {
-        let info = sql(fixture.flight(0), "look")
+        let info = connect_sql(fixture.flight_address(0), "look")
             .await
             .execute(bulk(3, 100), None)
             .await
@@ -366,7 +369,7 @@
         assert!(info.schema.is_empty(), "only the answer tells it");
         fixture.gateways.restart(0).expect("it starts");
         let ticket: Ticket = info.endpoint[0].ticket.clone().expect("a ticket");
-        let mut other = sql(fixture.flight(1), "look").await;
+        let mut other = connect_sql(fixture.flight_address(1), "look").await;
         let answer = other
             .inner_mut()
             .do_get(Request::new(ticket))
@@ -381,7 +384,7 @@
 fn at_the_gateways_end_a_stream_ends_too() {
     let (fixture, runtime) = fixture("ends", &[20]);
     runtime.block_on(async {
-        let mut client = sql(fixture.flight(0), "look").await;
+        let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
         stream.next().await.expect("more").expect("good");
         fixture.gateways.kill(0);
@@ -391,7 +394,7 @@
                 Err(error) => break error,
             }
         };
-        assert!(code(&error).is_some());
+        assert!(grpc_code(&error).is_some());
     });
-    fixture.rests(Duration::from_secs(1));
+    fixture.wait_until_idle(Duration::from_secs(1));
 }
--- /dev/null
+++ b/crates/stackgw-testkit/src/audit_report.rs
@@ -0,0 +1,104 @@
+//! What clients of an audit saw, and the verdict on it. Field names in JSON are those of the command's output, which stays as it
+//! is.
+
+use crate::replicated_log::ReadsByRole;
+use crate::statistics::Percentiles;
+use serde::Serialize;
+
+/// How requests of one kind ended. Serialized as a list, in this order.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
+#[serde(into = "[u64; 4]")]
+pub struct RequestCounts {
+    /// Served.
+    pub served: u64,
+    /// Rejected: a retry is harmless.
+    pub rejected: u64,
+    /// Failed: it may have run.
+    pub failed: u64,
+    /// Cut off by the kill of a gateway.
+    pub disconnected: u64,
+}
+
+impl From<RequestCounts> for [u64; 4] {
+    fn from(counts: RequestCounts) -> Self {
+        [
+            counts.served,
+            counts.rejected,
+            counts.failed,
+            counts.disconnected,
+        ]
+    }
+}
+
+impl RequestCounts {
+    /// All of them.
+    pub fn total(self) -> u64 {
+        <[u64; 4]>::from(self).iter().sum()
+    }
+}
+
+/// What clients saw.
+#[derive(Debug, Default, Clone, Serialize)]
+pub struct OutcomeCounts {
+    /// Pairs of a served write and a served read.
+    pub pairs: u64,
+    /// Reads that missed their session's own write.
+    pub misses: u64,
+    /// Writes.
+    pub writes: RequestCounts,
+    /// Reads.
+    pub reads: RequestCounts,
+    /// Requests that got no answer though their connection stayed open.
+    #[serde(rename = "lost")]
+    pub unanswered: u64,
+    /// Requests that got more than one answer.
+    #[serde(rename = "twice")]
+    pub duplicate_replies: u64,
+}
+
+/// How an audit came out.
+#[derive(Debug, Default, Clone, Serialize)]
+pub struct Verdict {
+    /// The seed.
+    pub seed: u64,
+    /// What clients saw.
+    #[serde(flatten)]
+    pub counts: OutcomeCounts,
+    /// Writes that ran more than once.
+    #[serde(rename = "doubled")]
+    pub duplicate_writes: u64,
+    /// Writes that were rejected as harmless to retry, and ran all the same.
+    #[serde(rename = "refused_and_ran")]
+    pub rejected_but_executed: u64,
+    /// Writes that were served and never ran.
+    #[serde(rename = "served_and_never_ran")]
+    pub served_but_not_executed: u64,
+    /// Kills of gateways.
+    pub kills: u64,
+    /// Reads by the role of the member that ran them.
+    #[serde(rename = "reads_at")]
+    pub reads_by_role: ReadsByRole,
+    /// Microseconds that served writes took.
+    pub write_us: Percentiles,
+    /// Microseconds that served reads took.
+    pub read_us: Percentiles,
+    /// Seconds that the audit took.
+    pub seconds: f64,
+    /// The first misses, in words.
+    pub first_misses: Vec<String>,
+}
+
+impl Verdict {
+    /// Whether nothing was missed, lost, duplicated or answered wrongly.
+    pub fn is_good(&self) -> bool {
+        let faults = [
+            self.counts.misses,
+            self.counts.unanswered,
+            self.counts.duplicate_replies,
+            self.duplicate_writes,
+            self.rejected_but_executed,
+            self.served_but_not_executed,
+        ];
+        faults.iter().all(|count| *count == 0)
+    }
+}
--- a/crates/stackgw-testkit/src/client.rs
+++ b/crates/stackgw-testkit/src/client.rs
@@ -1,19 +1,29 @@
-//! One client's connection to a gateway.
+//! One client's connection to a gateway, by PostgreSQL's protocol.
 
-use crate::gateways::group;
+use crate::statements::{read_statement, write_statement, BOUNDED_READ_CLASS, SESSION_READ_CLASS};
 use stackgw_gateway::pg::{write, Frame, FrameDecoder};
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// Beyond any request's deadline; what is not answered by then is lost.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(6);
+
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+
+/// What comes before the value in a row of one column: the number of columns and the value's length.
+const ROW_HEADER_BYTES: usize = 6;
+
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// A value.
     Served(Vec<u8>),
-    /// Trying again is harmless.
+    /// It did not run: a retry is harmless.
     Rejected,
-    /// Nothing is promised.
+    /// It may have run.
     Failed,
     /// The request itself is at fault.
     Malformed,
@@ -28,122 +38,96 @@
 /// A client's connection.
 pub struct Client {
     socket: TcpStream,
-    frames: FrameDecoder,
+    decoder: FrameDecoder,
 }
 
-/// Beyond any request's time; what is not answered by then is lost.
-const PATIENCE: Duration = Duration::from_secs(6);
-
 impl Client {
-    /// Connects, and waits for the gateway's welcome.
+    /// Connects, and waits until the gateway has accepted the startup; `None` where it does not.
     pub fn connect(address: SocketAddr) -> Option<Self> {
-        let socket = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
-        socket.set_read_timeout(Some(PATIENCE)).ok()?;
+        let socket = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
+        socket.set_read_timeout(Some(REPLY_TIMEOUT)).ok()?;
         socket.set_nodelay(true).ok()?;
         let mut client = Client {
             socket,
-            frames: FrameDecoder::server(1 << 20),
+            decoder: FrameDecoder::server(MAX_MESSAGE_BYTES),
         };
         let mut bytes = Vec::new();
         write::startup(&mut bytes, "client", "core");
         client.socket.write_all(&bytes).ok()?;
-        client.reply().ok()?;
+        client.read_reply().ok()?;
         Some(client)
     }
 
-    pub(crate) fn insert(&mut self, id: &str, key: &str, value: u64) -> RequestOutcome {
-        let comment = format!("/* id={id},c=buy,d=3000,cluster={} */", group());
-        self.ask(&format!(
-            "INSERT INTO state (uid, val) VALUES ('{key}', '\\x{value:016x}') RETURNING val {comment}"
-        ))
+    /// Writes a value; the key is the session.
+    pub(crate) fn write(&mut self, id: &str, key: &str, value: u64) -> RequestOutcome {
+        self.query(&write_statement(id, key, value))
     }
 
-    pub(crate) fn select(&mut self, id: &str, key: &str) -> RequestOutcome {
-        let comment = format!("/* id={id},c=mine,d=1000,cluster={} */", group());
-        self.ask(&format!(
-            "SELECT val FROM state WHERE uid = '{key}' {comment}"
-        ))
+    /// Reads a key so that its session's own writes are seen.
+    pub(crate) fn read_own_writes(&mut self, id: &str, key: &str) -> RequestOutcome {
+        self.query(&read_statement(id, key, SESSION_READ_CLASS))
     }
 
-    pub(crate) fn look(&mut self, id: &str, key: &str) -> RequestOutcome {
-        let comment = format!("/* id={id},c=look,d=1000,cluster={} */", group());
-        self.ask(&format!(
-            "SELECT val FROM state WHERE uid = '{key}' {comment}"
-        ))
+    /// Reads a key with a bound on staleness.
+    pub(crate) fn read_bounded(&mut self, id: &str, key: &str) -> RequestOutcome {
+        self.query(&read_statement(id, key, BOUNDED_READ_CLASS))
     }
 
-    /// Asks with an empty query, and waits until the gateway says that it is ready.
+    /// Asks with an empty query, and waits until the gateway says that it is ready to serve.
     pub fn is_ready(&mut self) -> bool {
         let mut bytes = Vec::new();
         write::query(&mut bytes, "");
         let sent = self.socket.write_all(&bytes);
-        sent.is_ok()
-            && self
-                .reply()
-                .is_ok_and(|reply| reply.iter().any(|frame| frame.kind == b'I'))
+        let is_empty_answer = |reply: Vec<Frame>| reply.iter().any(|frame| frame.kind == b'I');
+        sent.is_ok() && self.read_reply().is_ok_and(is_empty_answer)
     }
 
-    /// Waits no longer than this for answers.
-    pub fn patience(&self, patience: Duration) {
-        let _ = self.socket.set_read_timeout(Some(patience));
+    /// Waits no longer than this for replies from now on.
+    pub fn set_reply_timeout(&self, timeout: Duration) {
+        let _ = self.socket.set_read_timeout(Some(timeout));
     }
 
-    /// Asks, and waits for the one answer.
-    pub fn ask(&mut self, text: &str) -> RequestOutcome {
+    /// Sends a statement, and waits for the one reply.
+    pub fn query(&mut self, text: &str) -> RequestOutcome {
         let mut bytes = Vec::new();
         write::query(&mut bytes, text);
         if self.socket.write_all(&bytes).is_err() {
             return RequestOutcome::Disconnected;
         }
-        let reply = match self.reply() {
+        let reply = match self.read_reply() {
             Ok(reply) => reply,
-            Err(ended) => return ended,
+            Err(outcome) => return outcome,
         };
-        if self.frames.next_frame().is_some() {
+        if self.decoder.next_frame().is_some() {
             return RequestOutcome::DuplicateReply;
         }
-        if let Some(error) = reply.iter().find(|f| f.kind == b'E') {
-            let fields = error.body().split(|b| *b == 0);
-            let code = fields
-                .filter_map(|f| f.strip_prefix(b"C"))
-                .next()
-                .unwrap_or_default();
-            return match code {
-                b"53300" | b"57P03" => RequestOutcome::Rejected,
-                b"42601" => RequestOutcome::Malformed,
-                _ => RequestOutcome::Failed,
-            };
+        if let Some(error) = reply.iter().find(|frame| frame.kind == b'E') {
+            return outcome_of_error(error);
         }
-        let row = reply
-            .iter()
-            .find(|f| f.kind == b'D')
-            .and_then(|f| f.body().get(6..));
-        row.map_or(RequestOutcome::Failed, |value| {
+        let row = reply.iter().find(|frame| frame.kind == b'D');
+        let value = row.and_then(|row| row.body().get(ROW_HEADER_BYTES..));
+        value.map_or(RequestOutcome::Failed, |value| {
             RequestOutcome::Served(value.to_vec())
         })
     }
 
-    /// Everything up to ReadyForQuery.
-    fn reply(&mut self) -> Result<Vec<Frame>, RequestOutcome> {
-        let (mut reply, mut buffer) = (Vec::new(), [0; 4096]);
+    /// Everything up to ReadyForQuery, or how the request ended instead.
+    fn read_reply(&mut self) -> Result<Vec<Frame>, RequestOutcome> {
+        let mut reply = Vec::new();
+        let mut buffer = [0; 4096];
         loop {
-            while let Some(frame) = self.frames.next_frame() {
+            while let Some(frame) = self.decoder.next_frame() {
                 let frame = frame.map_err(|_| RequestOutcome::Disconnected)?;
-                let last = frame.kind == b'Z';
+                let is_last = frame.kind == b'Z';
                 reply.push(frame);
-                if last {
+                if is_last {
                     return Ok(reply);
                 }
             }
             match self.socket.read(&mut buffer) {
-                Ok(n) if n > 0 => self.frames.feed(&buffer[..n]),
-                Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
-                    ) =>
-                {
+                Ok(n) if n > 0 => self.decoder.feed(&buffer[..n]),
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                     return Err(RequestOutcome::TimedOut);
                 }
                 _ => return Err(RequestOutcome::Disconnected),
@@ -151,3 +135,17 @@
         }
     }
 }
+
+/// What an error's SQLSTATE says of the request.
+fn outcome_of_error(error: &Frame) -> RequestOutcome {
+    let fields = error.body().split(|byte| *byte == 0);
+    let code = fields
+        .filter_map(|field| field.strip_prefix(b"C"))
+        .next()
+        .unwrap_or_default();
+    match code {
+        b"53300" | b"57P03" => RequestOutcome::Rejected,
+        b"42601" => RequestOutcome::Malformed,
+        _ => RequestOutcome::Failed,
+    }
+}
--- /dev/null
+++ b/crates/stackgw-testkit/src/flight_member.rs
@@ -0,0 +1,167 @@
+//! A member that speaks Arrow Flight SQL, over the same log, faults and record of executions as one that speaks PostgreSQL's
+//! protocol. Its connections are served on one thread.
+
+use crate::bulk_stream::{batch, schema, BulkRequest, VALUE_COLUMN};
+use crate::member::FakeMember;
+use crate::replicated_log::{ReplicatedLog, StatementOutcome};
+use crate::statements::WRITE_KEYWORD;
+use arrow_flight::encode::FlightDataEncoderBuilder;
+use arrow_flight::flight_service_server::{FlightService, FlightServiceServer};
+use arrow_flight::sql::server::FlightSqlService;
+use arrow_flight::sql::{CommandStatementQuery, ProstMessageExt, SqlInfo, TicketStatementQuery};
+use arrow_flight::{
+    Action, CancelFlightInfoResult, CancelStatus, FlightDescriptor, FlightEndpoint, FlightInfo,
+    Ticket,
+};
+use futures::{stream, StreamExt, TryStreamExt};
+use prost::Message;
+use std::net::TcpStream;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use tokio::sync::mpsc;
+use tokio_stream::wrappers::UnboundedReceiverStream;
+use tonic::metadata::MetadataValue;
+use tonic::transport::Server;
+use tonic::{Request, Response, Status};
+
+/// The action by which a client cancels.
+const CANCEL_ACTION: &str = "CancelFlightInfo";
+
+/// The protocol before one member.
+pub(crate) struct FlightMember {
+    pub(crate) index: usize,
+    pub(crate) member: Arc<FakeMember>,
+    pub(crate) log: Arc<ReplicatedLog>,
+}
+
+type Batches = <FlightMember as FlightService>::DoGetStream;
+
+impl FlightMember {
+    /// Serves the connections that are sent to it, on a thread of its own.
+    pub(crate) fn spawn(self) -> std::io::Result<mpsc::UnboundedSender<TcpStream>> {
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        let (connections, accepted) = mpsc::unbounded_channel::<TcpStream>();
+        let incoming = UnboundedReceiverStream::new(accepted).map(|socket| {
+            socket.set_nonblocking(true)?;
+            tokio::net::TcpStream::from_std(socket)
+        });
+        let thread = std::thread::Builder::new().name(format!("m{}", self.index));
+        let service = FlightServiceServer::new(self).max_encoding_message_size(usize::MAX);
+        thread.spawn(move || {
+            let server = Server::builder().add_service(service);
+            let _ = runtime.block_on(server.serve_with_incoming(incoming));
+        })?;
+        Ok(connections)
+    }
+
+    /// Adds the member's role and position to an answer.
+    fn with_position<T>(&self, mut answer: Response<T>, position_ms: u64) -> Response<T> {
+        let metadata = answer.metadata_mut();
+        let role = MetadataValue::from_static(self.member.role());
+        metadata.insert("x-stackgw-role", role);
+        metadata.insert("x-stackgw-position", MetadataValue::from(position_ms));
+        answer
+    }
+
+    /// Runs a statement, after whatever delay the member's faults ask for.
+    async fn execute(&self, text: &str) -> StatementOutcome {
+        let _in_flight = self.member.begin_work();
+        if self.member.is_unresponsive() {
+            std::future::pending::<()>().await;
+        }
+        let outcome = self.log.execute(&self.member, text);
+        if let Some(delay) = self.member.delay() {
+            tokio::time::sleep(delay).await;
+        }
+        outcome
+    }
+
+    /// An answer of one batch.
+    fn answer(&self, value: &[u8], position_ms: Option<u64>) -> Response<Batches> {
+        let batch = batch(VALUE_COLUMN, value);
+        let encoded = FlightDataEncoderBuilder::new()
+            .with_schema(schema(VALUE_COLUMN))
+            .build(stream::once(async { batch }))
+            .map_err(Status::from);
+        let answer = Response::new(encoded.boxed());
+        match position_ms {
+            Some(position_ms) => self.with_position(answer, position_ms),
+            None => answer,
+        }
+    }
+}
+
+fn not_primary() -> Status {
+    let mut status = Status::failed_precondition("a replica takes no writes");
+    let never = MetadataValue::from_static("never");
+    status.metadata_mut().insert("x-stackgw-ran", never);
+    status
+}
+
+#[tonic::async_trait]
+impl FlightSqlService for FlightMember {
+    type FlightService = FlightMember;
+
+    async fn get_flight_info_statement(
+        &self,
+        query: CommandStatementQuery,
+        request: Request<FlightDescriptor>,
+    ) -> Result<Response<FlightInfo>, Status> {
+        let ticket = TicketStatementQuery {
+            statement_handle: query.query.into_bytes().into(),
+        };
+        let endpoint =
+            FlightEndpoint::new().with_ticket(Ticket::new(ticket.as_any().encode_to_vec()));
+        let info = FlightInfo::new()
+            .with_endpoint(endpoint)
+            .with_descriptor(request.into_inner());
+        Ok(Response::new(info))
+    }
+
+    async fn do_get_statement(
+        &self,
+        ticket: TicketStatementQuery,
+        _: Request<Ticket>,
+    ) -> Result<Response<Batches>, Status> {
+        let text = String::from_utf8_lossy(&ticket.statement_handle).into_owned();
+        let (value, position_ms) = match self.execute(&text).await {
+            StatementOutcome::Value { value, position_ms } => (value, Some(position_ms)),
+            StatementOutcome::LoadReport(report) => (report.into_bytes(), None),
+            StatementOutcome::Malformed => {
+                return Err(Status::invalid_argument("no statement of a client"))
+            }
+            StatementOutcome::NotPrimary { .. } => return Err(not_primary()),
+        };
+        if let (Some(bulk), Some(position_ms)) = (BulkRequest::parse(&text), position_ms) {
+            let batches = bulk.stream(&self.member).map_err(Status::from).boxed();
+            return Ok(self.with_position(Response::new(batches), position_ms));
+        }
+        if text.starts_with(WRITE_KEYWORD) && self.member.is_dropping_write_replies() {
+            self.member.kill();
+            self.member.revive();
+            std::future::pending::<()>().await;
+        }
+        Ok(self.answer(&value, position_ms))
+    }
+
+    async fn do_action_fallback(
+        &self,
+        request: Request<Action>,
+    ) -> Result<Response<<Self as FlightService>::DoActionStream>, Status> {
+        if request.get_ref().r#type != CANCEL_ACTION {
+            return Err(Status::unimplemented("no such action"));
+        }
+        // Its stream has been reset by then; what is left is to say so.
+        self.member.cancellations.fetch_add(1, Ordering::Relaxed);
+        let body = CancelFlightInfoResult {
+            status: CancelStatus::Cancelled.into(),
+        }
+        .encode_to_vec();
+        let result = arrow_flight::Result { body: body.into() };
+        Ok(Response::new(stream::once(async { Ok(result) }).boxed()))
+    }
+
+    async fn register_sql_info(&self, _: i32, _: &SqlInfo) {}
+}
--- a/crates/stackgw-testkit/src/lib.rs
+++ b/crates/stackgw-testkit/src/lib.rs
@@ -1,29 +1,70 @@
-//! Stand-ins on loopback, for the product's demo, its tests and its long measurements: members of a replicated store that
-//! speak the gateway's protocol ([`ReplicaGroup`]), the service that has their list, clients whose sessions roam ([`SessionAudit`]), and
-//! gateways as real processes that are killed, paused and started anew ([`GatewayFleet`]).
+//! Fakes and fault injection on loopback, for the command's demo, its measurements and its tests.
 //!
-//! Every execution is written down ([`ExecutionLog`]), so that what a session saw is judged by what ran.
+//! - [`ReplicaGroup`]: the members of a replication group, a primary and replicas that lag, which speak PostgreSQL's protocol or
+//!   Arrow Flight SQL; their faults and their capacity are set by whoever runs them.
+//! - [`ListService`]: the service that lists the members, and its faults.
+//! - [`GatewayFleet`]: gateways as real processes, which are killed, paused and started anew, and [`FaultyNetwork`] between them.
+//! - [`run_audit`]: clients that write and read through any gateway while faults are injected, and the verdict on what they saw.
+//! - [`ColdConnectLoad`]: the load of a fleet's first seconds.
+//! - [`measure`]: what parts of the gateway cost.
+//!
+//! Every execution is recorded ([`ExecutionLog`]), so that what a session saw is judged by what ran. The fakes know the gateway's
+//! wire, its files and its log lines, and nothing of its code beyond the codec.
 
 mod audit;
+mod audit_client;
+mod audit_plan;
+mod audit_report;
+#[cfg(feature = "flight")]
+mod bulk_stream;
 mod client;
 mod cold_connect;
-mod cold_start;
+mod cold_connect_report;
+mod error;
+mod fault_injection;
+mod fleet_config;
+mod fleet_load;
+#[cfg(feature = "flight")]
+mod flight_client;
 #[cfg(feature = "flight")]
-mod flight;
-mod gateways;
+mod flight_member;
+mod gateway_files;
+mod gateway_fleet;
+mod list_http;
+mod list_revisions;
 mod list_service;
+pub mod measure;
+mod member;
 mod network;
+mod postgres_member;
+mod process_stats;
 mod replica_group;
+mod replicated_log;
 mod slow_start_model;
+mod statements;
+mod statistics;
+mod sync;
 
-pub use audit::{Faults, OutcomeCounts, SessionAudit, Verdict};
+pub use audit::run_audit;
+pub use audit_plan::AuditPlan;
+pub use audit_report::{OutcomeCounts, RequestCounts, Verdict};
 pub use client::{Client, RequestOutcome};
-pub use cold_connect::{ColdConnectLoad, ColdConnectReport, FleetLoad};
-pub use cold_start::{ColdStart, ColdStartReport, PhaseReport, PollCounts, PHASE_NAMES};
-pub use gateways::{BootstrapConfig, FleetConfig, FleetMode, GatewayFleet, USER};
-pub use list_service::{
-    worst, ListService, PollOutcome, PollRecord, ServiceCapacity, ServiceState,
+pub use cold_connect::ColdConnectLoad;
+pub use cold_connect_report::{ColdConnectReport, SecondCounts};
+pub use error::TestkitError;
+pub use fault_injection::Faults;
+pub use fleet_config::{
+    BootstrapConfig, FleetConfig, FleetMode, FlightAuth, FlightUser, FLIGHT_USER,
 };
+pub use fleet_load::{FleetLoad, MemberCounts};
+pub use gateway_fleet::GatewayFleet;
+pub use list_revisions::ListedPhase;
+pub use list_service::{ListService, PollOutcome, PollRecord, ServiceCapacity, ServiceState};
+pub use member::FakeMember;
 pub use network::FaultyNetwork;
-pub use replica_group::{ExecutionLog, FakeMember, Protocol, ReplicaGroup, GROUP};
+pub use process_stats::{cpu_time_us, memory_mib, peak_memory_mib};
+pub use replica_group::{GroupConfig, Protocol, ReplicaGroup};
+pub use replicated_log::{ExecutionLog, ReadsByRole};
 pub use slow_start_model::{ObservedLoad, SlowStartModel};
+pub use statements::GROUP;
+pub use statistics::{peak_in_window, Percentiles};
