--- /dev/null
+++ b/crates/stackgw-testkit/src/member.rs
@@ -0,0 +1,192 @@
+//! One fake member: its role, its capacity, the faults that a test gives it, and what has come to it. It knows no protocol.
+
+use crate::slow_start_model::{MemberLoad, ObservedLoad, SlowStartModel, WorkOutcome};
+use crate::sync::lock;
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+/// One member; tests change its state while it runs.
+#[derive(Debug)]
+pub struct FakeMember {
+    /// How far a replica's log is behind, in milliseconds; the primary's never is.
+    pub lag_ms: AtomicU64,
+    /// Each answer takes this much longer, in milliseconds.
+    pub delay_ms: AtomicU64,
+    /// It takes requests and answers none.
+    pub unresponsive: AtomicBool,
+    /// A write runs, and then its connection is broken in place of an answer.
+    pub drops_write_replies: AtomicBool,
+    /// Its streams stall after this many batches; 0: they do not.
+    pub stall_after_batches: AtomicU64,
+    /// Its streams change their schema after this many batches; 0: they do not.
+    pub change_schema_after_batches: AtomicU64,
+    /// Requests and streams that it works on now.
+    pub in_flight: Arc<AtomicUsize>,
+    /// Cancellations that it got.
+    pub cancellations: AtomicU64,
+    /// Requests that it got, health checks aside.
+    pub requests: AtomicU64,
+    is_primary: AtomicBool,
+    load: Mutex<Option<MemberLoad>>,
+    /// Since when the list has it draining or gone.
+    draining_since: Mutex<Option<Instant>>,
+    is_dead: AtomicBool,
+    connections: Mutex<Vec<TcpStream>>,
+    group_started: Instant,
+}
+
+/// Counts one request or stream as in flight for as long as it lives.
+pub(crate) struct InFlightGuard(Arc<AtomicUsize>);
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
+impl FakeMember {
+    /// A replica that is this far behind. Its load is recorded in time since the group's start.
+    pub(crate) fn new(lag_ms: u64, group_started: Instant) -> Self {
+        FakeMember {
+            lag_ms: lag_ms.into(),
+            delay_ms: AtomicU64::default(),
+            unresponsive: AtomicBool::default(),
+            drops_write_replies: AtomicBool::default(),
+            stall_after_batches: AtomicU64::default(),
+            change_schema_after_batches: AtomicU64::default(),
+            in_flight: Arc::default(),
+            cancellations: AtomicU64::default(),
+            requests: AtomicU64::default(),
+            is_primary: AtomicBool::default(),
+            load: Mutex::default(),
+            draining_since: Mutex::default(),
+            is_dead: AtomicBool::default(),
+            connections: Mutex::default(),
+            group_started,
+        }
+    }
+
+    pub(crate) fn is_primary(&self) -> bool {
+        self.is_primary.load(Ordering::SeqCst)
+    }
+
+    pub(crate) fn set_primary(&self, is_primary: bool) {
+        self.is_primary.store(is_primary, Ordering::SeqCst);
+    }
+
+    /// The role as the wire names it.
+    pub(crate) fn role(&self) -> &'static str {
+        if self.is_primary() {
+            "leader"
+        } else {
+            "follower"
+        }
+    }
+
+    /// How far its log is behind.
+    pub(crate) fn lag_in_ms(&self) -> u64 {
+        if self.is_primary() {
+            0
+        } else {
+            self.lag_ms.load(Ordering::Relaxed)
+        }
+    }
+
+    /// How much longer its answers take at present, if they do.
+    pub(crate) fn delay(&self) -> Option<Duration> {
+        let delay_ms = self.delay_ms.load(Ordering::Relaxed);
+        (delay_ms > 0).then(|| Duration::from_millis(delay_ms))
+    }
+
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        self.unresponsive.load(Ordering::Relaxed)
+    }
+
+    pub(crate) fn is_dropping_write_replies(&self) -> bool {
+        self.drops_write_replies.load(Ordering::Relaxed)
+    }
+
+    /// Counts a piece of work as in flight until the guard is dropped.
+    pub(crate) fn begin_work(&self) -> InFlightGuard {
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
+        InFlightGuard(self.in_flight.clone())
+    }
+
+    /// Limits its capacity from now on; what it observed before is forgotten.
+    pub(crate) fn set_capacity(&self, model: SlowStartModel) {
+        *lock(&self.load) = Some(MemberLoad::new(model));
+    }
+
+    /// The same for a member whose process has just started.
+    pub(crate) fn set_cold_capacity(&self, model: SlowStartModel) {
+        let mut load = MemberLoad::new(model);
+        load.start(self.group_started.elapsed());
+        *lock(&self.load) = Some(load);
+    }
+
+    /// What has come to it since its capacity was limited.
+    pub(crate) fn observed_load(&self) -> ObservedLoad {
+        lock(&self.load)
+            .as_ref()
+            .map(MemberLoad::observed)
+            .unwrap_or_default()
+    }
+
+    /// Admits a piece of work by its present capacity.
+    pub(crate) fn admit(
+        &self,
+        work: impl FnOnce(&mut MemberLoad, Duration) -> WorkOutcome,
+    ) -> WorkOutcome {
+        match lock(&self.load).as_mut() {
+            None => WorkOutcome::DoneAfter(Duration::ZERO),
+            Some(load) => work(load, self.group_started.elapsed()),
+        }
+    }
+
+    /// Notes since when the list has it draining or gone, if it has.
+    pub(crate) fn set_draining_since(&self, since: Option<Instant>) {
+        *lock(&self.draining_since) = since;
+    }
+
+    /// How long the list has had it draining or gone; zero where it has not.
+    pub(crate) fn draining_for(&self) -> Duration {
+        lock(&self.draining_since)
+            .map(|since| since.elapsed())
+            .unwrap_or_default()
+    }
+
+    /// Takes a connection; a dead member closes it, and the answer is false.
+    pub(crate) fn accept(&self, socket: &TcpStream) -> bool {
+        let _ = socket.set_nodelay(true);
+        if let Ok(clone) = socket.try_clone() {
+            lock(&self.connections).push(clone);
+        }
+        let is_alive = !self.is_dead.load(Ordering::SeqCst);
+        if !is_alive {
+            let _ = socket.shutdown(Shutdown::Both);
+        }
+        is_alive
+    }
+
+    /// Forgets a connection that is over. Danger: without this the clones of thousands of closed connections use up all
+    /// descriptors of a test with hundreds of gateways.
+    pub(crate) fn forget_connection(&self, peer: Option<SocketAddr>) {
+        lock(&self.connections).retain(|socket| socket.peer_addr().ok() != peer);
+    }
+
+    /// Breaks all connections, and closes new ones at once.
+    pub(crate) fn kill(&self) {
+        self.is_dead.store(true, Ordering::SeqCst);
+        for socket in lock(&self.connections).drain(..) {
+            let _ = socket.shutdown(Shutdown::Both);
+        }
+    }
+
+    /// Takes connections again.
+    #[cfg(feature = "flight")]
+    pub(crate) fn revive(&self) {
+        self.is_dead.store(false, Ordering::SeqCst);
+    }
+}
--- /dev/null
+++ b/crates/stackgw-testkit/src/postgres_member.rs
@@ -0,0 +1,192 @@
+//! A member that speaks version 3 of PostgreSQL's protocol: one thread a connection.
+
+use crate::member::FakeMember;
+use crate::replicated_log::{ReplicatedLog, StatementOutcome};
+use crate::slow_start_model::{MemberLoad, WorkOutcome};
+use crate::statements::WRITE_KEYWORD;
+use stackgw_gateway::pg::{code, write, Frame, FrameDecoder};
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+const MAX_STARTUP_BYTES: usize = 1 << 16;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+
+/// How often a member that does not answer looks whether its client is still there.
+const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The protocol before one member.
+#[derive(Clone)]
+pub(crate) struct PostgresMember {
+    pub(crate) index: usize,
+    pub(crate) member: Arc<FakeMember>,
+    pub(crate) log: Arc<ReplicatedLog>,
+}
+
+/// What is written back for one message.
+struct Reply {
+    bytes: Vec<u8>,
+    /// A write ran for it.
+    is_write: bool,
+}
+
+impl PostgresMember {
+    /// Serves a connection on a thread of its own.
+    pub(crate) fn spawn(&self, socket: TcpStream) {
+        let server = self.clone();
+        std::thread::spawn(move || {
+            let peer = socket.peer_addr().ok();
+            server.serve(socket);
+            server.member.forget_connection(peer);
+        });
+    }
+
+    /// Answers one message after another, until the connection ends.
+    fn serve(&self, mut socket: TcpStream) {
+        let mut decoder = FrameDecoder::client(MAX_STARTUP_BYTES, MAX_MESSAGE_BYTES);
+        let mut buffer = [0; 8192];
+        loop {
+            while let Some(frame) = decoder.next_frame() {
+                let Ok(frame) = frame else { return };
+                if self.answer(&mut socket, frame).is_none() {
+                    return;
+                }
+            }
+            match socket.read(&mut buffer) {
+                Ok(n) if n > 0 => decoder.feed(&buffer[..n]),
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                _ => return,
+            }
+        }
+    }
+
+    /// Answers a message; `None` where the connection is over.
+    fn answer(&self, socket: &mut TcpStream, frame: Frame) -> Option<()> {
+        let member = &self.member;
+        let is_startup = is_startup(&frame);
+        let _in_flight = (!is_startup).then(|| member.begin_work());
+        if member.is_unresponsive() && !is_startup {
+            return client_stays(socket, Duration::MAX).then_some(());
+        }
+        let outcome = member.admit(|load, now| admit_frame(load, now, &frame));
+        let reply = match outcome {
+            WorkOutcome::Collapsed => return None,
+            WorkOutcome::Rejected => rejection(),
+            WorkOutcome::DoneAfter(_) => self.reply(frame)?,
+        };
+        if let WorkOutcome::DoneAfter(time) = outcome {
+            std::thread::sleep(time);
+        }
+        if let Some(delay) = member.delay() {
+            client_stays(socket, delay).then_some(())?;
+        }
+        if reply.is_write && member.is_dropping_write_replies() {
+            let _ = socket.shutdown(Shutdown::Both);
+            return None;
+        }
+        socket.write_all(&reply.bytes).ok()
+    }
+
+    /// What is written for a message; `None` where it is none that a member takes.
+    fn reply(&self, frame: Frame) -> Option<Reply> {
+        let mut bytes = Vec::new();
+        if is_startup(&frame) {
+            (frame.code() == Some(code::VERSION_3)).then_some(())?;
+            write::welcome(&mut bytes, self.index as u32, 0);
+            return Some(Reply {
+                bytes,
+                is_write: false,
+            });
+        }
+        (frame.kind == b'Q').then_some(())?;
+        let text = statement_text(&frame);
+        let mut is_write = false;
+        let position_ms = match self.log.execute(&self.member, &text) {
+            StatementOutcome::LoadReport(report) => {
+                write::row(&mut bytes, Some(report.as_bytes()));
+                None
+            }
+            StatementOutcome::Malformed => {
+                write::error(&mut bytes, false, "08P01", "no statement of a client", None);
+                None
+            }
+            StatementOutcome::NotPrimary { position_ms } => {
+                write::error(
+                    &mut bytes,
+                    false,
+                    "25006",
+                    "a replica takes no writes",
+                    None,
+                );
+                Some(position_ms)
+            }
+            StatementOutcome::Value { value, position_ms } => {
+                write::row(&mut bytes, Some(&value));
+                is_write = text.starts_with(WRITE_KEYWORD);
+                Some(position_ms)
+            }
+        };
+        if let Some(position_ms) = position_ms {
+            write::status(&mut bytes, "node_role", self.member.role());
+            write::status(&mut bytes, "replay_position", &position_ms.to_string());
+        }
+        write::ready(&mut bytes);
+        Some(Reply { bytes, is_write })
+    }
+}
+
+fn is_startup(frame: &Frame) -> bool {
+    frame.kind == 0
+}
+
+fn statement_text(frame: &Frame) -> String {
+    String::from_utf8_lossy(frame.body())
+        .trim_end_matches('\0')
+        .to_owned()
+}
+
+fn admit_frame(load: &mut MemberLoad, now: Duration, frame: &Frame) -> WorkOutcome {
+    if is_startup(frame) {
+        load.handshake(now)
+    } else if frame.body().starts_with(b"SHOW") {
+        load.health_check(now)
+    } else {
+        load.request(now)
+    }
+}
+
+/// What a member with a full queue says.
+fn rejection() -> Reply {
+    let mut bytes = Vec::new();
+    let message = "too many requests wait here";
+    write::error(&mut bytes, false, "53300", message, None);
+    write::ready(&mut bytes);
+    Reply {
+        bytes,
+        is_write: false,
+    }
+}
+
+/// Waits for so long; false once the client has closed its connection. Bytes that it sends meanwhile stay unread, and hide the
+/// close behind them until the time is over.
+fn client_stays(socket: &TcpStream, time: Duration) -> bool {
+    let started = Instant::now();
+    let mut byte = [0];
+    loop {
+        let left = time.saturating_sub(started.elapsed());
+        if left.is_zero() {
+            return socket.set_read_timeout(None).is_ok();
+        }
+        let timeout = left.min(PRESENCE_CHECK_INTERVAL);
+        if socket.set_read_timeout(Some(timeout)).is_err() {
+            return false;
+        }
+        match socket.peek(&mut byte) {
+            Ok(0) => return false,
+            Ok(_) => std::thread::sleep(left.min(Duration::from_millis(2))),
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+            Err(_) => return false,
+        }
+    }
+}
--- /dev/null
+++ b/crates/stackgw-testkit/src/replicated_log.rs
@@ -0,0 +1,230 @@
+//! The data of a replication group: one log, of which each member sees what its lag lets through, and the record of every
+//! execution, by which tests judge what sessions saw. It knows no protocol.
+
+use crate::member::FakeMember;
+use crate::statements::{BOUNDED_READ_CLASS, HEALTH_CHECK, STALENESS_BOUND_MS};
+use crate::sync::lock;
+use serde::Serialize;
+use stackgw_gateway::pg::{write, Frame, Statement};
+use std::collections::HashMap;
+use std::sync::atomic::Ordering;
+use std::sync::Mutex;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// Milliseconds since 1970.
+pub(crate) fn unix_ms() -> u64 {
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
+}
+
+/// Reads by the role of the member that ran them. Serialized as a list: the primary's, then the replicas'.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
+#[serde(into = "[u64; 2]")]
+pub struct ReadsByRole {
+    /// Those that the primary ran.
+    pub primary: u64,
+    /// Those that replicas ran.
+    pub replicas: u64,
+}
+
+impl From<ReadsByRole> for [u64; 2] {
+    fn from(reads: ReadsByRole) -> Self {
+        [reads.primary, reads.replicas]
+    }
+}
+
+impl ReadsByRole {
+    /// What has come to these reads since there were only `earlier` ones.
+    pub(crate) fn since(self, earlier: ReadsByRole) -> Self {
+        ReadsByRole {
+            primary: self.primary - earlier.primary,
+            replicas: self.replicas - earlier.replicas,
+        }
+    }
+
+    /// The fraction that replicas ran, from 0 to 1.
+    pub fn replica_fraction(self) -> f64 {
+        self.replicas as f64 / (self.primary + self.replicas).max(1) as f64
+    }
+}
+
+/// Everything that members executed.
+#[derive(Debug, Default, Clone)]
+pub struct ExecutionLog {
+    /// Executions of each write, by its request's id.
+    pub writes: HashMap<String, u32>,
+    /// Executions of each read, by its request's id.
+    pub reads_by_id: HashMap<String, u32>,
+    /// Reads by the role of their member.
+    pub reads: ReadsByRole,
+    /// Reads with a bound on staleness that a replica further behind ran.
+    pub stale_reads: u64,
+    /// Writes that came to a member that was no primary.
+    pub misrouted_writes: u64,
+    /// The longest time after which a member still got a request, once the list had it draining or gone.
+    pub latest_after_drain: Duration,
+}
+
+impl ExecutionLog {
+    /// How often a write ran.
+    pub(crate) fn runs_of_write(&self, id: &str) -> u32 {
+        self.writes.get(id).copied().unwrap_or(0)
+    }
+
+    /// Writes that ran more than once.
+    pub fn duplicate_writes(&self) -> u64 {
+        self.writes.values().filter(|runs| **runs > 1).count() as u64
+    }
+}
+
+/// How a statement ended at a member.
+pub(crate) enum StatementOutcome {
+    /// A value, and the position up to which the member has applied the log, or the write's own.
+    Value { value: Vec<u8>, position_ms: u64 },
+    /// The member is no primary and can't write; it has come to this position.
+    NotPrimary { position_ms: u64 },
+    /// It is no statement of a client.
+    Malformed,
+    /// The answer to a health check.
+    LoadReport(String),
+}
+
+/// A value with the time of its commit, in Unix milliseconds.
+struct CommittedValue {
+    commit_ms: u64,
+    value: Vec<u8>,
+}
+
+#[derive(Default)]
+struct LogState {
+    /// The values of each key, in the order of their commits.
+    values: HashMap<String, Vec<CommittedValue>>,
+    last_commit_ms: u64,
+    executions: ExecutionLog,
+}
+
+/// The log of a group.
+#[derive(Default)]
+pub(crate) struct ReplicatedLog {
+    state: Mutex<LogState>,
+}
+
+impl ReplicatedLog {
+    /// What was executed so far.
+    pub(crate) fn executions(&self) -> ExecutionLog {
+        lock(&self.state).executions.clone()
+    }
+
+    /// Runs a statement at a member.
+    pub(crate) fn execute(&self, member: &FakeMember, text: &str) -> StatementOutcome {
+        // Every commit up to here is seen at this member.
+        let position_ms = unix_ms().saturating_sub(member.lag_in_ms());
+        if text == HEALTH_CHECK {
+            return StatementOutcome::LoadReport(load_report(member, position_ms));
+        }
+        member.requests.fetch_add(1, Ordering::Relaxed);
+        let mut query = Vec::new();
+        write::query(&mut query, text);
+        let Ok(statement) = Statement::parse(Frame {
+            kind: b'Q',
+            bytes: query,
+        }) else {
+            return StatementOutcome::Malformed;
+        };
+        let draining_for = member.draining_for();
+        let mut state = lock(&self.state);
+        let latest = &mut state.executions.latest_after_drain;
+        *latest = (*latest).max(draining_for);
+        if !statement.write {
+            return state.read(member, &statement, position_ms);
+        }
+        if member.is_primary() {
+            return state.write(&statement, text);
+        }
+        state.executions.misrouted_writes += 1;
+        StatementOutcome::NotPrimary { position_ms }
+    }
+}
+
+impl LogState {
+    fn write(&mut self, statement: &Statement, text: &str) -> StatementOutcome {
+        let runs = &mut self.executions.writes;
+        *runs.entry(statement.id.clone()).or_default() += 1;
+        let value = written_value(text);
+        // Rounded up: a replica that has come this far has it.
+        let commit_ms = (unix_ms() + 1).max(self.last_commit_ms);
+        self.last_commit_ms = commit_ms;
+        let committed = CommittedValue {
+            commit_ms,
+            value: value.clone(),
+        };
+        self.values
+            .entry(statement.key.clone())
+            .or_default()
+            .push(committed);
+        StatementOutcome::Value {
+            value,
+            position_ms: commit_ms,
+        }
+    }
+
+    fn read(
+        &mut self,
+        member: &FakeMember,
+        statement: &Statement,
+        position_ms: u64,
+    ) -> StatementOutcome {
+        self.count_read(member, statement, position_ms);
+        let position_ms = if member.is_primary() {
+            self.last_commit_ms.max(unix_ms())
+        } else {
+            position_ms
+        };
+        let values = self.values.get(&statement.key).into_iter().flatten();
+        let visible = values
+            .rev()
+            .find(|committed| committed.commit_ms <= position_ms);
+        StatementOutcome::Value {
+            value: visible
+                .map(|committed| committed.value.clone())
+                .unwrap_or_default(),
+            position_ms,
+        }
+    }
+
+    fn count_read(&mut self, member: &FakeMember, statement: &Statement, position_ms: u64) {
+        let is_behind = unix_ms().saturating_sub(position_ms) > STALENESS_BOUND_MS;
+        let executions = &mut self.executions;
+        executions.stale_reads += u64::from(is_behind && statement.class == BOUNDED_READ_CLASS);
+        if member.is_primary() {
+            executions.reads.primary += 1;
+        } else {
+            executions.reads.replicas += 1;
+        }
+        *executions
+            .reads_by_id
+            .entry(statement.id.clone())
+            .or_default() += 1;
+    }
+}
+
+/// The position in seconds and the role, as a health check is answered.
+fn load_report(member: &FakeMember, position_ms: u64) -> String {
+    let is_primary = u8::from(member.is_primary());
+    format!(
+        "x0={}.{:03},x1={is_primary}",
+        position_ms / 1000,
+        position_ms % 1000
+    )
+}
+
+/// The value of a write, in hexadecimal as its text has it.
+fn written_value(text: &str) -> Vec<u8> {
+    let value = text
+        .split("'\\x")
+        .nth(1)
+        .and_then(|rest| rest.split('\'').next());
+    value.unwrap_or_default().as_bytes().to_vec()
+}
--- a/crates/stackgw-testkit/src/slow_start_model.rs
+++ b/crates/stackgw-testkit/src/slow_start_model.rs
@@ -1,5 +1,6 @@
-//! What a member can bear: a capacity that is small after a start and grows, a line before it, work that handshakes cost, and
-//! the point at which one that is cold falls over. Time is handed in.
+//! The capacity of a member: small after a start and growing, a bounded queue before it, the work that handshakes and health
+//! checks cost, and the overload at which a member that is warming up collapses. It keeps no clock: time is handed in, as the
+//! time since the group's start.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,161 +8,177 @@
 /// What a member can do. Work is counted in requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartModel {
-    /// Requests a second, warm.
-    pub per_second: f64,
-    /// Share of that right after a start ...
-    pub cold_share: f64,
-    /// ... from which it grows evenly to all of it in this time.
-    pub warm_within: Duration,
-    /// Cold, it falls over when more than this multiple of its present capacity comes within `fall_within`.
-    pub fall_multiple: f64,
-    /// See there.
-    pub fall_within: Duration,
-    /// What a new connection costs, and a probe.
-    pub handshake: f64,
-    /// See there.
-    pub probe: f64,
-    /// Whoever would wait longer than this is turned away.
-    pub line: Duration,
-    /// For so long one that fell over answers nobody.
-    pub down: Duration,
+    /// Requests a second of a warm member.
+    pub warm_rate: f64,
+    /// The fraction of the warm rate that a member has right after its start; from there it grows evenly ...
+    pub cold_fraction: f64,
+    /// ... to the whole within this time.
+    pub warm_up_time: Duration,
+    /// A member that is warming up collapses where more than this multiple of its present capacity comes within
+    /// `overload_window`.
+    pub overload_multiple: f64,
+    /// The window over which overload is counted.
+    pub overload_window: Duration,
+    /// What a new connection costs.
+    pub handshake_cost: f64,
+    /// What a health check costs.
+    pub health_check_cost: f64,
+    /// Whoever would wait longer than this is rejected.
+    pub max_queue_wait: Duration,
+    /// A member that has collapsed answers nobody for this long; then it starts anew, cold.
+    pub collapse_time: Duration,
 }
 
 impl SlowStartModel {
     /// Requests a second that a member of this age can do; `None`: it has been up for long.
-    pub(crate) fn at(&self, age: Option<Duration>) -> f64 {
-        let age = age.map_or(1.0, |age| {
-            age.as_secs_f64() / self.warm_within.as_secs_f64()
+    pub(crate) fn rate_at(&self, age: Option<Duration>) -> f64 {
+        let warmth = age.map_or(1.0, |age| {
+            age.as_secs_f64() / self.warm_up_time.as_secs_f64()
         });
-        self.per_second * (self.cold_share + (1.0 - self.cold_share) * age.min(1.0))
+        self.warm_rate * (self.cold_fraction + (1.0 - self.cold_fraction) * warmth.min(1.0))
     }
 }
 
-/// What one member was asked to bear.
+/// What has come to one member.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ObservedLoad {
-    /// When connections were opened to it.
+    /// When connections were opened to it, since the group's start.
     pub handshakes: Vec<Duration>,
-    /// Probes.
-    pub probes: u64,
-    /// Requests that it took, and those it turned away.
-    pub taken: u64,
-    /// See there.
-    pub shed: u64,
-    /// Most work within its fall window, against what makes it fall over: at 1 it does.
-    pub worst: f64,
-    /// How often it fell over.
-    pub fell: u64,
+    /// Health checks.
+    pub health_checks: u64,
+    /// Requests that it accepted.
+    pub accepted: u64,
+    /// Requests that it rejected, or that found it collapsed.
+    pub rejected: u64,
+    /// The most work within its overload window while it warmed up, over the work at which it collapses: at 1 it does.
+    pub peak_overload: f64,
+    /// How often it collapsed.
+    pub collapses: u64,
 }
 
 /// A member under load.
 #[derive(Debug, Clone)]
-pub(crate) struct Load {
-    can: SlowStartModel,
-    started: Option<Duration>,
-    free_at: Duration,
-    down_until: Duration,
+pub(crate) struct MemberLoad {
+    model: SlowStartModel,
+    /// When its process started; `None`: long ago.
+    started_at: Option<Duration>,
+    /// When the work that is queued now will be done.
+    idle_at: Duration,
+    collapsed_until: Duration,
+    /// Recent work with its moments, and the sum of it.
     window: VecDeque<(Duration, f64)>,
-    within: f64,
-    borne: ObservedLoad,
+    work_in_window: f64,
+    observed: ObservedLoad,
 }
 
 /// What becomes of a piece of work.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Took {
-    /// Done after so long.
-    Done(Duration),
-    /// Turned away.
-    Shed,
-    /// The member is down.
-    Down,
+pub(crate) enum WorkOutcome {
+    /// It is done after this time.
+    DoneAfter(Duration),
+    /// The queue is full.
+    Rejected,
+    /// The member has collapsed.
+    Collapsed,
 }
 
-impl Load {
-    /// A member that is warm.
-    pub(crate) fn new(can: SlowStartModel) -> Self {
-        Load {
-            can,
-            started: None,
-            free_at: Duration::ZERO,
-            down_until: Duration::ZERO,
+impl MemberLoad {
+    /// A warm member.
+    pub(crate) fn new(model: SlowStartModel) -> Self {
+        MemberLoad {
+            model,
+            started_at: None,
+            idle_at: Duration::ZERO,
+            collapsed_until: Duration::ZERO,
             window: VecDeque::new(),
-            within: 0.0,
-            borne: ObservedLoad::default(),
+            work_in_window: 0.0,
+            observed: ObservedLoad::default(),
         }
     }
 
     /// Its process has just started.
     pub(crate) fn start(&mut self, now: Duration) {
-        self.started = Some(now);
+        self.started_at = Some(now);
         self.window.clear();
-        (self.within, self.free_at) = (0.0, now);
+        self.work_in_window = 0.0;
+        self.idle_at = now;
     }
 
-    pub(crate) fn borne(&self) -> ObservedLoad {
-        self.borne.clone()
+    /// What has come to it since it got its capacity.
+    pub(crate) fn observed(&self) -> ObservedLoad {
+        self.observed.clone()
     }
 
-    /// Requests a second that it can do now.
-    fn present(&self, now: Duration) -> f64 {
-        self.can.at(self.started.map(|at| now - at))
+    /// Takes in a new connection.
+    pub(crate) fn handshake(&mut self, now: Duration) -> WorkOutcome {
+        self.observed.handshakes.push(now);
+        self.admit(now, self.model.handshake_cost)
     }
 
-    /// A new connection.
-    pub(crate) fn handshake(&mut self, now: Duration) -> Took {
-        self.borne.handshakes.push(now);
-        self.take(now, self.can.handshake)
+    /// Takes in a health check.
+    pub(crate) fn health_check(&mut self, now: Duration) -> WorkOutcome {
+        self.observed.health_checks += 1;
+        self.admit(now, self.model.health_check_cost)
     }
 
-    /// A probe.
-    pub(crate) fn probe(&mut self, now: Duration) -> Took {
-        self.borne.probes += 1;
-        self.take(now, self.can.probe)
+    /// Takes in a request.
+    pub(crate) fn request(&mut self, now: Duration) -> WorkOutcome {
+        let outcome = self.admit(now, 1.0);
+        match outcome {
+            WorkOutcome::DoneAfter(_) => self.observed.accepted += 1,
+            WorkOutcome::Rejected | WorkOutcome::Collapsed => self.observed.rejected += 1,
+        }
+        outcome
     }
 
-    /// A request.
-    pub(crate) fn request(&mut self, now: Duration) -> Took {
-        let took = self.take(now, 1.0);
-        match took {
-            Took::Done(_) => self.borne.taken += 1,
-            _ => self.borne.shed += 1,
+    fn admit(&mut self, now: Duration, work: f64) -> WorkOutcome {
+        if now < self.collapsed_until {
+            return WorkOutcome::Collapsed;
+        }
+        let rate = self.model.rate_at(self.started_at.map(|at| now - at));
+        self.add_to_window(now, work);
+        if self.is_warming_up(now) && self.is_overloaded(rate) {
+            self.collapse(now);
+            return WorkOutcome::Collapsed;
         }
-        took
+        let idle_at = self.idle_at.max(now);
+        if idle_at - now > self.model.max_queue_wait {
+            return WorkOutcome::Rejected;
+        }
+        self.idle_at = idle_at + Duration::from_secs_f64(work / rate);
+        WorkOutcome::DoneAfter(self.idle_at - now)
     }
 
-    fn take(&mut self, now: Duration, work: f64) -> Took {
-        if now < self.down_until {
-            return Took::Down;
-        }
-        let present = self.present(now);
+    fn add_to_window(&mut self, now: Duration, work: f64) {
+        let window = self.model.overload_window;
         while self
             .window
             .front()
-            .is_some_and(|(at, _)| *at + self.can.fall_within <= now)
+            .is_some_and(|(at, _)| *at + window <= now)
         {
-            self.within -= self.window.pop_front().map_or(0.0, |(_, work)| work);
+            self.work_in_window -= self.window.pop_front().map_or(0.0, |(_, work)| work);
         }
         self.window.push_back((now, work));
-        self.within += work;
-        if self
-            .started
-            .is_some_and(|at| now < at + self.can.warm_within)
-        {
-            let bears = self.can.fall_multiple * present * self.can.fall_within.as_secs_f64();
-            self.borne.worst = self.borne.worst.max(self.within / bears);
-            if self.within > bears {
-                self.borne.fell += 1;
-                self.down_until = now + self.can.down;
-                self.start(self.down_until);
-                return Took::Down;
-            }
-        }
-        let free_at = self.free_at.max(now);
-        if free_at - now > self.can.line {
-            return Took::Shed;
-        }
-        self.free_at = free_at + Duration::from_secs_f64(work / present);
-        Took::Done(self.free_at - now)
+        self.work_in_window += work;
+    }
+
+    fn is_warming_up(&self, now: Duration) -> bool {
+        self.started_at
+            .is_some_and(|at| now < at + self.model.warm_up_time)
+    }
+
+    /// Whether the work of the window is more than a cold member bears at this rate; notes how near it is.
+    fn is_overloaded(&mut self, rate: f64) -> bool {
+        let limit = self.model.overload_multiple * rate * self.model.overload_window.as_secs_f64();
+        let overload = self.work_in_window / limit;
+        self.observed.peak_overload = self.observed.peak_overload.max(overload);
+        self.work_in_window > limit
+    }
+
+    fn collapse(&mut self, now: Duration) {
+        self.observed.collapses += 1;
+        self.collapsed_until = now + self.model.collapse_time;
+        self.start(self.collapsed_until);
     }
 }
 
--- a/crates/stackgw-testkit/tests/unit/slow_start_model.rs
+++ b/crates/stackgw-testkit/tests/unit/slow_start_model.rs
@@ -2,24 +2,24 @@
 
 use super::*;
 
-fn can() -> SlowStartModel {
+fn model() -> SlowStartModel {
     let ms = Duration::from_millis;
     SlowStartModel {
-        per_second: 100.0,
-        cold_share: 0.25,
-        warm_within: ms(10_000),
-        fall_multiple: 2.0,
-        fall_within: ms(1_000),
-        handshake: 2.0,
-        probe: 0.1,
-        line: ms(200),
-        down: ms(500),
+        warm_rate: 100.0,
+        cold_fraction: 0.25,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.0,
+        overload_window: ms(1_000),
+        handshake_cost: 2.0,
+        health_check_cost: 0.1,
+        max_queue_wait: ms(200),
+        collapse_time: ms(500),
     }
 }
 
 #[test]
-fn a_cold_member_falls_over_where_a_warm_one_turns_away() {
-    let mut warm = Load::new(can());
+fn a_cold_member_collapses_where_a_warm_one_rejects() {
+    let mut warm = MemberLoad::new(model());
     let mut cold = warm.clone();
     let at = Duration::from_millis;
     cold.start(Duration::ZERO);
@@ -27,12 +27,15 @@
         warm.request(at(n));
         cold.request(at(n));
     }
-    assert_eq!((warm.borne().fell, warm.borne().worst), (0, 0.0));
-    assert!(warm.borne().shed > 0);
-    assert_eq!(cold.borne().fell, 1);
-    assert!(cold.borne().worst > 1.0 && cold.request(at(300)) == Took::Down);
+    assert_eq!(
+        (warm.observed().collapses, warm.observed().peak_overload),
+        (0, 0.0)
+    );
+    assert!(warm.observed().rejected > 0);
+    assert_eq!(cold.observed().collapses, 1);
+    assert!(cold.observed().peak_overload > 1.0 && cold.request(at(300)) == WorkOutcome::Collapsed);
     assert!(
-        matches!(cold.handshake(at(900)), Took::Done(_)),
+        matches!(cold.handshake(at(900)), WorkOutcome::DoneAfter(_)),
         "it is back"
     );
 }
