--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -50,7 +50,7 @@
     "query RequestId=r1 GatewayId=gateway_0 DropDeadNs=9750000000 Service=0 Cluster=4 New=1\n";
 
 #[test]
-fn a_read_is_sent_on_answered_and_done_with() {
+fn a_read_is_forwarded_and_finished_with_one_reply_a_batch() {
     let input = first_batch()
         + "clock NowNs=9001000000 seq=2\n\
            probe_done GatewayId=gateway_0 Server=beta TookNs=1000000 Status=delivered Stats=x0:7.999,x1:0\n"
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_instance_killed_and_started_in_one_batch_knows_nothing_of_its_past() {
+fn an_instance_restarted_within_a_batch_starts_without_state() {
     let input = first_batch()
         + "clock NowNs=9001000000 seq=2\n"
         + "query RequestId=r1 GatewayId=gateway_0 DropDeadNs=9750000000 Service=1 Cluster=4 Sess=s\n"
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn numbered_lists_are_resolved_in_the_order_of_events() {
+fn a_page_reused_within_a_batch_is_read_as_of_each_event() {
     let entry =
         |name: &str| format!("item Server={name} Shard=4 Readiness=in_service Leads=1 Weight=1\n");
     let input = format!(
--- /dev/null
+++ b/crates/stackgw-cli/src/flight_frontend.rs
@@ -0,0 +1,70 @@
+//! Flight SQL before the gateway and behind it, as the operator's file configures it.
+
+use crate::error::CommandResult;
+use stackgw_config::Auth;
+use stackgw_flight::{AuthScheme, BackendConfig, ServerConfig, StreamLimits, Users};
+use stackgw_gateway::config::Config;
+use stackgw_gateway::FrontendFactory;
+use stackgw_router::api::{Span, MS};
+use std::any::Any;
+
+const KIB_BITS: u32 = 10;
+
+/// What starts the Flight SQL server, if the operator's file turns it on.
+///
+/// # Errors
+/// Where the file of users can't be used.
+pub fn flight_frontend(config: &Config) -> CommandResult<Option<FrontendFactory>> {
+    let Some(flight) = config.operator.flight.clone() else {
+        return Ok(None);
+    };
+    let (file, ring) = (flight.options, flight.keyring);
+    let bulk = &file.bulk;
+    let users = match &file.auth {
+        None => None,
+        Some(Auth::Basic(users)) => Some(Users::read(AuthScheme::Basic, users)?),
+        Some(Auth::Bearer(users)) => Some(Users::read(AuthScheme::Bearer, users)?),
+    };
+    let limits = &config.limits;
+    let settings = ServerConfig {
+        listen: file.listen,
+        ring,
+        ticket_ms: file.ticket.as_millis(),
+        wait_ms: file.wait.as_millis(),
+        requests: file.requests,
+        streams: file.streams,
+        threads: file.threads,
+        bulk: StreamLimits {
+            streams: bulk.streams,
+            each: bulk.each_kib << KIB_BITS,
+            all: bulk.all_kib << KIB_BITS,
+            stall: span(bulk.stall),
+            silence: span(bulk.silence),
+        },
+        members: BackendConfig {
+            connect_ms: whole_ms(limits.connect_timeout).max(1),
+            per_channel: bulk.per_channel,
+            message_bytes: bulk.message_kib << KIB_BITS,
+            value_bytes: limits.answer_bytes,
+            outcome_ms: file.wait.as_millis(),
+        },
+        groups: file.groups.clone(),
+        slack_ms: whole_ms(config.settings.router.obligations.answer_slack),
+        users,
+    };
+    Ok(Some(Box::new(move |requests, backend, log| {
+        stackgw_flight::start(settings, requests, backend, log)
+            .map(|server| Box::new(server) as Box<dyn Any>)
+            .map_err(Into::into)
+    })))
+}
+
+/// A duration of the operator's file as the router's span.
+fn span(duration: stackgw_config::Duration) -> Span {
+    i64::try_from(duration.as_millis()).unwrap_or(i64::MAX) * MS
+}
+
+/// A span in whole milliseconds; 0 where it is below 0.
+fn whole_ms(span: Span) -> u64 {
+    u64::try_from(span / MS).unwrap_or(0)
+}
--- a/crates/stackgw-cli/src/main.rs
+++ b/crates/stackgw-cli/src/main.rs
@@ -3,6 +3,8 @@
 mod cmd;
 mod control_socket;
 mod error;
+#[cfg(feature = "flight")]
+mod flight_frontend;
 
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
--- a/crates/stackgw-cli/tests/conformance.rs
+++ b/crates/stackgw-cli/tests/conformance.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_malformed_and_runs_nowhere() {
+fn a_malformed_request_runs_nowhere() {
     for_each_protocol("wrong", &[20], |fixture, client_of| {
         let before = fixture.group.executions();
         for wrong in [
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn where_no_member_is_left_all_is_refused_in_time() {
+fn requests_are_rejected_in_time_when_no_member_is_left() {
     for_each_protocol("nobody", &[20], |fixture, client_of| {
         (0..2).for_each(|n| fixture.group.kill(n));
         for request in [
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_is_failed_and_never_sent_again() {
+fn a_write_that_may_have_run_fails_and_is_never_retried() {
     for_each_protocol("cut", &[20], |fixture, client_of| {
         fixture.group.members[0]
             .drops_write_replies
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_silent_primary_fails_a_write_in_time() {
+fn a_write_fails_in_time_when_the_primary_is_unresponsive() {
     for_each_protocol("silent", &[20], |fixture, client_of| {
         fixture.group.members[0]
             .unresponsive
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn reads_leave_a_silent_replica_within_their_time() {
+fn reads_are_retried_elsewhere_in_time_when_a_replica_is_unresponsive() {
     for_each_protocol("replica", &[20, 20], |fixture, client_of| {
         fixture.group.members[1]
             .unresponsive
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn what_is_too_old_is_not_read() {
+fn reads_avoid_replicas_that_are_too_stale() {
     for_each_protocol("fresh", &[60_000, 60_000], |fixture, client_of| {
         for round in 10..14 {
             assert_eq!(
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_taken() {
+fn a_request_with_the_id_of_an_open_one_is_malformed() {
     for_each_protocol("taken", &[20], |fixture, client_of| {
         fixture.group.members[0]
             .delay_ms
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_member_that_drains() {
+fn a_draining_member_gets_no_new_requests() {
     for_each_protocol("drains", &[20, 20], |fixture, client_of| {
         let asked = || fixture.group.members[1].requests.load(Ordering::Relaxed);
         fixture.group.announce(1, ListedPhase::Draining);
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_member_that_has_just_started_gets_less_than_the_others() {
+fn a_member_in_slow_start_gets_fewer_requests() {
     for_each_protocol("cold", &[20, 20], |fixture, client_of| {
         let asked = |n: usize| fixture.group.members[n].requests.load(Ordering::Relaxed);
         fixture.group.announce_start(2);
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_member_that_dies_costs_reads_nothing_and_writes_run_once_at_most() {
+fn reads_are_served_and_writes_run_at_most_once_when_a_member_dies() {
     for_each_protocol("dies", &[20, 20], |fixture, client_of| {
         for member in &fixture.group.members {
             member.delay_ms.store(150, Ordering::Relaxed);
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_read_whose_client_leaves_stops_at_its_member() {
+fn a_read_is_stopped_at_its_member_when_its_client_leaves() {
     for_each_protocol("leaves", &[20, 20], |fixture, client_of| {
         for member in &fixture.group.members {
             member.delay_ms.store(5_000, Ordering::Relaxed);
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn a_write_whose_client_leaves_runs_once_and_is_not_lost() {
+fn a_write_runs_once_when_its_client_leaves() {
     for_each_protocol("gone", &[20], |fixture, client_of| {
         fixture.group.members[0]
             .delay_ms
@@ -362,7 +362,7 @@
 }
 
 #[test]
-fn a_gateway_that_is_killed_and_comes_back_forgets_no_session() {
+fn sessions_survive_the_kill_and_restart_of_a_gateway() {
     for_each_protocol("killed", &[20, 800], |fixture, client_of| {
         for round in 20..23 {
             assert_eq!(
--- a/crates/stackgw-cli/tests/discovery.rs
+++ b/crates/stackgw-cli/tests/discovery.rs
@@ -103,7 +103,7 @@
 
 /// A change counts as told six seconds after discovery had it and could be reached: by then a member that drains gets nothing new.
 #[test]
-fn a_drain_is_taken_within_six_seconds_however_discovery_failed() {
+fn a_drain_takes_effect_within_six_seconds_however_discovery_failed() {
     let all = [
         (Fails::Swallows, 0),
         (Fails::Closes, 6),
@@ -181,7 +181,7 @@
 /// Hundreds of clients that connect, ask whether the gateway is ready, and stay, while discovery is down: the watch, the members and
 /// a refusal for whoever comes then still find descriptors.
 #[test]
-fn clients_that_wait_for_discovery_leave_room_for_it_for_members_and_for_refusals() {
+fn clients_that_wait_for_discovery_leave_descriptors_for_it_for_members_and_for_rejections() {
     let (sender, _statements) = channel();
     let (_release, released) = channel();
     let port = start_member(true, sender, released);
--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn bad_bytes_end_their_own_connection_and_no_other() {
+fn malformed_bytes_end_their_own_connection_and_no_other() {
     let GatewayFixture {
         gateway,
         statements,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn more_clients_than_places_stay_within_the_descriptors_and_are_served() {
+fn clients_beyond_capacity_are_served_within_the_descriptor_limit() {
     let GatewayFixture { gateway, .. } = start_fixture("many");
     let mut clients: Vec<_> = (0..200).map(|_| gateway.ready_client()).collect();
     // One that is turned away tries again, and finds the place of one idle longer.
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn where_all_places_are_busy_a_new_client_is_turned_away_at_once() {
+fn a_new_client_is_rejected_at_once_when_all_clients_are_busy() {
     let GatewayFixture {
         gateway,
         release: _unreleased,
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn sigterm_loses_nothing_that_was_taken() {
+fn accepted_requests_are_answered_after_sigterm() {
     let GatewayFixture {
         mut gateway,
         statements,
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_plain_line() {
+fn a_configuration_that_cannot_be_used_is_one_line_of_error() {
     let run = |name: &str, text: Option<&str>| {
         let path = std::env::temp_dir().join(format!("stackgw-{}-{name}.json", std::process::id()));
         let mut command = Command::new(env!("CARGO_BIN_EXE_stackgw"));
@@ -299,7 +299,7 @@
 
 /// A second copy behind an answer belongs to nobody; the next request is not served with it.
 #[test]
-fn a_second_copy_behind_an_answer_is_never_the_next_ones_answer() {
+fn a_duplicate_reply_is_never_the_next_requests_answer() {
     let GatewayFixture { gateway, .. } = start_fixture("copies");
     let mut client = gateway.ready_client();
     for n in 0..40 {
@@ -318,7 +318,7 @@
 
 /// Whatever is spoilt reaches no client: a read is asked for again, a write that may have run fails at once.
 #[test]
-fn spoilt_answers_reach_no_client_and_no_write_is_sent_twice() {
+fn malformed_responses_reach_no_client_and_no_write_is_sent_twice() {
     let GatewayFixture {
         gateway,
         statements,
@@ -351,7 +351,7 @@
 
 /// SIGHUP under load, twice: the list comes from the new address, the old one's versions do not bind, none is lost.
 #[test]
-fn sighup_moves_to_the_new_list_and_loses_nothing() {
+fn sighup_moves_to_the_new_list_service_and_loses_no_request() {
     let GatewayFixture {
         mut gateway,
         statements,
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn every_bad_client_gets_an_error_or_a_close_in_time_and_usual_ones_are_served() {
+fn malformed_clients_get_an_error_or_a_close_while_others_are_served() {
     let GatewayFixture {
         gateway,
         statements,
@@ -528,7 +528,7 @@
 
 /// Found with 256 descriptors: hundreds that connect and say nothing must not take the places of those that ask.
 #[test]
-fn hundreds_of_silent_connections_take_no_place_from_those_that_ask() {
+fn idle_connections_without_request_do_not_displace_active_clients() {
     let GatewayFixture { gateway, .. } = start_fixture("silent");
     let mut usual = gateway.ready_client();
     let mut silent = Vec::new();
@@ -564,7 +564,7 @@
 /// The long day in small: members replaced throughout under new ids, sessions and clients always new, some of them asking
 /// once and staying. What is held in the second half is what was held in the first.
 #[test]
-fn many_generations_of_members_and_clients_leave_descriptors_and_memory_level() {
+fn descriptors_and_memory_stay_level_over_many_generations_of_members_and_clients() {
     let (sender, statements) = channel();
     let (tell, updates) = channel();
     let mut release = Vec::new();
--- a/crates/stackgw-cli/tests/ending.rs
+++ b/crates/stackgw-cli/tests/ending.rs
@@ -11,7 +11,7 @@
 /// Found by reading: the end answered what was in hand and ended in the same moment; statements that a client's task had read and
 /// could not hand over yet went with the process.
 #[test]
-fn statements_that_wait_behind_a_full_line_are_answered_before_the_end() {
+fn queued_statements_are_answered_before_shutdown() {
     let GatewayFixture {
         mut gateway,
         statements,
@@ -48,7 +48,7 @@
 
 /// Clients that write on without a pause, up to the end: what was in hand is answered, what comes behind it is refused, in order.
 #[test]
-fn what_is_in_hand_is_answered_at_the_end_under_a_flood_of_statements() {
+fn requests_in_flight_are_answered_at_shutdown_under_a_flood() {
     let GatewayFixture {
         mut gateway,
         statements,
--- a/crates/stackgw-cli/tests/flight.rs
+++ b/crates/stackgw-cli/tests/flight.rs
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn what_is_missing_or_contradicts_is_named() {
+fn errors_name_what_is_missing_or_contradictory() {
     let fixture = fixture("wrong", None);
     run(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn catalogs_and_sql_info_are_told() {
+fn catalogs_table_types_and_sql_info_are_served() {
     let fixture = fixture("catalogs", None);
     run(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_silent_primary_fails_a_write_in_time_and_it_is_not_sent_again() {
+fn a_write_fails_in_time_and_is_not_retried_when_the_primary_is_unresponsive() {
     let fixture = fixture("silent", None);
     run(async {
         // First a write, so that the primary is known.
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn who_asks_shows_it_or_is_told_nothing() {
+fn unauthenticated_clients_get_nothing() {
     for auth in [FlightAuth::Basic, FlightAuth::Bearer] {
         let fixture = fixture(auth.name(), Some(auth));
         run(async {
--- a/crates/stackgw-cli/tests/floods.rs
+++ b/crates/stackgw-cli/tests/floods.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_message_that_ends_too_soon_is_an_error_of_its_call() {
+fn a_truncated_message_is_an_error_of_its_call() {
     bears("truncated", |at| {
         let mut raw = Raw::new(at);
         raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_message_that_claims_a_gigabyte_is_refused_at_its_head() {
+fn a_message_that_claims_a_gigabyte_is_rejected_at_its_head() {
     bears("oversized", |at| {
         let mut raw = Raw::new(at);
         raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn streams_that_are_reset_as_fast_as_they_are_opened_run_nothing() {
+fn rapidly_reset_streams_run_nothing() {
     bears("resets", |at| {
         let mut raw = Raw::new(at);
         let headers = call("DoGet");
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn noise_and_silence_hold_a_connection_and_no_more() {
+fn noise_and_idle_connections_affect_no_other_client() {
     bears("noise", |at| {
         let mut noise = TcpStream::connect(at).expect("a connection");
         noise
--- a/crates/stackgw-cli/tests/leaving.rs
+++ b/crates/stackgw-cli/tests/leaving.rs
@@ -169,18 +169,18 @@
 
 /// Found by reading: a client's end was read only behind its last byte, and those whose bytes waited were never seen to leave.
 #[test]
-fn nothing_is_sent_on_for_clients_that_have_left() {
+fn no_request_is_forwarded_when_its_client_has_left() {
     nothing_begins_for_the_gone("left", 0);
 }
 
 #[test]
-fn nor_under_a_flood_on_the_same_loop() {
+fn no_request_is_forwarded_when_its_client_has_left_during_a_flood() {
     nothing_begins_for_the_gone("left-flood", 12);
 }
 
 /// One that cancels and stays has given up that request, and no other.
 #[test]
-fn nothing_is_sent_on_for_a_cancelled_request() {
+fn no_request_is_forwarded_when_it_was_cancelled() {
     let (
         GatewayFixture {
             gateway,
--- a/crates/stackgw-cli/tests/sessions.rs
+++ b/crates/stackgw-cli/tests/sessions.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn with_marks_in_each_process_alone_the_same_run_misses_writes() {
+fn reads_miss_writes_when_sessions_are_tracked_in_each_process_alone() {
     let fixture = Fixture::new("off", 2, 2, FleetMode::LocalSessions, false);
     let verdict = fixture.run(&AuditPlan {
         faults: Some(all_faults(250)),
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn on_a_calm_day_reads_are_sure_and_replicas_serve_them() {
+fn replicas_serve_session_reads_when_there_are_no_faults() {
     let fixture = Fixture::new("calm", 3, 2, FleetMode::SharedSessions, true);
     fixture.wait_until_sure(2);
     let calm = AuditPlan {
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn with_disks_all_restart_at_once_and_are_sure_again_within_a_second_or_so() {
+fn gateways_with_disks_are_sure_soon_after_all_restart_at_once() {
     let fixture = Fixture::new("all", 2, 2, FleetMode::SharedSessions, true);
     fixture.wait_until_sure(2);
     // Wait for the disk to have it that nothing is missing: that is written with the next questions.
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn the_only_current_replica_slows_down_right_after_the_write() {
+fn no_read_misses_its_write_when_the_only_current_replica_slows_down() {
     let fixture = Fixture::new("slow", 2, 2, FleetMode::SharedSessions, true);
     fixture.wait_until_sure(2);
     fixture.group.members[1]
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn gateways_cut_from_each_other_miss_nothing_while_clients_roam() {
+fn no_read_misses_its_write_when_gateways_are_partitioned() {
     let fixture = Fixture::new("cut", 2, 2, FleetMode::SharedSessions, true);
     fixture.wait_until_sure(2);
     let network = fixture.gateways.network().expect("relays");
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_gateway_paused_past_its_lease_wakes_cautious() {
+fn no_read_misses_its_write_when_a_gateway_is_paused_past_its_lease() {
     let fixture = Fixture::new("pause", 2, 2, FleetMode::SharedSessions, true);
     fixture.wait_until_sure(2);
     for n in 0..2 {
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_gateway_killed_between_the_commit_and_the_answer_doubles_nothing() {
+fn no_write_runs_twice_when_a_gateway_is_killed_between_commit_and_answer() {
     let fixture = Fixture::new("commit", 2, 2, FleetMode::SharedSessions, true);
     // The primary commits at once and answers later: most kills fall between the two.
     fixture.group.members[0]
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_killed_keeper_is_named_as_the_reason() {
+fn a_killed_session_replica_is_named_as_the_reason_for_caution() {
     let fixture = Fixture::new("why", 2, 2, FleetMode::SharedSessions, true);
     fixture.wait_until_sure(2);
     fixture.gateways.kill(1);
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn a_wrong_key_keeps_an_instance_out_and_reads_stay_right() {
+fn no_read_misses_its_write_when_an_instance_has_a_wrong_key() {
     let fixture = Fixture::new("key", 2, 2, FleetMode::SharedSessions, true);
     fixture.gateways.kill(1);
     let other = fixture.folder.join("other.key");
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn the_command_line_names_file_and_field() {
+fn command_errors_name_file_and_field() {
     let stackgw = |args: &[&str]| {
         let done = Command::new(env!("CARGO_BIN_EXE_stackgw"))
             .args(args)
--- a/crates/stackgw-cli/tests/start.rs
+++ b/crates/stackgw-cli/tests/start.rs
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn all_that_start_at_once_ask_in_turns_and_keep_to_the_services_word() {
+fn polls_are_spread_when_all_start_at_once_and_respect_retry_after() {
     let fixture = Fixture::new("turns", 16, false, 10);
     fixture.start(0..16);
     fixture.wait_until_current(ms(20_000), 0..16);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_gateway_that_knows_nothing_refuses_at_once_and_says_when_to_come_back() {
+fn a_gateway_without_a_list_rejects_at_once() {
     let fixture = Fixture::new("nothing", 1, false, 10);
     fixture
         .group
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn few_hold_the_watch_and_lost_holders_are_replaced() {
+fn few_lead_the_watch_and_lost_leaders_are_replaced() {
     let fixture = Fixture::new("holders", 9, true, 50);
     fixture.start(0..9);
     fixture.wait_until_current(ms(10_000), 0..9);
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn a_drain_is_everywhere_within_the_grace_under_load_and_with_datagrams_lost() {
+fn a_drain_reaches_all_within_the_grace_under_load_and_datagram_loss() {
     let fixture = Fixture::new("drain", 8, true, 50);
     fixture.start(0..8);
     fixture.wait_until_current(ms(10_000), 0..8);
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_service_that_comes_back_behind_is_not_believed() {
+fn a_stale_list_service_is_not_believed() {
     let fixture = Fixture::new("behind", 6, true, 50);
     fixture.start(0..6);
     fixture.wait_until_current(ms(10_000), 0..6);
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn kept_word_serves_without_the_service_and_its_primary_gets_no_write() {
+fn a_cached_list_serves_without_the_service_and_its_primary_gets_no_write() {
     let fixture = Fixture::new("kept", 8, true, 50);
     fixture.start(0..8);
     fixture.wait_until_current(ms(10_000), 0..8);
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn halves_that_are_cut_apart_go_on_and_agree_again_once_they_are_healed() {
+fn partitioned_halves_go_on_and_agree_once_healed() {
     let fixture = Fixture::new("halves", 8, true, 50);
     fixture.start(0..8);
     fixture.wait_until_current(ms(10_000), 0..8);
@@ -460,7 +460,7 @@
 }
 
 #[test]
-fn seven_in_ten_killed_in_a_burst_and_all_anew_before_cold_members() {
+fn requests_are_served_when_most_are_killed_and_no_cold_member_collapses() {
     let fixture = Fixture::new("herd", 10, true, 50);
     (0..3).for_each(|n| fixture.group.set_capacity(n, member_model()));
     fixture.start(0..10);
@@ -481,7 +481,7 @@
 }
 
 #[test]
-fn cold_members_are_connected_to_in_turns_and_roles_are_learned_from_others() {
+fn connections_to_cold_members_are_paced_over_the_fleet() {
     // Six a second at each, growing to twenty-four.
     let fixture = Fixture::with_lines("dealt", 24, true, 50, &["opens: 6"]);
     (0..3).for_each(|n| fixture.group.set_capacity(n, member_model()));
@@ -512,7 +512,7 @@
 }
 
 #[test]
-fn a_service_that_dies_while_half_have_the_list_leaves_the_others_to_be_told() {
+fn gateways_get_the_list_from_peers_when_the_service_dies() {
     let fixture = Fixture::new("half", 10, true, 50);
     fixture.start(0..5);
     fixture.wait_until_current(ms(10_000), 0..5);
--- a/crates/stackgw-cli/tests/streams.rs
+++ b/crates/stackgw-cli/tests/streams.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_stream_passes_whole_and_in_order_and_its_schema_with_it() {
+fn a_stream_is_complete_and_in_order_with_its_schema() {
     let (fixture, runtime) = fixture("whole", &[20, 20]);
     runtime.block_on(async {
         for (batches, bytes) in [(1, 10), (50, 64 << 10), (20, 1 << 20)] {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_client_that_cancels_halfway_stops_the_work_within_a_second() {
+fn work_stops_within_a_second_when_a_client_cancels() {
     let (fixture, runtime) = fixture("cancel", &[20, 20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_member_that_stops_sending_halfway_ends_the_stream_once_and_in_time() {
+fn a_stream_ends_once_and_in_time_when_its_member_stalls() {
     let (fixture, runtime) = fixture("stalls", &[20, 20]);
     all(&fixture, |m| &m.stall_after_batches, 5);
     runtime.block_on(async {
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_member_that_dies_halfway_ends_the_stream_and_nobody_begins_it_again() {
+fn a_stream_ends_and_is_not_retried_when_its_member_dies() {
     let (fixture, runtime) = fixture("dies", &[20, 20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn a_member_that_drains_halfway_finishes_its_stream() {
+fn a_stream_is_finished_when_its_member_drains() {
     let (fixture, runtime) = fixture("drains", &[20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_hundred_slow_readers_stall_nobody_and_are_ended() {
+fn a_hundred_slow_readers_stall_no_other_and_are_ended() {
     let (fixture, runtime) = fixture("slow", &[20, 20]);
     runtime.block_on(async {
         // Each on a connection of its own: what one leaves unread takes the room of its own connection.
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_clients_time_ends_its_stream() {
+fn a_stream_ends_at_its_clients_deadline() {
     let (fixture, runtime) = fixture("late", &[20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
@@ -381,7 +381,7 @@
 }
 
 #[test]
-fn at_the_gateways_end_a_stream_ends_too() {
+fn a_stream_ends_with_an_error_when_its_gateway_is_killed() {
     let (fixture, runtime) = fixture("ends", &[20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
