--- a/crates/stackgw-cli/tests/floods.rs
+++ b/crates/stackgw-cli/tests/floods.rs
@@ -2,9 +2,10 @@
 //! they do to their own connection is theirs; all others are served, and memory stays within the limits.
 #![cfg(feature = "flight")]
 
-mod driver;
+mod common;
 
-use driver::{served, Ask, Fixture};
+use common::group_fixture::GroupFixture;
+use common::protocol_client::{served, ClientRequest};
 use stackgw_testkit::Protocol;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -108,17 +109,26 @@
 
 /// Does something to a gateway; afterwards, and while that connection is still there, others are served and memory holds.
 fn bears(name: &str, does: impl FnOnce(SocketAddr) -> Option<Raw>) {
-    let fixture = Fixture::new(name, &[20], Protocol::Postgres);
-    let mut driver = fixture.driver(0, Protocol::FlightSql);
-    assert_eq!(driver.patiently(&Ask::write("k", 1)), served(1));
-    let _open = does(fixture.flight(0));
+    let fixture = GroupFixture::new(name, &[20], Protocol::Postgres);
+    let mut client = fixture.client(0, Protocol::FlightSql);
+    assert_eq!(
+        client.send_with_retries(&ClientRequest::write("k", 1)),
+        served(1)
+    );
+    let _open = does(fixture.flight_address(0));
     let since = Instant::now();
-    assert_eq!(driver.patiently(&Ask::write("k", 2)), served(2));
-    assert_eq!(driver.patiently(&Ask::read("mine", "k")), served(2));
+    assert_eq!(
+        client.send_with_retries(&ClientRequest::write("k", 2)),
+        served(2)
+    );
+    assert_eq!(
+        client.send_with_retries(&ClientRequest::read("mine", "k")),
+        served(2)
+    );
     assert_eq!(
         fixture
-            .driver(0, Protocol::Postgres)
-            .patiently(&Ask::read("mine", "k")),
+            .client(0, Protocol::Postgres)
+            .send_with_retries(&ClientRequest::read("mine", "k")),
         served(2)
     );
     assert!(
@@ -126,12 +136,12 @@
         "{:?}",
         since.elapsed()
     );
-    let mb = fixture.peak_mb(0);
+    let mb = fixture.peak_memory_mib(0);
     assert!(mb < 96, "{name}: {mb} MB");
 }
 
 #[test]
-fn a_message_that_ends_too_soon_is_an_error_of_its_call() {
+fn a_truncated_message_is_an_error_of_its_call() {
     bears("truncated", |at| {
         let mut raw = Raw::new(at);
         raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
@@ -148,7 +158,7 @@
 }
 
 #[test]
-fn a_message_that_claims_a_gigabyte_is_refused_at_its_head() {
+fn a_message_that_claims_a_gigabyte_is_rejected_at_its_head() {
     bears("oversized", |at| {
         let mut raw = Raw::new(at);
         raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
@@ -178,7 +188,7 @@
 }
 
 #[test]
-fn streams_that_are_reset_as_fast_as_they_are_opened_run_nothing() {
+fn rapidly_reset_streams_run_nothing() {
     bears("resets", |at| {
         let mut raw = Raw::new(at);
         let headers = call("DoGet");
@@ -214,7 +224,7 @@
 }
 
 #[test]
-fn noise_and_silence_hold_a_connection_and_no_more() {
+fn noise_and_idle_connections_affect_no_other_client() {
     bears("noise", |at| {
         let mut noise = TcpStream::connect(at).expect("a connection");
         noise
