--- a/crates/stackgw-sessions/benches/scale.rs
+++ b/crates/stackgw-sessions/benches/scale.rs
@@ -56,8 +56,8 @@
     simulation.advance(RETENTION + 2 * SECOND);
     let before = simulation.messages;
     simulation.advance(IDLE_SPAN);
-    let lease_messages = (simulation.messages - before) as f64 / IDLE_SPAN as f64;
-    let per_second = lease_messages * SECOND as f64 / replicas as f64;
+    let lease_messages = simulation.messages - before;
+    let per_second = lease_messages as f64 / (IDLE_SPAN / SECOND) as f64 / replicas as f64;
     let instances = replicas + forwarders;
     let write = messages_per_request(
         &mut simulation,
@@ -73,11 +73,12 @@
     );
 }
 
-/// Messages for each request, without those of leases.
+/// Messages for each request, without those of leases, of which there were so many in
+/// [`IDLE_SPAN`].
 fn messages_per_request(
     simulation: &mut Simulation,
     instances: usize,
-    lease_messages: f64,
+    lease_messages: u64,
     request: fn(&mut Simulation, usize, u64),
 ) -> f64 {
     let (before, started) = (simulation.messages, simulation.now);
@@ -87,7 +88,8 @@
         simulation.advance(MS / 2);
     }
     simulation.advance(20 * MS);
-    let idle = lease_messages * (simulation.now - started) as f64;
+    let elapsed = (simulation.now - started) as f64;
+    let idle = lease_messages as f64 * elapsed / IDLE_SPAN as f64;
     ((simulation.messages - before) as f64 - idle) / REQUESTS as f64
 }
 
