--- a/crates/stackgw-cli/src/flight_frontend.rs
+++ b/crates/stackgw-cli/src/flight_frontend.rs
@@ -35,11 +35,11 @@
         streams: file.streams,
         threads: file.threads,
         bulk: StreamLimits {
-            streams: bulk.streams,
-            each: bulk.each_kib << KIB_BITS,
-            all: bulk.all_kib << KIB_BITS,
-            stall: span(bulk.stall),
-            silence: span(bulk.silence),
+            max_streams: bulk.streams,
+            bytes_per_stream: bulk.each_kib << KIB_BITS,
+            bytes_total: bulk.all_kib << KIB_BITS,
+            reader_timeout: span(bulk.stall),
+            member_timeout: span(bulk.silence),
         },
         members: BackendConfig {
             connect_ms: whole_ms(limits.connect_timeout).max(1),
--- a/crates/stackgw-flight/src/back.rs
+++ b/crates/stackgw-flight/src/back.rs
@@ -1,7 +1,7 @@
 //! The back: members that speak Flight SQL, behind the same pool, limits and router as all others.
 //!
 //! To the gateway each request in hand is a connection, as with our first protocol; here many of them share one HTTP/2
-//! connection, as [`Channels`] places them. A statement goes out as it stands, by GetFlightInfo and DoGet. What comes back is
+//! connection, as [`ChannelPool`] places them. A statement goes out as it stands, by GetFlightInfo and DoGet. What comes back is
 //! one value for whoever asked for one, and a stream that passes through unread for whoever can take it.
 
 use crate::pass::{lock, Reader, Streams, Writer};
@@ -25,7 +25,7 @@
 use stackgw_gateway::reducer::{BackendRequest, CloseReason, ConnectionId, StreamHeader};
 use stackgw_gateway::{BackendChannels, BackendCommand, BackendEvent};
 use stackgw_router::api::Outcome;
-use stackgw_streams::{ChannelId, Channels};
+use stackgw_streams::{ChannelId, ChannelPool};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -63,7 +63,7 @@
     set: BackendConfig,
     behind: BackendChannels,
     streams: Arc<Streams>,
-    channels: Mutex<Channels<SocketAddr>>,
+    channels: Mutex<ChannelPool<SocketAddr>>,
     links: Mutex<HashMap<ChannelId, Arc<OnceCell<Channel>>>>,
     log: Logger,
     /// Writes that ran to their end with nobody left to be told.
@@ -94,7 +94,7 @@
         streams: Arc<Streams>,
         log: Logger,
     ) -> Arc<Self> {
-        let channels = Mutex::new(Channels::new(set.per_channel));
+        let channels = Mutex::new(ChannelPool::new(set.per_channel));
         Arc::new(Back {
             set,
             behind,
@@ -140,7 +140,7 @@
         mut asked: mpsc::UnboundedReceiver<BackendRequest>,
         mut gone: oneshot::Receiver<()>,
     ) {
-        let on = lock(&self.channels).place(&at);
+        let on = lock(&self.channels).assign(&at);
         let up = tokio::select! {
             up = self.connect(on, at) => up,
             _ = &mut gone => Err(None),
@@ -153,7 +153,7 @@
                         Some(Ended::Ready) => {}
                         Some(Ended::Closed(why, said)) => {
                             // What broke under one request is given no others.
-                            lock(&self.channels).broke(on);
+                            lock(&self.channels).mark_broken(on);
                             self.broke(at, &said);
                             self.tell(BackendEvent::Closed(id, why)).await;
                             break;
@@ -163,13 +163,13 @@
                 }
             }
             Err(why) => {
-                lock(&self.channels).broke(on);
+                lock(&self.channels).mark_broken(on);
                 if let Some(why) = why {
                     self.tell(BackendEvent::Closed(id, why)).await;
                 }
             }
         }
-        if lock(&self.channels).freed(on) {
+        if lock(&self.channels).release(on) {
             lock(&self.links).remove(&on);
         }
     }
--- a/crates/stackgw-flight/src/pass.rs
+++ b/crates/stackgw-flight/src/pass.rs
@@ -1,12 +1,12 @@
 //! Streams on their way through: one end is read from a member, the other by a client. What may be read on, and what is
-//! ended, is [`Flow`]'s to say; here are its clock, its wake-ups and the messages themselves, which nobody decodes.
+//! ended, is [`FlowControl`]'s to say; here are its clock, its wake-ups and the messages themselves, which nobody decodes.
 
 use crate::running::Place;
 use arrow_flight::FlightData;
 use futures::Stream;
 use stackgw_gateway::RequestGuard;
 use stackgw_router::api::{Outcome, Time};
-use stackgw_streams::{End, Flow, StreamId, StreamLimits};
+use stackgw_streams::{EndReason, FlowControl, StreamId, StreamLimits};
 use std::collections::{HashMap, VecDeque};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -32,7 +32,7 @@
     /// Its last word, once there is one.
     done: Option<Result<(), Status>>,
     /// Why it was ended from here.
-    end: Option<End>,
+    end: Option<EndReason>,
     /// Its reader has gone.
     left: bool,
     waker: Option<Waker>,
@@ -55,7 +55,7 @@
 }
 
 struct All {
-    flow: Flow,
+    flow: FlowControl,
     pipes: HashMap<StreamId, Arc<Pipe>>,
     /// When the watch looks next.
     armed: Option<Time>,
@@ -69,9 +69,9 @@
 }
 
 impl Streams {
-    pub(crate) fn new(rules: StreamLimits) -> Arc<Self> {
+    pub(crate) fn new(limits: StreamLimits) -> Arc<Self> {
         let all = All {
-            flow: Flow::new(rules),
+            flow: FlowControl::new(limits),
             pipes: HashMap::new(),
             armed: None,
         };
@@ -87,15 +87,15 @@
     }
 
     /// Changes the state, and wakes whoever that concerns.
-    fn with<T>(&self, change: impl FnOnce(Time, &mut Flow) -> T) -> T {
+    fn with<T>(&self, change: impl FnOnce(Time, &mut FlowControl) -> T) -> T {
         let mut all = lock(&self.all);
         let changed = change(self.now(), &mut all.flow);
-        for id in all.flow.woken() {
+        for id in all.flow.take_resumed() {
             if let Some(pipe) = all.pipes.get(&id) {
                 pipe.go.notify_one();
             }
         }
-        let next = all.flow.next_due();
+        let next = all.flow.next_timeout();
         if next.is_some_and(|at| all.armed.is_none_or(|armed| at < armed)) {
             all.armed = next;
             self.sooner.notify_one();
@@ -109,12 +109,12 @@
             let ended = {
                 let mut all = lock(&self.all);
                 let now = self.now();
-                let ended: Vec<_> = all.flow.due(now);
+                let ended: Vec<_> = all.flow.expire(now);
                 let pipes = ended
                     .into_iter()
                     .filter_map(|(id, end)| Some((all.pipes.remove(&id)?, end)));
                 let pipes: Vec<_> = pipes.collect();
-                all.armed = all.flow.next_due();
+                all.armed = all.flow.next_timeout();
                 (
                     pipes,
                     all.armed
@@ -125,9 +125,9 @@
             for (pipe, end) in pipes {
                 pipe.fail(
                     match end {
-                        End::Late => Status::deadline_exceeded(end.to_string()),
-                        End::SlowReader => Status::resource_exhausted(end.to_string()),
-                        End::SilentMember => Status::aborted(end.to_string()),
+                        EndReason::DeadlineExceeded => Status::deadline_exceeded(end.to_string()),
+                        EndReason::SlowReader => Status::resource_exhausted(end.to_string()),
+                        EndReason::UnresponsiveMember => Status::aborted(end.to_string()),
                     },
                     Some(end),
                 );
@@ -163,7 +163,7 @@
 
 impl Pipe {
     /// The last word. Ended from here, what is held goes at once, as its room is others' by now.
-    fn fail(&self, status: Status, end: Option<End>) {
+    fn fail(&self, status: Status, end: Option<EndReason>) {
         let mut held = lock(&self.held);
         if end.is_some() {
             held.messages.clear();
@@ -187,7 +187,7 @@
     /// Whether the member is to be read on now; else how the stream ended.
     pub(crate) fn asks(&self) -> Result<bool, Outcome> {
         self.ended()?;
-        Ok(self.streams.with(|now, flow| flow.asks(now, self.id)))
+        Ok(self.streams.with(|now, flow| flow.try_read(now, self.id)))
     }
 
     /// Waits until the member is to be read on; else tells how the stream ended.
@@ -211,7 +211,7 @@
     fn ended(&self) -> Result<(), Outcome> {
         let held = lock(&self.pipe.held);
         match held.end {
-            Some(End::SilentMember) => Err(Outcome::TimedOut),
+            Some(EndReason::UnresponsiveMember) => Err(Outcome::TimedOut),
             Some(_) => Err(Outcome::Cancelled),
             None if held.left => Err(Outcome::Cancelled),
             None => Ok(()),
@@ -220,7 +220,7 @@
 
     pub(crate) fn put(&self, data: FlightData) {
         self.streams
-            .with(|now, flow| flow.came(now, self.id, size(&data)));
+            .with(|now, flow| flow.record_received(now, self.id, size(&data)));
         let mut held = lock(&self.pipe.held);
         if held.done.is_none() && !held.left {
             held.messages.push_back(data);
@@ -230,7 +230,7 @@
 
     /// The member has sent all.
     pub(crate) fn whole(self) {
-        self.streams.with(|_, flow| flow.over(self.id));
+        self.streams.with(|_, flow| flow.finish_receiving(self.id));
         let mut held = lock(&self.pipe.held);
         held.done.get_or_insert(Ok(()));
         held.wake();
@@ -238,7 +238,7 @@
 
     /// The stream broke off; what came before that is its reader's.
     pub(crate) fn broken(self, why: &str) {
-        self.streams.with(|_, flow| flow.over(self.id));
+        self.streams.with(|_, flow| flow.finish_receiving(self.id));
         self.pipe.fail(
             Status::aborted(format!("the stream broke off: {why}")),
             None,
@@ -266,7 +266,7 @@
     pub(crate) fn limit(&self, wait: Duration) {
         let wait = Time::try_from(wait.as_nanos()).unwrap_or(Time::MAX / 2);
         self.streams
-            .with(|now, flow| flow.limit(self.id, now.saturating_add(wait)));
+            .with(|now, flow| flow.set_deadline(self.id, now.saturating_add(wait)));
     }
 
     pub(crate) fn keep(&mut self, keeps: Keeps) {
@@ -280,7 +280,7 @@
             streams.with(|_, flow| flow.close(id));
             pipe.fail(
                 Status::cancelled("cancelled on the client's request"),
-                Some(End::Late),
+                Some(EndReason::DeadlineExceeded),
             );
         }
     }
@@ -310,7 +310,7 @@
             }
         };
         self.streams
-            .with(|now, flow| flow.taken(now, self.id, size(&data)));
+            .with(|now, flow| flow.record_consumed(now, self.id, size(&data)));
         Poll::Ready(Some(Ok(data)))
     }
 }
--- a/crates/stackgw-streams/src/channels.rs
+++ b/crates/stackgw-streams/src/channel_pool.rs
@@ -10,7 +10,7 @@
 struct Channel<M> {
     member: M,
     /// Requests that it carries.
-    carries: usize,
+    requests: usize,
     /// It takes no more: it broke.
     broken: bool,
 }
@@ -20,64 +20,64 @@
 /// Requests are kept together on few connections: the fullest with room takes the next, so that those left over from a busy
 /// time run empty and are closed. A connection that broke takes nothing more.
 #[derive(Debug)]
-pub struct Channels<M> {
+pub struct ChannelPool<M> {
     /// Requests that one may carry.
-    most: usize,
+    requests_per_channel: usize,
     channels: BTreeMap<ChannelId, Channel<M>>,
     /// By member: those with room, by what they carry.
-    room: BTreeMap<M, BTreeSet<(usize, ChannelId)>>,
-    next: u64,
+    available: BTreeMap<M, BTreeSet<(usize, ChannelId)>>,
+    next_id: u64,
 }
 
-impl<M: Ord + Clone> Channels<M> {
+impl<M: Ord + Clone> ChannelPool<M> {
     /// No connection yet; each may carry so many requests, one at least.
-    pub fn new(most: usize) -> Self {
-        Channels {
-            most: most.max(1),
+    pub fn new(requests_per_channel: usize) -> Self {
+        ChannelPool {
+            requests_per_channel: requests_per_channel.max(1),
             channels: BTreeMap::new(),
-            room: BTreeMap::new(),
-            next: 0,
+            available: BTreeMap::new(),
+            next_id: 0,
         }
     }
 
     /// Places one more request for a member; gives its connection, a new one where none has room.
-    pub fn place(&mut self, member: &M) -> ChannelId {
+    pub fn assign(&mut self, member: &M) -> ChannelId {
         let fullest = self
-            .room
+            .available
             .get(member)
-            .and_then(|room| room.last())
+            .and_then(|available| available.last())
             .map(|(_, id)| *id);
         let channel = fullest.unwrap_or_else(|| {
-            let id = ChannelId(self.next);
-            self.next += 1;
+            let id = ChannelId(self.next_id);
+            self.next_id += 1;
             self.channels.insert(
                 id,
                 Channel {
                     member: member.clone(),
-                    carries: 0,
+                    requests: 0,
                     broken: false,
                 },
             );
             id
         });
-        self.change(channel, |c| c.carries += 1);
+        self.update(channel, |c| c.requests += 1);
         channel
     }
 
     /// A request is over; whether its connection is to be closed, as it carries none any more.
-    pub fn freed(&mut self, id: ChannelId) -> bool {
-        self.change(id, |c| c.carries = c.carries.saturating_sub(1));
-        let empty = self.channels.get(&id).is_some_and(|c| c.carries == 0);
+    pub fn release(&mut self, id: ChannelId) -> bool {
+        self.update(id, |c| c.requests = c.requests.saturating_sub(1));
+        let empty = self.channels.get(&id).is_some_and(|c| c.requests == 0);
         if empty {
-            self.change(id, |c| c.broken = true);
+            self.update(id, |c| c.broken = true);
             self.channels.remove(&id);
         }
         empty
     }
 
     /// A connection broke, or never came up: no request is placed on it any more. Those on it end by themselves.
-    pub fn broke(&mut self, id: ChannelId) {
-        self.change(id, |c| c.broken = true);
+    pub fn mark_broken(&mut self, id: ChannelId) {
+        self.update(id, |c| c.broken = true);
     }
 
     /// Connections that are kept.
@@ -91,24 +91,24 @@
     }
 
     /// Changes a connection and keeps the order of those with room.
-    fn change(&mut self, id: ChannelId, change: impl FnOnce(&mut Channel<M>)) {
+    fn update(&mut self, id: ChannelId, change: impl FnOnce(&mut Channel<M>)) {
         let Some(channel) = self.channels.get_mut(&id) else {
             return;
         };
-        let before = channel.carries;
+        let before = channel.requests;
         change(channel);
-        let (after, has_room) = (
-            channel.carries,
-            !channel.broken && channel.carries < self.most,
+        let (after, has_capacity) = (
+            channel.requests,
+            !channel.broken && channel.requests < self.requests_per_channel,
         );
-        let room = self.room.entry(channel.member.clone()).or_default();
-        room.remove(&(before, id));
-        if has_room {
-            room.insert((after, id));
+        let available = self.available.entry(channel.member.clone()).or_default();
+        available.remove(&(before, id));
+        if has_capacity {
+            available.insert((after, id));
         }
-        if room.is_empty() {
+        if available.is_empty() {
             let member = channel.member.clone();
-            self.room.remove(&member);
+            self.available.remove(&member);
         }
     }
 }
--- a/crates/stackgw-streams/tests/digest.rs
+++ b/crates/stackgw-streams/tests/digest.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use stackgw_router::api::{Time, MS};
-use stackgw_streams::{ChannelId, Channels, End, Flow, StreamId, StreamLimits};
+use stackgw_streams::{ChannelId, ChannelPool, EndReason, FlowControl, StreamId, StreamLimits};
 use std::collections::BTreeMap;
 
 const HISTORIES: u64 = 600;
@@ -43,28 +43,28 @@
     }
 }
 
-fn end_number(end: End) -> i64 {
+fn end_number(end: EndReason) -> i64 {
     match end {
-        End::SlowReader => 1,
-        End::SilentMember => 2,
-        End::Late => 3,
+        EndReason::SlowReader => 1,
+        EndReason::UnresponsiveMember => 2,
+        EndReason::DeadlineExceeded => 3,
     }
 }
 
-fn random_rules(random: &mut SmallRng) -> StreamLimits {
+fn random_limits(random: &mut SmallRng) -> StreamLimits {
     StreamLimits {
-        streams: random.random_range(1..12),
-        each: random.random_range(0..200),
-        all: random.random_range(0..600),
-        stall: random.random_range(1..60 * MS),
-        silence: random.random_range(1..30 * MS),
+        max_streams: random.random_range(1..12),
+        bytes_per_stream: random.random_range(0..200),
+        bytes_total: random.random_range(0..600),
+        reader_timeout: random.random_range(1..60 * MS),
+        member_timeout: random.random_range(1..30 * MS),
     }
 }
 
 /// One history of a flow; ids that are closed are used on, as late calls would.
 fn flow_history(seed: u64, digest: &mut Digest) {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut flow = Flow::new(random_rules(&mut random));
+    let mut flow = FlowControl::new(random_limits(&mut random));
     let mut now: Time = 0;
     let mut ids: Vec<StreamId> = Vec::new();
     let mut numbers = Numbers(BTreeMap::new());
@@ -82,13 +82,13 @@
                 Err(full) => digest.bytes(full.to_string().as_bytes()),
             },
             (2, Some(id)) => flow.close(id),
-            (3, Some(id)) => flow.over(id),
-            (4, Some(id)) => flow.limit(id, now + random.random_range(0..40 * MS)),
-            (5..=7, Some(id)) => digest.number(i64::from(flow.asks(now, id))),
-            (8..=10, Some(id)) => flow.came(now, id, random.random_range(0..90)),
-            (11 | 12, Some(id)) => flow.taken(now, id, random.random_range(0..90)),
+            (3, Some(id)) => flow.finish_receiving(id),
+            (4, Some(id)) => flow.set_deadline(id, now + random.random_range(0..40 * MS)),
+            (5..=7, Some(id)) => digest.number(i64::from(flow.try_read(now, id))),
+            (8..=10, Some(id)) => flow.record_received(now, id, random.random_range(0..90)),
+            (11 | 12, Some(id)) => flow.record_consumed(now, id, random.random_range(0..90)),
             (_, Some(_)) => {
-                for (id, end) in flow.due(now) {
+                for (id, end) in flow.expire(now) {
                     digest.size(numbers.of(id));
                     digest.number(end_number(end));
                     digest.bytes(end.to_string().as_bytes());
@@ -96,14 +96,14 @@
             }
         }
         if random.random_bool(0.7) {
-            let woken = flow.woken();
+            let woken = flow.take_resumed();
             digest.size(woken.len());
             for id in woken {
                 digest.size(numbers.of(id));
             }
         }
-        digest.number(flow.next_due().unwrap_or(-1));
-        digest.size(flow.held());
+        digest.number(flow.next_timeout().unwrap_or(-1));
+        digest.size(flow.buffered_bytes());
         digest.size(flow.len());
         digest.number(i64::from(flow.is_empty()));
     }
@@ -112,7 +112,7 @@
 /// One history of connections; ids that are closed are used on here, too.
 fn channels_history(seed: u64, digest: &mut Digest) {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut channels = Channels::new(random.random_range(0..6));
+    let mut pool = ChannelPool::new(random.random_range(0..6));
     let mut ids: Vec<ChannelId> = Vec::new();
     let mut numbers = Numbers(BTreeMap::new());
     for _ in 0..STEPS {
@@ -121,15 +121,15 @@
         let id = (!ids.is_empty()).then(|| ids[random.random_range(recent..ids.len())]);
         match (action, id) {
             (0..=9, _) | (_, None) => {
-                let id = channels.place(&random.random_range(0..4u8));
+                let id = pool.assign(&random.random_range(0..4u8));
                 ids.push(id);
                 digest.size(numbers.of(id));
             }
-            (10 | 11, Some(id)) => channels.broke(id),
-            (_, Some(id)) => digest.number(i64::from(channels.freed(id))),
+            (10 | 11, Some(id)) => pool.mark_broken(id),
+            (_, Some(id)) => digest.number(i64::from(pool.release(id))),
         }
-        digest.size(channels.len());
-        digest.number(i64::from(channels.is_empty()));
+        digest.size(pool.len());
+        digest.number(i64::from(pool.is_empty()));
     }
 }
 
--- a/crates/stackgw-streams/tests/histories.rs
+++ b/crates/stackgw-streams/tests/histories.rs
@@ -3,15 +3,17 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use stackgw_router::api::{Time, MS};
-use stackgw_streams::{Channels, End, Flow, Full, StreamId, StreamLimits};
+use stackgw_streams::{
+    ChannelPool, EndReason, FlowControl, StreamId, StreamLimits, TooManyStreams,
+};
 use std::collections::BTreeMap;
 
-const RULES: StreamLimits = StreamLimits {
-    streams: 8,
-    each: 100,
-    all: 300,
-    stall: 50 * MS,
-    silence: 20 * MS,
+const LIMITS: StreamLimits = StreamLimits {
+    max_streams: 8,
+    bytes_per_stream: 100,
+    bytes_total: 300,
+    reader_timeout: 50 * MS,
+    member_timeout: 20 * MS,
 };
 const MESSAGE: usize = 60;
 
@@ -23,15 +25,15 @@
 }
 
 #[test]
-fn random_histories_keep_room_and_no_reader_waits_for_another() {
+fn buffers_stay_within_limits_and_no_reader_waits_for_another() {
     for seed in 0..300 {
         let mut random = SmallRng::seed_from_u64(seed);
-        let (mut flow, mut now) = (Flow::new(RULES), 0);
+        let (mut flow, mut now) = (FlowControl::new(LIMITS), 0);
         let mut seen: BTreeMap<StreamId, Seen> = BTreeMap::new();
         let mut waits: BTreeMap<StreamId, ()> = BTreeMap::new();
         for step in 0..400 {
             now += random.random_range(0..3 * MS);
-            for (id, _) in flow.due(now) {
+            for (id, _) in flow.expire(now) {
                 assert!(
                     seen.remove(&id).is_some(),
                     "ended twice, seed {seed}, step {step}"
@@ -43,7 +45,7 @@
             match random.random_range(0..10) {
                 0 => match flow.open() {
                     Ok(id) => drop(seen.insert(id, Seen::default())),
-                    Err(Full) => assert_eq!(seen.len(), RULES.streams),
+                    Err(TooManyStreams) => assert_eq!(seen.len(), LIMITS.max_streams),
                 },
                 _ if ids.is_empty() => {}
                 1 if random.random_bool(0.2) => {
@@ -54,7 +56,7 @@
                 }
                 2 => {
                     let id = pick(&mut random);
-                    flow.over(id);
+                    flow.finish_receiving(id);
                     let stream = seen.get_mut(&id).expect("it is there");
                     (stream.over, stream.reading) = (true, false);
                     waits.remove(&id);
@@ -63,7 +65,7 @@
                     let id = pick(&mut random);
                     let stream = seen.get_mut(&id).expect("it is there");
                     if !stream.over && !stream.reading && !waits.contains_key(&id) {
-                        stream.reading = flow.asks(now, id);
+                        stream.reading = flow.try_read(now, id);
                         let empty = stream.held.is_empty();
                         assert!(
                             stream.reading || !empty,
@@ -75,7 +77,7 @@
                     }
                     if stream.reading {
                         let bytes = random.random_range(1..=MESSAGE);
-                        flow.came(now, id, bytes);
+                        flow.record_received(now, id, bytes);
                         stream.held.push(bytes);
                         stream.reading = false;
                     }
@@ -84,30 +86,36 @@
                     let id = pick(&mut random);
                     let stream = seen.get_mut(&id).expect("it is there");
                     if let Some(bytes) = stream.held.pop() {
-                        flow.taken(now, id, bytes);
+                        flow.record_consumed(now, id, bytes);
                     }
                 }
             }
-            for id in flow.woken() {
+            for id in flow.take_resumed() {
                 waits.remove(&id);
             }
             let sums = seen.values().map(|s| s.held.iter().sum::<usize>());
             assert!(
-                sums.clone().all(|sum| sum < RULES.each + MESSAGE),
+                sums.clone()
+                    .all(|sum| sum < LIMITS.bytes_per_stream + MESSAGE),
+                "seed {seed}, step {step}"
+            );
+            assert_eq!(
+                flow.buffered_bytes(),
+                sums.sum::<usize>(),
                 "seed {seed}, step {step}"
             );
-            assert_eq!(flow.held(), sums.sum::<usize>(), "seed {seed}, step {step}");
             assert!(
-                flow.held() < RULES.all + RULES.streams * MESSAGE,
+                flow.buffered_bytes() < LIMITS.bytes_total + LIMITS.max_streams * MESSAGE,
                 "seed {seed}, step {step}"
             );
             // Nobody is left waiting whom room or an empty hand would let go on.
             for id in waits.keys() {
                 let stream = &seen[id];
                 let held: usize = stream.held.iter().sum();
-                let stuck = held == 0 || (held < RULES.each && flow.held() == held);
+                let stuck =
+                    held == 0 || (held < LIMITS.bytes_per_stream && flow.buffered_bytes() == held);
                 assert!(
-                    !stuck || flow.held() >= RULES.all,
+                    !stuck || flow.buffered_bytes() >= LIMITS.bytes_total,
                     "forgotten, seed {seed}, step {step}"
                 );
             }
@@ -116,79 +124,84 @@
 }
 
 #[test]
-fn room_goes_to_whoever_waited_longest() {
-    let mut flow = Flow::new(StreamLimits {
-        all: 100,
-        each: 80,
-        ..RULES
+fn freed_space_goes_to_the_longest_waiting_stream() {
+    let mut flow = FlowControl::new(StreamLimits {
+        bytes_total: 100,
+        bytes_per_stream: 80,
+        ..LIMITS
     });
     let [a, b, c] = [0; 3].map(|_| flow.open().expect("room"));
     for id in [a, b, c] {
-        assert!(flow.asks(0, id));
-        flow.came(0, id, 40);
+        assert!(flow.try_read(0, id));
+        flow.record_received(0, id, 40);
     }
-    assert!(!flow.asks(0, b) && !flow.asks(0, c) && !flow.asks(0, a));
-    flow.taken(0, a, 40);
+    assert!(!flow.try_read(0, b) && !flow.try_read(0, c) && !flow.try_read(0, a));
+    flow.record_consumed(0, a, 40);
     assert_eq!(
-        flow.woken(),
+        flow.take_resumed(),
         [a, b],
         "it has taken all it had; then the first in line"
     );
 }
 
 #[test]
-fn each_time_ends_a_stream_by_its_name_and_once() {
-    let run = |until: Option<Time>, does: &dyn Fn(&mut Flow, StreamId)| {
-        let mut flow = Flow::new(RULES);
+fn each_timeout_ends_a_stream_once_with_its_own_reason() {
+    let run = |until: Option<Time>, does: &dyn Fn(&mut FlowControl, StreamId)| {
+        let mut flow = FlowControl::new(LIMITS);
         let id = flow.open().expect("room");
-        until.into_iter().for_each(|until| flow.limit(id, until));
+        until
+            .into_iter()
+            .for_each(|until| flow.set_deadline(id, until));
         does(&mut flow, id);
-        let due = flow.next_due().expect("a time");
-        assert_eq!(flow.due(due - 1), []);
-        let ended = flow.due(due);
+        let due = flow.next_timeout().expect("a time");
+        assert_eq!(flow.expire(due - 1), []);
+        let ended = flow.expire(due);
         assert_eq!(
-            (flow.due(due + MS), flow.len(), flow.held()),
+            (flow.expire(due + MS), flow.len(), flow.buffered_bytes()),
             (vec![], 0, 0)
         );
         (due, ended[0].1)
     };
-    let silent = run(None, &|flow, id| assert!(flow.asks(5, id)));
-    assert_eq!(silent, (5 + RULES.silence, End::SilentMember));
+    let silent = run(None, &|flow, id| assert!(flow.try_read(5, id)));
+    assert_eq!(
+        silent,
+        (5 + LIMITS.member_timeout, EndReason::UnresponsiveMember)
+    );
     let slow = run(None, &|flow, id| {
-        assert!(flow.asks(0, id));
-        flow.came(3, id, 60);
-        flow.over(id);
+        assert!(flow.try_read(0, id));
+        flow.record_received(3, id, 60);
+        flow.finish_receiving(id);
     });
-    assert_eq!(slow, (3 + RULES.stall, End::SlowReader));
-    let late = run(Some(7), &|flow, id| assert!(flow.asks(5, id)));
-    assert_eq!(late, (7, End::Late));
+    assert_eq!(slow, (3 + LIMITS.reader_timeout, EndReason::SlowReader));
+    let late = run(Some(7), &|flow, id| assert!(flow.try_read(5, id)));
+    assert_eq!(late, (7, EndReason::DeadlineExceeded));
 }
 
 #[test]
-fn a_reader_that_takes_a_little_is_no_slow_one_and_a_member_not_read_is_not_silent() {
-    let mut flow = Flow::new(RULES);
+fn slow_progress_and_an_unread_member_are_no_timeouts() {
+    let mut flow = FlowControl::new(LIMITS);
     let id = flow.open().expect("room");
     let mut now = 0;
     for _ in 0..10 {
-        while flow.asks(now, id) {
-            flow.came(now, id, MESSAGE);
+        while flow.try_read(now, id) {
+            flow.record_received(now, id, MESSAGE);
         }
-        now += RULES.stall - 1;
-        assert_eq!(flow.due(now), []);
-        flow.taken(now, id, MESSAGE);
+        now += LIMITS.reader_timeout - 1;
+        assert_eq!(flow.expire(now), []);
+        flow.record_consumed(now, id, MESSAGE);
     }
 }
 
 #[test]
-fn requests_fill_few_connections_and_empty_ones_close() {
+fn requests_share_few_connections_and_empty_ones_are_closed() {
     for seed in 0..100 {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut channels = Channels::new(4);
+        let mut pool = ChannelPool::new(4);
         let mut carried: BTreeMap<_, (u8, usize, bool)> = BTreeMap::new();
         for _ in 0..500 {
             let member = random.random_range(0..3u8);
             if random.random_bool(0.55) {
-                let placed = channels.place(&member);
+                let placed = pool.assign(&member);
                 let with_room = carried
                     .values()
                     .any(|(m, n, broken)| *m == member && *n < 4 && !broken);
@@ -204,18 +217,18 @@
                 let (id, channel) = carried.iter_mut().nth(at).expect("it is there");
                 let id = *id;
                 if random.random_bool(0.1) {
-                    channels.broke(id);
+                    pool.mark_broken(id);
                     channel.2 = true;
                     continue;
                 }
                 channel.1 -= 1;
                 let empty = channel.1 == 0;
-                assert_eq!(channels.freed(id), empty, "seed {seed}");
+                assert_eq!(pool.release(id), empty, "seed {seed}");
                 if empty {
                     carried.remove(&id);
                 }
             }
-            assert_eq!(channels.len(), carried.len(), "seed {seed}");
+            assert_eq!(pool.len(), carried.len(), "seed {seed}");
         }
     }
 }
