--- a/crates/stackgw-flight/src/pass.rs
+++ b/crates/stackgw-flight/src/pass.rs
@@ -112,7 +112,7 @@
                 let ended: Vec<_> = all.flow.expire(now);
                 let pipes = ended
                     .into_iter()
-                    .filter_map(|(id, end)| Some((all.pipes.remove(&id)?, end)));
+                    .filter_map(|ended| Some((all.pipes.remove(&ended.id)?, ended.reason)));
                 let pipes: Vec<_> = pipes.collect();
                 all.armed = all.flow.next_timeout();
                 (
--- a/crates/stackgw-streams/src/flow_control.rs
+++ b/crates/stackgw-streams/src/flow_control.rs
@@ -1,97 +1,87 @@
-//! Room and time of bulk streams.
+//! Buffer space and timeouts of bulk streams.
 
-use stackgw_router::api::{Span, Time};
+use crate::limits::{EndReason, StreamLimits, TooManyStreams};
+use stackgw_router::api::Time;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::fmt;
 
-/// A stream, numbered here.
+/// Identifies a stream within its [`FlowControl`]. Never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId(u64);
 
-/// What streams may take. Sizes in bytes, times in nanoseconds.
+/// A stream that [`FlowControl::expire`] has ended and closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StreamLimits {
-    /// Streams open together.
-    pub max_streams: usize,
-    /// One stream that holds so much is read no further.
-    pub bytes_per_stream: usize,
-    /// Where all of them hold so much, only those are read on that hold nothing.
-    pub bytes_total: usize,
-    /// A reader that takes nothing for this long, while something is there for it, is ended.
-    pub reader_timeout: Span,
-    /// A member that sends nothing for this long, while it is read, is given up.
-    pub member_timeout: Span,
+pub struct ExpiredStream {
+    /// Which one.
+    pub id: StreamId,
+    /// Why it was ended.
+    pub reason: EndReason,
 }
 
-/// Why a stream is ended from here.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum EndReason {
-    /// Its reader stood still.
-    SlowReader,
-    /// Its member fell silent.
-    UnresponsiveMember,
-    /// Its client's time is over.
-    DeadlineExceeded,
-}
-
-impl fmt::Display for EndReason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            EndReason::SlowReader => "the stream was not read for too long",
-            EndReason::UnresponsiveMember => {
-                "the member stopped sending in the middle of the stream"
-            }
-            EndReason::DeadlineExceeded => "the time is over",
-        })
-    }
-}
-
-/// As many streams are open as may be.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooManyStreams;
-
-impl fmt::Display for TooManyStreams {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("too many streams are open")
-    }
-}
-
-impl std::error::Error for TooManyStreams {}
-
 /// One stream.
-#[derive(Debug)]
+#[derive(Debug, Default)]
 struct StreamState {
-    /// Bytes that came and that its reader has not taken.
+    /// Bytes that arrived and that the reader has not consumed.
     buffered_bytes: usize,
-    /// Since when its reader has taken nothing of them.
+    /// Since when the reader has consumed nothing, while something is buffered.
     unread_since: Option<Time>,
-    /// Since when its member has been read without a word.
+    /// Since when the member has been read without sending anything.
     reading_since: Option<Time>,
-    /// It waits for room of all.
+    /// The stream is in [`FlowControl::queue`] and waits for space within
+    /// [`StreamLimits::bytes_total`].
     queued: bool,
-    /// Nothing more comes from its member.
+    /// The member has sent all.
     receive_finished: bool,
+    /// The client's deadline.
     deadline: Option<Time>,
-    /// Where it stands in the order of times.
+    /// The time by which the stream is listed in [`FlowControl::timeouts`].
     next_timeout: Option<Time>,
 }
 
-/// All bulk streams of a gateway.
+impl StreamState {
+    /// When the stream is to be ended, and why: the client's deadline first, as it counts whatever
+    /// else is late.
+    fn timeouts(&self, limits: &StreamLimits) -> impl Iterator<Item = (Time, EndReason)> {
+        let deadline = self.deadline.map(|at| (at, EndReason::DeadlineExceeded));
+        let reader = self
+            .unread_since
+            .map(|since| (since + limits.reader_timeout, EndReason::SlowReader));
+        let member = self
+            .reading_since
+            .map(|since| (since + limits.member_timeout, EndReason::UnresponsiveMember));
+        [deadline, reader, member].into_iter().flatten()
+    }
+
+    /// The first reason whose time has come.
+    fn expired(&self, limits: &StreamLimits, now: Time) -> Option<EndReason> {
+        let mut timeouts = self.timeouts(limits);
+        timeouts
+            .find(|(at, _)| *at <= now)
+            .map(|(_, reason)| reason)
+    }
+}
+
+/// Flow control over all bulk streams of a gateway.
+///
+/// Calls that name a closed stream do nothing.
 #[derive(Debug)]
 pub struct FlowControl {
     limits: StreamLimits,
     streams: BTreeMap<StreamId, StreamState>,
     next_id: u64,
+    /// The sum over all streams.
     buffered_bytes: usize,
-    /// Those that wait for room of all, longest first. One that has gone or may read stands here no longer than its turn.
+    /// Streams that wait for space within [`StreamLimits::bytes_total`], the longest waiting first.
+    /// May still name streams that have been closed or no longer wait; they are dropped when they
+    /// reach the front.
     queue: VecDeque<StreamId>,
-    /// Those that may be read on again since the last look.
+    /// Streams that may be read on again since the last [`FlowControl::take_resumed`].
     resumed: Vec<StreamId>,
+    /// The next timeout of each stream that has one.
     timeouts: BTreeSet<(Time, StreamId)>,
 }
 
 impl FlowControl {
-    /// No stream yet.
+    /// Flow control without any stream.
     pub fn new(limits: StreamLimits) -> Self {
         FlowControl {
             limits,
@@ -104,51 +94,45 @@
         }
     }
 
-    /// A stream has begun.
+    /// Opens a stream.
+    ///
+    /// # Errors
+    ///
+    /// [`TooManyStreams`] where [`StreamLimits::max_streams`] are open.
     pub fn open(&mut self) -> Result<StreamId, TooManyStreams> {
         if self.streams.len() >= self.limits.max_streams {
             return Err(TooManyStreams);
         }
         let id = StreamId(self.next_id);
         self.next_id += 1;
-        let stream = StreamState {
-            buffered_bytes: 0,
-            unread_since: None,
-            reading_since: None,
-            queued: false,
-            receive_finished: false,
-            deadline: None,
-            next_timeout: None,
-        };
-        self.streams.insert(id, stream);
+        self.streams.insert(id, StreamState::default());
         Ok(id)
     }
 
-    /// Its client waits until this time at most.
-    pub fn set_deadline(&mut self, id: StreamId, until: Time) {
+    /// Sets the client's deadline.
+    pub fn set_deadline(&mut self, id: StreamId, deadline: Time) {
         if let Some(stream) = self.streams.get_mut(&id) {
-            stream.deadline = Some(until);
+            stream.deadline = Some(deadline);
             self.update_timeout(id);
         }
     }
 
-    /// Whether its member is to be read on now. If so, its time to send something begins; if not, [`FlowControl::take_resumed`] names it
-    /// once it is.
+    /// Asks to read one message from the stream's member. If granted,
+    /// [`StreamLimits::member_timeout`] begins; if not, [`FlowControl::take_resumed`] names the
+    /// stream once it may ask again.
     pub fn try_read(&mut self, now: Time, id: StreamId) -> bool {
-        let crowded = self.buffered_bytes >= self.limits.bytes_total;
-        let Some(stream) = self
-            .streams
-            .get_mut(&id)
-            .filter(|stream| !stream.receive_finished)
-        else {
+        let total_exhausted = self.buffered_bytes >= self.limits.bytes_total;
+        let Some(stream) = self.streams.get_mut(&id) else {
             return false;
         };
-        if stream.buffered_bytes >= self.limits.bytes_per_stream {
+        if stream.receive_finished || stream.buffered_bytes >= self.limits.bytes_per_stream {
             return false;
         }
-        // Danger: where streams that nobody reads hold all the room, the others would stand still behind them.
-        if crowded && stream.buffered_bytes > 0 {
-            if !std::mem::replace(&mut stream.queued, true) {
+        // Danger: a stream that buffers nothing must be read on even so. Otherwise streams that
+        // nobody reads would take the whole buffer, and all others would stall behind them.
+        if total_exhausted && stream.buffered_bytes > 0 {
+            if !stream.queued {
+                stream.queued = true;
                 self.queue.push_back(id);
             }
             return false;
@@ -158,7 +142,7 @@
         true
     }
 
-    /// A message came from its member.
+    /// Records that a message arrived from the stream's member and is buffered.
     pub fn record_received(&mut self, now: Time, id: StreamId, bytes: usize) {
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
@@ -170,138 +154,125 @@
         self.update_timeout(id);
     }
 
-    /// Its reader took a message.
+    /// Records that the reader consumed a message, which frees its buffer space.
     pub fn record_consumed(&mut self, now: Time, id: StreamId, bytes: usize) {
-        let each = self.limits.bytes_per_stream;
+        let limit = self.limits.bytes_per_stream;
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        let bytes = bytes.min(stream.buffered_bytes);
         let before = stream.buffered_bytes;
-        stream.buffered_bytes -= bytes;
-        self.buffered_bytes -= bytes;
-        stream.unread_since = (stream.buffered_bytes > 0).then_some(now);
-        let freed = (before >= each && stream.buffered_bytes < each) || stream.buffered_bytes == 0;
-        if freed && !stream.receive_finished {
+        let freed = bytes.min(before);
+        stream.buffered_bytes -= freed;
+        self.buffered_bytes -= freed;
+        let is_empty = stream.buffered_bytes == 0;
+        stream.unread_since = (!is_empty).then_some(now);
+        let fell_below_limit = before >= limit && stream.buffered_bytes < limit;
+        if (fell_below_limit || is_empty) && !stream.receive_finished {
             self.resumed.push(id);
         }
         self.update_timeout(id);
         self.resume_queued();
     }
 
-    /// Its member has sent all; what is held is still its reader's.
+    /// Notes that the member has sent all. What is buffered stays for the reader.
     pub fn finish_receiving(&mut self, id: StreamId) {
         if let Some(stream) = self.streams.get_mut(&id) {
-            (stream.receive_finished, stream.reading_since) = (true, None);
+            stream.receive_finished = true;
+            stream.reading_since = None;
             self.update_timeout(id);
         }
     }
 
-    /// A stream is gone, and what it held with it.
+    /// Closes a stream and drops what it buffers.
     pub fn close(&mut self, id: StreamId) {
         let Some(stream) = self.streams.remove(&id) else {
             return;
         };
         self.buffered_bytes -= stream.buffered_bytes;
-        if let Some(due) = stream.next_timeout {
-            self.timeouts.remove(&(due, id));
+        if let Some(at) = stream.next_timeout {
+            self.timeouts.remove(&(at, id));
         }
         self.resume_queued();
     }
 
-    /// Streams that may be asked for again since the last look.
+    /// Takes the streams for which [`FlowControl::try_read`] may be asked again since the last
+    /// call.
     pub fn take_resumed(&mut self) -> Vec<StreamId> {
         std::mem::take(&mut self.resumed)
     }
 
-    /// When [`FlowControl::expire`] is wanted next.
+    /// When [`FlowControl::expire`] is to be called next.
     pub fn next_timeout(&self) -> Option<Time> {
         self.timeouts.first().map(|(at, _)| *at)
     }
 
-    /// Streams whose time is over; they are closed by this, and each is named once.
-    pub fn expire(&mut self, now: Time) -> Vec<(StreamId, EndReason)> {
-        let mut ended = Vec::new();
-        while let Some((_, id)) = self.timeouts.first().copied().filter(|(at, _)| *at <= now) {
-            let end = self
-                .streams
-                .get(&id)
-                .and_then(|stream| self.timeouts(stream).find(|(at, _)| *at <= now));
-            ended.extend(end.map(|(_, end)| (id, end)));
+    /// Ends and closes the streams whose time has come.
+    pub fn expire(&mut self, now: Time) -> Vec<ExpiredStream> {
+        let mut expired = Vec::new();
+        while let Some((at, id)) = self.timeouts.first().copied() {
+            if at > now {
+                break;
+            }
+            let stream = self.streams.get(&id);
+            if let Some(reason) = stream.and_then(|stream| stream.expired(&self.limits, now)) {
+                expired.push(ExpiredStream { id, reason });
+            }
             self.close(id);
         }
-        ended
+        expired
     }
 
-    /// Bytes that all streams hold.
+    /// Bytes that all streams buffer.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Streams that are open.
+    /// Number of open streams.
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
-    /// Whether none is.
+    /// Whether no stream is open.
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// What may end a stream, and when. A client whose time is over hears that, whatever else is late.
-    fn timeouts(&self, stream: &StreamState) -> impl Iterator<Item = (Time, EndReason)> {
-        let late = stream.deadline.map(|at| (at, EndReason::DeadlineExceeded));
-        let slow = stream
-            .unread_since
-            .map(|since| (since + self.limits.reader_timeout, EndReason::SlowReader));
-        let silent = stream.reading_since.map(|since| {
-            (
-                since + self.limits.member_timeout,
-                EndReason::UnresponsiveMember,
-            )
-        });
-        [late, slow, silent].into_iter().flatten()
-    }
-
+    /// Brings `timeouts` up to date with a stream's state.
     fn update_timeout(&mut self, id: StreamId) {
-        let Some(stream) = self.streams.get(&id) else {
+        let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        let (old, due) = (
-            stream.next_timeout,
-            self.timeouts(stream).map(|(at, _)| at).min(),
-        );
-        if old == due {
+        let next_timeout = stream.timeouts(&self.limits).map(|(at, _)| at).min();
+        let previous = std::mem::replace(&mut stream.next_timeout, next_timeout);
+        if previous == next_timeout {
             return;
         }
-        if let Some(old) = old {
-            self.timeouts.remove(&(old, id));
-        }
-        if let Some(due) = due {
-            self.timeouts.insert((due, id));
+        if let Some(at) = previous {
+            self.timeouts.remove(&(at, id));
         }
-        if let Some(stream) = self.streams.get_mut(&id) {
-            stream.next_timeout = due;
+        if let Some(at) = next_timeout {
+            self.timeouts.insert((at, id));
         }
     }
 
-    /// Gives free room to those that wait for it: to as many as could each fill up to what one may hold.
+    /// Gives free space to the streams that wait for it: to as many as could each fill up to their
+    /// own limit.
     fn resume_queued(&mut self) {
-        let mut room = self.limits.bytes_total.saturating_sub(self.buffered_bytes);
-        while room > 0 {
+        let limits = &self.limits;
+        let mut free_bytes = limits.bytes_total.saturating_sub(self.buffered_bytes);
+        while free_bytes > 0 {
             let Some(id) = self.queue.pop_front() else {
                 break;
             };
             let Some(stream) = self.streams.get_mut(&id) else {
                 continue;
             };
-            if std::mem::replace(&mut stream.queued, false) && !stream.receive_finished {
-                room = room.saturating_sub(
-                    self.limits
-                        .bytes_per_stream
-                        .saturating_sub(stream.buffered_bytes)
-                        .max(1),
-                );
+            let waited = std::mem::replace(&mut stream.queued, false);
+            if waited && !stream.receive_finished {
+                let could_fill = limits
+                    .bytes_per_stream
+                    .saturating_sub(stream.buffered_bytes);
+                free_bytes = free_bytes.saturating_sub(could_fill.max(1));
                 self.resumed.push(id);
             }
         }
--- /dev/null
+++ b/crates/stackgw-streams/src/limits.rs
@@ -0,0 +1,54 @@
+//! What streams may take, and why one is refused or ended.
+
+use stackgw_router::api::Span;
+use std::fmt;
+
+/// Limits of a gateway's bulk streams. Sizes are in bytes, times in nanoseconds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct StreamLimits {
+    /// Streams that may be open at once.
+    pub max_streams: usize,
+    /// A stream that buffers this much is not read on.
+    pub bytes_per_stream: usize,
+    /// Once all streams together buffer this much, only those are read on that buffer nothing.
+    pub bytes_total: usize,
+    /// A reader that consumes nothing for this long, while something is buffered for it, is ended.
+    pub reader_timeout: Span,
+    /// A member that sends nothing for this long, while it is being read, is given up.
+    pub member_timeout: Span,
+}
+
+/// Why a stream was ended by the gateway.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum EndReason {
+    /// The reader made no progress for [`StreamLimits::reader_timeout`].
+    SlowReader,
+    /// The member sent nothing for [`StreamLimits::member_timeout`] while it was being read.
+    UnresponsiveMember,
+    /// The client's deadline has passed.
+    DeadlineExceeded,
+}
+
+impl fmt::Display for EndReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            EndReason::SlowReader => "the stream was not read for too long",
+            EndReason::UnresponsiveMember => {
+                "the member stopped sending in the middle of the stream"
+            }
+            EndReason::DeadlineExceeded => "the time is over",
+        })
+    }
+}
+
+/// [`StreamLimits::max_streams`] are open.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TooManyStreams;
+
+impl fmt::Display for TooManyStreams {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("too many streams are open")
+    }
+}
+
+impl std::error::Error for TooManyStreams {}
--- a/crates/stackgw-streams/tests/digest.rs
+++ b/crates/stackgw-streams/tests/digest.rs
@@ -4,7 +4,9 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use stackgw_router::api::{Time, MS};
-use stackgw_streams::{ChannelId, ChannelPool, EndReason, FlowControl, StreamId, StreamLimits};
+use stackgw_streams::{
+    ChannelId, ChannelPool, EndReason, ExpiredStream, FlowControl, StreamId, StreamLimits,
+};
 use std::collections::BTreeMap;
 
 const HISTORIES: u64 = 600;
@@ -88,10 +90,10 @@
             (8..=10, Some(id)) => flow.record_received(now, id, random.random_range(0..90)),
             (11 | 12, Some(id)) => flow.record_consumed(now, id, random.random_range(0..90)),
             (_, Some(_)) => {
-                for (id, end) in flow.expire(now) {
+                for ExpiredStream { id, reason } in flow.expire(now) {
                     digest.size(numbers.of(id));
-                    digest.number(end_number(end));
-                    digest.bytes(end.to_string().as_bytes());
+                    digest.number(end_number(reason));
+                    digest.bytes(reason.to_string().as_bytes());
                 }
             }
         }
--- a/crates/stackgw-streams/tests/histories.rs
+++ b/crates/stackgw-streams/tests/histories.rs
@@ -1,10 +1,11 @@
-//! Whole and random histories of streams and connections, held against what is promised.
+//! Whole and random histories of streams and connections, checked against the package's invariants.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use stackgw_router::api::{Time, MS};
 use stackgw_streams::{
-    ChannelPool, EndReason, FlowControl, StreamId, StreamLimits, TooManyStreams,
+    ChannelId, ChannelPool, EndReason, ExpiredStream, FlowControl, StreamId, StreamLimits,
+    TooManyStreams,
 };
 use std::collections::BTreeMap;
 
@@ -15,110 +16,162 @@
     reader_timeout: 50 * MS,
     member_timeout: 20 * MS,
 };
-const MESSAGE: usize = 60;
+const MAX_MESSAGE_BYTES: usize = 60;
 
+/// What has been done to one stream.
 #[derive(Default)]
-struct Seen {
-    held: Vec<usize>,
+struct StreamModel {
+    /// Sizes of the buffered messages.
+    buffered: Vec<usize>,
     reading: bool,
-    over: bool,
+    receive_finished: bool,
+    /// It was not allowed to read and has not been resumed since.
+    waiting: bool,
 }
 
-#[test]
-fn buffers_stay_within_limits_and_no_reader_waits_for_another() {
-    for seed in 0..300 {
-        let mut random = SmallRng::seed_from_u64(seed);
-        let (mut flow, mut now) = (FlowControl::new(LIMITS), 0);
-        let mut seen: BTreeMap<StreamId, Seen> = BTreeMap::new();
-        let mut waits: BTreeMap<StreamId, ()> = BTreeMap::new();
-        for step in 0..400 {
-            now += random.random_range(0..3 * MS);
-            for (id, _) in flow.expire(now) {
-                assert!(
-                    seen.remove(&id).is_some(),
-                    "ended twice, seed {seed}, step {step}"
-                );
-                waits.remove(&id);
-            }
-            let ids: Vec<_> = seen.keys().copied().collect();
-            let pick = |random: &mut SmallRng| ids[random.random_range(0..ids.len())];
-            match random.random_range(0..10) {
-                0 => match flow.open() {
-                    Ok(id) => drop(seen.insert(id, Seen::default())),
-                    Err(TooManyStreams) => assert_eq!(seen.len(), LIMITS.max_streams),
-                },
-                _ if ids.is_empty() => {}
-                1 if random.random_bool(0.2) => {
-                    let id = pick(&mut random);
-                    flow.close(id);
-                    seen.remove(&id);
-                    waits.remove(&id);
-                }
-                2 => {
-                    let id = pick(&mut random);
-                    flow.finish_receiving(id);
-                    let stream = seen.get_mut(&id).expect("it is there");
-                    (stream.over, stream.reading) = (true, false);
-                    waits.remove(&id);
-                }
-                3..=6 => {
-                    let id = pick(&mut random);
-                    let stream = seen.get_mut(&id).expect("it is there");
-                    if !stream.over && !stream.reading && !waits.contains_key(&id) {
-                        stream.reading = flow.try_read(now, id);
-                        let empty = stream.held.is_empty();
-                        assert!(
-                            stream.reading || !empty,
-                            "an empty one waits, seed {seed}, step {step}"
-                        );
-                        if !stream.reading {
-                            waits.insert(id, ());
-                        }
-                    }
-                    if stream.reading {
-                        let bytes = random.random_range(1..=MESSAGE);
-                        flow.record_received(now, id, bytes);
-                        stream.held.push(bytes);
-                        stream.reading = false;
-                    }
-                }
-                _ => {
-                    let id = pick(&mut random);
-                    let stream = seen.get_mut(&id).expect("it is there");
-                    if let Some(bytes) = stream.held.pop() {
-                        flow.record_consumed(now, id, bytes);
-                    }
-                }
-            }
-            for id in flow.take_resumed() {
-                waits.remove(&id);
+impl StreamModel {
+    fn buffered_bytes(&self) -> usize {
+        self.buffered.iter().sum()
+    }
+}
+
+/// A random history of a flow control, beside a model of its streams.
+struct History {
+    flow: FlowControl,
+    streams: BTreeMap<StreamId, StreamModel>,
+    random: SmallRng,
+    now: Time,
+    /// Names the seed and the step where an assertion fails.
+    place: String,
+}
+
+impl History {
+    fn new(seed: u64) -> Self {
+        History {
+            flow: FlowControl::new(LIMITS),
+            streams: BTreeMap::new(),
+            random: SmallRng::seed_from_u64(seed),
+            now: 0,
+            place: String::new(),
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += self.random.random_range(0..3 * MS);
+        self.expire();
+        match self.random.random_range(0..10) {
+            0 => self.open(),
+            _ if self.streams.is_empty() => {}
+            1 if self.random.random_bool(0.2) => self.close(),
+            2 => self.finish_receiving(),
+            3..=6 => self.read(),
+            _ => self.consume(),
+        }
+        for id in self.flow.take_resumed() {
+            if let Some(stream) = self.streams.get_mut(&id) {
+                stream.waiting = false;
             }
-            let sums = seen.values().map(|s| s.held.iter().sum::<usize>());
+        }
+        self.check_limits();
+        self.check_nobody_is_forgotten();
+    }
+
+    fn pick(&mut self) -> StreamId {
+        let ids: Vec<_> = self.streams.keys().copied().collect();
+        ids[self.random.random_range(0..ids.len())]
+    }
+
+    fn expire(&mut self) {
+        for ExpiredStream { id, .. } in self.flow.expire(self.now) {
+            let ended = self.streams.remove(&id);
+            assert!(ended.is_some(), "ended twice, {}", self.place);
+        }
+    }
+
+    fn open(&mut self) {
+        match self.flow.open() {
+            Ok(id) => drop(self.streams.insert(id, StreamModel::default())),
+            Err(TooManyStreams) => assert_eq!(self.streams.len(), LIMITS.max_streams),
+        }
+    }
+
+    fn close(&mut self) {
+        let id = self.pick();
+        self.flow.close(id);
+        self.streams.remove(&id);
+    }
+
+    fn finish_receiving(&mut self) {
+        let id = self.pick();
+        self.flow.finish_receiving(id);
+        let stream = self.streams.get_mut(&id).expect("it is there");
+        stream.receive_finished = true;
+        stream.reading = false;
+        stream.waiting = false;
+    }
+
+    fn read(&mut self) {
+        let id = self.pick();
+        let stream = self.streams.get_mut(&id).expect("it is there");
+        if !stream.receive_finished && !stream.reading && !stream.waiting {
+            stream.reading = self.flow.try_read(self.now, id);
+            let may_wait = !stream.buffered.is_empty();
             assert!(
-                sums.clone()
-                    .all(|sum| sum < LIMITS.bytes_per_stream + MESSAGE),
-                "seed {seed}, step {step}"
-            );
-            assert_eq!(
-                flow.buffered_bytes(),
-                sums.sum::<usize>(),
-                "seed {seed}, step {step}"
+                stream.reading || may_wait,
+                "an empty one waits, {}",
+                self.place
             );
+            stream.waiting = !stream.reading;
+        }
+        if stream.reading {
+            let bytes = self.random.random_range(1..=MAX_MESSAGE_BYTES);
+            self.flow.record_received(self.now, id, bytes);
+            stream.buffered.push(bytes);
+            stream.reading = false;
+        }
+    }
+
+    fn consume(&mut self) {
+        let id = self.pick();
+        let stream = self.streams.get_mut(&id).expect("it is there");
+        if let Some(bytes) = stream.buffered.pop() {
+            self.flow.record_consumed(self.now, id, bytes);
+        }
+    }
+
+    fn check_limits(&self) {
+        let place = &self.place;
+        let sums = self.streams.values().map(StreamModel::buffered_bytes);
+        let stream_limit = LIMITS.bytes_per_stream + MAX_MESSAGE_BYTES;
+        assert!(sums.clone().all(|sum| sum < stream_limit), "{place}");
+        assert_eq!(self.flow.buffered_bytes(), sums.sum::<usize>(), "{place}");
+        let total_limit = LIMITS.bytes_total + LIMITS.max_streams * MAX_MESSAGE_BYTES;
+        assert!(self.flow.buffered_bytes() < total_limit, "{place}");
+    }
+
+    /// No stream is left waiting that free space or an empty buffer would let go on.
+    fn check_nobody_is_forgotten(&self) {
+        let total = self.flow.buffered_bytes();
+        for stream in self.streams.values().filter(|stream| stream.waiting) {
+            let buffered = stream.buffered_bytes();
+            let could_read =
+                buffered == 0 || (buffered < LIMITS.bytes_per_stream && total == buffered);
             assert!(
-                flow.buffered_bytes() < LIMITS.bytes_total + LIMITS.max_streams * MESSAGE,
-                "seed {seed}, step {step}"
+                !could_read || total >= LIMITS.bytes_total,
+                "forgotten, {}",
+                self.place
             );
-            // Nobody is left waiting whom room or an empty hand would let go on.
-            for id in waits.keys() {
-                let stream = &seen[id];
-                let held: usize = stream.held.iter().sum();
-                let stuck =
-                    held == 0 || (held < LIMITS.bytes_per_stream && flow.buffered_bytes() == held);
-                assert!(
-                    !stuck || flow.buffered_bytes() >= LIMITS.bytes_total,
-                    "forgotten, seed {seed}, step {step}"
-                );
-            }
+        }
+    }
+}
+
+#[test]
+fn buffers_stay_within_limits_and_no_reader_waits_for_another() {
+    for seed in 0..300 {
+        let mut history = History::new(seed);
+        for step in 0..400 {
+            history.place = format!("seed {seed}, step {step}");
+            history.step();
         }
     }
 }
@@ -160,7 +213,7 @@
             (flow.expire(due + MS), flow.len(), flow.buffered_bytes()),
             (vec![], 0, 0)
         );
-        (due, ended[0].1)
+        (due, ended[0].reason)
     };
     let silent = run(None, &|flow, id| assert!(flow.try_read(5, id)));
     assert_eq!(
@@ -184,51 +237,77 @@
     let mut now = 0;
     for _ in 0..10 {
         while flow.try_read(now, id) {
-            flow.record_received(now, id, MESSAGE);
+            flow.record_received(now, id, MAX_MESSAGE_BYTES);
         }
         now += LIMITS.reader_timeout - 1;
         assert_eq!(flow.expire(now), []);
-        flow.record_consumed(now, id, MESSAGE);
+        flow.record_consumed(now, id, MAX_MESSAGE_BYTES);
     }
 }
 
+/// What has been done to one connection.
+struct ChannelModel {
+    member: u8,
+    requests: usize,
+    broken: bool,
+}
+
+impl ChannelModel {
+    fn has_capacity(&self) -> bool {
+        self.requests < REQUESTS_PER_CHANNEL && !self.broken
+    }
+}
+
+const REQUESTS_PER_CHANNEL: usize = 4;
+
+fn assign(
+    pool: &mut ChannelPool<u8>,
+    channels: &mut BTreeMap<ChannelId, ChannelModel>,
+    member: u8,
+    seed: u64,
+) {
+    let id = pool.assign(&member);
+    let mut others = channels.values();
+    let with_capacity = others.any(|channel| channel.member == member && channel.has_capacity());
+    let is_new = !channels.contains_key(&id);
+    assert_eq!(is_new, !with_capacity, "seed {seed}");
+    let channel = channels.entry(id).or_insert(ChannelModel {
+        member,
+        requests: 0,
+        broken: false,
+    });
+    channel.requests += 1;
+    let is_allowed = channel.requests <= REQUESTS_PER_CHANNEL && !channel.broken;
+    assert!(channel.member == member && is_allowed, "seed {seed}");
+}
+
 #[test]
 fn requests_share_few_connections_and_empty_ones_are_closed() {
     for seed in 0..100 {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut pool = ChannelPool::new(4);
-        let mut carried: BTreeMap<_, (u8, usize, bool)> = BTreeMap::new();
+        let mut pool = ChannelPool::new(REQUESTS_PER_CHANNEL);
+        let mut channels: BTreeMap<ChannelId, ChannelModel> = BTreeMap::new();
         for _ in 0..500 {
             let member = random.random_range(0..3u8);
             if random.random_bool(0.55) {
-                let placed = pool.assign(&member);
-                let with_room = carried
-                    .values()
-                    .any(|(m, n, broken)| *m == member && *n < 4 && !broken);
-                assert_eq!(!carried.contains_key(&placed), !with_room, "seed {seed}");
-                let channel = carried.entry(placed).or_insert((member, 0, false));
-                channel.1 += 1;
-                assert!(
-                    channel.0 == member && channel.1 <= 4 && !channel.2,
-                    "seed {seed}"
-                );
-            } else if !carried.is_empty() {
-                let at = random.random_range(0..carried.len());
-                let (id, channel) = carried.iter_mut().nth(at).expect("it is there");
+                assign(&mut pool, &mut channels, member, seed);
+            } else if !channels.is_empty() {
+                let at = random.random_range(0..channels.len());
+                let (id, channel) = channels.iter_mut().nth(at).expect("it is there");
                 let id = *id;
                 if random.random_bool(0.1) {
                     pool.mark_broken(id);
-                    channel.2 = true;
+                    channel.broken = true;
                     continue;
                 }
-                channel.1 -= 1;
-                let empty = channel.1 == 0;
-                assert_eq!(pool.release(id), empty, "seed {seed}");
-                if empty {
-                    carried.remove(&id);
+                channel.requests -= 1;
+                let is_empty = channel.requests == 0;
+                assert_eq!(pool.release(id), is_empty, "seed {seed}");
+                if is_empty {
+                    channels.remove(&id);
                 }
             }
-            assert_eq!(pool.len(), carried.len(), "seed {seed}");
+            assert_eq!(pool.len(), channels.len(), "seed {seed}");
         }
     }
 }
