--- a/crates/stackgw-cli/src/flight_frontend.rs
+++ b/crates/stackgw-cli/src/flight_frontend.rs
@@ -28,28 +28,28 @@
     let limits = &config.limits;
     let settings = ServerConfig {
         listen: file.listen,
-        ring,
-        ticket_ms: file.ticket.as_millis(),
-        wait_ms: file.wait.as_millis(),
-        requests: file.requests,
-        streams: file.streams,
-        threads: file.threads,
-        bulk: StreamLimits {
+        key_ring: ring,
+        ticket_lifetime_ms: file.ticket.as_millis(),
+        request_timeout_ms: file.wait.as_millis(),
+        max_requests: file.requests,
+        max_streams_per_connection: file.streams,
+        worker_threads: file.threads,
+        stream_limits: StreamLimits {
             max_streams: bulk.streams,
             bytes_per_stream: bulk.each_kib << KIB_BITS,
             bytes_total: bulk.all_kib << KIB_BITS,
             reader_timeout: span(bulk.stall),
             member_timeout: span(bulk.silence),
         },
-        members: BackendConfig {
-            connect_ms: whole_ms(limits.connect_timeout).max(1),
-            per_channel: bulk.per_channel,
-            message_bytes: bulk.message_kib << KIB_BITS,
-            value_bytes: limits.answer_bytes,
-            outcome_ms: file.wait.as_millis(),
+        backend: BackendConfig {
+            connect_timeout_ms: whole_ms(limits.connect_timeout).max(1),
+            requests_per_channel: bulk.per_channel,
+            max_message_bytes: bulk.message_kib << KIB_BITS,
+            max_value_bytes: limits.answer_bytes,
+            write_outcome_timeout_ms: file.wait.as_millis(),
         },
-        groups: file.groups.clone(),
-        slack_ms: whole_ms(config.settings.router.obligations.answer_slack),
+        flight_groups: file.groups.clone(),
+        answer_slack_ms: whole_ms(config.settings.router.obligations.answer_slack),
         users,
     };
     Ok(Some(Box::new(move |requests, backend, log| {
--- a/crates/stackgw-flight/src/door.rs
+++ b/crates/stackgw-flight/src/auth_service.rs
@@ -1,7 +1,7 @@
 //! What stands before the front's calls: who asks is known first, where the file wants that, and the calls that the Flight
 //! SQL service of `arrow-flight` leaves out.
 
-use crate::server::{now_ms, Front};
+use crate::server::{unix_time_ms, Frontend};
 use arrow_flight::flight_service_server::FlightService;
 use arrow_flight::{
     Action, Criteria, Empty, FlightData, FlightDescriptor, FlightInfo, HandshakeRequest,
@@ -11,40 +11,41 @@
 use std::sync::Arc;
 use tonic::{Request, Response, Status, Streaming};
 
-pub(crate) struct Outer(pub(crate) Arc<Front>);
+pub(crate) struct AuthenticatedService(pub(crate) Arc<Frontend>);
 
-impl Outer {
-    fn known<T>(&self, request: &Request<T>) -> Result<(), Status> {
-        let Some(users) = &self.0.set.users else {
+impl AuthenticatedService {
+    fn authenticate<T>(&self, request: &Request<T>) -> Result<(), Status> {
+        let Some(users) = &self.0.config.users else {
             return Ok(());
         };
         users
-            .who(&self.0.set.ring, request.metadata(), now_ms())
+            .authenticate(&self.0.config.key_ring, request.metadata(), unix_time_ms())
             .map(|_| ())
     }
 }
 
 #[tonic::async_trait]
-impl FlightService for Outer {
-    type HandshakeStream = <Front as FlightService>::HandshakeStream;
-    type ListFlightsStream = <Front as FlightService>::ListFlightsStream;
-    type DoGetStream = <Front as FlightService>::DoGetStream;
-    type DoPutStream = <Front as FlightService>::DoPutStream;
-    type DoActionStream = <Front as FlightService>::DoActionStream;
-    type ListActionsStream = <Front as FlightService>::ListActionsStream;
-    type DoExchangeStream = <Front as FlightService>::DoExchangeStream;
+impl FlightService for AuthenticatedService {
+    type HandshakeStream = <Frontend as FlightService>::HandshakeStream;
+    type ListFlightsStream = <Frontend as FlightService>::ListFlightsStream;
+    type DoGetStream = <Frontend as FlightService>::DoGetStream;
+    type DoPutStream = <Frontend as FlightService>::DoPutStream;
+    type DoActionStream = <Frontend as FlightService>::DoActionStream;
+    type ListActionsStream = <Frontend as FlightService>::ListActionsStream;
+    type DoExchangeStream = <Frontend as FlightService>::DoExchangeStream;
 
     /// Gives a token to whoever shows name and secret; where nobody has to, it says welcome.
     async fn handshake(
         &self,
         request: Request<Streaming<HandshakeRequest>>,
     ) -> Result<Response<Self::HandshakeStream>, Status> {
-        let set = &self.0.set;
-        let token = match &set.users {
+        let config = &self.0.config;
+        let token = match &config.users {
             None => None,
             Some(users) => {
-                let name = users.who(&set.ring, request.metadata(), now_ms())?;
-                Some(users.token(&set.ring, &name, self.0.until()))
+                let name =
+                    users.authenticate(&config.key_ring, request.metadata(), unix_time_ms())?;
+                Some(users.issue_token(&config.key_ring, &name, self.0.expires_at_ms()))
             }
         };
         let payload = token.clone().unwrap_or_default().into_bytes().into();
@@ -63,15 +64,15 @@
         &self,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<SchemaResult>, Status> {
-        self.known(&request)?;
-        self.0.schema_of(request).map(Response::new)
+        self.authenticate(&request)?;
+        self.0.schema_of_command(request).map(Response::new)
     }
 
     async fn list_flights(
         &self,
         request: Request<Criteria>,
     ) -> Result<Response<Self::ListFlightsStream>, Status> {
-        self.known(&request)?;
+        self.authenticate(&request)?;
         self.0.list_flights(request).await
     }
 
@@ -79,7 +80,7 @@
         &self,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        self.known(&request)?;
+        self.authenticate(&request)?;
         self.0.get_flight_info(request).await
     }
 
@@ -87,7 +88,7 @@
         &self,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<PollInfo>, Status> {
-        self.known(&request)?;
+        self.authenticate(&request)?;
         self.0.poll_flight_info(request).await
     }
 
@@ -95,7 +96,7 @@
         &self,
         request: Request<Ticket>,
     ) -> Result<Response<Self::DoGetStream>, Status> {
-        self.known(&request)?;
+        self.authenticate(&request)?;
         self.0.do_get(request).await
     }
 
@@ -103,7 +104,7 @@
         &self,
         request: Request<Streaming<FlightData>>,
     ) -> Result<Response<Self::DoPutStream>, Status> {
-        self.known(&request)?;
+        self.authenticate(&request)?;
         self.0.do_put(request).await
     }
 
@@ -111,7 +112,7 @@
         &self,
         request: Request<Action>,
     ) -> Result<Response<Self::DoActionStream>, Status> {
-        self.known(&request)?;
+        self.authenticate(&request)?;
         self.0.do_action(request).await
     }
 
@@ -119,7 +120,7 @@
         &self,
         request: Request<Empty>,
     ) -> Result<Response<Self::ListActionsStream>, Status> {
-        self.known(&request)?;
+        self.authenticate(&request)?;
         self.0.list_actions(request).await
     }
 
@@ -127,7 +128,7 @@
         &self,
         request: Request<Streaming<FlightData>>,
     ) -> Result<Response<Self::DoExchangeStream>, Status> {
-        self.known(&request)?;
+        self.authenticate(&request)?;
         self.0.do_exchange(request).await
     }
 }
--- a/crates/stackgw-flight/src/back.rs
+++ b/crates/stackgw-flight/src/backend.rs
@@ -4,8 +4,8 @@
 //! connection, as [`ChannelPool`] places them. A statement goes out as it stands, by GetFlightInfo and DoGet. What comes back is
 //! one value for whoever asked for one, and a stream that passes through unread for whoever can take it.
 
-use crate::pass::{lock, Reader, Streams, Writer};
-use crate::server::CANCEL;
+use crate::relay::{lock, Relay, RelayReader, RelayWriter};
+use crate::server::CANCEL_FLIGHT_INFO;
 use crate::status::root_cause;
 use arrow_array::cast::AsArray;
 use arrow_array::{Array, RecordBatch};
@@ -40,83 +40,83 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendConfig {
     /// A connection that is not up by then has failed, in milliseconds.
-    pub connect_ms: u64,
+    pub connect_timeout_ms: u64,
     /// Requests on one connection.
-    pub per_channel: usize,
+    pub requests_per_channel: usize,
     /// Bytes of one message.
-    pub message_bytes: usize,
+    pub max_message_bytes: usize,
     /// Bytes of one value.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// How long a write whose client has left is waited for, in milliseconds.
-    pub outcome_ms: u64,
+    pub write_outcome_timeout_ms: u64,
 }
 
 /// Bytes of one stream that HTTP/2 holds beside what the flow allows; of one connection, as many for each request.
 /// Danger: a connection with less would stand still once some of its streams are not read.
-const WINDOW: u32 = 512 << 10;
+const WINDOW_BYTES: u32 = 512 << 10;
 /// A member's trailer beside a status: `never` where what was asked has had no effect and will have none.
-const NEVER: &str = "x-stackgw-ran";
+const RAN_TRAILER: &str = "x-stackgw-ran";
 /// A member is told of a cancel; its answer is of no use.
-const CANCEL_WAIT: Duration = Duration::from_millis(500);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-pub(crate) struct Back {
-    set: BackendConfig,
-    behind: BackendChannels,
-    streams: Arc<Streams>,
-    channels: Mutex<ChannelPool<SocketAddr>>,
-    links: Mutex<HashMap<ChannelId, Arc<OnceCell<Channel>>>>,
+pub(crate) struct Backend {
+    config: BackendConfig,
+    gateway: BackendChannels,
+    relay: Arc<Relay>,
+    pool: Mutex<ChannelPool<SocketAddr>>,
+    connections: Mutex<HashMap<ChannelId, Arc<OnceCell<Channel>>>>,
     log: Logger,
     /// Writes that ran to their end with nobody left to be told.
-    alone: AtomicU64,
+    unattended_writes: AtomicU64,
     /// Connections that broke or never came up.
-    lost: AtomicU64,
+    lost_connections: AtomicU64,
 }
 
 /// One connection as the gateway sees it.
-struct Handle {
+struct ConnectionHandle {
     asks: mpsc::UnboundedSender<BackendRequest>,
     /// Dropped, it is closed.
     _open: oneshot::Sender<()>,
 }
 
 /// How a request ended.
-enum Ended {
+enum RequestEnd {
     /// The connection takes another one.
-    Ready,
+    Reusable,
     /// It takes none, and why not; nothing where that was asked for.
-    Closed(CloseReason, String),
+    Lost(CloseReason, String),
 }
 
-impl Back {
+impl Backend {
     pub(crate) fn new(
-        set: BackendConfig,
-        behind: BackendChannels,
-        streams: Arc<Streams>,
+        config: BackendConfig,
+        gateway: BackendChannels,
+        relay: Arc<Relay>,
         log: Logger,
     ) -> Arc<Self> {
-        let channels = Mutex::new(ChannelPool::new(set.per_channel));
-        Arc::new(Back {
-            set,
-            behind,
-            streams,
-            channels,
-            links: Mutex::default(),
+        let pool = Mutex::new(ChannelPool::new(config.requests_per_channel));
+        Arc::new(Backend {
+            config,
+            gateway,
+            relay,
+            pool,
+            connections: Mutex::default(),
             log,
-            alone: AtomicU64::new(0),
-            lost: AtomicU64::new(0),
+            unattended_writes: AtomicU64::new(0),
+            lost_connections: AtomicU64::new(0),
         })
     }
 
     /// Does what the gateway asks, until it ends.
     pub(crate) async fn run(self: Arc<Self>) {
-        let mut handles: HashMap<ConnectionId, Handle> = HashMap::new();
-        while let Ok(word) = self.behind.commands.recv().await {
+        let mut handles: HashMap<ConnectionId, ConnectionHandle> = HashMap::new();
+        while let Ok(word) = self.gateway.commands.recv().await {
             match word {
                 BackendCommand::Open(id, at) => {
                     let (asks, asked) = mpsc::unbounded_channel();
                     let (open, gone) = oneshot::channel();
-                    handles.insert(id, Handle { asks, _open: open });
-                    tokio::spawn(self.clone().carry(id, at, asked, gone));
+                    handles.insert(id, ConnectionHandle { asks, _open: open });
+                    tokio::spawn(self.clone().run_connection(id, at, asked, gone));
                 }
                 BackendCommand::Execute(id, ask) => {
                     if let Some(handle) = handles.get(&id) {
@@ -128,34 +128,34 @@
         }
     }
 
-    async fn tell(&self, word: BackendEvent) {
-        let _ = self.behind.events.send(word).await;
+    async fn notify(&self, word: BackendEvent) {
+        let _ = self.gateway.events.send(word).await;
     }
 
     /// One connection, from its opening to its end.
-    async fn carry(
+    async fn run_connection(
         self: Arc<Self>,
         id: ConnectionId,
         at: SocketAddr,
         mut asked: mpsc::UnboundedReceiver<BackendRequest>,
         mut gone: oneshot::Receiver<()>,
     ) {
-        let on = lock(&self.channels).assign(&at);
+        let on = lock(&self.pool).assign(&at);
         let up = tokio::select! {
             up = self.connect(on, at) => up,
             _ = &mut gone => Err(None),
         };
         match up {
             Ok(channel) => {
-                self.tell(BackendEvent::Connected(id)).await;
+                self.notify(BackendEvent::Connected(id)).await;
                 while let Some(ask) = asked.recv().await {
-                    match self.ask(id, channel.clone(), ask, &mut gone).await {
-                        Some(Ended::Ready) => {}
-                        Some(Ended::Closed(why, said)) => {
+                    match self.run_request(id, channel.clone(), ask, &mut gone).await {
+                        Some(RequestEnd::Reusable) => {}
+                        Some(RequestEnd::Lost(why, said)) => {
                             // What broke under one request is given no others.
-                            lock(&self.channels).mark_broken(on);
-                            self.broke(at, &said);
-                            self.tell(BackendEvent::Closed(id, why)).await;
+                            lock(&self.pool).mark_broken(on);
+                            self.log_lost_connection(at, &said);
+                            self.notify(BackendEvent::Closed(id, why)).await;
                             break;
                         }
                         None => break,
@@ -163,41 +163,41 @@
                 }
             }
             Err(why) => {
-                lock(&self.channels).mark_broken(on);
+                lock(&self.pool).mark_broken(on);
                 if let Some(why) = why {
-                    self.tell(BackendEvent::Closed(id, why)).await;
+                    self.notify(BackendEvent::Closed(id, why)).await;
                 }
             }
         }
-        if lock(&self.channels).release(on) {
-            lock(&self.links).remove(&on);
+        if lock(&self.pool).release(on) {
+            lock(&self.connections).remove(&on);
         }
     }
 
     /// A line for connections that broke or never came up, at the first, second, fourth, eighth one and so on.
-    fn broke(&self, at: SocketAddr, why: &str) {
+    fn log_lost_connection(&self, at: SocketAddr, why: &str) {
         if why.is_empty() {
             return;
         }
-        let count = self.lost.fetch_add(1, Ordering::Relaxed) + 1;
+        let count = self.lost_connections.fetch_add(1, Ordering::Relaxed) + 1;
         if count.is_power_of_two() {
             info!(self.log, "connections to members by flight sql that broke or never came up: {count}; the last one to {at}: {why}");
         }
     }
 
     async fn connect(&self, on: ChannelId, at: SocketAddr) -> Result<Channel, Option<CloseReason>> {
-        let link = lock(&self.links).entry(on).or_default().clone();
-        let wait = Duration::from_millis(self.set.connect_ms);
+        let link = lock(&self.connections).entry(on).or_default().clone();
+        let wait = Duration::from_millis(self.config.connect_timeout_ms);
         let opens = async {
-            let requests = u32::try_from(self.set.per_channel)
+            let requests = u32::try_from(self.config.requests_per_channel)
                 .unwrap_or(u32::MAX)
                 .saturating_add(1);
             Endpoint::from_shared(format!("http://{at}"))?
                 .connect_timeout(wait)
                 .tcp_nodelay(true)
-                .initial_stream_window_size(WINDOW)
+                .initial_stream_window_size(WINDOW_BYTES)
                 .initial_connection_window_size(
-                    WINDOW.saturating_mul(requests).min(i32::MAX as u32),
+                    WINDOW_BYTES.saturating_mul(requests).min(i32::MAX as u32),
                 )
                 .connect()
                 .await
@@ -206,46 +206,46 @@
         let up = tokio::time::timeout(wait, link.get_or_try_init(|| opens)).await;
         match up {
             Ok(Ok(channel)) => return Ok(channel.clone()),
-            Ok(Err(why)) => self.broke(at, &root_cause(&why)),
-            Err(_) => self.broke(at, "not up in time"),
+            Ok(Err(why)) => self.log_lost_connection(at, &root_cause(&why)),
+            Err(_) => self.log_lost_connection(at, "not up in time"),
         }
         Err(Some(CloseReason::Disconnected))
     }
 
     /// One request; `None`: the connection is closed from the gateway's side.
-    async fn ask(
+    async fn run_request(
         self: &Arc<Self>,
         id: ConnectionId,
         channel: Channel,
         ask: BackendRequest,
         gone: &mut oneshot::Receiver<()>,
-    ) -> Option<Ended> {
+    ) -> Option<RequestEnd> {
         let info = Mutex::new(None);
         let mut client = FlightServiceClient::new(channel.clone())
-            .max_decoding_message_size(self.set.message_bytes);
+            .max_decoding_message_size(self.config.max_message_bytes);
         if !ask.is_write {
             let work = async {
                 match ask.may_stream {
-                    true => self.stream(id, &mut client, &ask, &info).await,
-                    false => self.value(id, &mut client, &ask, &info).await,
+                    true => self.relay_stream(id, &mut client, &ask, &info).await,
+                    false => self.fetch_value(id, &mut client, &ask, &info).await,
                 }
             };
             return tokio::select! {
                 ended = work => Some(ended),
                 _ = gone => {
-                    call_off(FlightServiceClient::new(channel), lock(&info).take());
+                    cancel(FlightServiceClient::new(channel), lock(&info).take());
                     None
                 }
             };
         }
         // Danger: a write that was asked may run whatever is done here. It runs to its end, so that what became of it is known.
-        let mut work = std::pin::pin!(self.value(id, &mut client, &ask, &info));
+        let mut work = std::pin::pin!(self.fetch_value(id, &mut client, &ask, &info));
         tokio::select! {
             ended = &mut work => return Some(ended),
             _ = gone => {}
         }
-        let wait = Duration::from_millis(ask.timeout_ms.max(self.set.outcome_ms));
-        let count = self.alone.fetch_add(1, Ordering::Relaxed) + 1;
+        let wait = Duration::from_millis(ask.timeout_ms.max(self.config.write_outcome_timeout_ms));
+        let count = self.unattended_writes.fetch_add(1, Ordering::Relaxed) + 1;
         let known = tokio::time::timeout(wait, work).await.is_ok();
         if count.is_power_of_two() {
             let end = if known {
@@ -262,7 +262,7 @@
     }
 
     /// Asks and gives what comes back before the first message, or how that ended.
-    async fn begin(
+    async fn send(
         &self,
         client: &mut FlightServiceClient<Channel>,
         ask: &BackendRequest,
@@ -276,8 +276,8 @@
         let mut request = Request::new(asked);
         request.set_timeout(Duration::from_millis(ask.timeout_ms));
         let info = client.get_flight_info(request).await?.into_inner();
-        let ticket =
-            ticket(&info).ok_or_else(|| Status::internal("the answer is not in one place"))?;
+        let ticket = single_ticket(&info)
+            .ok_or_else(|| Status::internal("the answer is not in one place"))?;
         *lock(kept) = Some(info);
         let mut request = Request::new(ticket);
         if !ask.may_stream {
@@ -289,19 +289,19 @@
     }
 
     /// A request whose answer is one value.
-    async fn value(
+    async fn fetch_value(
         &self,
         id: ConnectionId,
         client: &mut FlightServiceClient<Channel>,
         ask: &BackendRequest,
         info: &Mutex<Option<FlightInfo>>,
-    ) -> Ended {
+    ) -> RequestEnd {
         let gathered = async {
-            let (said, stream) = self.begin(client, ask, info).await?;
+            let (said, stream) = self.send(client, ask, info).await?;
             let batches = FlightRecordBatchStream::new_from_flight_data(
                 stream.map(|d| d.map_err(FlightError::from)),
             );
-            let value = one_value(batches, self.set.value_bytes).await?;
+            let value = read_single_value(batches, self.config.max_value_bytes).await?;
             Ok((said, value))
         };
         match gathered.await {
@@ -312,69 +312,70 @@
                     // An answer of another shape is no value: it may have run, and it is served to nobody.
                     None => write::empty(&mut answer),
                 }
-                statuses(&mut answer, &said);
+                write_member_parameters(&mut answer, &said);
                 self.answer(id, answer).await
             }
-            Err(status) => self.failed(id, &status).await,
+            Err(status) => self.fail(id, &status).await,
         }
     }
 
     /// A request whose answer passes through.
-    async fn stream(
+    async fn relay_stream(
         self: &Arc<Self>,
         id: ConnectionId,
         client: &mut FlightServiceClient<Channel>,
         ask: &BackendRequest,
         info: &Mutex<Option<FlightInfo>>,
-    ) -> Ended {
+    ) -> RequestEnd {
         let begun = async {
-            let (said, mut stream) = self.begin(client, ask, info).await?;
+            let (said, mut stream) = self.send(client, ask, info).await?;
             let first = stream.message().await?;
             Ok((said, first, stream))
         };
         let (said, first, mut stream) = match begun.await {
             Ok(begun) => begun,
-            Err(status) => return self.failed(id, &status).await,
+            Err(status) => return self.fail(id, &status).await,
         };
-        let Some(first) = first.filter(|data| kind(data) == Some(MessageHeader::Schema)) else {
+        let Some(first) = first.filter(|data| message_kind(data) == Some(MessageHeader::Schema))
+        else {
             return self
-                .failed(
+                .fail(
                     id,
                     &Status::internal("the stream does not begin with its schema"),
                 )
                 .await;
         };
-        let told = told(&said);
-        let Some((writer, reader)) = self.streams.open() else {
+        let told = parse_member_parameters(&said);
+        let Some((writer, reader)) = self.relay.open() else {
             // The member has done nothing wrong, and neither is it asked again: its client is told.
-            self.tell(BackendEvent::StreamStarted(
+            self.notify(BackendEvent::StreamStarted(
                 id,
                 told,
-                Box::new(None::<Reader>),
+                Box::new(None::<RelayReader>),
             ))
             .await;
-            self.tell(BackendEvent::StreamEnded(id, Outcome::Cancelled))
+            self.notify(BackendEvent::StreamEnded(id, Outcome::Cancelled))
                 .await;
-            return Ended::Closed(CloseReason::Disconnected, String::new());
+            return RequestEnd::Lost(CloseReason::Disconnected, String::new());
         };
-        writer.put(first);
-        self.tell(BackendEvent::StreamStarted(
+        writer.write(first);
+        self.notify(BackendEvent::StreamStarted(
             id,
             told,
             Box::new(Some(reader)),
         ))
         .await;
-        let outcome = self.pump(id, writer, &mut stream).await;
+        let outcome = self.relay_messages(id, writer, &mut stream).await;
         drop(stream);
         if outcome != Outcome::Served {
-            call_off(client.clone(), lock(info).take());
+            cancel(client.clone(), lock(info).take());
         }
-        self.tell(BackendEvent::StreamEnded(id, outcome)).await;
+        self.notify(BackendEvent::StreamEnded(id, outcome)).await;
         match outcome {
-            Outcome::Served => Ended::Ready,
+            Outcome::Served => RequestEnd::Reusable,
             // What was ended from here is nothing to complain of.
-            Outcome::Cancelled => Ended::Closed(CloseReason::Disconnected, String::new()),
-            _ => Ended::Closed(
+            Outcome::Cancelled => RequestEnd::Lost(CloseReason::Disconnected, String::new()),
+            _ => RequestEnd::Lost(
                 CloseReason::Disconnected,
                 format!("a stream ended as {outcome:?}"),
             ),
@@ -382,43 +383,45 @@
     }
 
     /// Reads on as the flow allows, until the stream has ended one way or another.
-    async fn pump(
+    async fn relay_messages(
         &self,
         id: ConnectionId,
-        writer: Writer,
+        writer: RelayWriter,
         stream: &mut Streaming<FlightData>,
     ) -> Outcome {
         let mut waited = false;
         loop {
-            match writer.asks() {
+            match writer.try_read() {
                 Err(outcome) => return outcome,
                 Ok(true) => {}
                 Ok(false) => {
                     if !std::mem::replace(&mut waited, true) {
-                        self.tell(BackendEvent::StreamStalled(id)).await;
+                        self.notify(BackendEvent::StreamStalled(id)).await;
                     }
-                    if let Err(outcome) = writer.ready().await {
+                    if let Err(outcome) = writer.wait_until_readable().await {
                         return outcome;
                     }
                 }
             }
             let next = tokio::select! {
                 next = stream.message() => next,
-                outcome = writer.end() => return outcome,
+                outcome = writer.wait_until_ended() => return outcome,
             };
             match next {
-                Ok(Some(data)) if matches!(kind(&data), Some(MessageHeader::Schema) | None) => {
-                    writer.broken("its schema changed, or a message could not be read");
+                Ok(Some(data))
+                    if matches!(message_kind(&data), Some(MessageHeader::Schema) | None) =>
+                {
+                    writer.fail("its schema changed, or a message could not be read");
                     return Outcome::MalformedResponse;
                 }
-                Ok(Some(data)) => writer.put(data),
+                Ok(Some(data)) => writer.write(data),
                 Ok(None) => {
-                    writer.whole();
+                    writer.finish();
                     return Outcome::Served;
                 }
                 Err(status) => {
-                    let gone = lost(&status).is_some();
-                    writer.broken(status.message());
+                    let gone = connection_loss(&status).is_some();
+                    writer.fail(status.message());
                     return if gone {
                         Outcome::ConnectionReset
                     } else {
@@ -430,22 +433,22 @@
     }
 
     /// Hands over an answer in the messages of our first protocol.
-    async fn answer(&self, id: ConnectionId, mut answer: Vec<u8>) -> Ended {
+    async fn answer(&self, id: ConnectionId, mut answer: Vec<u8>) -> RequestEnd {
         write::ready(&mut answer);
-        for frame in frames(&answer) {
-            self.tell(BackendEvent::Frame(id, frame)).await;
+        for frame in decode_frames(&answer) {
+            self.notify(BackendEvent::Frame(id, frame)).await;
         }
-        Ended::Ready
+        RequestEnd::Reusable
     }
 
     /// What a status of the member means: see the table in `docs/design/flight.md`.
-    async fn failed(&self, id: ConnectionId, status: &Status) -> Ended {
-        if let Some(lost) = lost(status) {
-            return Ended::Closed(lost, root_cause(status));
+    async fn fail(&self, id: ConnectionId, status: &Status) -> RequestEnd {
+        if let Some(lost) = connection_loss(status) {
+            return RequestEnd::Lost(lost, root_cause(status));
         }
         let never = status
             .metadata()
-            .get(NEVER)
+            .get(RAN_TRAILER)
             .is_some_and(|word| word == "never");
         let code = match status.code() {
             Code::FailedPrecondition if never => "25006",
@@ -454,26 +457,26 @@
         };
         let mut answer = Vec::new();
         write::error(&mut answer, false, code, status.message(), None);
-        statuses(&mut answer, status.metadata());
+        write_member_parameters(&mut answer, status.metadata());
         self.answer(id, answer).await
     }
 }
 
 /// Has the member stop what nobody waits for; dropping its stream has told it already, if it listens to that.
-fn call_off(mut client: FlightServiceClient<Channel>, info: Option<FlightInfo>) {
+fn cancel(mut client: FlightServiceClient<Channel>, info: Option<FlightInfo>) {
     let Some(info) = info else { return };
     let body = CancelFlightInfoRequest { info: Some(info) }.encode_to_vec();
     let action = Action {
-        r#type: CANCEL.to_owned(),
+        r#type: CANCEL_FLIGHT_INFO.to_owned(),
         body: body.into(),
     };
-    tokio::spawn(
-        async move { drop(tokio::time::timeout(CANCEL_WAIT, client.do_action(action)).await) },
-    );
+    tokio::spawn(async move {
+        drop(tokio::time::timeout(CANCEL_TIMEOUT, client.do_action(action)).await)
+    });
 }
 
 /// What kind of message it is; nothing else of it is read.
-fn kind(data: &FlightData) -> Option<MessageHeader> {
+fn message_kind(data: &FlightData) -> Option<MessageHeader> {
     if data.data_header.is_empty() && !data.app_metadata.is_empty() {
         return Some(MessageHeader::NONE);
     }
@@ -483,7 +486,7 @@
 }
 
 /// The ticket of an answer that is all in one place, and that place the member itself.
-fn ticket(info: &FlightInfo) -> Option<Ticket> {
+fn single_ticket(info: &FlightInfo) -> Option<Ticket> {
     let [endpoint] = &info.endpoint[..] else {
         return None;
     };
@@ -494,7 +497,7 @@
 }
 
 /// Whether a status was made here because the connection is no more: a member's own have no source.
-fn lost(status: &Status) -> Option<CloseReason> {
+fn connection_loss(status: &Status) -> Option<CloseReason> {
     let mut next = std::error::Error::source(status);
     next?;
     while let Some(error) = next {
@@ -507,7 +510,7 @@
 }
 
 /// What a member says of itself beside an answer, as parameters of our first protocol.
-fn statuses(answer: &mut Vec<u8>, said: &MetadataMap) {
+fn write_member_parameters(answer: &mut Vec<u8>, said: &MetadataMap) {
     for (header, name) in [
         ("x-stackgw-role", "node_role"),
         ("x-stackgw-position", "replay_position"),
@@ -520,10 +523,10 @@
 }
 
 /// The same as the reducer takes it, read by the one reader that there is.
-fn told(said: &MetadataMap) -> StreamHeader {
+fn parse_member_parameters(said: &MetadataMap) -> StreamHeader {
     let (mut bytes, mut reply) = (Vec::new(), Reply::default());
-    statuses(&mut bytes, said);
-    for frame in frames(&bytes) {
+    write_member_parameters(&mut bytes, said);
+    for frame in decode_frames(&bytes) {
         let _ = reply.take(&frame, usize::MAX);
     }
     StreamHeader {
@@ -533,14 +536,14 @@
     }
 }
 
-fn frames(bytes: &[u8]) -> Vec<Frame> {
+fn decode_frames(bytes: &[u8]) -> Vec<Frame> {
     let mut frames = FrameDecoder::server(bytes.len());
     frames.feed(bytes);
     std::iter::from_fn(|| frames.next_frame()?.ok()).collect()
 }
 
 /// The one value of one row of one column; `None`: the answer has another shape.
-async fn one_value(
+async fn read_single_value(
     mut batches: FlightRecordBatchStream,
     most: usize,
 ) -> Result<Option<Option<Vec<u8>>>, Status> {
@@ -558,7 +561,7 @@
             return Ok(None);
         }
         if batch.num_rows() == 1 {
-            let Some(found) = text_or_bytes(batch.column(0)) else {
+            let Some(found) = first_value(batch.column(0)) else {
                 return Ok(None);
             };
             value = Some(found);
@@ -568,7 +571,7 @@
 }
 
 /// A first row's bytes, where they are text or bytes.
-fn text_or_bytes(column: &dyn Array) -> Option<Option<Vec<u8>>> {
+fn first_value(column: &dyn Array) -> Option<Option<Vec<u8>>> {
     if column.is_null(0) {
         return Some(None);
     }
--- a/crates/stackgw-flight/src/server.rs
+++ b/crates/stackgw-flight/src/server.rs
@@ -1,12 +1,12 @@
 //! The server: gRPC on threads of its own, one request a call through the door.
 
-use crate::asked::{Asked, Headers, Value, Wrong};
-use crate::back::{Back, BackendConfig};
-use crate::door::Outer;
-use crate::pass::{Keeps, Reader, Streams};
-use crate::running::{Place, Running as Runs};
-use crate::sealed::{Sealed, Unusable};
-use crate::status::status;
+use crate::auth_service::AuthenticatedService;
+use crate::backend::{Backend, BackendConfig};
+use crate::cancellation::{RunningGuard, RunningRequests};
+use crate::relay::{Relay, RelayReader, StreamGuards};
+use crate::statement::{ParameterValue, RequestOptions, StatementError, StatementTemplate};
+use crate::status::to_status;
+use crate::tickets::{SealedHandle, TicketError};
 use crate::users::Users;
 use arrow_array::cast::AsArray;
 use arrow_array::{Array, BinaryArray, RecordBatch, StringArray};
@@ -52,39 +52,39 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// What seals tickets and prepared statements: the same on all instances.
-    pub ring: Keyring,
+    pub key_ring: Keyring,
     /// How long a ticket or a prepared statement is good, in milliseconds.
-    pub ticket_ms: u64,
+    pub ticket_lifetime_ms: u64,
     /// How long a request may take where its client names no time, and at most, in milliseconds.
-    pub wait_ms: u64,
+    pub request_timeout_ms: u64,
     /// Requests that may be open at once.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Streams of one connection.
-    pub streams: u32,
+    pub max_streams_per_connection: u32,
     /// Threads that serve it.
-    pub threads: usize,
+    pub worker_threads: usize,
     /// What bulk answers may take.
-    pub bulk: StreamLimits,
+    pub stream_limits: StreamLimits,
     /// How members that speak Flight SQL are reached.
-    pub members: BackendConfig,
+    pub backend: BackendConfig,
     /// Groups all of whose members do; their answers bring their own schema.
-    pub groups: Vec<u32>,
+    pub flight_groups: Vec<u32>,
     /// An answer is on its way this long before its client's time is over, in milliseconds.
-    pub slack_ms: u64,
+    pub answer_slack_ms: u64,
     /// Who may ask; without it anybody.
     pub users: Option<Users>,
 }
 
 /// A front that runs; dropped, it ends.
 #[derive(Debug)]
-pub struct Running {
+pub struct ServerHandle {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Drop for Running {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
@@ -95,18 +95,18 @@
 
 /// Starts the front. A port in use is one plain line.
 pub fn start(
-    set: ServerConfig,
-    door: RequestHandle,
+    config: ServerConfig,
+    gateway: RequestHandle,
     behind: BackendChannels,
     log: Logger,
-) -> Result<Running, String> {
-    let listen = set.listen;
+) -> Result<ServerHandle, String> {
+    let listen = config.listen;
     let wrong = |e: std::io::Error| format!("flight.listen: {listen}: {e}");
     let listener = TcpListener::bind(listen).map_err(wrong)?;
     listener.set_nonblocking(true).map_err(wrong)?;
     let at = listener.local_addr().map_err(wrong)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(set.threads)
+        .worker_threads(config.worker_threads)
         .thread_name("flight")
         .enable_all()
         .build()
@@ -122,18 +122,18 @@
             socket.set_nodelay(true)?;
             Ok::<_, std::io::Error>(socket)
         });
-        let passing = Streams::new(set.bulk);
-        tokio::spawn(passing.clone().watch());
-        tokio::spawn(Back::new(set.members.clone(), behind, passing, log.clone()).run());
-        let gate = Arc::new(Semaphore::new(set.requests));
-        let front = Front {
-            gate,
-            door,
-            sql: sql_info(),
-            set,
-            runs: Arc::default(),
+        let passing = Relay::new(config.stream_limits);
+        tokio::spawn(passing.clone().run_timer());
+        tokio::spawn(Backend::new(config.backend.clone(), behind, passing, log.clone()).run());
+        let permits = Arc::new(Semaphore::new(config.max_requests));
+        let front = Frontend {
+            permits,
+            gateway,
+            sql_info: sql_info(),
+            config,
+            running: Arc::default(),
         };
-        let streams = front.set.streams;
+        let streams = front.config.max_streams_per_connection;
         let served = Server::builder()
             .max_concurrent_streams(Some(streams))
             .http2_max_header_list_size(Some(16 << 10))
@@ -141,7 +141,7 @@
             .http2_keepalive_interval(Some(Duration::from_secs(10)))
             .http2_keepalive_timeout(Some(Duration::from_secs(10)))
             .add_service(
-                FlightServiceServer::new(Outer(Arc::new(front)))
+                FlightServiceServer::new(AuthenticatedService(Arc::new(front)))
                     .max_decoding_message_size(256 << 10),
             )
             .serve_with_incoming_shutdown(incoming, async { drop(stopped.await) });
@@ -156,32 +156,32 @@
             let _ = runtime.block_on(runtime.spawn(serve));
             runtime.shutdown_timeout(Duration::from_millis(100));
         });
-    Ok(Running {
-        at,
+    Ok(ServerHandle {
+        address: at,
         stop: Some(stop),
         thread: Some(thread.map_err(wrong)?),
     })
 }
 
-pub(crate) struct Front {
-    pub(crate) set: ServerConfig,
-    door: RequestHandle,
-    gate: Arc<Semaphore>,
-    sql: Result<SqlInfoData, FlightError>,
-    runs: Arc<Runs>,
+pub(crate) struct Frontend {
+    pub(crate) config: ServerConfig,
+    gateway: RequestHandle,
+    permits: Arc<Semaphore>,
+    sql_info: Result<SqlInfoData, FlightError>,
+    running: Arc<RunningRequests>,
 }
 
-type Stream = <Front as FlightService>::DoGetStream;
+type Stream = <Frontend as FlightService>::DoGetStream;
 
-fn invalid(why: &Wrong) -> Status {
+fn invalid(why: &StatementError) -> Status {
     Status::invalid_argument(why.to_string())
 }
 
-fn unusable(why: Unusable) -> Status {
+fn unusable(why: TicketError) -> Status {
     Status::unauthenticated(why.to_string())
 }
 
-pub(crate) fn now_ms() -> u64 {
+pub(crate) fn unix_time_ms() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -203,7 +203,7 @@
 }
 
 /// The parameters of a statement: a key, and a value for one that writes.
-fn parameters(asked: &Asked) -> Schema {
+fn parameters(asked: &StatementTemplate) -> Schema {
     let fields = [
         Field::new("uid", DataType::Utf8, false),
         Field::new("val", DataType::Binary, false),
@@ -211,7 +211,7 @@
     Schema::new(
         fields
             .into_iter()
-            .take(asked.parameters())
+            .take(asked.open_parameters())
             .collect::<Vec<_>>(),
     )
 }
@@ -222,7 +222,7 @@
         .map_err(|e| Status::internal(e.to_string()))
 }
 
-fn headers<T>(request: &Request<T>, slack_ms: u64) -> Result<Headers, Status> {
+fn headers<T>(request: &Request<T>, slack_ms: u64) -> Result<RequestOptions, Status> {
     let metadata = request.metadata();
     let text = |name: &str| -> Result<Option<String>, Status> {
         let Some(value) = metadata.get(name) else {
@@ -233,13 +233,13 @@
             .map_err(|_| Status::invalid_argument(format!("{name} is no text")))?;
         Ok(Some(text.to_owned()))
     };
-    Ok(Headers {
+    Ok(RequestOptions {
         class: text("x-stackgw-class")?,
         group: text("x-stackgw-group")?,
         id: text("x-stackgw-id")?,
         after: text("x-stackgw-after")?,
-        repeat: text("x-stackgw-repeat")?,
-        wait_ms: timeout_ms(metadata, slack_ms)?,
+        retry: text("x-stackgw-repeat")?,
+        timeout_ms: timeout_ms(metadata, slack_ms)?,
     })
 }
 
@@ -268,24 +268,26 @@
 }
 
 /// Danger: a ticket or a handle may be used more than once, and a write must not.
-fn reads(asked: &Asked) -> Result<(), Status> {
+fn check_is_read(asked: &StatementTemplate) -> Result<(), Status> {
     let wrong = || Status::invalid_argument("a statement that writes goes by DoPut");
-    (!asked.writes()).then_some(()).ok_or_else(wrong)
+    (!asked.is_write()).then_some(()).ok_or_else(wrong)
 }
 
-fn bound(asked: &Asked) -> Result<(), Status> {
+fn check_bound(asked: &StatementTemplate) -> Result<(), Status> {
     let open = || Status::invalid_argument("parameters are not bound");
-    (asked.parameters() == 0).then_some(()).ok_or_else(open)
+    (asked.open_parameters() == 0)
+        .then_some(())
+        .ok_or_else(open)
 }
 
 /// The value of a served request; else its status.
-fn served(ended: FinalResponse) -> Result<Option<Vec<u8>>, Status> {
+fn served_value(ended: FinalResponse) -> Result<Option<Vec<u8>>, Status> {
     match ended {
         FinalResponse::Served(row) => match column_value(&row) {
             Some(value) => Ok(value.map(<[u8]>::to_vec)),
             None => Err(Status::aborted("the member's row has no value")),
         },
-        ended => Err(status(&ended)),
+        ended => Err(to_status(&ended)),
     }
 }
 
@@ -353,27 +355,31 @@
 }
 
 /// The action by which a client has its query stopped, and we a member's.
-pub(crate) const CANCEL: &str = "CancelFlightInfo";
+pub(crate) const CANCEL_FLIGHT_INFO: &str = "CancelFlightInfo";
 /// `CANCEL_RESULT_CANCELLED` of the older action for the same, whose names the library keeps to itself.
 const CANCEL_RESULT_CANCELLED: i32 = 1;
 
-impl Front {
+impl Frontend {
     /// The schema of a statement's answer, where it is known before the answer.
-    fn known_schema(&self, asked: &Asked) -> Option<SchemaRef> {
-        let brings = self.set.groups.iter().any(|group| asked.is_of(*group));
+    fn answer_schema(&self, asked: &StatementTemplate) -> Option<SchemaRef> {
+        let brings = self
+            .config
+            .flight_groups
+            .iter()
+            .any(|group| asked.is_for_group(*group));
         (!brings).then(schema)
     }
 
     /// What GetSchema tells of a command.
-    pub(crate) fn schema_of(
+    pub(crate) fn schema_of_command(
         &self,
         request: Request<FlightDescriptor>,
     ) -> Result<SchemaResult, Status> {
         let bytes = request.get_ref().cmd.clone();
         let asked = if let Some(query) = command::<CommandStatementQuery>(&bytes) {
-            self.asked(&query.query, query.transaction_id.as_ref(), &request)?
+            self.parse_statement(&query.query, query.transaction_id.as_ref(), &request)?
         } else if let Some(query) = command::<CommandPreparedStatementQuery>(&bytes) {
-            self.prepared(&query.prepared_statement_handle)?
+            self.open_prepared(&query.prepared_statement_handle)?
         } else if command::<CommandGetTableTypes>(&bytes).is_some() {
             return ipc(&table_types()).map(|IpcMessage(schema)| SchemaResult { schema });
         } else {
@@ -382,97 +388,105 @@
             ));
         };
         let none = || Status::unimplemented("this group's members tell the schema with the answer");
-        let IpcMessage(schema) = ipc(&*self.known_schema(&asked).ok_or_else(none)?)?;
+        let IpcMessage(schema) = ipc(&*self.answer_schema(&asked).ok_or_else(none)?)?;
         Ok(SchemaResult { schema })
     }
 
     /// Stops what runs here by a client's word. What runs at another instance is stopped there alone.
-    fn stop(&self, info: Option<&FlightInfo>) -> Result<(), Status> {
+    fn cancel(&self, info: Option<&FlightInfo>) -> Result<(), Status> {
         let handle = handle_of(info)
             .ok_or_else(|| Status::invalid_argument("that holds no ticket of ours"))?;
-        match Sealed::open(&self.set.ring, &handle, now_ms()) {
-            Err(Unusable::Foreign) => return Err(unusable(Unusable::Foreign)),
-            Err(Unusable::Expired | Unusable::Other) | Ok(_) => {}
+        match SealedHandle::open(&self.config.key_ring, &handle, unix_time_ms()) {
+            Err(TicketError::Foreign) => return Err(unusable(TicketError::Foreign)),
+            Err(TicketError::Expired | TicketError::WrongKind) | Ok(_) => {}
         }
         let none = || Status::not_found("no such query runs at this gateway");
-        self.runs.stop(&handle).then_some(()).ok_or_else(none)
+        self.running.cancel(&handle).then_some(()).ok_or_else(none)
     }
 
-    pub(crate) fn until(&self) -> u64 {
-        now_ms().saturating_add(self.set.ticket_ms)
+    pub(crate) fn expires_at_ms(&self) -> u64 {
+        unix_time_ms().saturating_add(self.config.ticket_lifetime_ms)
     }
 
-    fn wait<T>(&self, request: &Request<T>) -> Result<Option<u64>, Status> {
-        timeout_ms(request.metadata(), self.set.slack_ms)
+    fn timeout_ms<T>(&self, request: &Request<T>) -> Result<Option<u64>, Status> {
+        timeout_ms(request.metadata(), self.config.answer_slack_ms)
     }
 
-    fn asked<T>(
+    fn parse_statement<T>(
         &self,
         query: &str,
         transaction: Option<&prost::bytes::Bytes>,
         request: &Request<T>,
-    ) -> Result<Asked, Status> {
+    ) -> Result<StatementTemplate, Status> {
         if transaction.is_some_and(|id| !id.is_empty()) {
             return Err(Status::unimplemented("there are no transactions"));
         }
-        Asked::new(query, &headers(request, self.set.slack_ms)?).map_err(|why| invalid(&why))
+        StatementTemplate::parse(query, &headers(request, self.config.answer_slack_ms)?)
+            .map_err(|why| invalid(&why))
     }
 
-    fn prepared(&self, handle: &[u8]) -> Result<Asked, Status> {
-        match Sealed::open(&self.set.ring, handle, now_ms()).map_err(unusable)? {
-            Sealed::Prepared(asked) => Ok(asked),
-            _ => Err(unusable(Unusable::Other)),
+    fn open_prepared(&self, handle: &[u8]) -> Result<StatementTemplate, Status> {
+        match SealedHandle::open(&self.config.key_ring, handle, unix_time_ms()).map_err(unusable)? {
+            SealedHandle::Prepared(asked) => Ok(asked),
+            _ => Err(unusable(TicketError::WrongKind)),
         }
     }
 
-    /// Runs a statement; gives its value. Dropped, it is called off.
-    async fn run(&self, asked: &Asked, wait_ms: Option<u64>) -> Result<Option<Vec<u8>>, Status> {
-        bound(asked)?;
-        let _permit = self.permit()?;
-        served(self.door.execute(self.statement(asked, wait_ms)).await)
+    /// RunningRequests a statement; gives its value. Dropped, it is called off.
+    async fn run(
+        &self,
+        asked: &StatementTemplate,
+        wait_ms: Option<u64>,
+    ) -> Result<Option<Vec<u8>>, Status> {
+        check_bound(asked)?;
+        let _permit = self.acquire_permit()?;
+        served_value(self.gateway.execute(self.render(asked, wait_ms)).await)
     }
 
-    fn permit(&self) -> Result<OwnedSemaphorePermit, Status> {
-        let full = |_| status(&FinalResponse::Rejected("too many requests are open", None));
-        self.gate.clone().try_acquire_owned().map_err(full)
+    fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, Status> {
+        let full = |_| to_status(&FinalResponse::Rejected("too many requests are open", None));
+        self.permits.clone().try_acquire_owned().map_err(full)
     }
 
-    fn statement(&self, asked: &Asked, wait_ms: Option<u64>) -> String {
-        let wait = wait_ms.unwrap_or(self.set.wait_ms).min(self.set.wait_ms);
-        asked.statement(&format!("f{:032x}", rand::random::<u128>()), wait)
+    fn render(&self, asked: &StatementTemplate, wait_ms: Option<u64>) -> String {
+        let wait = wait_ms
+            .unwrap_or(self.config.request_timeout_ms)
+            .min(self.config.request_timeout_ms);
+        asked.render(&format!("f{:032x}", rand::random::<u128>()), wait)
     }
 
-    /// Runs a statement that reads: a member's stream as it comes, or one value as a row of its own.
-    async fn rows(
+    /// RunningRequests a statement that reads: a member's stream as it comes, or one value as a row of its own.
+    async fn execute_query(
         &self,
-        asked: &Asked,
+        asked: &StatementTemplate,
         wait_ms: Option<u64>,
-        place: Place,
+        guard: RunningGuard,
     ) -> Result<Response<Stream>, Status> {
-        bound(asked)?;
-        let permit = self.permit()?;
+        check_bound(asked)?;
+        let permit = self.acquire_permit()?;
         let (answer, waits) = tokio::select! {
-            answered = self.door.execute_streaming(self.statement(asked, wait_ms)) => answered,
-            () = place.stopped() => return Err(Status::cancelled("cancelled on the client's request")),
+            answered = self.gateway.execute_streaming(self.render(asked, wait_ms)) => answered,
+            () = guard.cancelled() => return Err(Status::cancelled("cancelled on the client's request")),
         };
         let value = match answer {
-            FrontendResponse::Final(ended) => served(ended)?,
+            FrontendResponse::Final(ended) => served_value(ended)?,
             FrontendResponse::Stream(passed) => {
                 let reader = passed
-                    .downcast::<Option<Reader>>()
+                    .downcast::<Option<RelayReader>>()
                     .ok()
                     .and_then(|reader| *reader);
-                let full = || status(&FinalResponse::Rejected("too many streams are open", None));
+                let full =
+                    || to_status(&FinalResponse::Rejected("too many streams are open", None));
                 let mut reader = reader.ok_or_else(full)?;
                 // A client that named no time reads for as long as it goes on.
-                if let Some(wait) = asked.wait_ms(wait_ms) {
-                    reader.limit(Duration::from_millis(wait));
+                if let Some(wait) = asked.timeout_ms(wait_ms) {
+                    reader.set_timeout(Duration::from_millis(wait));
                 }
-                place.ends_by(reader.canceller());
-                reader.keep(Keeps {
+                guard.on_cancel(reader.canceller());
+                reader.attach_guards(StreamGuards {
                     _waits: waits,
                     _permit: permit,
-                    _place: place,
+                    _place: guard,
                 });
                 return Ok(Response::new(reader.boxed()));
             }
@@ -484,8 +498,12 @@
         ))
     }
 
-    async fn update(&self, asked: &Asked, wait_ms: Option<u64>) -> Result<i64, Status> {
-        if !asked.writes() {
+    async fn execute_update(
+        &self,
+        asked: &StatementTemplate,
+        wait_ms: Option<u64>,
+    ) -> Result<i64, Status> {
+        if !asked.is_write() {
             return Err(Status::invalid_argument(
                 "a statement that reads goes by GetFlightInfo and DoGet",
             ));
@@ -494,7 +512,10 @@
     }
 
     /// The parameters that a client sends: one batch of one row.
-    async fn bound(&self, data: PeekableFlightDataStream) -> Result<Vec<Value>, Status> {
+    async fn read_parameters(
+        &self,
+        data: PeekableFlightDataStream,
+    ) -> Result<Vec<ParameterValue>, Status> {
         let batches =
             FlightRecordBatchStream::new_from_flight_data(data.map_err(FlightError::from));
         let batches: Vec<RecordBatch> = batches.take(2).try_collect().await?;
@@ -507,13 +528,21 @@
             ));
         }
         let value = |column: &Arc<dyn Array>| match column.data_type() {
-            DataType::Utf8 => Some(Value::Text(column.as_string::<i32>().value(0).to_owned())),
-            DataType::LargeUtf8 => Some(Value::Text(column.as_string::<i64>().value(0).to_owned())),
-            DataType::Utf8View => Some(Value::Text(column.as_string_view().value(0).to_owned())),
-            DataType::Binary => Some(Value::Bytes(column.as_binary::<i32>().value(0).to_vec())),
-            DataType::LargeBinary => {
-                Some(Value::Bytes(column.as_binary::<i64>().value(0).to_vec()))
-            }
+            DataType::Utf8 => Some(ParameterValue::Text(
+                column.as_string::<i32>().value(0).to_owned(),
+            )),
+            DataType::LargeUtf8 => Some(ParameterValue::Text(
+                column.as_string::<i64>().value(0).to_owned(),
+            )),
+            DataType::Utf8View => Some(ParameterValue::Text(
+                column.as_string_view().value(0).to_owned(),
+            )),
+            DataType::Binary => Some(ParameterValue::Bytes(
+                column.as_binary::<i32>().value(0).to_vec(),
+            )),
+            DataType::LargeBinary => Some(ParameterValue::Bytes(
+                column.as_binary::<i64>().value(0).to_vec(),
+            )),
             _ => None,
         };
         let values: Option<Vec<_>> = batch
@@ -527,19 +556,22 @@
 }
 
 #[tonic::async_trait]
-impl FlightSqlService for Front {
-    type FlightService = Front;
+impl FlightSqlService for Frontend {
+    type FlightService = Frontend;
 
     async fn get_flight_info_statement(
         &self,
         query: CommandStatementQuery,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        let asked = self.asked(&query.query, query.transaction_id.as_ref(), &request)?;
-        reads(&asked)?;
-        let schema = self.known_schema(&asked);
-        let sealed =
-            Sealed::Ticket(asked.without_id(), rand::random()).seal(&self.set.ring, self.until());
+        let asked = self.parse_statement(&query.query, query.transaction_id.as_ref(), &request)?;
+        check_is_read(&asked)?;
+        let schema = self.answer_schema(&asked);
+        let sealed = SealedHandle::Ticket {
+            statement: asked.without_id(),
+            nonce: rand::random(),
+        }
+        .seal(&self.config.key_ring, self.expires_at_ms());
         let ticket = TicketStatementQuery {
             statement_handle: sealed.into(),
         };
@@ -555,13 +587,25 @@
         ticket: TicketStatementQuery,
         request: Request<Ticket>,
     ) -> Result<Response<Stream>, Status> {
-        let wait = self.wait(&request)?;
-        match Sealed::open(&self.set.ring, &ticket.statement_handle, now_ms()).map_err(unusable)? {
-            Sealed::Ticket(asked, _) => {
-                self.rows(&asked, wait, self.runs.place(&ticket.statement_handle))
-                    .await
+        let wait = self.timeout_ms(&request)?;
+        match SealedHandle::open(
+            &self.config.key_ring,
+            &ticket.statement_handle,
+            unix_time_ms(),
+        )
+        .map_err(unusable)?
+        {
+            SealedHandle::Ticket {
+                statement: asked, ..
+            } => {
+                self.execute_query(
+                    &asked,
+                    wait,
+                    self.running.register(&ticket.statement_handle),
+                )
+                .await
             }
-            _ => Err(unusable(Unusable::Other)),
+            _ => Err(unusable(TicketError::WrongKind)),
         }
     }
 
@@ -570,8 +614,10 @@
         ticket: CommandStatementUpdate,
         request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
-        let asked = self.asked(&ticket.query, ticket.transaction_id.as_ref(), &request)?;
-        self.update(&asked, self.wait(&request)?).await
+        let asked =
+            self.parse_statement(&ticket.query, ticket.transaction_id.as_ref(), &request)?;
+        self.execute_update(&asked, self.timeout_ms(&request)?)
+            .await
     }
 
     async fn do_action_create_prepared_statement(
@@ -580,14 +626,15 @@
         request: Request<Action>,
     ) -> Result<ActionCreatePreparedStatementResult, Status> {
         let asked = self
-            .asked(&query.query, query.transaction_id.as_ref(), &request)?
+            .parse_statement(&query.query, query.transaction_id.as_ref(), &request)?
             .without_id();
-        let dataset = match self.known_schema(&asked) {
+        let dataset = match self.answer_schema(&asked) {
             Some(schema) => ipc(&schema)?.0,
             None => prost::bytes::Bytes::new(),
         };
         let IpcMessage(parameters) = ipc(&parameters(&asked))?;
-        let handle = Sealed::Prepared(asked).seal(&self.set.ring, self.until());
+        let handle =
+            SealedHandle::Prepared(asked).seal(&self.config.key_ring, self.expires_at_ms());
         Ok(ActionCreatePreparedStatementResult {
             prepared_statement_handle: handle.into(),
             dataset_schema: dataset,
@@ -608,11 +655,12 @@
         query: CommandPreparedStatementQuery,
         request: Request<PeekableFlightDataStream>,
     ) -> Result<DoPutPreparedStatementResult, Status> {
-        let asked = self.prepared(&query.prepared_statement_handle)?;
+        let asked = self.open_prepared(&query.prepared_statement_handle)?;
         let bound = asked
-            .bind(&self.bound(request.into_inner()).await?)
+            .bind(&self.read_parameters(request.into_inner()).await?)
             .map_err(|why| invalid(&why))?;
-        let handle = Sealed::Prepared(bound).seal(&self.set.ring, self.until());
+        let handle =
+            SealedHandle::Prepared(bound).seal(&self.config.key_ring, self.expires_at_ms());
         Ok(DoPutPreparedStatementResult {
             prepared_statement_handle: Some(handle.into()),
         })
@@ -623,14 +671,14 @@
         query: CommandPreparedStatementUpdate,
         request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
-        let wait = self.wait(&request)?;
-        let mut asked = self.prepared(&query.prepared_statement_handle)?;
-        if asked.parameters() > 0 {
+        let wait = self.timeout_ms(&request)?;
+        let mut asked = self.open_prepared(&query.prepared_statement_handle)?;
+        if asked.open_parameters() > 0 {
             asked = asked
-                .bind(&self.bound(request.into_inner()).await?)
+                .bind(&self.read_parameters(request.into_inner()).await?)
                 .map_err(|why| invalid(&why))?;
         }
-        self.update(&asked, wait).await
+        self.execute_update(&asked, wait).await
     }
 
     async fn get_flight_info_prepared_statement(
@@ -638,9 +686,9 @@
         query: CommandPreparedStatementQuery,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        let asked = self.prepared(&query.prepared_statement_handle)?;
-        reads(&asked)?;
-        let schema = self.known_schema(&asked);
+        let asked = self.open_prepared(&query.prepared_statement_handle)?;
+        check_is_read(&asked)?;
+        let schema = self.answer_schema(&asked);
         info_with(
             schema.as_deref(),
             query.as_any().encode_to_vec(),
@@ -653,10 +701,11 @@
         query: CommandPreparedStatementQuery,
         request: Request<Ticket>,
     ) -> Result<Response<Stream>, Status> {
-        let asked = self.prepared(&query.prepared_statement_handle)?;
-        reads(&asked)?;
-        let place = self.runs.place(&query.prepared_statement_handle);
-        self.rows(&asked, self.wait(&request)?, place).await
+        let asked = self.open_prepared(&query.prepared_statement_handle)?;
+        check_is_read(&asked)?;
+        let guard = self.running.register(&query.prepared_statement_handle);
+        self.execute_query(&asked, self.timeout_ms(&request)?, guard)
+            .await
     }
 
     async fn get_flight_info_catalogs(
@@ -754,7 +803,7 @@
     ) -> Result<Response<FlightInfo>, Status> {
         let ticket = query.as_any().encode_to_vec();
         let data = self
-            .sql
+            .sql_info
             .as_ref()
             .map_err(|e| Status::internal(e.to_string()))?;
         info(
@@ -770,7 +819,7 @@
         _: Request<Ticket>,
     ) -> Result<Response<Stream>, Status> {
         let data = self
-            .sql
+            .sql_info
             .as_ref()
             .map_err(|e| Status::internal(e.to_string()))?;
         let builder = query.into_builder(data);
@@ -781,7 +830,7 @@
     async fn list_custom_actions(&self) -> Option<Vec<Result<ActionType, Status>>> {
         let description = "Stops the query of a FlightInfo that runs at this gateway".to_owned();
         Some(vec![Ok(ActionType {
-            r#type: CANCEL.to_owned(),
+            r#type: CANCEL_FLIGHT_INFO.to_owned(),
             description,
         })])
     }
@@ -790,13 +839,13 @@
         &self,
         request: Request<Action>,
     ) -> Result<Response<<Self as FlightService>::DoActionStream>, Status> {
-        if request.get_ref().r#type != CANCEL {
+        if request.get_ref().r#type != CANCEL_FLIGHT_INFO {
             return Err(Status::unimplemented("there is no such action"));
         }
         let asked = CancelFlightInfoRequest::decode(&*request.get_ref().body);
         let asked =
             asked.map_err(|e| Status::invalid_argument(format!("the action's body: {e}")))?;
-        self.stop(asked.info.as_ref())?;
+        self.cancel(asked.info.as_ref())?;
         let body = CancelFlightInfoResult {
             status: CancelStatus::Cancelled.into(),
         }
@@ -814,7 +863,7 @@
     ) -> Result<ActionCancelQueryResult, Status> {
         let info = FlightInfo::decode(&*query.info);
         let info = info.map_err(|e| Status::invalid_argument(format!("the action's body: {e}")))?;
-        self.stop(Some(&info))?;
+        self.cancel(Some(&info))?;
         Ok(ActionCancelQueryResult {
             result: CANCEL_RESULT_CANCELLED,
         })
--- a/crates/stackgw-flight/src/asked.rs
+++ b/crates/stackgw-flight/src/statement.rs
@@ -7,7 +7,7 @@
 
 /// What a call's headers say.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Headers {
+pub struct RequestOptions {
     /// `x-stackgw-class`.
     pub class: Option<String>,
     /// `x-stackgw-group`.
@@ -17,26 +17,26 @@
     /// `x-stackgw-after`: a position to be seen, in Unix milliseconds.
     pub after: Option<String>,
     /// `x-stackgw-repeat`: 1 where the client repeats an earlier try.
-    pub repeat: Option<String>,
+    pub retry: Option<String>,
     /// `grpc-timeout`, in milliseconds.
-    pub wait_ms: Option<u64>,
+    pub timeout_ms: Option<u64>,
 }
 
 /// What is wrong with a call, in one line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wrong(pub String);
+pub struct StatementError(pub String);
 
-impl fmt::Display for Wrong {
+impl fmt::Display for StatementError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for StatementError {}
 
 /// A parameter's value.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Value {
+pub enum ParameterValue {
     /// A text: the key.
     Text(String),
     /// Bytes: the value.
@@ -45,24 +45,24 @@
 
 /// A statement that is complete but for its id and its time, which each execution has of its own.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Asked {
+pub struct StatementTemplate {
     sql: String,
     class: String,
     group: String,
     after: Option<String>,
-    repeat: Option<String>,
+    retry: Option<String>,
     id: Option<String>,
-    wait_ms: Option<u64>,
+    timeout_ms: Option<u64>,
 }
 
 /// A statement is no longer, its value included.
-const MOST: usize = 136 << 10;
+const MAX_STATEMENT_BYTES: usize = 136 << 10;
 
-impl Asked {
+impl StatementTemplate {
     /// Reads a statement and the headers of the call that brought it.
-    pub fn new(statement: &str, headers: &Headers) -> Result<Self, Wrong> {
-        if statement.len() > MOST {
-            return Err(Wrong("the statement is too long".to_owned()));
+    pub fn parse(statement: &str, headers: &RequestOptions) -> Result<Self, StatementError> {
+        if statement.len() > MAX_STATEMENT_BYTES {
+            return Err(StatementError("the statement is too long".to_owned()));
         }
         let (sql, comment) = match statement.rfind("/*") {
             Some(at) => statement.split_at(at),
@@ -73,9 +73,11 @@
             .strip_prefix("/*")
             .and_then(|c| c.strip_suffix("*/"));
         if !comment.is_empty() && inner.is_none() {
-            return Err(Wrong("the statement's comment has no end".to_owned()));
+            return Err(StatementError(
+                "the statement's comment has no end".to_owned(),
+            ));
         }
-        let mut said = Headers::default();
+        let mut comment_options = RequestOptions::default();
         for part in inner
             .unwrap_or_default()
             .split(',')
@@ -84,45 +86,48 @@
         {
             let (name, value) = part
                 .split_once('=')
-                .ok_or(Wrong("the comment holds no name=value".to_owned()))?;
+                .ok_or(StatementError("the comment holds no name=value".to_owned()))?;
             let place = match name {
-                "c" => &mut said.class,
-                "cluster" => &mut said.group,
-                "id" => &mut said.id,
-                "after" => &mut said.after,
-                "r" => &mut said.repeat,
+                "c" => &mut comment_options.class,
+                "cluster" => &mut comment_options.group,
+                "id" => &mut comment_options.id,
+                "after" => &mut comment_options.after,
+                "r" => &mut comment_options.retry,
                 "d" => {
                     let ms = value
                         .parse()
-                        .map_err(|_| Wrong("d is no number of milliseconds".to_owned()))?;
-                    if said.wait_ms.replace(ms).is_some() {
-                        return Err(Wrong("the comment names d twice".to_owned()));
+                        .map_err(|_| StatementError("d is no number of milliseconds".to_owned()))?;
+                    if comment_options.timeout_ms.replace(ms).is_some() {
+                        return Err(StatementError("the comment names d twice".to_owned()));
                     }
                     continue;
                 }
                 _ => continue,
             };
             if place.replace(value.to_owned()).is_some() {
-                return Err(Wrong(format!("the comment names {name} twice")));
+                return Err(StatementError(format!("the comment names {name} twice")));
             }
         }
-        let class = agreed("class", said.class, &headers.class)?;
-        let group = agreed("group", said.group, &headers.group)?;
-        let asked = Asked {
+        let class = agree("class", comment_options.class, &headers.class)?;
+        let group = agree("group", comment_options.group, &headers.group)?;
+        let asked = StatementTemplate {
             sql: sql.trim().trim_end_matches(';').trim_end().to_owned(),
             class: class.ok_or(missing("class", "c"))?,
             group: group.ok_or(missing("group", "cluster"))?,
-            after: agreed("after", said.after, &headers.after)?,
-            repeat: agreed("repeat", said.repeat, &headers.repeat)?,
-            id: agreed("id", said.id, &headers.id)?,
+            after: agree("after", comment_options.after, &headers.after)?,
+            retry: agree("repeat", comment_options.retry, &headers.retry)?,
+            id: agree("id", comment_options.id, &headers.id)?,
             // The call's own time is over sooner or later than the statement's; the sooner one counts.
-            wait_ms: [said.wait_ms, headers.wait_ms].into_iter().flatten().min(),
+            timeout_ms: [comment_options.timeout_ms, headers.timeout_ms]
+                .into_iter()
+                .flatten()
+                .min(),
         };
         let fields = [
             Some(&asked.class),
             Some(&asked.group),
             asked.after.as_ref(),
-            asked.repeat.as_ref(),
+            asked.retry.as_ref(),
             asked.id.as_ref(),
         ];
         let plain = |text: &str| {
@@ -135,7 +140,7 @@
             .flatten()
             .find(|text| !plain(text) || text.is_empty())
         {
-            return Err(Wrong(format!(
+            return Err(StatementError(format!(
                 "'{}' is no name or number",
                 bad.escape_default()
             )));
@@ -144,42 +149,44 @@
     }
 
     /// Whether it writes, as far as its first word tells.
-    pub fn writes(&self) -> bool {
+    pub fn is_write(&self) -> bool {
         self.sql
             .get(..6)
             .is_some_and(|word| word.eq_ignore_ascii_case("insert"))
     }
 
     /// Whether it names this group.
-    pub fn is_of(&self, group: u32) -> bool {
+    pub fn is_for_group(&self, group: u32) -> bool {
         self.group.parse() == Ok(group)
     }
 
     /// Parameters that it leaves open.
-    pub fn parameters(&self) -> usize {
-        outside_quotes(&self.sql).count()
+    pub fn open_parameters(&self) -> usize {
+        placeholders(&self.sql).count()
     }
 
     /// The same with its parameters filled in.
-    pub fn bind(&self, values: &[Value]) -> Result<Self, Wrong> {
-        if values.len() != self.parameters() {
-            return Err(Wrong(format!(
+    pub fn bind(&self, values: &[ParameterValue]) -> Result<Self, StatementError> {
+        if values.len() != self.open_parameters() {
+            return Err(StatementError(format!(
                 "{} parameters are bound, {} are wanted",
                 values.len(),
-                self.parameters()
+                self.open_parameters()
             )));
         }
         let (mut sql, mut from) = (String::new(), 0);
-        for (at, value) in outside_quotes(&self.sql).zip(values) {
+        for (at, value) in placeholders(&self.sql).zip(values) {
             sql += &self.sql[from..at];
             match value {
-                Value::Text(text)
+                ParameterValue::Text(text)
                     if text.contains('\'') || text.contains("/*") || text.contains('\0') =>
                 {
-                    return Err(Wrong("a key holds a quote, a comment or a zero".to_owned()));
+                    return Err(StatementError(
+                        "a key holds a quote, a comment or a zero".to_owned(),
+                    ));
                 }
-                Value::Text(text) => sql += &format!("'{text}'"),
-                Value::Bytes(bytes) => {
+                ParameterValue::Text(text) => sql += &format!("'{text}'"),
+                ParameterValue::Bytes(bytes) => {
                     sql += "'\\x";
                     bytes.iter().for_each(|byte| sql += &format!("{byte:02x}"));
                     sql += "'";
@@ -188,21 +195,23 @@
             from = at + 1;
         }
         sql += &self.sql[from..];
-        Ok(Asked {
+        Ok(StatementTemplate {
             sql,
             ..self.clone()
         })
     }
 
     /// The statement for one execution, under this id where it has none, with this time where it has none or a longer one.
-    pub fn statement(&self, id: &str, wait_ms: u64) -> String {
-        let Asked {
+    pub fn render(&self, id: &str, timeout_ms: u64) -> String {
+        let StatementTemplate {
             sql, class, group, ..
         } = self;
         let id = self.id.as_deref().unwrap_or(id);
-        let wait = self.wait_ms.map_or(wait_ms, |own| own.min(wait_ms));
+        let wait = self
+            .timeout_ms
+            .map_or(timeout_ms, |own| own.min(timeout_ms));
         let mut text = format!("{sql} /* id={id},c={class},d={wait},cluster={group}");
-        for (name, value) in [("after", &self.after), ("r", &self.repeat)] {
+        for (name, value) in [("after", &self.after), ("r", &self.retry)] {
             if let Some(value) = value {
                 text += &format!(",{name}={value}");
             }
@@ -211,29 +220,29 @@
     }
 
     /// How long its client waits, by the statement's word and the call's; the shorter one counts.
-    pub fn wait_ms(&self, call: Option<u64>) -> Option<u64> {
-        [self.wait_ms, call].into_iter().flatten().min()
+    pub fn timeout_ms(&self, call: Option<u64>) -> Option<u64> {
+        [self.timeout_ms, call].into_iter().flatten().min()
     }
 
     /// The same without an id of its own: each execution then is a request of its own.
     pub fn without_id(self) -> Self {
-        Asked { id: None, ..self }
+        StatementTemplate { id: None, ..self }
     }
 }
 
-fn missing(header: &str, comment: &str) -> Wrong {
-    Wrong(format!(
+fn missing(header: &str, comment: &str) -> StatementError {
+    StatementError(format!(
         "x-stackgw-{header} is missing, and so is {comment} in the statement's comment"
     ))
 }
 
-fn agreed(
+fn agree(
     name: &str,
     comment: Option<String>,
     header: &Option<String>,
-) -> Result<Option<String>, Wrong> {
+) -> Result<Option<String>, StatementError> {
     match (comment, header) {
-        (Some(comment), Some(header)) if comment != *header => Err(Wrong(format!(
+        (Some(comment), Some(header)) if comment != *header => Err(StatementError(format!(
             "x-stackgw-{name} and the statement's comment contradict each other"
         ))),
         (comment, header) => Ok(comment.or_else(|| header.clone())),
@@ -241,7 +250,7 @@
 }
 
 /// Where parameters stand: not within quotes.
-fn outside_quotes(sql: &str) -> impl Iterator<Item = usize> + '_ {
+fn placeholders(sql: &str) -> impl Iterator<Item = usize> + '_ {
     let mut quoted = false;
     sql.bytes().enumerate().filter_map(move |(at, byte)| {
         quoted ^= byte == b'\'';
--- a/crates/stackgw-flight/src/status.rs
+++ b/crates/stackgw-flight/src/status.rs
@@ -15,7 +15,7 @@
 }
 
 /// The status of an answer that is no row.
-pub fn status(ended: &FinalResponse) -> Status {
+pub fn to_status(ended: &FinalResponse) -> Status {
     match ended {
         FinalResponse::Served(_) => Status::ok(""),
         FinalResponse::Rejected(why, wait) => match wait {
--- a/crates/stackgw-flight/src/sealed.rs
+++ b/crates/stackgw-flight/src/tickets.rs
@@ -1,6 +1,6 @@
 //! Tickets and prepared statements: sealed by the cluster's keys, with an expiry, whole in themselves.
 
-use crate::asked::Asked;
+use crate::statement::StatementTemplate;
 use serde::{Deserialize, Serialize};
 use stackgw_cluster::Keyring;
 use std::fmt;
@@ -10,41 +10,46 @@
 
 /// What a sealed handle holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sealed {
+pub enum SealedHandle {
     /// A statement that is ready to run, and what tells it from others of the same words.
-    Ticket(Asked, u64),
+    Ticket {
+        /// The statement.
+        statement: StatementTemplate,
+        /// Tells it from other tickets of the same statement.
+        nonce: u64,
+    },
     /// A prepared statement, its parameters open or filled in.
-    Prepared(Asked),
+    Prepared(StatementTemplate),
     /// A client that has shown who it is.
     Bearer(String),
 }
 
 /// Why a handle is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unusable {
+pub enum TicketError {
     /// It is none of ours, or sealed with a key that is no longer valid.
     Foreign,
     /// Its time is over.
     Expired,
     /// It is ours, and something else than what is asked for.
-    Other,
+    WrongKind,
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for TicketError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unusable::Foreign => {
+            TicketError::Foreign => {
                 "the handle is forged, foreign or sealed with a key that is no longer valid"
             }
-            Unusable::Expired => "the handle has expired",
-            Unusable::Other => "the handle is of another kind",
+            TicketError::Expired => "the handle has expired",
+            TicketError::WrongKind => "the handle is of another kind",
         })
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for TicketError {}
 
-impl Sealed {
+impl SealedHandle {
     /// Seals it until a moment, in Unix milliseconds.
     pub fn seal(&self, ring: &Keyring, until_ms: u64) -> Vec<u8> {
         ring.sign(
@@ -54,15 +59,17 @@
     }
 
     /// Opens a handle.
-    pub fn open(ring: &Keyring, handle: &[u8], now_ms: u64) -> Result<Self, Unusable> {
+    pub fn open(ring: &Keyring, handle: &[u8], now_ms: u64) -> Result<Self, TicketError> {
         let (kind, body) = ring
             .verify_sized(handle, usize::MAX)
-            .map_err(|_| Unusable::Foreign)?;
+            .map_err(|_| TicketError::Foreign)?;
         if kind != KIND {
-            return Err(Unusable::Foreign);
+            return Err(TicketError::Foreign);
         }
-        let (until, sealed): (u64, Sealed) =
-            postcard::from_bytes(body).map_err(|_| Unusable::Foreign)?;
-        (now_ms < until).then_some(sealed).ok_or(Unusable::Expired)
+        let (until, sealed): (u64, SealedHandle) =
+            postcard::from_bytes(body).map_err(|_| TicketError::Foreign)?;
+        (now_ms < until)
+            .then_some(sealed)
+            .ok_or(TicketError::Expired)
     }
 }
--- a/crates/stackgw-flight/src/users.rs
+++ b/crates/stackgw-flight/src/users.rs
@@ -1,6 +1,6 @@
 //! Who may ask: users and their secrets from a file, and the tokens that a handshake gives.
 
-use crate::sealed::Sealed;
+use crate::tickets::SealedHandle;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use stackgw_cluster::Keyring;
 use std::collections::BTreeMap;
@@ -20,21 +20,21 @@
 /// The users of a file. Secrets are kept as hashes, which compare in the same time whatever differs.
 #[derive(Debug, Clone)]
 pub struct Users {
-    way: AuthScheme,
+    scheme: AuthScheme,
     known: BTreeMap<String, blake3::Hash>,
 }
 
 /// A file of users is smaller than this.
-const MOST: u64 = 1 << 20;
+const MAX_FILE_BYTES: u64 = 1 << 20;
 /// A secret is at least so long, in bytes.
-const LEAST: usize = 8;
+const MIN_SECRET_BYTES: usize = 8;
 
 impl Users {
     /// Reads a file of lines `name:secret`; empty ones and those that begin with `#` are skipped.
-    pub fn read(way: AuthScheme, file: &Path) -> Result<Self, String> {
+    pub fn read(scheme: AuthScheme, file: &Path) -> Result<Self, String> {
         let wrong = |why: &dyn std::fmt::Display| format!("flight.auth: {}: {why}", file.display());
         let about = std::fs::metadata(file).map_err(|e| wrong(&e))?;
-        if !about.is_file() || about.len() > MOST {
+        if !about.is_file() || about.len() > MAX_FILE_BYTES {
             return Err(wrong(&"no plain file, or too large a one"));
         }
         let text = std::fs::read_to_string(file).map_err(|e| wrong(&e))?;
@@ -48,7 +48,7 @@
             let (name, secret) = line
                 .split_once(':')
                 .ok_or_else(|| wrong("is no name:secret"))?;
-            if name.is_empty() || secret.len() < LEAST {
+            if name.is_empty() || secret.len() < MIN_SECRET_BYTES {
                 return Err(wrong(
                     "the name is empty, or the secret has fewer than 8 bytes",
                 ));
@@ -62,12 +62,12 @@
         }
         match known.is_empty() {
             true => Err(wrong(&"names nobody")),
-            false => Ok(Users { way, known }),
+            false => Ok(Users { scheme, known }),
         }
     }
 
     /// Who asks, by the header `authorization`.
-    pub(crate) fn who(
+    pub(crate) fn authenticate(
         &self,
         ring: &Keyring,
         headers: &MetadataMap,
@@ -81,7 +81,7 @@
             .and_then(|text| text.split_once(' '))
             .ok_or_else(unknown)?;
         let word = word.trim();
-        if self.way == AuthScheme::Bearer {
+        if self.scheme == AuthScheme::Bearer {
             let hash = blake3::hash(word.as_bytes());
             let by_token = self.known.iter().find(|(_, known)| **known == hash);
             return by_token
@@ -91,9 +91,9 @@
         }
         let plain = BASE64_STANDARD.decode(word).map_err(|_| unknown())?;
         if scheme.eq_ignore_ascii_case("bearer") {
-            return match Sealed::open(ring, &plain, now_ms) {
+            return match SealedHandle::open(ring, &plain, now_ms) {
                 // Danger: a token outlives the file that it was given by; whoever was struck off is known no more.
-                Ok(Sealed::Bearer(name)) if self.known.contains_key(&name) => Ok(name),
+                Ok(SealedHandle::Bearer(name)) if self.known.contains_key(&name) => Ok(name),
                 _ => Err(unknown()),
             };
         }
@@ -109,7 +109,7 @@
     }
 
     /// The token that a handshake gives.
-    pub(crate) fn token(&self, ring: &Keyring, name: &str, until_ms: u64) -> String {
-        BASE64_STANDARD.encode(Sealed::Bearer(name.to_owned()).seal(ring, until_ms))
+    pub(crate) fn issue_token(&self, ring: &Keyring, name: &str, until_ms: u64) -> String {
+        BASE64_STANDARD.encode(SealedHandle::Bearer(name.to_owned()).seal(ring, until_ms))
     }
 }
--- a/crates/stackgw-flight/tests/asked.rs
+++ b/crates/stackgw-flight/tests/statements_and_tickets.rs
@@ -1,7 +1,10 @@
 //! Statements with headers, tickets and statuses, without a server.
 
 use stackgw_cluster::{Key, Keyring};
-use stackgw_flight::*;
+use stackgw_flight::{
+    to_status, AuthScheme, ParameterValue, RequestOptions, SealedHandle, StatementTemplate,
+    TicketError, Users,
+};
 use stackgw_gateway::pg::{write, Frame, Statement};
 use stackgw_gateway::reducer::FinalResponse;
 use tonic::Code;
@@ -9,11 +12,11 @@
 
 const SELECT: &str = "SELECT val FROM state WHERE uid = 'k1'";
 
-fn headers() -> Headers {
-    Headers {
+fn headers() -> RequestOptions {
+    RequestOptions {
         class: Some("look".to_owned()),
         group: Some("2".to_owned()),
-        ..Headers::default()
+        ..RequestOptions::default()
     }
 }
 
@@ -26,9 +29,9 @@
 
 #[test]
 fn headers_and_comment_make_one_statement() {
-    let asked =
-        Asked::new(&format!("{SELECT}; /* c=look, after=77 */"), &headers()).expect("they agree");
-    let statement = parsed(&asked.statement("id1", 500));
+    let asked = StatementTemplate::parse(&format!("{SELECT}; /* c=look, after=77 */"), &headers())
+        .expect("they agree");
+    let statement = parsed(&asked.render("id1", 500));
     assert_eq!(
         (
             statement.class.as_str(),
@@ -41,24 +44,25 @@
         (statement.id.as_str(), statement.wait_ms, statement.after_ms),
         ("id1", 500, Some(77))
     );
-    let own = Headers {
+    let own = RequestOptions {
         id: Some("mine".to_owned()),
-        wait_ms: Some(90),
-        repeat: Some("1".to_owned()),
+        timeout_ms: Some(90),
+        retry: Some("1".to_owned()),
         ..headers()
     };
-    let asked = Asked::new(&format!("{SELECT} /* d=120 */"), &own).expect("they agree");
-    let statement = parsed(&asked.statement("id1", 500));
+    let asked =
+        StatementTemplate::parse(&format!("{SELECT} /* d=120 */"), &own).expect("they agree");
+    let statement = parsed(&asked.render("id1", 500));
     assert_eq!(
         (statement.id.as_str(), statement.wait_ms, statement.repeat),
         ("mine", 90, true)
     );
-    assert_eq!(parsed(&asked.without_id().statement("id2", 50)).wait_ms, 50);
+    assert_eq!(parsed(&asked.without_id().render("id2", 50)).wait_ms, 50);
 }
 
 #[test]
-fn what_is_missing_twice_or_contradicts_is_named() {
-    let none = Headers::default();
+fn missing_repeated_and_contradictory_options_are_named() {
+    let none = RequestOptions::default();
     for (text, headers, names) in [
         (SELECT.to_owned(), &none, "x-stackgw-class"),
         (format!("{SELECT} /* c=look */"), &none, "x-stackgw-group"),
@@ -76,39 +80,47 @@
         (format!("{SELECT} /* c=look"), &headers(), "no end"),
         (format!("{SELECT} /* look */"), &headers(), "no name=value"),
     ] {
-        let Wrong(why) = Asked::new(&text, headers).expect_err(&text);
+        let why = StatementTemplate::parse(&text, headers)
+            .expect_err(&text)
+            .to_string();
         assert!(why.contains(names) && !why.contains('\n'), "{text}: {why}");
     }
 }
 
 #[test]
-fn no_header_writes_the_rest_of_the_statement_itself() {
+fn headers_cannot_inject_sql() {
     for bad in ["look */ DROP", "look,cluster=3", "lo ok", "", "'"] {
-        let forged = Headers {
+        let forged = RequestOptions {
             class: Some(bad.to_owned()),
             ..headers()
         };
-        assert!(Asked::new(SELECT, &forged).is_err(), "{bad}");
+        assert!(StatementTemplate::parse(SELECT, &forged).is_err(), "{bad}");
     }
 }
 
 #[test]
-fn parameters_are_filled_in_and_cannot_break_out() {
+fn bound_parameters_cannot_inject_sql() {
     let insert = "INSERT INTO state (uid, val) VALUES (?, ?) RETURNING val";
-    let asked = Asked::new(insert, &headers()).expect("good");
-    assert_eq!((asked.parameters(), asked.writes()), (2, true));
+    let asked = StatementTemplate::parse(insert, &headers()).expect("good");
+    assert_eq!((asked.open_parameters(), asked.is_write()), (2, true));
     let bound = asked
-        .bind(&[Value::Text("a?b".to_owned()), Value::Bytes(vec![1, 255])])
+        .bind(&[
+            ParameterValue::Text("a?b".to_owned()),
+            ParameterValue::Bytes(vec![1, 255]),
+        ])
         .expect("they fit");
-    assert_eq!(bound.parameters(), 0);
-    let text = bound.statement("i", 9);
+    assert_eq!(bound.open_parameters(), 0);
+    let text = bound.render("i", 9);
     assert!(text.contains("('a?b', '\\x01ff')"), "{text}");
     assert_eq!(parsed(&text).key, "a?b");
-    assert!(asked.bind(&[Value::Text("a".to_owned())]).is_err());
+    assert!(asked.bind(&[ParameterValue::Text("a".to_owned())]).is_err());
     for bad in ["a'b", "a/*b", "a\0b"] {
         assert!(
             asked
-                .bind(&[Value::Text(bad.to_owned()), Value::Bytes(vec![])])
+                .bind(&[
+                    ParameterValue::Text(bad.to_owned()),
+                    ParameterValue::Bytes(vec![])
+                ])
                 .is_err(),
             "{bad}"
         );
@@ -116,7 +128,7 @@
 }
 
 #[test]
-fn a_handle_is_ours_whole_and_in_time_or_refused() {
+fn forged_foreign_and_expired_handles_are_rejected() {
     let ring = |secret: &str| {
         Keyring::new(vec![
             Key::new("flight", secret.as_bytes()).expect("a secret")
@@ -124,41 +136,47 @@
         .expect("keys")
     };
     let (ours, theirs) = (ring("a secret of this test"), ring("another secret of it"));
-    let ticket = Sealed::Ticket(
-        Asked::new(
+    let ticket = SealedHandle::Ticket {
+        statement: StatementTemplate::parse(
             &format!("{SELECT} /* x={} */", "y".repeat(5_000)),
             &headers(),
         )
         .expect("good"),
-        7,
-    );
+        nonce: 7,
+    };
     let sealed = ticket.seal(&ours, 1_000);
-    assert_eq!(Sealed::open(&ours, &sealed, 999), Ok(ticket));
-    assert_eq!(Sealed::open(&ours, &sealed, 1_000), Err(Unusable::Expired));
-    assert_eq!(Sealed::open(&theirs, &sealed, 1), Err(Unusable::Foreign));
+    assert_eq!(SealedHandle::open(&ours, &sealed, 999), Ok(ticket));
+    assert_eq!(
+        SealedHandle::open(&ours, &sealed, 1_000),
+        Err(TicketError::Expired)
+    );
+    assert_eq!(
+        SealedHandle::open(&theirs, &sealed, 1),
+        Err(TicketError::Foreign)
+    );
     for at in 0..sealed.len() {
         let mut forged = sealed.clone();
         forged[at] ^= 0x10;
         assert_eq!(
-            Sealed::open(&ours, &forged, 1),
-            Err(Unusable::Foreign),
+            SealedHandle::open(&ours, &forged, 1),
+            Err(TicketError::Foreign),
             "byte {at}"
         );
         assert_eq!(
-            Sealed::open(&ours, &sealed[..at], 1),
-            Err(Unusable::Foreign)
+            SealedHandle::open(&ours, &sealed[..at], 1),
+            Err(TicketError::Foreign)
         );
     }
     // A datagram between instances under the same key is no handle.
     assert_eq!(
-        Sealed::open(&ours, &ours.sign(1, &sealed), 1),
-        Err(Unusable::Foreign)
+        SealedHandle::open(&ours, &ours.sign(1, &sealed), 1),
+        Err(TicketError::Foreign)
     );
 }
 
 #[test]
-fn each_answer_has_its_status() {
-    let refused = status(&FinalResponse::Rejected("not now", Some(250)));
+fn each_outcome_has_its_status() {
+    let refused = to_status(&FinalResponse::Rejected("not now", Some(250)));
     assert_eq!(refused.code(), Code::Unavailable);
     let wait = refused
         .get_details_retry_info()
@@ -171,12 +189,12 @@
         (FinalResponse::Malformed("no"), Code::InvalidArgument),
     ];
     for (ended, code) in codes {
-        assert_eq!(status(&ended).code(), code);
+        assert_eq!(to_status(&ended).code(), code);
     }
 }
 
 #[test]
-fn a_file_of_users_is_read_or_named_with_its_line() {
+fn errors_in_a_file_of_users_name_the_file_and_the_line() {
     let file = std::env::temp_dir().join(format!("stackgw-users-{}", std::process::id()));
     for (text, problem) in [
         ("# nobody\n", "names nobody"),
@@ -188,13 +206,14 @@
         ("a:12345678\na:87654321\n", "line 2: names a user twice"),
     ] {
         std::fs::write(&file, text).expect("a file");
-        let told =
-            stackgw_flight::Users::read(stackgw_flight::AuthScheme::Basic, &file).expect_err(text);
+        let told = Users::read(AuthScheme::Basic, &file)
+            .expect_err(text)
+            .to_string();
         assert!(
             told.ends_with(problem) && told.contains(&file.display().to_string()),
             "{told}"
         );
     }
     std::fs::remove_file(&file).expect("it was there");
-    assert!(stackgw_flight::Users::read(stackgw_flight::AuthScheme::Bearer, &file).is_err());
+    assert!(Users::read(AuthScheme::Bearer, &file).is_err());
 }
--- a/crates/stackgw-flight/tests/wire_fixtures.rs
+++ b/crates/stackgw-flight/tests/wire_fixtures.rs
@@ -3,7 +3,10 @@
 //! The files under `tests/fixtures/` are never written by these tests. One that differs is printed whole.
 
 use stackgw_cluster::{Key, Keyring};
-use stackgw_flight::{root_cause, status, Asked, Headers, Sealed, Unusable, Value};
+use stackgw_flight::{
+    root_cause, to_status, ParameterValue, RequestOptions, SealedHandle, StatementTemplate,
+    TicketError,
+};
 use stackgw_gateway::reducer::FinalResponse;
 use std::fmt::Write;
 use std::path::Path;
@@ -57,20 +60,20 @@
     .expect("keys")
 }
 
-fn headers(class: &str, group: &str) -> Headers {
-    Headers {
+fn headers(class: &str, group: &str) -> RequestOptions {
+    RequestOptions {
         class: Some(class.to_owned()),
         group: Some(group.to_owned()),
-        ..Headers::default()
+        ..RequestOptions::default()
     }
 }
 
-fn all_headers() -> Headers {
-    Headers {
+fn all_headers() -> RequestOptions {
+    RequestOptions {
         id: Some("id-1".to_owned()),
         after: Some("1700000000000".to_owned()),
-        repeat: Some("1".to_owned()),
-        wait_ms: Some(250),
+        retry: Some("1".to_owned()),
+        timeout_ms: Some(250),
         ..headers("stock-check", "2")
     }
 }
@@ -78,18 +81,37 @@
 const SELECT: &str = "SELECT val FROM state WHERE uid = 'k1'";
 const INSERT: &str = "INSERT INTO state (uid, val) VALUES (?, ?) RETURNING val";
 
-fn handles() -> Vec<(&'static str, Sealed)> {
-    let read = Asked::new(SELECT, &headers("look", "2")).expect("a statement");
-    let full = Asked::new(&format!("{SELECT}; /* d=90 */"), &all_headers()).expect("a statement");
-    let open = Asked::new(INSERT, &headers("buy", "3")).expect("a statement");
-    let values = [Value::Text("k1".to_owned()), Value::Bytes(vec![0, 1, 255])];
+fn handles() -> Vec<(&'static str, SealedHandle)> {
+    let read = StatementTemplate::parse(SELECT, &headers("look", "2")).expect("a statement");
+    let full = StatementTemplate::parse(&format!("{SELECT}; /* d=90 */"), &all_headers())
+        .expect("a statement");
+    let open = StatementTemplate::parse(INSERT, &headers("buy", "3")).expect("a statement");
+    let values = [
+        ParameterValue::Text("k1".to_owned()),
+        ParameterValue::Bytes(vec![0, 1, 255]),
+    ];
     let bound = open.bind(&values).expect("they fit");
     vec![
-        ("ticket-of-a-read", Sealed::Ticket(read, 7)),
-        ("ticket-with-all-fields", Sealed::Ticket(full, u64::MAX)),
-        ("prepared-with-open-parameters", Sealed::Prepared(open)),
-        ("prepared-and-bound", Sealed::Prepared(bound)),
-        ("bearer", Sealed::Bearer("depot".to_owned())),
+        (
+            "ticket-of-a-read",
+            SealedHandle::Ticket {
+                statement: read,
+                nonce: 7,
+            },
+        ),
+        (
+            "ticket-with-all-fields",
+            SealedHandle::Ticket {
+                statement: full,
+                nonce: u64::MAX,
+            },
+        ),
+        (
+            "prepared-with-open-parameters",
+            SealedHandle::Prepared(open),
+        ),
+        ("prepared-and-bound", SealedHandle::Prepared(bound)),
+        ("bearer", SealedHandle::Bearer("depot".to_owned())),
     ]
 }
 
@@ -105,13 +127,13 @@
         let (named, handle) = line.split_once(' ').expect("a name and a handle");
         assert_eq!(named, name);
         assert_eq!(
-            Sealed::open(&ring(), &unhex(handle), NOW_MS),
+            SealedHandle::open(&ring(), &unhex(handle), NOW_MS),
             Ok(sealed),
             "{name}"
         );
         assert_eq!(
-            Sealed::open(&ring(), &unhex(handle), UNTIL_MS),
-            Err(Unusable::Expired),
+            SealedHandle::open(&ring(), &unhex(handle), UNTIL_MS),
+            Err(TicketError::Expired),
             "{name}"
         );
     }
@@ -142,7 +164,7 @@
     ];
     let mut actual = String::new();
     for (name, ended) in outcomes {
-        let status = status(&ended);
+        let status = to_status(&ended);
         let (code, details) = (i32::from(status.code()), hex(status.details()));
         writeln!(
             actual,
@@ -152,9 +174,9 @@
         .expect("room");
     }
     for (name, unusable) in [
-        ("foreign", Unusable::Foreign),
-        ("expired", Unusable::Expired),
-        ("other", Unusable::Other),
+        ("foreign", TicketError::Foreign),
+        ("expired", TicketError::Expired),
+        ("other", TicketError::WrongKind),
     ] {
         writeln!(actual, "handle-{name} text={:?}", unusable.to_string()).expect("room");
     }
@@ -165,7 +187,7 @@
 }
 
 /// Statements and the headers that they come with.
-fn calls() -> Vec<(String, Headers)> {
+fn calls() -> Vec<(String, RequestOptions)> {
     let look = || headers("look", "2");
     let forged = |class: &str| headers(class, "2");
     let statement = |rest: &str| format!("{SELECT}{rest}");
@@ -181,14 +203,14 @@
         ),
         (
             statement(" /* c=look,cluster=7,id=a.b_c-d,after=5,r=0,d=4,other=8,, */"),
-            Headers::default(),
+            RequestOptions::default(),
         ),
         (
             statement(" /* first */ /* c=look,cluster=2 */"),
-            Headers::default(),
+            RequestOptions::default(),
         ),
-        (statement(""), Headers::default()),
-        (statement(" /* c=look */"), Headers::default()),
+        (statement(""), RequestOptions::default()),
+        (statement(" /* c=look */"), RequestOptions::default()),
         (statement(" /* c=mine */"), look()),
         (statement(" /* cluster=3 */"), look()),
         (statement(" /* id=id-2 */"), all_headers()),
@@ -205,7 +227,7 @@
         (statement(" /* look */"), look()),
         (statement(" /* c=look"), look()),
         (statement(" /* c=look */ and more"), look()),
-        (statement(" /* c= */"), Headers::default()),
+        (statement(" /* c= */"), RequestOptions::default()),
         (statement(""), forged("look */ DROP")),
         (statement(""), forged("look,cluster=3")),
         (statement(""), forged("lo ok")),
@@ -241,17 +263,17 @@
 }
 
 /// All that can be asked of a statement, in one line.
-fn described(asked: &Asked) -> String {
+fn described(asked: &StatementTemplate) -> String {
     format!(
         "writes={} parameters={} group2={} group3={} wait={:?},{:?} text={} fresh={}",
-        asked.writes(),
-        asked.parameters(),
-        asked.is_of(2),
-        asked.is_of(3),
-        asked.wait_ms(None),
-        asked.wait_ms(Some(100)),
-        shortened(&asked.statement("made-id", 500)),
-        shortened(&asked.clone().without_id().statement("made-id", 50)),
+        asked.is_write(),
+        asked.open_parameters(),
+        asked.is_for_group(2),
+        asked.is_for_group(3),
+        asked.timeout_ms(None),
+        asked.timeout_ms(Some(100)),
+        shortened(&asked.render("made-id", 500)),
+        shortened(&asked.clone().without_id().render("made-id", 50)),
     )
 }
 
@@ -259,7 +281,7 @@
 fn statements_and_headers_are_read_as_before() {
     let mut actual = String::new();
     for (number, (statement, headers)) in calls().iter().enumerate() {
-        let line = match Asked::new(statement, headers) {
+        let line = match StatementTemplate::parse(statement, headers) {
             Ok(asked) => described(&asked),
             Err(error) => format!("error={:?}", error.to_string()),
         };
@@ -270,19 +292,22 @@
 
 #[test]
 fn parameters_are_bound_as_before() {
-    let text = |text: &str| Value::Text(text.to_owned());
-    let insert = Asked::new(INSERT, &headers("buy", "3")).expect("a statement");
-    let quoted =
-        Asked::new("SELECT '?' WHERE uid = ?", &headers("look", "2")).expect("a statement");
+    let text = |text: &str| ParameterValue::Text(text.to_owned());
+    let insert = StatementTemplate::parse(INSERT, &headers("buy", "3")).expect("a statement");
+    let quoted = StatementTemplate::parse("SELECT '?' WHERE uid = ?", &headers("look", "2"))
+        .expect("a statement");
     let cases = [
-        (&insert, vec![text("k1"), Value::Bytes(vec![0, 16, 255])]),
-        (&insert, vec![text("a?b"), Value::Bytes(vec![])]),
+        (
+            &insert,
+            vec![text("k1"), ParameterValue::Bytes(vec![0, 16, 255])],
+        ),
+        (&insert, vec![text("a?b"), ParameterValue::Bytes(vec![])]),
         (&insert, vec![text("a"), text("b")]),
         (&insert, vec![text("a")]),
         (&insert, vec![]),
-        (&insert, vec![text("a'b"), Value::Bytes(vec![1])]),
-        (&insert, vec![text("a/*b"), Value::Bytes(vec![1])]),
-        (&insert, vec![text("a\0b"), Value::Bytes(vec![1])]),
+        (&insert, vec![text("a'b"), ParameterValue::Bytes(vec![1])]),
+        (&insert, vec![text("a/*b"), ParameterValue::Bytes(vec![1])]),
+        (&insert, vec![text("a\0b"), ParameterValue::Bytes(vec![1])]),
         (&quoted, vec![text("k")]),
         (&quoted, vec![text("k"), text("l")]),
     ];
