--- a/crates/stackgw-flight/src/auth_service.rs
+++ b/crates/stackgw-flight/src/auth_service.rs
@@ -1,7 +1,8 @@
 //! What stands before the front's calls: who asks is known first, where the file wants that, and the calls that the Flight
 //! SQL service of `arrow-flight` leaves out.
 
-use crate::server::{unix_time_ms, Frontend};
+use crate::clock::unix_time_ms;
+use crate::server::Frontend;
 use arrow_flight::flight_service_server::FlightService;
 use arrow_flight::{
     Action, Criteria, Empty, FlightData, FlightDescriptor, FlightInfo, HandshakeRequest,
--- a/crates/stackgw-flight/src/backend.rs
+++ b/crates/stackgw-flight/src/backend.rs
@@ -4,9 +4,13 @@
 //! connection, as [`ChannelPool`] places them. A statement goes out as it stands, by GetFlightInfo and DoGet. What comes back is
 //! one value for whoever asked for one, and a stream that passes through unread for whoever can take it.
 
-use crate::relay::{lock, Relay, RelayReader, RelayWriter};
-use crate::server::CANCEL_FLIGHT_INFO;
+use crate::config::BackendConfig;
+use crate::protocol::{
+    CANCEL_FLIGHT_INFO, LOAD_HEADER, NEVER_RAN, POSITION_HEADER, RAN_TRAILER, ROLE_HEADER,
+};
+use crate::relay::{Relay, RelayReader, RelayWriter};
 use crate::status::root_cause;
+use crate::sync::lock;
 use arrow_array::cast::AsArray;
 use arrow_array::{Array, RecordBatch};
 use arrow_flight::decode::FlightRecordBatchStream;
@@ -36,26 +40,9 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, ConnectError, Request, Status, Streaming};
 
-/// What the back is told.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BackendConfig {
-    /// A connection that is not up by then has failed, in milliseconds.
-    pub connect_timeout_ms: u64,
-    /// Requests on one connection.
-    pub requests_per_channel: usize,
-    /// Bytes of one message.
-    pub max_message_bytes: usize,
-    /// Bytes of one value.
-    pub max_value_bytes: usize,
-    /// How long a write whose client has left is waited for, in milliseconds.
-    pub write_outcome_timeout_ms: u64,
-}
-
 /// Bytes of one stream that HTTP/2 holds beside what the flow allows; of one connection, as many for each request.
 /// Danger: a connection with less would stand still once some of its streams are not read.
 const WINDOW_BYTES: u32 = 512 << 10;
-/// A member's trailer beside a status: `never` where what was asked has had no effect and will have none.
-const RAN_TRAILER: &str = "x-stackgw-ran";
 /// A member is told of a cancel; its answer is of no use.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -449,7 +436,7 @@
         let never = status
             .metadata()
             .get(RAN_TRAILER)
-            .is_some_and(|word| word == "never");
+            .is_some_and(|word| word == NEVER_RAN);
         let code = match status.code() {
             Code::FailedPrecondition if never => "25006",
             Code::ResourceExhausted | Code::Unavailable if never => "53300",
@@ -512,9 +499,9 @@
 /// What a member says of itself beside an answer, as parameters of our first protocol.
 fn write_member_parameters(answer: &mut Vec<u8>, said: &MetadataMap) {
     for (header, name) in [
-        ("x-stackgw-role", "node_role"),
-        ("x-stackgw-position", "replay_position"),
-        ("x-stackgw-load", "server_load"),
+        (ROLE_HEADER, "node_role"),
+        (POSITION_HEADER, "replay_position"),
+        (LOAD_HEADER, "server_load"),
     ] {
         if let Some(value) = said.get(header).and_then(|value| value.to_str().ok()) {
             write::status(answer, name, value);
--- a/crates/stackgw-flight/src/cancellation.rs
+++ b/crates/stackgw-flight/src/cancellation.rs
@@ -1,6 +1,6 @@
 //! What runs at this instance, by the ticket that it was asked with, so that a client can have it stopped by that.
 
-use crate::relay::lock;
+use crate::sync::lock;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
--- a/crates/stackgw-flight/src/lib.rs
+++ b/crates/stackgw-flight/src/lib.rs
@@ -8,15 +8,21 @@
 mod auth_service;
 mod backend;
 mod cancellation;
+mod clock;
+mod config;
+mod error;
+mod protocol;
 mod relay;
 mod server;
 mod statement;
 mod status;
+mod sync;
 mod tickets;
 mod users;
 
-pub use backend::BackendConfig;
-pub use server::{start, ServerConfig, ServerHandle};
+pub use config::{BackendConfig, ServerConfig};
+pub use error::{Error, UsersFileProblem};
+pub use server::{start, ServerHandle};
 pub use stackgw_streams::StreamLimits;
 pub use statement::{ParameterValue, RequestOptions, StatementError, StatementTemplate};
 pub use status::{root_cause, to_status};
--- a/crates/stackgw-flight/src/relay.rs
+++ b/crates/stackgw-flight/src/relay.rs
@@ -2,6 +2,7 @@
 //! ended, is [`FlowControl`]'s to say; here are its clock, its wake-ups and the messages themselves, which nobody decodes.
 
 use crate::cancellation::RunningGuard;
+use crate::sync::lock;
 use arrow_flight::FlightData;
 use futures::Stream;
 use stackgw_gateway::RequestGuard;
@@ -9,17 +10,12 @@
 use stackgw_streams::{EndReason, FlowControl, StreamId, StreamLimits};
 use std::collections::{HashMap, VecDeque};
 use std::pin::Pin;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 use tonic::Status;
 
-/// A poisoned lock still holds whole data here: each change is made under it at once.
-pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 /// Bytes that a message takes.
 fn message_bytes(data: &FlightData) -> usize {
     data.data_header.len() + data.data_body.len() + data.app_metadata.len()
--- a/crates/stackgw-flight/src/server.rs
+++ b/crates/stackgw-flight/src/server.rs
@@ -1,13 +1,19 @@
 //! The server: gRPC on threads of its own, one request a call through the door.
 
 use crate::auth_service::AuthenticatedService;
-use crate::backend::{Backend, BackendConfig};
+use crate::backend::Backend;
 use crate::cancellation::{RunningGuard, RunningRequests};
+use crate::clock::unix_time_ms;
+use crate::config::ServerConfig;
+use crate::error::Error;
+use crate::protocol::{
+    decode_command, AFTER_HEADER, CANCEL_FLIGHT_INFO, CLASS_HEADER, GROUP_HEADER, ID_HEADER,
+    RETRY_HEADER, TIMEOUT_HEADER,
+};
 use crate::relay::{Relay, RelayReader, StreamGuards};
 use crate::statement::{ParameterValue, RequestOptions, StatementError, StatementTemplate};
 use crate::status::to_status;
 use crate::tickets::{SealedHandle, TicketError};
-use crate::users::Users;
 use arrow_array::cast::AsArray;
 use arrow_array::{Array, BinaryArray, RecordBatch, StringArray};
 use arrow_flight::decode::FlightRecordBatchStream;
@@ -26,15 +32,13 @@
 use futures::{StreamExt, TryStreamExt};
 use prost::Message;
 use slog::{info, Logger};
-use stackgw_cluster::Keyring;
 use stackgw_gateway::pg::column_value;
 use stackgw_gateway::reducer::FinalResponse;
 use stackgw_gateway::{BackendChannels, FrontendResponse, RequestHandle};
-use stackgw_streams::StreamLimits;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::thread::JoinHandle;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::sync::{oneshot, OwnedSemaphorePermit, Semaphore};
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::metadata::MetadataMap;
@@ -46,35 +50,6 @@
 const SCHEMA: &str = "public";
 const TABLE: &str = "state";
 
-/// What a front and its back are told.
-#[derive(Debug, Clone)]
-pub struct ServerConfig {
-    /// Where clients connect.
-    pub listen: SocketAddr,
-    /// What seals tickets and prepared statements: the same on all instances.
-    pub key_ring: Keyring,
-    /// How long a ticket or a prepared statement is good, in milliseconds.
-    pub ticket_lifetime_ms: u64,
-    /// How long a request may take where its client names no time, and at most, in milliseconds.
-    pub request_timeout_ms: u64,
-    /// Requests that may be open at once.
-    pub max_requests: usize,
-    /// Streams of one connection.
-    pub max_streams_per_connection: u32,
-    /// Threads that serve it.
-    pub worker_threads: usize,
-    /// What bulk answers may take.
-    pub stream_limits: StreamLimits,
-    /// How members that speak Flight SQL are reached.
-    pub backend: BackendConfig,
-    /// Groups all of whose members do; their answers bring their own schema.
-    pub flight_groups: Vec<u32>,
-    /// An answer is on its way this long before its client's time is over, in milliseconds.
-    pub answer_slack_ms: u64,
-    /// Who may ask; without it anybody.
-    pub users: Option<Users>,
-}
-
 /// A front that runs; dropped, it ends.
 #[derive(Debug)]
 pub struct ServerHandle {
@@ -99,9 +74,12 @@
     gateway: RequestHandle,
     behind: BackendChannels,
     log: Logger,
-) -> Result<ServerHandle, String> {
+) -> Result<ServerHandle, Error> {
     let listen = config.listen;
-    let wrong = |e: std::io::Error| format!("flight.listen: {listen}: {e}");
+    let wrong = |source| Error::Listen {
+        address: listen,
+        source,
+    };
     let listener = TcpListener::bind(listen).map_err(wrong)?;
     listener.set_nonblocking(true).map_err(wrong)?;
     let at = listener.local_addr().map_err(wrong)?;
@@ -181,13 +159,6 @@
     Status::unauthenticated(why.to_string())
 }
 
-pub(crate) fn unix_time_ms() -> u64 {
-    let now = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default();
-    u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
-}
-
 /// The one column that a value comes in.
 fn schema() -> SchemaRef {
     Arc::new(Schema::new(vec![Field::new("val", DataType::Binary, true)]))
@@ -234,18 +205,18 @@
         Ok(Some(text.to_owned()))
     };
     Ok(RequestOptions {
-        class: text("x-stackgw-class")?,
-        group: text("x-stackgw-group")?,
-        id: text("x-stackgw-id")?,
-        after: text("x-stackgw-after")?,
-        retry: text("x-stackgw-repeat")?,
+        class: text(CLASS_HEADER)?,
+        group: text(GROUP_HEADER)?,
+        id: text(ID_HEADER)?,
+        after: text(AFTER_HEADER)?,
+        retry: text(RETRY_HEADER)?,
         timeout_ms: timeout_ms(metadata, slack_ms)?,
     })
 }
 
 /// `grpc-timeout`: up to eight digits and a unit; less what an answer needs on its way, as the client counts to the end.
 fn timeout_ms(metadata: &MetadataMap, slack_ms: u64) -> Result<Option<u64>, Status> {
-    let Some(value) = metadata.get("grpc-timeout") else {
+    let Some(value) = metadata.get(TIMEOUT_HEADER) else {
         return Ok(None);
     };
     let wrong = || Status::invalid_argument("grpc-timeout is no time");
@@ -325,17 +296,13 @@
     ))
 }
 
-/// What an action's or a call's bytes are, if they are a command of this kind.
-fn command<C: ProstMessageExt>(bytes: &[u8]) -> Option<C> {
-    Any::decode(bytes).ok()?.unpack().ok()?
-}
-
 /// What a running request is known by: the sealed handle in its ticket.
 fn handle_of(info: Option<&FlightInfo>) -> Option<Vec<u8>> {
     let ticket = &info?.endpoint.first()?.ticket.as_ref()?.ticket;
-    let statement = command::<TicketStatementQuery>(ticket).map(|t| t.statement_handle.to_vec());
+    let statement =
+        decode_command::<TicketStatementQuery>(ticket).map(|t| t.statement_handle.to_vec());
     let prepared = || {
-        command::<CommandPreparedStatementQuery>(ticket)
+        decode_command::<CommandPreparedStatementQuery>(ticket)
             .map(|t| t.prepared_statement_handle.to_vec())
     };
     statement.or_else(prepared)
@@ -354,8 +321,6 @@
     builder.build()
 }
 
-/// The action by which a client has its query stopped, and we a member's.
-pub(crate) const CANCEL_FLIGHT_INFO: &str = "CancelFlightInfo";
 /// `CANCEL_RESULT_CANCELLED` of the older action for the same, whose names the library keeps to itself.
 const CANCEL_RESULT_CANCELLED: i32 = 1;
 
@@ -376,11 +341,11 @@
         request: Request<FlightDescriptor>,
     ) -> Result<SchemaResult, Status> {
         let bytes = request.get_ref().cmd.clone();
-        let asked = if let Some(query) = command::<CommandStatementQuery>(&bytes) {
+        let asked = if let Some(query) = decode_command::<CommandStatementQuery>(&bytes) {
             self.parse_statement(&query.query, query.transaction_id.as_ref(), &request)?
-        } else if let Some(query) = command::<CommandPreparedStatementQuery>(&bytes) {
+        } else if let Some(query) = decode_command::<CommandPreparedStatementQuery>(&bytes) {
             self.open_prepared(&query.prepared_statement_handle)?
-        } else if command::<CommandGetTableTypes>(&bytes).is_some() {
+        } else if decode_command::<CommandGetTableTypes>(&bytes).is_some() {
             return ipc(&table_types()).map(|IpcMessage(schema)| SchemaResult { schema });
         } else {
             return Err(Status::unimplemented(
--- a/crates/stackgw-flight/src/status.rs
+++ b/crates/stackgw-flight/src/status.rs
@@ -1,33 +1,50 @@
-//! How the one final answer is worded: the table in `docs/design/flight.md`.
+//! Statuses that clients see: the table in `docs/design/flight.md`.
 
+use crate::statement::StatementError;
+use crate::tickets::TicketError;
 use stackgw_gateway::reducer::FinalResponse;
 use std::time::Duration;
 use tonic::{Code, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
-/// The last of what caused an error: the first says little more than that there was one.
+/// The innermost source of an error: transport errors say little more than that there was one.
 pub fn root_cause(error: &dyn std::error::Error) -> String {
-    let mut last = error;
-    while let Some(next) = last.source() {
-        last = next;
+    let mut innermost = error;
+    while let Some(source) = innermost.source() {
+        innermost = source;
     }
-    last.to_string()
+    innermost.to_string()
 }
 
-/// The status of an answer that is no row.
-pub fn to_status(ended: &FinalResponse) -> Status {
-    match ended {
+/// The status of a request's final outcome. What a served request returned is not part of it.
+pub fn to_status(outcome: &FinalResponse) -> Status {
+    match outcome {
         FinalResponse::Served(_) => Status::ok(""),
-        FinalResponse::Rejected(why, wait) => match wait {
-            Some(ms) => {
-                let wait = Duration::from_millis(u64::try_from(*ms).unwrap_or(0));
-                let details = ErrorDetails::with_retry_info(Some(wait));
-                Status::with_error_details(Code::Unavailable, *why, details)
-            }
-            None => Status::unavailable(*why),
-        },
-        FinalResponse::Unavailable(why) => Status::unavailable(*why),
-        FinalResponse::Failed(why) => Status::aborted(*why),
-        FinalResponse::Malformed(why) => Status::invalid_argument(*why),
+        FinalResponse::Rejected(text, retry_after_ms) => rejected(text, *retry_after_ms),
+        FinalResponse::Unavailable(text) => Status::unavailable(*text),
+        FinalResponse::Failed(text) => Status::aborted(*text),
+        FinalResponse::Malformed(text) => Status::invalid_argument(*text),
+    }
+}
+
+/// A request that has not run, with the time to come back where one is known.
+pub(crate) fn rejected(text: &str, retry_after_ms: Option<i64>) -> Status {
+    let Some(retry_after_ms) = retry_after_ms else {
+        return Status::unavailable(text);
+    };
+    let retry_after = Duration::from_millis(u64::try_from(retry_after_ms).unwrap_or(0));
+    let details = ErrorDetails::with_retry_info(Some(retry_after));
+    Status::with_error_details(Code::Unavailable, text, details)
+}
+
+impl From<StatementError> for Status {
+    fn from(error: StatementError) -> Self {
+        Status::invalid_argument(error.to_string())
+    }
+}
+
+impl From<TicketError> for Status {
+    fn from(error: TicketError) -> Self {
+        Status::unauthenticated(error.to_string())
     }
 }
--- a/crates/stackgw-flight/src/tickets.rs
+++ b/crates/stackgw-flight/src/tickets.rs
@@ -1,75 +1,69 @@
-//! Tickets and prepared statements: sealed by the cluster's keys, with an expiry, whole in themselves.
+//! Tickets, prepared statements and bearer tokens: sealed by the cluster's keys, with an expiry,
+//! complete in themselves.
 
 use crate::statement::StatementTemplate;
 use serde::{Deserialize, Serialize};
 use stackgw_cluster::Keyring;
-use std::fmt;
+use thiserror::Error;
 
-/// Marks a seal as one of ours and not of a datagram between instances.
-const KIND: u8 = 0x46;
+/// Tells handles from the datagrams between instances, which are sealed by the same keys.
+const SEAL_KIND: u8 = 0x46;
 
-/// What a sealed handle holds.
+/// What a sealed handle holds. Its encoding is on the wire: the order of variants and of their
+/// fields is fixed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SealedHandle {
-    /// A statement that is ready to run, and what tells it from others of the same words.
+    /// A statement that is ready to run.
     Ticket {
         /// The statement.
         statement: StatementTemplate,
-        /// Tells it from other tickets of the same statement.
+        /// Distinguishes tickets of the same statement.
         nonce: u64,
     },
-    /// A prepared statement, its parameters open or filled in.
+    /// A prepared statement, its parameters open or bound.
     Prepared(StatementTemplate),
-    /// A client that has shown who it is.
+    /// The name of a user who has authenticated.
     Bearer(String),
 }
 
-/// Why a handle is not taken.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Why a handle is not accepted.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TicketError {
-    /// It is none of ours, or sealed with a key that is no longer valid.
+    /// It was not sealed by a key that is valid here.
+    #[error("the handle is forged, foreign or sealed with a key that is no longer valid")]
     Foreign,
-    /// Its time is over.
+    /// It has expired.
+    #[error("the handle has expired")]
     Expired,
-    /// It is ours, and something else than what is asked for.
+    /// It is valid, and of another kind than the call needs.
+    #[error("the handle is of another kind")]
     WrongKind,
 }
 
-impl fmt::Display for TicketError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            TicketError::Foreign => {
-                "the handle is forged, foreign or sealed with a key that is no longer valid"
-            }
-            TicketError::Expired => "the handle has expired",
-            TicketError::WrongKind => "the handle is of another kind",
-        })
-    }
-}
-
-impl std::error::Error for TicketError {}
-
 impl SealedHandle {
-    /// Seals it until a moment, in Unix milliseconds.
-    pub fn seal(&self, ring: &Keyring, until_ms: u64) -> Vec<u8> {
-        ring.sign(
-            KIND,
-            &postcard::to_allocvec(&(until_ms, self)).unwrap_or_default(),
-        )
+    /// Seals the handle until `expires_at_ms`, in Unix milliseconds.
+    pub fn seal(&self, key_ring: &Keyring, expires_at_ms: u64) -> Vec<u8> {
+        // Encoding these types into memory does not fail.
+        let body = postcard::to_allocvec(&(expires_at_ms, self)).unwrap_or_default();
+        key_ring.sign(SEAL_KIND, &body)
     }
 
-    /// Opens a handle.
-    pub fn open(ring: &Keyring, handle: &[u8], now_ms: u64) -> Result<Self, TicketError> {
-        let (kind, body) = ring
-            .verify_sized(handle, usize::MAX)
-            .map_err(|_| TicketError::Foreign)?;
-        if kind != KIND {
+    /// Opens a handle at `now_ms`, in Unix milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// [`TicketError::Foreign`] and [`TicketError::Expired`].
+    pub fn open(key_ring: &Keyring, handle: &[u8], now_ms: u64) -> Result<Self, TicketError> {
+        let opened = key_ring.verify_sized(handle, usize::MAX);
+        let (kind, body) = opened.map_err(|_| TicketError::Foreign)?;
+        if kind != SEAL_KIND {
             return Err(TicketError::Foreign);
         }
-        let (until, sealed): (u64, SealedHandle) =
+        let (expires_at_ms, sealed): (u64, SealedHandle) =
             postcard::from_bytes(body).map_err(|_| TicketError::Foreign)?;
-        (now_ms < until)
-            .then_some(sealed)
-            .ok_or(TicketError::Expired)
+        if now_ms >= expires_at_ms {
+            return Err(TicketError::Expired);
+        }
+        Ok(sealed)
     }
 }
--- a/crates/stackgw-flight/src/users.rs
+++ b/crates/stackgw-flight/src/users.rs
@@ -1,5 +1,7 @@
-//! Who may ask: users and their secrets from a file, and the tokens that a handshake gives.
+//! Authentication: users and their secrets from a file, and the bearer tokens that a handshake
+//! issues.
 
+use crate::error::{Error, UsersFileProblem};
 use crate::tickets::SealedHandle;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use stackgw_cluster::Keyring;
@@ -8,108 +10,125 @@
 use tonic::metadata::MetadataMap;
 use tonic::Status;
 
-/// How clients show who they are.
+/// How clients authenticate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AuthScheme {
-    /// By name and secret; a handshake gives a token for the calls after it.
+    /// By name and secret; a handshake issues a token for the calls after it.
     Basic,
-    /// By a token of the file.
+    /// By a secret of the file as the token.
     Bearer,
 }
 
-/// The users of a file. Secrets are kept as hashes, which compare in the same time whatever differs.
+/// The users of a file. Secrets are stored as hashes, whose comparison takes the same time whatever
+/// differs.
 #[derive(Debug, Clone)]
 pub struct Users {
     scheme: AuthScheme,
-    known: BTreeMap<String, blake3::Hash>,
+    secrets: BTreeMap<String, blake3::Hash>,
 }
 
-/// A file of users is smaller than this.
+/// Largest file of users, in bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// A secret is at least so long, in bytes.
+/// Shortest secret, in bytes.
 const MIN_SECRET_BYTES: usize = 8;
 
 impl Users {
-    /// Reads a file of lines `name:secret`; empty ones and those that begin with `#` are skipped.
-    pub fn read(scheme: AuthScheme, file: &Path) -> Result<Self, String> {
-        let wrong = |why: &dyn std::fmt::Display| format!("flight.auth: {}: {why}", file.display());
-        let about = std::fs::metadata(file).map_err(|e| wrong(&e))?;
-        if !about.is_file() || about.len() > MAX_FILE_BYTES {
-            return Err(wrong(&"no plain file, or too large a one"));
-        }
-        let text = std::fs::read_to_string(file).map_err(|e| wrong(&e))?;
-        let mut known = BTreeMap::new();
-        for (n, line) in text.lines().enumerate() {
-            let line = line.trim();
-            if line.is_empty() || line.starts_with('#') {
-                continue;
-            }
-            let wrong = |why: &str| wrong(&format!("line {}: {why}", n + 1));
-            let (name, secret) = line
-                .split_once(':')
-                .ok_or_else(|| wrong("is no name:secret"))?;
-            if name.is_empty() || secret.len() < MIN_SECRET_BYTES {
-                return Err(wrong(
-                    "the name is empty, or the secret has fewer than 8 bytes",
-                ));
-            }
-            if known
-                .insert(name.to_owned(), blake3::hash(secret.as_bytes()))
-                .is_some()
-            {
-                return Err(wrong("names a user twice"));
-            }
-        }
-        match known.is_empty() {
-            true => Err(wrong(&"names nobody")),
-            false => Ok(Users { scheme, known }),
-        }
+    /// Reads a file of lines `name:secret`; empty lines and those that begin with `#` are skipped.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Users`], which names the file and the line at fault.
+    pub fn read(scheme: AuthScheme, file: &Path) -> Result<Self, Error> {
+        let secrets = read_secrets(file).map_err(|problem| Error::Users {
+            file: file.to_owned(),
+            problem,
+        })?;
+        Ok(Users { scheme, secrets })
     }
 
-    /// Who asks, by the header `authorization`.
+    /// The name of the user who makes a call, by its header `authorization`.
     pub(crate) fn authenticate(
         &self,
-        ring: &Keyring,
+        key_ring: &Keyring,
         headers: &MetadataMap,
         now_ms: u64,
     ) -> Result<String, Status> {
-        let unknown = || Status::unauthenticated("who asks is not known");
-        let header = headers
-            .get("authorization")
-            .and_then(|value| value.to_str().ok());
-        let (scheme, word) = header
-            .and_then(|text| text.split_once(' '))
-            .ok_or_else(unknown)?;
-        let word = word.trim();
-        if self.scheme == AuthScheme::Bearer {
-            let hash = blake3::hash(word.as_bytes());
-            let by_token = self.known.iter().find(|(_, known)| **known == hash);
-            return by_token
-                .filter(|_| scheme.eq_ignore_ascii_case("bearer"))
-                .map(|(name, _)| name.clone())
-                .ok_or_else(unknown);
+        self.identify(key_ring, headers, now_ms)
+            .ok_or_else(|| Status::unauthenticated("who asks is not known"))
+    }
+
+    /// The token that a handshake issues, valid until `expires_at_ms` in Unix milliseconds.
+    pub(crate) fn issue_token(&self, key_ring: &Keyring, name: &str, expires_at_ms: u64) -> String {
+        let bearer = SealedHandle::Bearer(name.to_owned());
+        BASE64_STANDARD.encode(bearer.seal(key_ring, expires_at_ms))
+    }
+
+    fn identify(&self, key_ring: &Keyring, headers: &MetadataMap, now_ms: u64) -> Option<String> {
+        let header = headers.get("authorization")?.to_str().ok()?;
+        let (scheme, credentials) = header.split_once(' ')?;
+        let credentials = credentials.trim();
+        let is_basic = scheme.eq_ignore_ascii_case("basic");
+        let is_bearer = scheme.eq_ignore_ascii_case("bearer");
+        match self.scheme {
+            AuthScheme::Bearer if is_bearer => self.identify_by_secret(credentials),
+            AuthScheme::Basic if is_bearer => self.identify_by_token(key_ring, credentials, now_ms),
+            AuthScheme::Basic if is_basic => self.identify_by_name_and_secret(credentials),
+            AuthScheme::Bearer | AuthScheme::Basic => None,
         }
-        let plain = BASE64_STANDARD.decode(word).map_err(|_| unknown())?;
-        if scheme.eq_ignore_ascii_case("bearer") {
-            return match SealedHandle::open(ring, &plain, now_ms) {
-                // Danger: a token outlives the file that it was given by; whoever was struck off is known no more.
-                Ok(SealedHandle::Bearer(name)) if self.known.contains_key(&name) => Ok(name),
-                _ => Err(unknown()),
-            };
+    }
+
+    fn identify_by_secret(&self, secret: &str) -> Option<String> {
+        let hash = blake3::hash(secret.as_bytes());
+        let mut users = self.secrets.iter();
+        let (name, _) = users.find(|(_, known)| **known == hash)?;
+        Some(name.clone())
+    }
+
+    fn identify_by_token(&self, key_ring: &Keyring, token: &str, now_ms: u64) -> Option<String> {
+        let handle = BASE64_STANDARD.decode(token).ok()?;
+        match SealedHandle::open(key_ring, &handle, now_ms) {
+            // Danger: a token outlives the file that it was issued by. Without the look into the
+            // present file a user who was removed from it would still be accepted.
+            Ok(SealedHandle::Bearer(name)) if self.secrets.contains_key(&name) => Some(name),
+            _ => None,
         }
-        let text = String::from_utf8(plain).map_err(|_| unknown())?;
-        let (name, secret) = text.split_once(':').ok_or_else(unknown)?;
-        let good = self
-            .known
-            .get(name)
-            .is_some_and(|known| *known == blake3::hash(secret.as_bytes()));
-        (good && scheme.eq_ignore_ascii_case("basic"))
-            .then(|| name.to_owned())
-            .ok_or_else(unknown)
     }
 
-    /// The token that a handshake gives.
-    pub(crate) fn issue_token(&self, ring: &Keyring, name: &str, until_ms: u64) -> String {
-        BASE64_STANDARD.encode(SealedHandle::Bearer(name.to_owned()).seal(ring, until_ms))
+    fn identify_by_name_and_secret(&self, credentials: &str) -> Option<String> {
+        let decoded = BASE64_STANDARD.decode(credentials).ok()?;
+        let text = String::from_utf8(decoded).ok()?;
+        let (name, secret) = text.split_once(':')?;
+        let known = self.secrets.get(name)?;
+        (*known == blake3::hash(secret.as_bytes())).then(|| name.to_owned())
+    }
+}
+
+fn read_secrets(file: &Path) -> Result<BTreeMap<String, blake3::Hash>, UsersFileProblem> {
+    let metadata = std::fs::metadata(file)?;
+    if !metadata.is_file() || metadata.len() > MAX_FILE_BYTES {
+        return Err(UsersFileProblem::NotPlainFile);
+    }
+    let text = std::fs::read_to_string(file)?;
+    let mut secrets = BTreeMap::new();
+    for (index, text) in text.lines().enumerate() {
+        let text = text.trim();
+        if text.is_empty() || text.starts_with('#') {
+            continue;
+        }
+        let line = index + 1;
+        let Some((name, secret)) = text.split_once(':') else {
+            return Err(UsersFileProblem::Malformed { line });
+        };
+        if name.is_empty() || secret.len() < MIN_SECRET_BYTES {
+            return Err(UsersFileProblem::ShortSecret { line });
+        }
+        let hash = blake3::hash(secret.as_bytes());
+        if secrets.insert(name.to_owned(), hash).is_some() {
+            return Err(UsersFileProblem::DuplicateUser { line });
+        }
+    }
+    if secrets.is_empty() {
+        return Err(UsersFileProblem::NoUsers);
     }
+    Ok(secrets)
 }
