--- a/crates/stackgw-flight/src/backend.rs
+++ b/crates/stackgw-flight/src/backend.rs
@@ -8,7 +8,7 @@
 use crate::protocol::{
     CANCEL_FLIGHT_INFO, LOAD_HEADER, NEVER_RAN, POSITION_HEADER, RAN_TRAILER, ROLE_HEADER,
 };
-use crate::relay::{Relay, RelayReader, RelayWriter};
+use crate::relay::{open_stream, Relay, RelayReader, RelayWriter};
 use crate::status::root_cause;
 use crate::sync::lock;
 use arrow_array::cast::AsArray;
@@ -333,7 +333,7 @@
                 .await;
         };
         let told = parse_member_parameters(&said);
-        let Some((writer, reader)) = self.relay.open() else {
+        let Some((writer, reader)) = open_stream(&self.relay) else {
             // The member has done nothing wrong, and neither is it asked again: its client is told.
             self.notify(BackendEvent::StreamStarted(
                 id,
--- a/crates/stackgw-flight/src/cancellation.rs
+++ b/crates/stackgw-flight/src/cancellation.rs
@@ -1,56 +1,77 @@
-//! What runs at this instance, by the ticket that it was asked with, so that a client can have it stopped by that.
+//! The requests that run at this instance, by the handle that they were started with, so that a
+//! client can cancel them.
 
 use crate::sync::lock;
 use std::collections::BTreeMap;
+use std::ops::RangeInclusive;
 use std::sync::{Arc, Mutex};
 use tokio::sync::Notify;
 
 type CancelStream = Box<dyn Fn() + Send + Sync>;
 
-/// One request that runs.
+/// One request.
 #[derive(Default)]
 struct RunningRequest {
-    /// Its answer has not begun: whoever waits for it stops.
+    /// Wakes whoever waits for the answer, before that has begun.
     cancelled: Notify,
-    /// Its stream has begun: this ends it.
+    /// Ends the answer's stream, once that has begun.
     cancel_stream: Mutex<Option<CancelStream>>,
 }
 
-/// A ticket, and what tells requests by the same one apart.
-type RequestKey = (Vec<u8>, u64);
+/// Identifies a request: requests may share a handle.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct RequestKey {
+    handle: Vec<u8>,
+    number: u64,
+}
 
-/// All of them. As many as there are requests, which have a bound.
+impl RequestKey {
+    /// The keys of all requests that were started with this handle.
+    fn all_of(handle: &[u8]) -> RangeInclusive<Self> {
+        let key = |number| RequestKey {
+            handle: handle.to_vec(),
+            number,
+        };
+        key(0)..=key(u64::MAX)
+    }
+}
+
+/// The requests that run now. The frontend's limit on requests bounds them.
 #[derive(Default)]
-pub(crate) struct RunningRequests(Mutex<BTreeMap<RequestKey, Arc<RunningRequest>>>);
+pub(crate) struct RunningRequests {
+    requests: Mutex<BTreeMap<RequestKey, Arc<RunningRequest>>>,
+}
 
-/// A request's place here, for as long as it is kept.
+/// A registered request. Dropped, it is no longer running.
 pub(crate) struct RunningGuard {
-    all: Arc<RunningRequests>,
+    registry: Arc<RunningRequests>,
     key: RequestKey,
     request: Arc<RunningRequest>,
 }
 
 impl RunningRequests {
-    /// A request that runs from now on.
-    pub(crate) fn register(self: &Arc<Self>, ticket: &[u8]) -> RunningGuard {
-        let (mut all, request) = (lock(&self.0), Arc::<RunningRequest>::default());
-        let last = all
-            .range((ticket.to_vec(), 0)..=(ticket.to_vec(), u64::MAX))
-            .next_back();
-        let key = (ticket.to_vec(), last.map_or(0, |((_, n), _)| n + 1));
-        all.insert(key.clone(), request.clone());
+    /// Registers a request that runs from now on.
+    pub(crate) fn register(self: &Arc<Self>, handle: &[u8]) -> RunningGuard {
+        let request = Arc::<RunningRequest>::default();
+        let mut requests = lock(&self.requests);
+        let last = requests.range(RequestKey::all_of(handle)).next_back();
+        let key = RequestKey {
+            handle: handle.to_vec(),
+            number: last.map_or(0, |(key, _)| key.number + 1),
+        };
+        requests.insert(key.clone(), request.clone());
         RunningGuard {
-            all: self.clone(),
+            registry: self.clone(),
             key,
             request,
         }
     }
 
-    /// Stops all that runs by this ticket; whether there was any.
-    pub(crate) fn cancel(&self, ticket: &[u8]) -> bool {
-        let all = lock(&self.0);
+    /// Cancels all requests that were started with this handle. Returns whether there was any.
+    pub(crate) fn cancel(&self, handle: &[u8]) -> bool {
+        let requests = lock(&self.requests);
         let mut found = false;
-        for (_, request) in all.range((ticket.to_vec(), 0)..=(ticket.to_vec(), u64::MAX)) {
+        for request in requests.range(RequestKey::all_of(handle)).map(|(_, r)| r) {
             found = true;
             request.cancelled.notify_one();
             if let Some(cancel_stream) = lock(&request.cancel_stream).as_ref() {
@@ -62,19 +83,19 @@
 }
 
 impl RunningGuard {
-    /// Waits until it is stopped.
+    /// Waits until the request is cancelled.
     pub(crate) async fn cancelled(&self) {
         self.request.cancelled.notified().await;
     }
 
-    /// From now on this ends it.
-    pub(crate) fn on_cancel(&self, stop: impl Fn() + Send + Sync + 'static) {
-        *lock(&self.request.cancel_stream) = Some(Box::new(stop));
+    /// From now on, cancelling the request calls `cancel_stream`.
+    pub(crate) fn on_cancel(&self, cancel_stream: impl Fn() + Send + Sync + 'static) {
+        *lock(&self.request.cancel_stream) = Some(Box::new(cancel_stream));
     }
 }
 
 impl Drop for RunningGuard {
     fn drop(&mut self) {
-        lock(&self.all.0).remove(&self.key);
+        lock(&self.registry.requests).remove(&self.key);
     }
 }
--- a/crates/stackgw-flight/src/server.rs
+++ b/crates/stackgw-flight/src/server.rs
@@ -10,7 +10,7 @@
     decode_command, AFTER_HEADER, CANCEL_FLIGHT_INFO, CLASS_HEADER, GROUP_HEADER, ID_HEADER,
     RETRY_HEADER, TIMEOUT_HEADER,
 };
-use crate::relay::{Relay, RelayReader, StreamGuards};
+use crate::relay::{Relay, RelayReader};
 use crate::statement::{ParameterValue, RequestOptions, StatementError, StatementTemplate};
 use crate::status::to_status;
 use crate::tickets::{SealedHandle, TicketError};
@@ -448,11 +448,7 @@
                     reader.set_timeout(Duration::from_millis(wait));
                 }
                 guard.on_cancel(reader.canceller());
-                reader.attach_guards(StreamGuards {
-                    _waits: waits,
-                    _permit: permit,
-                    _place: guard,
-                });
+                reader.attach_guards((waits, permit, guard));
                 return Ok(Response::new(reader.boxed()));
             }
         };
