--- /dev/null
+++ b/crates/stackgw-flight/src/backend/member_status.rs
@@ -0,0 +1,85 @@
+//! What a member's statuses and headers mean to the gateway: the table in `docs/design/flight.md`.
+
+use crate::protocol::{LOAD_HEADER, NEVER_RAN, POSITION_HEADER, RAN_TRAILER, ROLE_HEADER};
+use stackgw_gateway::pg::{write, Frame, FrameDecoder, Reply};
+use stackgw_gateway::reducer::{CloseReason, StreamHeader};
+use std::error::Error;
+use tonic::metadata::MetadataMap;
+use tonic::{Code, ConnectError, Status};
+
+/// SQLSTATE of a request that the member must not serve in its role, or that it is too far behind
+/// for.
+const READ_ONLY: &str = "25006";
+/// SQLSTATE of a request that the member has rejected.
+const OVERLOADED: &str = "53300";
+/// SQLSTATE of a request that may have run.
+const INTERNAL_ERROR: &str = "XX000";
+
+/// How the connection was lost, where a status was made on this side because of that. A member's
+/// own have no source.
+pub(super) fn connection_loss(status: &Status) -> Option<CloseReason> {
+    let mut source = status.source();
+    source?;
+    while let Some(error) = source {
+        if error.is::<ConnectError>() {
+            return Some(CloseReason::NotSent);
+        }
+        source = error.source();
+    }
+    Some(CloseReason::Disconnected)
+}
+
+/// The error message of the PostgreSQL protocol for a member's status, with what the member says of
+/// itself beside it.
+pub(super) fn write_error(out: &mut Vec<u8>, status: &Status) {
+    write::error(out, false, sqlstate(status), status.message(), None);
+    write_member_parameters(out, status.metadata());
+}
+
+/// What a member says of itself beside an answer, as parameters of the PostgreSQL protocol.
+pub(super) fn write_member_parameters(out: &mut Vec<u8>, headers: &MetadataMap) {
+    for (header, parameter) in [
+        (ROLE_HEADER, "node_role"),
+        (POSITION_HEADER, "replay_position"),
+        (LOAD_HEADER, "server_load"),
+    ] {
+        let value = headers.get(header).and_then(|value| value.to_str().ok());
+        if let Some(value) = value {
+            write::status(out, parameter, value);
+        }
+    }
+}
+
+/// What a member says of itself beside an answer, as the reducer takes it. Read by the parser of
+/// the PostgreSQL protocol, so that there is one.
+pub(super) fn parse_member_parameters(headers: &MetadataMap) -> StreamHeader {
+    let mut bytes = Vec::new();
+    write_member_parameters(&mut bytes, headers);
+    let mut reply = Reply::default();
+    for frame in decode_frames(&bytes) {
+        // Parameters are in place anywhere.
+        let _ = reply.take(&frame, usize::MAX);
+    }
+    StreamHeader {
+        primary: reply.primary,
+        position: reply.position,
+        report: reply.report,
+    }
+}
+
+/// The messages that were written one behind another.
+pub(super) fn decode_frames(bytes: &[u8]) -> Vec<Frame> {
+    let mut decoder = FrameDecoder::server(bytes.len());
+    decoder.feed(bytes);
+    std::iter::from_fn(|| decoder.next_frame()?.ok()).collect()
+}
+
+fn sqlstate(status: &Status) -> &'static str {
+    let trailer = status.metadata().get(RAN_TRAILER);
+    let never_ran = trailer.is_some_and(|value| value == NEVER_RAN);
+    match status.code() {
+        Code::FailedPrecondition if never_ran => READ_ONLY,
+        Code::ResourceExhausted | Code::Unavailable if never_ran => OVERLOADED,
+        _ => INTERNAL_ERROR,
+    }
+}
--- /dev/null
+++ b/crates/stackgw-flight/src/backend/value.rs
@@ -0,0 +1,73 @@
+//! Answers of one value.
+
+use arrow_array::cast::AsArray;
+use arrow_array::{Array, RecordBatch};
+use arrow_flight::decode::FlightRecordBatchStream;
+use arrow_flight::error::FlightError;
+use arrow_schema::DataType;
+use futures::StreamExt;
+use tonic::Status;
+
+/// An answer that should be one value.
+pub(super) enum SingleValue {
+    /// One row of one column; `None` for NULL.
+    Value(Option<Vec<u8>>),
+    /// No row, several rows or columns, or a value of another type or beyond the limit.
+    OtherShape,
+}
+
+/// Reads an answer to its end.
+pub(super) async fn read_single_value(
+    mut batches: FlightRecordBatchStream,
+    max_bytes: usize,
+) -> Result<SingleValue, Status> {
+    let mut value = None;
+    let mut rows = 0;
+    while let Some(batch) = batches.next().await {
+        let batch = batch.map_err(into_status)?;
+        rows += batch.num_rows();
+        if rows > 1 || batch.num_columns() != 1 || is_too_large(&batch, max_bytes) {
+            return Ok(SingleValue::OtherShape);
+        }
+        if batch.num_rows() == 1 {
+            let Some(found) = first_value(batch.column(0)) else {
+                return Ok(SingleValue::OtherShape);
+            };
+            value = Some(found);
+        }
+    }
+    Ok(match value {
+        Some(Some(bytes)) if bytes.len() > max_bytes => SingleValue::OtherShape,
+        Some(value) => SingleValue::Value(value),
+        None => SingleValue::OtherShape,
+    })
+}
+
+/// A batch's memory is allotted in steps, so that it may exceed that of its value.
+fn is_too_large(batch: &RecordBatch, max_bytes: usize) -> bool {
+    batch.get_array_memory_size() > max_bytes.saturating_mul(2)
+}
+
+fn into_status(error: FlightError) -> Status {
+    match error {
+        FlightError::Tonic(status) => *status,
+        other => Status::internal(other.to_string()),
+    }
+}
+
+/// The first row's value, `Some(None)` for NULL. `None` where the column is neither text nor bytes.
+fn first_value(column: &dyn Array) -> Option<Option<Vec<u8>>> {
+    if column.is_null(0) {
+        return Some(None);
+    }
+    let bytes = match column.data_type() {
+        DataType::Binary => column.as_binary::<i32>().value(0).to_vec(),
+        DataType::LargeBinary => column.as_binary::<i64>().value(0).to_vec(),
+        DataType::BinaryView => column.as_binary_view().value(0).to_vec(),
+        DataType::Utf8 => column.as_string::<i32>().value(0).as_bytes().to_vec(),
+        DataType::LargeUtf8 => column.as_string::<i64>().value(0).as_bytes().to_vec(),
+        DataType::Utf8View => column.as_string_view().value(0).as_bytes().to_vec(),
+        _ => return None,
+    };
+    Some(Some(bytes))
+}
