--- a/crates/stackgw-flight/src/auth_service.rs
+++ b/crates/stackgw-flight/src/auth_service.rs
@@ -1,27 +1,59 @@
-//! What stands before the front's calls: who asks is known first, where the file wants that, and the calls that the Flight
-//! SQL service of `arrow-flight` leaves out.
+//! The service that faces clients: authentication before each call of the frontend, Handshake, and
+//! GetSchema, which the Flight SQL service of `arrow-flight` leaves out.
 
 use crate::clock::unix_time_ms;
-use crate::server::Frontend;
+use crate::config::ServerConfig;
+use crate::frontend::Frontend;
+use crate::users::Users;
 use arrow_flight::flight_service_server::FlightService;
 use arrow_flight::{
     Action, Criteria, Empty, FlightData, FlightDescriptor, FlightInfo, HandshakeRequest,
     HandshakeResponse, PollInfo, SchemaResult, Ticket,
 };
 use futures::StreamExt;
-use std::sync::Arc;
+use stackgw_cluster::Keyring;
+use tonic::metadata::MetadataMap;
 use tonic::{Request, Response, Status, Streaming};
 
-pub(crate) struct AuthenticatedService(pub(crate) Arc<Frontend>);
+/// The frontend behind authentication.
+pub(crate) struct AuthenticatedService {
+    frontend: Frontend,
+    users: Option<Users>,
+    key_ring: Keyring,
+    token_lifetime_ms: u64,
+}
 
 impl AuthenticatedService {
-    fn authenticate<T>(&self, request: &Request<T>) -> Result<(), Status> {
-        let Some(users) = &self.0.config.users else {
-            return Ok(());
+    pub(crate) fn new(config: &ServerConfig, frontend: Frontend) -> Self {
+        AuthenticatedService {
+            frontend,
+            users: config.users.clone(),
+            key_ring: config.key_ring.clone(),
+            token_lifetime_ms: config.ticket_lifetime_ms,
+        }
+    }
+
+    /// Rejects a call whose client has not authenticated, where there are users.
+    fn authenticate<T>(&self, call: &Request<T>) -> Result<(), Status> {
+        if let Some(users) = &self.users {
+            users.authenticate(&self.key_ring, call.metadata(), unix_time_ms())?;
+        }
+        Ok(())
+    }
+
+    /// A token for the calls after this one; none where there are no users.
+    fn issue_token(&self, headers: &MetadataMap) -> Result<Option<String>, Status> {
+        let Some(users) = &self.users else {
+            return Ok(None);
         };
-        users
-            .authenticate(&self.0.config.key_ring, request.metadata(), unix_time_ms())
-            .map(|_| ())
+        let now_ms = unix_time_ms();
+        let name = users.authenticate(&self.key_ring, headers, now_ms)?;
+        let expires_at_ms = now_ms.saturating_add(self.token_lifetime_ms);
+        Ok(Some(users.issue_token(
+            &self.key_ring,
+            &name,
+            expires_at_ms,
+        )))
     }
 }
 
@@ -35,101 +67,92 @@
     type ListActionsStream = <Frontend as FlightService>::ListActionsStream;
     type DoExchangeStream = <Frontend as FlightService>::DoExchangeStream;
 
-    /// Gives a token to whoever shows name and secret; where nobody has to, it says welcome.
+    /// Issues a token to whoever authenticates; where nobody has to, the answer is empty.
     async fn handshake(
         &self,
-        request: Request<Streaming<HandshakeRequest>>,
+        call: Request<Streaming<HandshakeRequest>>,
     ) -> Result<Response<Self::HandshakeStream>, Status> {
-        let config = &self.0.config;
-        let token = match &config.users {
-            None => None,
-            Some(users) => {
-                let name =
-                    users.authenticate(&config.key_ring, request.metadata(), unix_time_ms())?;
-                Some(users.issue_token(&config.key_ring, &name, self.0.expires_at_ms()))
-            }
-        };
-        let payload = token.clone().unwrap_or_default().into_bytes().into();
+        let token = self.issue_token(call.metadata())?;
+        let payload = token.clone().unwrap_or_default().into_bytes();
         let answer = HandshakeResponse {
             protocol_version: 0,
-            payload,
+            payload: payload.into(),
         };
-        let mut answer = Response::new(futures::stream::once(async { Ok(answer) }).boxed());
-        if let Some(token) = token.and_then(|token| format!("Bearer {token}").parse().ok()) {
-            answer.metadata_mut().insert("authorization", token);
+        let answers = futures::stream::once(async { Ok(answer) });
+        let mut response = Response::new(answers.boxed());
+        let header = token.and_then(|token| format!("Bearer {token}").parse().ok());
+        if let Some(header) = header {
+            response.metadata_mut().insert("authorization", header);
         }
-        Ok(answer)
+        Ok(response)
     }
 
     async fn get_schema(
         &self,
-        request: Request<FlightDescriptor>,
+        call: Request<FlightDescriptor>,
     ) -> Result<Response<SchemaResult>, Status> {
-        self.authenticate(&request)?;
-        self.0.schema_of_command(request).map(Response::new)
+        self.authenticate(&call)?;
+        self.frontend.schema_of_command(&call).map(Response::new)
     }
 
     async fn list_flights(
         &self,
-        request: Request<Criteria>,
+        call: Request<Criteria>,
     ) -> Result<Response<Self::ListFlightsStream>, Status> {
-        self.authenticate(&request)?;
-        self.0.list_flights(request).await
+        self.authenticate(&call)?;
+        self.frontend.list_flights(call).await
     }
 
     async fn get_flight_info(
         &self,
-        request: Request<FlightDescriptor>,
+        call: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        self.authenticate(&request)?;
-        self.0.get_flight_info(request).await
+        self.authenticate(&call)?;
+        self.frontend.get_flight_info(call).await
     }
 
     async fn poll_flight_info(
         &self,
-        request: Request<FlightDescriptor>,
+        call: Request<FlightDescriptor>,
     ) -> Result<Response<PollInfo>, Status> {
-        self.authenticate(&request)?;
-        self.0.poll_flight_info(request).await
+        self.authenticate(&call)?;
+        self.frontend.poll_flight_info(call).await
     }
 
-    async fn do_get(
-        &self,
-        request: Request<Ticket>,
-    ) -> Result<Response<Self::DoGetStream>, Status> {
-        self.authenticate(&request)?;
-        self.0.do_get(request).await
+    async fn do_get(&self, call: Request<Ticket>) -> Result<Response<Self::DoGetStream>, Status> {
+        self.authenticate(&call)?;
+        self.frontend.do_get(call).await
     }
 
     async fn do_put(
         &self,
-        request: Request<Streaming<FlightData>>,
+        call: Request<Streaming<FlightData>>,
     ) -> Result<Response<Self::DoPutStream>, Status> {
-        self.authenticate(&request)?;
-        self.0.do_put(request).await
+        self.authenticate(&call)?;
+        self.frontend.do_put(call).await
     }
 
     async fn do_action(
         &self,
-        request: Request<Action>,
+        call: Request<Action>,
     ) -> Result<Response<Self::DoActionStream>, Status> {
-        self.authenticate(&request)?;
-        self.0.do_action(request).await
+        self.authenticate(&call)?;
+        self.frontend.do_action(call).await
     }
 
     async fn list_actions(
         &self,
-        request: Request<Empty>,
+        call: Request<Empty>,
     ) -> Result<Response<Self::ListActionsStream>, Status> {
-        self.authenticate(&request)?;
-        self.0.list_actions(request).await
+        self.authenticate(&call)?;
+        self.frontend.list_actions(call).await
     }
 
     async fn do_exchange(
         &self,
-        request: Request<Streaming<FlightData>>,
+        call: Request<Streaming<FlightData>>,
     ) -> Result<Response<Self::DoExchangeStream>, Status> {
-        self.authenticate(&request)?;
-        self.0.do_exchange(request).await
+        self.authenticate(&call)?;
+        self.frontend.do_exchange(call).await
     }
 }
--- /dev/null
+++ b/crates/stackgw-flight/src/frontend/prepared.rs
@@ -0,0 +1,106 @@
+//! Prepared statements. All that is known of one is sealed in its handle; nothing is stored here.
+
+use super::batches::{flight_info, read_parameters, FlightDataStream};
+use super::context::{check_is_read, Frontend};
+use super::schemas::{encode_schema, parameter_schema};
+use crate::statement::StatementTemplate;
+use crate::tickets::{SealedHandle, TicketError};
+use arrow_flight::sql::server::PeekableFlightDataStream;
+use arrow_flight::sql::{
+    ActionCreatePreparedStatementRequest, ActionCreatePreparedStatementResult,
+    CommandPreparedStatementQuery, CommandPreparedStatementUpdate, DoPutPreparedStatementResult,
+    ProstMessageExt,
+};
+use arrow_flight::{Action, FlightDescriptor, FlightInfo, Ticket};
+use prost::Message;
+use tonic::{Request, Response, Status};
+
+impl Frontend {
+    /// Seals a statement in the handle of a prepared statement.
+    pub(super) fn prepare(
+        &self,
+        query: &ActionCreatePreparedStatementRequest,
+        call: &Request<Action>,
+    ) -> Result<ActionCreatePreparedStatementResult, Status> {
+        let transaction = query.transaction_id.as_ref();
+        let statement = self.parse_statement(&query.query, transaction, call)?;
+        let statement = statement.without_id();
+        let dataset_schema = match self.answer_schema(&statement) {
+            Some(schema) => encode_schema(&schema)?,
+            None => prost::bytes::Bytes::new(),
+        };
+        let parameter_schema = encode_schema(&parameter_schema(&statement))?;
+        let handle = self.seal(&SealedHandle::Prepared(statement));
+        Ok(ActionCreatePreparedStatementResult {
+            prepared_statement_handle: handle.into(),
+            dataset_schema,
+            parameter_schema,
+        })
+    }
+
+    /// Binds the parameters of a query. Returns the handle of the bound statement.
+    pub(super) async fn bind_prepared_query(
+        &self,
+        query: &CommandPreparedStatementQuery,
+        call: Request<PeekableFlightDataStream>,
+    ) -> Result<DoPutPreparedStatementResult, Status> {
+        let statement = self.open_prepared(&query.prepared_statement_handle)?;
+        let parameters = read_parameters(call.into_inner()).await?;
+        let bound = statement.bind(&parameters)?;
+        let handle = self.seal(&SealedHandle::Prepared(bound));
+        Ok(DoPutPreparedStatementResult {
+            prepared_statement_handle: Some(handle.into()),
+        })
+    }
+
+    /// Runs a prepared statement that writes, with the parameters of the call.
+    pub(super) async fn run_prepared_update(
+        &self,
+        update: &CommandPreparedStatementUpdate,
+        call: Request<PeekableFlightDataStream>,
+    ) -> Result<i64, Status> {
+        let timeout_ms = self.timeout_ms(&call)?;
+        let mut statement = self.open_prepared(&update.prepared_statement_handle)?;
+        if statement.open_parameters() > 0 {
+            let parameters = read_parameters(call.into_inner()).await?;
+            statement = statement.bind(&parameters)?;
+        }
+        self.executor.execute_update(&statement, timeout_ms).await
+    }
+
+    /// GetFlightInfo of a prepared statement that reads: the statement is its own ticket.
+    pub(super) fn prepared_info(
+        &self,
+        query: &CommandPreparedStatementQuery,
+        call: Request<FlightDescriptor>,
+    ) -> Result<Response<FlightInfo>, Status> {
+        let statement = self.open_prepared(&query.prepared_statement_handle)?;
+        check_is_read(&statement)?;
+        let schema = self.answer_schema(&statement);
+        let ticket = query.as_any().encode_to_vec();
+        flight_info(schema.as_deref(), ticket, call.into_inner())
+    }
+
+    /// Runs a prepared statement that reads, its parameters bound.
+    pub(super) async fn run_prepared_query(
+        &self,
+        query: &CommandPreparedStatementQuery,
+        call: &Request<Ticket>,
+    ) -> Result<Response<FlightDataStream>, Status> {
+        let handle = &query.prepared_statement_handle;
+        let statement = self.open_prepared(handle)?;
+        check_is_read(&statement)?;
+        let timeout_ms = self.timeout_ms(call)?;
+        self.executor
+            .execute_query(&statement, timeout_ms, handle)
+            .await
+    }
+
+    /// The statement in the handle of a prepared statement.
+    pub(super) fn open_prepared(&self, handle: &[u8]) -> Result<StatementTemplate, TicketError> {
+        match self.open(handle)? {
+            SealedHandle::Prepared(statement) => Ok(statement),
+            SealedHandle::Ticket { .. } | SealedHandle::Bearer(_) => Err(TicketError::WrongKind),
+        }
+    }
+}
--- a/crates/stackgw-flight/src/lib.rs
+++ b/crates/stackgw-flight/src/lib.rs
@@ -1,9 +1,25 @@
-//! Arrow Flight SQL as a front of the gateway, and the back to members that speak it.
+//! Arrow Flight SQL: a frontend for clients of the gateway, and a backend to members that speak it.
 //!
-//! Nothing is decided here: that is the router's, the reducer's and, for bulk streams, `stackgw_streams`'. A statement and its headers become one statement of our first protocol ([`StatementTemplate`]), which goes
-//! through the same reducer and router by a [`stackgw_gateway::RequestHandle`]; the one final answer becomes a stream or a status
-//! ([`status`]). Tickets and prepared statements are sealed and hold all that is needed ([`SealedHandle`]), so that any instance
-//! serves them, also after a restart. `docs/design/flight.md` says why it is built so.
+//! # Job
+//!
+//! - `frontend` serves clients. A call becomes a [`StatementTemplate`], which runs as one statement
+//!   of the PostgreSQL protocol through the same reducer and router as all others, by a
+//!   [`stackgw_gateway::RequestHandle`]. Its one final outcome becomes a stream or a status
+//!   ([`to_status`]).
+//! - `backend` carries out what the gateway asks of members that speak Flight SQL.
+//! - `relay` passes bulk streams from a member to a client, as `stackgw_streams` allows.
+//!
+//! # Invariants
+//!
+//! - Tickets, prepared statements and bearer tokens are sealed and complete in themselves
+//!   ([`SealedHandle`]): any instance serves them, also after a restart.
+//! - A statement that writes runs by DoPut alone, as tickets may be used more than once.
+//! - A stream that has begun belongs to its client and is never begun again elsewhere.
+//!
+//! # What it must not know
+//!
+//! Which member serves a request, whether it is retried, and what bulk streams may take: the
+//! router, the reducer and `stackgw_streams` decide that. `docs/design/flight.md` has the reasons.
 
 mod auth_service;
 mod backend;
@@ -11,6 +27,7 @@
 mod clock;
 mod config;
 mod error;
+mod frontend;
 mod protocol;
 mod relay;
 mod server;
