--- a/crates/stackgw-streams/tests/histories.rs
+++ b/crates/stackgw-streams/tests/histories.rs
@@ -1,221 +1,313 @@
-//! Whole and random histories of streams and connections, held against what is promised.
+//! Whole and random histories of streams and connections, checked against the package's invariants.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use stackgw_router::api::{Time, MS};
-use stackgw_streams::{Channels, End, Flow, Full, StreamId, StreamLimits};
+use stackgw_streams::{
+    ChannelId, ChannelPool, EndReason, ExpiredStream, FlowControl, StreamId, StreamLimits,
+    TooManyStreams,
+};
 use std::collections::BTreeMap;
 
-const RULES: StreamLimits = StreamLimits {
-    streams: 8,
-    each: 100,
-    all: 300,
-    stall: 50 * MS,
-    silence: 20 * MS,
+const LIMITS: StreamLimits = StreamLimits {
+    max_streams: 8,
+    bytes_per_stream: 100,
+    bytes_total: 300,
+    reader_timeout: 50 * MS,
+    member_timeout: 20 * MS,
 };
-const MESSAGE: usize = 60;
+const MAX_MESSAGE_BYTES: usize = 60;
 
+/// What has been done to one stream.
 #[derive(Default)]
-struct Seen {
-    held: Vec<usize>,
+struct StreamModel {
+    /// Sizes of the buffered messages.
+    buffered: Vec<usize>,
     reading: bool,
-    over: bool,
+    receive_finished: bool,
+    /// It was not allowed to read and has not been resumed since.
+    waiting: bool,
 }
 
-#[test]
-fn random_histories_keep_room_and_no_reader_waits_for_another() {
-    for seed in 0..300 {
-        let mut random = SmallRng::seed_from_u64(seed);
-        let (mut flow, mut now) = (Flow::new(RULES), 0);
-        let mut seen: BTreeMap<StreamId, Seen> = BTreeMap::new();
-        let mut waits: BTreeMap<StreamId, ()> = BTreeMap::new();
-        for step in 0..400 {
-            now += random.random_range(0..3 * MS);
-            for (id, _) in flow.due(now) {
-                assert!(
-                    seen.remove(&id).is_some(),
-                    "ended twice, seed {seed}, step {step}"
-                );
-                waits.remove(&id);
-            }
-            let ids: Vec<_> = seen.keys().copied().collect();
-            let pick = |random: &mut SmallRng| ids[random.random_range(0..ids.len())];
-            match random.random_range(0..10) {
-                0 => match flow.open() {
-                    Ok(id) => drop(seen.insert(id, Seen::default())),
-                    Err(Full) => assert_eq!(seen.len(), RULES.streams),
-                },
-                _ if ids.is_empty() => {}
-                1 if random.random_bool(0.2) => {
-                    let id = pick(&mut random);
-                    flow.close(id);
-                    seen.remove(&id);
-                    waits.remove(&id);
-                }
-                2 => {
-                    let id = pick(&mut random);
-                    flow.over(id);
-                    let stream = seen.get_mut(&id).expect("it is there");
-                    (stream.over, stream.reading) = (true, false);
-                    waits.remove(&id);
-                }
-                3..=6 => {
-                    let id = pick(&mut random);
-                    let stream = seen.get_mut(&id).expect("it is there");
-                    if !stream.over && !stream.reading && !waits.contains_key(&id) {
-                        stream.reading = flow.asks(now, id);
-                        let empty = stream.held.is_empty();
-                        assert!(
-                            stream.reading || !empty,
-                            "an empty one waits, seed {seed}, step {step}"
-                        );
-                        if !stream.reading {
-                            waits.insert(id, ());
-                        }
-                    }
-                    if stream.reading {
-                        let bytes = random.random_range(1..=MESSAGE);
-                        flow.came(now, id, bytes);
-                        stream.held.push(bytes);
-                        stream.reading = false;
-                    }
-                }
-                _ => {
-                    let id = pick(&mut random);
-                    let stream = seen.get_mut(&id).expect("it is there");
-                    if let Some(bytes) = stream.held.pop() {
-                        flow.taken(now, id, bytes);
-                    }
-                }
-            }
-            for id in flow.woken() {
-                waits.remove(&id);
+impl StreamModel {
+    fn buffered_bytes(&self) -> usize {
+        self.buffered.iter().sum()
+    }
+}
+
+/// A random history of a flow control, beside a model of its streams.
+struct History {
+    flow: FlowControl,
+    streams: BTreeMap<StreamId, StreamModel>,
+    random: SmallRng,
+    now: Time,
+    /// Names the seed and the step where an assertion fails.
+    place: String,
+}
+
+impl History {
+    fn new(seed: u64) -> Self {
+        History {
+            flow: FlowControl::new(LIMITS),
+            streams: BTreeMap::new(),
+            random: SmallRng::seed_from_u64(seed),
+            now: 0,
+            place: String::new(),
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += self.random.random_range(0..3 * MS);
+        self.expire();
+        match self.random.random_range(0..10) {
+            0 => self.open(),
+            _ if self.streams.is_empty() => {}
+            1 if self.random.random_bool(0.2) => self.close(),
+            2 => self.finish_receiving(),
+            3..=6 => self.read(),
+            _ => self.consume(),
+        }
+        for id in self.flow.take_resumed() {
+            if let Some(stream) = self.streams.get_mut(&id) {
+                stream.waiting = false;
             }
-            let sums = seen.values().map(|s| s.held.iter().sum::<usize>());
+        }
+        self.check_limits();
+        self.check_nobody_is_forgotten();
+    }
+
+    fn pick(&mut self) -> StreamId {
+        let ids: Vec<_> = self.streams.keys().copied().collect();
+        ids[self.random.random_range(0..ids.len())]
+    }
+
+    fn expire(&mut self) {
+        for ExpiredStream { id, .. } in self.flow.expire(self.now) {
+            let ended = self.streams.remove(&id);
+            assert!(ended.is_some(), "ended twice, {}", self.place);
+        }
+    }
+
+    fn open(&mut self) {
+        match self.flow.open() {
+            Ok(id) => drop(self.streams.insert(id, StreamModel::default())),
+            Err(TooManyStreams) => assert_eq!(self.streams.len(), LIMITS.max_streams),
+        }
+    }
+
+    fn close(&mut self) {
+        let id = self.pick();
+        self.flow.close(id);
+        self.streams.remove(&id);
+    }
+
+    fn finish_receiving(&mut self) {
+        let id = self.pick();
+        self.flow.finish_receiving(id);
+        let stream = self.streams.get_mut(&id).expect("it is there");
+        stream.receive_finished = true;
+        stream.reading = false;
+        stream.waiting = false;
+    }
+
+    fn read(&mut self) {
+        let id = self.pick();
+        let stream = self.streams.get_mut(&id).expect("it is there");
+        if !stream.receive_finished && !stream.reading && !stream.waiting {
+            stream.reading = self.flow.try_read(self.now, id);
+            let may_wait = !stream.buffered.is_empty();
             assert!(
-                sums.clone().all(|sum| sum < RULES.each + MESSAGE),
-                "seed {seed}, step {step}"
+                stream.reading || may_wait,
+                "an empty one waits, {}",
+                self.place
             );
-            assert_eq!(flow.held(), sums.sum::<usize>(), "seed {seed}, step {step}");
+            stream.waiting = !stream.reading;
+        }
+        if stream.reading {
+            let bytes = self.random.random_range(1..=MAX_MESSAGE_BYTES);
+            self.flow.record_received(self.now, id, bytes);
+            stream.buffered.push(bytes);
+            stream.reading = false;
+        }
+    }
+
+    fn consume(&mut self) {
+        let id = self.pick();
+        let stream = self.streams.get_mut(&id).expect("it is there");
+        if let Some(bytes) = stream.buffered.pop() {
+            self.flow.record_consumed(self.now, id, bytes);
+        }
+    }
+
+    fn check_limits(&self) {
+        let place = &self.place;
+        let sums = self.streams.values().map(StreamModel::buffered_bytes);
+        let stream_limit = LIMITS.bytes_per_stream + MAX_MESSAGE_BYTES;
+        assert!(sums.clone().all(|sum| sum < stream_limit), "{place}");
+        assert_eq!(self.flow.buffered_bytes(), sums.sum::<usize>(), "{place}");
+        let total_limit = LIMITS.bytes_total + LIMITS.max_streams * MAX_MESSAGE_BYTES;
+        assert!(self.flow.buffered_bytes() < total_limit, "{place}");
+    }
+
+    /// No stream is left waiting that free space or an empty buffer would let go on.
+    fn check_nobody_is_forgotten(&self) {
+        let total = self.flow.buffered_bytes();
+        for stream in self.streams.values().filter(|stream| stream.waiting) {
+            let buffered = stream.buffered_bytes();
+            let could_read =
+                buffered == 0 || (buffered < LIMITS.bytes_per_stream && total == buffered);
             assert!(
-                flow.held() < RULES.all + RULES.streams * MESSAGE,
-                "seed {seed}, step {step}"
+                !could_read || total >= LIMITS.bytes_total,
+                "forgotten, {}",
+                self.place
             );
-            // Nobody is left waiting whom room or an empty hand would let go on.
-            for id in waits.keys() {
-                let stream = &seen[id];
-                let held: usize = stream.held.iter().sum();
-                let stuck = held == 0 || (held < RULES.each && flow.held() == held);
-                assert!(
-                    !stuck || flow.held() >= RULES.all,
-                    "forgotten, seed {seed}, step {step}"
-                );
-            }
         }
     }
 }
 
 #[test]
-fn room_goes_to_whoever_waited_longest() {
-    let mut flow = Flow::new(StreamLimits {
-        all: 100,
-        each: 80,
-        ..RULES
+fn buffers_stay_within_limits_and_no_reader_waits_for_another() {
+    for seed in 0..300 {
+        let mut history = History::new(seed);
+        for step in 0..400 {
+            history.place = format!("seed {seed}, step {step}");
+            history.step();
+        }
+    }
+}
+
+#[test]
+fn freed_space_goes_to_the_longest_waiting_stream() {
+    let mut flow = FlowControl::new(StreamLimits {
+        bytes_total: 100,
+        bytes_per_stream: 80,
+        ..LIMITS
     });
     let [a, b, c] = [0; 3].map(|_| flow.open().expect("room"));
     for id in [a, b, c] {
-        assert!(flow.asks(0, id));
-        flow.came(0, id, 40);
+        assert!(flow.try_read(0, id));
+        flow.record_received(0, id, 40);
     }
-    assert!(!flow.asks(0, b) && !flow.asks(0, c) && !flow.asks(0, a));
-    flow.taken(0, a, 40);
+    assert!(!flow.try_read(0, b) && !flow.try_read(0, c) && !flow.try_read(0, a));
+    flow.record_consumed(0, a, 40);
     assert_eq!(
-        flow.woken(),
+        flow.take_resumed(),
         [a, b],
         "it has taken all it had; then the first in line"
     );
 }
 
 #[test]
-fn each_time_ends_a_stream_by_its_name_and_once() {
-    let run = |until: Option<Time>, does: &dyn Fn(&mut Flow, StreamId)| {
-        let mut flow = Flow::new(RULES);
+fn each_timeout_ends_a_stream_once_with_its_own_reason() {
+    let run = |until: Option<Time>, does: &dyn Fn(&mut FlowControl, StreamId)| {
+        let mut flow = FlowControl::new(LIMITS);
         let id = flow.open().expect("room");
-        until.into_iter().for_each(|until| flow.limit(id, until));
+        until
+            .into_iter()
+            .for_each(|until| flow.set_deadline(id, until));
         does(&mut flow, id);
-        let due = flow.next_due().expect("a time");
-        assert_eq!(flow.due(due - 1), []);
-        let ended = flow.due(due);
+        let due = flow.next_timeout().expect("a time");
+        assert_eq!(flow.expire(due - 1), []);
+        let ended = flow.expire(due);
         assert_eq!(
-            (flow.due(due + MS), flow.len(), flow.held()),
+            (flow.expire(due + MS), flow.len(), flow.buffered_bytes()),
             (vec![], 0, 0)
         );
-        (due, ended[0].1)
+        (due, ended[0].reason)
     };
-    let silent = run(None, &|flow, id| assert!(flow.asks(5, id)));
-    assert_eq!(silent, (5 + RULES.silence, End::SilentMember));
+    let silent = run(None, &|flow, id| assert!(flow.try_read(5, id)));
+    assert_eq!(
+        silent,
+        (5 + LIMITS.member_timeout, EndReason::UnresponsiveMember)
+    );
     let slow = run(None, &|flow, id| {
-        assert!(flow.asks(0, id));
-        flow.came(3, id, 60);
-        flow.over(id);
+        assert!(flow.try_read(0, id));
+        flow.record_received(3, id, 60);
+        flow.finish_receiving(id);
     });
-    assert_eq!(slow, (3 + RULES.stall, End::SlowReader));
-    let late = run(Some(7), &|flow, id| assert!(flow.asks(5, id)));
-    assert_eq!(late, (7, End::Late));
+    assert_eq!(slow, (3 + LIMITS.reader_timeout, EndReason::SlowReader));
+    let late = run(Some(7), &|flow, id| assert!(flow.try_read(5, id)));
+    assert_eq!(late, (7, EndReason::DeadlineExceeded));
 }
 
 #[test]
-fn a_reader_that_takes_a_little_is_no_slow_one_and_a_member_not_read_is_not_silent() {
-    let mut flow = Flow::new(RULES);
+fn slow_progress_and_an_unread_member_are_no_timeouts() {
+    let mut flow = FlowControl::new(LIMITS);
     let id = flow.open().expect("room");
     let mut now = 0;
     for _ in 0..10 {
-        while flow.asks(now, id) {
-            flow.came(now, id, MESSAGE);
+        while flow.try_read(now, id) {
+            flow.record_received(now, id, MAX_MESSAGE_BYTES);
         }
-        now += RULES.stall - 1;
-        assert_eq!(flow.due(now), []);
-        flow.taken(now, id, MESSAGE);
+        now += LIMITS.reader_timeout - 1;
+        assert_eq!(flow.expire(now), []);
+        flow.record_consumed(now, id, MAX_MESSAGE_BYTES);
     }
 }
 
+/// What has been done to one connection.
+struct ChannelModel {
+    member: u8,
+    requests: usize,
+    broken: bool,
+}
+
+impl ChannelModel {
+    fn has_capacity(&self) -> bool {
+        self.requests < REQUESTS_PER_CHANNEL && !self.broken
+    }
+}
+
+const REQUESTS_PER_CHANNEL: usize = 4;
+
+fn assign(
+    pool: &mut ChannelPool<u8>,
+    channels: &mut BTreeMap<ChannelId, ChannelModel>,
+    member: u8,
+    seed: u64,
+) {
+    let id = pool.assign(&member);
+    let mut others = channels.values();
+    let with_capacity = others.any(|channel| channel.member == member && channel.has_capacity());
+    let is_new = !channels.contains_key(&id);
+    assert_eq!(is_new, !with_capacity, "seed {seed}");
+    let channel = channels.entry(id).or_insert(ChannelModel {
+        member,
+        requests: 0,
+        broken: false,
+    });
+    channel.requests += 1;
+    let is_allowed = channel.requests <= REQUESTS_PER_CHANNEL && !channel.broken;
+    assert!(channel.member == member && is_allowed, "seed {seed}");
+}
+
 #[test]
-fn requests_fill_few_connections_and_empty_ones_close() {
+fn requests_share_few_connections_and_empty_ones_are_closed() {
     for seed in 0..100 {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut channels = Channels::new(4);
-        let mut carried: BTreeMap<_, (u8, usize, bool)> = BTreeMap::new();
+        let mut pool = ChannelPool::new(REQUESTS_PER_CHANNEL);
+        let mut channels: BTreeMap<ChannelId, ChannelModel> = BTreeMap::new();
         for _ in 0..500 {
             let member = random.random_range(0..3u8);
             if random.random_bool(0.55) {
-                let placed = channels.place(&member);
-                let with_room = carried
-                    .values()
-                    .any(|(m, n, broken)| *m == member && *n < 4 && !broken);
-                assert_eq!(!carried.contains_key(&placed), !with_room, "seed {seed}");
-                let channel = carried.entry(placed).or_insert((member, 0, false));
-                channel.1 += 1;
-                assert!(
-                    channel.0 == member && channel.1 <= 4 && !channel.2,
-                    "seed {seed}"
-                );
-            } else if !carried.is_empty() {
-                let at = random.random_range(0..carried.len());
-                let (id, channel) = carried.iter_mut().nth(at).expect("it is there");
+                assign(&mut pool, &mut channels, member, seed);
+            } else if !channels.is_empty() {
+                let at = random.random_range(0..channels.len());
+                let (id, channel) = channels.iter_mut().nth(at).expect("it is there");
                 let id = *id;
                 if random.random_bool(0.1) {
-                    channels.broke(id);
-                    channel.2 = true;
+                    pool.mark_broken(id);
+                    channel.broken = true;
                     continue;
                 }
-                channel.1 -= 1;
-                let empty = channel.1 == 0;
-                assert_eq!(channels.freed(id), empty, "seed {seed}");
-                if empty {
-                    carried.remove(&id);
+                channel.requests -= 1;
+                let is_empty = channel.requests == 0;
+                assert_eq!(pool.release(id), is_empty, "seed {seed}");
+                if is_empty {
+                    channels.remove(&id);
                 }
             }
-            assert_eq!(channels.len(), carried.len(), "seed {seed}");
+            assert_eq!(pool.len(), channels.len(), "seed {seed}");
         }
     }
 }
