--- a/crates/stackgw-bootstrap/tests/digest/main.rs
+++ b/crates/stackgw-bootstrap/tests/digest/main.rs
@@ -13,7 +13,7 @@
 use hasher::Digest;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use random::{any_endpoint, any_observation, below, chance, source_of};
+use random::{any_endpoint, any_fragment, any_observation, any_poll, below, chance, source_of};
 use stackgw_bootstrap::{
     ConnectionPacer, EndpointCache, EndpointUpdate, ListedMember, Observations, Origin,
     PacerConfig, PollRate, PollSchedule, StartTime,
@@ -224,3 +224,36 @@
     }
     digest.print("start-sightings");
 }
+
+/// More polls than one interval's budget of complete lists, and fragments that do and do not belong together.
+#[test]
+#[ignore = "prints a digest, to be compared by hand"]
+fn digest_of_bursts_of_messages() {
+    let mut digest = Digest::new();
+    for seed in 0..100 {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut sim = Simulation::new(1 + below(&mut rng, 12), 62, 100.0, true, seed);
+        sim.recorded = Some(Vec::new());
+        sim.start(0);
+        sim.advance(SECOND);
+        for _ in 0..150 {
+            let (now, sender) = (sim.now, 1 + below(&mut rng, 3));
+            let bootstrap = sim.instances[0].bootstrap.as_ref();
+            let revision = bootstrap.and_then(|bootstrap| bootstrap.cache().revision());
+            let revision = revision.unwrap_or(1);
+            let message = match below(&mut rng, 12) {
+                0 => None,
+                1..=8 => Some(any_poll(&mut rng, revision, sender)),
+                _ => Some(any_fragment(&mut rng, now, revision, sender)),
+            };
+            match message {
+                None => sim.advance(below(&mut rng, 200) as Span * MS),
+                Some(message) => sim.call(0, |bootstrap, now, out| {
+                    bootstrap.handle_message(now, message, out);
+                }),
+            }
+            digest.fleet(&mut sim);
+        }
+    }
+    digest.print("start-bursts");
+}
--- a/crates/stackgw-bootstrap/tests/digest/random.rs
+++ b/crates/stackgw-bootstrap/tests/digest/random.rs
@@ -4,7 +4,8 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use stackgw_bootstrap::{
-    service_id, Endpoint, EndpointSnapshot, Fragment, Message, Observation, Origin, UpdateSource,
+    service_id, Endpoint, EndpointSnapshot, Fragment, Message, Observation, Origin, Poll,
+    UpdateSource,
 };
 use stackgw_router::api::{Lifecycle, Time, MS};
 
@@ -86,3 +87,40 @@
             .collect(),
     })
 }
+
+/// A poll by a peer that has this version, the one before, or none.
+pub fn any_poll(rng: &mut Pcg64Mcg, revision: u64, sender: usize) -> Message {
+    Message::Poll(Poll {
+        sender: address(sender),
+        nonce: rng.random(),
+        service_id: service_id("s"),
+        known_revision: [None, None, Some(revision), Some(revision.saturating_sub(1))]
+            [below(rng, 4)],
+        observations: Vec::new(),
+    })
+}
+
+/// One of two unsolicited fragments of this version or the next, complete or since some version.
+pub fn any_fragment(rng: &mut Pcg64Mcg, now: Time, revision: u64, sender: usize) -> Message {
+    let first = below(rng, 60);
+    Message::Snapshot(EndpointSnapshot {
+        sender: address(sender),
+        nonce: 0,
+        service_id: service_id("s"),
+        revision: Some(revision + below(rng, 2) as u64),
+        confirmed_ago_ms: below(rng, 100) as u64,
+        is_live: true,
+        is_cached: false,
+        retry_after_ms: 0,
+        warm_throughput_millis: 0,
+        base: [None, Some(1), Some(revision)][below(rng, 3)],
+        fragment: Fragment {
+            index: below(rng, 2) as u16,
+            count: 2,
+        },
+        endpoints: (first..first + 2)
+            .map(|_| any_endpoint(rng, now, 62))
+            .collect(),
+        observations: Vec::new(),
+    })
+}
