--- a/crates/stackgw-cli/tests/common/scripted_member.rs
+++ b/crates/stackgw-cli/tests/common/scripted_member.rs
@@ -22,7 +22,7 @@
     DuplicateReply,
     /// `big-SIZE`: a value of that size.
     LargeValue(usize),
-    /// `spoilt-KIND`: the answer is corrupted the first time.
+    /// `corrupt-KIND`: the answer is corrupted the first time.
     Corrupt(&'a str),
     Plain,
 }
@@ -33,7 +33,7 @@
             _ if key == "slow" => Script::Wait,
             Some(("twice", _)) => Script::DuplicateReply,
             Some(("big", size)) => Script::LargeValue(size.parse().expect("a size")),
-            Some(("spoilt", kind)) => Script::Corrupt(kind),
+            Some(("corrupt", kind)) => Script::Corrupt(kind),
             _ => Script::Plain,
         }
     }
--- a/crates/stackgw-cli/tests/discovery.rs
+++ b/crates/stackgw-cli/tests/discovery.rs
@@ -12,33 +12,62 @@
 use std::sync::mpsc::{channel, Sender};
 use std::time::{Duration, Instant};
 
-/// What an agent does with a connection once it has failed.
+/// How the list service fails.
 #[derive(Debug, Clone, Copy)]
-enum Fails {
-    /// It never comes up: the line before the listener is full.
-    Swallows,
-    /// It ends at once, or is told to come back far later.
+enum Failure {
+    /// It accepts no connection: the listener's backlog is full.
+    NeverAccepts,
+    /// It closes each connection at once.
     Closes,
-    PutsOff,
-    /// It stands still before the head, in the head, in a chunk's size, in a chunk, in a line.
+    /// It answers 503 with a Retry-After far in the future.
+    RetryLater,
+    /// It accepts, and sends nothing.
     Silent,
-    InHead,
-    InSize,
-    InChunk,
-    InLine,
+    /// It stops within the head ...
+    StopsInHead,
+    /// ... within a chunk's size ...
+    StopsInSize,
+    /// ... within a chunk ...
+    StopsInChunk,
+    /// ... within a line.
+    StopsInLine,
     /// It goes on with bytes that are no list and no line.
-    Dribbles,
+    SendsNoLine,
 }
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
+impl Failure {
+    /// What the service sends on a connection that it has accepted, before it fails it.
+    fn text(self) -> String {
+        match self {
+            Failure::Silent | Failure::Closes | Failure::NeverAccepts => String::new(),
+            Failure::RetryLater => {
+                "HTTP/1.1 503 Busy\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n".to_owned()
+            }
+            Failure::StopsInHead => HEAD[..30].to_owned(),
+            Failure::StopsInSize => format!("{HEAD}1f"),
+            Failure::StopsInChunk => format!("{HEAD}400\r\n{{\"revision\":"),
+            Failure::StopsInLine => {
+                format!("{HEAD}{}", chunk("{\"revision\":2,\"complete\":"))
+            }
+            Failure::SendsNoLine => HEAD.to_owned(),
+        }
+    }
+}
+
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// An agent that tells its list once and ends that watch, fails `fails` times more, tells of it the moment it can be reached
-/// again, and has then the second list.
-fn failing(how: Fails, fails: usize, lists: [String; 2], back: Sender<Instant>) -> SocketAddr {
+/// Starts a list service that sends its first list and ends that watch, then fails `failures` times more, sends the moment at
+/// which it can be reached again, and has the second list from then on.
+fn start_failing_list_service(
+    failure: Failure,
+    failures: usize,
+    lists: [String; 2],
+    recovered: Sender<Instant>,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -46,41 +75,30 @@
         let mut first = next();
         let _ = first.write_all(format!("{HEAD}{}", chunk(&format!("{}\n", lists[0]))).as_bytes());
         let mut open = Vec::new();
-        if let Fails::Swallows = how {
+        if let Failure::NeverAccepts = failure {
             drop(first);
-            // Nothing is accepted any more: some stand in line, the others never come up.
-            rustix::net::listen(&listener, 0).expect("a short line");
+            // Nothing is accepted any more: some are queued, the others never come up.
+            rustix::net::listen(&listener, 0).expect("a short backlog");
             let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
-            let line: Vec<_> = std::iter::from_fn(fill).collect();
-            // The gateway's dials meet the full line for longer than one of them lasts.
+            let queued: Vec<_> = std::iter::from_fn(fill).collect();
+            // The gateway's dials meet the full backlog for longer than one of them lasts.
             std::thread::sleep(Duration::from_millis(1500));
-            drop(line);
-            back.send(Instant::now()).expect("the test");
-            rustix::net::listen(&listener, 128).expect("a line");
+            drop(queued);
+            recovered.send(Instant::now()).expect("the test");
+            rustix::net::listen(&listener, 128).expect("a backlog");
         } else {
             drop(first);
-            for _ in 0..fails {
+            for _ in 0..failures {
                 let mut socket = next();
-                let said = match how {
-                    Fails::Silent | Fails::Closes | Fails::Swallows => String::new(),
-                    Fails::PutsOff => {
-                        "HTTP/1.1 503 Busy\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n"
-                            .to_owned()
-                    }
-                    Fails::InHead => HEAD[..30].to_owned(),
-                    Fails::InSize => format!("{HEAD}1f"),
-                    Fails::InChunk => format!("{HEAD}400\r\n{{\"revision\":"),
-                    Fails::InLine => format!("{HEAD}{}", chunk("{\"revision\":2,\"complete\":")),
-                    Fails::Dribbles => HEAD.to_owned(),
-                };
-                let _ = socket.write_all(said.as_bytes());
-                match how {
-                    Fails::Closes | Fails::PutsOff => drop(socket),
-                    Fails::Dribbles => {
-                        let mut drips = socket.try_clone().expect("its other half");
+                let text = failure.text();
+                let _ = socket.write_all(text.as_bytes());
+                match failure {
+                    Failure::Closes | Failure::RetryLater => drop(socket),
+                    Failure::SendsNoLine => {
+                        let mut sender = socket.try_clone().expect("its other half");
                         open.push(socket);
                         std::thread::spawn(move || {
-                            while drips.write_all(chunk(" ").as_bytes()).is_ok() {
+                            while sender.write_all(chunk(" ").as_bytes()).is_ok() {
                                 std::thread::sleep(Duration::from_millis(100));
                             }
                         });
@@ -89,7 +107,7 @@
                 }
             }
             // The worst moment: it has just taken a watch and failed it, and serves whoever comes next.
-            back.send(Instant::now()).expect("the test");
+            recovered.send(Instant::now()).expect("the test");
         }
         loop {
             let mut socket = next();
@@ -101,52 +119,55 @@
     address
 }
 
-/// A change counts as told six seconds after discovery had it and could be reached: by then a member that drains gets nothing new.
+/// A change counts as notified six seconds after discovery had it and could be reached: by then a member that drains gets nothing new.
 #[test]
 fn a_drain_takes_effect_within_six_seconds_however_discovery_failed() {
     let all = [
-        (Fails::Swallows, 0),
-        (Fails::Closes, 6),
-        (Fails::PutsOff, 6),
-        (Fails::Silent, 1),
-        (Fails::InHead, 1),
-        (Fails::InSize, 1),
-        (Fails::InChunk, 1),
-        (Fails::InLine, 1),
-        (Fails::Dribbles, 1),
+        (Failure::NeverAccepts, 0),
+        (Failure::Closes, 6),
+        (Failure::RetryLater, 6),
+        (Failure::Silent, 1),
+        (Failure::StopsInHead, 1),
+        (Failure::StopsInSize, 1),
+        (Failure::StopsInChunk, 1),
+        (Failure::StopsInLine, 1),
+        (Failure::SendsNoLine, 1),
     ];
     let cases: Vec<_> = all
         .into_iter()
-        .map(|(how, fails)| {
+        .map(|(failure, failures)| {
             std::thread::spawn(move || {
-                let (told, statements) = channel();
-                let (_go, held) = channel();
-                let port = start_member(true, told, held);
+                let (sender, statements) = channel();
+                let (_release, released) = channel();
+                let port = start_member(true, sender, released);
                 let at =
                     |phase| entry(1, phase, "leader").replace(":7001\"", &format!(":{port}\""));
                 let lists = [
                     list_text(1, true, &[at("ready")]),
                     list_text(2, true, &[at("draining")]),
                 ];
-                let (back, is_back) = channel();
-                let agent = failing(how, fails, lists, back);
-                let gateway = GatewayProcess::start(&format!("discovery-{how:?}"), agent);
+                let (recovered, recovery) = channel();
+                let lists = start_failing_list_service(failure, failures, lists, recovered);
+                let gateway = GatewayProcess::start(&format!("discovery-{failure:?}"), lists);
                 let mut client = gateway.ready_client();
                 client.write(&[insert("k1")]);
-                assert_eq!(frame_kinds(&client.read_reply()), "TDCZ", "{how:?}");
-                let back = is_back.recv_timeout(TIMEOUT).expect("its return");
+                assert_eq!(frame_kinds(&client.read_reply()), "TDCZ", "{failure:?}");
+                let recovered = recovery.recv_timeout(TIMEOUT).expect("its return");
                 // The counters say when the second list has come.
                 gateway.wait_for_counter("lists", |n| n == 2);
-                (how, back.elapsed(), statements.try_iter().count())
+                (failure, recovered.elapsed(), statements.try_iter().count())
             })
         })
         .collect();
     for case in cases {
-        let (how, after, sent) = case.join().expect("told");
-        eprintln!("{how:?}: told {} ms after the return", after.as_millis());
+        let (failure, after, sent) = case.join().expect("no panic");
+        eprintln!(
+            "{failure:?}: in force {} ms after the return",
+            after.as_millis()
+        );
         assert!(
             after < Duration::from_millis(6000),
-            "{how:?}: {} ms",
+            "{failure:?}: {} ms",
             after.as_millis()
         );
         assert_eq!(sent, 1);
@@ -199,8 +220,8 @@
         late.next().and_then(|f| sqlstate(&f.bytes)).as_deref(),
         Some("53300")
     );
-    let held = gateway.descriptors();
-    assert!(held <= 128, "{held} descriptors");
+    let descriptors = gateway.descriptors();
+    assert!(descriptors <= 128, "{descriptors} descriptors");
     // Discovery is back.
     let mut watch = listener.accept().expect("the watch").0;
     let list = chunk(&format!("{}\n", list_text(1, true, &[listed])));
@@ -211,7 +232,7 @@
         assert_eq!(
             frame_kinds(&connection.read_reply()),
             "IZ",
-            "whoever waited is told"
+            "whoever waited is answered"
         );
     }
     waiting[0].write(&[insert("k1")]);
--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The binary on loopback, between small stand-ins of clients, members and the list's agent.
+//! The binary on loopback, between clients, members and a list service that each test drives by hand.
 
 mod common;
 
@@ -66,7 +66,7 @@
         .write_all(b"GET / HTTP/1.1\r\n\r\n")
         .expect("written");
     let last = std::iter::from_fn(|| bad.next()).last();
-    assert_eq!(last.map(|f| f.kind), Some(b'E'), "one word, then the end");
+    assert_eq!(last.map(|f| f.kind), Some(b'E'), "one error, then the end");
     let mut out_of_place = gateway.ready_client();
     out_of_place.write(&[message(b'?', b"x")]);
     assert_eq!(
@@ -103,7 +103,7 @@
         ..
     } = start_fixture("large");
     let mut client = gateway.ready_client();
-    // The stand-in answers with the key, so a long key makes a large row.
+    // The member answers with the key, so a long key makes a large row.
     let key = "k".repeat(64 << 10);
     client.write(&[select(&key)]);
     assert_eq!(client.read_reply()[1], row(key.as_bytes())[1]);
@@ -132,7 +132,7 @@
 fn clients_beyond_capacity_are_served_within_the_descriptor_limit() {
     let GatewayFixture { gateway, .. } = start_fixture("many");
     let mut clients: Vec<_> = (0..200).map(|_| gateway.ready_client()).collect();
-    // One that is turned away tries again, and finds the place of one idle longer.
+    // One that is rejected retries, and displaces one that has been idle for longer.
     let served = (0..1000).any(|_| {
         let last = clients.last_mut().expect("a client");
         last.write(&[select("k1")]);
@@ -148,8 +148,8 @@
         clients[0].next().is_none(),
         "the one idle longest made room"
     );
-    let held = gateway.descriptors();
-    assert!(held <= 128, "{held} descriptors");
+    let descriptors = gateway.descriptors();
+    assert!(descriptors <= 128, "{descriptors} descriptors");
     gateway.signal("USR1");
     let counters = gateway.wait_for_line("counters ");
     assert!(!counters.contains(" clients_evicted=0 "), "{counters}");
@@ -316,17 +316,17 @@
     assert!(!counters.contains(" members_unasked=0 "), "{counters}");
 }
 
-/// Whatever is spoilt reaches no client: a read is asked for again, a write that may have run fails at once.
+/// No malformed response reaches a client: a read is retried, a write that may have run fails at once.
 #[test]
 fn malformed_responses_reach_no_client_and_no_write_is_sent_twice() {
     let GatewayFixture {
         gateway,
         statements,
         ..
-    } = start_fixture("spoilt");
+    } = start_fixture("corrupt");
     let mut client = gateway.ready_client();
     for kind in ["noise", "huge", "short", "tag"] {
-        let key = format!("spoilt-{kind}");
+        let key = format!("corrupt-{kind}");
         client.write(&[select(&key)]);
         assert_eq!(client.read_reply()[1], row(key.as_bytes())[1]);
         CORRUPTED_KEYS.lock().expect("no panic").remove(&key);
@@ -382,17 +382,17 @@
     // Two new ones: the first knows the primary and one replica, the second, in other versions, the other replica.
     let mut watched = Vec::new();
     for n in [1, 2] {
-        let (told, asked) = channel();
+        let (sender, requests) = channel();
         let list = list_text(n as u64, true, &[entries[0].clone(), entries[n].clone()]);
-        gateway.write_config(start_recording_list_service(list, told));
+        gateway.write_config(start_recording_list_service(list, sender));
         gateway.signal("HUP");
         gateway.wait_for_line("configuration read anew");
-        let line = asked.recv_timeout(TIMEOUT).expect("a watch");
+        let line = requests.recv_timeout(TIMEOUT).expect("a watch");
         assert!(
             line.contains("watch=1 "),
             "the whole list is asked for: {line}"
         );
-        watched.push(asked);
+        watched.push(requests);
         client.write(&[insert("k2")]);
         assert_eq!(frame_kinds(&client.read_reply()), "TDCZ");
     }
@@ -414,7 +414,7 @@
 /// A client's bytes after its startup, and whether that is done at all.
 fn bad_clients() -> Vec<(&'static str, bool, Vec<u8>)> {
     let text = |text: &str| query(text).bytes;
-    let spoilt = |comment: &str| {
+    let with_comment = |comment: &str| {
         text(&format!(
             "SELECT val FROM state WHERE uid = 'k' /* {comment} */"
         ))
@@ -449,24 +449,24 @@
         (
             "no class like that",
             true,
-            spoilt("id=b1,c=strange,d=400,cluster=2"),
+            with_comment("id=b1,c=strange,d=400,cluster=2"),
         ),
         (
             "a deadline that is no number",
             true,
-            spoilt("id=b2,c=look,d=soon,cluster=2"),
+            with_comment("id=b2,c=look,d=soon,cluster=2"),
         ),
         (
             "a negative deadline",
             true,
-            spoilt("id=b3,c=look,d=-4,cluster=2"),
+            with_comment("id=b3,c=look,d=-4,cluster=2"),
         ),
-        ("no id", true, spoilt("c=look,d=400,cluster=2")),
+        ("no id", true, with_comment("c=look,d=400,cluster=2")),
         ("copy data", true, [b'd', 0, 0, 0, 4].repeat(100)),
         (
             "hundreds of commands",
             true,
-            spoilt("id=b4,c=strange,d=400,cluster=2").repeat(400),
+            with_comment("id=b4,c=strange,d=400,cluster=2").repeat(400),
         ),
     ]
 }
@@ -557,12 +557,12 @@
             .all(|connection| connection.next().is_none()),
         "each is closed"
     );
-    let held = gateway.descriptors();
-    assert!(held <= 128, "{held} descriptors");
+    let descriptors = gateway.descriptors();
+    assert!(descriptors <= 128, "{descriptors} descriptors");
 }
 
 /// The long day in small: members replaced throughout under new ids, sessions and clients always new, some of them asking
-/// once and staying. What is held in the second half is what was held in the first.
+/// once and staying. Descriptors and memory in the second half are those of the first.
 #[test]
 fn descriptors_and_memory_stay_level_over_many_generations_of_members_and_clients() {
     let (sender, statements) = channel();
@@ -608,7 +608,7 @@
             let mut client = gateway.ready_client();
             client.write(&[select(&format!("s{n}-{k}"))]);
             let answer = client.next().expect("an answer");
-            // Where all places are busy one is told so; nobody waits here for long.
+            // Where all clients are busy a new one is rejected; nobody waits here for long.
             assert!(answer.kind == b'T' || sqlstate(&answer.bytes).as_deref() == Some("53300"));
             if k % 2 == 0 {
                 stay.push(client);
--- a/crates/stackgw-cli/tests/floods.rs
+++ b/crates/stackgw-cli/tests/floods.rs
@@ -22,7 +22,7 @@
 const END_HEADERS: u8 = 4;
 
 /// An HTTP/2 connection by hand.
-struct Raw(TcpStream);
+struct RawConnection(TcpStream);
 
 /// A header as HPACK has it, without any table.
 fn header(name: &str, value: &str) -> Vec<u8> {
@@ -53,13 +53,13 @@
     .collect()
 }
 
-impl Raw {
+impl RawConnection {
     fn new(at: SocketAddr) -> Self {
         let socket = TcpStream::connect(at).expect("a connection");
         socket
             .set_write_timeout(Some(Duration::from_secs(5)))
             .expect("a limit");
-        let mut raw = Raw(socket);
+        let mut raw = RawConnection(socket);
         raw.0
             .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
             .expect("the preface");
@@ -80,26 +80,27 @@
     }
 
     /// What the other side says until it closes, falls silent, or says a frame of this kind; the kinds, in order.
-    fn hears(&mut self, until: u8) -> Vec<u8> {
+    fn read_frame_kinds(&mut self, until: u8) -> Vec<u8> {
         self.0
             .set_read_timeout(Some(Duration::from_secs(2)))
             .expect("a limit");
-        let (mut kinds, mut held, mut buffer) = (Vec::new(), Vec::new(), [0; 16 << 10]);
+        let (mut kinds, mut received, mut buffer) = (Vec::new(), Vec::new(), [0; 16 << 10]);
         loop {
-            while held.len() >= 9 {
-                let length = u32::from_be_bytes([0, held[0], held[1], held[2]]) as usize;
-                if held.len() < 9 + length {
+            while received.len() >= 9 {
+                let length =
+                    u32::from_be_bytes([0, received[0], received[1], received[2]]) as usize;
+                if received.len() < 9 + length {
                     break;
                 }
-                kinds.push(held[3]);
-                held.drain(..9 + length);
+                kinds.push(received[3]);
+                received.drain(..9 + length);
             }
             if kinds.contains(&until) {
                 return kinds;
             }
             match self.0.read(&mut buffer) {
                 Ok(0) => return kinds,
-                Ok(n) => held.extend(&buffer[..n]),
+                Ok(n) => received.extend(&buffer[..n]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return kinds,
             }
@@ -108,14 +109,14 @@
 }
 
 /// Does something to a gateway; afterwards, and while that connection is still there, others are served and memory holds.
-fn bears(name: &str, does: impl FnOnce(SocketAddr) -> Option<Raw>) {
+fn check_others_are_served(name: &str, flood: impl FnOnce(SocketAddr) -> Option<RawConnection>) {
     let fixture = GroupFixture::new(name, &[20], Protocol::Postgres);
     let mut client = fixture.client(0, Protocol::FlightSql);
     assert_eq!(
         client.send_with_retries(&ClientRequest::write("k", 1)),
         served(1)
     );
-    let _open = does(fixture.flight_address(0));
+    let _open = flood(fixture.flight_address(0));
     let since = Instant::now();
     assert_eq!(
         client.send_with_retries(&ClientRequest::write("k", 2)),
@@ -142,13 +143,13 @@
 
 #[test]
 fn a_truncated_message_is_an_error_of_its_call() {
-    bears("truncated", |at| {
-        let mut raw = Raw::new(at);
+    check_others_are_served("truncated", |at| {
+        let mut raw = RawConnection::new(at);
         raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
             .expect("taken");
         raw.send(DATA, END_STREAM, 1, &[0, 0, 0, 0, 100, 1, 2, 3])
             .expect("taken");
-        let kinds = raw.hears(HEADERS);
+        let kinds = raw.read_frame_kinds(HEADERS);
         assert!(
             kinds.contains(&HEADERS) && !kinds.contains(&GOAWAY),
             "{kinds:?}"
@@ -159,13 +160,13 @@
 
 #[test]
 fn a_message_that_claims_a_gigabyte_is_rejected_at_its_head() {
-    bears("oversized", |at| {
-        let mut raw = Raw::new(at);
+    check_others_are_served("oversized", |at| {
+        let mut raw = RawConnection::new(at);
         raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
             .expect("taken");
         raw.send(DATA, 0, 1, &[&[0, 0x40, 0, 0, 0][..], &[7; 8_000]].concat())
             .expect("taken");
-        let kinds = raw.hears(HEADERS);
+        let kinds = raw.read_frame_kinds(HEADERS);
         assert!(kinds.contains(&HEADERS), "{kinds:?}");
         Some(raw)
     });
@@ -173,8 +174,8 @@
 
 #[test]
 fn headers_without_end_end_their_connection_or_their_call() {
-    bears("bomb", |at| {
-        let mut raw = Raw::new(at);
+    check_others_are_served("bomb", |at| {
+        let mut raw = RawConnection::new(at);
         raw.send(HEADERS, 0, 1, &call("GetFlightInfo"))
             .expect("taken");
         let more: Vec<u8> = (0..60)
@@ -189,8 +190,8 @@
 
 #[test]
 fn rapidly_reset_streams_run_nothing() {
-    bears("resets", |at| {
-        let mut raw = Raw::new(at);
+    check_others_are_served("resets", |at| {
+        let mut raw = RawConnection::new(at);
         let headers = call("DoGet");
         for n in 0..20_000_u32 {
             let stream = 2 * n + 1;
@@ -210,13 +211,13 @@
         ("settings", SETTINGS, &[][..]),
         ("pings", PING, &[1; 8][..]),
     ] {
-        bears(name, |at| {
-            let mut raw = Raw::new(at);
+        check_others_are_served(name, |at| {
+            let mut raw = RawConnection::new(at);
             // Nobody reads the answers.
             raw.0
                 .set_write_timeout(Some(Duration::from_millis(500)))
                 .expect("a limit");
-            let many = Raw::frame(kind, 0, 0, body).repeat(1_000);
+            let many = RawConnection::frame(kind, 0, 0, body).repeat(1_000);
             let _ = (0..1_000).all(|_| raw.0.write_all(&many).is_ok());
             Some(raw)
         });
@@ -225,7 +226,7 @@
 
 #[test]
 fn noise_and_idle_connections_affect_no_other_client() {
-    bears("noise", |at| {
+    check_others_are_served("noise", |at| {
         let mut noise = TcpStream::connect(at).expect("a connection");
         noise
             .write_all(&b"GET / HTTP/1.0\r\n\r\n".repeat(1_000))
@@ -234,6 +235,6 @@
             .map(|_| TcpStream::connect(at).expect("a connection"))
             .collect();
         drop(silent);
-        Some(Raw::new(at))
+        Some(RawConnection::new(at))
     });
 }
--- a/crates/stackgw-cli/tests/leaving.rs
+++ b/crates/stackgw-cli/tests/leaving.rs
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Two replicas and no primary, so that writes wait; with the word that brings the primary.
+/// Two replicas and no primary, so that writes wait, and what adds the primary to the list.
 fn without_primary(name: &str) -> (GatewayFixture, impl FnOnce() -> Sender<String>) {
-    let (tell, news) = channel();
+    let (tell, updates) = channel();
     let fixture = start_fixture_with(name, |entries| {
-        start_updating_list_service(list_text(1, true, &entries[1..]), news)
+        start_updating_list_service(list_text(1, true, &entries[1..]), updates)
     });
     let primary = list_text(2, false, &fixture.entries[..1]);
     // The agent ends with the last sender, and would take what it has just written along.
@@ -32,7 +32,7 @@
 struct Leaver {
     way: &'static str,
     sends: Vec<u8>,
-    /// Whether it reads what it is told; a close over what is unread is a reset.
+    /// Whether it reads its replies; a close over what is unread is a reset.
     reads: bool,
     leaves: fn(PgConnection),
 }
@@ -204,7 +204,7 @@
     let _ = by
         .socket
         .write_all(&[&[0, 0, 0, 16, 4, 210, 22, 46], key.body()].concat());
-    assert!(by.next().is_none(), "it is told nothing");
+    assert!(by.next().is_none(), "no reply to a cancel");
     assert_eq!(
         sqlstate(&client.read_reply()[0].bytes).as_deref(),
         Some("57014")
--- a/crates/stackgw-cli/tests/start.rs
+++ b/crates/stackgw-cli/tests/start.rs
@@ -275,12 +275,12 @@
 
 #[test]
 fn few_lead_the_watch_and_lost_leaders_are_replaced() {
-    let fixture = Fixture::new("holders", 9, true, 50);
+    let fixture = Fixture::new("leaders", 9, true, 50);
     fixture.start(0..9);
     fixture.wait_until_current(ms(10_000), 0..9);
     let before = fixture.polls();
     assert!(before <= 6, "{before} asks for 9 gateways");
-    // All holders are killed at once, and a drain is told: the rest finds new ones and hears of it.
+    // All leaders are killed at once, and a drain is announced: the rest finds new ones and gets it.
     let lost = fixture.watch_leaders();
     assert!((1..=4).contains(&lost.len()), "{lost:?}");
     lost.iter().for_each(|n| fixture.gateways.kill(*n));
@@ -288,7 +288,7 @@
     let rest: Vec<_> = (0..9).filter(|n| !lost.contains(n)).collect();
     let took = fixture.wait_until_current(LEADER_REPLACED_WITHIN, rest.iter().copied());
     assert!(fixture.polls() - before <= 8, "{took:?}");
-    // A holder that is stopped for five seconds is passed over, and wakes to what it missed.
+    // A leader that is stopped for five seconds is passed over, and gets what it missed once it goes on.
     let stopped = fixture.watch_leaders()[0];
     fixture.gateways.pause(stopped);
     fixture.group.announce(1, ListedPhase::Draining);
@@ -299,7 +299,7 @@
     std::thread::sleep(ms(5_000));
     fixture.gateways.resume(stopped);
     fixture.wait_until_current(ms(2_000), std::iter::once(stopped));
-    // Those that were killed come back and are told.
+    // Those that were killed come back and get the list.
     fixture.start(lost.iter().copied());
     fixture.wait_until_current(ms(5_000), 0..9);
 }
@@ -319,7 +319,7 @@
     let after = fixture.group.executions().latest_after_drain;
     assert!(
         after <= DRAIN_GRACE + ms(50),
-        "a request {after:?} after the drain was told"
+        "a request {after:?} after the drain was announced"
     );
     assert!(report.served_fraction() > 0.9, "{report:?}");
 }
@@ -344,7 +344,7 @@
         assert!(since.elapsed() < ms(20_000), "nobody noticed");
         std::thread::sleep(ms(20));
     }
-    // One that starts now has the disk's word and its peers'; the service's older one undoes neither.
+    // One that starts now has the list of its disk and of its peers; the service's older one undoes neither.
     fixture.wait_until("no older list", ms(5_000), 0..6, |status| {
         status["revision"] == 2
     });
@@ -359,7 +359,7 @@
 
 #[test]
 fn a_cached_list_serves_without_the_service_and_its_primary_gets_no_write() {
-    let fixture = Fixture::new("kept", 8, true, 50);
+    let fixture = Fixture::new("cached", 8, true, 50);
     fixture.start(0..8);
     fixture.wait_until_current(ms(10_000), 0..8);
     fixture.wait_until("a list on each disk", ms(5_000), 0..8, |status| {
@@ -418,7 +418,7 @@
         }
         lists.set_listener_state(1, ServiceState::Silent);
         std::thread::sleep(ms(500));
-        // Meanwhile another member leads, and one drains: only one half is told.
+        // Meanwhile another member leads, and one drains: only one half gets it.
         fixture.group.promote(1);
         lists.announce_primary(1);
         fixture.group.announce(2, ListedPhase::Draining);
@@ -438,7 +438,7 @@
         assert_eq!(
             fixture.requests_of(2),
             before,
-            "told, and new work all the same"
+            "new work after it got the drain"
         );
     });
     fixture.check_soundness(&report);
@@ -483,7 +483,7 @@
 #[test]
 fn connections_to_cold_members_are_paced_over_the_fleet() {
     // Six a second at each, growing to twenty-four.
-    let fixture = Fixture::with_lines("dealt", 24, true, 50, &["opens: 6"]);
+    let fixture = Fixture::with_lines("paced", 24, true, 50, &["opens: 6"]);
     (0..3).for_each(|n| fixture.group.set_capacity(n, member_model()));
     fixture.start(0..24);
     fixture.wait_until_current(ms(10_000), 0..24);
@@ -531,7 +531,7 @@
         status["revision"] == 2
     });
     assert_eq!(fixture.requests_of(2), before, "the drain binds them too");
-    // Back, it is believed by all, and the old half's word no longer counts as kept.
+    // Back, it is believed by all, and the old half's list no longer counts as cached.
     fixture.group.list_service().set_state(ServiceState::Up);
     fixture.group.announce(2, ListedPhase::Ready);
     fixture.wait_until_current(ms(20_000), 0..10);
@@ -549,7 +549,7 @@
         "{} asks for 24 gateways",
         fixture.polls()
     );
-    // Of the four that are left none held the watch.
+    // Of the four that are left none led the watch.
     (0..20).for_each(|n| fixture.gateways.kill(n));
     fixture.group.announce(2, ListedPhase::Draining);
     fixture.wait_until_current(LEADER_REPLACED_WITHIN, 20..24);
--- a/crates/stackgw-cli/tests/streams.rs
+++ b/crates/stackgw-cli/tests/streams.rs
@@ -74,7 +74,7 @@
     (count, bytes, None)
 }
 
-/// Sets a trouble of all members.
+/// Sets a fault of all members.
 fn all(
     fixture: &GroupFixture,
     fault: impl Fn(&stackgw_testkit::FakeMember) -> &AtomicU64,
@@ -142,7 +142,7 @@
     while cancels() == 0 {
         assert!(
             since.elapsed() < Duration::from_secs(5),
-            "the member was not told"
+            "the member got no cancel"
         );
         std::thread::sleep(Duration::from_millis(2));
     }
@@ -184,11 +184,11 @@
             .into_inner()
             .boxed();
         stream.next().await.expect("more").expect("good");
-        let mut told = other
+        let mut answer = other
             .do_action(Request::new(stop()))
             .await
             .expect("stopped");
-        let result = told.next().await.expect("a result").expect("good");
+        let result = answer.next().await.expect("a result").expect("good");
         assert_eq!(
             CancelFlightInfoResult::decode(result.body)
                 .expect("a result")
--- a/crates/stackgw-testkit/src/audit_client.rs
+++ b/crates/stackgw-testkit/src/audit_client.rs
@@ -24,8 +24,8 @@
 /// The pause where a gateway is down.
 const GATEWAY_DOWN_PAUSE: Duration = Duration::from_millis(2);
 
-/// How many misses are told in words.
-const MAX_TOLD_MISSES: usize = 5;
+/// How many misses are described in words.
+const MAX_DESCRIBED_MISSES: usize = 5;
 
 /// What the clients of an audit write down together.
 pub(crate) struct SharedRecord {
@@ -52,7 +52,7 @@
 
     fn note_miss(&self, text: String) {
         let mut misses = lock(&self.first_misses);
-        if misses.len() < MAX_TOLD_MISSES {
+        if misses.len() < MAX_DESCRIBED_MISSES {
             misses.push(text);
         }
     }
--- a/crates/stackgw-testkit/src/gateway_fleet.rs
+++ b/crates/stackgw-testkit/src/gateway_fleet.rs
@@ -1,5 +1,5 @@
-//! Gateways as real processes, with their files in a folder of their own. They are killed, paused and started anew; what they log
-//! is kept, and tells where they listen.
+//! Gateways as real processes, with their files in a folder of their own. They are killed, paused and started anew; their logs
+//! are copied into files, and say where they listen.
 
 use crate::error::TestkitError;
 use crate::fleet_config::{FleetConfig, FleetMode};
--- a/crates/stackgw-testkit/src/list_revisions.rs
+++ b/crates/stackgw-testkit/src/list_revisions.rs
@@ -1,4 +1,4 @@
-//! The endpoint list with all its revisions, and the JSON in which it is told. It knows nothing of time and connections.
+//! The endpoint list with all its revisions, and its JSON form. It knows nothing of time and connections.
 
 use crate::statements::GROUP;
 use std::net::SocketAddr;
--- a/crates/stackgw-testkit/src/measure/cold_start.rs
+++ b/crates/stackgw-testkit/src/measure/cold_start.rs
@@ -43,7 +43,7 @@
 /// What each member can do, warm, over all that is sent.
 const MEMBER_RATE_OVER_LOAD: f64 = 2.0 / 3.0;
 
-/// The fraction of a cold member's capacity that handshakes may take, unless told otherwise.
+/// The fraction of a cold member's capacity that handshakes may take, by default.
 pub const DEFAULT_HANDSHAKE_FRACTION: f64 = 0.4;
 
 /// How a fleet comes to know the endpoint list, where not as the platform has it.
@@ -262,7 +262,7 @@
         }
     }
 
-    /// New connections a second that a cold member bears with this fraction of its capacity.
+    /// New connections a second that a cold member can take with this fraction of its capacity.
     fn connection_rate(&self, handshake_fraction: f64) -> u32 {
         let model = self.member_model();
         let cold_rate = model.warm_rate * model.cold_fraction;
--- a/crates/stackgw-testkit/src/slow_start_model.rs
+++ b/crates/stackgw-testkit/src/slow_start_model.rs
@@ -167,7 +167,7 @@
             .is_some_and(|at| now < at + self.model.warm_up_time)
     }
 
-    /// Whether the work of the window is more than a cold member bears at this rate; notes how near it is.
+    /// Whether the work of the window is more than a cold member can take at this rate; notes how near it is.
     fn is_overloaded(&mut self, rate: f64) -> bool {
         let limit = self.model.overload_multiple * rate * self.model.overload_window.as_secs_f64();
         let overload = self.work_in_window / limit;
