--- a/crates/stackgw-router/tests/common/mod.rs
+++ b/crates/stackgw-router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router under test with a hand-driven clock. Each test file uses part of it.
+//! The host of one router under test, with a hand-driven clock.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use stackgw_router::{api::*, Router};
@@ -7,31 +7,31 @@
 pub const BOUNDED: usize = 0;
 pub const SESSION: usize = 1;
 pub const WRITE: usize = 2;
-pub const LOOSE: usize = 3;
-pub const KEYED: usize = 4;
-pub const FRESH: usize = 5;
+pub const EVENTUAL: usize = 3;
+pub const WITH_KEY: usize = 4;
+pub const STRONG: usize = 5;
 
 pub const BOUND: Span = 500 * MS;
 pub const GROUP: GroupId = GroupId(7);
 pub const START: Time = 1_000 * SECOND;
 
 pub fn settings() -> Settings {
-    let class = |need, effect, late_worth| Class {
-        consistency: need,
-        idempotency: effect,
+    let class = |consistency, idempotency, late_weight_share| Class {
+        consistency,
+        idempotency,
         latency_objective: 300 * MS,
         deadline: 3 * SECOND,
         priority_weight: 1.0,
-        late_weight_share: late_worth,
+        late_weight_share,
     };
-    let keyed = Idempotency::WithKey { scope: KeyScope::Group, window: 2 * SECOND };
+    let with_key = Idempotency::WithKey { scope: KeyScope::Group, window: 2 * SECOND };
     Settings {
         classes: vec![
             class(Consistency::BoundedStaleness(BOUND), Idempotency::Idempotent, 0.0),
             class(Consistency::ReadYourWrites, Idempotency::Idempotent, 0.0),
             class(Consistency::Write, Idempotency::NonIdempotent, 0.7),
             class(Consistency::Eventual, Idempotency::Idempotent, 0.0),
-            class(Consistency::Write, keyed, 0.7),
+            class(Consistency::Write, with_key, 0.7),
             class(Consistency::Strong, Idempotency::Idempotent, 0.0),
         ],
         fleet_size: 1,
@@ -60,7 +60,7 @@
     }
 }
 
-pub fn member(id: u32, primary: bool) -> Member {
+pub fn member(id: u32, listed_primary: bool) -> Member {
     Member {
         id: MemberId(id),
         group: GROUP,
@@ -68,11 +68,12 @@
         weight: 1.0,
         started_at: None,
         lifecycle: Lifecycle::Serving,
-        listed_primary: primary,
+        listed_primary,
     }
 }
 
-pub struct Bench {
+/// Plays the host of one router: hands it events, and notes what it asks for.
+pub struct TestHost {
     pub router: Router,
     pub now: Time,
     next: u64,
@@ -81,30 +82,31 @@
     attempts: std::collections::BTreeMap<RequestId, u32>,
 }
 
-impl Bench {
+impl TestHost {
     /// Members 0 (the listed primary) to `count - 1`, as a cached list.
     pub fn new(settings: Settings, count: u32) -> Self {
-        Bench::seeded(settings, count, 42)
+        TestHost::with_seed(settings, count, 42)
     }
 
-    /// As [`Bench::new`], for one router of many.
-    pub fn seeded(settings: Settings, count: u32, seed: u64) -> Self {
+    /// As [`TestHost::new`], for one router of many.
+    pub fn with_seed(settings: Settings, count: u32, seed: u64) -> Self {
         let router = Router::new(settings, seed);
         let attempts = Default::default();
-        let mut bench = Bench { router, now: START, next: 0, log: Vec::new(), attempts };
+        let mut host = TestHost { router, now: START, next: 0, log: Vec::new(), attempts };
         let members = (0..count).map(|id| member(id, id == 0)).collect();
-        bench.tell(Event::EndpointList { scope: ListScope::Cached, members });
-        bench
+        host.hand(Event::EndpointList { scope: ListScope::Cached, members });
+        host
     }
 
-    /// As [`Bench::new`], with each member heard of: 0 as primary, the others as replicas without lag.
-    pub fn heard(settings: Settings, count: u32) -> Self {
-        let mut bench = Bench::new(settings, count);
-        (0..count).for_each(|id| bench.probed(id, id == 0, bench.now));
-        bench
+    /// As [`TestHost::new`], where each member has reported: 0 as primary, the others as replicas without lag.
+    pub fn with_reports(settings: Settings, count: u32) -> Self {
+        let mut host = TestHost::new(settings, count);
+        (0..count).for_each(|id| host.report(id, id == 0, host.now));
+        host
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Hands the router an event; what it asks for.
+    pub fn hand(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -116,29 +118,31 @@
         actions
     }
 
-    pub fn pass(&mut self, span: Span) -> Vec<Action> {
+    /// Lets time pass, with a timer event every 10 ms; what the router asks for.
+    pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let (end, mut all) = (self.now + span, Vec::new());
         while self.now < end {
             self.now = (self.now + 10 * MS).min(end);
-            all.extend(self.tell(Event::Timer(0)));
+            all.extend(self.hand(Event::Timer(0)));
         }
         all
     }
 
-    pub fn ask(&mut self, class: usize) -> (RequestId, Vec<Action>) {
-        self.ask_since(class, None)
+    /// A new request; its number, and what the router asks for.
+    pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
+        self.request_after_write(class, None)
     }
 
-    /// Asks, and has whoever it is sent to serve it; who that was.
-    pub fn served(&mut self, class: usize, took: Span) -> Vec<u32> {
-        let (id, actions) = self.ask(class);
-        let to = sent(&actions);
-        to.iter().for_each(|member| drop(self.end(id, *member, Outcome::Served, took)));
+    /// A new request, served by the members that it is sent to; these members.
+    pub fn serve(&mut self, class: usize, elapsed: Span) -> Vec<u32> {
+        let (id, actions) = self.request(class);
+        let to = sent_to(&actions);
+        to.iter().for_each(|member| drop(self.end_attempt(id, *member, Outcome::Served, elapsed)));
         to
     }
 
-    /// A session read whose last write was `age` ago.
-    pub fn ask_since(&mut self, class: usize, age: Option<Span>) -> (RequestId, Vec<Action>) {
+    /// A new request of a session whose last write was `age` ago.
+    pub fn request_after_write(&mut self, class: usize, age: Option<Span>) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
         let request = Request {
@@ -151,14 +155,15 @@
             is_retry: false,
             requires_strong_read: false,
         };
-        let actions = self.tell(Event::Request(request));
+        let actions = self.hand(Event::Request(request));
         (id, actions)
     }
 
-    pub fn probed(&mut self, id: u32, primary: bool, position: Time) {
+    /// A health check comes back with this report.
+    pub fn report(&mut self, id: u32, is_primary: bool, position: Time) {
         let report =
-            LoadReport { position: Some(position), is_primary: Some(primary), ..LoadReport::default() };
-        self.tell(Event::HealthChecked {
+            LoadReport { position: Some(position), is_primary: Some(is_primary), ..LoadReport::default() };
+        self.hand(Event::HealthChecked {
             member: MemberId(id),
             responded: true,
             elapsed: MS,
@@ -166,13 +171,20 @@
         });
     }
 
-    /// Ends the latest attempt of a request.
-    pub fn end(&mut self, request: RequestId, member: u32, outcome: Outcome, took: Span) -> Vec<Action> {
-        let primary = outcome.answers().then_some(member == 0);
-        self.end_as(request, member, outcome, took, primary, None)
+    /// Ends the latest attempt of a request, with member 0 as the primary.
+    pub fn end_attempt(
+        &mut self,
+        request: RequestId,
+        member: u32,
+        outcome: Outcome,
+        took: Span,
+    ) -> Vec<Action> {
+        let primary = outcome.is_answered().then_some(member == 0);
+        self.end_attempt_as(request, member, outcome, took, primary, None)
     }
 
-    pub fn end_as(
+    /// Ends the latest attempt of a request; what the member states of its role and position.
+    pub fn end_attempt_as(
         &mut self,
         request: RequestId,
         member: u32,
@@ -196,34 +208,65 @@
             position,
             load_report: report,
         };
-        self.tell(Event::AttemptEnded(answer))
+        self.hand(Event::AttemptEnded(answer))
     }
 }
 
-/// Whether a member itself spoke.
-pub trait Answers {
-    fn answers(self) -> bool;
+/// What tests ask of an outcome.
+pub trait OutcomeExt {
+    /// The member itself answered.
+    fn is_answered(&self) -> bool;
 }
 
-impl Answers for Outcome {
-    fn answers(self) -> bool {
+impl OutcomeExt for Outcome {
+    /// The member itself answered.
+    fn is_answered(&self) -> bool {
         matches!(self, Outcome::Served | Outcome::Error | Outcome::Overloaded | Outcome::Misrouted)
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<u32> {
+/// Members that attempts were sent to.
+pub fn sent_to(actions: &[Action]) -> Vec<u32> {
     let to = |a: &Action| if let Action::Send { member, .. } = a { Some(member.0) } else { None };
     actions.iter().filter_map(to).collect()
 }
 
-pub fn probes(actions: &[Action]) -> Vec<u32> {
+/// Members that health checks were sent to.
+pub fn checked(actions: &[Action]) -> Vec<u32> {
     actions.iter().filter_map(|a| if let Action::HealthCheck(m) = a { Some(m.0) } else { None }).collect()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail(id))
 }
+
+/// Answers every health check sent so far, and those that the answers bring about.
+pub fn answer_health_checks(host: &mut TestHost, position: Time) {
+    let mut answered = 0;
+    while let Some(member) = checked(&host.log).get(answered) {
+        host.report(*member, false, position);
+        answered += 1;
+    }
+}
+
+/// A member whose process has just started.
+pub fn just_started(id: u32, primary: bool, now: Time) -> Member {
+    Member { started_at: Some(now), ..member(id, primary) }
+}
+
+/// One router of a large fleet.
+pub fn fleet(gossip: bool) -> Settings {
+    let limits = Limits { gossip, ..settings().limits };
+    Settings { fleet_size: 200, instance_index: 7, limits, ..settings() }
+}
+
+/// An event with these entries of the endpoint list; member 0 is the listed primary.
+pub fn listed(scope: ListScope, entries: &[(u32, Lifecycle)]) -> Event {
+    let members =
+        entries.iter().map(|(id, lifecycle)| Member { lifecycle: *lifecycle, ..member(*id, *id == 0) });
+    Event::EndpointList { scope, members: members.collect() }
+}
--- /dev/null
+++ b/crates/stackgw-router/tests/decisions/gossip.rs
@@ -0,0 +1,76 @@
+//! What other routers report counts like own observations, as old as it is.
+
+use crate::common::*;
+use stackgw_router::api::*;
+
+fn update(id: u32, position: Time) -> GossipUpdate {
+    let (is_primary, member) = (Some(id == 0), MemberId(id));
+    GossipUpdate { member, position: Some(position), is_primary, latency_ratio: 0.0, samples: 0 }
+}
+
+#[test]
+fn positions_from_gossip_make_replicas_fresh_and_age_like_any_other() {
+    let mut host = TestHost::new(fleet(true), 3);
+    let updates = vec![update(0, host.now), update(2, host.now - 50 * MS)];
+    host.hand(Event::Gossip { sent_at: host.now, relay: false, updates });
+    assert_eq!(sent_to(&host.request(BOUNDED).1), [2]);
+    host.now += BOUND;
+    assert!(sent_to(&host.request(BOUNDED).1).is_empty(), "aged: checked first");
+}
+
+#[test]
+fn late_gossip_undoes_nothing_newer() {
+    let mut host = TestHost::with_reports(fleet(true), 3);
+    let old = host.now - SECOND;
+    host.report(1, true, host.now);
+    host.hand(Event::Gossip { sent_at: old, relay: false, updates: vec![update(0, old), update(2, old)] });
+    assert_eq!(sent_to(&host.request(WRITE).1), [1], "an old claim does not move the primary");
+    let (_, actions) = host.request(BOUNDED);
+    assert!([0, 2].contains(&sent_to(&actions)[0]), "an old position does not make a fresh replica old");
+}
+
+#[test]
+fn updates_go_to_the_collecting_router_which_sends_them_to_all() {
+    let receivers = |instance_index: u32| {
+        let mut host = TestHost::with_reports(Settings { fleet_size: 2, instance_index, ..fleet(true) }, 3);
+        let all = host.advance(2 * SECOND);
+        let to = |a: &Action| if let Action::SendGossip { to, .. } = a { Some(*to) } else { None };
+        all.iter().filter_map(to).collect::<Vec<_>>()
+    };
+    assert!(receivers(0).iter().all(|to| [None, Some(1)].contains(to)) && !receivers(0).is_empty());
+    assert!(receivers(1).iter().all(|to| [None, Some(0)].contains(to)) && !receivers(1).is_empty());
+}
+
+#[test]
+fn where_gossip_is_not_allowed_none_is_sent() {
+    let mut host = TestHost::with_reports(fleet(false), 3);
+    let all = host.advance(3 * SECOND);
+    assert!(all.iter().all(|a| !matches!(a, Action::SendGossip { .. })));
+}
+
+#[test]
+fn gossip_that_the_host_carries_is_handed_over_once_and_merged_without_being_relayed() {
+    let limits = Limits { host_gossip: true, ..settings().limits };
+    let mut host = TestHost::new(Settings { limits, fleet_size: 3, ..settings() }, 3);
+    host.report(1, false, START);
+    assert_eq!(
+        host.router.take_gossip().iter().map(|update| update.member).collect::<Vec<_>>(),
+        [MemberId(1)]
+    );
+    assert!(host.router.take_gossip().is_empty());
+    let update = |id, primary| GossipUpdate {
+        member: MemberId(id),
+        position: Some(START),
+        is_primary: Some(primary),
+        latency_ratio: 0.0,
+        samples: 0,
+    };
+    host.hand(Event::Gossip {
+        sent_at: START,
+        relay: false,
+        updates: vec![update(2, true), update(0, false)],
+    });
+    assert!(host.router.take_gossip().is_empty());
+    assert_eq!(sent_to(&host.request(WRITE).1), [2], "the primary as others saw it, without a health check");
+    assert!(host.advance(2 * SECOND).iter().all(|action| !matches!(action, Action::SendGossip { .. })));
+}
--- /dev/null
+++ b/crates/stackgw-router/tests/decisions/idempotency.rs
@@ -0,0 +1,61 @@
+//! No request runs twice where that does harm, and attempts stay within their limit.
+
+use crate::common::*;
+use stackgw_router::api::*;
+
+#[test]
+fn a_non_idempotent_write_that_may_have_run_is_only_failed() {
+    for outcome in [Outcome::TimedOut, Outcome::ConnectionReset, Outcome::Error, Outcome::Cancelled] {
+        let mut host = TestHost::with_reports(settings(), 3);
+        let (id, _) = host.request(WRITE);
+        host.now += 100 * MS;
+        let actions = host.end_attempt(id, 0, outcome, 100 * MS);
+        assert!(is_failed(&actions, id) && sent_to(&actions).is_empty(), "{outcome:?}");
+    }
+}
+
+#[test]
+fn a_non_idempotent_write_that_never_ran_is_retried() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    let (id, _) = host.request(WRITE);
+    let actions = host.end_attempt_as(id, 0, Outcome::Misrouted, MS, Some(false), Some(host.now + MS));
+    assert_eq!(sent_to(&actions).len(), 1, "the next member is tried");
+    assert_ne!(sent_to(&actions), [0]);
+}
+
+#[test]
+fn a_write_with_a_key_is_retried_inside_its_window_and_never_after() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    let (id, _) = host.request(WITH_KEY);
+    host.now += 500 * MS;
+    let actions = host.end_attempt(id, 0, Outcome::ConnectionReset, 500 * MS);
+    assert_eq!(sent_to(&actions), [0]);
+    host.now += 1_600 * MS;
+    let actions = host.end_attempt(id, 0, Outcome::ConnectionReset, 1_600 * MS);
+    assert!(sent_to(&actions).is_empty(), "its key is forgotten by now");
+    assert!(is_failed(&actions, id) && !is_rejected(&actions, id), "it may have run");
+}
+
+#[test]
+fn one_attempt_is_open_at_a_time() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    let (id, actions) = host.request(EVENTUAL);
+    let to = sent_to(&actions)[0];
+    let actions = host.advance(2 * SECOND);
+    assert!(sent_to(&actions).is_empty(), "cancelled at most, until the end is known");
+    let actions = host.end_attempt(id, to, Outcome::Cancelled, 2 * SECOND);
+    assert!(is_rejected(&actions, id), "too late to count");
+}
+
+#[test]
+fn attempts_stay_within_the_limit() {
+    let mut host = TestHost::with_reports(settings(), 12);
+    let (id, actions) = host.request(EVENTUAL);
+    let mut to = sent_to(&actions);
+    let mut count = 0;
+    while let [member] = to[..] {
+        count += 1;
+        to = sent_to(&host.end_attempt(id, member, Outcome::Overloaded, MS));
+    }
+    assert_eq!(count, 6);
+}
--- /dev/null
+++ b/crates/stackgw-router/tests/decisions/main.rs
@@ -0,0 +1,18 @@
+//! What the router decides, by concern: each test plays the host of one router by hand.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod admission;
+mod connection_permits;
+mod consistency;
+mod final_answers;
+mod gossip;
+mod health_checks;
+mod idempotency;
+mod membership;
+mod outliers;
+mod primary_changes;
+mod selection;
+mod slow_start;
+mod stalls;
--- /dev/null
+++ b/crates/stackgw-router/tests/decisions/outliers.rs
@@ -0,0 +1,214 @@
+//! Members are ejected for faults of their own alone, and come back by a half-open attempt.
+
+use crate::common::*;
+use stackgw_router::api::*;
+use std::collections::BTreeMap;
+
+#[test]
+fn reads_at_an_unresponsive_replica_are_cancelled_and_sent_elsewhere() {
+    let mut patient = settings();
+    patient.classes.iter_mut().for_each(|class| class.latency_objective = 100 * MS);
+    patient.classes[EVENTUAL].latency_objective = 2 * SECOND;
+    let mut host = TestHost::with_reports(patient, 3);
+    let open: Vec<_> = (0..6).map(|_| host.request(EVENTUAL)).collect();
+    let mut stuck = None;
+    for (id, actions) in &open {
+        match sent_to(actions)[0] {
+            1 => stuck = Some(*id),
+            to => drop(host.end_attempt(*id, to, Outcome::Served, 20 * MS)),
+        }
+    }
+    let actions = host.advance(300 * MS);
+    let stuck = stuck.expect("replica 1 had its share");
+    assert!(actions.contains(&Action::Cancel { request: stuck, attempt: 0 }));
+    host.report(1, false, host.now);
+    let to: Vec<_> = (0..4).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
+    assert!(!to.contains(&1), "a health check does not prove that it serves");
+    assert_eq!(sent_to(&host.end_attempt(stuck, 1, Outcome::Cancelled, 300 * MS)), [2]);
+}
+
+#[test]
+fn a_refused_connection_ejects_a_member_until_a_half_open_attempt_succeeds() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    let (mut id, actions) = host.request(EVENTUAL);
+    let mut to = sent_to(&actions)[0];
+    if to != 1 {
+        host.end_attempt(id, to, Outcome::Served, MS);
+        (id, _) = host.request(EVENTUAL);
+        to = 1;
+    }
+    assert_eq!(sent_to(&host.end_attempt(id, to, Outcome::ConnectFailed, MS)), [2], "retried at once");
+    let next: Vec<_> = (0..4).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
+    assert!(!next.contains(&1));
+    host.advance(300 * MS);
+    let (half_open, actions) = host.request(EVENTUAL);
+    assert_eq!(sent_to(&actions), [1], "one half-open attempt");
+    assert_ne!(sent_to(&host.request(EVENTUAL).1), [1], "one at a time");
+    host.end_attempt(half_open, 1, Outcome::Served, 10 * MS);
+    let next: Vec<_> = (0..6).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
+    assert!(next.contains(&1), "back in rotation");
+}
+
+#[test]
+fn time_outs_mixed_with_answers_do_not_eject_a_member() {
+    // Requests that are costly by nature time out on healthy members.
+    let mut host = TestHost::with_reports(settings(), 2);
+    for round in 0..40 {
+        let (id, actions) = host.request(EVENTUAL);
+        assert_eq!(sent_to(&actions), [1], "round {round}");
+        let outcome = if round % 2 == 0 { Outcome::TimedOut } else { Outcome::Served };
+        host.now += 20 * MS;
+        if outcome == Outcome::TimedOut {
+            host.hand(Event::ClientDisconnected(id));
+        }
+        host.end_attempt(id, 1, outcome, 20 * MS);
+    }
+}
+
+#[test]
+fn a_member_that_answers_fast_with_errors_is_ejected() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    let mut errors = 0;
+    for _ in 0..40 {
+        let (id, actions) = host.request(EVENTUAL);
+        let mut to = sent_to(&actions);
+        while let [member] = to[..] {
+            errors += u32::from(member == 1);
+            let outcome = if member == 1 { Outcome::Error } else { Outcome::Served };
+            to = sent_to(&host.end_attempt(id, member, outcome, MS));
+        }
+    }
+    assert!((2..=3).contains(&errors), "{errors} requests met it, and another served each");
+}
+
+/// Found on a day when a quarter of all answers never came: each counted as one that took too long, limits shrank to
+/// nothing, and members that answered the rest at once were not used.
+#[test]
+fn lost_answers_lower_no_limit_and_their_reads_are_sent_elsewhere() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    let (mut lost, mut read, mut sends) = (BTreeMap::new(), 0, 0);
+    for step in 0..600 {
+        let now = host.now;
+        (0..3).for_each(|id| host.report(id, id == 0, now));
+        if step % 2 == 0 {
+            host.request(BOUNDED);
+        }
+        let mut answered = Vec::new();
+        while let Some(action) = host.log.get(read).cloned() {
+            read += 1;
+            match action {
+                Action::Send { request, member, .. } => {
+                    sends += 1;
+                    if sends % 4 == 0 {
+                        lost.insert(request, member.0); // Its answer never comes.
+                    } else {
+                        answered.push((request, member.0));
+                    }
+                }
+                // What is cancelled has ended at its member, and may be retried.
+                Action::Cancel { request, .. } => {
+                    if let Some(member) = lost.remove(&request) {
+                        host.end_attempt(request, member, Outcome::Cancelled, 160 * MS);
+                    }
+                }
+                _ => {}
+            }
+        }
+        host.advance(10 * MS);
+        for (request, member) in answered {
+            host.end_attempt(request, member, Outcome::Served, 10 * MS);
+        }
+    }
+    let cancelled = host.log.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
+    assert!(cancelled > 20, "{cancelled} cancelled well before their clients leave");
+    for (member, snapshot) in host.router.member_snapshots() {
+        assert!(!snapshot.ejected && snapshot.concurrency_limit > 5.0, "{member:?}: {snapshot:?}");
+    }
+}
+
+/// Without a visible loss, long work is left alone and late answers count.
+#[test]
+fn an_answer_that_is_merely_late_is_waited_for_and_counts() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    let (slow, actions) = host.request(BOUNDED);
+    let to = sent_to(&actions)[0];
+    for _ in 0..40 {
+        let (id, actions) = host.request(WRITE);
+        host.advance(20 * MS);
+        host.end_attempt(id, sent_to(&actions)[0], Outcome::Served, 20 * MS);
+    }
+    assert!(!host.log.iter().any(|a| matches!(a, Action::Cancel { .. })));
+    let latency_ratio = |host: &TestHost| {
+        host.router.member_snapshots().find(|(id, _)| id.0 == to).map(|(_, b)| b.latency_ratio)
+    };
+    let before = latency_ratio(&host);
+    host.end_attempt(slow, to, Outcome::TimedOut, 800 * MS);
+    assert!(latency_ratio(&host) > before);
+}
+
+/// Found on a day of random resets: the primary was ejected, reads seldom went to it, and its writes waited for long.
+#[test]
+fn an_ejected_primary_gets_the_next_read_as_its_half_open_attempt() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    for _ in 0..EJECTION_SCORE {
+        let (id, _) = host.request(WRITE);
+        host.end_attempt(id, 0, Outcome::ConnectionReset, MS);
+    }
+    assert!(host.router.member_snapshots().any(|(id, b)| id.0 == 0 && b.ejected));
+    host.advance(300 * MS);
+    let now = host.now;
+    (1..3).for_each(|id| host.report(id, false, now));
+    let (id, actions) = host.request(BOUNDED);
+    assert_eq!(sent_to(&actions), [0]);
+    host.end_attempt(id, 0, Outcome::Served, MS);
+    assert_eq!(sent_to(&host.request(WRITE).1), [0]);
+}
+
+/// Connection resets in a row that eject a member.
+const EJECTION_SCORE: usize = 4;
+
+/// A request that every member answers with an error; how many attempts it took.
+fn fail_everywhere(host: &mut TestHost) -> usize {
+    let (id, actions) = host.request(EVENTUAL);
+    let (mut to, mut attempts) = (sent_to(&actions), 0);
+    while let [member] = to[..] {
+        attempts += 1;
+        let actions = host.end_attempt(id, member, Outcome::Error, MS);
+        assert!(!sent_to(&actions).is_empty() || is_rejected(&actions, id), "answered at once");
+        to = sent_to(&actions);
+    }
+    attempts
+}
+
+#[test]
+fn the_same_error_from_all_members_ejects_none_and_costs_two_attempts() {
+    let mut host = TestHost::with_reports(settings(), 4);
+    for _ in 0..40 {
+        assert_eq!(fail_everywhere(&mut host), 2);
+    }
+    let to: Vec<_> = (0..6).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
+    assert!([1, 2, 3].iter().all(|id| to.contains(id)), "{to:?}");
+}
+
+#[test]
+fn faulty_requests_while_replicas_lag_do_not_eject_the_primary() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    host.now += SECOND;
+    for id in [1, 2] {
+        host.report(id, false, host.now - 4 * SECOND);
+    }
+    for _ in 0..20 {
+        fail_everywhere(&mut host);
+    }
+    assert_eq!(sent_to(&host.request(WRITE).1), [0]);
+}
+
+#[test]
+fn one_slow_connect_does_not_eject_a_member() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    let (id, actions) = host.request(EVENTUAL);
+    let slow = sent_to(&actions)[0];
+    host.end_attempt(id, slow, Outcome::ConnectFailed, 250 * MS);
+    let to: Vec<_> = (0..4).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
+    assert!(to.contains(&slow), "{to:?}");
+}
--- /dev/null
+++ b/crates/stackgw-router/tests/decisions/primary_changes.rs
@@ -0,0 +1,98 @@
+//! The primary is found again, whatever an old list, an old report or a lagging replica says.
+
+use crate::common::*;
+use stackgw_router::api::*;
+
+#[test]
+fn an_old_report_does_not_undo_a_newer_answer() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    host.now += SECOND;
+    let (id, _) = host.request(EVENTUAL);
+    host.end_attempt_as(id, 1, Outcome::Served, MS, Some(true), Some(host.now));
+    host.report(0, true, host.now - 500 * MS);
+    assert_eq!(sent_to(&host.request(WRITE).1), [1]);
+    host.report(1, false, host.now - 500 * MS);
+    assert_eq!(sent_to(&host.request(WRITE).1), [1]);
+}
+
+#[test]
+fn an_unresponsive_primary_gets_no_non_idempotent_write_and_another_is_searched_for() {
+    let mut host = TestHost::with_reports(settings(), 4);
+    (0..4).for_each(|_| drop(host.request(WRITE)));
+    let actions = host.advance(SECOND);
+    assert!(checked(&actions).contains(&2), "all members are checked for the role");
+    assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "a write may have run");
+    let (id, actions) = host.request(WRITE);
+    assert!(sent_to(&actions).is_empty(), "queued");
+    host.report(2, true, host.now);
+    assert!(host.log.contains(&Action::Send { request: id, member: MemberId(2), timeout: None }));
+}
+
+#[test]
+fn the_primary_becomes_unresponsive_while_replicas_lag() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    (0..4).for_each(|_| drop(host.request(WRITE)));
+    host.advance(SECOND);
+    let first = host.request(BOUNDED);
+    assert!(sent_to(&first.1).len() <= 1, "one half-open attempt at most");
+    let waiting: Vec<_> = (0..5).map(|_| host.request(BOUNDED)).collect();
+    assert!(waiting.iter().all(|(_, actions)| sent_to(actions).is_empty()));
+    host.report(1, false, host.now - 50 * MS);
+    assert!(sent_to(&host.log).ends_with(&[1, 1]), "served as soon as one has caught up");
+}
+
+#[test]
+fn a_restart_during_a_primary_change_trusts_answers_over_its_cached_list() {
+    let mut host = TestHost::new(settings(), 3);
+    let (id, actions) = host.request(WRITE);
+    assert_eq!(sent_to(&actions), [0], "the list is all there is");
+    let actions = host.end_attempt_as(id, 0, Outcome::Misrouted, MS, Some(false), Some(host.now));
+    let tried = sent_to(&actions)[0];
+    let actions = host.end_attempt_as(id, tried, Outcome::Misrouted, MS, Some(false), Some(host.now));
+    let last = sent_to(&actions)[0];
+    assert_ne!(last, tried);
+    host.end_attempt_as(id, last, Outcome::Misrouted, MS, Some(false), Some(host.now));
+    assert!(!is_rejected(&host.log, id), "after one round it waits for a health check");
+    host.now += 200 * MS;
+    host.report(tried, true, host.now);
+    assert!(sent_to(&host.log).ends_with(&[tried]));
+}
+
+#[test]
+fn a_frozen_list_does_not_bring_an_old_primary_back() {
+    let mut host = TestHost::with_reports(Settings { role_listing: RoleListing::AtStart, ..settings() }, 3);
+    let (id, _) = host.request(WRITE);
+    host.end_attempt_as(id, 0, Outcome::Misrouted, MS, Some(false), Some(host.now));
+    host.now += SECOND;
+    host.report(2, true, host.now);
+    host.hand(Event::EndpointList { scope: ListScope::Changes, members: vec![member(0, true)] });
+    assert_eq!(sent_to(&host.request(WRITE).1), [2]);
+}
+
+#[test]
+fn a_primary_that_changes_again_and_again_is_followed() {
+    let mut host = TestHost::with_reports(settings(), 3);
+    for round in 1..9 {
+        let (old, new) = ((round - 1) % 3, round % 3);
+        host.now += SECOND;
+        let (id, actions) = host.request(WRITE);
+        assert_eq!(sent_to(&actions), [old], "round {round}");
+        let mut to = vec![old];
+        while let [member] = to[..] {
+            if member == new {
+                break;
+            }
+            to = sent_to(&host.end_attempt_as(
+                id,
+                member,
+                Outcome::Misrouted,
+                MS,
+                Some(false),
+                Some(host.now),
+            ));
+        }
+        host.now += 100 * MS;
+        host.report(new, true, host.now);
+        assert!(sent_to(&host.log).ends_with(&[new]), "round {round}");
+    }
+}
--- a/crates/stackgw-router/tests/fleet_slow_start.rs
+++ b/crates/stackgw-router/tests/fleet_slow_start.rs
@@ -228,7 +228,7 @@
         self.request_count += 1;
         let request = Request {
             id: RequestId(self.request_count),
-            class: LOOSE,
+            class: EVENTUAL,
             group: GROUP,
             deadline: self.now + 3 * SECOND,
             ..Request::default()
--- a/crates/stackgw-router/tests/invariants.rs
+++ b/crates/stackgw-router/tests/invariants.rs
@@ -220,7 +220,7 @@
         }
         owed.is_ended |= outcome == Outcome::Served;
         let request_finished = owed.is_ended;
-        let statement = if outcome.answers() { statement } else { Statement::default() };
+        let statement = if outcome.is_answered() { statement } else { Statement::default() };
         self.record_statement(member, statement, true);
         self.hand(Event::AttemptEnded(AttemptResult {
             request,
