--- a/crates/stackgw-flight/src/frontend/context.rs
+++ b/crates/stackgw-flight/src/frontend/context.rs
@@ -3,13 +3,11 @@
 use super::call;
 use super::executor::Executor;
 use super::schemas::value_schema;
-use super::sql_info::build_sql_info;
+use super::sql_info::GatewaySqlInfo;
 use crate::clock::unix_time_ms;
 use crate::config::ServerConfig;
 use crate::statement::StatementTemplate;
 use crate::tickets::{SealedHandle, TicketError};
-use arrow_flight::error::FlightError;
-use arrow_flight::sql::metadata::SqlInfoData;
 use arrow_schema::SchemaRef;
 use stackgw_cluster::Keyring;
 use stackgw_gateway::RequestHandle;
@@ -18,8 +16,7 @@
 /// The service that clients call.
 pub(crate) struct Frontend {
     pub(super) executor: Executor,
-    /// Built once; an error is reported to whoever asks for it.
-    pub(super) sql_info: Result<SqlInfoData, FlightError>,
+    pub(super) sql_info: GatewaySqlInfo,
     key_ring: Keyring,
     ticket_lifetime_ms: u64,
     answer_slack_ms: u64,
@@ -30,7 +27,7 @@
     pub(crate) fn new(config: &ServerConfig, gateway: RequestHandle) -> Self {
         Frontend {
             executor: Executor::new(gateway, config.max_requests, config.request_timeout_ms),
-            sql_info: build_sql_info(),
+            sql_info: GatewaySqlInfo::new(),
             key_ring: config.key_ring.clone(),
             ticket_lifetime_ms: config.ticket_lifetime_ms,
             answer_slack_ms: config.answer_slack_ms,
--- a/crates/stackgw-flight/src/frontend/service.rs
+++ b/crates/stackgw-flight/src/frontend/service.rs
@@ -153,11 +153,11 @@
         query: CommandGetSqlInfo,
         call: Request<FlightDescriptor>,
     ) -> InfoResponse {
-        self.sql_info_info(query, call)
+        self.sql_info.info(query, call)
     }
 
     async fn do_get_sql_info(&self, query: CommandGetSqlInfo, _: Request<Ticket>) -> DataResponse {
-        self.sql_info_rows(query)
+        self.sql_info.rows(query)
     }
 
     async fn list_custom_actions(&self) -> Option<Vec<Result<ActionType, Status>>> {
--- a/crates/stackgw-flight/src/frontend/sql_info.rs
+++ b/crates/stackgw-flight/src/frontend/sql_info.rs
@@ -1,7 +1,6 @@
 //! SqlInfo: what the gateway can do.
 
 use super::batches::{batch_response, flight_info, FlightDataStream};
-use super::context::Frontend;
 use arrow_flight::error::FlightError;
 use arrow_flight::sql::metadata::{SqlInfoData, SqlInfoDataBuilder};
 use arrow_flight::sql::{CommandGetSqlInfo, ProstMessageExt, SqlInfo};
@@ -15,43 +14,50 @@
 const NO_TRANSACTIONS: i32 = 0;
 
 /// What the gateway can do, as GetSqlInfo lists it.
-pub(super) fn build_sql_info() -> Result<SqlInfoData, FlightError> {
-    let mut builder = SqlInfoDataBuilder::new();
-    builder.append(SqlInfo::FlightSqlServerName, "stackgw");
-    builder.append(SqlInfo::FlightSqlServerVersion, env!("CARGO_PKG_VERSION"));
-    builder.append(SqlInfo::FlightSqlServerArrowVersion, ARROW_VERSION);
-    builder.append(SqlInfo::FlightSqlServerReadOnly, false);
-    builder.append(SqlInfo::FlightSqlServerSql, true);
-    builder.append(SqlInfo::FlightSqlServerSubstrait, false);
-    builder.append(SqlInfo::FlightSqlServerTransaction, NO_TRANSACTIONS);
-    builder.append(SqlInfo::FlightSqlServerCancel, true);
-    builder.build()
+pub(super) struct GatewaySqlInfo {
+    /// Built once; an error is reported to whoever queries it.
+    data: Result<SqlInfoData, FlightError>,
 }
 
-impl Frontend {
+impl GatewaySqlInfo {
+    pub(super) fn new() -> Self {
+        let mut builder = SqlInfoDataBuilder::new();
+        builder.append(SqlInfo::FlightSqlServerName, "stackgw");
+        builder.append(SqlInfo::FlightSqlServerVersion, env!("CARGO_PKG_VERSION"));
+        builder.append(SqlInfo::FlightSqlServerArrowVersion, ARROW_VERSION);
+        builder.append(SqlInfo::FlightSqlServerReadOnly, false);
+        builder.append(SqlInfo::FlightSqlServerSql, true);
+        builder.append(SqlInfo::FlightSqlServerSubstrait, false);
+        builder.append(SqlInfo::FlightSqlServerTransaction, NO_TRANSACTIONS);
+        builder.append(SqlInfo::FlightSqlServerCancel, true);
+        GatewaySqlInfo {
+            data: builder.build(),
+        }
+    }
+
     /// GetFlightInfo of GetSqlInfo: the query is its own ticket.
-    pub(super) fn sql_info_info(
+    pub(super) fn info(
         &self,
         query: CommandGetSqlInfo,
         call: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
         let ticket = query.as_any().encode_to_vec();
-        let schema = query.into_builder(self.sql_info()?).schema();
+        let schema = query.into_builder(self.data()?).schema();
         flight_info(Some(&schema), ticket, call.into_inner())
     }
 
     /// DoGet of GetSqlInfo.
-    pub(super) fn sql_info_rows(
+    pub(super) fn rows(
         &self,
         query: CommandGetSqlInfo,
     ) -> Result<Response<FlightDataStream>, Status> {
-        let builder = query.into_builder(self.sql_info()?);
+        let builder = query.into_builder(self.data()?);
         let schema = builder.schema();
         Ok(batch_response(schema, builder.build()))
     }
 
-    fn sql_info(&self) -> Result<&SqlInfoData, Status> {
-        let sql_info = self.sql_info.as_ref();
-        sql_info.map_err(|error| Status::internal(error.to_string()))
+    fn data(&self) -> Result<&SqlInfoData, Status> {
+        let data = self.data.as_ref();
+        data.map_err(|error| Status::internal(error.to_string()))
     }
 }
--- a/crates/stackgw-flight/tests/statements_and_tickets.rs
+++ b/crates/stackgw-flight/tests/statements_and_tickets.rs
@@ -24,14 +24,15 @@
 fn parsed(text: &str) -> Statement {
     let mut bytes = Vec::new();
     write::query(&mut bytes, text);
-    Statement::parse(Frame { kind: b'Q', bytes }).expect("a statement of our first protocol")
+    Statement::parse(Frame { kind: b'Q', bytes }).expect("a statement of the PostgreSQL protocol")
 }
 
 #[test]
 fn headers_and_comment_make_one_statement() {
-    let asked = StatementTemplate::parse(&format!("{SELECT}; /* c=look, after=77 */"), &headers())
-        .expect("they agree");
-    let statement = parsed(&asked.render("id1", 500));
+    let template =
+        StatementTemplate::parse(&format!("{SELECT}; /* c=look, after=77 */"), &headers())
+            .expect("they agree");
+    let statement = parsed(&template.render("id1", 500));
     assert_eq!(
         (
             statement.class.as_str(),
@@ -50,14 +51,14 @@
         retry: Some("1".to_owned()),
         ..headers()
     };
-    let asked =
+    let template =
         StatementTemplate::parse(&format!("{SELECT} /* d=120 */"), &own).expect("they agree");
-    let statement = parsed(&asked.render("id1", 500));
+    let statement = parsed(&template.render("id1", 500));
     assert_eq!(
         (statement.id.as_str(), statement.wait_ms, statement.repeat),
         ("mine", 90, true)
     );
-    assert_eq!(parsed(&asked.without_id().render("id2", 50)).wait_ms, 50);
+    assert_eq!(parsed(&template.without_id().render("id2", 50)).wait_ms, 50);
 }
 
 #[test]
@@ -101,9 +102,9 @@
 #[test]
 fn bound_parameters_cannot_inject_sql() {
     let insert = "INSERT INTO state (uid, val) VALUES (?, ?) RETURNING val";
-    let asked = StatementTemplate::parse(insert, &headers()).expect("good");
-    assert_eq!((asked.open_parameters(), asked.is_write()), (2, true));
-    let bound = asked
+    let template = StatementTemplate::parse(insert, &headers()).expect("good");
+    assert_eq!((template.open_parameters(), template.is_write()), (2, true));
+    let bound = template
         .bind(&[
             ParameterValue::Text("a?b".to_owned()),
             ParameterValue::Bytes(vec![1, 255]),
@@ -113,10 +114,12 @@
     let text = bound.render("i", 9);
     assert!(text.contains("('a?b', '\\x01ff')"), "{text}");
     assert_eq!(parsed(&text).key, "a?b");
-    assert!(asked.bind(&[ParameterValue::Text("a".to_owned())]).is_err());
+    assert!(template
+        .bind(&[ParameterValue::Text("a".to_owned())])
+        .is_err());
     for bad in ["a'b", "a/*b", "a\0b"] {
         assert!(
-            asked
+            template
                 .bind(&[
                     ParameterValue::Text(bad.to_owned()),
                     ParameterValue::Bytes(vec![])
@@ -176,9 +179,9 @@
 
 #[test]
 fn each_outcome_has_its_status() {
-    let refused = to_status(&FinalResponse::Rejected("not now", Some(250)));
-    assert_eq!(refused.code(), Code::Unavailable);
-    let wait = refused
+    let rejected = to_status(&FinalResponse::Rejected("not now", Some(250)));
+    assert_eq!(rejected.code(), Code::Unavailable);
+    let wait = rejected
         .get_details_retry_info()
         .and_then(|info| info.retry_delay);
     assert_eq!(wait.map(|wait| wait.as_millis()), Some(250));
@@ -206,12 +209,12 @@
         ("a:12345678\na:87654321\n", "line 2: names a user twice"),
     ] {
         std::fs::write(&file, text).expect("a file");
-        let told = Users::read(AuthScheme::Basic, &file)
+        let error = Users::read(AuthScheme::Basic, &file)
             .expect_err(text)
             .to_string();
         assert!(
-            told.ends_with(problem) && told.contains(&file.display().to_string()),
-            "{told}"
+            error.ends_with(problem) && error.contains(&file.display().to_string()),
+            "{error}"
         );
     }
     std::fs::remove_file(&file).expect("it was there");
--- a/crates/stackgw-flight/tests/wire_fixtures.rs
+++ b/crates/stackgw-flight/tests/wire_fixtures.rs
@@ -262,18 +262,18 @@
     )
 }
 
-/// All that can be asked of a statement, in one line.
-fn described(asked: &StatementTemplate) -> String {
+/// All properties of a statement, in one line.
+fn described(template: &StatementTemplate) -> String {
     format!(
         "writes={} parameters={} group2={} group3={} wait={:?},{:?} text={} fresh={}",
-        asked.is_write(),
-        asked.open_parameters(),
-        asked.is_for_group(2),
-        asked.is_for_group(3),
-        asked.timeout_ms(None),
-        asked.timeout_ms(Some(100)),
-        shortened(&asked.render("made-id", 500)),
-        shortened(&asked.clone().without_id().render("made-id", 50)),
+        template.is_write(),
+        template.open_parameters(),
+        template.is_for_group(2),
+        template.is_for_group(3),
+        template.timeout_ms(None),
+        template.timeout_ms(Some(100)),
+        shortened(&template.render("made-id", 500)),
+        shortened(&template.clone().without_id().render("made-id", 50)),
     )
 }
 
@@ -282,7 +282,7 @@
     let mut actual = String::new();
     for (number, (statement, headers)) in calls().iter().enumerate() {
         let line = match StatementTemplate::parse(statement, headers) {
-            Ok(asked) => described(&asked),
+            Ok(template) => described(&template),
             Err(error) => format!("error={:?}", error.to_string()),
         };
         writeln!(actual, "{number} {line}").expect("room");
@@ -312,8 +312,8 @@
         (&quoted, vec![text("k"), text("l")]),
     ];
     let mut actual = String::new();
-    for (number, (asked, values)) in cases.iter().enumerate() {
-        let line = match asked.bind(values) {
+    for (number, (template, values)) in cases.iter().enumerate() {
+        let line = match template.bind(values) {
             Ok(bound) => described(&bound),
             Err(error) => format!("error={:?}", error.to_string()),
         };
