--- a/crates/stackgw-cluster/src/cluster.rs
+++ b/crates/stackgw-cluster/src/cluster.rs
@@ -1,7 +1,7 @@
 //! The membership of one instance.
 
+use crate::envelope::{Keyring, Unsealed, SEAL_BYTES};
 use crate::identity::Identity;
-use crate::seal::{Keyring, Unsealed, SEAL_BYTES};
 use foca::{
     AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
 };
--- a/crates/stackgw-cluster/src/lib.rs
+++ b/crates/stackgw-cluster/src/lib.rs
@@ -5,14 +5,14 @@
 //! in, and what is to be sent comes out.
 
 mod cluster;
+mod envelope;
 mod identity;
-mod seal;
 
 pub use cluster::{
     Cluster, ClusterSettings, DatagramCounters, Effect, Event, InstanceStatus, Refused,
 };
+pub use envelope::{Key, Keyring, Unsealed, SEAL_BYTES};
 pub use identity::Identity;
-pub use seal::{Key, Keyring, Unsealed, SEAL_BYTES};
 
 /// No datagram is longer.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
--- a/crates/stackgw-settings/src/words.rs
+++ b/crates/stackgw-settings/src/gossip.rs
@@ -116,5 +116,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/words.rs"]
+#[path = "../tests/unit/gossip.rs"]
 mod tests;
--- a/crates/stackgw-settings/tests/unit/words.rs
+++ b/crates/stackgw-settings/tests/unit/gossip.rs
@@ -1,4 +1,4 @@
-//! What of `words.rs` is seen from inside only.
+//! What of `gossip.rs` is seen from inside only.
 
 use super::*;
 use stackgw_router::api::SECOND;
--- a/crates/stackgw-store/src/list.rs
+++ b/crates/stackgw-store/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The list of members on a disk: one file, replaced whole. A damaged one, or another service's, is not believed.
 
-use crate::file::{free_name, unix_ms};
+use crate::store_file::{free_name, unix_ms};
 use crate::worker::Worker;
 use crate::StoreError;
 use serde::{Deserialize, Serialize};
--- a/crates/stackgw-store/src/lib.rs
+++ b/crates/stackgw-store/src/lib.rs
@@ -4,14 +4,14 @@
 //! another name, never written over, and the instance starts without one, cautiously. Commits are whole or not there, each on
 //! the disk before it is said to be ([`Disk::commit`]); [`RecordWriter`] does them in batches on a thread of its own.
 
-mod file;
-mod list;
+mod endpoint_list;
+mod record_writer;
+mod store_file;
 mod worker;
-mod writer;
 
-pub use file::{OpenedStore, StoreFile, StoreOwner};
-pub use list::{read as read_endpoint_list, EndpointListWriter};
-pub use writer::{CommitOutcome, RecordWriter};
+pub use endpoint_list::{read as read_endpoint_list, EndpointListWriter};
+pub use record_writer::{CommitOutcome, RecordWriter};
+pub use store_file::{OpenedStore, StoreFile, StoreOwner};
 
 use stackgw_sessions::Record;
 
