--- a/crates/stackgw-cluster/src/cluster.rs
+++ b/crates/stackgw-cluster/src/cluster.rs
@@ -1,240 +1,244 @@
-//! The membership of one instance.
+//! The membership protocol of one instance, as a state machine without I/O.
 
-use crate::envelope::{Keyring, Unsealed, SEAL_BYTES};
+use crate::envelope::{Keyring, VerifyError, ENVELOPE_BYTES};
 use crate::identity::Identity;
+use crate::instances::{InstanceStatus, Instances, Observation};
+use crate::MAX_DATAGRAM_BYTES;
 use foca::{
     AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use stackgw_router::api::{Span, Time, MS, SECOND};
-use stackgw_sessions::{Message, NodeId, Peer};
+use stackgw_sessions::{Message, Peer};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use std::num::NonZeroU32;
+use std::num::{NonZeroU32, NonZeroUsize};
+use thiserror::Error;
 
+/// The kinds of datagrams.
 const KIND_MEMBERSHIP: u8 = 1;
 const KIND_SESSIONS: u8 = 2;
 const KIND_BOOTSTRAP: u8 = 3;
-/// Instances that are remembered at most, those that are gone included.
-const KNOWN_MOST: usize = 4_096;
-/// Seeds that are no known member are asked again after this.
-const SEEK: Span = SECOND;
-/// An instance that has been gone this long is forgotten, unless it is a seed.
-const GONE_KEPT: Span = 600 * SECOND;
+/// Seeds that are not known to be up are contacted again after this.
+const SEED_INTERVAL: Span = SECOND;
+/// Minimum delay of a timer.
+const MIN_TIMER_DELAY: Span = MS;
+/// Stands for a delay that does not fit the clock; far away, and adding it to a time cannot overflow.
+const MAX_TIMER_DELAY: Span = Span::MAX / 4;
 
-/// What an instance is told of its cluster.
+/// What an instance needs to join its cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterSettings {
-    /// Itself.
+    /// The instance itself.
     pub identity: Identity,
-    /// Where others may be found.
+    /// Addresses at which others may be found.
     pub seeds: Vec<SocketAddr>,
-    /// The keys.
+    /// The keys of the cluster.
     pub keyring: Keyring,
-    /// For the order in which others are probed.
+    /// Seed for the order in which others are probed.
     pub rng_seed: u64,
-    /// How many instances there are about; sets how long suspicion lasts.
+    /// Approximate number of instances; the time until a suspect is declared down follows from it.
     pub expected_instances: u32,
 }
 
-/// What is to be done outside.
+/// A datagram to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Effect {
-    /// Send a datagram.
-    Send(SocketAddr, Vec<u8>),
+pub struct Datagram {
+    /// The receiver.
+    pub to: SocketAddr,
+    /// What to send.
+    pub bytes: Vec<u8>,
 }
 
 /// What has become known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// An instance is there.
+    /// An instance is up.
     Up(Identity),
-    /// An instance seems to be gone.
+    /// An instance seems to be down.
     Down(Identity),
-    /// Somebody goes by this instance's name in a later life: this one is over, or two run at once.
+    /// A later incarnation of this instance is up: this one was replaced, or two processes run under one name.
     Superseded(Identity),
-    /// A message between sessions, from this life of an instance to that one of this.
-    Sessions(Peer, Peer, Message),
-    /// What an instance tells of the list, still to be read.
+    /// A message between sessions.
+    Sessions {
+        /// The incarnation that sent it.
+        from: Peer,
+        /// The incarnation of this instance that it is meant for.
+        to: Peer,
+        /// What it says.
+        message: Message,
+    },
+    /// A message of the bootstrap, still encoded.
     Bootstrap(Vec<u8>),
 }
 
 /// Why a datagram was dropped.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
-    /// Its seal is at fault.
-    Unsealed(Unsealed),
-    /// Sealed with a valid key, and no message all the same.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum ReceiveError {
+    /// It is not authentic.
+    #[error(transparent)]
+    NotAuthentic(#[from] VerifyError),
+    /// It is authentic, and no message.
+    #[error("no message")]
     Malformed,
 }
 
-/// An instance that is or was there.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct InstanceStatus {
-    /// Who.
-    pub identity: Identity,
-    /// It seems to be there.
-    pub up: bool,
-    /// Since when that is so.
-    pub since: Time,
-}
-
-/// What came and went.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DatagramCounters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Datagrams taken.
+    /// Datagrams accepted.
     pub received: u64,
-    /// Dropped: no datagrams of ours.
+    /// Dropped: none of ours, or of another version.
     pub foreign: u64,
-    /// Dropped: sealed with an unknown key.
+    /// Dropped: signed with an unknown key.
     pub unknown_key: u64,
     /// Dropped: forged.
     pub forged: u64,
-    /// Dropped: malformed behind a valid seal.
+    /// Dropped: authentic but malformed.
     pub malformed: u64,
-    /// Messages to instances of which no address is known.
+    /// Messages not sent, as no address of their receiver is known.
     pub unreachable: u64,
 }
 
 /// The membership, as one instance sees it.
 pub struct Cluster {
-    set: ClusterSettings,
+    settings: ClusterSettings,
     foca: Foca<Identity, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
-    runtime: AccumulatingRuntime<Identity>,
-    timers: BTreeMap<(Time, u64), Timer<Identity>>,
-    next_timer: u64,
-    known: BTreeMap<NodeId, InstanceStatus>,
-    epoch: u64,
-    seek_at: Time,
-    counts: DatagramCounters,
+    /// What foca wants done, between a call into it and [`Cluster::apply_foca_output`].
+    foca_output: AccumulatingRuntime<Identity>,
+    timers: BTreeMap<TimerKey, Timer<Identity>>,
+    last_timer: u64,
+    instances: Instances,
+    contact_seeds_at: Time,
+    counters: DatagramCounters,
 }
 
+/// When a timer fires, and its number, as several may fire at once.
+type TimerKey = (Time, u64);
+
 impl Cluster {
     /// An instance that looks for the others from now on.
-    pub fn new(now: Time, set: ClusterSettings) -> Self {
-        let rng = Pcg64Mcg::seed_from_u64(set.rng_seed);
-        let foca = Foca::new(
-            set.identity,
-            config(set.expected_instances),
-            rng,
-            PostcardCodec,
-        );
+    pub fn new(now: Time, settings: ClusterSettings) -> Self {
+        let rng = Pcg64Mcg::seed_from_u64(settings.rng_seed);
+        let config = foca_config(settings.expected_instances);
         Cluster {
-            foca,
-            set,
-            runtime: AccumulatingRuntime::new(),
+            foca: Foca::new(settings.identity, config, rng, PostcardCodec),
+            foca_output: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
-            next_timer: 0,
-            known: BTreeMap::new(),
-            epoch: 0,
-            seek_at: now,
-            counts: DatagramCounters::default(),
+            last_timer: 0,
+            instances: Instances::new(settings.identity.peer),
+            contact_seeds_at: now,
+            counters: DatagramCounters::default(),
+            settings,
         }
     }
 
-    /// Everyone that is or was there, this instance not included.
+    /// All instances that are or were up, except this one.
     pub fn instances(&self) -> impl Iterator<Item = &InstanceStatus> {
-        self.known.values()
+        self.instances.iter()
     }
 
-    /// Rises with each change of who is there.
+    /// Increases with each change of who is up.
     pub fn epoch(&self) -> u64 {
-        self.epoch
+        self.instances.epoch()
     }
 
-    /// What came and went.
+    /// The counters as they are now.
     pub fn counters(&self) -> DatagramCounters {
-        self.counts
+        self.counters
     }
 
-    /// Other keys and seeds from now on.
-    pub fn reload(&mut self, now: Time, ring: Keyring, seeds: Vec<SocketAddr>) {
-        (self.set.keyring, self.set.seeds, self.seek_at) = (ring, seeds, now);
+    /// Replaces keys and seeds; the seeds are contacted at once.
+    pub fn reload(&mut self, now: Time, keyring: Keyring, seeds: Vec<SocketAddr>) {
+        self.settings.keyring = keyring;
+        self.settings.seeds = seeds;
+        self.contact_seeds_at = now;
     }
 
-    /// A datagram has come.
+    /// Handles a datagram that was received.
+    ///
+    /// # Errors
+    /// It was dropped, and changed nothing but counters.
     pub fn handle_datagram(
         &mut self,
         now: Time,
         bytes: &[u8],
-        effects: &mut Vec<Effect>,
+        datagrams: &mut Vec<Datagram>,
+        events: &mut Vec<Event>,
+    ) -> Result<(), ReceiveError> {
+        let envelope = self.settings.keyring.verify(bytes);
+        let envelope = envelope.inspect_err(|error| self.counters.count_rejected(*error))?;
+        let result = self.handle_body(envelope.kind, envelope.body, events);
+        match result {
+            Ok(()) => self.counters.received += 1,
+            Err(_) => self.counters.malformed += 1,
+        }
+        self.apply_foca_output(now, datagrams, events);
+        result
+    }
+
+    fn handle_body(
+        &mut self,
+        kind: u8,
+        body: &[u8],
         events: &mut Vec<Event>,
-    ) -> Result<(), Refused> {
-        let opened = self.set.keyring.verify(bytes).map_err(|why| {
-            match why {
-                Unsealed::Foreign => self.counts.foreign += 1,
-                Unsealed::UnknownKey => self.counts.unknown_key += 1,
-                Unsealed::Forged => self.counts.forged += 1,
+    ) -> Result<(), ReceiveError> {
+        match kind {
+            // Foca checks what it decodes; a message that makes no sense changes nothing.
+            KIND_MEMBERSHIP => {
+                let handled = self.foca.handle_data(body, &mut self.foca_output);
+                handled.map_err(|_| ReceiveError::Malformed)
+            }
+            KIND_SESSIONS => {
+                events.push(decode_sessions(body).ok_or(ReceiveError::Malformed)?);
+                Ok(())
             }
-            Refused::Unsealed(why)
-        });
-        let (kind, body) = opened?;
-        let taken = match kind {
-            // Foca judges what it decodes; a word that makes no sense changes nothing.
-            KIND_MEMBERSHIP => self.foca.handle_data(body, &mut self.runtime).is_ok(),
-            KIND_SESSIONS => match sessions(body) {
-                Some((from, to, message)) => {
-                    events.push(Event::Sessions(from, to, message));
-                    true
-                }
-                None => false,
-            },
             KIND_BOOTSTRAP => {
                 events.push(Event::Bootstrap(body.to_vec()));
-                true
+                Ok(())
             }
-            _ => false,
-        };
-        *(if taken {
-            &mut self.counts.received
-        } else {
-            &mut self.counts.malformed
-        }) += 1;
-        self.settle(now, effects, events);
-        taken.then_some(()).ok_or(Refused::Malformed)
+            _ => Err(ReceiveError::Malformed),
+        }
     }
 
-    /// Sends a message between sessions, if it is known where to.
-    pub fn send(&mut self, to: Peer, message: &Message, effects: &mut Vec<Effect>) {
-        let Some(seen) = self.known.get(&to.node) else {
-            self.counts.unreachable += 1;
+    /// Sends a message between sessions; it is dropped where no address of its receiver is known.
+    pub fn send(&mut self, to: Peer, message: &Message, datagrams: &mut Vec<Datagram>) {
+        let Some(receiver) = self.instances.get(to.node) else {
+            self.counters.unreachable += 1;
             return;
         };
-        let from = postcard::to_allocvec(&self.set.identity.peer).unwrap_or_default();
-        let bytes = self
-            .set
-            .keyring
-            .sign(KIND_SESSIONS, &[from, message.encode(to)].concat());
-        self.counts.sent += 1;
-        effects.push(Effect::Send(seen.identity.address, bytes));
+        let address = receiver.identity.address;
+        let from = postcard::to_allocvec(&self.settings.identity.peer).unwrap_or_default();
+        let body = [from, message.encode(to)].concat();
+        self.send_body(address, KIND_SESSIONS, &body, datagrams);
     }
 
-    /// Sends word of the list to an address, whether or not it is known who is there.
-    pub fn send_bootstrap(&mut self, to: SocketAddr, body: &[u8], effects: &mut Vec<Effect>) {
-        self.counts.sent += 1;
-        effects.push(Effect::Send(
-            to,
-            self.set.keyring.sign(KIND_BOOTSTRAP, body),
-        ));
+    /// Sends a message of the bootstrap to an address, whether or not it is known who is there.
+    pub fn send_bootstrap(&mut self, to: SocketAddr, body: &[u8], datagrams: &mut Vec<Datagram>) {
+        self.send_body(to, KIND_BOOTSTRAP, body, datagrams);
     }
 
-    /// When [`Cluster::handle_timeout`] is wanted next.
+    fn send_body(&mut self, to: SocketAddr, kind: u8, body: &[u8], datagrams: &mut Vec<Datagram>) {
+        self.counters.sent += 1;
+        let bytes = self.settings.keyring.sign(kind, body);
+        datagrams.push(Datagram { to, bytes });
+    }
+
+    /// When [`Cluster::handle_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Time {
-        let timer = self
-            .timers
-            .first_key_value()
-            .map_or(Time::MAX, |((at, _), _)| *at);
-        timer.min(self.seek_at)
+        let first = self.timers.first_key_value();
+        let timer_at = first.map_or(Time::MAX, |((at, _), _)| *at);
+        timer_at.min(self.contact_seeds_at)
     }
 
-    /// Time has come for what waits for it.
+    /// Fires the timers that are due.
     pub fn handle_timeout(
         &mut self,
         now: Time,
-        effects: &mut Vec<Effect>,
+        datagrams: &mut Vec<Datagram>,
         events: &mut Vec<Event>,
     ) {
         while let Some(entry) = self
@@ -242,102 +246,104 @@
             .first_entry()
             .filter(|entry| entry.key().0 <= now)
         {
-            // Errors here mean that a timer came too late for what it was for; foca goes on with the next one.
-            let _ = self.foca.handle_timer(entry.remove(), &mut self.runtime);
-            self.settle(now, effects, events);
+            // An error says that what the timer was for is over; foca goes on with the next one.
+            let _ = self
+                .foca
+                .handle_timer(entry.remove(), &mut self.foca_output);
+            self.apply_foca_output(now, datagrams, events);
+        }
+        if self.contact_seeds_at <= now {
+            self.contact_seeds_at = now + SEED_INTERVAL;
+            self.announce_to_seeds();
+            self.instances.prune(now, &self.settings.seeds);
+            self.apply_foca_output(now, datagrams, events);
         }
-        if self.seek_at <= now {
-            self.seek_at = now + SEEK;
-            let up: BTreeSet<_> = self
+    }
+
+    /// Introduces this instance to seeds that are not known to be up.
+    fn announce_to_seeds(&mut self) {
+        let up: BTreeSet<_> = self
+            .foca
+            .iter_members()
+            .map(|member| member.id().address)
+            .collect();
+        let local = self.settings.identity.address;
+        let seeds = self.settings.seeds.iter();
+        for seed in seeds.filter(|seed| **seed != local && !up.contains(seed)) {
+            let _ = self
                 .foca
-                .iter_members()
-                .map(|member| member.id().address)
-                .collect();
-            let mine = self.set.identity.address;
-            for seed in self
-                .set
-                .seeds
-                .iter()
-                .filter(|seed| **seed != mine && !up.contains(seed))
-            {
-                let _ = self.foca.announce(Identity::at(*seed), &mut self.runtime);
-            }
-            let seeds = &self.set.seeds;
-            self.known.retain(|_, seen| {
-                seen.up || now - seen.since < GONE_KEPT || seeds.contains(&seen.identity.address)
-            });
-            self.settle(now, effects, events);
+                .announce(Identity::at(*seed), &mut self.foca_output);
         }
     }
 
-    fn settle(&mut self, now: Time, effects: &mut Vec<Effect>, events: &mut Vec<Event>) {
-        while let Some((to, body)) = self.runtime.to_send() {
-            self.counts.sent += 1;
-            effects.push(Effect::Send(
-                to.address,
-                self.set.keyring.sign(KIND_MEMBERSHIP, &body),
-            ));
+    /// Carries out what foca wants done since the last call.
+    fn apply_foca_output(
+        &mut self,
+        now: Time,
+        datagrams: &mut Vec<Datagram>,
+        events: &mut Vec<Event>,
+    ) {
+        while let Some((to, body)) = self.foca_output.to_send() {
+            self.send_body(to.address, KIND_MEMBERSHIP, &body, datagrams);
         }
-        while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.next_timer += 1;
-            let after = Span::try_from(after.as_nanos()).unwrap_or(Span::MAX / 4);
+        while let Some((delay, timer)) = self.foca_output.to_schedule() {
+            let delay = Span::try_from(delay.as_nanos()).unwrap_or(MAX_TIMER_DELAY);
+            self.last_timer += 1;
             self.timers
-                .insert((now + after.max(MS), self.next_timer), timer);
+                .insert((now + delay.max(MIN_TIMER_DELAY), self.last_timer), timer);
         }
-        while let Some(notification) = self.runtime.to_notify() {
-            match notification {
-                OwnedNotification::MemberUp(id) | OwnedNotification::Rename(_, id) => {
-                    self.note(now, id, true, events);
-                }
-                OwnedNotification::MemberDown(id) => self.note(now, id, false, events),
-                _ => {}
-            }
+        while let Some(notification) = self.foca_output.to_notify() {
+            events.extend(self.handle_notification(now, &notification));
         }
     }
 
-    fn note(&mut self, now: Time, identity: Identity, up: bool, events: &mut Vec<Event>) {
-        let node = identity.peer.node;
-        if node == self.set.identity.peer.node {
-            if identity.peer.incarnation > self.set.identity.peer.incarnation {
-                events.push(Event::Superseded(identity));
+    fn handle_notification(
+        &mut self,
+        now: Time,
+        notification: &OwnedNotification<Identity>,
+    ) -> Option<Event> {
+        let (identity, up) = match notification {
+            OwnedNotification::MemberUp(identity) | OwnedNotification::Rename(_, identity) => {
+                (*identity, true)
             }
-            return;
-        }
-        let later =
-            |seen: &InstanceStatus| seen.identity.peer.incarnation > identity.peer.incarnation;
-        // Word of a life that is over, or more instances than anybody has.
-        let full = self.known.len() >= KNOWN_MOST && !self.known.contains_key(&node);
-        if node == NodeId(0) || full || self.known.get(&node).is_some_and(later) {
-            return;
-        }
-        let seen = InstanceStatus {
+            OwnedNotification::MemberDown(identity) => (*identity, false),
+            _ => return None,
+        };
+        match self.instances.observe(InstanceStatus {
             identity,
             up,
             since: now,
-        };
-        let before = self.known.insert(node, seen);
-        if before.is_none_or(|before| (before.up, before.identity.peer) != (up, identity.peer)) {
-            self.epoch += 1;
-            events.push(if up {
-                Event::Up(identity)
-            } else {
-                Event::Down(identity)
-            });
+        }) {
+            Observation::Changed if up => Some(Event::Up(identity)),
+            Observation::Changed => Some(Event::Down(identity)),
+            Observation::Superseded => Some(Event::Superseded(identity)),
+            Observation::Ignored => None,
+        }
+    }
+}
+
+impl DatagramCounters {
+    fn count_rejected(&mut self, error: VerifyError) {
+        match error {
+            VerifyError::Foreign => self.foreign += 1,
+            VerifyError::UnknownKey => self.unknown_key += 1,
+            VerifyError::Forged => self.forged += 1,
         }
     }
 }
 
-/// Foca's times for a local network, with datagrams of ours.
-fn config(expected: u32) -> Config {
-    let mut config = Config::new_lan(NonZeroU32::new(expected.max(2)).unwrap_or(NonZeroU32::MIN));
-    config.max_packet_size = std::num::NonZeroUsize::new(crate::MAX_DATAGRAM_BYTES - SEAL_BYTES)
-        .unwrap_or(config.max_packet_size);
+/// Foca's times for a local network, with datagrams that fit an envelope.
+fn foca_config(expected_instances: u32) -> Config {
+    let instances = NonZeroU32::new(expected_instances.max(2)).unwrap_or(NonZeroU32::MIN);
+    let mut config = Config::new_lan(instances);
+    let max_body = NonZeroUsize::new(MAX_DATAGRAM_BYTES - ENVELOPE_BYTES);
+    config.max_packet_size = max_body.unwrap_or(config.max_packet_size);
     config
 }
 
-/// Who says what to whom.
-fn sessions(body: &[u8]) -> Option<(Peer, Peer, Message)> {
+/// A message of sessions: its sender, then receiver and message as `stackgw-sessions` encodes them.
+fn decode_sessions(body: &[u8]) -> Option<Event> {
     let (from, rest) = postcard::take_from_bytes::<Peer>(body).ok()?;
     let (to, message) = Message::decode(rest).ok()?;
-    Some((from, to, message))
+    Some(Event::Sessions { from, to, message })
 }
--- a/crates/stackgw-cluster/src/envelope.rs
+++ b/crates/stackgw-cluster/src/envelope.rs
@@ -1,25 +1,26 @@
-//! Datagrams that only those who share a key can write.
+//! Authentication: an envelope that only those who share a key can write.
 //!
-//! A version byte, a kind byte, four bytes that name the key, sixteen of a keyed hash over all the rest, then the body. The
-//! key is derived from the operator's secret and the name of the cluster, so that another cluster's datagrams are foreign
-//! even under the same secret. Bodies are not hidden: they hold hashes and positions.
+//! An envelope is a version byte, a kind byte, four bytes that name the key, the first sixteen bytes of a keyed hash over all
+//! the rest, then the body. The key is derived from the operator's secret and the cluster's name, so that another cluster's
+//! envelopes fail even under the same secret. Bodies are not encrypted: they hold hashes and positions.
 
 use std::fmt;
+use thiserror::Error;
 
 const VERSION: u8 = 1;
-const TAG: usize = 16;
-const NAMED: usize = 4;
-const HEAD: usize = 2 + NAMED;
-/// Bytes around a body.
-pub const SEAL_BYTES: usize = HEAD + TAG;
-/// A secret is no shorter, in bytes.
-pub(crate) const SECRET_LEAST: usize = 16;
+const KEY_NAME_BYTES: usize = 4;
+const HEADER_BYTES: usize = 2 + KEY_NAME_BYTES;
+const TAG_BYTES: usize = 16;
+/// Bytes that an envelope adds to a body.
+pub const ENVELOPE_BYTES: usize = HEADER_BYTES + TAG_BYTES;
+/// Minimum length of a secret.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// A shared key. It is never shown.
+/// A shared key. Its `Debug` form shows its name alone.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
     key: [u8; 32],
-    name: [u8; NAMED],
+    name: [u8; KEY_NAME_BYTES],
 }
 
 impl fmt::Debug for Key {
@@ -30,9 +31,9 @@
 }
 
 impl Key {
-    /// The key of a cluster from its secret; `None` where that is too short to be one.
+    /// Derives a cluster's key from its secret; `None` where that has fewer than 16 bytes.
     pub fn new(cluster: &str, secret: &[u8]) -> Option<Self> {
-        if secret.len() < SECRET_LEAST {
+        if secret.len() < MIN_SECRET_BYTES {
             return None;
         }
         let material = [cluster.as_bytes(), b"\0", secret].concat();
@@ -44,84 +45,106 @@
         })
     }
 
-    fn tag(&self, head: &[u8], body: &[u8]) -> blake3::Hash {
+    fn tag(&self, header: &[u8], body: &[u8]) -> [u8; TAG_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
-        hasher.update(head).update(body);
-        hasher.finalize()
+        hasher.update(header).update(body);
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&hasher.finalize().as_bytes()[..TAG_BYTES]);
+        tag
     }
 }
 
-/// The keys that are valid now: the first one seals, all of them open. To change one, add the new one behind the old one
-/// everywhere, then swap them everywhere, then drop the old one.
+/// The keys that are valid now: the first one signs, all of them verify.
+///
+/// To replace a key without interruption, add the new one behind the old one on all instances, then swap the two on all, then
+/// remove the old one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Keyring {
     keys: Vec<Key>,
 }
 
-/// Why a datagram is dropped.
+/// What an authentic envelope holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unsealed {
-    /// Too short or too long, or of another version.
+pub struct Envelope<'a> {
+    /// What the body is, as its sender says.
+    pub kind: u8,
+    /// The body.
+    pub body: &'a [u8],
+}
+
+/// Why an envelope is rejected.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum VerifyError {
+    /// Its length or version is none of ours.
+    #[error("no envelope of this version")]
     Foreign,
-    /// Sealed with a key that is not valid here.
+    /// It was signed with a key that is not valid here.
+    #[error("signed with an unknown key")]
     UnknownKey,
-    /// Its seal does not fit: it was changed on its way, or made up.
+    /// Its tag does not match: it was changed on its way, or forged.
+    #[error("the signature does not match")]
     Forged,
 }
 
 impl Keyring {
-    /// These keys; `None` where there is none.
+    /// A keyring of these keys; `None` where there is none.
     pub fn new(keys: Vec<Key>) -> Option<Self> {
         (!keys.is_empty()).then_some(Keyring { keys })
     }
 
-    /// Seals a body.
+    /// Puts a body into an envelope.
     pub fn sign(&self, kind: u8, body: &[u8]) -> Vec<u8> {
         let Some(key) = self.keys.first() else {
             return Vec::new();
         };
-        let mut bytes = Vec::with_capacity(SEAL_BYTES + body.len());
+        let mut bytes = Vec::with_capacity(ENVELOPE_BYTES + body.len());
         bytes.extend([VERSION, kind]);
         bytes.extend(key.name);
         let tag = key.tag(&bytes, body);
-        bytes.extend_from_slice(&tag.as_bytes()[..TAG]);
+        bytes.extend(tag);
         bytes.extend_from_slice(body);
         bytes
     }
 
-    /// Opens a datagram: its kind and its body.
-    pub fn verify<'a>(&self, bytes: &'a [u8]) -> Result<(u8, &'a [u8]), Unsealed> {
+    /// Opens the envelope of a datagram.
+    ///
+    /// # Errors
+    /// It is longer than any datagram, or not authentic.
+    pub fn verify<'a>(&self, bytes: &'a [u8]) -> Result<Envelope<'a>, VerifyError> {
         self.verify_sized(bytes, crate::MAX_DATAGRAM_BYTES)
     }
 
-    /// Opens what is no datagram and may be longer.
+    /// Opens an envelope of at most `max_bytes`.
+    ///
+    /// # Errors
+    /// It is longer, or not authentic.
     pub fn verify_sized<'a>(
         &self,
         bytes: &'a [u8],
-        most: usize,
-    ) -> Result<(u8, &'a [u8]), Unsealed> {
-        if bytes.len() < SEAL_BYTES || bytes.len() > most || bytes[0] != VERSION {
-            return Err(Unsealed::Foreign);
+        max_bytes: usize,
+    ) -> Result<Envelope<'a>, VerifyError> {
+        if bytes.len() < ENVELOPE_BYTES || bytes.len() > max_bytes || bytes[0] != VERSION {
+            return Err(VerifyError::Foreign);
         }
-        let (head, rest) = bytes.split_at(HEAD);
-        let (tag, body) = rest.split_at(TAG);
-        let mut unknown = true;
-        for key in self.keys.iter().filter(|key| key.name == head[2..]) {
-            unknown = false;
-            let fits = key.tag(head, body);
-            // In constant time: how much of a made up seal fits must not show.
-            let differs = fits.as_bytes()[..TAG]
-                .iter()
-                .zip(tag)
-                .fold(0, |sum, (a, b)| sum | (a ^ b));
-            if differs == 0 {
-                return Ok((head[1], body));
+        let (header, rest) = bytes.split_at(HEADER_BYTES);
+        let (tag, body) = rest.split_at(TAG_BYTES);
+        let (kind, key_name) = (header[1], &header[2..]);
+        let mut error = VerifyError::UnknownKey;
+        for key in self.keys.iter().filter(|key| key.name == key_name) {
+            if equal_in_constant_time(&key.tag(header, body), tag) {
+                return Ok(Envelope { kind, body });
             }
+            error = VerifyError::Forged;
         }
-        Err(if unknown {
-            Unsealed::UnknownKey
-        } else {
-            Unsealed::Forged
-        })
+        Err(error)
     }
 }
+
+/// In constant time, as the time to compare must not show how much of a forged tag matches.
+fn equal_in_constant_time(expected: &[u8; TAG_BYTES], found: &[u8]) -> bool {
+    let difference = expected
+        .iter()
+        .zip(found)
+        .fold(0, |difference, (a, b)| difference | (a ^ b));
+    difference == 0 && found.len() == TAG_BYTES
+}
--- a/crates/stackgw-cluster/src/identity.rs
+++ b/crates/stackgw-cluster/src/identity.rs
@@ -4,25 +4,29 @@
 use stackgw_sessions::{NodeId, Peer};
 use std::net::SocketAddr;
 
-/// An instance in one of its lives, and where it is to be reached.
+/// One incarnation of an instance and its address. Order and types of the fields are the wire format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Which, and in which life.
+    /// Which instance, and in which incarnation.
     pub peer: Peer,
-    /// Where its datagrams arrive.
+    /// Where it receives datagrams.
     pub address: SocketAddr,
-    /// Rises when others have taken it for gone and it comes back in the same life.
+    /// Increases when others have taken it for down and it rejoins in the same incarnation.
     pub rejoin_count: u16,
 }
 
 impl Identity {
-    /// Whoever is at an address, to be asked for the others.
+    /// The node of an instance of which only the address is known.
+    pub(crate) const UNKNOWN_NODE: NodeId = NodeId(0);
+
+    /// Whichever instance is at this address, to be asked for the others.
     pub(crate) fn at(address: SocketAddr) -> Self {
+        let peer = Peer {
+            node: Self::UNKNOWN_NODE,
+            incarnation: 0,
+        };
         Identity {
-            peer: Peer {
-                node: NodeId(0),
-                incarnation: 0,
-            },
+            peer,
             address,
             rejoin_count: 0,
         }
@@ -33,8 +37,9 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
+        let rejoin_count = self.rejoin_count.checked_add(1)?;
         Some(Identity {
-            rejoin_count: self.rejoin_count.checked_add(1)?,
+            rejoin_count,
             ..*self
         })
     }
--- a/crates/stackgw-cluster/src/lib.rs
+++ b/crates/stackgw-cluster/src/lib.rs
@@ -1,18 +1,21 @@
-//! Who the other instances are: SWIM membership (`foca`) over sealed datagrams.
+//! Which other instances there are: SWIM membership (`foca`) over authenticated datagrams.
 //!
-//! What is known here is a hint. It says where an instance is to be reached and whether it seems to be there; no promise
-//! rests on it, as `stackgw-sessions` goes by pledges alone. No I/O, clock or threads: datagrams, time and a seed are handed
-//! in, and what is to be sent comes out.
+//! - Membership is a hint: where an instance is reached and whether it seems to be up. No guarantee rests on it; what must be
+//!   certain rests on the leases of `stackgw-sessions`.
+//! - Nothing that fails authentication ([`Keyring::verify`]) changes any state but counters.
+//! - No I/O, clock or threads: datagrams, the time and a seed are passed in; datagrams to send and events come out.
+//!
+//! Messages of sessions and of the bootstrap travel in the same datagrams; this package does not interpret the latter.
 
 mod cluster;
 mod envelope;
 mod identity;
+mod instances;
 
-pub use cluster::{
-    Cluster, ClusterSettings, DatagramCounters, Effect, Event, InstanceStatus, Refused,
-};
-pub use envelope::{Key, Keyring, Unsealed, SEAL_BYTES};
+pub use cluster::{Cluster, ClusterSettings, Datagram, DatagramCounters, Event, ReceiveError};
+pub use envelope::{Envelope, Key, Keyring, VerifyError, ENVELOPE_BYTES};
 pub use identity::Identity;
+pub use instances::InstanceStatus;
 
-/// No datagram is longer.
+/// Maximum length of a datagram, envelope included.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
--- a/crates/stackgw-cluster/tests/fixtures.rs
+++ b/crates/stackgw-cluster/tests/fixtures.rs
@@ -1,56 +1,20 @@
 //! The bytes of datagrams between instances, as fixtures hold them.
 
+mod common;
+
+use common::*;
 use stackgw_cluster::*;
 use stackgw_router::api::{Time, MS, SECOND};
-use stackgw_sessions::{LeaseRequest, Message, NodeId, Peer, StoreVersion};
-use std::collections::BTreeMap;
+use stackgw_sessions::{LeaseRequest, Message, StoreVersion};
 use std::fmt::Write;
-use std::net::SocketAddr;
 
 /// `name hex`, a datagram of each form a line.
 const DATAGRAMS: &str = include_str!("fixtures/datagrams.hex");
 /// `milliseconds receiver's port hex`: all that three instances send each other while one comes, dies and returns.
 const EXCHANGE: &str = include_str!("fixtures/exchange.hex");
-const SECRET: &str = "an old secret of some length";
-const OTHER_SECRET: &str = "a new secret of some length";
-const STEP: Time = 10 * MS;
-
-fn ring(secrets: &[&str]) -> Keyring {
-    let keys = secrets
-        .iter()
-        .map(|s| Key::new("depots", s.as_bytes()).expect("a secret"))
-        .collect();
-    Keyring::new(keys).expect("keys")
-}
-
-fn peer(node: u64, incarnation: u64) -> Peer {
-    Peer {
-        node: NodeId(node),
-        incarnation,
-    }
-}
-
-fn address(n: u16) -> SocketAddr {
-    ([127, 0, 0, 1], 7_000 + n).into()
-}
 
-fn instance(now: Time, n: u16, incarnation: u64) -> Cluster {
-    let me = Identity {
-        peer: peer(n.into(), incarnation),
-        address: address(n),
-        rejoin_count: 0,
-    };
-    let seeds = vec![address(1), address(2)];
-    Cluster::new(
-        now,
-        ClusterSettings {
-            identity: me,
-            seeds,
-            keyring: ring(&[SECRET]),
-            rng_seed: n.into(),
-            expected_instances: 3,
-        },
-    )
+fn instance(n: u16, incarnation: u64) -> Cluster {
+    Cluster::new(0, settings(n, incarnation, keyring(&[SECRET])))
 }
 
 fn message() -> Message {
@@ -65,100 +29,49 @@
     })
 }
 
-/// Instances by number, and what is on its way between them.
-#[derive(Default)]
-struct Net {
-    now: Time,
-    instances: BTreeMap<u16, Cluster>,
-    flying: Vec<(SocketAddr, Vec<u8>)>,
-    sent: Vec<(Time, SocketAddr, Vec<u8>)>,
-    events: Vec<(u16, Event)>,
-}
-
-impl Net {
-    fn start(&mut self, n: u16, incarnation: u64) {
-        self.instances.insert(n, instance(self.now, n, incarnation));
-    }
-
-    fn collect(&mut self, n: u16, effects: Vec<Effect>, events: Vec<Event>) {
-        let datagrams: Vec<_> = effects
-            .into_iter()
-            .map(|Effect::Send(to, bytes)| (to, bytes))
-            .collect();
-        self.sent.extend(
-            datagrams
-                .iter()
-                .cloned()
-                .map(|(to, bytes)| (self.now, to, bytes)),
-        );
-        self.flying.extend(datagrams);
-        self.events
-            .extend(events.into_iter().map(|event| (n, event)));
-    }
-
-    fn pass(&mut self, span: Time) {
-        let end = self.now + span;
-        while self.now < end {
-            self.now += STEP;
-            for n in self.instances.keys().copied().collect::<Vec<_>>() {
-                let (mut effects, mut events) = (Vec::new(), Vec::new());
-                let cluster = self.instances.get_mut(&n).expect("it runs");
-                cluster.handle_timeout(self.now, &mut effects, &mut events);
-                self.collect(n, effects, events);
-            }
-            for (to, bytes) in std::mem::take(&mut self.flying) {
-                let n = to.port() - 7_000;
-                let Some(cluster) = self.instances.get_mut(&n) else {
-                    continue;
-                };
-                let (mut effects, mut events) = (Vec::new(), Vec::new());
-                cluster
-                    .handle_datagram(self.now, &bytes, &mut effects, &mut events)
-                    .expect("a good datagram");
-                self.collect(n, effects, events);
-            }
-        }
-    }
-}
-
-fn run() -> Net {
-    let mut net = Net::default();
-    (1..=3).for_each(|n| net.start(n, 10));
-    net.pass(3 * SECOND);
-    net.instances.remove(&3);
-    net.pass(9 * SECOND);
-    net.start(3, 11);
-    net.pass(3 * SECOND);
-    net
+fn run() -> Network {
+    let mut network = Network::default();
+    (1..=3).for_each(|n| network.start(n, 10, keyring(&[SECRET])));
+    network.advance(3 * SECOND);
+    network.instances.remove(&3);
+    network.advance(9 * SECOND);
+    network.start(3, 11, keyring(&[SECRET]));
+    network.advance(3 * SECOND);
+    assert!(network.errors.is_empty(), "{:?}", network.errors);
+    network
 }
 
 fn exchange() -> String {
-    let line = |(at, to, bytes): &(Time, SocketAddr, Vec<u8>)| {
-        format!("{} {} {}\n", at / MS, to.port(), hex(bytes))
+    let line = |(at, datagram): &(Time, Datagram)| {
+        let (port, bytes) = (datagram.to.port(), hex(&datagram.bytes));
+        format!("{} {port} {bytes}\n", at / MS)
     };
     run().sent.iter().map(line).collect()
 }
 
-/// Named datagrams that one instance writes.
+/// A datagram of each form, by name.
 fn datagrams() -> Vec<(&'static str, Vec<u8>)> {
-    let (mut cluster, mut effects) = (instance(0, 1, 10), Vec::new());
-    let (mut other, mut events) = (instance(0, 2, 8), Vec::new());
-    other.handle_timeout(0, &mut effects, &mut events);
-    let Effect::Send(_, announcement) = effects.remove(0);
+    let (mut cluster, mut out) = (instance(1, 10), Vec::new());
+    let (mut other, mut events) = (instance(2, 8), Vec::new());
+    other.handle_timeout(0, &mut out, &mut events);
+    let announcement = out.remove(0).bytes;
     cluster
-        .handle_datagram(0, &announcement, &mut effects, &mut events)
+        .handle_datagram(0, &announcement, &mut out, &mut events)
         .expect("a good datagram");
-    let mut named = vec![("membership", announcement)];
-    let Effect::Send(_, feed) = effects.remove(0);
-    named.push(("membership-answer", feed));
-    effects.clear();
-    cluster.send(peer(2, 8), &message(), &mut effects);
-    cluster.send_bootstrap(address(5), b"word of the list", &mut effects);
-    cluster.send_bootstrap(address(5), b"", &mut effects);
-    let sent = effects.into_iter().map(|Effect::Send(_, bytes)| bytes);
-    named.extend(["sessions", "start", "start-empty"].into_iter().zip(sent));
-    let sealed = ring(&[OTHER_SECRET, SECRET]).sign(200, b"\x00\x01\xff");
-    named.push(("sealed", sealed));
+    let answer = out.remove(0).bytes;
+    out.clear();
+    cluster.send(peer(2, 8), &message(), &mut out);
+    cluster.send_bootstrap(address(5), b"word of the list", &mut out);
+    cluster.send_bootstrap(address(5), b"", &mut out);
+    let mut named = vec![("membership", announcement), ("membership-answer", answer)];
+    let names = ["sessions", "start", "start-empty"];
+    named.extend(
+        names
+            .into_iter()
+            .zip(out.into_iter().map(|sent| sent.bytes)),
+    );
+    let signed = keyring(&[OTHER_SECRET, SECRET]).sign(200, b"\x00\x01\xff");
+    named.push(("sealed", signed));
     named
 }
 
@@ -203,7 +116,7 @@
 
 #[test]
 fn the_fixed_datagrams_are_read_as_the_same_events() {
-    let mut cluster = instance(0, 2, 8);
+    let mut cluster = instance(2, 8);
     let mut read = |name: &str| {
         let mut events = Vec::new();
         cluster
@@ -213,52 +126,54 @@
     };
     assert_eq!(
         read("sessions"),
-        [Event::Sessions(peer(1, 10), peer(2, 8), message())]
+        [Event::Sessions {
+            from: peer(1, 10),
+            to: peer(2, 8),
+            message: message()
+        }]
     );
     assert_eq!(
         read("start"),
         [Event::Bootstrap(b"word of the list".to_vec())]
     );
     assert_eq!(read("start-empty"), [Event::Bootstrap(Vec::new())]);
-    let first = Identity {
-        peer: peer(1, 10),
-        address: address(1),
-        rejoin_count: 0,
-    };
+    let first = identity(1, 10);
     assert_eq!(read("membership-answer"), [Event::Up(first)]);
     assert_eq!(cluster.counters().received, 4);
-    let mut cluster = instance(0, 1, 10);
+    let mut cluster = instance(1, 10);
     let mut events = Vec::new();
     cluster
         .handle_datagram(0, &fixed("membership"), &mut Vec::new(), &mut events)
         .expect("an announcement");
-    let second = Identity {
-        peer: peer(2, 8),
-        address: address(2),
-        rejoin_count: 0,
-    };
+    let second = identity(2, 8);
     assert_eq!(events, [Event::Up(second)]);
 }
 
 #[test]
-fn a_fixed_seal_is_opened_by_any_valid_key_alone() {
-    let sealed = fixed("sealed");
+fn a_fixed_envelope_is_opened_with_any_valid_key_alone() {
+    let signed = fixed("sealed");
+    assert_eq!(
+        keyring(&[SECRET, OTHER_SECRET]).verify(&signed),
+        Ok(Envelope {
+            kind: 200,
+            body: b"\x00\x01\xff"
+        })
+    );
     assert_eq!(
-        ring(&[SECRET, OTHER_SECRET]).verify(&sealed),
-        Ok((200, &b"\x00\x01\xff"[..]))
+        keyring(&[SECRET]).verify(&signed),
+        Err(VerifyError::UnknownKey)
     );
-    assert_eq!(ring(&[SECRET]).verify(&sealed), Err(Unsealed::UnknownKey));
     assert_eq!(
-        ring(&[OTHER_SECRET]).verify(&[&sealed[..], b"0"].concat()),
-        Err(Unsealed::Forged)
+        keyring(&[OTHER_SECRET]).verify(&[&signed[..], b"0"].concat()),
+        Err(VerifyError::Forged)
     );
     assert_eq!(
-        ring(&[OTHER_SECRET]).verify(&sealed[..21]),
-        Err(Unsealed::Foreign)
+        keyring(&[OTHER_SECRET]).verify(&signed[..21]),
+        Err(VerifyError::Foreign)
     );
     assert_eq!(
-        ring(&[OTHER_SECRET]).verify_sized(&sealed, 24),
-        Err(Unsealed::Foreign)
+        keyring(&[OTHER_SECRET]).verify_sized(&signed, 24),
+        Err(VerifyError::Foreign)
     );
 }
 
@@ -272,7 +187,7 @@
 }
 
 #[test]
-fn three_instances_see_the_same_come_and_go() {
+fn three_instances_report_the_same_events() {
     let name = |(n, event): &(u16, Event)| match event {
         Event::Up(id) => format!("{n} up {} {}", id.peer.node.0, id.peer.incarnation),
         Event::Down(id) => format!("{n} down {} {}", id.peer.node.0, id.peer.incarnation),
--- a/crates/stackgw-flight/src/tickets.rs
+++ b/crates/stackgw-flight/src/tickets.rs
@@ -3,7 +3,7 @@
 
 use crate::statement::StatementTemplate;
 use serde::{Deserialize, Serialize};
-use stackgw_cluster::Keyring;
+use stackgw_cluster::{Envelope, Keyring};
 use thiserror::Error;
 
 /// Tells handles from the datagrams between instances, which are sealed by the same keys.
@@ -55,7 +55,7 @@
     /// [`TicketError::Foreign`] and [`TicketError::Expired`].
     pub fn open(key_ring: &Keyring, handle: &[u8], now_ms: u64) -> Result<Self, TicketError> {
         let opened = key_ring.verify_sized(handle, usize::MAX);
-        let (kind, body) = opened.map_err(|_| TicketError::Foreign)?;
+        let Envelope { kind, body } = opened.map_err(|_| TicketError::Foreign)?;
         if kind != SEAL_KIND {
             return Err(TicketError::Foreign);
         }
--- a/crates/stackgw-gateway/src/reducer/state/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/state/cluster.rs
@@ -4,27 +4,26 @@
 use crate::config::ClusterConfig;
 use crate::reducer::effect::Effect;
 use crate::reducer::timers::TimerKey;
-use stackgw_cluster::{Cluster, ClusterSettings, Event, Identity, Refused};
+use stackgw_cluster::{Cluster, ClusterSettings, Datagram, Event, Identity, ReceiveError};
 use stackgw_router::api::Time;
 use stackgw_sessions::Peer;
 
 /// What the cluster asks for and reports after a step.
 #[derive(Default)]
 pub(crate) struct ClusterStep {
-    effects: Vec<stackgw_cluster::Effect>,
+    datagrams: Vec<Datagram>,
     pub(crate) events: Vec<Event>,
 }
 
 impl ClusterStep {
     /// Takes what is to be sent.
     pub(crate) fn take_effects(&mut self) -> impl Iterator<Item = Effect> {
-        std::mem::take(&mut self.effects).into_iter().map(send)
+        std::mem::take(&mut self.datagrams).into_iter().map(send)
     }
 }
 
-fn send(effect: stackgw_cluster::Effect) -> Effect {
-    let stackgw_cluster::Effect::Send(to, bytes) = effect;
-    Effect::ClusterDatagram(to, bytes)
+fn send(datagram: Datagram) -> Effect {
+    Effect::ClusterDatagram(datagram.to, datagram.bytes)
 }
 
 /// The membership and its one timer.
@@ -63,22 +62,22 @@
     /// Sends by way of the cluster.
     pub(crate) fn send(
         &mut self,
-        action: impl FnOnce(&mut Cluster, &mut Vec<stackgw_cluster::Effect>),
+        action: impl FnOnce(&mut Cluster, &mut Vec<Datagram>),
     ) -> impl Iterator<Item = Effect> {
-        let mut effects = Vec::new();
-        action(&mut self.cluster, &mut effects);
-        effects.into_iter().map(send)
+        let mut datagrams = Vec::new();
+        action(&mut self.cluster, &mut datagrams);
+        datagrams.into_iter().map(send)
     }
 
     pub(crate) fn handle_datagram(
         &mut self,
         now: Time,
         bytes: &[u8],
-    ) -> (ClusterStep, Result<(), Refused>) {
+    ) -> (ClusterStep, Result<(), ReceiveError>) {
         let mut step = ClusterStep::default();
         let received =
             self.cluster
-                .handle_datagram(now, bytes, &mut step.effects, &mut step.events);
+                .handle_datagram(now, bytes, &mut step.datagrams, &mut step.events);
         (step, received)
     }
 
@@ -93,7 +92,7 @@
         self.timer = None;
         let mut step = ClusterStep::default();
         self.cluster
-            .handle_timeout(now, &mut step.effects, &mut step.events);
+            .handle_timeout(now, &mut step.datagrams, &mut step.events);
         step
     }
 
--- a/crates/stackgw-gateway/src/reducer/steps/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/cluster.rs
@@ -24,7 +24,7 @@
     pub(super) fn send_to_cluster(
         &mut self,
         cx: &mut Context<'_>,
-        action: impl FnOnce(&mut Cluster, &mut Vec<stackgw_cluster::Effect>),
+        action: impl FnOnce(&mut Cluster, &mut Vec<stackgw_cluster::Datagram>),
     ) {
         if let Some(cluster) = self.cluster.as_mut() {
             cx.effects.extend(cluster.send(action));
@@ -81,7 +81,7 @@
                 "another process goes by this gateway's name at {}: one of them must end",
                 id.address
             )),
-            Event::Sessions(from, to, message) => {
+            Event::Sessions { from, to, message } => {
                 let now = cx.now;
                 self.run_sessions(cx, |sessions, outputs| {
                     sessions.handle_message(now, from, to, message, outputs);
