--- a/crates/stackgw-gateway/tests/digest.rs
+++ b/crates/stackgw-gateway/tests/digest.rs
@@ -1383,7 +1383,10 @@
 
     fn disk_fails(&mut self, index: usize) {
         let void = self.random.chance(50);
-        let why = stackgw_store::StoreError("the disk is full".to_owned());
+        let why = stackgw_store::StoreError::Io {
+            path: "g0.redb".into(),
+            source: std::io::Error::other("the disk is full"),
+        };
         self.input(
             index,
             Input::StoreEvent(CommitOutcome::Failed {
--- a/crates/stackgw-store/src/endpoint_list.rs
+++ b/crates/stackgw-store/src/endpoint_list.rs
@@ -1,138 +1,160 @@
-//! The list of members on a disk: one file, replaced whole. A damaged one, or another service's, is not believed.
+//! The cached endpoint list: one file, replaced as a whole. A damaged one, or another service's, is not trusted.
 
-use crate::store_file::{free_name, unix_ms};
+use crate::error::StoreError;
+use crate::quarantine::{move_aside, unix_ms};
 use crate::worker::Worker;
-use crate::StoreError;
 use serde::{Deserialize, Serialize};
 use stackgw_bootstrap::{CachedEndpoints, EndpointUpdate};
 use stackgw_router::api::{Time, MS};
-use std::io::Write;
+use std::io::{ErrorKind, Write};
 use std::path::Path;
 use std::sync::mpsc::Receiver;
 
-/// The form of the file.
-const VERSION: u32 = 1;
-/// It is smaller than this.
-const FILE_MOST: u64 = 16 << 20;
+/// The version of the file's format.
+const FORMAT_VERSION: u32 = 1;
+/// Larger files are rejected unread.
+const MAX_FILE_BYTES: u64 = 16 << 20;
 
 /// The file's first line; the list follows on the second.
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct Header {
     version: u32,
-    /// The list service's name.
+    /// Name of the list service.
     service: String,
-    /// When the service last vouched for it, in Unix milliseconds.
-    said_ms: i64,
+    /// When the service last confirmed the list, in Unix milliseconds.
+    #[serde(rename = "said_ms")]
+    confirmed_at_ms: i64,
     /// Requests a second that a warm member answered this instance.
-    #[serde(default)]
-    rate: f64,
-    /// BLAKE3 over the second line.
-    sum: String,
+    #[serde(rename = "rate", default)]
+    warm_throughput: f64,
+    /// BLAKE3 of the second line, in hexadecimal digits.
+    #[serde(rename = "sum")]
+    checksum: String,
 }
 
-/// What a file kept of this service's list; `None`: there is none, or another service's. One that is damaged is set aside.
+/// Reads the cached list of this service. `None`: there is no file, or it is another service's.
+///
+/// # Errors
+/// The file cannot be read, or is damaged; a damaged one has been quarantined.
 pub fn read(path: &Path, service: &str) -> Result<Option<CachedEndpoints>, StoreError> {
-    let wrong =
-        |why: &dyn std::fmt::Display| StoreError(format!("start.list: {}: {why}", path.display()));
-    let about = match std::fs::metadata(path) {
-        Ok(about) => about,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-        Err(e) => return Err(wrong(&e)),
+    let io_error = |source| StoreError::ListIo {
+        path: path.to_owned(),
+        source,
     };
-    if !about.is_file() || about.len() > FILE_MOST {
-        return Err(wrong(&"no plain file, or too large a one"));
-    }
-    let text = std::fs::read(path).map_err(|e| wrong(&e))?;
-    match parse(&text) {
-        Some((head, list)) if head.service == service => {
-            // A clock may have been set back since.
-            let said = head
-                .said_ms
-                .clamp(0, i64::try_from(unix_ms()).unwrap_or(i64::MAX));
-            Ok(Some(CachedEndpoints {
-                list,
-                confirmed_at: said.saturating_mul(MS) as Time,
-                warm_throughput: head.rate,
-            }))
-        }
-        Some(_) => Ok(None),
-        None => {
-            let aside = free_name(path);
-            std::fs::rename(path, &aside).map_err(|e| wrong(&e))?;
-            Err(wrong(&format!(
-                "is damaged; set aside as {}",
-                aside.display()
-            )))
-        }
+    let metadata = match std::fs::metadata(path) {
+        Ok(metadata) => metadata,
+        Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(io_error(error)),
+    };
+    if !metadata.is_file() || metadata.len() > MAX_FILE_BYTES {
+        return Err(StoreError::ListNotRegularFile {
+            path: path.to_owned(),
+        });
     }
+    let bytes = std::fs::read(path).map_err(io_error)?;
+    let Some((header, list)) = parse(&bytes) else {
+        let moved_to = move_aside(path).map_err(io_error)?;
+        return Err(StoreError::ListDamaged {
+            path: path.to_owned(),
+            moved_to,
+        });
+    };
+    Ok((header.service == service).then(|| cached_endpoints(&header, list)))
 }
 
-fn parse(text: &[u8]) -> Option<(Head, EndpointUpdate)> {
-    let (head, list) = text.split_at(text.iter().position(|b| *b == b'\n')?);
+fn parse(bytes: &[u8]) -> Option<(Header, EndpointUpdate)> {
+    let (header, list) = bytes.split_at(bytes.iter().position(|byte| *byte == b'\n')?);
     let list = list.strip_prefix(b"\n")?.strip_suffix(b"\n")?;
-    let head: Head = serde_json::from_slice(head).ok()?;
-    let whole = head.version == VERSION && head.sum == blake3::hash(list).to_hex().as_str();
-    let list: EndpointUpdate = serde_json::from_slice(list).ok().filter(|_| whole)?;
-    list.complete.then_some((head, list))
+    let header: Header = serde_json::from_slice(header).ok()?;
+    if header.version != FORMAT_VERSION || header.checksum != checksum(list) {
+        return None;
+    }
+    let list: EndpointUpdate = serde_json::from_slice(list).ok()?;
+    list.complete.then_some((header, list))
+}
+
+fn cached_endpoints(header: &Header, list: EndpointUpdate) -> CachedEndpoints {
+    // The clock may have been set back since the file was written.
+    let now_ms = i64::try_from(unix_ms()).unwrap_or(i64::MAX);
+    let confirmed_at_ms = header.confirmed_at_ms.clamp(0, now_ms);
+    let confirmed_at: Time = confirmed_at_ms.saturating_mul(MS);
+    CachedEndpoints {
+        list,
+        confirmed_at,
+        warm_throughput: header.warm_throughput,
+    }
+}
+
+fn checksum(bytes: &[u8]) -> String {
+    blake3::hash(bytes).to_hex().to_string()
 }
 
-/// Writes the file beside its place and moves it there, so that a start finds the old one or the new one.
-fn write(path: &Path, service: &str, kept: &CachedEndpoints) -> std::io::Result<()> {
-    let list = serde_json::to_vec(&kept.list)?;
-    let sum = blake3::hash(&list).to_hex().to_string();
-    let head = Head {
-        version: VERSION,
+/// Writes the file beside its place and renames it, so that a reader finds the old one or the new one.
+fn write(path: &Path, service: &str, cached: &CachedEndpoints) -> std::io::Result<()> {
+    let list = serde_json::to_vec(&cached.list)?;
+    let header = Header {
+        version: FORMAT_VERSION,
         service: service.to_owned(),
-        said_ms: kept.confirmed_at / MS,
-        rate: kept.warm_throughput,
-        sum,
+        confirmed_at_ms: cached.confirmed_at / MS,
+        warm_throughput: cached.warm_throughput,
+        checksum: checksum(&list),
     };
-    let beside = path.with_extension("new");
-    let mut file = std::fs::File::create(&beside)?;
-    file.write_all(&serde_json::to_vec(&head)?)?;
+    let temporary = path.with_extension("new");
+    let mut file = std::fs::File::create(&temporary)?;
+    file.write_all(&serde_json::to_vec(&header)?)?;
     file.write_all(b"\n")?;
     file.write_all(&list)?;
     file.write_all(b"\n")?;
     file.sync_all()?;
-    std::fs::rename(&beside, path)
+    std::fs::rename(&temporary, path)
 }
 
-/// A thread that keeps the newest list; what came while it wrote and is no longer the newest is passed over. Dropped, it writes
-/// the newest first.
+/// A thread that writes the newest list; lists that are superseded while it writes are skipped. Dropping the writer writes
+/// the newest one first.
 #[derive(Debug)]
 pub struct EndpointListWriter(Worker<CachedEndpoints>);
 
 impl EndpointListWriter {
-    /// Starts the thread; `said` is told, on it, of the first failure in a row.
+    /// Starts the thread. It calls `on_error` at the first of each series of failures.
+    ///
+    /// # Errors
+    /// The thread cannot be started.
     pub fn start(
         path: &Path,
         service: &str,
-        said: impl Fn(StoreError) + Send + 'static,
+        on_error: impl Fn(StoreError) + Send + 'static,
     ) -> Result<Self, StoreError> {
         let (path, service) = (path.to_owned(), service.to_owned());
-        let worker = Worker::start("list", move |line| run(&path, &service, &line, &said));
-        worker
-            .map(EndpointListWriter)
-            .map_err(|e| Worker::<CachedEndpoints>::failed("start.list", &e))
+        let run = move |queue| run(&path, &service, &queue, &on_error);
+        Worker::start("list", "start.list", run).map(EndpointListWriter)
     }
 
-    /// Keeps this one from now on.
-    pub fn put(&self, kept: CachedEndpoints) {
-        self.0.put(kept);
+    /// Writes this list from now on.
+    pub fn put(&self, cached: CachedEndpoints) {
+        self.0.put(cached);
     }
 }
 
-fn run(path: &Path, service: &str, line: &Receiver<CachedEndpoints>, said: &impl Fn(StoreError)) {
-    let mut failing = false;
-    while let Ok(first) = line.recv() {
-        let newest = line.try_iter().last().unwrap_or(first);
-        let done = write(path, service, &newest);
-        if let (Err(e), false) = (&done, failing) {
-            said(StoreError(format!(
-                "start.list: {}: {e}; the list is not kept",
-                path.display()
-            )));
+fn run(
+    path: &Path,
+    service: &str,
+    queue: &Receiver<CachedEndpoints>,
+    on_error: &impl Fn(StoreError),
+) {
+    let mut is_failing = false;
+    while let Ok(first) = queue.recv() {
+        let newest = queue.try_iter().last().unwrap_or(first);
+        match write(path, service, &newest) {
+            Ok(()) => is_failing = false,
+            Err(source) => {
+                if !is_failing {
+                    on_error(StoreError::ListNotWritten {
+                        path: path.to_owned(),
+                        source,
+                    });
+                }
+                is_failing = true;
+            }
         }
-        failing = done.is_err();
     }
 }
--- a/crates/stackgw-store/src/lib.rs
+++ b/crates/stackgw-store/src/lib.rs
@@ -1,37 +1,41 @@
-//! What an instance keeps on a lasting disk: its incarnation and the records of its sessions. Nothing else writes files.
+//! Durable state of one instance: the incarnation and session records ([`StoreFile`]) and the cached endpoint list
+//! ([`EndpointListWriter`]). No other package writes files.
 //!
-//! A file is judged before it is believed: one that is damaged, of another cluster, instance or version is set aside under
-//! another name, never written over, and the instance starts without one, cautiously. Commits are whole or not there, each on
-//! the disk before it is said to be ([`Disk::commit`]); [`RecordWriter`] does them in batches on a thread of its own.
+//! - A file is verified before it is trusted. One that is damaged, or belongs to another cluster, instance or format version,
+//!   is quarantined: moved to another name, never overwritten. The instance then starts without it.
+//! - Commits are atomic, and durable once they are reported ([`DurableStore::commit`]).
+//! - Writing blocks on the disk, so [`RecordWriter`] and [`EndpointListWriter`] do it on threads of their own.
+//!
+//! What records mean is the business of `stackgw-sessions`; this package does not know what is decided by them.
 
 mod endpoint_list;
+mod error;
+mod quarantine;
 mod record_writer;
+mod recovery;
 mod store_file;
+mod tables;
 mod worker;
 
 pub use endpoint_list::{read as read_endpoint_list, EndpointListWriter};
+pub use error::{RejectReason, StoreError};
+pub use quarantine::Quarantined;
 pub use record_writer::{CommitOutcome, RecordWriter};
 pub use store_file::{OpenedStore, StoreFile, StoreOwner};
 
 use stackgw_sessions::Record;
 
-/// Why something did not get onto the disk, in one line.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoreError(pub String);
-
-impl std::fmt::Display for StoreError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl std::error::Error for StoreError {}
-
-/// Somewhere that records last.
-pub trait Disk: Send {
-    /// Keeps these records; they last once this returns.
+/// Durable storage of records.
+pub trait DurableStore: Send {
+    /// Stores these records; they are durable once this returns.
+    ///
+    /// # Errors
+    /// None of the records may be taken for stored, and the store takes no more.
     fn commit(&mut self, records: &[Record]) -> Result<(), StoreError>;
 
-    /// Gives up: what is there must not be read by a later life. Whether that could be done.
-    fn set_aside(&mut self) -> bool;
+    /// Gives the store up: later incarnations must not read it.
+    ///
+    /// # Errors
+    /// The store is still where it was.
+    fn quarantine(&mut self) -> Result<(), StoreError>;
 }
--- a/crates/stackgw-store/src/record_writer.rs
+++ b/crates/stackgw-store/src/record_writer.rs
@@ -1,63 +1,67 @@
-//! A thread that commits: all that has come while the last commit was written goes into the next one.
+//! A thread that commits records in batches: all that arrive during one commit go into the next one.
 
 use crate::worker::Worker;
-use crate::{Disk, StoreError};
+use crate::{DurableStore, StoreError};
 use stackgw_sessions::Record;
 use std::sync::mpsc::Receiver;
 
+/// Maximum number of records in one commit.
+const MAX_BATCH: usize = 4_096;
+
 /// What became of records.
-#[derive(Debug, Clone, PartialEq, Eq)]
+#[derive(Debug)]
 pub enum CommitOutcome {
-    /// So many in all are on the disk.
+    /// So many records in all are durable.
     Stored(u64),
-    /// The disk takes no more. What was there has been set aside, or (`quarantined` is false) could not be.
+    /// The store takes no more.
     Failed {
-        /// Why, in one line.
+        /// Why.
         error: StoreError,
-        /// A later life will not read it.
+        /// What was there has been quarantined: no later incarnation reads it. `false`: it could not be.
         quarantined: bool,
     },
 }
 
-/// Records wait in line for the thread that commits them; sessions bound what waits for the disk. Dropped, it commits what is
-/// in line first.
+/// Queues records for the thread that commits them; `stackgw-sessions` bounds what it lets wait. Dropping the writer commits
+/// what is queued.
 #[derive(Debug)]
 pub struct RecordWriter(Worker<Record>);
 
-/// Records of one commit at most.
-const BATCH: usize = 4_096;
-
 impl RecordWriter {
-    /// Starts the thread; `done` is called on it.
+    /// Starts the thread. It calls `on_outcome` after each commit, and ends with the first one that fails.
+    ///
+    /// # Errors
+    /// The thread cannot be started.
     pub fn start(
-        disk: impl Disk + 'static,
-        done: impl Fn(CommitOutcome) + Send + 'static,
+        store: impl DurableStore + 'static,
+        on_outcome: impl Fn(CommitOutcome) + Send + 'static,
     ) -> Result<Self, StoreError> {
-        let worker = Worker::start("store", move |line| run(disk, &line, &done));
-        worker
-            .map(RecordWriter)
-            .map_err(|e| Worker::<Record>::failed("store", &e))
+        Worker::start("store", "store", move |queue| {
+            run(store, &queue, &on_outcome)
+        })
+        .map(RecordWriter)
     }
 
-    /// Adds a record to the line. After a failure it goes nowhere: the thread ends only after it has said that the disk failed.
+    /// Queues a record. After a commit that failed it is dropped.
     pub fn put(&self, record: Record) {
         self.0.put(record);
     }
 }
 
-fn run(mut disk: impl Disk, line: &Receiver<Record>, done: &impl Fn(CommitOutcome)) {
+fn run(
+    mut store: impl DurableStore,
+    queue: &Receiver<Record>,
+    on_outcome: &impl Fn(CommitOutcome),
+) {
     let mut stored = 0;
-    while let Ok(first) = line.recv() {
+    while let Ok(first) = queue.recv() {
         let mut batch = vec![first];
-        batch.extend(line.try_iter().take(BATCH - 1));
-        if let Err(why) = disk.commit(&batch) {
-            let void = disk.set_aside();
-            return done(CommitOutcome::Failed {
-                error: why,
-                quarantined: void,
-            });
+        batch.extend(queue.try_iter().take(MAX_BATCH - 1));
+        if let Err(error) = store.commit(&batch) {
+            let quarantined = store.quarantine().is_ok();
+            return on_outcome(CommitOutcome::Failed { error, quarantined });
         }
         stored += batch.len() as u64;
-        done(CommitOutcome::Stored(stored));
+        on_outcome(CommitOutcome::Stored(stored));
     }
 }
--- a/crates/stackgw-store/src/store_file.rs
+++ b/crates/stackgw-store/src/store_file.rs
@@ -1,26 +1,20 @@
-//! The file, by `redb`: one writer, checksums on all pages, commits that are whole or not there.
-
-use crate::{Disk, StoreError};
-use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use stackgw_sessions::{NodeId, Peer, Record, Recovered, SessionKey, StoreVersion};
+//! The store's file, a `redb` database: one writer, checksums on all pages, atomic commits.
+
+use crate::error::{RejectReason, StoreError};
+use crate::quarantine::{move_aside, unix_ms, Quarantined};
+use crate::recovery::recover;
+use crate::tables::{meta, Tables, FORMAT_VERSION};
+use crate::DurableStore;
+use redb::{Database, DatabaseError, StorageError};
+use stackgw_sessions::{NodeId, Record, Recovered, StoreVersion};
+use std::io::ErrorKind;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
-use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The form of the tables below.
-const VERSION: u64 = 1;
-const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// Key to position and when it was written, in Unix milliseconds.
-const HELD: TableDefinition<u64, (i64, u64)> = TableDefinition::new("held");
-const OWED: TableDefinition<u64, (i64, u64)> = TableDefinition::new("owed");
-/// Keeper to incarnation.
-const WHOLE: TableDefinition<u64, u64> = TableDefinition::new("whole");
-/// Keeper to incarnation, disk and records.
-const SEEN: TableDefinition<u64, (u64, u64, u64)> = TableDefinition::new("seen");
-/// Bytes of the file that the library keeps in memory.
-const CACHE: usize = 4 << 20;
-/// Marks are dropped from the file so many horizons after they were written, as a clock may have been set meanwhile.
-const KEPT_HORIZONS: u64 = 3;
+/// Bytes of the file that the database keeps in memory.
+const CACHE_BYTES: usize = 4 << 20;
+/// Positions are removed this many retentions after they were written. More than one, as the wall clock may be set.
+const RETENTIONS_ON_DISK: u64 = 3;
 
 /// Whose file it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,21 +23,21 @@
     pub cluster: String,
     /// The instance.
     pub node: NodeId,
-    /// The horizon, in milliseconds.
+    /// How long positions matter, in milliseconds.
     pub retention_ms: u64,
 }
 
-/// A file ready for this life of its instance.
+/// A file that is ready for a new incarnation of its instance.
 #[derive(Debug)]
 pub struct OpenedStore {
     /// Where records go.
     pub store: StoreFile,
-    /// This life's incarnation, which is on the disk.
+    /// The new incarnation, which is durable already.
     pub incarnation: u64,
-    /// What earlier lives left.
+    /// What earlier incarnations left.
     pub recovered: Recovered,
-    /// What was there could not be believed: why, and where it is now.
-    pub quarantined: Option<String>,
+    /// A file that was there before and is not trusted, if there was one.
+    pub quarantined: Option<Quarantined>,
 }
 
 /// An open file.
@@ -52,131 +46,120 @@
     path: PathBuf,
     database: Database,
     retention_ms: u64,
-    pruned_ms: u64,
+    pruned_at_ms: u64,
 }
 
-pub(crate) fn unix_ms() -> u64 {
-    let now = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default();
-    u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
+/// What keeps a file from being opened.
+enum OpenFailure {
+    /// It is not trusted, and is to be quarantined.
+    Rejected(RejectReason),
+    /// Nothing can be done about it here: another process has it open, or the folder takes no files.
+    Failed(StoreError),
 }
 
-/// What keeps a file from being used.
-enum Unusable {
-    /// It is not to be believed, and is to be set aside.
-    Refused(String),
-    /// Nothing can be done about it here: another process has it, or the folder takes no files.
-    Failed(StoreError),
+impl From<RejectReason> for OpenFailure {
+    fn from(reason: RejectReason) -> Self {
+        OpenFailure::Rejected(reason)
+    }
 }
 
-fn refused(e: impl std::fmt::Display) -> Unusable {
-    Unusable::Refused(e.to_string())
+impl OpenFailure {
+    fn into_error(self, path: &Path) -> StoreError {
+        match self {
+            OpenFailure::Rejected(reason) => StoreError::Rejected {
+                path: path.to_owned(),
+                reason,
+            },
+            OpenFailure::Failed(error) => error,
+        }
+    }
 }
 
 impl StoreFile {
-    /// Opens an instance's file, or begins one, and starts a new life in it. An error leaves the file where it was.
+    /// Opens an instance's file, or creates one, and begins a new incarnation in it. A file that is not trusted is
+    /// quarantined and replaced by a new one.
+    ///
+    /// # Errors
+    /// The file is in use, or cannot be read, created or moved. It is where it was.
     pub fn open(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, StoreError> {
-        let named = |StoreError(why)| StoreError(format!("store: {}: {why}", path.display()));
-        match Self::start(path, owner) {
+        match Self::open_or_create(path, owner) {
             Ok(opened) => Ok(opened),
-            Err(Unusable::Failed(failed)) => Err(named(failed)),
-            Err(Unusable::Refused(why)) => {
-                let aside = free_name(path);
-                std::fs::rename(path, &aside)
-                    .map_err(|e| named(StoreError(format!("{why}; {e}"))))?;
-                let said = format!(
-                    "store: {}: {why}; set aside as {}",
-                    path.display(),
-                    aside.display()
-                );
-                match Self::start(path, owner) {
-                    Ok(opened) => Ok(OpenedStore {
-                        quarantined: Some(said),
-                        ..opened
-                    }),
-                    Err(Unusable::Refused(why)) => Err(named(StoreError(why))),
-                    Err(Unusable::Failed(failed)) => Err(named(failed)),
-                }
+            Err(OpenFailure::Failed(error)) => Err(error),
+            Err(OpenFailure::Rejected(reason)) => {
+                let quarantined = Quarantined::new(path, reason)?;
+                let opened = Self::open_or_create(path, owner);
+                let opened = opened.map_err(|failure| failure.into_error(path))?;
+                Ok(OpenedStore {
+                    quarantined: Some(quarantined),
+                    ..opened
+                })
             }
         }
     }
 
-    fn start(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, Unusable> {
-        let there = path.exists();
-        // Danger: the library asserts what a damaged file may break; that must not end the gateway.
-        let opened = catch_unwind(AssertUnwindSafe(|| Self::read(path, owner, there)));
-        opened.unwrap_or_else(|_| Err(refused("the file is damaged beyond reading")))
+    fn open_or_create(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, OpenFailure> {
+        let exists = path.exists();
+        // Danger: the database asserts what a damaged file may violate; such a panic must not end the gateway.
+        let opened = catch_unwind(AssertUnwindSafe(|| {
+            if exists {
+                Self::open_existing(path, owner)
+            } else {
+                Self::create(path, owner)
+            }
+        }));
+        opened.unwrap_or_else(|_| Err(RejectReason::Damaged.into()))
     }
 
-    fn read(path: &Path, owner: &StoreOwner, there: bool) -> Result<OpenedStore, Unusable> {
-        let mut builder = Database::builder();
-        builder.set_cache_size(CACHE);
-        let database = if there {
-            builder.open(path)
-        } else {
-            builder.create(path)
-        };
-        let mut database = database.map_err(|e| match e {
-            redb::DatabaseError::DatabaseAlreadyOpen => {
-                Unusable::Failed(StoreError("another process has it open".to_owned()))
-            }
-            redb::DatabaseError::Storage(redb::StorageError::Io(io))
-                if !matches!(
-                    io.kind(),
-                    std::io::ErrorKind::InvalidData | std::io::ErrorKind::UnexpectedEof
-                ) =>
-            {
-                Unusable::Failed(StoreError(io.to_string()))
-            }
-            other => refused(other),
-        })?;
-        if there {
-            // Where it repairs itself it goes back to its last whole commit; what was not whole had not been answered for.
-            database.check_integrity().map_err(refused)?;
-        }
-        let mut recovered = Recovered::default();
-        let mut last = 0;
-        if there {
-            last = recover(&database, owner, &mut recovered)?;
-        }
-        let incarnation = unix_ms().max(last + 1);
-        if !there {
-            recovered.unbroken_since = incarnation;
-            recovered.store_version = StoreVersion {
+    fn open_existing(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, OpenFailure> {
+        let database = builder().open(path);
+        let mut database = database.map_err(|error| classify(path, error))?;
+        // A repair goes back to the last commit that was completed; an incomplete one had not been reported as durable.
+        database
+            .check_integrity()
+            .map_err(RejectReason::unreadable)?;
+        let recovered = recover(&database, owner)?;
+        let incarnation = unix_ms().max(recovered.store_version.last_incarnation + 1);
+        Self::begin_incarnation(path, owner, database, incarnation, recovered)
+    }
+
+    fn create(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, OpenFailure> {
+        let database = builder().create(path);
+        let database = database.map_err(|error| classify(path, error))?;
+        let incarnation = unix_ms().max(1);
+        let recovered = Recovered {
+            unbroken_since: incarnation,
+            store_version: StoreVersion {
                 store_id: incarnation,
                 records: 0,
                 last_incarnation: 0,
-            };
-        }
-        let begin = || -> Result<(), redb::Error> {
-            let write = database.begin_write()?;
-            {
-                let mut meta = write.open_table(META)?;
-                meta.insert("version", VERSION)?;
-                meta.insert("cluster", NodeId::of(&owner.cluster).0)?;
-                meta.insert("node", owner.node.0)?;
-                meta.insert("incarnation", incarnation)?;
-                meta.insert("unbroken_since", recovered.unbroken_since)?;
-                meta.insert("disk", recovered.store_version.store_id)?;
-                meta.insert("records", recovered.store_version.records)?;
-                write.open_table(HELD)?;
-                write.open_table(OWED)?;
-                write.open_table(WHOLE)?;
-                write.open_table(SEEN)?;
-            }
-            write.commit()?;
-            Ok(())
+            },
+            ..Recovered::default()
         };
-        begin().map_err(|e| Unusable::Failed(StoreError(e.to_string())))?;
-        let file = StoreFile {
-            path: path.to_owned(),
+        Self::begin_incarnation(path, owner, database, incarnation, recovered)
+    }
+
+    fn begin_incarnation(
+        path: &Path,
+        owner: &StoreOwner,
+        database: Database,
+        incarnation: u64,
+        recovered: Recovered,
+    ) -> Result<OpenedStore, OpenFailure> {
+        let path = path.to_owned();
+        if let Err(source) = write_header(&database, owner, incarnation, &recovered) {
+            return Err(OpenFailure::Failed(StoreError::Database {
+                path,
+                source: Box::new(source),
+            }));
+        }
+        let store = StoreFile {
+            path,
             database,
             retention_ms: owner.retention_ms,
-            pruned_ms: 0,
+            pruned_at_ms: 0,
         };
         Ok(OpenedStore {
-            store: file,
+            store,
             incarnation,
             recovered,
             quarantined: None,
@@ -184,173 +167,89 @@
     }
 
     fn write(&mut self, records: &[Record]) -> Result<(), redb::Error> {
-        let now = unix_ms();
-        let write = self.database.begin_write()?;
+        let now_ms = unix_ms();
+        let transaction = self.database.begin_write()?;
         {
-            let mut meta = write.open_table(META)?;
-            let mut held = write.open_table(HELD)?;
-            let mut owed = write.open_table(OWED)?;
-            let mut whole = write.open_table(WHOLE)?;
-            let mut seen = write.open_table(SEEN)?;
-            let mut count = meta.get("records")?.map_or(0, |n| n.value());
-            for record in records {
-                count += 1;
-                match record {
-                    Record::ReplicaSet(digest) => {
-                        let same = meta
-                            .get("roster")?
-                            .is_some_and(|known| known.value() == *digest);
-                        if !same {
-                            meta.insert("roster", *digest)?;
-                            whole.retain(|_, _| false)?;
-                        }
-                    }
-                    Record::Position(key, position) => {
-                        let known = held.get(key.0)?.map(|mark| mark.value().0);
-                        held.insert(key.0, (known.map_or(*position, |p| p.max(*position)), now))?;
-                    }
-                    Record::Unacknowledged(key, position) => {
-                        let known = owed.get(key.0)?.map(|mark| mark.value().0);
-                        owed.insert(key.0, (known.map_or(*position, |p| p.max(*position)), now))?;
-                    }
-                    Record::CompletePeer(peer) => {
-                        whole.insert(peer.node.0, peer.incarnation)?;
-                    }
-                    Record::PeerStore(peer, stamp) => {
-                        seen.insert(
-                            peer.node.0,
-                            (peer.incarnation, stamp.store_id, stamp.records),
-                        )?;
-                    }
-                    Record::Invalidated(stamp, unbroken_since) => {
-                        meta.insert("disk", stamp.store_id)?;
-                        meta.insert("unbroken_since", *unbroken_since)?;
-                        whole.retain(|_, _| false)?;
-                        count = stamp.records;
-                    }
-                }
-            }
-            meta.insert("records", count)?;
-            if now.saturating_sub(self.pruned_ms) > self.retention_ms {
-                self.pruned_ms = now;
-                let kept = self.retention_ms.saturating_mul(KEPT_HORIZONS);
-                let young = |_: u64, (_, at): (i64, u64)| at.saturating_add(kept) >= now;
-                held.retain(young)?;
-                owed.retain(young)?;
+            let mut tables = Tables::open(&transaction)?;
+            tables.apply_all(records, now_ms)?;
+            if now_ms.saturating_sub(self.pruned_at_ms) > self.retention_ms {
+                self.pruned_at_ms = now_ms;
+                let retention_ms = self.retention_ms.saturating_mul(RETENTIONS_ON_DISK);
+                tables.prune(|written_ms| written_ms.saturating_add(retention_ms) >= now_ms)?;
             }
         }
-        write.commit()?;
+        transaction.commit()?;
         Ok(())
     }
 }
 
-/// Reads what earlier lives left; gives the last one's incarnation.
-fn recover(
-    database: &Database,
-    owner: &StoreOwner,
-    recovered: &mut Recovered,
-) -> Result<u64, Unusable> {
-    let read = database.begin_read().map_err(refused)?;
-    let meta = read.open_table(META).map_err(refused)?;
-    let number = |name: &str| -> Result<Option<u64>, Unusable> {
-        Ok(meta.get(name).map_err(refused)?.map(|value| value.value()))
-    };
-    let must = |name: &str| number(name)?.ok_or_else(|| refused(format!("it has no {name}")));
-    let version = must("version")?;
-    if version != VERSION {
-        return Err(refused(format!(
-            "it is of version {version}, this is version {VERSION}"
-        )));
-    }
-    if must("cluster")? != NodeId::of(&owner.cluster).0 {
-        return Err(refused(format!(
-            "it is not of the cluster {}",
-            owner.cluster
-        )));
-    }
-    if must("node")? != owner.node.0 {
-        return Err(refused("it is another instance's"));
+impl DurableStore for StoreFile {
+    fn commit(&mut self, records: &[Record]) -> Result<(), StoreError> {
+        let written = catch_unwind(AssertUnwindSafe(|| self.write(records)));
+        let written = written
+            .unwrap_or_else(|_| Err(redb::Error::Corrupted("the library gave up".to_owned())));
+        written.map_err(|source| StoreError::Database {
+            path: self.path.clone(),
+            source: Box::new(source),
+        })
     }
-    recovered.unbroken_since = must("unbroken_since")?;
-    let last = must("incarnation")?;
-    recovered.store_version = StoreVersion {
-        store_id: must("disk")?,
-        records: must("records")?,
-        last_incarnation: last,
-    };
-    recovered.replica_set = number("roster")?;
-    for (table, marks) in [
-        (HELD, &mut recovered.positions),
-        (OWED, &mut recovered.unacknowledged),
-    ] {
-        let table = read.open_table(table).map_err(refused)?;
-        for entry in table.iter().map_err(refused)? {
-            let (key, mark) = entry.map_err(refused)?;
-            marks.push((SessionKey(key.value()), mark.value().0));
+
+    fn quarantine(&mut self) -> Result<(), StoreError> {
+        match move_aside(&self.path) {
+            Ok(_) => Ok(()),
+            Err(source) => Err(StoreError::Io {
+                path: self.path.clone(),
+                source,
+            }),
         }
     }
-    for entry in read
-        .open_table(WHOLE)
-        .map_err(refused)?
-        .iter()
-        .map_err(refused)?
-    {
-        let (node, incarnation) = entry.map_err(refused)?;
-        recovered.complete_peers.push(Peer {
-            node: NodeId(node.value()),
-            incarnation: incarnation.value(),
-        });
-    }
-    for entry in read
-        .open_table(SEEN)
-        .map_err(refused)?
-        .iter()
-        .map_err(refused)?
-    {
-        let (node, seen) = entry.map_err(refused)?;
-        let (incarnation, disk, records) = seen.value();
-        let peer = Peer {
-            node: NodeId(node.value()),
-            incarnation,
-        };
-        recovered.peer_stores.push((
-            peer,
-            StoreVersion {
-                store_id: disk,
-                records,
-                last_incarnation: 0,
-            },
-        ));
-    }
-    if recovered.unbroken_since > last.saturating_add(1) {
-        return Err(refused("its lives are out of order"));
-    }
-    Ok(last)
 }
 
-impl Disk for StoreFile {
-    fn commit(&mut self, records: &[Record]) -> Result<(), StoreError> {
-        let done = catch_unwind(AssertUnwindSafe(|| self.write(records)));
-        let done =
-            done.unwrap_or_else(|_| Err(redb::Error::Corrupted("the library gave up".to_owned())));
-        done.map_err(|e| StoreError(format!("store: {}: {e}", self.path.display())))
-    }
+fn builder() -> redb::Builder {
+    let mut builder = Database::builder();
+    builder.set_cache_size(CACHE_BYTES);
+    builder
+}
 
-    fn set_aside(&mut self) -> bool {
-        std::fs::rename(&self.path, free_name(&self.path)).is_ok()
+/// Whether a database that cannot be opened is damaged, or out of reach for now.
+fn classify(path: &Path, error: DatabaseError) -> OpenFailure {
+    let path = path.to_owned();
+    match error {
+        DatabaseError::DatabaseAlreadyOpen => OpenFailure::Failed(StoreError::InUse { path }),
+        DatabaseError::Storage(StorageError::Io(source)) if !is_damage(source.kind()) => {
+            OpenFailure::Failed(StoreError::Io { path, source })
+        }
+        other => OpenFailure::Rejected(RejectReason::unreadable(other)),
     }
 }
 
-/// A name beside a file that nothing has yet.
-pub(crate) fn free_name(path: &Path) -> PathBuf {
-    let name = |n: u64| {
-        let mut name = path.as_os_str().to_owned();
-        name.push(format!(".refused-{n}"));
-        PathBuf::from(name)
-    };
-    let first = unix_ms();
-    (first..)
-        .map(name)
-        .find(|name| !name.exists())
-        .unwrap_or_else(|| name(first))
+fn is_damage(kind: ErrorKind) -> bool {
+    matches!(kind, ErrorKind::InvalidData | ErrorKind::UnexpectedEof)
+}
+
+/// Makes the new incarnation durable, with what identifies the file and all tables.
+fn write_header(
+    database: &Database,
+    owner: &StoreOwner,
+    incarnation: u64,
+    recovered: &Recovered,
+) -> Result<(), redb::Error> {
+    let transaction = database.begin_write()?;
+    {
+        let mut tables = Tables::open(&transaction)?;
+        let values = [
+            (meta::VERSION, FORMAT_VERSION),
+            (meta::CLUSTER, NodeId::of(&owner.cluster).0),
+            (meta::NODE, owner.node.0),
+            (meta::INCARNATION, incarnation),
+            (meta::UNBROKEN_SINCE, recovered.unbroken_since),
+            (meta::STORE_ID, recovered.store_version.store_id),
+            (meta::RECORDS, recovered.store_version.records),
+        ];
+        for (name, value) in values {
+            tables.meta.insert(name, value)?;
+        }
+    }
+    transaction.commit()?;
+    Ok(())
 }
--- a/crates/stackgw-store/src/worker.rs
+++ b/crates/stackgw-store/src/worker.rs
@@ -1,51 +1,47 @@
-//! A thread with a line before it.
+//! A thread with a queue of work.
 
-use crate::StoreError;
+use crate::error::StoreError;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread::JoinHandle;
 
-/// What is put in line is for the thread; the line is as long as its sender lets it grow.
+/// A thread and the queue before it. The queue is unbounded: its senders bound what they put in. Dropping the worker waits
+/// until the queue is worked off.
 #[derive(Debug)]
 pub(crate) struct Worker<T> {
-    line: Option<Sender<T>>,
+    queue: Option<Sender<T>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl<T: Send + 'static> Worker<T> {
-    /// Starts a thread of this name that takes from the line until that is over.
+    /// Starts a thread of this name, which takes from the queue until that is closed. `field` is the operator's field that
+    /// asked for it.
     pub(crate) fn start(
         name: &str,
+        field: &'static str,
         run: impl FnOnce(Receiver<T>) + Send + 'static,
-    ) -> std::io::Result<Self> {
-        let (line, taken) = channel();
+    ) -> Result<Self, StoreError> {
+        let (queue, work) = channel();
         let thread = std::thread::Builder::new()
             .name(name.to_owned())
-            .spawn(move || run(taken))?;
+            .spawn(move || run(work));
+        let thread = thread.map_err(|source| StoreError::Thread { field, source })?;
         Ok(Worker {
-            line: Some(line),
+            queue: Some(queue),
             thread: Some(thread),
         })
     }
 
-    /// Adds to the line. Where the thread has ended it goes nowhere.
-    pub(crate) fn put(&self, what: T) {
-        if let Some(line) = &self.line {
-            let _ = line.send(what);
+    /// Adds to the queue. Where the thread has ended, the work is dropped.
+    pub(crate) fn put(&self, work: T) {
+        if let Some(queue) = &self.queue {
+            let _ = queue.send(work);
         }
     }
 }
 
-impl<T> Worker<T> {
-    /// What no thread was to be had for.
-    pub(crate) fn failed(field: &str, e: &std::io::Error) -> StoreError {
-        StoreError(format!("{field}: no thread: {e}"))
-    }
-}
-
 impl<T> Drop for Worker<T> {
-    /// What is in line is seen to first.
     fn drop(&mut self) {
-        drop(self.line.take());
+        drop(self.queue.take());
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/stackgw-store/tests/fixtures.rs
+++ b/crates/stackgw-store/tests/fixtures.rs
@@ -1,9 +1,12 @@
 //! Stored data stays readable: a store file and a list file as an earlier build wrote them.
 
+mod common;
+
+use common::{owner, peer, Folder};
 use redb::{ReadableDatabase, ReadableTable, TableDefinition, TableHandle, Value};
 use stackgw_bootstrap::{CachedEndpoints, Endpoint, EndpointUpdate};
 use stackgw_router::api::{Lifecycle, MS};
-use stackgw_sessions::{NodeId, Peer, Record, Recovered, SessionKey, StoreVersion};
+use stackgw_sessions::{NodeId, Record, Recovered, SessionKey, StoreVersion};
 use stackgw_store::*;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -11,29 +14,8 @@
 
 const STORE: &[u8] = include_bytes!("fixtures/store.redb");
 const LIST: &str = include_str!("fixtures/members.list");
-/// The life that wrote the fixture, by the clock of its host.
-const FIXTURE_LIFE: u64 = 1_796_189_934_862;
-
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Self {
-        let path =
-            std::env::temp_dir().join(format!("stackgw-store-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
-    }
-
-    fn path(&self, name: &str) -> PathBuf {
-        self.0.join(name)
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
+/// The incarnation that wrote the fixture.
+const FIXTURE_INCARNATION: u64 = 1_796_189_934_862;
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -41,22 +23,7 @@
         .join(name)
 }
 
-fn owner() -> StoreOwner {
-    StoreOwner {
-        cluster: "depots".to_owned(),
-        node: NodeId::of("g0"),
-        retention_ms: 60_000,
-    }
-}
-
-fn peer(node: u64, incarnation: u64) -> Peer {
-    Peer {
-        node: NodeId(node),
-        incarnation,
-    }
-}
-
-/// Records of every kind. What stands before the `Void` shows in the file only where that leaves it.
+/// Records of every kind. What stands before `Invalidated` shows in the file only where that leaves it.
 fn records() -> Vec<Record> {
     vec![
         Record::ReplicaSet(77),
@@ -96,7 +63,7 @@
     ]
 }
 
-/// What the records come to, after a life of this incarnation.
+/// What the records come to, after this incarnation.
 fn recovered(last: u64) -> Recovered {
     Recovered {
         unbroken_since: 1_200,
@@ -143,7 +110,7 @@
     std::fs::write(path, STORE).expect("a copy of the fixture");
 }
 
-fn kept() -> CachedEndpoints {
+fn cached() -> CachedEndpoints {
     let entry = |id: &str, phase, up_since_ms, leader| Endpoint {
         id: id.to_owned(),
         address: ([127, 0, 0, 1], 5_433).into(),
@@ -173,30 +140,30 @@
 fn write_list(path: &Path) {
     let writer = EndpointListWriter::start(path, "nottingham-1", |failed| panic!("{failed}"))
         .expect("a thread");
-    writer.put(kept());
+    writer.put(cached());
 }
 
-/// Writes the store and the list. `cargo test -p stackgw-store --test fixtures -- --ignored --nocapture`; the life that it
-/// prints is `FIXTURE_LIFE`.
+/// Writes the store and the list. `cargo test -p stackgw-store --test fixtures -- --ignored --nocapture`; the incarnation
+/// that it prints is `FIXTURE_INCARNATION`.
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_the_files() {
     let folder = Folder::new("fixtures");
-    println!("FIXTURE_LIFE {}", write_store(&folder.path("g0.redb")));
-    std::fs::copy(folder.path("g0.redb"), fixture("store.redb")).expect("the fixture is written");
-    write_list(&folder.path("members.list"));
-    std::fs::copy(folder.path("members.list"), fixture("members.list"))
+    println!("FIXTURE_INCARNATION {}", write_store(&folder.store()));
+    std::fs::copy(folder.store(), fixture("store.redb")).expect("the fixture is written");
+    write_list(&folder.path().join("members.list"));
+    std::fs::copy(folder.path().join("members.list"), fixture("members.list"))
         .expect("the fixture is written");
 }
 
 #[test]
 fn a_store_of_an_earlier_build_is_opened_with_the_same_records() {
     let folder = Folder::new("earlier");
-    put_back_store(&folder.path("g0.redb"));
-    let opened = StoreFile::open(&folder.path("g0.redb"), &owner()).expect("a good file");
-    assert_eq!(opened.quarantined, None);
-    assert_eq!(opened.recovered, recovered(FIXTURE_LIFE));
-    assert!(opened.incarnation > FIXTURE_LIFE);
+    put_back_store(&folder.store());
+    let opened = StoreFile::open(&folder.store(), &owner()).expect("a good file");
+    assert!(opened.quarantined.is_none());
+    assert_eq!(opened.recovered, recovered(FIXTURE_INCARNATION));
+    assert!(opened.incarnation > FIXTURE_INCARNATION);
 }
 
 type Rows = BTreeMap<String, Vec<String>>;
@@ -263,11 +230,11 @@
 #[test]
 fn the_same_records_give_the_same_tables() {
     let folder = Folder::new("tables");
-    put_back_store(&folder.path("earlier.redb"));
-    write_store(&folder.path("today.redb"));
+    put_back_store(&folder.path().join("earlier.redb"));
+    write_store(&folder.path().join("today.redb"));
     let (earlier, today) = (
-        tables(&folder.path("earlier.redb")),
-        tables(&folder.path("today.redb")),
+        tables(&folder.path().join("earlier.redb")),
+        tables(&folder.path().join("today.redb")),
     );
     assert_eq!(earlier, today);
     assert_eq!(earlier["meta"].len(), 8);
@@ -277,11 +244,11 @@
 #[test]
 fn a_list_file_of_an_earlier_build_is_read_as_the_same_list() {
     let folder = Folder::new("list-earlier");
-    let path = folder.path("members.list");
+    let path = folder.path().join("members.list");
     std::fs::write(&path, LIST).expect("a copy of the fixture");
     assert_eq!(
         read_endpoint_list(&path, "nottingham-1").expect("no fault"),
-        Some(kept())
+        Some(cached())
     );
     assert_eq!(
         read_endpoint_list(&path, "nottingham-2").expect("no fault"),
@@ -297,7 +264,7 @@
 #[test]
 fn the_same_list_gives_the_same_bytes() {
     let folder = Folder::new("list-today");
-    let path = folder.path("members.list");
+    let path = folder.path().join("members.list");
     write_list(&path);
     assert_eq!(std::fs::read_to_string(&path).expect("a file"), LIST);
 }
@@ -305,7 +272,7 @@
 #[test]
 fn a_damaged_list_file_is_set_aside_with_the_same_words() {
     let folder = Folder::new("list-damaged");
-    let path = folder.path("members.list");
+    let path = folder.path().join("members.list");
     std::fs::write(&path, LIST.replace("hall", "wall")).expect("a copy of the fixture");
     let error = read_endpoint_list(&path, "nottingham-1")
         .expect_err("its sum differs")
@@ -339,7 +306,7 @@
 #[test]
 fn a_store_that_cannot_be_used_is_refused_with_the_same_words() {
     let folder = Folder::new("words");
-    let path = folder.path("g0.redb");
+    let path = folder.store();
     put_back_store(&path);
     let others = [
         (
@@ -382,10 +349,10 @@
         error,
         format!("store: {}: another process has it open", path.display())
     );
-    let error = StoreFile::open(&folder.path("none/g0.redb"), &owner())
+    let error = StoreFile::open(&folder.path().join("none/g0.redb"), &owner())
         .expect_err("no folder")
         .to_string();
-    let place = folder.path("none/g0.redb");
+    let place = folder.path().join("none/g0.redb");
     assert_eq!(
         error,
         format!(
--- a/crates/stackgw-store/tests/store.rs
+++ b/crates/stackgw-store/tests/store.rs
@@ -1,74 +1,47 @@
-//! What lasts, what is refused, and what a torn write leaves.
+//! What is recovered, what is rejected, and what a torn write leaves.
 
-use stackgw_sessions::{NodeId, Peer, Record, SessionKey, StoreVersion};
+mod common;
+
+use common::{owner, peer, Folder};
+use stackgw_sessions::{NodeId, Record, SessionKey, StoreVersion};
 use stackgw_store::*;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::channel;
 
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Self {
-        let path =
-            std::env::temp_dir().join(format!("stackgw-store-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
-    }
-
-    fn file(&self) -> PathBuf {
-        self.0.join("g0.redb")
-    }
-
-    fn set_aside(&self) -> usize {
-        let entries = std::fs::read_dir(&self.0).expect("a folder").flatten();
-        entries
-            .filter(|e| e.file_name().to_string_lossy().contains("refused"))
-            .count()
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
-    }
-}
-
-fn owner() -> StoreOwner {
-    StoreOwner {
-        cluster: "depots".to_owned(),
-        node: NodeId::of("g0"),
-        retention_ms: 60_000,
-    }
+fn quarantined_files(folder: &Folder) -> usize {
+    let entries = std::fs::read_dir(folder.path())
+        .expect("a folder")
+        .flatten();
+    entries
+        .filter(|e| e.file_name().to_string_lossy().contains("refused"))
+        .count()
 }
 
 fn open(path: &Path) -> OpenedStore {
     StoreFile::open(path, &owner()).expect("a store")
 }
 
-fn mark(n: u64) -> Record {
+fn position(n: u64) -> Record {
     Record::Position(SessionKey(n), n as i64 * 1_000)
 }
 
 #[test]
-fn what_is_committed_is_there_in_the_next_life() {
+fn committed_records_are_recovered_by_the_next_incarnation() {
     let folder = Folder::new("lasts");
-    let mut first = open(&folder.file());
-    let peer = Peer {
-        node: NodeId(7),
-        incarnation: 3,
-    };
-    let stamp = StoreVersion {
+    let mut first = open(&folder.store());
+    let peer = peer(7, 3);
+    let version = StoreVersion {
         store_id: 9,
         records: 4,
         last_incarnation: 0,
     };
     let records = [
         Record::ReplicaSet(5),
-        mark(1),
-        mark(2),
+        position(1),
+        position(2),
         Record::Unacknowledged(SessionKey(3), 30),
         Record::CompletePeer(peer),
-        Record::PeerStore(peer, stamp),
+        Record::PeerStore(peer, version),
     ];
     first.store.commit(&records).expect("room");
     first
@@ -77,7 +50,7 @@
         .expect("room");
     assert_eq!(first.recovered.unbroken_since, first.incarnation);
     drop(first.store);
-    let second = open(&folder.file());
+    let second = open(&folder.store());
     assert!(second.incarnation > first.incarnation);
     let found = second.recovered;
     assert_eq!(found.unbroken_since, first.incarnation);
@@ -92,17 +65,17 @@
             found.complete_peers,
             found.peer_stores
         ),
-        (vec![(SessionKey(3), 30)], vec![peer], vec![(peer, stamp)])
+        (vec![(SessionKey(3), 30)], vec![peer], vec![(peer, version)])
     );
     assert_eq!(
         (found.replica_set, found.store_version.records),
         (Some(5), 7)
     );
-    assert_eq!(second.quarantined, None);
+    assert!(second.quarantined.is_none());
 }
 
 #[test]
-fn another_roster_or_a_void_disk_takes_back_what_was_whole() {
+fn another_replica_set_or_an_invalidated_store_forgets_complete_peers() {
     for record in [
         Record::ReplicaSet(6),
         Record::Invalidated(
@@ -114,63 +87,58 @@
             2,
         ),
     ] {
-        let folder =
-            Folder::new(&format!("whole-{record:?}").replace(|c: char| !c.is_alphanumeric(), ""));
-        let mut first = open(&folder.file());
-        let whole = Record::CompletePeer(Peer {
-            node: NodeId(7),
-            incarnation: 3,
-        });
+        let folder = Folder::new(
+            &format!("complete-{record:?}").replace(|c: char| !c.is_alphanumeric(), ""),
+        );
+        let mut first = open(&folder.store());
+        let complete = Record::CompletePeer(peer(7, 3));
         first
             .store
-            .commit(&[Record::ReplicaSet(5), whole])
+            .commit(&[Record::ReplicaSet(5), complete])
             .expect("room");
         first
             .store
             .commit(std::slice::from_ref(&record))
             .expect("room");
         drop(first);
-        let found = open(&folder.file()).recovered;
+        let found = open(&folder.store()).recovered;
         assert!(found.complete_peers.is_empty());
-        if let Record::Invalidated(stamp, since) = record {
+        if let Record::Invalidated(version, since) = record {
             assert_eq!(
                 (
                     found.store_version.store_id,
                     found.store_version.records,
                     found.unbroken_since
                 ),
-                (stamp.store_id, 0, since)
+                (version.store_id, 0, since)
             );
         }
     }
 }
 
 #[test]
-fn the_file_recovers_what_the_records_come_to() {
+fn the_file_recovers_the_same_state_as_applying_the_records() {
     let folder = Folder::new("same");
-    let mut first = open(&folder.file());
+    let mut first = open(&folder.store());
     let mut wanted = first.recovered.clone();
     wanted.store_version.last_incarnation = first.incarnation;
-    let peer = |incarnation| Peer {
-        node: NodeId(7),
-        incarnation,
-    };
-    let stamp = |records| StoreVersion {
+    let peer = |incarnation| peer(7, incarnation);
+    let version = |records| StoreVersion {
         store_id: 9,
         records,
         last_incarnation: 0,
     };
     let records = [
         Record::ReplicaSet(5),
-        mark(1),
+        position(1),
         Record::CompletePeer(peer(3)),
         Record::ReplicaSet(5),
         Record::Unacknowledged(SessionKey(4), 9),
-        Record::PeerStore(peer(3), stamp(4)),
-        Record::Invalidated(stamp(0), first.incarnation),
-        mark(2),
+        Record::PeerStore(peer(3), version(4)),
+        Record::Invalidated(version(0), first.incarnation),
+        position(2),
         Record::CompletePeer(peer(4)),
-        Record::PeerStore(peer(4), stamp(8)),
+        Record::PeerStore(peer(4), version(8)),
     ];
     for record in records {
         first
@@ -180,16 +148,16 @@
         wanted.apply(record);
     }
     drop(first.store);
-    assert_eq!(open(&folder.file()).recovered, wanted);
+    assert_eq!(open(&folder.store()).recovered, wanted);
 }
 
 #[test]
-fn a_file_that_is_not_its_own_is_set_aside_and_kept() {
+fn a_file_of_another_owner_is_quarantined_and_not_overwritten() {
     let folder = Folder::new("foreign");
-    let mut first = open(&folder.file());
-    first.store.commit(&[mark(1)]).expect("room");
+    let mut first = open(&folder.store());
+    first.store.commit(&[position(1)]).expect("room");
     drop(first);
-    let bytes = std::fs::read(folder.file()).expect("a file");
+    let bytes = std::fs::read(folder.store()).expect("a file");
     let foreign = [
         StoreOwner {
             cluster: "other".to_owned(),
@@ -201,45 +169,45 @@
         },
     ];
     for (n, other) in foreign.iter().enumerate() {
-        std::fs::write(folder.file(), &bytes).expect("a file");
-        let opened = StoreFile::open(&folder.file(), other).expect("a new store");
-        let said = opened.quarantined.expect("it says so");
+        std::fs::write(folder.store(), &bytes).expect("a file");
+        let opened = StoreFile::open(&folder.store(), other).expect("a new store");
+        let said = opened.quarantined.expect("it says so").to_string();
         assert!(!said.contains('\n') && said.contains("g0.redb"), "{said}");
         assert_eq!(
-            (opened.recovered.positions.len(), folder.set_aside()),
+            (opened.recovered.positions.len(), quarantined_files(&folder)),
             (0, n + 1)
         );
     }
-    std::fs::write(folder.file(), b"no store at all").expect("a file");
-    assert!(open(&folder.file()).quarantined.is_some());
-    assert_eq!(folder.set_aside(), 3);
+    std::fs::write(folder.store(), b"no store at all").expect("a file");
+    assert!(open(&folder.store()).quarantined.is_some());
+    assert_eq!(quarantined_files(&folder), 3);
 }
 
 #[test]
-fn two_processes_cannot_have_one_store() {
+fn a_store_that_is_open_cannot_be_opened_again() {
     let folder = Folder::new("twice");
-    let _first = open(&folder.file());
-    let second = StoreFile::open(&folder.file(), &owner()).expect_err("it is in use");
+    let _first = open(&folder.store());
+    let second = StoreFile::open(&folder.store(), &owner()).expect_err("it is in use");
     assert!(second.to_string().contains("another process"), "{second}");
-    assert_eq!(folder.set_aside(), 0);
+    assert_eq!(quarantined_files(&folder), 0);
 }
 
-/// A commit that was under way when the power went: any part of its bytes may be there. OpenedStore, the file holds what it held
-/// before that commit or what it held after, or it is set aside; and nothing else.
+/// A commit that was under way when the power failed: any part of its bytes may be there. When it is opened, the file has the
+/// records from before that commit or those from after it, or it is quarantined; and nothing else.
 #[test]
-fn a_commit_torn_at_any_byte_is_there_or_not_or_refused() {
+fn a_commit_torn_at_any_byte_is_complete_or_absent_or_quarantined() {
     let folder = Folder::new("torn");
-    let mut opened = open(&folder.file());
+    let mut opened = open(&folder.store());
     opened
         .store
-        .commit(&(0..50).map(mark).collect::<Vec<_>>())
+        .commit(&(0..50).map(position).collect::<Vec<_>>())
         .expect("room");
-    let before = std::fs::read(folder.file()).expect("a file");
+    let before = std::fs::read(folder.store()).expect("a file");
     opened
         .store
-        .commit(&(50..60).map(mark).collect::<Vec<_>>())
+        .commit(&(50..60).map(position).collect::<Vec<_>>())
         .expect("room");
-    let after = std::fs::read(folder.file()).expect("a file");
+    let after = std::fs::read(folder.store()).expect("a file");
     drop(opened);
     assert_eq!(before.len(), after.len(), "the file did not grow");
     let differ: Vec<_> = (0..after.len())
@@ -257,17 +225,17 @@
             let mut torn = before.clone();
             let written = if forwards { 0..*cut } else { *cut..after.len() };
             torn[written.clone()].copy_from_slice(&after[written]);
-            std::fs::write(folder.file(), &torn).expect("a file");
-            let found = open(&folder.file());
+            std::fs::write(folder.store(), &torn).expect("a file");
+            let found = open(&folder.store());
             match (found.quarantined, found.recovered.positions.len()) {
                 (None, 50) => old += 1,
                 (None, 60) => new += 1,
                 (Some(_), 0) => refused += 1,
-                (said, held) => panic!("torn at {cut}: {held} marks, {said:?}"),
+                (quarantined, count) => panic!("torn at {cut}: {count} positions, {quarantined:?}"),
             }
-            if folder.set_aside() > 0 {
-                std::fs::remove_dir_all(&folder.0).expect("a folder");
-                std::fs::create_dir_all(&folder.0).expect("a folder");
+            if quarantined_files(&folder) > 0 {
+                std::fs::remove_dir_all(folder.path()).expect("a folder");
+                std::fs::create_dir_all(folder.path()).expect("a folder");
             }
         }
     }
@@ -279,15 +247,15 @@
 }
 
 #[test]
-fn a_file_damaged_anywhere_never_tells_other_marks() {
+fn a_file_damaged_anywhere_never_yields_other_positions() {
     let folder = Folder::new("damaged");
-    let mut opened = open(&folder.file());
+    let mut opened = open(&folder.store());
     opened
         .store
-        .commit(&(0..50).map(mark).collect::<Vec<_>>())
+        .commit(&(0..50).map(position).collect::<Vec<_>>())
         .expect("room");
     drop(opened);
-    let whole = std::fs::read(folder.file()).expect("a file");
+    let whole = std::fs::read(folder.store()).expect("a file");
     let mut state = 1u64;
     for _ in 0..150 {
         state = state
@@ -301,8 +269,8 @@
         } else {
             whole.len()
         });
-        std::fs::write(folder.file(), &bytes).expect("a file");
-        let found = open(&folder.file());
+        std::fs::write(folder.store(), &bytes).expect("a file");
+        let found = open(&folder.store());
         let wrong = found
             .recovered
             .positions
@@ -311,70 +279,78 @@
         let part = found.quarantined.is_none() && found.recovered.positions.len() != 50;
         assert!(
             !wrong && !part,
-            "byte {at}: {} marks",
+            "byte {at}: {} positions",
             found.recovered.positions.len()
         );
     }
 }
 
-/// A disk that takes so many commits.
-struct Short {
-    left: usize,
+/// A store that has room for so many commits.
+struct FullStore {
+    commits_left: usize,
     movable: bool,
 }
 
-impl Disk for Short {
+impl FullStore {
+    fn error(text: &str) -> StoreError {
+        let source = std::io::Error::other(text.to_owned());
+        let path = PathBuf::from("g0.redb");
+        StoreError::Io { path, source }
+    }
+}
+
+impl DurableStore for FullStore {
     fn commit(&mut self, _: &[Record]) -> Result<(), StoreError> {
-        self.left = self
-            .left
-            .checked_sub(1)
-            .ok_or(StoreError("no space left".to_owned()))?;
+        let left = self.commits_left.checked_sub(1);
+        self.commits_left = left.ok_or_else(|| Self::error("no space left"))?;
         Ok(())
     }
 
-    fn set_aside(&mut self) -> bool {
-        self.movable
+    fn quarantine(&mut self) -> Result<(), StoreError> {
+        let moved = self.movable.then_some(());
+        moved.ok_or_else(|| Self::error("it cannot be moved"))
     }
 }
 
 #[test]
-fn a_full_disk_is_said_once_and_nothing_counts_as_stored_after() {
+fn a_full_disk_is_reported_once_and_nothing_counts_as_stored_after() {
     for movable in [true, false] {
-        let (told, done) = channel();
-        let writer = RecordWriter::start(Short { left: 2, movable }, move |d| drop(told.send(d)))
+        let (sender, outcomes) = channel();
+        let store = FullStore {
+            commits_left: 2,
+            movable,
+        };
+        let writer = RecordWriter::start(store, move |outcome| drop(sender.send(outcome)))
             .expect("a thread");
         let mut stored = 0;
-        let failed = loop {
-            writer.put(mark(1));
-            match done.recv().expect("word") {
-                CommitOutcome::Stored(n) => stored = n,
-                failed => break failed,
+        let (error, quarantined) = loop {
+            writer.put(position(1));
+            match outcomes.recv().expect("an outcome") {
+                CommitOutcome::Stored(count) => stored = count,
+                CommitOutcome::Failed { error, quarantined } => break (error, quarantined),
             }
         };
-        assert_eq!(
-            (stored, failed),
-            (
-                2,
-                CommitOutcome::Failed {
-                    error: StoreError("no space left".to_owned()),
-                    quarantined: movable
-                }
-            )
-        );
-        writer.put(mark(2));
+        assert_eq!((stored, quarantined), (2, movable));
+        assert_eq!(error.to_string(), "store: g0.redb: no space left");
+        writer.put(position(2));
         drop(writer);
-        assert!(done.recv().is_err(), "it is over");
+        assert!(outcomes.recv().is_err(), "it is over");
     }
 }
 
 #[test]
-fn the_writer_commits_all_before_it_ends() {
+fn a_dropped_writer_commits_all_that_is_queued() {
     let folder = Folder::new("writer");
-    let (told, done) = channel();
-    let writer = RecordWriter::start(open(&folder.file()).store, move |d| drop(told.send(d)))
-        .expect("a thread");
-    (0..5_000).for_each(|n| writer.put(mark(n)));
+    let (sender, outcomes) = channel();
+    let store = open(&folder.store()).store;
+    let writer =
+        RecordWriter::start(store, move |outcome| drop(sender.send(outcome))).expect("a thread");
+    (0..5_000).for_each(|n| writer.put(position(n)));
     drop(writer);
-    assert_eq!(done.iter().last(), Some(CommitOutcome::Stored(5_000)));
-    assert_eq!(open(&folder.file()).recovered.positions.len(), 5_000);
+    let last = outcomes.iter().last();
+    assert!(
+        matches!(last, Some(CommitOutcome::Stored(5_000))),
+        "{last:?}"
+    );
+    assert_eq!(open(&folder.store()).recovered.positions.len(), 5_000);
 }
