--- a/crates/stackgw-adapter/src/instance.rs
+++ b/crates/stackgw-adapter/src/instance.rs
@@ -264,13 +264,13 @@
         };
         line.index("From")?;
         // Another version's message is no fault of the input.
-        let Some((sent_at, relay, updates)) = self.gossip_codec.decode(now, &body) else {
+        let Some(message) = self.gossip_codec.decode(now, &body) else {
             return Ok(None);
         };
         Ok(Some(Event::Gossip {
-            sent_at,
-            relay,
-            updates,
+            sent_at: message.sent_at,
+            relay: message.relay,
+            updates: message.updates,
         }))
     }
 
--- a/crates/stackgw-gateway/src/reducer/state/gossip.rs
+++ b/crates/stackgw-gateway/src/reducer/state/gossip.rs
@@ -1,18 +1,9 @@
 //! Gossip about members between the gateways of the tier.
 
 use stackgw_router::api::{GossipUpdate, MemberId, Time};
-use stackgw_settings::GossipCodec;
+use stackgw_settings::{GossipCodec, GossipMessage};
 use std::net::SocketAddr;
 
-/// A decoded datagram.
-#[derive(Debug)]
-pub(crate) struct ReceivedGossip {
-    pub(crate) sent_at: Time,
-    /// It is to be passed on.
-    pub(crate) relay: bool,
-    pub(crate) updates: Vec<GossipUpdate>,
-}
-
 /// The other gateways' addresses, and the codec, which knows the members that are in the directory.
 pub(crate) struct Gossip {
     peers: Vec<SocketAddr>,
@@ -78,17 +69,12 @@
         from: SocketAddr,
         bytes: &[u8],
         max_bytes: usize,
-    ) -> Option<ReceivedGossip> {
+    ) -> Option<GossipMessage> {
         let sender = self.peers.iter().position(|peer| *peer == from);
         let is_peer = sender.is_some_and(|index| index != self.local_index);
         if !is_peer || bytes.len() > max_bytes {
             return None;
         }
-        let (sent_at, relay, updates) = self.codec.decode(now, bytes)?;
-        Some(ReceivedGossip {
-            sent_at,
-            relay,
-            updates,
-        })
+        self.codec.decode(now, bytes)
     }
 }
--- a/crates/stackgw-settings/src/gossip.rs
+++ b/crates/stackgw-settings/src/gossip.rs
@@ -1,50 +1,70 @@
-//! The bytes that routers send each other: word of members, packed to keep the price of messages low.
+//! The bytes of gossip between gateways: what one has learned of members, packed to keep messages cheap.
 //!
-//! A message holds a flag byte (1: to be passed on), the sender's clock in milliseconds (four bytes, low end
-//! first), and for each member six bytes: three of its digest, its position's age, role and strain, answers.
+//! A message holds a byte that says whether it is to be relayed (0 or 1), the sender's clock in milliseconds (four bytes,
+//! little-endian), and six bytes for each member: three of the digest of its name, the age of its position, its role and
+//! latency ratio, the number of samples.
 
 use stackgw_router::api::{GossipUpdate, MemberId, Span, Time, MS};
 use std::collections::HashMap;
 
-/// No message is longer.
+/// Maximum length of a message.
 pub const MAX_GOSSIP_BYTES: usize = 256;
-const HEAD: usize = 5;
-const ENTRY: usize = 6;
-/// Ages of positions come in steps of this, rounded up so that a position is never told too new.
+
+const HEADER_BYTES: usize = 5;
+const ENTRY_BYTES: usize = 6;
+const ENTRIES_PER_MESSAGE: usize = (MAX_GOSSIP_BYTES - HEADER_BYTES) / ENTRY_BYTES;
+/// Unit of the age of a position.
 const AGE_STEP: Span = 4 * MS;
+/// Added to each age, so that neither rounding nor the clock's milliseconds make a position newer than it is.
+const AGE_MARGIN_STEPS: Span = 2;
+/// The age of a position that is unknown or too old to be told.
 const NO_POSITION: u8 = 255;
-const STRAIN_STEP: f64 = 0.05;
-const STRAIN_MOST: f64 = 63.0;
+/// Role and latency ratio share a byte: the ratio has the lower six bits.
+const ROLE_SHIFT: u32 = 6;
+const RATIO_MASK: u8 = 63;
+const RATIO_STEP: f64 = 0.05;
+const ROLE_REPLICA: u8 = 1;
+const ROLE_PRIMARY: u8 = 2;
+
+type Digest = [u8; 3];
 
-/// The digests of the members that an instance knows.
+/// A message from another gateway.
+#[derive(Debug, Clone, PartialEq)]
+pub struct GossipMessage {
+    /// When it was sent, by the common clock, in whole milliseconds.
+    pub sent_at: Time,
+    /// It is to be relayed to the other gateways.
+    pub relay: bool,
+    /// What it says of members that are known here.
+    pub updates: Vec<GossipUpdate>,
+}
+
+/// Encodes and decodes gossip. Members go by digests of their names, as each gateway numbers them on its own.
 #[derive(Debug, Default)]
 pub struct GossipCodec {
-    /// `None` where two members share a digest: word of either could be the other's, so none is taken.
-    members: HashMap<[u8; 3], Option<MemberId>>,
-    digests: HashMap<MemberId, [u8; 3]>,
+    /// `None` where two members share a digest: an update could be meant for either, so none is taken.
+    members: HashMap<Digest, Option<MemberId>>,
+    digests: HashMap<MemberId, Digest>,
 }
 
 impl GossipCodec {
     /// Adds a member.
     pub fn add(&mut self, id: MemberId, name: &str) {
-        let [a, b, c, _] = crc32fast::hash(name.as_bytes()).to_le_bytes();
-        self.digests.insert(id, [a, b, c]);
+        let digest = digest_of(name);
+        self.digests.insert(id, digest);
         self.members
-            .entry([a, b, c])
+            .entry(digest)
             .and_modify(|known| *known = None)
             .or_insert(Some(id));
     }
 
-    /// Drops a member; another with its digest is the only one again.
+    /// Removes a member. Where one other member has its digest, that one is known again.
     pub fn remove(&mut self, id: MemberId) {
         let Some(digest) = self.digests.remove(&id) else {
             return;
         };
-        let mut others = self
-            .digests
-            .iter()
-            .filter(|(_, d)| **d == digest)
-            .map(|(id, _)| *id);
+        let same_digest = self.digests.iter().filter(|(_, known)| **known == digest);
+        let mut others = same_digest.map(|(id, _)| *id);
         match (others.next(), others.next()) {
             (None, _) => drop(self.members.remove(&digest)),
             (only, None) => drop(self.members.insert(digest, only)),
@@ -52,69 +72,88 @@
         }
     }
 
-    /// The messages that carry this news.
-    pub fn encode(&self, now: Time, relay: bool, news: &[GossipUpdate]) -> Vec<Vec<u8>> {
-        let known: Vec<_> = news
+    /// The messages that carry these updates; those of members that are not known here are left out.
+    pub fn encode(&self, now: Time, relay: bool, updates: &[GossipUpdate]) -> Vec<Vec<u8>> {
+        let entries: Vec<_> = updates
             .iter()
-            .filter(|n| self.digests.contains_key(&n.member))
+            .filter_map(|update| self.encode_entry(now, update))
             .collect();
-        let pack = |part: &[&GossipUpdate]| {
-            let mut body = vec![u8::from(relay)];
-            body.extend(((now / MS) as u32).to_le_bytes());
-            for news in part {
-                let age = news.position.map(|at| (now - at).max(0) / AGE_STEP + 2);
-                let age = age
-                    .filter(|age| *age < i64::from(NO_POSITION))
-                    .map_or(NO_POSITION, |age| age as u8);
-                let role = news.is_primary.map_or(0, |primary| 1 + u8::from(primary));
-                let strain = (news.latency_ratio / STRAIN_STEP)
-                    .round()
-                    .clamp(0.0, STRAIN_MOST) as u8;
-                body.extend(self.digests.get(&news.member).copied().unwrap_or_default());
-                body.extend([age, role << 6 | strain, news.samples.min(255) as u8]);
-            }
-            body
+        let message = |entries: &[[u8; ENTRY_BYTES]]| {
+            let mut bytes = vec![u8::from(relay)];
+            bytes.extend(clock_ms(now).to_le_bytes());
+            bytes.extend(entries.iter().flatten());
+            bytes
         };
-        known
-            .chunks((MAX_GOSSIP_BYTES - HEAD) / ENTRY)
-            .map(pack)
-            .collect()
+        entries.chunks(ENTRIES_PER_MESSAGE).map(message).collect()
     }
 
-    /// What a message says, when it was sent by the common clock, and whether it is to be passed on. `None`:
-    /// the bytes are no such message.
-    pub fn decode(&self, now: Time, body: &[u8]) -> Option<(Time, bool, Vec<GossipUpdate>)> {
-        let (&[relay, a, b, c, d], entries) = body.split_first_chunk::<HEAD>()?;
-        if relay > 1 || entries.len() % ENTRY != 0 {
+    fn encode_entry(&self, now: Time, update: &GossipUpdate) -> Option<[u8; ENTRY_BYTES]> {
+        let [a, b, c] = *self.digests.get(&update.member)?;
+        let age = update
+            .position
+            .map_or(NO_POSITION, |position| encode_age(now - position));
+        let role = update.is_primary.map_or(
+            0,
+            |primary| if primary { ROLE_PRIMARY } else { ROLE_REPLICA },
+        );
+        let ratio = (update.latency_ratio / RATIO_STEP)
+            .round()
+            .clamp(0.0, f64::from(RATIO_MASK)) as u8;
+        let samples = update.samples.min(u32::from(u8::MAX)) as u8;
+        Some([a, b, c, age, role << ROLE_SHIFT | ratio, samples])
+    }
+
+    /// Reads a message; updates of members that are not known here are left out. `None`: the bytes are no such message.
+    pub fn decode(&self, now: Time, bytes: &[u8]) -> Option<GossipMessage> {
+        let (&[relay, a, b, c, d], entries) = bytes.split_first_chunk::<HEADER_BYTES>()?;
+        if relay > 1 || entries.len() % ENTRY_BYTES != 0 {
             return None;
         }
-        let clock = now / MS;
-        let ago = (clock as u32).wrapping_sub(u32::from_le_bytes([a, b, c, d])) as i32;
-        let told = (clock - i64::from(ago.max(0))) * MS;
-        let one = |entry: &[u8]| {
-            let &[a, b, c, age, mixed, answers] = entry else {
-                return None;
-            };
-            let member = self.members.get(&[a, b, c]).copied().flatten()?;
-            let position = (age != NO_POSITION).then(|| told - i64::from(age) * AGE_STEP);
-            let primary = (mixed >> 6 > 0).then_some(mixed >> 6 == 2);
-            let strain = f64::from(mixed & 63) * STRAIN_STEP;
-            Some(GossipUpdate {
-                member,
-                position,
-                is_primary: primary,
-                latency_ratio: strain,
-                samples: answers.into(),
-            })
+        let sent_at = sent_at(now, u32::from_le_bytes([a, b, c, d]));
+        let entries = entries.chunks_exact(ENTRY_BYTES);
+        let updates = entries
+            .filter_map(|entry| self.decode_entry(sent_at, entry))
+            .collect();
+        Some(GossipMessage {
+            sent_at,
+            relay: relay == 1,
+            updates,
+        })
+    }
+
+    fn decode_entry(&self, sent_at: Time, entry: &[u8]) -> Option<GossipUpdate> {
+        let &[a, b, c, age, role_and_ratio, samples] = entry else {
+            return None;
         };
-        Some((
-            told,
-            relay == 1,
-            entries.chunks_exact(ENTRY).filter_map(one).collect(),
-        ))
+        let role = role_and_ratio >> ROLE_SHIFT;
+        Some(GossipUpdate {
+            member: self.members.get(&[a, b, c]).copied().flatten()?,
+            position: (age != NO_POSITION).then(|| sent_at - i64::from(age) * AGE_STEP),
+            is_primary: (role > 0).then_some(role == ROLE_PRIMARY),
+            latency_ratio: f64::from(role_and_ratio & RATIO_MASK) * RATIO_STEP,
+            samples: samples.into(),
+        })
     }
 }
 
-#[cfg(test)]
-#[path = "../tests/unit/gossip.rs"]
-mod tests;
+fn digest_of(name: &str) -> Digest {
+    let [a, b, c, _] = crc32fast::hash(name.as_bytes()).to_le_bytes();
+    [a, b, c]
+}
+
+/// An age in steps; the age of a position from the future is nothing.
+fn encode_age(age: Span) -> u8 {
+    let steps = age.max(0) / AGE_STEP + AGE_MARGIN_STEPS;
+    u8::try_from(steps).unwrap_or(NO_POSITION)
+}
+
+/// The clock as messages carry it: the low 32 bits of its milliseconds.
+fn clock_ms(now: Time) -> u32 {
+    (now / MS) as u32
+}
+
+/// When a message was sent that carries this clock. One from the future was sent now.
+fn sent_at(now: Time, clock: u32) -> Time {
+    let elapsed_ms = clock_ms(now).wrapping_sub(clock) as i32;
+    (now / MS - i64::from(elapsed_ms.max(0))) * MS
+}
--- /dev/null
+++ b/crates/stackgw-settings/src/section.rs
@@ -0,0 +1,105 @@
+//! Typed access to one object of the document. Each error names the key.
+
+use crate::error::{SettingsError, ValueType};
+use serde_json::Value;
+
+/// An object of the document.
+#[derive(Clone, Copy)]
+pub(crate) struct Section<'a>(&'a Value);
+
+impl<'a> Section<'a> {
+    /// The object itself. Where it is none, all keys are missing.
+    pub(crate) fn new(value: &'a Value) -> Self {
+        Section(value)
+    }
+
+    /// The value of a key, if there is one.
+    pub(crate) fn get(self, key: &str) -> Option<&'a Value> {
+        self.0.get(key)
+    }
+
+    /// The object under a key.
+    pub(crate) fn section(self, key: &'static str) -> Result<Section<'a>, SettingsError> {
+        let value = self.get(key).filter(|value| value.is_object());
+        value.map(Section).ok_or(SettingsError::WrongType {
+            key,
+            expected: ValueType::Object,
+        })
+    }
+
+    pub(crate) fn list(self, key: &'static str) -> Result<&'a [Value], SettingsError> {
+        let list = self.typed(key, ValueType::List, Value::as_array)?;
+        Ok(list)
+    }
+
+    pub(crate) fn text(self, key: &'static str) -> Result<&'a str, SettingsError> {
+        self.typed(key, ValueType::Text, Value::as_str)
+    }
+
+    pub(crate) fn flag(self, key: &'static str) -> Result<bool, SettingsError> {
+        self.typed(key, ValueType::Flag, Value::as_bool)
+    }
+
+    pub(crate) fn number(self, key: &'static str) -> Result<f64, SettingsError> {
+        self.typed(key, ValueType::Number, Value::as_f64)
+    }
+
+    pub(crate) fn non_negative_number(self, key: &'static str) -> Result<f64, SettingsError> {
+        let number = self.number(key)?;
+        if number >= 0.0 {
+            Ok(number)
+        } else {
+            Err(SettingsError::Negative(key))
+        }
+    }
+
+    pub(crate) fn integer(self, key: &'static str) -> Result<i64, SettingsError> {
+        self.typed(key, ValueType::Integer, Value::as_i64)
+    }
+
+    pub(crate) fn non_negative(self, key: &'static str) -> Result<i64, SettingsError> {
+        let number = self.integer(key)?;
+        if number >= 0 {
+            Ok(number)
+        } else {
+            Err(SettingsError::Negative(key))
+        }
+    }
+
+    /// The same, or the default where the key is missing.
+    pub(crate) fn non_negative_or(
+        self,
+        key: &'static str,
+        default: i64,
+    ) -> Result<i64, SettingsError> {
+        match self.get(key) {
+            Some(_) => self.non_negative(key),
+            None => Ok(default),
+        }
+    }
+
+    /// Danger: the router divides by these.
+    pub(crate) fn positive(self, key: &'static str) -> Result<i64, SettingsError> {
+        let number = self.integer(key)?;
+        if number > 0 {
+            Ok(number)
+        } else {
+            Err(SettingsError::NotPositive(key))
+        }
+    }
+
+    pub(crate) fn index(self, key: &'static str) -> Result<u32, SettingsError> {
+        u32::try_from(self.integer(key)?).map_err(|_| SettingsError::OutOfRange(key))
+    }
+
+    fn typed<T>(
+        self,
+        key: &'static str,
+        expected: ValueType,
+        read: impl FnOnce(&'a Value) -> Option<T>,
+    ) -> Result<T, SettingsError> {
+        self.get(key)
+            .and_then(read)
+            .ok_or(SettingsError::WrongType { key, expected })
+    }
+}
--- a/crates/stackgw-settings/tests/document.rs
+++ b/crates/stackgw-settings/tests/document.rs
@@ -41,7 +41,7 @@
     }
 }
 
-fn expected() -> PlatformSettings {
+fn expected_classes() -> Vec<Class> {
     let keyed = |scope, window| Idempotency::WithKey { scope, window };
     let first = Class {
         consistency: Consistency::BoundedStaleness(500 * MS),
@@ -51,39 +51,69 @@
         priority_weight: 1.0,
         late_weight_share: 0.0,
     };
+    vec![
+        first,
+        class(
+            Consistency::Write,
+            keyed(KeyScope::Zone, 9 * SECOND),
+            0,
+            3.0,
+            0.5,
+        ),
+        class(
+            Consistency::Strong,
+            keyed(KeyScope::Group, 9 * SECOND + 1),
+            1,
+            2.5,
+            0.25,
+        ),
+        class(
+            Consistency::ReadYourWrites,
+            keyed(KeyScope::Global, 9 * SECOND + 2),
+            2,
+            2.25,
+            0.125,
+        ),
+        class(
+            Consistency::Eventual,
+            Idempotency::NonIdempotent,
+            3,
+            4.0,
+            0.75,
+        ),
+    ]
+}
+
+fn expected_limits() -> Limits {
+    Limits {
+        max_attempts: 4,
+        hedged_requests: false,
+        cancel: true,
+        health_checks: true,
+        retry_after: true,
+        max_retry_after: SECOND,
+        gossip: false,
+        host_gossip: false,
+        connect_timeout: 250 * MS,
+    }
+}
+
+fn expected_obligations() -> Obligations {
+    Obligations {
+        answer_slack: 20 * MS,
+        drain_grace: 1_100 * MS,
+        removal_is_advisory: true,
+        cold_capacity_share: 0.2,
+        warm_up_time: 10 * SECOND,
+        overload_multiple: 3.5,
+        overload_window: 2 * SECOND,
+    }
+}
+
+fn expected() -> PlatformSettings {
     PlatformSettings {
         router: Settings {
-            classes: vec![
-                first,
-                class(
-                    Consistency::Write,
-                    keyed(KeyScope::Zone, 9 * SECOND),
-                    0,
-                    3.0,
-                    0.5,
-                ),
-                class(
-                    Consistency::Strong,
-                    keyed(KeyScope::Group, 9 * SECOND + 1),
-                    1,
-                    2.5,
-                    0.25,
-                ),
-                class(
-                    Consistency::ReadYourWrites,
-                    keyed(KeyScope::Global, 9 * SECOND + 2),
-                    2,
-                    2.25,
-                    0.125,
-                ),
-                class(
-                    Consistency::Eventual,
-                    Idempotency::NonIdempotent,
-                    3,
-                    4.0,
-                    0.75,
-                ),
-            ],
+            classes: expected_classes(),
             fleet_size: 3,
             instance_index: 1,
             zone: 1,
@@ -98,26 +128,8 @@
             load_reporting: LoadReporting::OnResponses,
             reports_carry_position: true,
             retries_are_flagged: true,
-            limits: Limits {
-                max_attempts: 4,
-                hedged_requests: false,
-                cancel: true,
-                health_checks: true,
-                retry_after: true,
-                max_retry_after: SECOND,
-                gossip: false,
-                host_gossip: false,
-                connect_timeout: 250 * MS,
-            },
-            obligations: Obligations {
-                answer_slack: 20 * MS,
-                drain_grace: 1_100 * MS,
-                removal_is_advisory: true,
-                cold_capacity_share: 0.2,
-                warm_up_time: 10 * SECOND,
-                overload_multiple: 3.5,
-                overload_window: 2 * SECOND,
-            },
+            limits: expected_limits(),
+            obligations: expected_obligations(),
             costs: Costs {
                 health_check: 0.05,
                 cross_zone: 0.01,
@@ -149,10 +161,21 @@
     );
 }
 
+/// A pointer into the document, the value there (`None`: absent), and what that changes in the settings.
+type Change = (&'static str, Option<Value>, fn(&mut PlatformSettings));
+
+fn check_changes<const N: usize>(changes: [Change; N]) {
+    for (pointer, value, change) in changes {
+        let mut wanted = expected();
+        change(&mut wanted);
+        let read = PlatformSettings::from_json(&changed(pointer, value)).expect(pointer);
+        assert_eq!(read, wanted, "{pointer}");
+    }
+}
+
 #[test]
-fn each_other_value_of_the_document_has_its_meaning() {
-    type Change = fn(&mut PlatformSettings);
-    let cases: [(&str, Option<Value>, Change); 24] = [
+fn each_other_value_of_the_domain_has_its_meaning() {
+    check_changes([
         ("/Clients", None, |s| s.router.retries_are_flagged = false),
         ("/Clients/MarksRetry", Some(json!(false)), |s| {
             s.router.retries_are_flagged = false
@@ -181,6 +204,12 @@
         ("/Domain/Stamps", Some(json!(false)), |s| {
             s.router.positions_in_responses = false
         }),
+    ]);
+}
+
+#[test]
+fn each_other_value_of_the_limits_has_its_meaning() {
+    check_changes([
         ("/Limits/ConnIdleNs", None, |s| s.member_idle_timeout = 0),
         ("/Limits/MaxOpen", None, |s| {
             s.max_open_requests = 4_294_967_295
@@ -194,6 +223,18 @@
         ("/Limits/SecondCopies", Some(json!(true)), |s| {
             s.router.limits.hedged_requests = true
         }),
+        ("/Limits/Cancel", Some(json!(false)), |s| {
+            s.router.limits.cancel = false
+        }),
+        ("/Limits/RetryAfter", Some(json!(false)), |s| {
+            s.router.limits.retry_after = false
+        }),
+    ]);
+}
+
+#[test]
+fn each_other_value_of_the_rest_has_its_meaning() {
+    check_changes([
         ("/MembershipMode", Some(json!("subscribe")), |s| {
             s.router.polls_endpoint_list = true
         }),
@@ -213,19 +254,7 @@
             s.router.load_reporting = LoadReporting::Never
         }),
         ("/Zones", None, |s| s.names.zones.clear()),
-        ("/Limits/Cancel", Some(json!(false)), |s| {
-            s.router.limits.cancel = false
-        }),
-        ("/Limits/RetryAfter", Some(json!(false)), |s| {
-            s.router.limits.retry_after = false
-        }),
-    ];
-    for (pointer, value, change) in cases {
-        let mut wanted = expected();
-        change(&mut wanted);
-        let read = PlatformSettings::from_json(&changed(pointer, value)).expect(pointer);
-        assert_eq!(read, wanted, "{pointer}");
-    }
+    ]);
 }
 
 /// All pointers into the document, in a fixed order.
--- a/crates/stackgw-settings/tests/gossip.rs
+++ b/crates/stackgw-settings/tests/gossip.rs
@@ -9,14 +9,14 @@
 const NOW: Time = 5_000_000 * SECOND + 3 * MS + 7;
 const MEMBERS: usize = 50;
 
-fn digests() -> GossipCodec {
-    let mut digests = GossipCodec::default();
-    (0..MEMBERS as u32).for_each(|n| digests.add(MemberId(n), &format!("member-{n}")));
-    digests
+fn codec() -> GossipCodec {
+    let mut codec = GossipCodec::default();
+    (0..MEMBERS as u32).for_each(|n| codec.add(MemberId(n), &format!("member-{n}")));
+    codec
 }
 
-/// News of every role, age and strain that a message can tell apart, and of some that it can't.
-fn news() -> Vec<GossipUpdate> {
+/// Updates of every role, age and ratio that a message can tell apart, and of some that it can't.
+fn updates() -> Vec<GossipUpdate> {
     let of = |n: usize| GossipUpdate {
         member: MemberId(n as u32),
         position: [
@@ -29,13 +29,13 @@
         latency_ratio: [0.0, 0.02, 0.03, 0.4, 3.1, 90.0, -1.0][n % 7],
         samples: [0, 1, 254, 255, 256, 70_000][n % 6],
     };
-    // The last one is of a member that has no digest, and is left out.
+    // The last one is of a member that is not known, and is left out.
     (0..=MEMBERS).map(of).collect()
 }
 
 fn messages() -> Vec<Vec<u8>> {
     [true, false]
-        .map(|relay| digests().encode(NOW, relay, &news()))
+        .map(|relay| codec().encode(NOW, relay, &updates()))
         .concat()
 }
 
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_same_news_gives_the_same_bytes() {
+fn the_same_updates_give_the_same_bytes() {
     let written: Vec<_> = MESSAGES.lines().map(unhex).collect();
     assert_eq!(written.len(), 4);
     assert!(written.iter().all(|body| body.len() <= MAX_GOSSIP_BYTES));
@@ -69,34 +69,34 @@
 }
 
 #[test]
-fn the_fixed_bytes_are_read_as_the_same_news() {
+fn the_fixed_bytes_are_read_as_the_same_updates() {
     let mut read = Vec::new();
     for (line, relay) in MESSAGES.lines().zip([true, true, false, false]) {
-        let (sent, relayed, news) = digests()
+        let message = codec()
             .decode(NOW + 40 * MS, &unhex(line))
             .expect("a message");
-        assert_eq!((sent, relayed), (NOW / MS * MS, relay));
-        read.push(news);
+        assert_eq!((message.sent_at, message.relay), (NOW / MS * MS, relay));
+        read.push(message.updates);
     }
     let (relayed, last) = (read[..2].concat(), read[2..].concat());
     assert_eq!(relayed, last);
     assert_eq!(relayed.len(), MEMBERS);
     let first = NOW / MS * MS;
-    for (n, news) in relayed.iter().enumerate() {
+    for (n, update) in relayed.iter().enumerate() {
         let age = match n % 4 {
             0 if n < 36 => Some((30 * n as Time / 4 + 2) * 4),
             2 => Some(8),
             _ => None,
         };
-        assert_eq!(news.member, MemberId(n as u32));
-        assert_eq!(news.position, age.map(|age| first - age * MS), "{n}");
-        assert_eq!(news.is_primary, [None, Some(false), Some(true)][n % 3]);
+        assert_eq!(update.member, MemberId(n as u32));
+        assert_eq!(update.position, age.map(|age| first - age * MS), "{n}");
+        assert_eq!(update.is_primary, [None, Some(false), Some(true)][n % 3]);
         let strain = [0.0, 0.0, 0.05, 0.4, 3.1, 3.15, 0.0][n % 7];
         assert!(
-            (news.latency_ratio - strain).abs() < 1e-9,
+            (update.latency_ratio - strain).abs() < 1e-9,
             "{n}: {}",
-            news.latency_ratio
+            update.latency_ratio
         );
-        assert_eq!(news.samples, [0, 1, 254, 255, 255, 255][n % 6]);
+        assert_eq!(update.samples, [0, 1, 254, 255, 255, 255][n % 6]);
     }
 }
