--- a/crates/stackgw-cli/src/cmd/check.rs
+++ b/crates/stackgw-cli/src/cmd/check.rs
@@ -24,7 +24,7 @@
         if self.json {
             let problem = read.as_ref().err();
             let outcome = serde_json::json!({"file": self.file, "good": problem.is_none(),
-                "line": problem.and_then(|p| p.line), "problem": problem.map(|p| &p.what)});
+                "line": problem.and_then(|p| p.line), "problem": problem.map(|p| p.reason.to_string())});
             println!("{outcome}");
         }
         let operator = read?;
--- a/crates/stackgw-config/src/duration.rs
+++ b/crates/stackgw-config/src/duration.rs
@@ -1,4 +1,4 @@
-//! Lengths of time as people write them.
+//! Durations as people write them.
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::Deserialize;
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A length of time, written as `800ms`, `60s` or `1h 30m`.
+/// A duration, written as `800ms`, `60s` or `1h 30m`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[serde(transparent)]
 pub struct Duration(#[serde(with = "humantime_serde")] std::time::Duration);
@@ -17,12 +17,17 @@
         Duration(std::time::Duration::from_millis(ms))
     }
 
-    /// In whole milliseconds.
+    /// So many seconds.
+    pub const fn from_secs(secs: u64) -> Self {
+        Duration(std::time::Duration::from_secs(secs))
+    }
+
+    /// In whole milliseconds, or the most that fits.
     pub fn as_millis(self) -> u64 {
         u64::try_from(self.0.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// In nanoseconds.
+    /// In nanoseconds, or the most that fits.
     pub fn as_nanos(self) -> i64 {
         i64::try_from(self.0.as_nanos()).unwrap_or(i64::MAX)
     }
