--- a/crates/stackgw-cluster/src/cluster.rs
+++ b/crates/stackgw-cluster/src/cluster.rs
@@ -24,7 +24,8 @@
 const SEED_INTERVAL: Span = SECOND;
 /// Minimum delay of a timer.
 const MIN_TIMER_DELAY: Span = MS;
-/// Stands for a delay that does not fit the clock; far away, and adding it to a time cannot overflow.
+/// Stands for a delay that does not fit the clock; far away, and adding it to a time cannot
+/// overflow.
 const MAX_TIMER_DELAY: Span = Span::MAX / 4;
 
 /// What an instance needs to join its cluster.
@@ -58,7 +59,8 @@
     Up(Identity),
     /// An instance seems to be down.
     Down(Identity),
-    /// A later incarnation of this instance is up: this one was replaced, or two processes run under one name.
+    /// A later incarnation of this instance is up: this one was replaced, or two processes run
+    /// under one name.
     Superseded(Identity),
     /// A message between sessions.
     Sessions {
--- a/crates/stackgw-cluster/src/envelope.rs
+++ b/crates/stackgw-cluster/src/envelope.rs
@@ -1,8 +1,9 @@
 //! Authentication: an envelope that only those who share a key can write.
 //!
-//! An envelope is a version byte, a kind byte, four bytes that name the key, the first sixteen bytes of a keyed hash over all
-//! the rest, then the body. The key is derived from the operator's secret and the cluster's name, so that another cluster's
-//! envelopes fail even under the same secret. Bodies are not encrypted: they hold hashes and positions.
+//! An envelope is a version byte, a kind byte, four bytes that name the key, the first sixteen
+//! bytes of a keyed hash over all the rest, then the body. The key is derived from the operator's
+//! secret and the cluster's name, so that another cluster's envelopes fail even under the same
+//! secret. Bodies are not encrypted: they hold hashes and positions.
 
 use std::fmt;
 use thiserror::Error;
@@ -56,8 +57,8 @@
 
 /// The keys that are valid now: the first one signs, all of them verify.
 ///
-/// To replace a key without interruption, add the new one behind the old one on all instances, then swap the two on all, then
-/// remove the old one.
+/// To replace a key without interruption, add the new one behind the old one on all instances, then
+/// swap the two on all, then remove the old one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Keyring {
     keys: Vec<Key>,
--- a/crates/stackgw-cluster/src/identity.rs
+++ b/crates/stackgw-cluster/src/identity.rs
@@ -4,7 +4,8 @@
 use stackgw_sessions::{NodeId, Peer};
 use std::net::SocketAddr;
 
-/// One incarnation of an instance and its address. Order and types of the fields are the wire format.
+/// One incarnation of an instance and its address. Order and types of the fields are the wire
+/// format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
     /// Which instance, and in which incarnation.
--- a/crates/stackgw-cluster/tests/fixtures.rs
+++ b/crates/stackgw-cluster/tests/fixtures.rs
@@ -10,7 +10,8 @@
 
 /// `name hex`, a datagram of each form a line.
 const DATAGRAMS: &str = include_str!("fixtures/datagrams.hex");
-/// `milliseconds receiver's port hex`: all that three instances send each other while one comes, dies and returns.
+/// `milliseconds receiver's port hex`: all that three instances send each other while one comes,
+/// dies and returns.
 const EXCHANGE: &str = include_str!("fixtures/exchange.hex");
 
 fn instance(n: u16, incarnation: u64) -> Cluster {
--- a/crates/stackgw-config/src/cluster.rs
+++ b/crates/stackgw-config/src/cluster.rs
@@ -1,4 +1,5 @@
-//! The section `cluster`: where the other instances are, for a gateway that does not share sessions.
+//! The section `cluster`: where the other instances are, for a gateway that does not share
+//! sessions.
 
 use garde::Validate;
 use schemars::JsonSchema;
@@ -19,12 +20,14 @@
     /// Address that the others send to, where it differs from `listen`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Addresses at which other instances may be found; this instance's own may be among them. The same on every instance:
-    /// with `start` on, the first of them that are up lead the watch of the endpoint list.
+    /// Addresses at which other instances may be found; this instance's own may be among them. The
+    /// same on every instance: with `start` on, the first of them that are up lead the watch of the
+    /// endpoint list.
     #[serde(default)]
     #[garde(length(max = 64))]
     pub seeds: Vec<SocketAddr>,
-    /// Files that hold one secret of 16 bytes or more each. The first one signs, all of them verify.
+    /// Files that hold one secret of 16 bytes or more each. The first one signs, all of them
+    /// verify.
     #[garde(length(min = 1, max = 8))]
     pub keys: Vec<PathBuf>,
     /// Approximate number of instances.
--- a/crates/stackgw-config/src/error.rs
+++ b/crates/stackgw-config/src/error.rs
@@ -25,7 +25,8 @@
     /// It is a folder, a pipe or the like, or larger than any configuration.
     #[error("is no plain file, or too large a one")]
     NotRegularFile,
-    /// Its text is no YAML, or a value in it is missing, unknown or out of range. One line that names the field.
+    /// Its text is no YAML, or a value in it is missing, unknown or out of range. One line that
+    /// names the field.
     #[error("{0}")]
     Invalid(String),
 }
--- a/crates/stackgw-config/src/flight.rs
+++ b/crates/stackgw-config/src/flight.rs
@@ -15,8 +15,9 @@
 pub struct Flight {
     /// Address at which clients connect, over plain gRPC.
     pub listen: SocketAddr,
-    /// Files that hold one secret of 16 bytes or more each. They sign tickets and prepared statements, so that any instance
-    /// with the same ones serves them. The first one signs, all of them verify.
+    /// Files that hold one secret of 16 bytes or more each. They sign tickets and prepared
+    /// statements, so that any instance with the same ones serves them. The first one signs, all of
+    /// them verify.
     #[garde(length(min = 1, max = 8))]
     pub keys: Vec<PathBuf>,
     /// How long a ticket or a prepared statement is valid.
@@ -56,11 +57,13 @@
     pub auth: Option<Auth>,
 }
 
-/// How clients of Flight SQL authenticate. The file holds lines `name:secret`, each secret of 8 bytes or more.
+/// How clients of Flight SQL authenticate. The file holds lines `name:secret`, each secret of 8
+/// bytes or more.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Auth {
-    /// By name and secret with each call, or once with a handshake, which returns a token that is valid as long as a ticket.
+    /// By name and secret with each call, or once with a handshake, which returns a token that is
+    /// valid as long as a ticket.
     Basic(PathBuf),
     /// By one of the file's secrets as a token.
     Bearer(PathBuf),
@@ -74,14 +77,15 @@
     /// Maximum number of streams at once; further ones are UNAVAILABLE.
     #[garde(range(min = 1, max = 10_000))]
     pub streams: usize,
-    /// Maximum number of streams and requests on one connection to a member, before another is opened.
+    /// Maximum number of streams and requests on one connection to a member, before another is
+    /// opened.
     #[garde(range(min = 1, max = 1_000))]
     pub per_channel: usize,
     /// Buffer of one stream in KiB; reading from its member pauses while it is full.
     #[garde(range(min = 64, max = 65_536))]
     pub each_kib: usize,
-    /// Buffers of all streams together in KiB. Beyond it a stream is read on only once its client has taken all that was read
-    /// before.
+    /// Buffers of all streams together in KiB. Beyond it a stream is read on only once its client
+    /// has taken all that was read before.
     #[garde(range(min = 256, max = 4_194_304))]
     pub all_kib: usize,
     /// Maximum size of one message in KiB; a larger one ends its stream.
--- a/crates/stackgw-config/src/operator.rs
+++ b/crates/stackgw-config/src/operator.rs
@@ -19,7 +19,8 @@
     #[serde(default)]
     #[garde(dive)]
     pub log: Log,
-    /// Path of a local socket at which a running gateway answers queries such as `stackgw sessions`. Absent: none.
+    /// Path of a local socket at which a running gateway answers queries such as `stackgw
+    /// sessions`. Absent: none.
     #[serde(default)]
     #[garde(skip)]
     pub control: Option<PathBuf>,
@@ -31,13 +32,13 @@
     #[serde(default)]
     #[garde(dive)]
     pub flight: Option<Flight>,
-    /// The other instances, where sessions are not shared; `sessions` describes the cluster itself. Absent: this instance
-    /// communicates with no other.
+    /// The other instances, where sessions are not shared; `sessions` describes the cluster itself.
+    /// Absent: this instance communicates with no other.
     #[serde(default)]
     #[garde(dive, custom(excludes(&self.sessions)))]
     pub cluster: Option<Cluster>,
-    /// How this instance obtains the endpoint list where many instances share one list service. Absent: it polls the service
-    /// at once and by itself.
+    /// How this instance obtains the endpoint list where many instances share one list service.
+    /// Absent: it polls the service at once and by itself.
     #[serde(default)]
     #[garde(dive)]
     pub start: Option<Bootstrap>,
--- a/crates/stackgw-config/src/read.rs
+++ b/crates/stackgw-config/src/read.rs
@@ -1,4 +1,5 @@
-//! From a file's bytes to a valid [`OperatorConfig`], or one line that says what is wrong and where.
+//! From a file's bytes to a valid [`OperatorConfig`], or one line that says what is wrong and
+//! where.
 
 use crate::error::{ConfigError, Reason};
 use crate::operator::OperatorConfig;
@@ -7,7 +8,8 @@
 /// Larger files are rejected unread.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Reads and validates a file. One that is empty or holds comments alone gives the default configuration.
+/// Reads and validates a file. One that is empty or holds comments alone gives the default
+/// configuration.
 ///
 /// # Errors
 /// The file cannot be read, is no YAML, or a value in it is missing, unknown or out of range.
@@ -54,8 +56,9 @@
         .nth(usize::try_from(number).ok()?.checked_sub(1)?)
 }
 
-/// The parser's message in one line that names the field. The parser repeats the line number, which is left out, and draws
-/// the place below its message. Where the message lacks the field's name, that is taken from the line at fault.
+/// The parser's message in one line that names the field. The parser repeats the line number, which
+/// is left out, and draws the place below its message. Where the message lacks the field's name,
+/// that is taken from the line at fault.
 fn summarize(message: &str, line_text: &str) -> String {
     let first = message
         .lines()
--- a/crates/stackgw-config/src/sessions.rs
+++ b/crates/stackgw-config/src/sessions.rs
@@ -26,11 +26,12 @@
     #[serde(default)]
     #[garde(length(max = 64))]
     pub seeds: Vec<SocketAddr>,
-    /// Files that hold one secret of 16 bytes or more each. The first one signs, all of them verify.
+    /// Files that hold one secret of 16 bytes or more each. The first one signs, all of them
+    /// verify.
     #[garde(length(min = 1, max = 8))]
     pub keys: Vec<PathBuf>,
-    /// Names of the gateways that replicate session positions: in a small deployment all of them, in a large one three to
-    /// five. The same on every instance.
+    /// Names of the gateways that replicate session positions: in a small deployment all of them,
+    /// in a large one three to five. The same on every instance.
     #[garde(
         length(min = 1, max = 16),
         inner(length(min = 1, max = 64)),
@@ -45,7 +46,8 @@
     #[serde(default = "default_lease")]
     #[garde(custom(between("50ms", "10s")))]
     pub lease: Duration,
-    /// Retention of a session's position: after this long every database replica has applied the write.
+    /// Retention of a session's position: after this long every database replica has applied the
+    /// write.
     #[serde(default = "default_horizon")]
     #[garde(custom(between("1s", "1h")), custom(at_least_four_leases(&self.lease)))]
     pub horizon: Duration,
@@ -61,7 +63,8 @@
     #[serde(default = "default_marks")]
     #[garde(range(min = 1_000, max = 100_000_000))]
     pub marks: usize,
-    /// Maximum number of this instance's own writes that are retained for replicas that join, at about 150 bytes each.
+    /// Maximum number of this instance's own writes that are retained for replicas that join, at
+    /// about 150 bytes each.
     #[serde(default = "default_own_marks")]
     #[garde(range(min = 1_000, max = 10_000_000))]
     pub own_marks: usize,
@@ -69,7 +72,8 @@
     #[serde(default = "default_waits")]
     #[garde(range(min = 16, max = 1_000_000))]
     pub waits: usize,
-    /// File on a durable disk. Absent: for one `horizon` after each restart of a replica, reads fall back to strong ones.
+    /// File on a durable disk. Absent: for one `horizon` after each restart of a replica, reads
+    /// fall back to strong ones.
     #[serde(default)]
     pub store: Option<PathBuf>,
     /// Approximate number of instances.
--- a/crates/stackgw-config/src/validation.rs
+++ b/crates/stackgw-config/src/validation.rs
@@ -1,4 +1,5 @@
-//! Checks beyond the ranges and lengths that `garde` has itself. Their messages are shown to operators.
+//! Checks beyond the ranges and lengths that `garde` has itself. Their messages are shown to
+//! operators.
 
 use crate::duration::Duration;
 use std::collections::BTreeSet;
@@ -6,8 +7,8 @@
 /// A check of one field, made for a value of another one or for fixed limits.
 type Check<T> = Box<dyn FnOnce(&T, &()) -> garde::Result>;
 
-/// Danger: where the horizon is only a few leases long, a lease that is late now and then costs more strong reads than shared
-/// sessions save.
+/// Danger: where the horizon is only a few leases long, a lease that is late now and then costs
+/// more strong reads than shared sessions save.
 const MIN_LEASES_IN_HORIZON: u64 = 4;
 
 /// No two names are equal.
--- a/crates/stackgw-config/tests/file.rs
+++ b/crates/stackgw-config/tests/file.rs
@@ -1,9 +1,12 @@
-//! What the operator's file may hold, and what is said of one that cannot be used.
+//! What the operator's file may hold, and the error of one that cannot be used.
 
+mod common;
+
+use common::read_text;
 use stackgw_config::{read, schema, Duration, OperatorConfig};
 use std::path::{Path, PathBuf};
 
-const WHOLE: &str = r#"
+const COMPLETE: &str = r#"
 log:
   format: json
 control: /run/stackgw/g0.sock
@@ -17,22 +20,9 @@
   store: /var/lib/stackgw/g0.redb
 "#;
 
-fn from(name: &str, text: &str) -> Result<OperatorConfig, String> {
-    let file =
-        std::env::temp_dir().join(format!("stackgw-config-{}-{name}.yaml", std::process::id()));
-    std::fs::write(&file, text).expect("a file");
-    let read = read(&file).map_err(|problem| {
-        let said = problem.to_string();
-        assert!(!said.contains('\n'), "{said}");
-        said.replace(&file.display().to_string(), "FILE")
-    });
-    std::fs::remove_file(&file).expect("it was there");
-    read
-}
-
 #[test]
-fn a_whole_file_is_read_and_defaults_fill_it() {
-    let operator = from("whole", WHOLE).expect("a good file");
+fn a_complete_file_is_read_and_defaults_fill_the_rest() {
+    let operator = read_text(COMPLETE).expect("a good file");
     let sessions = operator.sessions.expect("they are on");
     assert_eq!(
         (sessions.lease, sessions.horizon),
@@ -45,7 +35,7 @@
         ),
         (2, 7101)
     );
-    assert_eq!(from("empty", "# nothing\n"), Ok(OperatorConfig::default()));
+    assert_eq!(read_text("# nothing\n"), Ok(OperatorConfig::default()));
 }
 
 #[test]
@@ -62,11 +52,12 @@
         ("format: json", "format: xml", "xml"),
         ("log:", "log: [", ""),
     ];
-    for (n, (good, bad, names)) in cases.into_iter().enumerate() {
-        let said = from(&format!("bad{n}"), &WHOLE.replace(good, bad)).expect_err(bad);
-        println!("{said}");
-        assert!(said.starts_with("FILE"), "{said}");
-        assert!(said.contains(names), "'{bad}' gives '{said}'");
+    for (good, bad, name) in cases {
+        let error = read_text(&COMPLETE.replace(good, bad)).expect_err(bad);
+        assert!(!error.contains('\n'), "{error}");
+        println!("{error}");
+        assert!(error.starts_with("FILE"), "{error}");
+        assert!(error.contains(name), "'{bad}' gives '{error}'");
     }
     let missing = read(Path::new("/nowhere/at/all.yaml")).expect_err("it is not there");
     assert!(missing.to_string().starts_with("/nowhere/at/all.yaml: "));
@@ -80,7 +71,7 @@
     for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
         let path = entry.path();
         if path.extension().is_some_and(|end| end == "yaml") {
-            read(&path).unwrap_or_else(|problem| panic!("{problem}"));
+            read(&path).unwrap_or_else(|error| panic!("{error}"));
             let text = std::fs::read_to_string(&path).expect("a text");
             let value: serde_json::Value = serde_saphyr::from_str(&text).expect("some YAML");
             let wrong: Vec<_> = schema.iter_errors(&value).map(|e| e.to_string()).collect();
--- a/crates/stackgw-config/tests/fixtures.rs
+++ b/crates/stackgw-config/tests/fixtures.rs
@@ -1,5 +1,9 @@
-//! What installations have in their files: parsed to the same configuration, and refused in the same words.
+//! What installations have in their files: parsed to the same configuration, and refused in the
+//! same words.
 
+mod common;
+
+use common::read_text;
 use serde_json::Value;
 use stackgw_config::*;
 use std::collections::BTreeMap;
@@ -22,15 +26,9 @@
     std::fs::read_to_string(fixture(name)).expect("the fixture is there")
 }
 
-/// What is said of a file with this text, or "accepted".
+/// The error of a file with this text, or "accepted".
 fn result_text(text: &str) -> String {
-    let thread = std::thread::current().id();
-    let name = format!("stackgw-config-{}-{thread:?}.yaml", std::process::id());
-    let file = std::env::temp_dir().join(name.replace(['(', ')'], ""));
-    std::fs::write(&file, text).expect("a file");
-    let result = read(&file).map_or_else(|problem| problem.to_string(), |_| "accepted".to_owned());
-    std::fs::remove_file(&file).expect("it was there");
-    result.replace(&file.display().to_string(), "FILE")
+    read_text(text).map_or_else(|error| error, |_| "accepted".to_owned())
 }
 
 fn address(text: &str) -> std::net::SocketAddr {
--- a/crates/stackgw-settings/src/gossip.rs
+++ b/crates/stackgw-settings/src/gossip.rs
@@ -1,8 +1,9 @@
-//! The bytes of gossip between gateways: what one has learned of members, packed to keep messages cheap.
+//! The bytes of gossip between gateways: what one has learned of members, packed to keep messages
+//! cheap.
 //!
-//! A message holds a byte that says whether it is to be relayed (0 or 1), the sender's clock in milliseconds (four bytes,
-//! little-endian), and six bytes for each member: three of the digest of its name, the age of its position, its role and
-//! latency ratio, the number of samples.
+//! A message holds a byte that says whether it is to be relayed (0 or 1), the sender's clock in
+//! milliseconds (four bytes, little-endian), and six bytes for each member: three of the digest of
+//! its name, the age of its position, its role and latency ratio, the number of samples.
 
 use stackgw_router::api::{GossipUpdate, MemberId, Span, Time, MS};
 use std::collections::HashMap;
@@ -15,7 +16,8 @@
 const ENTRIES_PER_MESSAGE: usize = (MAX_GOSSIP_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 /// Unit of the age of a position.
 const AGE_STEP: Span = 4 * MS;
-/// Added to each age, so that neither rounding nor the clock's milliseconds make a position newer than it is.
+/// Added to each age, so that neither rounding nor the clock's milliseconds make a position newer
+/// than it is.
 const AGE_MARGIN_STEPS: Span = 2;
 /// The age of a position that is unknown or too old to be told.
 const NO_POSITION: u8 = 255;
@@ -39,10 +41,12 @@
     pub updates: Vec<GossipUpdate>,
 }
 
-/// Encodes and decodes gossip. Members go by digests of their names, as each gateway numbers them on its own.
+/// Encodes and decodes gossip. Members go by digests of their names, as each gateway numbers them
+/// on its own.
 #[derive(Debug, Default)]
 pub struct GossipCodec {
-    /// `None` where two members share a digest: an update could be meant for either, so none is taken.
+    /// `None` where two members share a digest: an update could be meant for either, so none is
+    /// taken.
     members: HashMap<Digest, Option<MemberId>>,
     digests: HashMap<MemberId, Digest>,
 }
@@ -72,7 +76,8 @@
         }
     }
 
-    /// The messages that carry these updates; those of members that are not known here are left out.
+    /// The messages that carry these updates; those of members that are not known here are left
+    /// out.
     pub fn encode(&self, now: Time, relay: bool, updates: &[GossipUpdate]) -> Vec<Vec<u8>> {
         let entries: Vec<_> = updates
             .iter()
@@ -103,7 +108,8 @@
         Some([a, b, c, age, role << ROLE_SHIFT | ratio, samples])
     }
 
-    /// Reads a message; updates of members that are not known here are left out. `None`: the bytes are no such message.
+    /// Reads a message; updates of members that are not known here are left out. `None`: the bytes
+    /// are no such message.
     pub fn decode(&self, now: Time, bytes: &[u8]) -> Option<GossipMessage> {
         let (&[relay, a, b, c, d], entries) = bytes.split_first_chunk::<HEADER_BYTES>()?;
         if relay > 1 || entries.len() % ENTRY_BYTES != 0 {
--- a/crates/stackgw-settings/src/lib.rs
+++ b/crates/stackgw-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! What all hosts of a stackgw router share: the platform's settings document ([`PlatformSettings`]) and the gossip that
-//! gateways exchange ([`GossipCodec`]).
+//! What all hosts of a stackgw router share: the platform's settings document
+//! ([`PlatformSettings`]) and the gossip that gateways exchange ([`GossipCodec`]).
 //!
-//! This package translates and decides nothing. The keys of the document and the bytes of gossip are fixed from outside;
-//! its types use the router's own terms. It opens no file and no socket.
+//! This package translates and decides nothing. The keys of the document and the bytes of gossip
+//! are fixed from outside; its types use the router's own terms. It opens no file and no socket.
 
 mod error;
 mod gossip;
--- a/crates/stackgw-settings/src/platform_settings.rs
+++ b/crates/stackgw-settings/src/platform_settings.rs
@@ -6,7 +6,8 @@
 use serde_json::Value;
 use stackgw_router::api::{LoadReport, Settings, Span, Time};
 
-/// The names that the document gives to classes and zones. Requests and endpoint lists use them on some wires.
+/// The names that the document gives to classes and zones. Requests and endpoint lists use them on
+/// some wires.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct NameTable {
     /// The classes, by index.
@@ -80,8 +81,8 @@
         .ok_or(SettingsError::NameNotText(list))
 }
 
-/// Sets one field of a load report, by the document's name for it; unknown names are skipped. The position (`x0`) is not
-/// among them, as each wire has its own zero and precision for it.
+/// Sets one field of a load report, by the document's name for it; unknown names are skipped. The
+/// position (`x0`) is not among them, as each wire has its own zero and precision for it.
 pub fn record_load_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "x1" => report.is_primary = Some(value > 0.5),
--- a/crates/stackgw-settings/tests/document.rs
+++ b/crates/stackgw-settings/tests/document.rs
@@ -1,4 +1,5 @@
-//! The platform's settings document: what a fixed one is parsed to, and what is said of each way to get it wrong.
+//! The platform's settings document: what a fixed one is parsed to, and what is said of each way to
+//! get it wrong.
 
 use serde_json::{json, Value};
 use stackgw_router::api::*;
@@ -161,7 +162,8 @@
     );
 }
 
-/// A pointer into the document, the value there (`None`: absent), and what that changes in the settings.
+/// A pointer into the document, the value there (`None`: absent), and what that changes in the
+/// settings.
 type Change = (&'static str, Option<Value>, fn(&mut PlatformSettings));
 
 fn check_changes<const N: usize>(changes: [Change; N]) {
--- a/crates/stackgw-store/src/endpoint_list.rs
+++ b/crates/stackgw-store/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The cached endpoint list: one file, replaced as a whole. A damaged one, or another service's, is not trusted.
+//! The cached endpoint list: one file, replaced as a whole. A damaged one, or another service's, is
+//! not trusted.
 
 use crate::error::StoreError;
 use crate::quarantine::{move_aside, unix_ms};
@@ -89,7 +90,8 @@
     blake3::hash(bytes).to_hex().to_string()
 }
 
-/// Writes the file beside its place and renames it, so that a reader finds the old one or the new one.
+/// Writes the file beside its place and renames it, so that a reader finds the old one or the new
+/// one.
 fn write(path: &Path, service: &str, cached: &CachedEndpoints) -> std::io::Result<()> {
     let list = serde_json::to_vec(&cached.list)?;
     let header = Header {
@@ -109,8 +111,8 @@
     std::fs::rename(&temporary, path)
 }
 
-/// A thread that writes the newest list; lists that are superseded while it writes are skipped. Dropping the writer writes
-/// the newest one first.
+/// A thread that writes the newest list; lists that are superseded while it writes are skipped.
+/// Dropping the writer writes the newest one first.
 #[derive(Debug)]
 pub struct EndpointListWriter(Worker<CachedEndpoints>);
 
--- a/crates/stackgw-store/src/error.rs
+++ b/crates/stackgw-store/src/error.rs
@@ -1,4 +1,5 @@
-//! What goes wrong with files and threads. Each message is one line that names the operator's field and the file.
+//! What goes wrong with files and threads. Each message is one line that names the operator's field
+//! and the file.
 
 use crate::tables::FORMAT_VERSION;
 use std::io;
--- a/crates/stackgw-store/src/lib.rs
+++ b/crates/stackgw-store/src/lib.rs
@@ -1,12 +1,15 @@
-//! Durable state of one instance: the incarnation and session records ([`StoreFile`]) and the cached endpoint list
-//! ([`EndpointListWriter`]). No other package writes files.
+//! Durable state of one instance: the incarnation and session records ([`StoreFile`]) and the
+//! cached endpoint list ([`EndpointListWriter`]). No other package writes files.
 //!
-//! - A file is verified before it is trusted. One that is damaged, or belongs to another cluster, instance or format version,
-//!   is quarantined: moved to another name, never overwritten. The instance then starts without it.
+//! - A file is verified before it is trusted. One that is damaged, or belongs to another cluster,
+//!   instance or format version, is quarantined: moved to another name, never overwritten. The
+//!   instance then starts without it.
 //! - Commits are atomic, and durable once they are reported ([`DurableStore::commit`]).
-//! - Writing blocks on the disk, so [`RecordWriter`] and [`EndpointListWriter`] do it on threads of their own.
+//! - Writing blocks on the disk, so [`RecordWriter`] and [`EndpointListWriter`] do it on threads of
+//!   their own.
 //!
-//! What records mean is the business of `stackgw-sessions`; this package does not know what is decided by them.
+//! What records mean is the business of `stackgw-sessions`; this package does not know what is
+//! decided by them.
 
 mod endpoint_list;
 mod error;
--- a/crates/stackgw-store/src/quarantine.rs
+++ b/crates/stackgw-store/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Files that are not trusted are renamed, so that an operator can look into them and nothing reads them by accident.
+//! Files that are not trusted are renamed, so that an operator can look into them and nothing reads
+//! them by accident.
 
 use crate::error::{RejectReason, StoreError};
 use std::fmt;
--- a/crates/stackgw-store/src/record_writer.rs
+++ b/crates/stackgw-store/src/record_writer.rs
@@ -1,4 +1,5 @@
-//! A thread that commits records in batches: all that arrive during one commit go into the next one.
+//! A thread that commits records in batches: all that arrive during one commit go into the next
+//! one.
 
 use crate::worker::Worker;
 use crate::{DurableStore, StoreError};
@@ -17,18 +18,20 @@
     Failed {
         /// Why.
         error: StoreError,
-        /// What was there has been quarantined: no later incarnation reads it. `false`: it could not be.
+        /// What was there has been quarantined: no later incarnation reads it. `false`: it could
+        /// not be.
         quarantined: bool,
     },
 }
 
-/// Queues records for the thread that commits them; `stackgw-sessions` bounds what it lets wait. Dropping the writer commits
-/// what is queued.
+/// Queues records for the thread that commits them; `stackgw-sessions` bounds what it lets wait.
+/// Dropping the writer commits what is queued.
 #[derive(Debug)]
 pub struct RecordWriter(Worker<Record>);
 
 impl RecordWriter {
-    /// Starts the thread. It calls `on_outcome` after each commit, and ends with the first one that fails.
+    /// Starts the thread. It calls `on_outcome` after each commit, and ends with the first one that
+    /// fails.
     ///
     /// # Errors
     /// The thread cannot be started.
--- a/crates/stackgw-store/src/recovery.rs
+++ b/crates/stackgw-store/src/recovery.rs
@@ -9,7 +9,8 @@
 use stackgw_router::api::Time;
 use stackgw_sessions::{NodeId, Peer, Recovered, SessionKey, StoreVersion};
 
-/// Reads the file. The last incarnation that wrote to it is `store_version.last_incarnation` of the result.
+/// Reads the file. The last incarnation that wrote to it is `store_version.last_incarnation` of the
+/// result.
 pub(crate) fn recover(database: &Database, owner: &StoreOwner) -> Result<Recovered, RejectReason> {
     let transaction = database.begin_read().map_err(RejectReason::unreadable)?;
     let values = MetaValues::read(&transaction)?;
--- a/crates/stackgw-store/src/store_file.rs
+++ b/crates/stackgw-store/src/store_file.rs
@@ -13,7 +13,8 @@
 
 /// Bytes of the file that the database keeps in memory.
 const CACHE_BYTES: usize = 4 << 20;
-/// Positions are removed this many retentions after they were written. More than one, as the wall clock may be set.
+/// Positions are removed this many retentions after they were written. More than one, as the wall
+/// clock may be set.
 const RETENTIONS_ON_DISK: u64 = 3;
 
 /// Whose file it is.
@@ -53,7 +54,8 @@
 enum OpenFailure {
     /// It is not trusted, and is to be quarantined.
     Rejected(RejectReason),
-    /// Nothing can be done about it here: another process has it open, or the folder takes no files.
+    /// Nothing can be done about it here: another process has it open, or the folder takes no
+    /// files.
     Failed(StoreError),
 }
 
@@ -76,8 +78,8 @@
 }
 
 impl StoreFile {
-    /// Opens an instance's file, or creates one, and begins a new incarnation in it. A file that is not trusted is
-    /// quarantined and replaced by a new one.
+    /// Opens an instance's file, or creates one, and begins a new incarnation in it. A file that is
+    /// not trusted is quarantined and replaced by a new one.
     ///
     /// # Errors
     /// The file is in use, or cannot be read, created or moved. It is where it was.
@@ -99,7 +101,8 @@
 
     fn open_or_create(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, OpenFailure> {
         let exists = path.exists();
-        // Danger: the database asserts what a damaged file may violate; such a panic must not end the gateway.
+        // Danger: the database asserts what a damaged file may violate; such a panic must not end
+        // the gateway.
         let opened = catch_unwind(AssertUnwindSafe(|| {
             if exists {
                 Self::open_existing(path, owner)
@@ -113,7 +116,8 @@
     fn open_existing(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, OpenFailure> {
         let database = builder().open(path);
         let mut database = database.map_err(|error| classify(path, error))?;
-        // A repair goes back to the last commit that was completed; an incomplete one had not been reported as durable.
+        // A repair goes back to the last commit that was completed; an incomplete one had not been
+        // reported as durable.
         database
             .check_integrity()
             .map_err(RejectReason::unreadable)?;
--- a/crates/stackgw-store/src/tables.rs
+++ b/crates/stackgw-store/src/tables.rs
@@ -1,4 +1,5 @@
-//! The tables of a store's file and what a record changes in them. Their names and types are the stored format.
+//! The tables of a store's file and what a record changes in them. Their names and types are the
+//! stored format.
 
 use redb::{Error, ReadableTable, Table, TableDefinition, WriteTransaction};
 use stackgw_sessions::Record;
@@ -8,7 +9,8 @@
 
 /// Single values by name.
 pub(crate) const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// Positions replicated for others: session key to position and time of writing in Unix milliseconds.
+/// Positions replicated for others: session key to position and time of writing in Unix
+/// milliseconds.
 pub(crate) const POSITIONS: TableDefinition<u64, (i64, u64)> = TableDefinition::new("held");
 /// Own writes that some replica has not acknowledged, in the same form.
 pub(crate) const UNACKNOWLEDGED: TableDefinition<u64, (i64, u64)> = TableDefinition::new("owed");
@@ -116,7 +118,8 @@
     }
 }
 
-/// Stores a position unless a higher one is there; the time of writing is this one's in either case.
+/// Stores a position unless a higher one is there; the time of writing is this one's in either
+/// case.
 fn insert_max(
     table: &mut Table<'_, u64, (i64, u64)>,
     key: u64,
--- a/crates/stackgw-store/src/worker.rs
+++ b/crates/stackgw-store/src/worker.rs
@@ -4,8 +4,8 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread::JoinHandle;
 
-/// A thread and the queue before it. The queue is unbounded: its senders bound what they put in. Dropping the worker waits
-/// until the queue is worked off.
+/// A thread and the queue before it. The queue is unbounded: its senders bound what they put in.
+/// Dropping the worker waits until the queue is worked off.
 #[derive(Debug)]
 pub(crate) struct Worker<T> {
     queue: Option<Sender<T>>,
@@ -13,8 +13,8 @@
 }
 
 impl<T: Send + 'static> Worker<T> {
-    /// Starts a thread of this name, which takes from the queue until that is closed. `field` is the operator's field that
-    /// asked for it.
+    /// Starts a thread of this name, which takes from the queue until that is closed. `field` is
+    /// the operator's field that asked for it.
     pub(crate) fn start(
         name: &str,
         field: &'static str,
--- a/crates/stackgw-store/tests/fixtures.rs
+++ b/crates/stackgw-store/tests/fixtures.rs
@@ -23,7 +23,8 @@
         .join(name)
 }
 
-/// Records of every kind. What stands before `Invalidated` shows in the file only where that leaves it.
+/// Records of every kind. What stands before `Invalidated` shows in the file only where that leaves
+/// it.
 fn records() -> Vec<Record> {
     vec![
         Record::ReplicaSet(77),
@@ -143,8 +144,8 @@
     writer.put(cached());
 }
 
-/// Writes the store and the list. `cargo test -p stackgw-store --test fixtures -- --ignored --nocapture`; the incarnation
-/// that it prints is `FIXTURE_INCARNATION`.
+/// Writes the store and the list. `cargo test -p stackgw-store --test fixtures -- --ignored
+/// --nocapture`; the incarnation that it prints is `FIXTURE_INCARNATION`.
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_the_files() {
@@ -191,7 +192,8 @@
     );
 }
 
-/// Everything that a file holds, by the names and types of its tables; times that its host's clock gave are left out.
+/// Everything that a file holds, by the names and types of its tables; times that its host's clock
+/// gave are left out.
 fn tables(path: &Path) -> Rows {
     let database = redb::Database::open(path).expect("a database");
     let mut found = Rows::new();
--- a/crates/stackgw-store/tests/store.rs
+++ b/crates/stackgw-store/tests/store.rs
@@ -192,8 +192,9 @@
     assert_eq!(quarantined_files(&folder), 0);
 }
 
-/// A commit that was under way when the power failed: any part of its bytes may be there. When it is opened, the file has the
-/// records from before that commit or those from after it, or it is quarantined; and nothing else.
+/// A commit that was under way when the power failed: any part of its bytes may be there. When it
+/// is opened, the file has the records from before that commit or those from after it, or it is
+/// quarantined; and nothing else.
 #[test]
 fn a_commit_torn_at_any_byte_is_complete_or_absent_or_quarantined() {
     let folder = Folder::new("torn");
@@ -214,7 +215,8 @@
         .filter(|at| before[*at] != after[*at])
         .collect();
     assert!(differ.len() > 20, "{}", differ.len());
-    // Each opening waits for the disk: all offsets take minutes, so CI takes some; STACKGW_EVERY=1 takes all.
+    // Each opening waits for the disk: all offsets take minutes, so CI takes some; STACKGW_EVERY=1
+    // takes all.
     let stride = std::env::var("STACKGW_EVERY")
         .ok()
         .and_then(|n| n.parse().ok())
