--- /dev/null
+++ b/crates/stackgw-store/src/endpoint_list.rs
@@ -0,0 +1,162 @@
+//! The cached endpoint list: one file, replaced as a whole. A damaged one, or another service's, is
+//! not trusted.
+
+use crate::error::StoreError;
+use crate::quarantine::{move_aside, unix_ms};
+use crate::worker::Worker;
+use serde::{Deserialize, Serialize};
+use stackgw_bootstrap::{CachedEndpoints, EndpointUpdate};
+use stackgw_router::api::{Time, MS};
+use std::io::{ErrorKind, Write};
+use std::path::Path;
+use std::sync::mpsc::Receiver;
+
+/// The version of the file's format.
+const FORMAT_VERSION: u32 = 1;
+/// Larger files are rejected unread.
+const MAX_FILE_BYTES: u64 = 16 << 20;
+
+/// The file's first line; the list follows on the second.
+#[derive(Serialize, Deserialize)]
+struct Header {
+    version: u32,
+    /// Name of the list service.
+    service: String,
+    /// When the service last confirmed the list, in Unix milliseconds.
+    #[serde(rename = "said_ms")]
+    confirmed_at_ms: i64,
+    /// Requests a second that a warm member answered this instance.
+    #[serde(rename = "rate", default)]
+    warm_throughput: f64,
+    /// BLAKE3 of the second line, in hexadecimal digits.
+    #[serde(rename = "sum")]
+    checksum: String,
+}
+
+/// Reads the cached list of this service. `None`: there is no file, or it is another service's.
+///
+/// # Errors
+/// The file cannot be read, or is damaged; a damaged one has been quarantined.
+pub fn read(path: &Path, service: &str) -> Result<Option<CachedEndpoints>, StoreError> {
+    let io_error = |source| StoreError::ListIo {
+        path: path.to_owned(),
+        source,
+    };
+    let metadata = match std::fs::metadata(path) {
+        Ok(metadata) => metadata,
+        Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(io_error(error)),
+    };
+    if !metadata.is_file() || metadata.len() > MAX_FILE_BYTES {
+        return Err(StoreError::ListNotRegularFile {
+            path: path.to_owned(),
+        });
+    }
+    let bytes = std::fs::read(path).map_err(io_error)?;
+    let Some((header, list)) = parse(&bytes) else {
+        let moved_to = move_aside(path).map_err(io_error)?;
+        return Err(StoreError::ListDamaged {
+            path: path.to_owned(),
+            moved_to,
+        });
+    };
+    Ok((header.service == service).then(|| cached_endpoints(&header, list)))
+}
+
+fn parse(bytes: &[u8]) -> Option<(Header, EndpointUpdate)> {
+    let (header, list) = bytes.split_at(bytes.iter().position(|byte| *byte == b'\n')?);
+    let list = list.strip_prefix(b"\n")?.strip_suffix(b"\n")?;
+    let header: Header = serde_json::from_slice(header).ok()?;
+    if header.version != FORMAT_VERSION || header.checksum != checksum(list) {
+        return None;
+    }
+    let list: EndpointUpdate = serde_json::from_slice(list).ok()?;
+    list.complete.then_some((header, list))
+}
+
+fn cached_endpoints(header: &Header, list: EndpointUpdate) -> CachedEndpoints {
+    // The clock may have been set back since the file was written.
+    let now_ms = i64::try_from(unix_ms()).unwrap_or(i64::MAX);
+    let confirmed_at_ms = header.confirmed_at_ms.clamp(0, now_ms);
+    let confirmed_at: Time = confirmed_at_ms.saturating_mul(MS);
+    CachedEndpoints {
+        list,
+        confirmed_at,
+        warm_throughput: header.warm_throughput,
+    }
+}
+
+fn checksum(bytes: &[u8]) -> String {
+    blake3::hash(bytes).to_hex().to_string()
+}
+
+/// Writes the file beside its place and renames it, so that a reader finds the old one or the new
+/// one.
+fn write(path: &Path, service: &str, cached: &CachedEndpoints) -> std::io::Result<()> {
+    let list = serde_json::to_vec(&cached.list)?;
+    let header = Header {
+        version: FORMAT_VERSION,
+        service: service.to_owned(),
+        confirmed_at_ms: cached.confirmed_at / MS,
+        warm_throughput: cached.warm_throughput,
+        checksum: checksum(&list),
+    };
+    let temporary = path.with_extension("new");
+    let mut file = std::fs::File::create(&temporary)?;
+    file.write_all(&serde_json::to_vec(&header)?)?;
+    file.write_all(b"\n")?;
+    file.write_all(&list)?;
+    file.write_all(b"\n")?;
+    file.sync_all()?;
+    std::fs::rename(&temporary, path)
+}
+
+/// A thread that writes the newest list; lists that are superseded while it writes are skipped.
+/// Dropping the writer writes the newest one first.
+#[derive(Debug)]
+pub struct EndpointListWriter(Worker<CachedEndpoints>);
+
+impl EndpointListWriter {
+    /// Starts the thread. It calls `on_error` at the first of each series of failures.
+    ///
+    /// # Errors
+    /// The thread cannot be started.
+    pub fn start(
+        path: &Path,
+        service: &str,
+        on_error: impl Fn(StoreError) + Send + 'static,
+    ) -> Result<Self, StoreError> {
+        let (path, service) = (path.to_owned(), service.to_owned());
+        let run = move |queue| run(&path, &service, &queue, &on_error);
+        Worker::start("list", "start.list", run).map(EndpointListWriter)
+    }
+
+    /// Writes this list from now on.
+    pub fn put(&self, cached: CachedEndpoints) {
+        self.0.put(cached);
+    }
+}
+
+fn run(
+    path: &Path,
+    service: &str,
+    queue: &Receiver<CachedEndpoints>,
+    on_error: &impl Fn(StoreError),
+) {
+    let mut is_failing = false;
+    while let Ok(first) = queue.recv() {
+        let newest = queue.try_iter().last().unwrap_or(first);
+        match write(path, service, &newest) {
+            Ok(()) => is_failing = false,
+            Err(source) => {
+                if !is_failing {
+                    on_error(StoreError::ListNotWritten {
+                        path: path.to_owned(),
+                        source,
+                    });
+                }
+                is_failing = true;
+            }
+        }
+    }
+}
