--- a/crates/stackgw-router/src/router/health_checks.rs
+++ b/crates/stackgw-router/src/router/health_checks.rs
@@ -4,10 +4,11 @@
 use crate::api::*;
 use crate::state::{Candidate, MemberState, Observation, RequestState, Role};
 
-/// Checks within the tightest bound or last lag; least and longest interval; how long one is waited for.
+/// Checks in the tightest bound, or in half the last lag if that is longer; least and longest interval.
 const CHECKS_PER_BOUND: i64 = 4;
 const MIN_INTERVAL: Span = 120 * MS;
 const MAX_INTERVAL: Span = SECOND / 2;
+/// How long a read waits for the answer to one.
 pub(super) const MAX_WAIT: Span = 20 * MS;
 /// Checks that no request waits for stay within this many for each request, less in a large fleet: they cost.
 const CHECKS_PER_REQUEST: f64 = 0.1;
@@ -33,7 +34,7 @@
         self.health_check_budget = earned.min(self.members.len() as f64);
     }
 
-    /// Whether a replica's position may be asked for again. One that was behind the whole fleet watches.
+    /// Whether a replica's position may be asked for again. The whole fleet watches those that are behind.
     pub(super) fn is_check_due(&self, member: &MemberState) -> bool {
         let is_behind = member.lag > self.tightest_bound && member.position > 0;
         let interval = (member.lag / 2).max(self.tightest_bound) / CHECKS_PER_BOUND;
@@ -73,6 +74,7 @@
         aged
     }
 
+    /// While a primary is searched for, every member that can be reached, at the least interval.
     fn due_in_search(&self, replicas: &[Candidate]) -> Vec<MemberId> {
         let interval = (MIN_INTERVAL as f64 * self.fleet_divisor * self.jitter) as Span;
         let reachable = replicas.iter().filter(|(_, member)| member.has_connection_permit(self.now));
--- a/crates/stackgw-router/src/router/membership.rs
+++ b/crates/stackgw-router/src/router/membership.rs
@@ -12,7 +12,7 @@
 impl Router {
     pub(super) fn apply_endpoint_list(&mut self, scope: ListScope, endpoints: &[Member]) {
         if self.settings.polls_endpoint_list && matches!(scope, ListScope::Cached | ListScope::Failed) {
-            self.actions.push(Action::Subscribe(true)); // Failure took a time-out, which sets the pace.
+            self.actions.push(Action::Subscribe(true)); // No backoff: a poll fails only after a time-out.
         }
         if scope == ListScope::Failed {
             return;
@@ -35,7 +35,7 @@
             group.clear_primary(endpoint.id);
         }
         if endpoint.started_at.is_none() && scope != ListScope::Cached {
-            member.started_at = None; // Up for long; a cached list could not tell.
+            member.started_at = None; // It has been up for long; a cached list could not tell.
         }
         member.apply_lifecycle(self.now, endpoint.lifecycle, &self.settings.obligations);
         member.weight = endpoint.weight;
--- a/crates/stackgw-router/src/router/requests.rs
+++ b/crates/stackgw-router/src/router/requests.rs
@@ -19,6 +19,7 @@
 const MIN_ROTATION_WEIGHT: f64 = 0.01;
 
 impl Router {
+    /// Takes a new request, which is owed one final answer.
     pub(super) fn accept(&mut self, mut request: Request) {
         let Request { id, group, .. } = request;
         request.last_write = match self.settings.session_tracking {
