--- a/crates/stackgw-cli/src/main.rs
+++ b/crates/stackgw-cli/src/main.rs
@@ -1,4 +1,7 @@
 //! `stackgw`: one gateway, configured by its environment where no sub-command is named, and what operators need around it.
+//!
+//! This package has arguments, calls and output. Every sub-command calls a library and prints what comes of it; its errors are
+//! one line on standard error, and an exit code that is not zero. It must not decide anything about requests, nor know a wire.
 
 mod cmd;
 mod control_socket;
--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -265,35 +265,35 @@
         assert!(!output.status.success());
         String::from_utf8_lossy(&output.stderr).into_owned()
     };
-    let whole = config_text("null");
-    for (name, text, says) in [
+    let complete = config_text("null");
+    for (name, text, expected) in [
         ("none", None, "ROUTER_CONFIG is not set"),
         ("json", Some("{".to_owned()), "ROUTER_CONFIG: no JSON"),
         (
             "listen",
-            Some(whole.replace("127.0.0.1:0", "here")),
+            Some(complete.replace("127.0.0.1:0", "here")),
             "listen: 'here' is no address",
         ),
         (
             "limits",
-            Some(whole.replace("\"sockets\":128", "\"sockets\":-1")),
+            Some(complete.replace("\"sockets\":128", "\"sockets\":-1")),
             "limits.sockets",
         ),
         (
             "idle",
-            Some(whole.replace("\"DialTimeoutNs\"", "\"X\"")),
+            Some(complete.replace("\"DialTimeoutNs\"", "\"X\"")),
             "settings: DialTimeoutNs",
         ),
-        ("seed", Some(whole.replace("8c1f", "zz")), "seed: 'zz'"),
+        ("seed", Some(complete.replace("8c1f", "zz")), "seed: 'zz'"),
         (
             "known",
             Some(config_text("{\"revision\":1}")),
             "known: complete",
         ),
     ] {
-        let said = run(name, text.as_deref());
-        assert_eq!(said.lines().count(), 1, "{name}: {said}");
-        assert!(said.contains(says), "{name}: {said}");
+        let stderr = run(name, text.as_deref());
+        assert_eq!(stderr.lines().count(), 1, "{name}: {stderr}");
+        assert!(stderr.contains(expected), "{name}: {stderr}");
     }
 }
 
@@ -365,17 +365,17 @@
         .expect("the statement")
         .contains("'slow'"));
     // What cannot be used changes nothing: no file, half a file, a wrong field.
-    let whole = std::fs::read_to_string(&gateway.config).expect("the file");
+    let complete = std::fs::read_to_string(&gateway.config).expect("the file");
     std::fs::remove_file(&gateway.config).expect("gone");
     gateway.signal("HUP");
     gateway.wait_for_line("the old configuration stays in force: ROUTER_CONFIG");
-    for (text, says) in [
-        (&whole[..whole.len() / 2], "no JSON"),
-        (&whole.replace("8c1f", "zz"), "seed: 'zz'"),
+    for (text, expected) in [
+        (&complete[..complete.len() / 2], "no JSON"),
+        (&complete.replace("8c1f", "zz"), "seed: 'zz'"),
     ] {
         std::fs::write(&gateway.config, text).expect("a file");
         gateway.signal("HUP");
-        gateway.wait_for_line(says);
+        gateway.wait_for_line(expected);
         client.write(&[select("k1")]);
         assert_eq!(frame_kinds(&client.read_reply()), "TDCZ");
     }
--- a/crates/stackgw-cli/tests/sessions.rs
+++ b/crates/stackgw-cli/tests/sessions.rs
@@ -337,21 +337,21 @@
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/sessions.example.yaml"
     );
-    let (good, said) = stackgw(&["check", example]);
-    assert!(good && said.contains("keepers g0, g1"), "{said}");
+    let (succeeds, output) = stackgw(&["check", example]);
+    assert!(succeeds && output.contains("keepers g0, g1"), "{output}");
     let file = std::env::temp_dir().join(format!("stackgw-check-{}.yaml", std::process::id()));
     std::fs::write(&file, "sessions:\n  cluster: x\n  horizon: never\n").expect("a file");
-    let (good, said) = stackgw(&["check", &file.display().to_string()]);
+    let (succeeds, output) = stackgw(&["check", &file.display().to_string()]);
     std::fs::remove_file(&file).expect("it was there");
     assert!(
-        !good && said.contains(":3: horizon: ") && said.trim().lines().count() == 1,
-        "{said}"
+        !succeeds && output.contains(":3: horizon: ") && output.trim().lines().count() == 1,
+        "{output}"
     );
-    let (good, said) = stackgw(&["schema"]);
-    assert!(good && serde_json::from_str::<serde_json::Value>(&said).is_ok());
-    let (good, said) = stackgw(&["sessions", "/nowhere.sock"]);
+    let (succeeds, output) = stackgw(&["schema"]);
+    assert!(succeeds && serde_json::from_str::<serde_json::Value>(&output).is_ok());
+    let (succeeds, output) = stackgw(&["sessions", "/nowhere.sock"]);
     assert!(
-        !good && said.starts_with("stackgw: /nowhere.sock: "),
-        "{said}"
+        !succeeds && output.starts_with("stackgw: /nowhere.sock: "),
+        "{output}"
     );
 }
