--- a/crates/stackgw-gateway/src/io/control.rs
+++ b/crates/stackgw-gateway/src/io/control.rs
@@ -6,8 +6,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use serde_json::{json, Value};
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+use std::cell::Cell;
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::Path;
@@ -29,29 +28,6 @@
 /// Only the gateway's own user may ask.
 const SOCKET_MODE: u32 = 0o600;
 
-/// The reducer's answers, by the number of their question.
-#[derive(Debug, Default)]
-pub(super) struct Answers {
-    next_question: Cell<u64>,
-    by_question: RefCell<HashMap<u64, Value>>,
-}
-
-impl Answers {
-    pub(super) fn insert(&self, question: u64, answer: Value) {
-        self.by_question.borrow_mut().insert(question, answer);
-    }
-
-    fn take(&self, question: u64) -> Option<Value> {
-        self.by_question.borrow_mut().remove(&question)
-    }
-
-    fn number_question(&self) -> u64 {
-        let question = self.next_question.get();
-        self.next_question.set(question + 1);
-        question
-    }
-}
-
 /// Opens the socket. What an ended process left there is removed; any other file stays, and is an error.
 pub(super) fn listen(path: &Path) -> Result<Async<UnixListener>, GatewayError> {
     bind(path).map_err(|source| GatewayError::Control {
--- a/crates/stackgw-gateway/src/io/discovery.rs
+++ b/crates/stackgw-gateway/src/io/discovery.rs
@@ -6,10 +6,8 @@
     WatchError, WatchEvent, WatchParser,
 };
 use crate::reducer::Input;
-use async_executor::Task;
 use async_io::{Async, Timer};
 use futures_lite::{future, stream, AsyncReadExt, AsyncWriteExt, Stream, StreamExt};
-use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -17,13 +15,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The tasks that talk to the list service. A task that is replaced or dropped ends.
-#[derive(Default)]
-pub(super) struct ListRequests {
-    watch: RefCell<Option<Task<()>>>,
-    fetch: RefCell<Option<Task<()>>>,
-}
-
 impl Driver {
     /// Opens a watch of what changes after a version, in place of any other.
     pub(super) fn open_watch(self: &Rc<Self>, address: SocketAddr, after: Option<u64>) {
--- a/crates/stackgw-gateway/src/io/driver.rs
+++ b/crates/stackgw-gateway/src/io/driver.rs
@@ -1,14 +1,14 @@
 //! Drives the reducer: hands it inputs one at a time and carries out the effects that it asks for.
 
-use super::backends::Backends;
-use super::clients::Clients;
+use super::alarm::Alarm;
+use super::backend_channels::Backends;
+use super::client_table::Clients;
 use super::clock::Clock;
-use super::control::Answers;
-use super::discovery::ListRequests;
+use super::control_answers::Answers;
 use super::flag::Flag;
-use super::frontends::OpenRequests;
-use super::members::Members;
-use super::timers::Alarm;
+use super::list_tasks::ListRequests;
+use super::member_table::Members;
+use super::request_handle::OpenRequests;
 use crate::config::ConfigReloader;
 use crate::limits::Limits;
 use crate::reducer::{Effect, Input, Reducer};
--- /dev/null
+++ b/crates/stackgw-gateway/src/io/member_table.rs
@@ -0,0 +1,35 @@
+//! The table of connections to members that speak PostgreSQL's protocol. It does no I/O by itself.
+
+use super::connection::{Connection, ReadBudget};
+use crate::limits::Limits;
+use crate::reducer::ConnectionId;
+use async_executor::Task;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// A connection to a member: its task, and its socket once it is up. Dropped, it is closed.
+pub(super) struct Member {
+    pub(super) connection: Option<Rc<Connection>>,
+    pub(super) _task: Task<()>,
+}
+
+/// All connections to members that speak the first protocol.
+pub(super) struct Members {
+    pub(super) connections: RefCell<HashMap<ConnectionId, Member>>,
+    /// Bytes that the members' tasks hold.
+    pub(super) budget: Rc<ReadBudget>,
+}
+
+impl Members {
+    pub(super) fn new(limits: &Limits) -> Self {
+        Members {
+            connections: RefCell::default(),
+            budget: ReadBudget::new(limits.member_bytes),
+        }
+    }
+
+    pub(super) fn connection(&self, id: ConnectionId) -> Option<Rc<Connection>> {
+        self.connections.borrow().get(&id)?.connection.clone()
+    }
+}
--- a/crates/stackgw-gateway/src/io/members.rs
+++ b/crates/stackgw-gateway/src/io/members.rs
@@ -1,47 +1,16 @@
 //! Members' connections: one task for each, and the effects that concern them.
 
-use super::connection::{
-    Connection, ConnectionEvent, ConnectionEvents, ReadBudget, ReadLimits, WriteProgress,
-};
+use super::connection::{Connection, ConnectionEvent, ConnectionEvents, ReadLimits, WriteProgress};
 use super::driver::Driver;
-use crate::limits::Limits;
+use super::member_table::Member;
 use crate::pg::message_kind::server;
 use crate::pg::{FrameDecoder, FrameError};
 use crate::reducer::{CloseReason, ConnectionId, Input};
-use async_executor::Task;
 use async_io::Async;
 use futures_lite::StreamExt;
-use std::cell::RefCell;
-use std::collections::HashMap;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// A connection to a member: its task, and its socket once it is up. Dropped, it is closed.
-struct Member {
-    connection: Option<Rc<Connection>>,
-    _task: Task<()>,
-}
-
-/// All connections to members that speak the first protocol.
-pub(super) struct Members {
-    connections: RefCell<HashMap<ConnectionId, Member>>,
-    /// Bytes that the members' tasks hold.
-    budget: Rc<ReadBudget>,
-}
-
-impl Members {
-    pub(super) fn new(limits: &Limits) -> Self {
-        Members {
-            connections: RefCell::default(),
-            budget: ReadBudget::new(limits.member_bytes),
-        }
-    }
-
-    fn connection(&self, id: ConnectionId) -> Option<Rc<Connection>> {
-        self.connections.borrow().get(&id)?.connection.clone()
-    }
-}
-
 impl Driver {
     /// Opens a connection; the reducer ends it where that takes too long.
     pub(super) fn open_member_connection(self: &Rc<Self>, id: ConnectionId, address: SocketAddr) {
--- a/crates/stackgw-gateway/src/io/startup.rs
+++ b/crates/stackgw-gateway/src/io/startup.rs
@@ -1,16 +1,18 @@
 //! Opens what a gateway needs, in the order in which its parts depend on each other, and runs it to its end.
 
-use super::backends::{self, BackendChannels, BackendCommand, BackendEvent, Backends};
-use super::clients::Clients;
+use super::alarm::Alarm;
+use super::backend_channels::{BackendChannels, BackendCommand, BackendEvent, Backends};
+use super::client_table::Clients;
 use super::clock::Clock;
-use super::control::{self, Answers};
-use super::discovery::ListRequests;
+use super::control_answers::Answers;
 use super::driver::{DatagramSockets, Driver, Storage};
 use super::flag::Flag;
-use super::frontends::{self, FrontendMessage, OpenRequests, RequestHandle};
-use super::members::Members;
-use super::timers::{self, Alarm};
-use super::{datagrams, disconnects, listener, signals, storage};
+use super::list_tasks::ListRequests;
+use super::member_table::Members;
+use super::request_handle::{FrontendMessage, OpenRequests, RequestHandle};
+use super::{
+    backends, control, datagrams, disconnects, frontends, listener, signals, storage, timers,
+};
 use crate::config::{Config, ConfigReloader};
 use crate::error::GatewayError;
 use crate::limits::Limits;
--- a/crates/stackgw-gateway/src/io/timers.rs
+++ b/crates/stackgw-gateway/src/io/timers.rs
@@ -5,31 +5,9 @@
 use async_io::Timer;
 use futures_lite::{future, Stream, StreamExt};
 use stackgw_router::api::Time;
-use std::cell::{Cell, RefCell};
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll, Waker};
-
-/// When the reducer wants to be woken next.
-#[derive(Debug, Default)]
-pub(super) struct Alarm {
-    due: Cell<Option<Time>>,
-    waker: RefCell<Option<Waker>>,
-}
-
-impl Alarm {
-    /// Sets the moment; the task is woken only where that comes sooner than what it waits for.
-    pub(super) fn set(&self, due: Option<Time>) {
-        let before = self.due.replace(due);
-        let is_sooner = due.is_some_and(|due| before.is_none_or(|before| due < before));
-        if !is_sooner {
-            return;
-        }
-        if let Some(waker) = self.waker.borrow_mut().take() {
-            waker.wake();
-        }
-    }
-}
+use std::task::{Context, Poll};
 
 /// A stream that yields each time the alarm goes off.
 struct AlarmStream {
