--- a/crates/stackgw-gateway/tests/common/mod.rs
+++ b/crates/stackgw-gateway/tests/common/mod.rs
@@ -349,3 +349,18 @@
     });
     closed.collect()
 }
+
+/// A rig with one client whose request is out on the connection that is returned.
+pub fn asked(frame: Frame) -> (Rig, ClientId, ConnectionId) {
+    let mut rig = Rig::new(&three());
+    let client = rig.client(1);
+    let effects = rig.ask(client, frame);
+    let sent = statements(&effects);
+    let conn = sent.first().map(|(conn, _)| *conn);
+    let conn = conn.or_else(|| {
+        statements(&rig.pass(400 * MS))
+            .first()
+            .map(|(conn, _)| *conn)
+    });
+    (rig, client, conn.expect("an attempt"))
+}
--- /dev/null
+++ b/crates/stackgw-gateway/tests/endpoint_list.rs
@@ -0,0 +1,257 @@
+//! The endpoint list, its watch, a reload, and gossip about members.
+
+mod common;
+
+use common::*;
+use stackgw_gateway::config::{Config, ConfigError};
+use stackgw_gateway::reducer::{CloseReason, Effect, Input};
+use stackgw_router::api::{MS, SECOND};
+
+/// Why a document that is no JSON cannot be used.
+fn unusable_config() -> ConfigError {
+    Config::from_text("{", |_| None).expect_err("no JSON")
+}
+
+#[test]
+fn the_watch_starts_after_the_known_version_and_is_opened_anew_with_pauses() {
+    let mut rig = Rig::new(&three());
+    assert!(rig.effects.contains(&Effect::OpenWatch(
+        "127.0.0.1:8500".parse().expect("an address"),
+        Some(1)
+    )));
+    let count = |effects: &[Effect]| {
+        effects
+            .iter()
+            .filter(|e| matches!(e, Effect::OpenWatch(..)))
+            .count()
+    };
+    let effects = rig.input(Input::WatchLost("ended".into()));
+    assert_eq!(count(&effects), 0, "not at once");
+    assert_eq!(count(&rig.pass(150 * MS)), 1);
+    rig.input(Input::WatchLost("refused".into()));
+    assert_eq!(count(&rig.pass(150 * MS)), 0, "the second pause is longer");
+    assert_eq!(count(&rig.pass(SECOND)), 1);
+    // Blank lines keep it; silence does not, for longer than two of them.
+    rig.input(Input::WatchConnected);
+    for _ in 0..5 {
+        rig.pass(2 * SECOND);
+        rig.input(Input::WatchKeepalive);
+    }
+    let lost = rig.reducer.counters().watches_lost;
+    assert_eq!(lost, 2);
+    let effects = rig.pass(4500 * MS);
+    assert!(effects.contains(&Effect::CloseWatch) && count(&effects) == 1);
+}
+
+#[test]
+fn a_drain_reaches_the_router_at_once() {
+    let mut rig = Rig::new(&three());
+    let client = rig.client(1);
+    rig.input(Input::EndpointList(list(
+        2,
+        false,
+        &[
+            entry(1, "draining", "leader"),
+            entry(2, "draining", "follower"),
+        ],
+    )));
+    rig.pass(2 * SECOND);
+    for _ in 0..4 {
+        let mut effects = rig.ask(client, read(400));
+        effects.extend(rig.pass(500 * MS));
+        assert!(
+            opened(&effects).iter().all(|(_, member)| *member == 3),
+            "a draining member was sent to"
+        );
+    }
+    let text = list(1, false, &[entry(1, "ready", "leader")]);
+    rig.input(Input::EndpointList(text));
+    assert_eq!(
+        rig.reducer.counters().lists,
+        1,
+        "older word undoes no newer"
+    );
+}
+
+#[test]
+fn a_new_address_is_used_and_idle_connections_to_the_old_one_are_closed() {
+    let (mut rig, client, conn) = asked(buy(900));
+    rig.reply(
+        conn,
+        [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
+    );
+    let moved = entry(1, "ready", "leader").replace(":7001", ":7041");
+    let effects = rig.input(Input::EndpointList(list(2, false, &[moved])));
+    assert_eq!(closed(&effects), [conn]);
+    let effects = rig.ask(client, buy(900));
+    assert_eq!(opened(&effects)[0].1, 41);
+}
+
+#[test]
+fn words_are_heard_from_gateways_of_the_tier_alone() {
+    let mut rig = Rig::new(&three());
+    rig.input(Input::GossipDatagram(
+        "127.0.0.1:7901".parse().expect("an address"),
+        vec![0, 0, 0, 0, 0],
+    ));
+    rig.input(Input::GossipDatagram(
+        "127.0.0.1:7902".parse().expect("an address"),
+        vec![0, 0, 0, 0, 0],
+    ));
+    rig.input(Input::GossipDatagram(
+        "127.0.0.1:7901".parse().expect("an address"),
+        vec![9; 11],
+    ));
+    rig.input(Input::GossipDatagram(
+        "127.0.0.1:7901".parse().expect("an address"),
+        vec![0; 257],
+    ));
+    let counters = rig.reducer.counters();
+    assert_eq!((counters.words_heard, counters.words_dropped), (1, 3));
+}
+
+#[test]
+fn what_answers_told_goes_to_the_other_gateway_in_small_datagrams() {
+    let (mut rig, _, conn) = asked(read(900));
+    rig.serve(conn, b"x");
+    let effects = rig.pass(3 * SECOND);
+    let sent: Vec<_> = effects
+        .iter()
+        .filter_map(|e| match e {
+            Effect::GossipDatagram(to, bytes) => Some((to.port(), bytes.len())),
+            _ => None,
+        })
+        .collect();
+    assert!(
+        !sent.is_empty()
+            && sent
+                .iter()
+                .all(|(port, n)| [7901, 7999].contains(port) && *n <= 256),
+        "{sent:?}"
+    );
+}
+
+/// What SIGHUP brings: the list comes from the new address at once and whole, whatever versions the old one had.
+#[test]
+fn a_new_configuration_moves_the_watch_and_old_versions_do_not_bind() {
+    let known = list_text(
+        41,
+        true,
+        &[entry(1, "ready", "leader"), entry(2, "ready", "follower")],
+    );
+    let mut rig = Rig::new(&known);
+    let client = rig.client(1);
+    let config = |text: String| {
+        Box::new(stackgw_gateway::config::Config::from_text(&text, |_| None).expect("one"))
+    };
+    let moved = || config_text("null").replace("127.0.0.1:8500", "127.0.0.1:8600");
+    let effects = rig.input(Input::Reload(Ok(config(moved()))));
+    let new = "127.0.0.1:8600".parse().expect("an address");
+    assert!(
+        effects.contains(&Effect::CloseWatch) && effects.contains(&Effect::OpenWatch(new, None)),
+        "{effects:?}"
+    );
+    // Its versions are lower, and count all the same.
+    rig.input(Input::EndpointList(list(
+        3,
+        true,
+        &[
+            entry(2, "draining", "follower"),
+            entry(3, "ready", "leader"),
+        ],
+    )));
+    rig.input(Input::EndpointList(list(
+        4,
+        false,
+        &[entry(2, "gone", "follower")],
+    )));
+    assert_eq!(rig.reducer.counters().lists, 2);
+    rig.pass(2 * SECOND);
+    let effects = rig.ask(client, read(400));
+    assert!(
+        opened(&effects).iter().all(|(_, member)| *member == 3),
+        "what it tells binds"
+    );
+    // Lost, it is asked for at the new address after the new versions.
+    rig.input(Input::WatchLost("ended".into()));
+    assert!(rig.pass(SECOND).contains(&Effect::OpenWatch(new, Some(4))));
+    // The same once more changes nothing; one that cannot be used neither, and is one line.
+    let effects = rig.input(Input::Reload(Ok(config(moved()))));
+    assert!(!effects
+        .iter()
+        .any(|e| matches!(e, Effect::OpenWatch(..) | Effect::CloseWatch)));
+    let effects = rig.input(Input::Reload(Err(unusable_config())));
+    assert!(
+        matches!(&effects[..], [Effect::Log(line)] if line.contains("no JSON")),
+        "{effects:?}"
+    );
+    // What cannot change while running is said.
+    let other = moved()
+        .replace("\"sockets\":128", "\"sockets\":256")
+        .replace("\"g0\"", "\"g7\"");
+    let effects = rig.input(Input::Reload(Ok(config(other))));
+    let said = |e: &Effect| matches!(e, Effect::Log(line) if line.contains("until a restart: name, limits"));
+    assert!(effects.iter().any(said), "{effects:?}");
+    assert_eq!(
+        (
+            rig.reducer.counters().reloads,
+            rig.reducer.counters().reloads_failed
+        ),
+        (4, 1)
+    );
+}
+
+/// The long day: members are replaced throughout under new ids, clients and sessions are always new. What is kept of
+/// them is what is there now and a little of what has just gone.
+#[test]
+fn nothing_grows_over_many_generations() {
+    let mut rig = Rig::new(&list_text(1, true, &[entry(1, "ready", "leader")]));
+    let mut most = [0; 2];
+    for n in 0..400u32 {
+        let (old, new) = (1 + n, 2 + n);
+        let ready = |m| entry(m, "ready", if m == new { "leader" } else { "follower" });
+        rig.input(Input::EndpointList(list(
+            u64::from(n) * 2 + 2,
+            false,
+            &[ready(new), entry(old, "gone", "follower")],
+        )));
+        let client = rig.client(u64::from(n));
+        let text = format!(
+            "SELECT val FROM state WHERE uid = 's{n}' /* id=g{n},c=mine,d=400,cluster=2 */"
+        );
+        let effects = rig.ask(client, query(&text));
+        let sent = statements(&effects);
+        for (conn, _) in &sent {
+            rig.reply(
+                *conn,
+                [
+                    row(b"x"),
+                    vec![status("node_role", "leader"), message(b'Z', b"I")],
+                ]
+                .concat(),
+            );
+        }
+        rig.pass(SECOND);
+        rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
+        let counters = rig.reducer.counters();
+        let kept = counters.members_known;
+        let half = usize::from(n >= 200);
+        most[half] = most[half].max(kept + counters.members_open + counters.held_bytes);
+        assert!(kept < 60, "{kept} members after {n} generations");
+        assert!(
+            counters.members_open < 30,
+            "{} connections",
+            counters.members_open
+        );
+    }
+    let counters = rig.reducer.counters();
+    assert!(counters.members_forgotten > 300, "{counters}");
+    assert!(most[1] <= most[0], "{most:?}");
+    // One that comes back is a member like any other.
+    rig.input(Input::EndpointList(list(
+        9000,
+        false,
+        &[entry(3, "ready", "follower")],
+    )));
+    assert!(rig.reducer.counters().members_known < 60);
+}
