--- a/crates/stackgw-gateway/src/counters.rs
+++ b/crates/stackgw-gateway/src/counters.rs
@@ -1,5 +1,4 @@
-//! What the gateway took in, sent and answered, and what it held at most. Plain numbers; printed on request and at
-//! the end.
+//! Counters of the gateway: plain numbers, logged on request and at the exit. Their names are part of the log.
 
 use std::fmt;
 
@@ -20,25 +19,25 @@
 }
 
 counters! {
-    /// Statements taken from clients.
+    /// Statements received from clients and other frontends.
     taken,
     /// Statements answered with an error because of their form, class or group.
     malformed,
     /// Requests answered with a member's row.
     answered_served,
-    /// Requests answered with a refusal.
-    answered_refused,
-    /// Requests answered with a failure.
+    /// Requests rejected: nothing has run.
+    answered_rejected,
+    /// Requests failed: they may have run.
     answered_failed,
-    /// Requests whose client left first.
-    answered_gone,
-    /// Requests turned away unseen: too many were open or connected, or no list was known yet.
-    turned_away,
+    /// Requests whose client left before the response.
+    abandoned,
+    /// Requests rejected before the router saw them: too many were open or connected, or no list was known yet.
+    rejected_early,
     /// Served requests whose answer is a stream.
     streams_begun,
-    /// Streams that ended before they were whole.
+    /// Streams that ended before they were complete.
     streams_broken,
-    /// Connections that came up too late for whom they were opened, and were kept for the next.
+    /// Connections that were established too late for their attempt and kept for the next one.
     members_late,
     /// Attempts asked for by the router.
     attempts,
@@ -48,44 +47,44 @@
     ended_served,
     /// Attempts that ended with a member's error.
     ended_error,
-    /// Attempts that a member sent away.
-    ended_shed,
-    /// Attempts that met the wrong role or a replica too far behind.
-    ended_miss,
-    /// Attempts given up for time.
+    /// Attempts that a member rejected because it was full or draining.
+    ended_overloaded,
+    /// Attempts that reached a member of the wrong role, or a replica too far behind.
+    ended_misrouted,
+    /// Attempts that timed out.
     ended_timed_out,
     /// Attempts without a connection.
     ended_no_connection,
     /// Attempts whose connection broke.
     ended_reset,
-    /// Attempts whose answer was spoilt.
-    ended_spoilt,
-    /// Attempts called off.
+    /// Attempts whose response was malformed.
+    ended_malformed,
+    /// Attempts that were cancelled.
     ended_cancelled,
     /// Attempts never sent.
-    ended_unsent,
-    /// Probes sent.
-    probes,
-    /// Probes that brought no report.
-    probes_failed,
-    /// Client connections taken.
+    ended_not_sent,
+    /// Health checks sent.
+    health_checks,
+    /// Health checks without a load report.
+    health_checks_failed,
+    /// Client connections accepted.
     clients_opened,
     /// Client connections open.
     clients_open,
     /// Most client connections open together.
     clients_peak,
-    /// Client connections closed because others waited.
+    /// Idle client connections closed for others.
     clients_evicted,
-    /// Client connections closed for bytes that are no protocol.
+    /// Client connections closed for bytes that are no messages of the protocol.
     clients_bad,
-    /// Client connections closed because they stood still inside a message or an answer.
+    /// Client connections closed because they stalled inside a message or a response.
     clients_stalled,
-    /// Client connections closed because they asked nothing in time.
-    clients_silent,
-    /// Client connections refused while no list was known, as all places were taken by those that wait for it.
-    clients_refused,
-    /// Client connections closed for sending much ahead, or leaving much unread, while there was no room.
-    clients_greedy,
+    /// Client connections closed because they sent no request in time.
+    clients_without_request,
+    /// Client connections rejected while no list was known, as those that wait for it took all places.
+    clients_rejected,
+    /// Client connections closed for sending too much ahead, or leaving too much unread, while memory was short.
+    clients_over_buffer_limit,
     /// Statements whose id is that of an open request.
     ids_taken,
     /// Connections to members opened.
@@ -102,19 +101,19 @@
     members_retired,
     /// Idle connections closed to make room for others.
     members_evicted,
-    /// Connections closed for bytes that are no protocol.
+    /// Connections closed for bytes that are no messages of the protocol.
     members_bad,
-    /// Idle connections closed because something was on them that nobody had asked for.
-    members_unasked,
-    /// Positions that cannot be, and were not believed.
-    members_disbelieved,
-    /// Attempts moved to a new connection because the idle one had closed.
+    /// Connections closed for data that nothing had requested.
+    members_unexpected_data,
+    /// Positions in the future, which were discarded.
+    positions_implausible,
+    /// Attempts that got a second connection because the first one was closed before they were sent.
     members_reopened,
-    /// Members that lists have named and that are still kept.
+    /// Members that lists have named and that are still known.
     members_known,
     /// Members dropped, gone for a while.
     members_forgotten,
-    /// Lists taken, whole or changes.
+    /// Endpoint lists applied, complete or changes.
     lists,
     /// Times that the configuration was to be read anew.
     reloads,
@@ -124,18 +123,18 @@
     watches,
     /// Watches that ended, broke or fell silent.
     watches_lost,
-    /// Datagrams sent.
-    words_sent,
-    /// Datagrams taken.
-    words_heard,
-    /// Datagrams dropped: not from a gateway of the tier, or no words.
-    words_dropped,
-    /// Bytes that clients have sent and that are not taken yet.
-    ahead_bytes,
-    /// Bytes of statements held.
-    held_bytes,
-    /// Most bytes of statements held together.
-    held_peak,
+    /// Gossip datagrams sent.
+    gossip_sent,
+    /// Gossip datagrams received from other gateways of the tier.
+    gossip_received,
+    /// Datagrams dropped: not from a gateway of the tier, or no gossip.
+    gossip_dropped,
+    /// Bytes that clients have sent and that are not delivered yet.
+    read_ahead_bytes,
+    /// Bytes of queued and open statements, and of responses that wait for confirmation.
+    buffered_bytes,
+    /// Most such bytes at a time.
+    buffered_peak,
 }
 
 impl Counters {
@@ -143,6 +142,6 @@
     pub fn peaks(&mut self) {
         self.clients_peak = self.clients_peak.max(self.clients_open);
         self.members_peak = self.members_peak.max(self.members_open);
-        self.held_peak = self.held_peak.max(self.held_bytes);
+        self.buffered_peak = self.buffered_peak.max(self.buffered_bytes);
     }
 }
--- a/crates/stackgw-gateway/src/reducer/state/clients.rs
+++ b/crates/stackgw-gateway/src/reducer/state/clients.rs
@@ -92,7 +92,7 @@
         }
         let queued = client.queued.iter();
         let queued_bytes = queued.map(|queued| queued.frame.bytes.len() as u64);
-        cx.counters.held_bytes -= queued_bytes.sum::<u64>();
+        cx.counters.buffered_bytes -= queued_bytes.sum::<u64>();
         let slots = client.pipeline.into_iter();
         Some(slots.filter_map(|slot| slot.request).collect())
     }
@@ -181,7 +181,7 @@
 
     pub(crate) fn enqueue_frame(&mut self, cx: &mut Context<'_>, id: ClientId, frame: Frame) {
         if let Some(client) = self.connected.get_mut(&id) {
-            cx.counters.held_bytes += frame.bytes.len() as u64;
+            cx.counters.buffered_bytes += frame.bytes.len() as u64;
             client.queued.push_back(QueuedFrame {
                 received_at: cx.now,
                 frame,
@@ -214,7 +214,7 @@
         let is_runnable =
             |queued: &mut QueuedFrame| pipeline.is_empty() || runs_beside(&queued.frame);
         let queued = client.queued.pop_front_if(is_runnable)?;
-        cx.counters.held_bytes -= queued.frame.bytes.len() as u64;
+        cx.counters.buffered_bytes -= queued.frame.bytes.len() as u64;
         Some(queued)
     }
 
--- a/crates/stackgw-gateway/src/reducer/state/requests.rs
+++ b/crates/stackgw-gateway/src/reducer/state/requests.rs
@@ -84,7 +84,7 @@
     ) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        cx.counters.held_bytes += statement.size_bytes() as u64;
+        cx.counters.buffered_bytes += statement.size_bytes() as u64;
         self.statement_ids.insert(statement.id.clone());
         let request = OpenRequest {
             requester: Some(requester),
@@ -112,7 +112,7 @@
             return;
         }
         if let Some(request) = self.open.remove(&id) {
-            cx.counters.held_bytes -= request.statement.size_bytes() as u64;
+            cx.counters.buffered_bytes -= request.statement.size_bytes() as u64;
             self.statement_ids.remove(&request.statement.id);
         }
     }
@@ -153,7 +153,7 @@
     /// Keeps a served write's response back; the outcome of its request is decided.
     pub(crate) fn hold_response(&mut self, cx: &mut Context<'_>, id: RequestId, row: Vec<u8>) {
         if let Some(request) = self.open.get_mut(&id) {
-            cx.counters.held_bytes += row.len() as u64;
+            cx.counters.buffered_bytes += row.len() as u64;
             request.is_finished = true;
             request.unconfirmed_write = Some(UnconfirmedWrite { row, timeout: None });
         }
@@ -174,7 +174,7 @@
         id: RequestId,
     ) -> Option<Vec<u8>> {
         let write = self.open.get_mut(&id)?.unconfirmed_write.take()?;
-        cx.counters.held_bytes -= write.row.len() as u64;
+        cx.counters.buffered_bytes -= write.row.len() as u64;
         cx.timers.cancel(write.timeout);
         Some(write.row)
     }
--- a/crates/stackgw-gateway/src/reducer/steps/attempts.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/attempts.rs
@@ -294,7 +294,7 @@
             .filter(|_| outcome == Outcome::Served)
             .and_then(pg::parse_load_report)
             .filter(|report| is_plausible(cx, report.position));
-        cx.counters.probes_failed += u64::from(report.is_none());
+        cx.counters.health_checks_failed += u64::from(report.is_none());
         self.router.enqueue(Event::HealthChecked {
             member,
             responded: report.is_some(),
@@ -354,7 +354,7 @@
 /// Danger: a position in the future would make its member the freshest for as long as it lasts.
 pub(super) fn is_plausible(cx: &mut Context<'_>, position: Option<Time>) -> bool {
     let is_plausible = position.is_none_or(|at| at <= cx.now + cx.limits.max_clock_skew);
-    cx.counters.members_disbelieved += u64::from(!is_plausible);
+    cx.counters.positions_implausible += u64::from(!is_plausible);
     is_plausible
 }
 
@@ -363,14 +363,14 @@
     let counter = match outcome {
         Outcome::Served => &mut counters.ended_served,
         Outcome::Error => &mut counters.ended_error,
-        Outcome::Overloaded => &mut counters.ended_shed,
-        Outcome::Misrouted => &mut counters.ended_miss,
+        Outcome::Overloaded => &mut counters.ended_overloaded,
+        Outcome::Misrouted => &mut counters.ended_misrouted,
         Outcome::TimedOut => &mut counters.ended_timed_out,
         Outcome::ConnectFailed => &mut counters.ended_no_connection,
         Outcome::ConnectionReset => &mut counters.ended_reset,
-        Outcome::MalformedResponse => &mut counters.ended_spoilt,
+        Outcome::MalformedResponse => &mut counters.ended_malformed,
         Outcome::Cancelled => &mut counters.ended_cancelled,
-        Outcome::NotSent => &mut counters.ended_unsent,
+        Outcome::NotSent => &mut counters.ended_not_sent,
     };
     *counter += 1;
 }
--- a/crates/stackgw-gateway/src/reducer/steps/bootstrap.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/bootstrap.rs
@@ -250,7 +250,7 @@
     /// A message of another instance's bootstrap.
     pub(super) fn handle_bootstrap_message(&mut self, cx: &mut Context<'_>, body: &[u8]) {
         let Some(message) = Message::decode(body) else {
-            cx.counters.words_dropped += 1;
+            cx.counters.gossip_dropped += 1;
             return;
         };
         let now = cx.now;
--- a/crates/stackgw-gateway/src/reducer/steps/client_connections.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/client_connections.rs
@@ -63,8 +63,11 @@
             let text = "the message was not finished in time";
             return self.write_client_error(cx, id, ClientError::fatal(PROTOCOL_VIOLATION, text));
         }
-        cx.counters.clients_silent += 1;
-        cx.log_rarely(cx.counters.clients_silent, "clients that asked nothing:");
+        cx.counters.clients_without_request += 1;
+        cx.log_rarely(
+            cx.counters.clients_without_request,
+            "clients that asked nothing:",
+        );
         cx.emit(Effect::ClientCloseIfIdle(id));
     }
 
@@ -186,9 +189,9 @@
 }
 
 fn count_over_buffer_limit(cx: &mut Context<'_>) {
-    cx.counters.clients_greedy += 1;
+    cx.counters.clients_over_buffer_limit += 1;
     cx.log_rarely(
-        cx.counters.clients_greedy,
+        cx.counters.clients_over_buffer_limit,
         "clients that sent or left unread too much:",
     );
 }
--- a/crates/stackgw-gateway/src/reducer/steps/client_messages.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/client_messages.rs
@@ -72,7 +72,7 @@
         let is_ready = self.is_ready(cx);
         // Danger: clients that wait for the list may take all places; whoever comes then is rejected, not kept waiting.
         if !is_ready && self.reject_over_capacity(cx, id) {
-            cx.counters.clients_refused += 1;
+            cx.counters.clients_rejected += 1;
             return;
         }
         self.clients.mark_request_sent(id);
@@ -86,7 +86,7 @@
     fn handle_query(&mut self, cx: &mut Context<'_>, id: ClientId, queued: QueuedFrame) {
         cx.counters.taken += 1;
         if self.reject_over_capacity(cx, id) {
-            cx.counters.turned_away += 1;
+            cx.counters.rejected_early += 1;
             return;
         }
         let submitted = Statement::parse(queued.frame)
--- a/crates/stackgw-gateway/src/reducer/steps/dispatch.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/dispatch.rs
@@ -19,7 +19,7 @@
         self.schedule_bootstrap(cx);
         let is_listening = !self.shutdown.listener_closed();
         self.clients.admit(cx, is_listening);
-        cx.counters.ahead_bytes = self.clients.read_ahead_bytes() as u64;
+        cx.counters.read_ahead_bytes = self.clients.read_ahead_bytes() as u64;
         cx.counters.peaks();
         if !is_listening && self.clients.is_empty() && !self.requests.has_calls() {
             self.exit(cx);
@@ -118,7 +118,7 @@
 
     /// Whether a client's next message may be delivered.
     pub(crate) fn accepts_frame(&self, id: ClientId, counters: &Counters, limits: &Limits) -> bool {
-        let has_capacity = counters.held_bytes < limits.client_bytes as u64;
+        let has_capacity = counters.buffered_bytes < limits.client_bytes as u64;
         self.clients
             .accepts_frame(id, limits.max_pipelined_statements, has_capacity)
     }
--- a/crates/stackgw-gateway/src/reducer/steps/endpoints.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/endpoints.rs
@@ -162,14 +162,14 @@
         let max_bytes = cx.limits.datagram_bytes;
         match self.gossip.decode(cx.now, from, bytes, max_bytes) {
             Some(received) => {
-                cx.counters.words_heard += 1;
+                cx.counters.gossip_received += 1;
                 self.router.enqueue(Event::Gossip {
                     sent_at: received.sent_at,
                     relay: received.relay,
                     updates: received.updates,
                 });
             }
-            None => cx.counters.words_dropped += 1,
+            None => cx.counters.gossip_dropped += 1,
         }
     }
 }
--- a/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
@@ -243,9 +243,9 @@
             cx.log_rarely(cx.counters.members_bad, "bad bytes from members:");
         }
         CloseReason::UnexpectedData => {
-            cx.counters.members_unasked += 1;
+            cx.counters.members_unexpected_data += 1;
             cx.log_rarely(
-                cx.counters.members_unasked,
+                cx.counters.members_unexpected_data,
                 "connections with more than was asked for:",
             );
         }
--- a/crates/stackgw-gateway/src/reducer/steps/requests.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/requests.rs
@@ -218,7 +218,7 @@
         open.requester = None;
         open.is_finished = true;
         let is_known_to_router = open.awaiting_session.take().is_none();
-        cx.counters.answered_gone += 1;
+        cx.counters.abandoned += 1;
         self.requests.take_held_response(cx, id);
         self.cancel_session_ticket(id);
         if is_known_to_router {
@@ -230,6 +230,6 @@
 
 /// Counts a request that is rejected before the router has seen it.
 fn reject_unseen(cx: &mut Context<'_>, response: FinalResponse) -> FinalResponse {
-    cx.counters.turned_away += 1;
+    cx.counters.rejected_early += 1;
     response
 }
--- a/crates/stackgw-gateway/src/reducer/steps/router_actions.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/router_actions.rs
@@ -44,7 +44,7 @@
                 cx.set_timer_after(after, Timer::Router(token));
             }
             Action::HealthCheck(member) => {
-                cx.counters.probes += 1;
+                cx.counters.health_checks += 1;
                 let task = ConnectionTask::HealthCheck { sent_at: cx.now };
                 self.assign_connection(cx, member, task);
             }
@@ -87,7 +87,7 @@
         let retry_after_ms = retry_after.map(|span| (span + MS - 1) / MS);
         let rejected = FinalResponse::Rejected("not now, trying again is harmless", retry_after_ms);
         let answered = self.answer(cx, request, rejected);
-        cx.counters.answered_refused += u64::from(answered);
+        cx.counters.answered_rejected += u64::from(answered);
     }
 
     fn send_gossip(&mut self, cx: &mut Context<'_>, to: Option<u32>, updates: &[GossipUpdate]) {
@@ -95,7 +95,7 @@
             return;
         };
         for datagram in self.gossip.encode(cx.now, to, updates) {
-            cx.counters.words_sent += 1;
+            cx.counters.gossip_sent += 1;
             cx.emit(Effect::GossipDatagram(address, datagram));
         }
     }
--- a/crates/stackgw-gateway/src/reducer/steps/shutdown.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/shutdown.rs
@@ -82,7 +82,7 @@
         };
         let answered = self.answer(cx, request, response);
         cx.counters.answered_failed += u64::from(answered && was_sent);
-        cx.counters.answered_refused += u64::from(answered && !was_sent);
+        cx.counters.answered_rejected += u64::from(answered && !was_sent);
     }
 
     pub(super) fn exit(&mut self, cx: &mut Context<'_>) {
--- a/crates/stackgw-gateway/tests/calls.rs
+++ b/crates/stackgw-gateway/tests/calls.rs
@@ -95,8 +95,8 @@
     assert!(ended(&effects).is_empty());
     assert_eq!(
         (
-            rig.reducer.counters().held_bytes,
-            rig.reducer.counters().answered_gone
+            rig.reducer.counters().buffered_bytes,
+            rig.reducer.counters().abandoned
         ),
         (0, 1)
     );
--- a/crates/stackgw-gateway/tests/client_connections.rs
+++ b/crates/stackgw-gateway/tests/client_connections.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_is_not_served_further_and_let_go_in_the_end() {
+fn a_client_that_does_not_read_is_not_served_and_closed_in_the_end() {
     let (mut rig, client, conn) = asked(read(900));
     rig.clients_stuck = true;
     assert_eq!(answers(&rig.serve(conn, b"x")).len(), 1);
@@ -66,7 +66,7 @@
 
 /// Values may be large; clients that ask for them and do not read would take the memory of all.
 #[test]
-fn past_the_room_for_what_is_left_unread_the_client_still_longest_is_let_go() {
+fn the_slowest_reader_is_closed_when_too_much_is_left_unread() {
     let mut config = config(&three());
     config.limits.pending_write_bytes = 2500;
     let mut rig = Rig::with(config);
@@ -89,7 +89,7 @@
     assert_eq!(gone, [false, false, true]);
     assert_eq!(
         (
-            rig.reducer.counters().clients_greedy,
+            rig.reducer.counters().clients_over_buffer_limit,
             rig.reducer.counters().clients_open
         ),
         (1, 2)
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_client_that_stands_still_inside_a_message_is_let_go() {
+fn a_client_that_stalls_inside_a_message_is_closed() {
     let mut rig = Rig::new(&three());
     let (idle, partial) = (rig.client(1), rig.client(2));
     rig.ask(idle, query(""));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn where_all_client_places_are_taken_idle_ones_make_room() {
+fn idle_clients_are_closed_when_capacity_is_exhausted() {
     let mut config = config(&three());
     (config.limits.clients, config.limits.client_reserve) = (3, 1);
     let mut rig = Rig::with(config);
@@ -166,7 +166,7 @@
 
 /// Found on sockets with few descriptors: requests of clients that were left in line were lost, 0 attempts made.
 #[test]
-fn a_client_beyond_all_places_is_turned_away_and_not_left_waiting() {
+fn a_client_beyond_capacity_is_rejected_and_not_left_waiting() {
     let mut config = config(&three());
     (config.limits.clients, config.limits.client_reserve) = (2, 2);
     let mut rig = Rig::with(config);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_client_that_asks_nothing_is_let_go_in_time() {
+fn a_client_without_any_request_is_closed_in_time() {
     let mut rig = Rig::new(&three());
     let (mute, started, used) = (ClientId(1), rig.client(2), rig.client(3));
     rig.input(Input::ClientConnected(mute));
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn whoever_sends_most_ahead_gives_way_before_others_wait() {
+fn the_client_with_the_most_read_ahead_is_closed_before_others_wait() {
     let mut config = config(&three());
     config.limits.client_bytes = 400;
     let mut rig = Rig::with(config);
@@ -244,7 +244,7 @@
         effects.iter().any(ends),
         "one that has asked nothing goes first"
     );
-    assert_eq!(rig.reducer.counters().clients_greedy, 1);
+    assert_eq!(rig.reducer.counters().clients_over_buffer_limit, 1);
     assert!(
         answers(&rig.input(Input::ClientReadAhead(small, 100))).is_empty(),
         "its bytes no longer count"
--- a/crates/stackgw-gateway/tests/dealt.rs
+++ b/crates/stackgw-gateway/tests/connection_pacing.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_cold_member_is_connected_to_in_turns_whatever_breaks() {
+fn connections_to_a_cold_member_are_paced_whatever_breaks() {
     let dealt = openings(&mut rig(COLD, Some(2)), 5 * SECOND);
     // Two a second at each of three members, growing to eight, for ten gateways: five in five seconds on average.
     assert!((1..=9).contains(&dealt.len()), "{dealt:?}");
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn requests_wait_for_their_turn_and_share_its_connection() {
+fn requests_wait_for_a_paced_connection_and_share_it() {
     let mut rig = rig(COLD, Some(2));
     let clients: Vec<_> = (1..=6).map(|n| rig.client(n)).collect();
     let mut effects = Vec::new();
@@ -114,7 +114,7 @@
         }
     }
     let counters = rig.reducer.counters();
-    let ended = counters.answered_served + counters.answered_refused;
+    let ended = counters.answered_served + counters.answered_rejected;
     assert_eq!(
         (ended, counters.answered_failed),
         (6, 0),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn an_operator_sees_what_is_dealt_and_what_waited() {
+fn an_operator_sees_paced_members_and_deferrals() {
     let mut rig = rig(COLD, Some(2));
     openings(&mut rig, 2 * SECOND);
     let told = rig.input(Input::Report);
--- a/crates/stackgw-gateway/tests/digest.rs
+++ b/crates/stackgw-gateway/tests/digest.rs
@@ -1532,7 +1532,7 @@
                 self.digest.number(seen.snapshot.latency_ratio.to_bits());
             }
             self.digest.answer(&serde_json::Value::from(
-                gateway.reducer.counters().held_bytes,
+                gateway.reducer.counters().buffered_bytes,
             ));
         }
     }
--- a/crates/stackgw-gateway/tests/endpoint_list.rs
+++ b/crates/stackgw-gateway/tests/endpoint_list.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn words_are_heard_from_gateways_of_the_tier_alone() {
+fn gossip_is_accepted_only_from_gateways_of_the_tier() {
     let mut rig = Rig::new(&three());
     rig.input(Input::GossipDatagram(
         "127.0.0.1:7901".parse().expect("an address"),
@@ -107,11 +107,11 @@
         vec![0; 257],
     ));
     let counters = rig.reducer.counters();
-    assert_eq!((counters.words_heard, counters.words_dropped), (1, 3));
+    assert_eq!((counters.gossip_received, counters.gossip_dropped), (1, 3));
 }
 
 #[test]
-fn what_answers_told_goes_to_the_other_gateway_in_small_datagrams() {
+fn what_responses_say_of_members_is_gossiped_in_small_datagrams() {
     let (mut rig, _, conn) = asked(read(900));
     rig.serve(conn, b"x");
     let effects = rig.pass(3 * SECOND);
@@ -236,7 +236,7 @@
         let counters = rig.reducer.counters();
         let kept = counters.members_known;
         let half = usize::from(n >= 200);
-        most[half] = most[half].max(kept + counters.members_open + counters.held_bytes);
+        most[half] = most[half].max(kept + counters.members_open + counters.buffered_bytes);
         assert!(kept < 60, "{kept} members after {n} generations");
         assert!(
             counters.members_open < 30,
--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -301,19 +301,20 @@
         world.owed
     );
     let c = rig.reducer.counters();
-    let answered = c.answered_served + c.answered_refused + c.answered_failed + c.answered_gone;
-    assert_eq!(c.taken, c.malformed + c.turned_away + answered, "{c}");
+    let answered = c.answered_served + c.answered_rejected + c.answered_failed + c.abandoned;
+    assert_eq!(c.taken, c.malformed + c.rejected_early + answered, "{c}");
     if world.ended {
         return; // What was out then is nobody's any more.
     }
-    let ended = c.ended_served + c.ended_error + c.ended_shed + c.ended_miss + c.ended_timed_out;
+    let ended =
+        c.ended_served + c.ended_error + c.ended_overloaded + c.ended_misrouted + c.ended_timed_out;
     let ended = ended
         + c.ended_no_connection
         + c.ended_reset
-        + c.ended_spoilt
+        + c.ended_malformed
         + c.ended_cancelled
-        + c.ended_unsent;
-    assert_eq!((c.attempts, c.held_bytes), (ended, 0), "{c}");
+        + c.ended_not_sent;
+    assert_eq!((c.attempts, c.buffered_bytes), (ended, 0), "{c}");
 }
 
 proptest! {
--- a/crates/stackgw-gateway/tests/member_connections.rs
+++ b/crates/stackgw-gateway/tests/member_connections.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_member_without_connections_to_spare_turns_the_attempt_away() {
+fn an_attempt_is_overloaded_when_its_member_has_no_connection_to_spare() {
     let mut rig = Rig::new(&three());
     rig.connects = false;
     let client = rig.client(1);
@@ -29,7 +29,7 @@
     rig.input(Input::MemberConnected(conn));
     rig.input(Input::MemberFrame(conn, error("53300")));
     rig.lose(conn);
-    assert_eq!(rig.reducer.counters().ended_shed, 1);
+    assert_eq!(rig.reducer.counters().ended_overloaded, 1);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     effects.extend(rig.ask(two, buy(900)));
     assert_eq!(statements(&effects).len(), 1);
     let conn = statements(&effects)[0].0;
-    assert!(rig.reducer.counters().ended_unsent > 0);
+    assert!(rig.reducer.counters().ended_not_sent > 0);
     assert!(rig.reducer.counters().members_peak <= 1);
     rig.reply(
         conn,
@@ -137,7 +137,7 @@
         rig.pass((late - 790) * MS);
         let effects = rig.reply(conn, vec![message(b'R', &[0; 4]), ready()]);
         assert_eq!(statements(&effects).len(), sent, "{late} ms after the word");
-        assert_eq!(rig.reducer.counters().ended_unsent, 1 - sent as u64);
+        assert_eq!(rig.reducer.counters().ended_not_sent, 1 - sent as u64);
         assert_eq!(closed(&effects).contains(&conn), sent == 0);
     }
 }
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn one_that_comes_up_with_nobody_waiting_stands_idle_and_one_that_does_not_is_closed() {
+fn a_late_handshake_leaves_an_idle_connection_or_is_closed_by_its_timeout() {
     let late = |rig: &mut Rig, n: u64| {
         rig.connects = false;
         let client = rig.client(n);
--- a/crates/stackgw-gateway/tests/member_responses.rs
+++ b/crates/stackgw-gateway/tests/member_responses.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_probe_takes_its_report_from_the_row() {
+fn a_health_check_takes_its_load_report_from_the_row() {
     let mut rig = Rig::new(&three());
     let client = rig.client(1);
     // Nothing but probes has told a position, and a bounded read goes to a replica at once.
@@ -38,13 +38,13 @@
     assert_eq!(statements(&effects).len(), 1);
     let counters = rig.reducer.counters();
     assert!(
-        counters.probes > 0 && counters.probes_failed == 0,
+        counters.health_checks > 0 && counters.health_checks_failed == 0,
         "{counters}"
     );
 }
 
 #[test]
-fn an_unanswered_probe_ends_by_its_limit() {
+fn an_unanswered_health_check_ends_by_its_timeout() {
     let mut rig = Rig::with(config("null"));
     rig.probes = false;
     rig.input(Input::EndpointList(list(
@@ -55,18 +55,18 @@
     let client = rig.client(1);
     rig.ask(client, read(400));
     rig.pass(240 * MS);
-    assert_eq!(rig.reducer.counters().probes_failed, 0);
+    assert_eq!(rig.reducer.counters().health_checks_failed, 0);
     rig.pass(300 * MS);
     let counters = rig.reducer.counters();
     assert!(
-        counters.probes > 0 && counters.probes_failed > 0,
+        counters.health_checks > 0 && counters.health_checks_failed > 0,
         "{counters}"
     );
 }
 
 /// A second copy or noise behind an answer is nobody's: the next request must not be served with it.
 #[test]
-fn a_connection_with_anything_unasked_for_is_never_used_again() {
+fn a_connection_with_unexpected_data_is_never_reused() {
     let second = || [row(b"x"), vec![status("node_role", "leader"), ready()]].concat();
     for more in [
         second(),
@@ -77,7 +77,7 @@
         rig.reply(conn, second());
         let effects = rig.reply(conn, more);
         assert_eq!(closed(&effects), [conn]);
-        assert_eq!(rig.reducer.counters().members_unasked, 1);
+        assert_eq!(rig.reducer.counters().members_unexpected_data, 1);
         assert_ne!(statements(&rig.ask(client, buy(900)))[0].0, conn);
     }
     let (mut rig, client, conn) = asked(buy(900));
@@ -96,7 +96,7 @@
     assert_ne!(statements(&effects)[0].0, conn);
     assert_eq!(
         (
-            rig.reducer.counters().members_unasked,
+            rig.reducer.counters().members_unexpected_data,
             rig.reducer.counters().members_reopened
         ),
         (2, 1)
@@ -105,7 +105,7 @@
 
 /// What is spoilt may have run, is served to nobody, and tells nothing of its member.
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt_that_tells_nothing() {
+fn a_malformed_response_fails_its_attempt_and_says_nothing_of_its_member() {
     let claims = || {
         vec![
             status("node_role", "leader"),
@@ -130,7 +130,7 @@
             Some("58000"),
             "it may have run: {frames:?}"
         );
-        assert_eq!(rig.reducer.counters().ended_spoilt, 1, "{frames:?}");
+        assert_eq!(rig.reducer.counters().ended_malformed, 1, "{frames:?}");
         // A read is asked for again elsewhere, and served.
         let (mut rig, _, conn) = asked(read(900));
         let mut effects = rig.reply(conn, frames);
@@ -145,7 +145,7 @@
 
 /// Spoilt answers come from all members alike: they put none out of use, however many there are.
 #[test]
-fn spoilt_answers_are_no_evidence_against_a_member() {
+fn malformed_responses_are_no_evidence_against_a_member() {
     let mut rig = Rig::new(&three());
     let client = rig.client(1);
     for _ in 0..20 {
@@ -153,7 +153,7 @@
         let (conn, _) = statements(&effects)[0].clone();
         rig.input(Input::MemberClosed(conn, CloseReason::ProtocolError));
     }
-    assert_eq!(rig.reducer.counters().ended_spoilt, 20);
+    assert_eq!(rig.reducer.counters().ended_malformed, 20);
     assert_eq!(
         statements(&rig.ask(client, buy(900))).len(),
         1,
@@ -163,7 +163,7 @@
 
 /// A length beyond what follows must not hold its request until the client's time is over.
 #[test]
-fn an_answer_that_stands_still_inside_is_spoilt_well_before_the_clients_deadline() {
+fn a_response_that_stalls_is_malformed_well_before_the_clients_deadline() {
     let (mut rig, _, conn) = asked(read(900));
     rig.input(Input::MemberPartialFrame(conn));
     let effects = rig.pass(140 * MS);
@@ -175,7 +175,7 @@
     assert!(closed(&effects).contains(&conn));
     assert_eq!(
         (
-            rig.reducer.counters().ended_spoilt,
+            rig.reducer.counters().ended_malformed,
             rig.reducer.counters().ended_timed_out
         ),
         (1, 0)
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_position_in_the_future_is_not_believed() {
+fn a_position_in_the_future_is_discarded() {
     let mut rig = Rig::new("null");
     rig.probes = false;
     rig.input(Input::EndpointList(list(
@@ -210,12 +210,12 @@
         1,
         "the row itself is good"
     );
-    assert_eq!(rig.reducer.counters().members_disbelieved, 1);
+    assert_eq!(rig.reducer.counters().positions_implausible, 1);
     let mut effects = rig.ask(client, buy(900));
     effects.extend(rig.pass(20 * MS));
     let (conn, _) = statements(&effects)[0].clone();
     tell(&mut rig, conn, 0);
-    assert_eq!(rig.reducer.counters().members_disbelieved, 1);
+    assert_eq!(rig.reducer.counters().positions_implausible, 1);
 }
 
 #[test]
--- a/crates/stackgw-gateway/tests/pipelining.rs
+++ b/crates/stackgw-gateway/tests/pipelining.rs
@@ -70,11 +70,11 @@
     rig.ask(client, buy(900));
     rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
     rig.pass(SECOND);
-    assert_eq!(rig.reducer.counters().held_bytes, 0);
+    assert_eq!(rig.reducer.counters().buffered_bytes, 0);
 }
 
 #[test]
-fn a_clients_line_has_an_end() {
+fn a_clients_pipeline_is_limited() {
     let mut config = config(&three());
     config.limits.max_pipelined_statements = 3;
     let mut rig = Rig::with(config);
--- a/crates/stackgw-gateway/tests/requests.rs
+++ b/crates/stackgw-gateway/tests/requests.rs
@@ -177,8 +177,8 @@
     let counters = rig.reducer.counters();
     assert_eq!(
         (
-            counters.answered_gone,
-            counters.held_bytes,
+            counters.abandoned,
+            counters.buffered_bytes,
             counters.clients_open
         ),
         (1, 0, 0)
--- a/crates/stackgw-gateway/tests/shared.rs
+++ b/crates/stackgw-gateway/tests/session_sharing.rs
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn a_writes_answer_waits_until_no_other_keeper_may_take_itself_for_sure() {
+fn a_writes_response_waits_until_no_other_replica_may_be_certain() {
     let mut rig = rig(&["g0", "g1"]);
     assert!(answers(&written(&mut rig, 3_000)).is_empty());
     assert!(answers(&rig.pass(BOUND - 100 * MS)).is_empty());
     let told = answers(&rig.pass(200 * MS));
     assert_eq!((told.len(), sqlstate(&told[0])), (1, None));
     assert_eq!(rig.reducer.counters().answered_served, 1);
-    assert_eq!(rig.reducer.counters().held_bytes, 0);
+    assert_eq!(rig.reducer.counters().buffered_bytes, 0);
 }
 
 #[test]
@@ -110,7 +110,7 @@
     assert_eq!(told.len(), 1);
     assert_eq!(sqlstate(&told[0]).as_deref(), Some("58000"), "it has run");
     assert!(answers(&rig.pass(3 * SECOND)).is_empty());
-    assert_eq!(rig.reducer.counters().held_bytes, 0);
+    assert_eq!(rig.reducer.counters().buffered_bytes, 0);
 }
 
 #[test]
@@ -125,8 +125,8 @@
     assert!(answers(&rig.pass(3 * SECOND)).is_empty());
     assert_eq!(
         (
-            rig.reducer.counters().held_bytes,
-            rig.reducer.counters().answered_gone
+            rig.reducer.counters().buffered_bytes,
+            rig.reducer.counters().abandoned
         ),
         (0, 1)
     );
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn alone_it_is_sure_after_a_horizon_and_knows_its_own_writes() {
+fn a_single_replica_is_certain_after_the_retention_and_knows_its_own_writes() {
     let mut rig = rig(&["g0"]);
     assert_eq!(rig.reducer_told()["sure"], false);
     rig.pass(2 * SECOND + LEASE);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_guest_that_knows_no_keeper_turns_writes_away_before_they_run() {
+fn an_instance_without_a_known_replica_rejects_writes_before_they_run() {
     let mut rig = rig(&["g7"]);
     let client = rig.client(1);
     let effects = rig.ask(client, buy(900));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn strangers_datagrams_are_counted_and_change_nothing() {
+fn foreign_datagrams_are_counted_and_change_nothing() {
     let mut rig = rig(&["g0", "g1"]);
     for length in [0, 1, 30, 1_200, 1_300] {
         rig.input(Input::ClusterDatagram(vec![1; length]));
--- a/crates/stackgw-gateway/tests/streams.rs
+++ b/crates/stackgw-gateway/tests/streams.rs
@@ -163,7 +163,7 @@
     let counters = rig.reducer.counters();
     assert_eq!(
         (
-            counters.held_bytes,
+            counters.buffered_bytes,
             counters.ended_cancelled,
             in_flight(&rig)
         ),
@@ -236,5 +236,5 @@
     rig.input(Input::MemberFlushed(conn));
     let effects = rig.input(Input::StreamStarted(conn, StreamHeader::default()));
     assert!(closed(&effects).contains(&conn));
-    assert!(rig.reducer.counters().probes_failed > 0);
+    assert!(rig.reducer.counters().health_checks_failed > 0);
 }
