--- a/crates/stackgw-gateway/tests/endpoint_list.rs
+++ b/crates/stackgw-gateway/tests/endpoint_list.rs
@@ -133,6 +133,7 @@
 
 /// What SIGHUP brings: the list comes from the new address at once and whole, whatever versions the old one had.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one history, step by step")]
 fn a_new_configuration_moves_the_watch_and_old_versions_do_not_bind() {
     let known = list_text(
         41,
--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -133,6 +133,167 @@
     }
 }
 
+fn connect(rig: &mut Rig, world: &mut World) {
+    let id = ClientId(world.next_client);
+    world.next_client += 1;
+    world.clients.insert(id);
+    world.see(&rig.input(Input::ClientConnected(id)));
+    // The welcome is no answer to a statement.
+    rig.input(Input::ClientFrame(id, startup()));
+}
+
+fn leave(rig: &mut Rig, world: &mut World, n: usize) {
+    if let Some(id) = World::nth(world.clients.iter().copied(), n) {
+        world.clients.remove(&id);
+        world.owed.remove(&id);
+        world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
+    }
+}
+
+fn break_protocol(rig: &mut Rig, world: &mut World, n: usize) {
+    if let Some(id) = World::nth(world.clients.iter().copied(), n) {
+        world.see(&rig.input(Input::ClientClosed(id, CloseReason::ProtocolError)));
+        world.clients.remove(&id);
+        world.owed.remove(&id);
+        world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
+    }
+}
+
+fn ask(rig: &mut Rig, world: &mut World, n: usize, d: u64, kind: u8) {
+    let id =
+        World::nth(world.clients.iter().copied(), n).filter(|id| rig.reducer.accepts_frame(*id));
+    if let Some(id) = id {
+        *world.owed.entry(id).or_insert(0) += 1;
+        let frame = match kind % 5 {
+            0 => query("SELECT 1"),
+            1 | 2 => buy(d),
+            _ => read(d),
+        };
+        world.see(&rig.input(Input::ClientFrame(id, frame)));
+    }
+}
+
+fn reply(rig: &mut Rig, world: &mut World, n: usize, kind: u8) {
+    let busy: Vec<_> = world
+        .conns
+        .iter()
+        .filter(|(_, busy)| **busy)
+        .map(|(id, _)| *id)
+        .collect();
+    if let Some(id) = World::nth(busy.iter().copied(), n) {
+        let whole = frames(kind);
+        let over = whole.last().is_some_and(|f| f.kind == b'Z');
+        for frame in whole {
+            if frame.kind == b'Z' && over {
+                world.conns.insert(id, false);
+            }
+            world.see(&rig.input(Input::MemberFrame(id, frame)));
+            if !world.conns.contains_key(&id) {
+                break;
+            }
+        }
+    }
+}
+
+fn lose(rig: &mut Rig, world: &mut World, n: usize, bad: bool) {
+    if let Some(id) = World::nth(world.conns.keys().copied(), n) {
+        world.conns.remove(&id);
+        let why = if bad {
+            CloseReason::ProtocolError
+        } else {
+            CloseReason::Disconnected
+        };
+        world.see(&rig.input(Input::MemberClosed(id, why)));
+    }
+}
+
+fn deliver_list(rig: &mut Rig, world: &mut World, bits: u8, full: bool) {
+    world.revision += 1;
+    let phase = |n: u32| ["ready", "ready", "draining", "gone"][usize::from(bits >> (2 * n)) & 3];
+    let entries: Vec<_> = (0..3).map(|n| entry(n + 1, phase(n), "follower")).collect();
+    world.see(&rig.input(Input::EndpointList(list(world.revision, full, &entries))));
+}
+
+fn reload(rig: &mut Rig, world: &mut World, good: bool, port: u16) {
+    let text = config_text("null").replace(":8500", &format!(":{port}"));
+    let config = stackgw_gateway::config::Config::from_text(&text, |_| None).map(Box::new);
+    let config = if good {
+        config
+    } else {
+        Err(stackgw_gateway::config::ConfigError::NoFile)
+    };
+    world.see(&rig.input(Input::Reload(config)));
+}
+
+fn stick(rig: &mut Rig, world: &mut World, clients: bool, members: bool) {
+    // What was stuck moves on before anything else is.
+    (rig.clients_stuck, rig.members_stuck) = (false, false);
+    for id in world.clients.clone() {
+        world.see(&rig.input(Input::ClientFlushed(id)));
+    }
+    for id in world.conns.keys().copied().collect::<Vec<_>>() {
+        world.see(&rig.input(Input::MemberFlushed(id)));
+    }
+    (rig.clients_stuck, rig.members_stuck) = (clients, members);
+}
+
+fn take(rig: &mut Rig, world: &mut World, step: Step) {
+    match step {
+        Step::Open => connect(rig, world),
+        Step::Leave(n) => leave(rig, world, n),
+        Step::BadClient(n) => break_protocol(rig, world, n),
+        Step::Ask(n, d, kind) => ask(rig, world, n, d, kind),
+        Step::Reply(n, kind) => reply(rig, world, n, kind),
+        Step::Lose(n, bad) => lose(rig, world, n, bad),
+        Step::Pass(ms) => world.see(&rig.pass(ms * MS)),
+        Step::List(bits, full) => deliver_list(rig, world, bits, full),
+        Step::WatchLost => world.see(&rig.input(Input::WatchLost("ended".into()))),
+        Step::Datagram(bytes) => {
+            let from = "127.0.0.1:7901".parse().expect("an address");
+            world.see(&rig.input(Input::GossipDatagram(from, bytes)));
+        }
+        Step::Holds(n, bytes) => {
+            if let Some(id) = World::nth(world.clients.iter().copied(), n) {
+                world.see(&rig.input(Input::ClientReadAhead(id, bytes)));
+            }
+        }
+        Step::Partial(n) => {
+            if let Some(id) = World::nth(world.conns.keys().copied(), n) {
+                world.see(&rig.input(Input::MemberPartialFrame(id)));
+            }
+        }
+        Step::Reload(good, port) => reload(rig, world, good, port),
+        Step::Stick(clients, members) => stick(rig, world, clients, members),
+        Step::Terminate => world.see(&rig.input(Input::Terminate)),
+    }
+}
+
+/// Closes the clients that were to be closed unless they had sent something.
+fn close_retired(rig: &mut Rig, world: &mut World) {
+    while let Some(id) = world.retired.pop() {
+        if world.clients.remove(&id) {
+            assert_eq!(
+                world.owed.remove(&id).unwrap_or(0),
+                0,
+                "closed inside a request"
+            );
+            world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
+        }
+    }
+}
+
+/// What holds after each step.
+fn check(rig: &Rig, world: &World) {
+    let counters = rig.reducer.counters();
+    assert_eq!(counters.clients_open, world.clients.len() as u64);
+    assert_eq!(counters.members_open, world.conns.len() as u64);
+    assert!(counters.members_open <= 4);
+    // What the router believes to be in flight is what is out on connections.
+    for seen in rig.reducer.member_statuses() {
+        assert_eq!(seen.snapshot.in_flight, seen.attempts, "{seen:?}");
+    }
+}
+
 fn play(steps: Vec<Step>) {
     let mut config = config(&three());
     (
@@ -154,142 +315,10 @@
             break;
         }
         let before = rig.effects.len();
-        match step {
-            Step::Open => {
-                let id = ClientId(world.next_client);
-                world.next_client += 1;
-                world.clients.insert(id);
-                world.see(&rig.input(Input::ClientConnected(id)));
-                // The welcome is no answer to a statement.
-                rig.input(Input::ClientFrame(id, startup()));
-            }
-            Step::Leave(n) => {
-                if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-                    world.clients.remove(&id);
-                    world.owed.remove(&id);
-                    world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
-                }
-            }
-            Step::BadClient(n) => {
-                if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-                    world.see(&rig.input(Input::ClientClosed(id, CloseReason::ProtocolError)));
-                    world.clients.remove(&id);
-                    world.owed.remove(&id);
-                    world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
-                }
-            }
-            Step::Ask(n, d, kind) => {
-                let id = World::nth(world.clients.iter().copied(), n)
-                    .filter(|id| rig.reducer.accepts_frame(*id));
-                if let Some(id) = id {
-                    *world.owed.entry(id).or_insert(0) += 1;
-                    let frame = match kind % 5 {
-                        0 => query("SELECT 1"),
-                        1 | 2 => buy(d),
-                        _ => read(d),
-                    };
-                    world.see(&rig.input(Input::ClientFrame(id, frame)));
-                }
-            }
-            Step::Reply(n, kind) => {
-                let busy: Vec<_> = world
-                    .conns
-                    .iter()
-                    .filter(|(_, busy)| **busy)
-                    .map(|(id, _)| *id)
-                    .collect();
-                if let Some(id) = World::nth(busy.iter().copied(), n) {
-                    let whole = frames(kind);
-                    let over = whole.last().is_some_and(|f| f.kind == b'Z');
-                    for frame in whole {
-                        if frame.kind == b'Z' && over {
-                            world.conns.insert(id, false);
-                        }
-                        world.see(&rig.input(Input::MemberFrame(id, frame)));
-                        if !world.conns.contains_key(&id) {
-                            break;
-                        }
-                    }
-                }
-            }
-            Step::Lose(n, bad) => {
-                if let Some(id) = World::nth(world.conns.keys().copied(), n) {
-                    world.conns.remove(&id);
-                    let why = if bad {
-                        CloseReason::ProtocolError
-                    } else {
-                        CloseReason::Disconnected
-                    };
-                    world.see(&rig.input(Input::MemberClosed(id, why)));
-                }
-            }
-            Step::Pass(ms) => world.see(&rig.pass(ms * MS)),
-            Step::List(bits, full) => {
-                world.revision += 1;
-                let phase = |n: u32| {
-                    ["ready", "ready", "draining", "gone"][usize::from(bits >> (2 * n)) & 3]
-                };
-                let entries: Vec<_> = (0..3).map(|n| entry(n + 1, phase(n), "follower")).collect();
-                world.see(&rig.input(Input::EndpointList(list(world.revision, full, &entries))));
-            }
-            Step::WatchLost => world.see(&rig.input(Input::WatchLost("ended".into()))),
-            Step::Datagram(bytes) => {
-                let from = "127.0.0.1:7901".parse().expect("an address");
-                world.see(&rig.input(Input::GossipDatagram(from, bytes)));
-            }
-            Step::Holds(n, bytes) => {
-                if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-                    world.see(&rig.input(Input::ClientReadAhead(id, bytes)));
-                }
-            }
-            Step::Partial(n) => {
-                if let Some(id) = World::nth(world.conns.keys().copied(), n) {
-                    world.see(&rig.input(Input::MemberPartialFrame(id)));
-                }
-            }
-            Step::Reload(good, port) => {
-                let text = config_text("null").replace(":8500", &format!(":{port}"));
-                let config =
-                    stackgw_gateway::config::Config::from_text(&text, |_| None).map(Box::new);
-                let config = if good {
-                    config
-                } else {
-                    Err(stackgw_gateway::config::ConfigError::NoFile)
-                };
-                world.see(&rig.input(Input::Reload(config)));
-            }
-            Step::Stick(clients, members) => {
-                // What was stuck moves on before anything else is.
-                (rig.clients_stuck, rig.members_stuck) = (false, false);
-                for id in world.clients.clone() {
-                    world.see(&rig.input(Input::ClientFlushed(id)));
-                }
-                for id in world.conns.keys().copied().collect::<Vec<_>>() {
-                    world.see(&rig.input(Input::MemberFlushed(id)));
-                }
-                (rig.clients_stuck, rig.members_stuck) = (clients, members);
-            }
-            Step::Terminate => world.see(&rig.input(Input::Terminate)),
-        }
-        while let Some(id) = world.retired.pop() {
-            if world.clients.remove(&id) {
-                assert_eq!(
-                    world.owed.remove(&id).unwrap_or(0),
-                    0,
-                    "closed inside a request"
-                );
-                world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
-            }
-        }
+        take(&mut rig, &mut world, step);
+        close_retired(&mut rig, &mut world);
         rig.effects.truncate(before);
-        let counters = rig.reducer.counters();
-        assert_eq!(counters.clients_open, world.clients.len() as u64);
-        assert_eq!(counters.members_open, world.conns.len() as u64);
-        assert!(counters.members_open <= 4);
-        // What the router believes to be in flight is what is out on connections.
-        for seen in rig.reducer.member_statuses() {
-            assert_eq!(seen.snapshot.in_flight, seen.attempts, "{seen:?}");
-        }
+        check(&rig, &world);
     }
     // In the end nothing is owed and nothing is kept.
     if !world.ended {
