--- a/crates/stackgw-cluster/src/cluster.rs
+++ b/crates/stackgw-cluster/src/cluster.rs
@@ -1,9 +1,8 @@
 //! The membership protocol of one instance, as a state machine without I/O.
 
-use crate::envelope::{Keyring, VerifyError, ENVELOPE_BYTES};
+use crate::envelope::{Keyring, VerifyError, ENVELOPE_BYTES, MAX_DATAGRAM_BYTES};
 use crate::identity::Identity;
 use crate::instances::{InstanceStatus, Instances, Observation};
-use crate::MAX_DATAGRAM_BYTES;
 use foca::{
     AccumulatingRuntime, Config, Foca, NoCustomBroadcast, OwnedNotification, PostcardCodec, Timer,
 };
--- a/crates/stackgw-cluster/src/envelope.rs
+++ b/crates/stackgw-cluster/src/envelope.rs
@@ -12,6 +12,8 @@
 const KEY_NAME_BYTES: usize = 4;
 const HEADER_BYTES: usize = 2 + KEY_NAME_BYTES;
 const TAG_BYTES: usize = 16;
+/// Maximum length of a datagram, envelope included.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Bytes that an envelope adds to a body.
 pub const ENVELOPE_BYTES: usize = HEADER_BYTES + TAG_BYTES;
 /// Minimum length of a secret.
@@ -112,7 +114,7 @@
     /// # Errors
     /// It is longer than any datagram, or not authentic.
     pub fn verify<'a>(&self, bytes: &'a [u8]) -> Result<Envelope<'a>, VerifyError> {
-        self.verify_sized(bytes, crate::MAX_DATAGRAM_BYTES)
+        self.verify_sized(bytes, MAX_DATAGRAM_BYTES)
     }
 
     /// Opens an envelope of at most `max_bytes`.
--- a/crates/stackgw-cluster/src/lib.rs
+++ b/crates/stackgw-cluster/src/lib.rs
@@ -15,9 +15,6 @@
 mod instances;
 
 pub use cluster::{Cluster, ClusterSettings, Datagram, DatagramCounters, Event, ReceiveError};
-pub use envelope::{Envelope, Key, Keyring, VerifyError, ENVELOPE_BYTES};
+pub use envelope::{Envelope, Key, Keyring, VerifyError, ENVELOPE_BYTES, MAX_DATAGRAM_BYTES};
 pub use identity::Identity;
 pub use instances::InstanceStatus;
-
-/// Maximum length of a datagram, envelope included.
-pub const MAX_DATAGRAM_BYTES: usize = 1_200;
--- a/crates/stackgw-store/src/lib.rs
+++ b/crates/stackgw-store/src/lib.rs
@@ -11,8 +11,10 @@
 //! What records mean is the business of `stackgw-sessions`; this package does not know what is
 //! decided by them.
 
+mod durable_store;
 mod endpoint_list;
 mod error;
+mod owner;
 mod quarantine;
 mod record_writer;
 mod recovery;
@@ -20,25 +22,10 @@
 mod tables;
 mod worker;
 
+pub use durable_store::DurableStore;
 pub use endpoint_list::{read as read_endpoint_list, EndpointListWriter};
 pub use error::{RejectReason, StoreError};
+pub use owner::StoreOwner;
 pub use quarantine::Quarantined;
 pub use record_writer::{CommitOutcome, RecordWriter};
-pub use store_file::{OpenedStore, StoreFile, StoreOwner};
-
-use stackgw_sessions::Record;
-
-/// Durable storage of records.
-pub trait DurableStore: Send {
-    /// Stores these records; they are durable once this returns.
-    ///
-    /// # Errors
-    /// None of the records may be taken for stored, and the store takes no more.
-    fn commit(&mut self, records: &[Record]) -> Result<(), StoreError>;
-
-    /// Gives the store up: later incarnations must not read it.
-    ///
-    /// # Errors
-    /// The store is still where it was.
-    fn quarantine(&mut self) -> Result<(), StoreError>;
-}
+pub use store_file::{OpenedStore, StoreFile};
--- a/crates/stackgw-store/src/record_writer.rs
+++ b/crates/stackgw-store/src/record_writer.rs
@@ -1,8 +1,10 @@
 //! A thread that commits records in batches: all that arrive during one commit go into the next
 //! one.
 
+use crate::durable_store::DurableStore;
+use crate::error::StoreError;
 use crate::worker::Worker;
-use crate::{DurableStore, StoreError};
+
 use stackgw_sessions::Record;
 use std::sync::mpsc::Receiver;
 
--- a/crates/stackgw-store/src/recovery.rs
+++ b/crates/stackgw-store/src/recovery.rs
@@ -1,7 +1,7 @@
 //! What earlier incarnations left in a store's file.
 
 use crate::error::RejectReason;
-use crate::store_file::StoreOwner;
+use crate::owner::StoreOwner;
 use crate::tables::{
     meta, COMPLETE_PEERS, FORMAT_VERSION, META, PEER_STORES, POSITIONS, UNACKNOWLEDGED,
 };
--- a/crates/stackgw-store/src/store_file.rs
+++ b/crates/stackgw-store/src/store_file.rs
@@ -1,10 +1,11 @@
 //! The store's file, a `redb` database: one writer, checksums on all pages, atomic commits.
 
+use crate::durable_store::DurableStore;
 use crate::error::{RejectReason, StoreError};
+use crate::owner::StoreOwner;
 use crate::quarantine::{move_aside, unix_ms, Quarantined};
 use crate::recovery::recover;
 use crate::tables::{meta, Tables, FORMAT_VERSION};
-use crate::DurableStore;
 use redb::{Database, DatabaseError, StorageError};
 use stackgw_sessions::{NodeId, Record, Recovered, StoreVersion};
 use std::io::ErrorKind;
@@ -17,17 +18,6 @@
 /// clock may be set.
 const RETENTIONS_ON_DISK: u64 = 3;
 
-/// Whose file it is.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoreOwner {
-    /// The cluster's name.
-    pub cluster: String,
-    /// The instance.
-    pub node: NodeId,
-    /// How long positions matter, in milliseconds.
-    pub retention_ms: u64,
-}
-
 /// A file that is ready for a new incarnation of its instance.
 #[derive(Debug)]
 pub struct OpenedStore {
