--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -244,7 +244,7 @@
     assert!(late.next().is_none() && idle.next().is_none() && busy.next().is_none());
     let line = gateway.wait_for_line("counters ");
     assert!(
-        line.contains(" answered_served=3 answered_refused=0 answered_failed=0"),
+        line.contains(" answered_served=3 answered_rejected=0 answered_failed=0"),
         "{line}"
     );
     assert!(gateway.wait_for_exit().success());
@@ -313,7 +313,10 @@
     }
     gateway.signal("USR1");
     let counters = gateway.wait_for_line("counters ");
-    assert!(!counters.contains(" members_unasked=0 "), "{counters}");
+    assert!(
+        !counters.contains(" members_unexpected_data=0 "),
+        "{counters}"
+    );
 }
 
 /// No malformed response reaches a client: a read is retried, a write that may have run fails at once.
@@ -405,7 +408,7 @@
     assert_eq!(frame_kinds(&busy.read_reply()), "TDCZ");
     let line = gateway.wait_for_line("counters ");
     assert!(
-        line.contains(" answered_failed=0 answered_gone=0") && line.contains(" reloads_failed=3"),
+        line.contains(" answered_failed=0 abandoned=0") && line.contains(" reloads_failed=3"),
         "{line}"
     );
     assert!(gateway.wait_for_exit().success());
--- a/crates/stackgw-cli/tests/leaving.rs
+++ b/crates/stackgw-cli/tests/leaving.rs
@@ -144,13 +144,13 @@
     if flooding == 0 {
         gateway.wait_for_counter("taken", |n| n == all);
         // Two have all that they sent read ahead, the third as much as is read of one.
-        gateway.wait_for_counter("ahead_bytes", |n| n > 2 * 498_000 + 4 * (136 << 10));
+        gateway.wait_for_counter("read_ahead_bytes", |n| n > 2 * 498_000 + 4 * (136 << 10));
     }
     here.into_iter()
         .for_each(|(leaves, connection)| leaves(connection));
     if flooding == 0 {
         // Each is seen to leave, whatever of it has not been read.
-        gateway.wait_for_counter("answered_gone", |n| n == all);
+        gateway.wait_for_counter("abandoned", |n| n == all);
     } else {
         // What they asked may not have been taken by now; none of them is here any more.
         gateway.wait_for_counter("clients_open", |n| n <= flooding as u64 + 1);
