--- a/crates/stackgw-gateway/tests/abandoned_requests.rs
+++ b/crates/stackgw-gateway/tests/abandoned_requests.rs
@@ -9,7 +9,7 @@
 use stackgw_router::api::MS;
 
 /// A gateway that may call no attempt off, whose one request waits for a connection.
-fn waits(frame: Frame) -> (Rig, ClientId, ConnectionId) {
+fn request_awaiting_connection(frame: Frame) -> (Rig, ClientId, ConnectionId) {
     let text = config_text(&three()).replace("\"Cancel\":true", "\"Cancel\":false");
     let mut rig = Rig::with(Config::from_text(&text, |_| None).expect("a configuration"));
     rig.connects = false;
@@ -26,7 +26,7 @@
 /// Found by reading: without cancels the attempt went on after its client, and was written once its connection was up.
 #[test]
 fn an_attempt_that_waits_for_its_connection_does_not_begin_once_its_client_has_left() {
-    let (mut rig, client, conn) = waits(buy(900));
+    let (mut rig, client, conn) = request_awaiting_connection(buy(900));
     rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
     let effects = rig.reply(conn, greeting());
     assert!(
@@ -44,7 +44,7 @@
 /// The same for one that has cancelled its request and stays.
 #[test]
 fn a_cancelled_request_does_not_begin() {
-    let (mut rig, client, conn) = waits(buy(900));
+    let (mut rig, client, conn) = request_awaiting_connection(buy(900));
     let key = rig.effects.iter().find_map(|e| match e {
         Effect::ClientWrite { bytes, .. } => {
             let at = bytes.windows(5).position(|w| w == [b'K', 0, 0, 0, 12])?;
@@ -71,7 +71,7 @@
 /// After a pause of this process the connection's greeting may be read before the timers are looked at.
 #[test]
 fn an_attempt_does_not_begin_after_its_clients_time() {
-    let (mut rig, _, conn) = waits(buy(200));
+    let (mut rig, _, conn) = request_awaiting_connection(buy(200));
     rig.now += 201 * MS;
     let mut effects = rig.reply(conn, greeting());
     effects.extend(rig.input(Input::TimerDue));
--- a/crates/stackgw-gateway/tests/calls.rs
+++ b/crates/stackgw-gateway/tests/calls.rs
@@ -6,7 +6,7 @@
 use stackgw_gateway::reducer::{CallId, ConnectionId, Effect, FinalResponse, Input};
 use stackgw_router::api::{MS, SECOND};
 
-fn ended(effects: &[Effect]) -> Vec<(CallId, FinalResponse)> {
+fn completed_calls(effects: &[Effect]) -> Vec<(CallId, FinalResponse)> {
     let ended = effects.iter().filter_map(|effect| match effect {
         Effect::CallCompleted(call, ended) => Some((*call, ended.clone())),
         _ => None,
@@ -15,7 +15,7 @@
 }
 
 /// A call that is out on a connection.
-fn out(rig: &mut Rig, call: u64, frame: stackgw_gateway::pg::Frame) -> ConnectionId {
+fn call_in_flight(rig: &mut Rig, call: u64, frame: stackgw_gateway::pg::Frame) -> ConnectionId {
     let mut effects = rig.input(Input::Call(CallId(call), frame, false));
     effects.extend(rig.pass(400 * MS));
     statements(&effects)
@@ -27,24 +27,27 @@
 #[test]
 fn a_call_is_served_with_the_members_row_once() {
     let mut rig = Rig::new(&three());
-    let conn = out(&mut rig, 7, read(2_000));
-    let told = ended(&rig.serve(conn, b"v"));
+    let conn = call_in_flight(&mut rig, 7, read(2_000));
+    let told = completed_calls(&rig.serve(conn, b"v"));
     let wanted: Vec<u8> = row(b"v").into_iter().flat_map(|f| f.bytes).collect();
     assert_eq!(told, [(CallId(7), FinalResponse::Served(wanted))]);
-    assert!(ended(&rig.pass(3 * SECOND)).is_empty());
+    assert!(completed_calls(&rig.pass(3 * SECOND)).is_empty());
     assert_eq!(rig.reducer.counters().answered_served, 1);
 }
 
 #[test]
 fn a_write_whose_connection_breaks_is_failed_and_never_sent_again() {
     let mut rig = Rig::new(&three());
-    let conn = out(&mut rig, 7, buy(2_000));
+    let conn = call_in_flight(&mut rig, 7, buy(2_000));
     let mut effects = rig.lose(conn);
     effects.extend(rig.pass(3 * SECOND));
     assert!(
-        matches!(ended(&effects)[..], [(CallId(7), FinalResponse::Failed(_))]),
+        matches!(
+            completed_calls(&effects)[..],
+            [(CallId(7), FinalResponse::Failed(_))]
+        ),
         "{:?}",
-        ended(&effects)
+        completed_calls(&effects)
     );
     assert!(statements(&effects).is_empty());
 }
@@ -55,13 +58,13 @@
     rig.connects = false;
     let mut effects = rig.input(Input::Call(CallId(7), read(900), false));
     effects.extend(rig.pass(SECOND));
-    let told = ended(&effects);
+    let told = completed_calls(&effects);
     assert!(
         matches!(told[..], [(CallId(7), FinalResponse::Rejected(_, Some(wait)))] if wait > 0),
         "{told:?}"
     );
     let mut empty = Rig::new("null");
-    let told = ended(&empty.input(Input::Call(CallId(8), read(900), false)));
+    let told = completed_calls(&empty.input(Input::Call(CallId(8), read(900), false)));
     assert!(
         matches!(told[..], [(CallId(8), FinalResponse::Unavailable(_))]),
         "{told:?}"
@@ -75,7 +78,7 @@
         "SELECT 1",
         "SELECT val FROM state WHERE uid = 'k' /* id=z,c=nothing,d=5,cluster=2 */",
     ] {
-        let told = ended(&rig.input(Input::Call(CallId(7), query(text), false)));
+        let told = completed_calls(&rig.input(Input::Call(CallId(7), query(text), false)));
         assert!(
             matches!(told[..], [(CallId(7), FinalResponse::Malformed(_))]),
             "{told:?}"
@@ -87,12 +90,12 @@
 #[test]
 fn a_call_that_is_gone_is_told_nothing_and_leaves_nothing() {
     let mut rig = Rig::new(&three());
-    let conn = out(&mut rig, 7, read(2_000));
+    let conn = call_in_flight(&mut rig, 7, read(2_000));
     rig.input(Input::CallCancelled(CallId(7)));
     rig.input(Input::CallCancelled(CallId(7)));
     let mut effects = rig.serve(conn, b"v");
     effects.extend(rig.pass(3 * SECOND));
-    assert!(ended(&effects).is_empty());
+    assert!(completed_calls(&effects).is_empty());
     assert_eq!(
         (
             rig.reducer.counters().buffered_bytes,
--- a/crates/stackgw-gateway/tests/client_connections.rs
+++ b/crates/stackgw-gateway/tests/client_connections.rs
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_client_that_does_not_read_is_not_served_and_closed_in_the_end() {
-    let (mut rig, client, conn) = asked(read(900));
+    let (mut rig, client, conn) = request_in_flight(read(900));
     rig.clients_stuck = true;
     assert_eq!(answers(&rig.serve(conn, b"x")).len(), 1);
     assert!(!rig.reducer.accepts_frame(client));
--- a/crates/stackgw-gateway/tests/common/mod.rs
+++ b/crates/stackgw-gateway/tests/common/mod.rs
@@ -351,7 +351,7 @@
 }
 
 /// A rig with one client whose request is out on the connection that is returned.
-pub fn asked(frame: Frame) -> (Rig, ClientId, ConnectionId) {
+pub fn request_in_flight(frame: Frame) -> (Rig, ClientId, ConnectionId) {
     let mut rig = Rig::new(&three());
     let client = rig.client(1);
     let effects = rig.ask(client, frame);
--- a/crates/stackgw-gateway/tests/connection_pacing.rs
+++ b/crates/stackgw-gateway/tests/connection_pacing.rs
@@ -28,11 +28,11 @@
     rig.reducer
         .enable_bootstrap(rig.now, &file, None, None, &mut effects);
     rig.pass(SECOND / 10);
-    told(&mut rig, 1, since_ms);
+    deliver_list(&mut rig, 1, since_ms);
     rig
 }
 
-fn told(rig: &mut Rig, revision: u64, since_ms: i64) {
+fn deliver_list(rig: &mut Rig, revision: u64, since_ms: i64) {
     let entries = [
         entry(1, "ready", "leader"),
         entry(2, "ready", "follower"),
--- a/crates/stackgw-gateway/tests/endpoint_list.rs
+++ b/crates/stackgw-gateway/tests/endpoint_list.rs
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_new_address_is_used_and_idle_connections_to_the_old_one_are_closed() {
-    let (mut rig, client, conn) = asked(buy(900));
+    let (mut rig, client, conn) = request_in_flight(buy(900));
     rig.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
@@ -112,7 +112,7 @@
 
 #[test]
 fn what_responses_say_of_members_is_gossiped_in_small_datagrams() {
-    let (mut rig, _, conn) = asked(read(900));
+    let (mut rig, _, conn) = request_in_flight(read(900));
     rig.serve(conn, b"x");
     let effects = rig.pass(3 * SECOND);
     let sent: Vec<_> = effects
--- a/crates/stackgw-gateway/tests/member_connections.rs
+++ b/crates/stackgw-gateway/tests/member_connections.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn an_idle_connection_found_closed_costs_the_attempt_nothing() {
-    let (mut rig, client, conn) = asked(buy(900));
+    let (mut rig, client, conn) = request_in_flight(buy(900));
     rig.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
@@ -61,7 +61,7 @@
 
 #[test]
 fn idle_connections_are_retired_ahead_of_the_members_limit() {
-    let (mut rig, _, conn) = asked(buy(900));
+    let (mut rig, _, conn) = request_in_flight(buy(900));
     rig.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
@@ -76,7 +76,7 @@
 
 #[test]
 fn an_idle_connection_that_ends_is_forgotten() {
-    let (mut rig, client, conn) = asked(buy(900));
+    let (mut rig, client, conn) = request_in_flight(buy(900));
     rig.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_member_may_say_why_it_closes_an_idle_connection() {
-    let (mut rig, _, conn) = asked(buy(900));
+    let (mut rig, _, conn) = request_in_flight(buy(900));
     rig.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
@@ -145,7 +145,7 @@
 /// Where members are replaced throughout, connections to the old ones would hold places for as long as idle ones may.
 #[test]
 fn idle_connections_to_a_member_that_is_gone_are_closed_after_its_grace() {
-    let (mut rig, _, conn) = asked(buy(900));
+    let (mut rig, _, conn) = request_in_flight(buy(900));
     rig.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
--- a/crates/stackgw-gateway/tests/member_responses.rs
+++ b/crates/stackgw-gateway/tests/member_responses.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn bytes_that_are_no_reply_end_the_attempt_and_touch_no_other() {
-    let (mut rig, _, conn) = asked(buy(900));
+    let (mut rig, _, conn) = request_in_flight(buy(900));
     let other = rig.client(2);
     let mut effects = rig.ask(other, read(900));
     effects.extend(rig.pass(100 * MS));
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_row_that_is_not_whole_never_reaches_the_client_as_one() {
-    let (mut rig, _, conn) = asked(buy(900));
+    let (mut rig, _, conn) = request_in_flight(buy(900));
     let part = row(b"abc").remove(0);
     rig.reply(conn, vec![part]);
     let effects = rig.lose(conn);
@@ -73,14 +73,14 @@
         vec![status("node_role", "leader")],
         vec![message(b'N', b"SNOTICE\0\0")],
     ] {
-        let (mut rig, client, conn) = asked(buy(900));
+        let (mut rig, client, conn) = request_in_flight(buy(900));
         rig.reply(conn, second());
         let effects = rig.reply(conn, more);
         assert_eq!(closed(&effects), [conn]);
         assert_eq!(rig.reducer.counters().members_unexpected_data, 1);
         assert_ne!(statements(&rig.ask(client, buy(900)))[0].0, conn);
     }
-    let (mut rig, client, conn) = asked(buy(900));
+    let (mut rig, client, conn) = request_in_flight(buy(900));
     rig.reply(conn, second());
     assert_eq!(
         closed(&rig.input(Input::MemberPartialFrame(conn))),
@@ -122,7 +122,7 @@
         vec![message(b'I', b""), ready()],
     ];
     for frames in spoilt {
-        let (mut rig, _, conn) = asked(buy(900));
+        let (mut rig, _, conn) = request_in_flight(buy(900));
         let effects = rig.reply(conn, frames.clone());
         assert_eq!(closed(&effects), [conn], "{frames:?}");
         assert_eq!(
@@ -132,7 +132,7 @@
         );
         assert_eq!(rig.reducer.counters().ended_malformed, 1, "{frames:?}");
         // A read is asked for again elsewhere, and served.
-        let (mut rig, _, conn) = asked(read(900));
+        let (mut rig, _, conn) = request_in_flight(read(900));
         let mut effects = rig.reply(conn, frames);
         effects.extend(rig.pass(60 * MS));
         let (next, _) = statements(&effects)
@@ -164,7 +164,7 @@
 /// A length beyond what follows must not hold its request until the client's time is over.
 #[test]
 fn a_response_that_stalls_is_malformed_well_before_the_clients_deadline() {
-    let (mut rig, _, conn) = asked(read(900));
+    let (mut rig, _, conn) = request_in_flight(read(900));
     rig.input(Input::MemberPartialFrame(conn));
     let effects = rig.pass(140 * MS);
     assert!(!closed(&effects).contains(&conn));
@@ -220,7 +220,7 @@
 
 #[test]
 fn a_row_without_the_word_that_the_member_is_ready_is_not_served() {
-    let (mut rig, _, conn) = asked(buy(900));
+    let (mut rig, _, conn) = request_in_flight(buy(900));
     rig.reply(conn, row(b"abc"));
     let effects = rig.lose(conn);
     assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("58000"));
--- a/crates/stackgw-gateway/tests/requests.rs
+++ b/crates/stackgw-gateway/tests/requests.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_row_is_passed_on_as_it_came_in_one_write_and_the_connection_is_used_again() {
-    let (mut rig, client, conn) = asked(read(900));
+    let (mut rig, client, conn) = request_in_flight(read(900));
     let effects = rig.serve(conn, b"\x01\0\xff");
     let mut wanted: Vec<u8> = row(b"\x01\0\xff")
         .into_iter()
@@ -50,7 +50,7 @@
 #[test]
 fn a_miss_or_a_full_member_leads_to_another_and_the_client_sees_only_the_row() {
     for code in ["72000", "53300"] {
-        let (mut rig, _, conn) = asked(read(900));
+        let (mut rig, _, conn) = request_in_flight(read(900));
         let mut effects = rig.reply(conn, vec![error(code), ready()]);
         effects.extend(rig.pass(100 * MS));
         assert!(answers(&effects).is_empty(), "{code} reached the client");
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_write_that_may_have_run_fails_and_one_that_never_ran_may_be_refused() {
-    let (mut rig, _, conn) = asked(buy(900));
+    let (mut rig, _, conn) = request_in_flight(buy(900));
     let effects = rig.lose(conn);
     assert_eq!(
         sqlstate(&answers(&effects)[0]).as_deref(),
@@ -97,7 +97,7 @@
 
 #[test]
 fn an_error_of_a_member_ends_a_write_as_failed() {
-    let (mut rig, _, conn) = asked(buy(900));
+    let (mut rig, _, conn) = request_in_flight(buy(900));
     let effects = rig.reply(conn, vec![error("XX000"), ready()]);
     assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("58000"));
     assert_eq!(rig.reducer.counters().ended_error, 1);
@@ -105,7 +105,7 @@
 
 #[test]
 fn silence_ends_an_attempt_at_the_clients_deadline_and_closes_its_connection() {
-    let (mut rig, _, conn) = asked(buy(300));
+    let (mut rig, _, conn) = request_in_flight(buy(300));
     let effects = rig.pass(301 * MS);
     assert_eq!(closed(&effects), [conn]);
     assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("58000"));
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_cancel_request_ends_the_query_that_its_key_names() {
-    let (mut rig, client, conn) = asked(read(900));
+    let (mut rig, client, conn) = request_in_flight(read(900));
     let welcome = answers(&rig.effects).remove(0);
     let at = welcome
         .windows(5)
@@ -171,7 +171,7 @@
 
 #[test]
 fn a_client_that_leaves_takes_its_attempt_with_it() {
-    let (mut rig, client, conn) = asked(read(900));
+    let (mut rig, client, conn) = request_in_flight(read(900));
     let effects = rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
     assert_eq!(closed(&effects), [conn]);
     let counters = rig.reducer.counters();
@@ -213,7 +213,7 @@
 #[test]
 fn an_id_that_is_already_open_is_an_error_for_the_newcomer_alone() {
     let frame = read(900);
-    let (mut rig, owner, conn) = asked(frame.clone());
+    let (mut rig, owner, conn) = request_in_flight(frame.clone());
     let other = rig.client(2);
     let effects = rig.ask(other, frame.clone());
     let code = sqlstate(&answers(&effects)[0]).expect("an error");
--- a/crates/stackgw-gateway/tests/session_sharing.rs
+++ b/crates/stackgw-gateway/tests/session_sharing.rs
@@ -69,7 +69,7 @@
 }
 
 /// A write that a member has served; its connection, and what followed.
-fn written(rig: &mut Rig, wait_ms: u64) -> Vec<Effect> {
+fn write_served(rig: &mut Rig, wait_ms: u64) -> Vec<Effect> {
     let client = rig.client(1);
     let mut effects = rig.ask(client, buy(wait_ms));
     effects.extend(rig.pass(60 * MS));
@@ -94,7 +94,7 @@
 #[test]
 fn a_writes_response_waits_until_no_other_replica_may_be_certain() {
     let mut rig = rig(&["g0", "g1"]);
-    assert!(answers(&written(&mut rig, 3_000)).is_empty());
+    assert!(answers(&write_served(&mut rig, 3_000)).is_empty());
     assert!(answers(&rig.pass(BOUND - 100 * MS)).is_empty());
     let told = answers(&rig.pass(200 * MS));
     assert_eq!((told.len(), sqlstate(&told[0])), (1, None));
@@ -105,7 +105,7 @@
 #[test]
 fn one_that_cannot_be_confirmed_in_time_is_failed_once_and_never_refused() {
     let mut rig = rig(&["g0", "g1"]);
-    assert!(answers(&written(&mut rig, 300)).is_empty());
+    assert!(answers(&write_served(&mut rig, 300)).is_empty());
     let told = answers(&rig.pass(300 * MS));
     assert_eq!(told.len(), 1);
     assert_eq!(sqlstate(&told[0]).as_deref(), Some("58000"), "it has run");
@@ -116,7 +116,7 @@
 #[test]
 fn a_client_that_leaves_while_its_answer_is_held_leaves_nothing_behind() {
     let mut rig = rig(&["g0", "g1"]);
-    written(&mut rig, 3_000);
+    write_served(&mut rig, 3_000);
     let client = stackgw_gateway::reducer::ClientId(1);
     rig.input(Input::ClientClosed(
         client,
@@ -139,7 +139,7 @@
     let mut rig = rig_with(session_sharing);
     rig.input(Input::Terminate);
     rig.pass(SECOND);
-    assert!(answers(&written(&mut rig, 3_000)).is_empty());
+    assert!(answers(&write_served(&mut rig, 3_000)).is_empty());
     let told = answers(&rig.pass(3 * SECOND));
     assert_eq!(
         (told.len(), sqlstate(&told[0]).as_deref()),
@@ -166,10 +166,10 @@
 #[test]
 fn a_single_replica_is_certain_after_the_retention_and_knows_its_own_writes() {
     let mut rig = rig(&["g0"]);
-    assert_eq!(rig.reducer_told()["sure"], false);
+    assert_eq!(rig.session_status()["sure"], false);
     rig.pass(2 * SECOND + LEASE);
-    assert_eq!(rig.reducer_told()["sure"], true);
-    let told = answers(&written(&mut rig, 3_000));
+    assert_eq!(rig.session_status()["sure"], true);
+    let told = answers(&write_served(&mut rig, 3_000));
     assert_eq!(
         (told.len(), sqlstate(&told[0])),
         (1, None),
@@ -198,19 +198,19 @@
     for length in [0, 1, 30, 1_200, 1_300] {
         rig.input(Input::ClusterDatagram(vec![1; length]));
     }
-    let told = rig.reducer_told();
+    let told = rig.session_status();
     let counts = &told["counts"];
     let refused = ["foreign", "unknown_key", "forged", "malformed"]
         .map(|why| counts[why].as_u64().unwrap_or(0));
     assert_eq!(refused.iter().sum::<u64>(), 5, "{told}");
 }
 
-trait Told {
-    fn reducer_told(&mut self) -> serde_json::Value;
+trait SessionStatus {
+    fn session_status(&mut self) -> serde_json::Value;
 }
 
-impl Told for Rig {
-    fn reducer_told(&mut self) -> serde_json::Value {
+impl SessionStatus for Rig {
+    fn session_status(&mut self) -> serde_json::Value {
         let effects = self.input(Input::StatusQuery(1, StatusQuery::Sessions));
         let told = effects.into_iter().find_map(|effect| match effect {
             Effect::StatusReply(1, value) => Some(value),
--- a/crates/stackgw-gateway/tests/shutdown.rs
+++ b/crates/stackgw-gateway/tests/shutdown.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn sigterm_takes_new_clients_for_a_while_finishes_what_was_taken_and_ends() {
-    let (mut rig, busy, conn) = asked(buy(9000));
+    let (mut rig, busy, conn) = request_in_flight(buy(9000));
     let idle = rig.client(2);
     let effects = rig.input(Input::Terminate);
     assert!(!effects
@@ -58,7 +58,7 @@
 #[test]
 fn sigterm_ends_the_gateway_before_it_would_be_killed_and_answers_what_is_left() {
     // The client waits far longer than a SIGKILL would.
-    let (mut rig, _, _) = asked(buy(9000));
+    let (mut rig, _, _) = request_in_flight(buy(9000));
     rig.input(Input::Terminate);
     rig.input(Input::ListenerClosed);
     let effects = rig.pass(2 * SECOND + 600 * MS);
@@ -77,7 +77,7 @@
 /// What waits behind another of its key has been taken too; that its turn comes with the end is no reason for silence.
 #[test]
 fn the_end_answers_statements_that_wait_for_others_of_their_key() {
-    let (mut rig, client, _) = asked(buy(9000));
+    let (mut rig, client, _) = request_in_flight(buy(9000));
     for _ in 0..2 {
         rig.ask(client, buy(9000));
     }
@@ -98,7 +98,7 @@
 /// Between the last answers and the end statements still come: from tasks that held them, or from clients that were not told yet.
 #[test]
 fn what_is_asked_after_the_last_answers_is_refused_and_the_end_comes_with_the_last_client() {
-    let (mut rig, client, _) = asked(buy(9000));
+    let (mut rig, client, _) = request_in_flight(buy(9000));
     rig.input(Input::Terminate);
     rig.input(Input::ListenerClosed);
     let effects = rig.pass(2 * SECOND + 430 * MS);
--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -10,7 +10,7 @@
 
 /// How a watch that is opened while the agent is down goes on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Down {
+enum AgentFailure {
     /// The connection is refused.
     Refuses,
     /// It never comes up.
@@ -23,7 +23,7 @@
 
 /// What the watch that was open did when the agent went down.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Open {
+enum LastSign {
     /// It ended.
     Ends,
     /// It fell silent after a last blank line so long before.
@@ -32,8 +32,8 @@
 
 /// An agent that goes down at one moment and can be reached again from another on.
 struct Agent {
-    down: Down,
-    open: Open,
+    down: AgentFailure,
+    open: LastSign,
     from: Time,
     back: Time,
     /// The open watch's next word.
@@ -52,10 +52,12 @@
             self.next = Some((now + MS, Input::EndpointList(drains)));
         } else {
             match self.down {
-                Down::Refuses => self.next = Some((now, Input::WatchLost("refused".into()))),
-                Down::Swallows => {}
-                Down::Stalls => drop(rig.input(Input::WatchConnected)),
-                Down::Cuts(after) => {
+                AgentFailure::Refuses => {
+                    self.next = Some((now, Input::WatchLost("refused".into())))
+                }
+                AgentFailure::Swallows => {}
+                AgentFailure::Stalls => drop(rig.input(Input::WatchConnected)),
+                AgentFailure::Cuts(after) => {
                     rig.input(Input::WatchConnected);
                     self.next = Some((now + after, Input::WatchLost("cut off".into())));
                 }
@@ -65,7 +67,7 @@
 }
 
 /// How long after its return the agent's word of a drain is taken.
-fn told_after(open: Open, down: Down, lasts: Span) -> Span {
+fn delay_until_applied(open: LastSign, down: AgentFailure, lasts: Span) -> Span {
     // It knows nothing yet, so that only the watch is at work.
     let mut rig = Rig::new("null");
     let from = rig.now + 6 * SECOND;
@@ -85,9 +87,9 @@
         if !gone && rig.now >= from {
             gone = true;
             match agent.open {
-                Open::Ends => agent.next = Some((rig.now, Input::WatchLost("ended".into()))),
+                LastSign::Ends => agent.next = Some((rig.now, Input::WatchLost("ended".into()))),
                 // Its last line came that long ago.
-                Open::FellSilent(_) => agent.next = None,
+                LastSign::FellSilent(_) => agent.next = None,
             }
         }
         let next = agent.next.as_ref().map(|(at, _)| *at);
@@ -102,8 +104,8 @@
             let (at, input) = agent.next.take().expect("a word");
             if matches!(input, Input::WatchKeepalive) {
                 let before = match agent.open {
-                    Open::FellSilent(before) => before,
-                    Open::Ends => 0,
+                    LastSign::FellSilent(before) => before,
+                    LastSign::Ends => 0,
                 };
                 let next = at + 2 * SECOND;
                 let last = next > from - before;
@@ -127,18 +129,18 @@
 #[test]
 fn a_change_is_told_six_seconds_after_the_agent_can_be_reached_however_it_was_down() {
     let opens = [
-        Open::Ends,
-        Open::FellSilent(0),
-        Open::FellSilent(SECOND),
-        Open::FellSilent(1990 * MS),
+        LastSign::Ends,
+        LastSign::FellSilent(0),
+        LastSign::FellSilent(SECOND),
+        LastSign::FellSilent(1990 * MS),
     ];
     let downs = [
-        Down::Refuses,
-        Down::Swallows,
-        Down::Stalls,
-        Down::Cuts(0),
-        Down::Cuts(400 * MS),
-        Down::Cuts(2500 * MS),
+        AgentFailure::Refuses,
+        AgentFailure::Swallows,
+        AgentFailure::Stalls,
+        AgentFailure::Cuts(0),
+        AgentFailure::Cuts(400 * MS),
+        AgentFailure::Cuts(2500 * MS),
     ];
     let mut worst = (0, String::new());
     for open in opens {
@@ -146,7 +148,7 @@
             // Every phase of the pauses and clocks, also where these have grown to their longest.
             for phase in 0..240 {
                 let lasts = phase * 50 * MS;
-                let told = told_after(open, down, lasts);
+                let told = delay_until_applied(open, down, lasts);
                 worst = worst.max((
                     told,
                     format!("{open:?}, {down:?}, down for {} ms", lasts / MS),
