--- a/crates/stackgw-router/src/router/admission.rs
+++ b/crates/stackgw-router/src/router/admission.rs
@@ -1,41 +1,41 @@
-//! How many requests a member may hold: a concurrency limit that follows the latency of its answers.
+//! Adaptive concurrency limits: how many requests a member may have in flight, by the latency of its answers.
 
 use super::Router;
 use crate::api::*;
 use crate::state::{smooth, LatencySample, MemberState, Role};
 
-/// The least limit, for the whole fleet.
+/// Lowest concurrency limit of a member, before the division among the routers of a large fleet.
 pub(super) const MIN_LIMIT: f64 = 0.3;
-/// Latency ratio: answer time over its objective. Above the first a limit shrinks, below the second it grows.
+/// Latency ratio: response time / latency objective. A limit shrinks above the high, grows below the good one.
 pub(super) const HIGH_LATENCY_RATIO: f64 = 0.33;
 const GOOD_LATENCY_RATIO: f64 = 0.27;
 const LIMIT_CUT: f64 = 0.85;
-/// A guess before the first answers; smoothed over 1 / SMOOTHING answers, each MAX_LATENCY_RATIO at most.
+/// Assumed before the first answer; smoothed over 1 / SMOOTHING answers, each capped at MAX_LATENCY_RATIO.
 pub(super) const INITIAL_LATENCY_RATIO: f64 = 0.25;
 pub(super) const SMOOTHING: f64 = 0.05;
 pub(super) const MAX_LATENCY_RATIO: f64 = 1.2;
-/// A limit is cut once in so many samples: work varies so much that with fewer chance alone closes a member.
+/// Samples between two cuts of a limit: costs vary so much that with fewer, chance alone closes a member.
 const SAMPLES_PER_CUT: u32 = 12;
-/// A limit grows while this share of it is in use, each time by at most the second share.
+/// A limit grows only while more than this share of it is in use, by at most MAX_GROWTH of itself per answer.
 const GROWTH_UTILISATION: f64 = 0.7;
 const MAX_GROWTH: f64 = 0.2;
 
 impl Router {
-    /// Whether a member can take one more within `share` of its limit; ejected, a half-open attempt at times.
+    /// Whether one more request fits within `share` of the limit; if ejected, only as a half-open attempt.
     pub(super) fn has_capacity(&self, member: &MemberState, role: Role, share: f64) -> bool {
         if member.ejected {
             return self.now >= member.half_open_at && self.has_slow_start_budget(member);
         }
         let limit = member.concurrency_limit * share * self.slow_start_factor(member);
-        // A limit below one is an interval. Thin streams come unevenly, so it is kept only where latency is
-        // high, here or over all of its role, as one member is seldom heard.
-        let is_calm = member.latency_ratio.max(self.latency_ratio.get(role)) < HIGH_LATENCY_RATIO;
+        // A limit below one is a minimum interval between sends. Sparse traffic is uneven, so it applies only
+        // while latency is high at this member or across its role, as one member gives few samples.
+        let is_latency_low = member.latency_ratio.max(self.latency_ratio.get(role)) < HIGH_LATENCY_RATIO;
         let since_last = (self.now - member.last_sent_at) as f64;
-        let is_paced = is_calm || limit >= 1.0 || since_last >= member.latency / limit;
-        f64::from(member.in_flight) < limit.max(1.0) && is_paced && self.has_slow_start_budget(member)
+        let is_interval_over = is_latency_low || limit >= 1.0 || since_last >= member.latency / limit;
+        f64::from(member.in_flight) < limit.max(1.0) && is_interval_over && self.has_slow_start_budget(member)
     }
 
-    /// Takes an answer time into account: for the member, for all of its role, and as throughput.
+    /// Records the response time of an answer: for the member, for its role, and for the throughput.
     pub(super) fn record_latency(&mut self, result: &AttemptResult, elapsed: f64, sample: &LatencySample) {
         let Some((member, group)) = self.members.with_group(result.member) else { return };
         let known_role = Role::primary_if(group.primary == Some(result.member));
--- a/crates/stackgw-router/src/router/events.rs
+++ b/crates/stackgw-router/src/router/events.rs
@@ -1,11 +1,11 @@
-//! Events come in here and are handed on to the modules that decide. Nothing is decided here.
+//! Event dispatch: passes each event to the modules that decide. Nothing is decided here.
 
 use super::Router;
 use crate::api::*;
 use crate::state::Observation;
 
 impl Router {
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         std::mem::swap(&mut self.actions, actions);
         self.advance_clock(now);
@@ -18,7 +18,7 @@
         match event {
             Event::EndpointList { scope, members } => self.apply_endpoint_list(scope, &members),
             Event::Request(request) => self.accept(request),
-            // The stream is the client's from here on; nothing more is owed for it.
+            // The member's response streams to the client, so the router no longer owes a final answer.
             Event::StreamStarted { request, .. } => drop(self.requests.remove(request)),
             Event::AttemptEnded(result) => self.handle_result(&result),
             Event::ClientDisconnected(request) => self.finish(request),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The end of an attempt says something of its member, of its request, and of what may be dispatched now.
+    /// Applies the end of an attempt to its member and its request, then dispatches what can be sent now.
     fn handle_result(&mut self, result: &AttemptResult) {
         let class = self.requests.get(result.request).map(|request| request.class.clone());
         self.record_outcome(result, class.as_ref());
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Ends a request: nothing more is owed, and attempts that are still open are cancelled.
+    /// Drops a request that needs no further answer, and cancels its open attempts where that is allowed.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(id) else { return };
         self.members.unqueue(request.group(), id);
--- a/crates/stackgw-router/src/router/gossip.rs
+++ b/crates/stackgw-router/src/router/gossip.rs
@@ -1,15 +1,15 @@
-//! Gossip: in each term one router collects what the others learned of members, and sends it to all.
+//! Gossip: in each term, one router collects what the others learned about members and broadcasts it.
 
 use super::Router;
 use crate::api::*;
 use crate::state::{LatencySample, Observation};
 
 const TERMS_PER_BOUND: Span = 2;
-/// The router that collects does so for this long, longer than messages take.
+/// How long the collecting router waits before it broadcasts: longer than messages take to arrive.
 const COLLECTION_TIME: Span = 50 * MS;
 
 impl Router {
-    /// Once a term all updates go to the router that collects; that one sends all what it collected.
+    /// Once per term, sends all updates to the collecting router, which broadcasts what it has collected.
     pub(super) fn send_gossip(&mut self) {
         if !self.settings.limits.gossip {
             return;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Gossip is late or lost. Positions never go back, so they hold; they order roles.
+    /// Gossip may be late or lost. Positions never go back, so late ones remain valid and order role claims.
     pub(super) fn merge_gossip(&mut self, sent_at: Time, relay: bool, updates: Vec<GossipUpdate>) {
         for update in updates {
             if update.position.is_some() {
--- a/crates/stackgw-router/src/router/health_checks.rs
+++ b/crates/stackgw-router/src/router/health_checks.rs
@@ -1,20 +1,20 @@
-//! Health checks: which members are asked for their position and role, and when.
+//! Health checks: which members are polled for their position and role, and when.
 
 use super::Router;
 use crate::api::*;
 use crate::state::{Candidate, MemberState, Observation, RequestState, Role};
 
-/// Checks in the tightest bound, or in half the last lag if that is longer; least and longest interval.
+/// Health checks per tightest staleness bound (or half the last lag, if longer), and bounds of the interval.
 const CHECKS_PER_BOUND: i64 = 4;
 const MIN_INTERVAL: Span = 120 * MS;
 const MAX_INTERVAL: Span = SECOND / 2;
-/// How long a read waits for the answer to one.
+/// How long a read waits for a pending health check.
 pub(super) const MAX_WAIT: Span = 20 * MS;
-/// Checks that no request waits for stay within this many for each request, less in a large fleet: they cost.
+/// Budget per request for health checks that no request waits for, as each has a cost; less in a large fleet.
 const CHECKS_PER_REQUEST: f64 = 0.1;
 
 impl Router {
-    /// Takes a member's report; `None`: it did not respond.
+    /// Handles the end of a health check; `report` is `None` if the member did not respond.
     pub(super) fn handle_health_check(&mut self, id: MemberId, report: Option<LoadReport>) {
         let Some(member) = self.members.get_mut(id) else { return };
         member.check_pending = false;
@@ -29,17 +29,17 @@
         self.check_health(group);
     }
 
-    pub(super) fn earn_health_checks(&mut self) {
-        let earned = self.health_check_budget + CHECKS_PER_REQUEST / self.fleet_divisor;
-        self.health_check_budget = earned.min(self.members.len() as f64);
+    pub(super) fn accrue_health_check_budget(&mut self) {
+        let accrued = self.health_check_budget + CHECKS_PER_REQUEST / self.fleet_divisor;
+        self.health_check_budget = accrued.min(self.members.len() as f64);
     }
 
-    /// Whether a replica's position may be asked for again. The whole fleet watches those that are behind.
+    /// Whether a replica is due for a health check. The fleet shares the checks of replicas that lag behind.
     pub(super) fn is_check_due(&self, member: &MemberState) -> bool {
-        let is_behind = member.lag > self.tightest_bound && member.position > 0;
+        let is_lagging = member.lag > self.tightest_bound && member.position > 0;
         let interval = (member.lag / 2).max(self.tightest_bound) / CHECKS_PER_BOUND;
         let interval = interval.clamp(MIN_INTERVAL, MAX_INTERVAL) as f64 * self.jitter;
-        let interval = interval * if is_behind { self.fleet_divisor } else { 1.0 };
+        let interval = interval * if is_lagging { self.fleet_divisor } else { 1.0 };
         member.is_unchecked_for(self.now, interval as Span)
     }
 
@@ -52,52 +52,52 @@
         }
     }
 
-    /// All members while no primary is at work, one by one for a queued read, and aged ones in a budget.
+    /// All members while no primary is usable, one at a time for a queued read, else stale ones by budget.
     fn due_checks(&mut self, group: GroupId) -> Vec<MemberId> {
-        let primary = self.working_primary(group);
+        let primary = self.usable_primary(group);
         let members = self.members.of_group(group).filter(|(id, _)| Some(*id) != primary);
-        let replicas: Vec<_> = members.filter(|(_, member)| self.is_open(member, Role::Replica)).collect();
+        let replicas: Vec<_> = members.filter(|(_, member)| self.accepts(member, Role::Replica)).collect();
         if primary.is_none() && self.any_queued(group, |_| true) {
-            let due = self.due_in_search(&replicas);
+            let due = self.due_in_primary_search(&replicas);
             if !due.is_empty() {
                 return due;
             }
         }
-        let mut aged = self.aged_replicas(&replicas);
+        let mut stale = self.stale_replicas(&replicas);
         let is_pending = replicas.iter().any(|(_, m)| m.is_check_pending_within(self.now, MAX_WAIT));
         if !is_pending && self.any_queued(group, |request| !request.is_write()) {
-            aged.truncate(1);
+            stale.truncate(1);
         } else {
-            aged.truncate(self.health_check_budget as usize);
-            self.health_check_budget -= aged.len() as f64;
+            stale.truncate(self.health_check_budget as usize);
+            self.health_check_budget -= stale.len() as f64;
         }
-        aged
+        stale
     }
 
-    /// While a primary is searched for, every member that can be reached, at the least interval.
-    fn due_in_search(&self, replicas: &[Candidate]) -> Vec<MemberId> {
+    /// Health checks during the search for a primary: every reachable member, at the shortest interval.
+    fn due_in_primary_search(&self, replicas: &[Candidate]) -> Vec<MemberId> {
         let interval = (MIN_INTERVAL as f64 * self.fleet_divisor * self.jitter) as Span;
         let reachable = replicas.iter().filter(|(_, member)| member.has_connection_permit(self.now));
         reachable.filter(|(_, m)| m.is_unchecked_for(self.now, interval)).map(|(id, _)| *id).collect()
     }
 
-    /// Replicas whose position has aged, in the order of the rotation.
-    fn aged_replicas(&self, replicas: &[Candidate]) -> Vec<MemberId> {
+    /// Replicas with a stale position that are due for a health check, in rotation order.
+    fn stale_replicas(&self, replicas: &[Candidate]) -> Vec<MemberId> {
         let is_usable = |m: &MemberState| !m.ejected && m.has_connection_permit(self.now);
-        let is_aged = |m: &MemberState| self.now - m.position > self.tightest_bound / 2;
-        let is_due = |m: &MemberState| is_usable(m) && is_aged(m) && self.is_check_due(m);
-        let mut aged: Vec<_> = replicas.iter().filter(|(_, member)| is_due(member)).collect();
-        aged.sort_by(|a, b| a.1.virtual_time.total_cmp(&b.1.virtual_time));
-        aged.into_iter().map(|(id, _)| *id).collect()
+        let is_stale = |m: &MemberState| self.now - m.position > self.tightest_bound / 2;
+        let is_due = |m: &MemberState| is_usable(m) && is_stale(m) && self.is_check_due(m);
+        let mut stale: Vec<_> = replicas.iter().filter(|(_, member)| is_due(member)).collect();
+        stale.sort_by(|a, b| a.1.virtual_time.total_cmp(&b.1.virtual_time));
+        stale.into_iter().map(|(id, _)| *id).collect()
     }
 
-    /// A read queued until a primary claims the role would wait in vain where only the list names one.
-    fn working_primary(&self, group: GroupId) -> Option<MemberId> {
+    /// A merely listed primary does not count while queued reads need a claim: unchecked, they wait in vain.
+    fn usable_primary(&self, group: GroupId) -> Option<MemberId> {
         use Consistency::{ReadYourWrites, Strong};
         let needs_claim = |request: &RequestState| matches!(request.consistency(), Strong | ReadYourWrites);
         let claimed = self.members.claimed_primary(group);
-        let is_proven = |id| claimed == Some(id) || !self.any_queued(group, needs_claim);
-        self.primary(group).filter(|id| !self.members[*id].ejected && is_proven(*id))
+        let is_confirmed = |id| claimed == Some(id) || !self.any_queued(group, needs_claim);
+        self.primary(group).filter(|id| !self.members[*id].ejected && is_confirmed(*id))
     }
 
     fn any_queued(&self, group: GroupId, matches: impl Fn(&RequestState) -> bool) -> bool {
--- a/crates/stackgw-router/src/router/membership.rs
+++ b/crates/stackgw-router/src/router/membership.rs
@@ -1,12 +1,12 @@
-//! Which members there are, which of them take new requests, and which is the primary of its group.
+//! Membership: the known members, which of them accept new requests, and the primary of each group.
 
 use super::{admission, outliers, Router};
 use crate::api::*;
 use crate::state::{hash_fraction, MemberState, Observation, Role, Source};
 
-/// Part of the drain grace in which a draining primary still gets writes when no other is known.
+/// Share of the drain grace during which a draining primary still gets writes if no other is known.
 const DRAIN_GRACE_SHARE: f64 = 0.8;
-/// The fleet's limit on requests in flight at a new member.
+/// Concurrency limit of a new member for the whole fleet, divided among its routers.
 const INITIAL_FLEET_LIMIT: f64 = 12.0;
 
 impl Router {
@@ -35,14 +35,14 @@
             group.clear_primary(endpoint.id);
         }
         if endpoint.started_at.is_none() && scope != ListScope::Cached {
-            member.started_at = None; // It has been up for long; a cached list could not tell.
+            member.started_at = None; // Its start is no longer recent; a cached list may be outdated.
         }
         member.apply_lifecycle(self.now, endpoint.lifecycle, &self.settings.obligations);
         member.weight = endpoint.weight;
         member.listed_primary = endpoint.listed_primary;
     }
 
-    /// Routers that start together would all begin with one member, so each begins elsewhere in the rotation.
+    /// Each router starts elsewhere in the rotation, or all that start together would begin with one member.
     fn initial_state(&self, endpoint: &Member) -> MemberState {
         let virtual_time = hash_fraction(self.seed ^ u64::from(endpoint.id.0));
         let concurrency_limit = INITIAL_FLEET_LIMIT / f64::from(self.settings.fleet_size.max(1));
@@ -54,33 +54,33 @@
             latency_ratio: admission::INITIAL_LATENCY_RATIO,
             half_open_wait: outliers::MIN_HALF_OPEN_WAIT,
             last_sent_at: self.now - (latency / concurrency_limit * virtual_time) as Span,
-            ..MemberState::unheard(endpoint)
+            ..MemberState::unobserved(endpoint)
         }
     }
 
-    /// Whether anything new may go to a member: a draining one is used as primary alone, inside the grace.
-    pub(super) fn is_open(&self, member: &MemberState, role: Role) -> bool {
+    /// Whether a member accepts new requests; a draining one does so only as the primary, in its drain grace.
+    pub(super) fn accepts(&self, member: &MemberState, role: Role) -> bool {
         let grace = (self.settings.obligations.drain_grace as f64 * DRAIN_GRACE_SHARE) as Span;
         let in_grace = member.lifecycle == Lifecycle::Draining && self.now - member.unavailable_since < grace;
         member.lifecycle == Lifecycle::Serving || role == Role::Primary && in_grace
     }
 
-    /// The member that takes writes now: the last one to claim the role, else the list's.
+    /// The current primary: the last member to claim the role, else the listed one.
     pub(super) fn primary(&self, group: GroupId) -> Option<MemberId> {
-        let is_open = |member: &MemberState| self.is_open(member, Role::Primary);
-        let is_listed = |m: &MemberState| m.listed_primary && m.replica_as_of == 0 && is_open(m);
-        let claimed = self.members.claimed_primary(group).filter(|id| is_open(&self.members[*id]));
+        let accepts = |member: &MemberState| self.accepts(member, Role::Primary);
+        let is_listed = |m: &MemberState| m.listed_primary && m.replica_as_of == 0 && accepts(m);
+        let claimed = self.members.claimed_primary(group).filter(|id| accepts(&self.members[*id]));
         claimed.or_else(|| self.members.of_group(group).find(|(_, m)| is_listed(m)).map(|(id, _)| id))
     }
 
-    /// Claims are ordered by position: an older one undoes no newer. But an answer that denies the role
-    /// counts at once: reads there are no longer excused for age.
+    /// Claims are ordered by position, so an older one never overrides a newer one. An answer that denies the
+    /// role counts at once: from then on, the staleness bounds apply to reads at that member.
     pub(super) fn apply_role_and_position(&mut self, observed: &Observation) {
         let Some((member, group)) = self.members.with_group(observed.member) else { return };
         member.advance_position(observed);
         let is_answer = observed.source == Source::Answer;
-        let least_order = if is_answer { member.position } else { 0 };
-        let order = observed.position.unwrap_or(observed.at).max(least_order);
+        let min_order = if is_answer { member.position } else { 0 };
+        let order = observed.position.unwrap_or(observed.at).max(min_order);
         if observed.is_primary == Some(true) && order >= group.claimed_at.max(member.replica_as_of) {
             group.primary = Some(observed.member);
             group.claimed_at = order;
@@ -94,8 +94,8 @@
 }
 
 impl MemberState {
-    /// The list may call members removed that serve. Where only a drain is binding such a one stays in use as
-    /// long as it answers, and is ejected at the first failure.
+    /// The list may show a serving member as removed. Where only a drain is binding, this member stays in use
+    /// while it answers, and is ejected at its first failure.
     fn apply_lifecycle(&mut self, now: Time, listed: Lifecycle, rules: &Obligations) {
         let was_serving = self.lifecycle == Lifecycle::Serving;
         self.removal_in_doubt = listed == Lifecycle::Removed && rules.removal_is_advisory && was_serving;
--- a/crates/stackgw-router/src/router/mod.rs
+++ b/crates/stackgw-router/src/router/mod.rs
@@ -1,11 +1,11 @@
-//! The routing decisions of stackgw, one concern a module. The interface (settings, events, actions) is in
-//! api.rs; read it first. Records and their bookkeeping are in `crate::state`, where nothing is decided.
+//! The routing decisions of stackgw, one concern per module. The interface (settings, events, actions) is in
+//! api.rs; read it first. Records and their bookkeeping are in `crate::state`, which makes no decisions.
 //!
-//! A request is accepted and dispatched (`requests`): a member is selected (`selection`) that has capacity
-//! (`admission`, `slow_start`); without one the request is queued, until it can be dispatched or is rejected.
-//! What members report arrives in `membership`, `health_checks` and `gossip`, how they behave in `outliers`;
-//! `schedule` sets the pace of all that happens without an event. This file and `events`, which hands each
-//! event on to the others, decide nothing.
+//! `requests` accepts and dispatches each request: it selects a member (`selection`) that has capacity
+//! (`admission`, `slow_start`). Without one, the request is queued until it can be dispatched or is rejected.
+//! `membership`, `health_checks` and `gossip` process what members report about themselves, `outliers` the
+//! results of attempts, and `schedule` runs periodic work. This file and `events`, which passes each event to
+//! the other modules, make no decisions.
 
 mod admission;
 mod events;
@@ -27,23 +27,23 @@
     settings: Settings,
     seed: u64,
 
-    /// When the event in hand came in.
+    /// Time of the event being handled.
     now: Time,
-    /// How long this router was stalled before that event.
+    /// How long this router was stalled before that event; 0 if it was not.
     stall: Span,
-    /// What is to be done about that event.
+    /// Actions that result from that event.
     actions: Vec<Action>,
     timer_set: bool,
 
     members: MemberTable,
     requests: RequestTable,
-    /// Last writes of sessions, where the router keeps track of them.
+    /// Times of the sessions' last writes, where the router tracks them.
     session_writes: SessionWrites,
     gossip: GossipQueue,
     throughput: ThroughputMeter,
     /// Latency ratio over all replicas, and over all primaries.
     latency_ratio: ByRole,
-    /// Health checks that may be sent without a request that waits for one.
+    /// Number of health checks that may be sent without a request waiting for them.
     health_check_budget: f64,
 
     /// The tightest staleness bound of all classes.
@@ -52,39 +52,41 @@
     shortest_objective: f64,
     /// Every router of a large fleet checks members' health, so each does so this many times less often.
     fleet_divisor: f64,
-    /// Stretches this router's intervals a little, so that a fleet does not check in step.
+    /// Factor on this router's intervals, so that the routers of a fleet do not send health checks in sync.
     jitter: f64,
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings.
+    /// Creates a router without members or requests.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut router = Router { settings, seed, ..Router::default() };
         router.derive_from_settings();
         router
     }
 
-    /// What it believes of each member, for observers.
+    /// The router's view of each member, for monitoring.
     pub fn member_snapshots(&self) -> impl Iterator<Item = (MemberId, MemberSnapshot)> + '_ {
         self.members.iter().map(|(id, member)| (id, member.snapshot()))
     }
 
-    /// Requests a second that a warm member answers this router: a start for a later incarnation, or a peer.
+    /// Requests per second that a warm member answers for this router. A later incarnation or a peer can
+    /// start with this value.
     pub fn warm_throughput(&self) -> f64 {
         self.throughput.warm()
     }
 
-    /// Hands in the throughput of an earlier incarnation or of a peer; its own answers take that one's place.
+    /// Sets the initial warm throughput, as measured by an earlier incarnation or a peer. This router's own
+    /// measurements replace it.
     pub fn seed_warm_throughput(&mut self, rate: f64) {
         self.throughput.seed(rate);
     }
 
-    /// What members reported since this was last called, for a host that carries gossip to other routers.
+    /// Takes the updates collected since the last call, for a host that carries gossip to other routers.
     pub fn take_gossip(&mut self) -> Vec<GossipUpdate> {
         self.gossip.take()
     }
 
-    /// Where a host limits the connections to a member: those that there are. `None`: it opens what it must.
+    /// Sets the connections that the host may use to a member. `None`: the host does not limit them.
     pub fn set_connection_permits(&mut self, member: MemberId, permits: Option<ConnectionPermits>) {
         self.members.modify(member, |member| member.connection_permits = permits);
     }
--- a/crates/stackgw-router/src/router/schedule.rs
+++ b/crates/stackgw-router/src/router/schedule.rs
@@ -1,29 +1,29 @@
-//! The pace of all that happens without an event: the timer, stalls of its own, and a large fleet's shares.
+//! Periodic work: the timer, detection of the router's own stalls, and intervals by fleet size.
 
 use super::{admission, Router};
 use crate::api::*;
 use crate::state::{hash_fraction, ByRole};
 
-/// Interval of the timer; events much further apart than that show that this router itself was stalled.
+/// Timer interval; a gap between events above STALL_THRESHOLD shows that this router itself was stalled.
 const TIMER_INTERVAL: Span = 10 * MS;
 const STALL_THRESHOLD: Span = 100 * MS;
-/// How often throughput is measured, and records that are no longer needed are dropped.
+/// How often throughput is measured and expired records are dropped.
 const MEASURING_PERIOD: Span = SECOND;
-/// Session writes are remembered this long: far longer than a replica lags, or a new one's copy is old.
+/// How long session writes are kept: far longer than a replica lags, or than a new one's copy is old.
 const SESSION_WRITE_RETENTION: Span = 60 * SECOND;
-/// Removed members are remembered this long, as late answers and gossip on them may still arrive.
+/// How long removed members are kept, as late answers and gossip about them may still arrive.
 const REMOVED_MEMBER_RETENTION: Span = 30 * SECOND;
-/// A class without a staleness bound counts as one with this.
+/// Staleness bound assumed for a class without one.
 const DEFAULT_BOUND: Span = SECOND;
-/// So many routers may each keep the intervals of one; more share them, up to this factor without gossip.
+/// Fleet size above which intervals grow in proportion, and the highest factor if routers do not gossip.
 const FLEET_BASELINE: f64 = 16.0;
 const MAX_DIVISOR_WITHOUT_GOSSIP: f64 = 6.0;
-/// Intervals are longer by up to one part in this many.
+/// Jitter lengthens intervals by up to 1 / JITTER_PARTS.
 const JITTER_PARTS: f64 = 5.0;
 
 impl Router {
     pub(super) fn derive_from_settings(&mut self) {
-        // With nobody to gossip with, or no report to wait for, neither is asked for.
+        // No gossip without other routers, and no health checks of members that report nothing.
         let settings = &mut self.settings;
         settings.limits.gossip &= settings.fleet_size > 1;
         settings.limits.health_checks &= settings.load_reporting != LoadReporting::Never;
@@ -40,13 +40,13 @@
         self.settings.tick.max(TIMER_INTERVAL)
     }
 
-    /// After its own stall a router finds all answers late, and without this it would blame the members.
+    /// Detects a stall of this router, after which all answers look late and members would be blamed for it.
     pub(super) fn advance_clock(&mut self, now: Time) {
         let since_last_event = now - self.now;
         self.now = now;
         if self.timer_set && since_last_event > STALL_THRESHOLD {
             self.stall = since_last_event;
-            self.members.modify_all(|member| member.quiet_since = now);
+            self.members.modify_all(|member| member.unanswered_since = now);
             self.run_periodic_work();
         } else if since_last_event > 0 {
             self.stall = 0;
--- a/crates/stackgw-router/src/router/selection.rs
+++ b/crates/stackgw-router/src/router/selection.rs
@@ -1,27 +1,27 @@
-//! Replica selection: which member a request goes to, by the consistency that it needs.
+//! Member selection: which member a request goes to, by the consistency that it needs.
 
 use super::{health_checks, Router};
 use crate::api::*;
 use crate::state::{mean_in_flight, Candidate, MemberState, RequestState, Role};
 
-/// Session reads this soon after a write go to the primary. The design's start; shorter brought nothing.
+/// Session reads this soon after a write go to the primary; a shorter time brings no benefit.
 const READ_AFTER_WRITE: Span = SECOND;
-/// Kept off each staleness bound, for the time between the decision and the send.
+/// Subtracted from each staleness bound, for the time between the decision and the send.
 const STALENESS_MARGIN: Span = 100 * MS;
-/// A replica with this many times its peers' mean in flight, and one more, is skipped for now.
+/// Replicas with more than this times the replicas' mean in flight, plus one, are skipped.
 const MAX_IN_FLIGHT_RATIO: f64 = 1.3;
-/// Share of the primary's limit open to reads that no replica could take: the rest can go nowhere else.
+/// Share of the primary's limit for reads that no replica can serve; the rest is for requests that need it.
 const FALLBACK_SHARE: f64 = 0.6;
 const FULL_LIMIT: f64 = 1.0;
 
 impl Router {
-    /// The member that a request goes to now: the design's ordinary path, and its fallbacks.
+    /// Selects the member for a request: the preferred one for its consistency, or a fallback.
     pub(super) fn select_member(&self, request: &RequestState) -> Option<MemberId> {
         Selection { router: self, request, primary: self.primary(request.group()) }.select()
     }
 }
 
-/// The selection of a member for one request.
+/// Selects a member for one request.
 struct Selection<'a> {
     router: &'a Router,
     request: &'a RequestState,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A write met by a member that is not the primary tries the next, then waits for a health check.
+    /// A write rejected by one member tries others for half its attempts, then waits for a health check.
     fn search_for_primary(&self) -> Option<MemberId> {
         let half_used = self.request.attempts_sent * 2 >= self.router.settings.limits.max_attempts;
         if self.request.rejected_by.is_empty() || half_used {
@@ -51,53 +51,53 @@
         self.replicas_with_capacity().first().map(|(id, _)| *id)
     }
 
-    /// A primary without capacity leaves even recent writers' reads to replicas that cover the write.
+    /// If the primary lacks capacity, even reads soon after a write go to replicas that have applied it.
     fn select_for_session(&self) -> Option<MemberId> {
         let write = self.request.request.last_write.unwrap_or(0);
         let is_recent = self.router.now - write < READ_AFTER_WRITE;
-        let primary = self.primary_within(FULL_LIMIT).filter(|id| is_recent && self.covers(*id, write));
+        let primary = self.primary_within(FULL_LIMIT).filter(|id| is_recent && self.has_applied(*id, write));
         primary.or_else(|| self.select_for_read(write))
     }
 
-    /// A replica that has come as far as `min_position`, or what is nearest to one.
+    /// A replica that has reached `min_position`, or the best fallback.
     fn select_for_read(&self, min_position: Time) -> Option<MemberId> {
         let replicas = self.replicas_with_capacity();
-        // An ejected primary gets reads as half-open attempts: few come its way else, and its writes wait.
+        // An ejected primary gets reads as half-open attempts: it gets few others, and writes wait for it.
         let half_open = self.primary_within(FULL_LIMIT).filter(|id| self.router.members[*id].ejected);
         let selected = half_open
             .or_else(|| select_replica(&replicas, |member| member.position >= min_position))
-            .or_else(|| self.select_aged(&replicas, min_position));
+            .or_else(|| self.select_stale(&replicas, min_position));
         if selected.is_some() || self.awaits_health_check(&replicas, min_position) {
             return selected;
         }
         let is_session_read = self.request.consistency() == Consistency::ReadYourWrites;
-        let is_covered = |id: &MemberId| !is_session_read || self.covers(*id, min_position);
-        self.primary_within(FALLBACK_SHARE).filter(is_covered)
+        let has_write = |id: &MemberId| !is_session_read || self.has_applied(*id, min_position);
+        self.primary_within(FALLBACK_SHARE).filter(has_write)
     }
 
-    /// Where replicas check reads, one that merely aged may be asked: the next in rotation of those that last
-    /// reported inside the bound, else the most advanced; with no report all of them in rotation.
-    fn select_aged(&self, replicas: &[Candidate], min_position: Time) -> Option<MemberId> {
+    /// Where replicas check reads themselves, one with a stale position may be tried: the next in rotation of
+    /// those that last reported within the bound, else the most advanced; without reports, all in rotation.
+    fn select_stale(&self, replicas: &[Candidate], min_position: Time) -> Option<MemberId> {
         let replicas_check = self.router.settings.lagging_reads != LaggingReads::ServedStale;
         if !replicas_check || min_position <= 0 || !self.request.rejected_by.is_empty() {
             return None;
         }
         let max_lag = self.router.now - min_position;
-        let is_near = |m: &MemberState| !m.ejected && (m.position == 0 || m.lag <= 2 * max_lag);
-        let furthest = replicas.iter().filter(|(_, m)| is_near(m)).map(|(_, m)| m.position).max();
-        let is_furthest = |m: &MemberState| is_near(m) && Some(m.position) == furthest;
-        select_replica(replicas, |m| m.lag <= max_lag).or_else(|| select_replica(replicas, is_furthest))
+        let is_candidate = |m: &MemberState| !m.ejected && (m.position == 0 || m.lag <= 2 * max_lag);
+        let latest = replicas.iter().filter(|(_, m)| is_candidate(m)).map(|(_, m)| m.position).max();
+        let is_latest = |m: &MemberState| is_candidate(m) && Some(m.position) == latest;
+        select_replica(replicas, |m| m.lag <= max_lag).or_else(|| select_replica(replicas, is_latest))
     }
 
-    /// In a thin stream all positions age, and the reads of a large fleet would fill the primaries. What a
-    /// replica reports is milliseconds away, so it is asked first.
+    /// In sparse traffic all known positions become stale, and the reads of a large fleet would overload the
+    /// primaries. A health check takes milliseconds, so reads wait for one first.
     fn awaits_health_check(&self, replicas: &[Candidate], min_position: Time) -> bool {
         let router = self.router;
-        let is_guarded_here = router.settings.lagging_reads == LaggingReads::ServedStale && min_position > 0;
+        let router_checks = router.settings.lagging_reads == LaggingReads::ServedStale && min_position > 0;
         let is_pending = |m: &MemberState| m.is_check_pending_within(router.now, health_checks::MAX_WAIT);
-        let reports_soon = |m: &MemberState| !m.ejected && (is_pending(m) || router.is_check_due(m));
-        let may_wait = is_guarded_here && router.settings.limits.health_checks;
-        may_wait && replicas.iter().any(|(_, member)| reports_soon(member))
+        let will_report = |m: &MemberState| !m.ejected && (is_pending(m) || router.is_check_due(m));
+        let may_wait = router_checks && router.settings.limits.health_checks;
+        may_wait && replicas.iter().any(|(_, member)| will_report(member))
     }
 
     fn replicas_with_capacity(&self) -> Vec<Candidate<'a>> {
@@ -106,23 +106,23 @@
         replicas.filter(|(id, member)| self.is_available(*id, member, Role::Replica, FULL_LIMIT)).collect()
     }
 
-    /// The primary, if it can take one more within this share of its limit.
+    /// The primary, if one more request fits within this share of its limit.
     fn primary_within(&self, share: f64) -> Option<MemberId> {
         let is_available = |id| self.is_available(id, &self.router.members[id], Role::Primary, share);
         self.primary.filter(|id| is_available(*id))
     }
 
     fn is_available(&self, id: MemberId, member: &MemberState, role: Role, share: f64) -> bool {
-        let is_reachable = !self.request.has_met(id) && member.has_connection_permit(self.router.now);
+        let is_reachable = !self.request.is_excluded(id) && member.has_connection_permit(self.router.now);
         let is_allowed = self.request.is_idempotent() || !member.ejected;
         is_reachable
             && is_allowed
-            && self.router.is_open(member, role)
+            && self.router.accepts(member, role)
             && self.router.has_capacity(member, role, share)
     }
 
-    /// A primary by the list alone may be a replica by now, so it must show that it has the write.
-    fn covers(&self, id: MemberId, write: Time) -> bool {
+    /// Whether a member has the write. A merely listed primary may be a replica by now: its position decides.
+    fn has_applied(&self, id: MemberId, write: Time) -> bool {
         self.has_claimed(id) || self.router.members[id].position >= write
     }
 
@@ -131,18 +131,18 @@
     }
 }
 
-/// Weighted rotation over the replicas that are fresh enough and have no clearly longer queue than the rest.
+/// Weighted rotation over replicas that are fresh enough and have not clearly more in flight than the others.
 fn select_replica(replicas: &[Candidate], is_fresh: impl Fn(&MemberState) -> bool) -> Option<MemberId> {
     let fresh: Vec<_> = replicas.iter().filter(|(_, member)| is_fresh(member)).collect();
     if let Some((id, _)) = fresh.iter().find(|(_, member)| member.ejected) {
-        return Some(*id); // A half-open attempt is due; this read may be repeated elsewhere.
+        return Some(*id); // A half-open attempt is due; this read can be retried elsewhere.
     }
     let max_in_flight = mean_in_flight(&fresh) * MAX_IN_FLIGHT_RATIO + 1.0;
-    let short = fresh.iter().filter(|(_, member)| f64::from(member.in_flight) <= max_in_flight);
-    // Where connections are limited, a member with a free one goes before one that needs a new one.
+    let eligible = fresh.iter().filter(|(_, member)| f64::from(member.in_flight) <= max_in_flight);
+    // Where connections are limited, members with a free connection precede those that need a new one.
     let order = |a: &MemberState, b: &MemberState| {
         let by_connection = a.needs_new_connection().cmp(&b.needs_new_connection());
         by_connection.then(a.virtual_time.total_cmp(&b.virtual_time))
     };
-    short.min_by(|a, b| order(a.1, b.1)).map(|(id, _)| *id)
+    eligible.min_by(|a, b| order(a.1, b.1)).map(|(id, _)| *id)
 }
--- a/crates/stackgw-router/src/state/member.rs
+++ b/crates/stackgw-router/src/state/member.rs
@@ -39,9 +39,9 @@
     /// When the latest of those attempts was sent that have been answered.
     pub(crate) latest_answered_send: Time,
     /// Smoothed share of attempts whose answer is lost.
-    pub(crate) loss: f64,
+    pub(crate) loss_share: f64,
     /// Since when the requests in flight have seen no answer.
-    pub(crate) quiet_since: Time,
+    pub(crate) unanswered_since: Time,
     /// Out of the rotation until a half-open attempt succeeds.
     pub(crate) ejected: bool,
     /// When the next half-open attempt may be sent, and the wait before the one after it.
@@ -62,7 +62,7 @@
 
 impl MemberState {
     /// A member of which nothing has been heard.
-    pub(crate) fn unheard(endpoint: &Member) -> Self {
+    pub(crate) fn unobserved(endpoint: &Member) -> Self {
         let (group, started_at) = (endpoint.group, endpoint.started_at);
         MemberState { group, started_at, lag: Span::MAX / 2, ..MemberState::default() }
     }
@@ -104,7 +104,7 @@
     /// Counts a request that is sent to it.
     pub(crate) fn start_attempt(&mut self, now: Time) {
         if self.in_flight == 0 {
-            self.quiet_since = now;
+            self.unanswered_since = now;
         }
         self.in_flight += 1;
         self.last_sent_at = now;
@@ -125,7 +125,7 @@
     /// Notes an answer to an attempt that was sent `elapsed` ago: it is neither failing nor quiet.
     pub(crate) fn record_answer(&mut self, now: Time, elapsed: Span) {
         self.failure_score = 0;
-        self.quiet_since = now;
+        self.unanswered_since = now;
         self.latest_answered_send = self.latest_answered_send.max(now - elapsed);
     }
 
--- a/crates/stackgw-router/src/state/request.rs
+++ b/crates/stackgw-router/src/state/request.rs
@@ -95,7 +95,7 @@
     }
 
     /// The member has rejected it, or answered it with an error.
-    pub(crate) fn has_met(&self, member: MemberId) -> bool {
+    pub(crate) fn is_excluded(&self, member: MemberId) -> bool {
         self.rejected_by.contains(&member) || self.failed_at.contains(&member)
     }
 
--- a/crates/stackgw-router/src/state/table.rs
+++ b/crates/stackgw-router/src/state/table.rs
@@ -36,9 +36,9 @@
 
 /// How many members of a group have limited connections, and how many of these this router is connected to.
 #[derive(Debug, Default)]
-pub(crate) struct ConnectionReach {
+pub(crate) struct ConnectionCounts {
     pub(crate) limited: u32,
-    pub(crate) reached: u32,
+    pub(crate) connected: u32,
 }
 
 /// All members by number, and the groups that they belong to.
@@ -166,16 +166,16 @@
     }
 
     /// How far this router is connected to a group, if connections to this member of it are limited.
-    pub(crate) fn connection_reach(&self, member: &MemberState) -> ConnectionReach {
-        let mut reach = ConnectionReach::default();
+    pub(crate) fn connection_counts(&self, member: &MemberState) -> ConnectionCounts {
+        let mut counts = ConnectionCounts::default();
         if member.connection_permits.is_some() {
             let peers = self.of_group(member.group).map(|(_, peer)| peer);
             for peer in peers.filter(|peer| peer.connection_permits.is_some()) {
-                reach.limited += 1;
-                reach.reached += u32::from(!peer.needs_new_connection() || peer.in_flight > 0);
+                counts.limited += 1;
+                counts.connected += u32::from(!peer.needs_new_connection() || peer.in_flight > 0);
             }
         }
-        reach
+        counts
     }
 
     /// Drops the members that have been unavailable since before a moment, and groups that are left with nothing.
