--- a/crates/stackgw-router/src/api.rs
+++ b/crates/stackgw-router/src/api.rs
@@ -1,7 +1,7 @@
-//! The interface of the decision module: [`Settings`] handed over at start, [`Event`]s that the host reports,
-//! and [`Action`]s that the router asks of it. Nothing here decides, and nothing here knows a wire format.
+//! The interface of the decision module: [`Settings`] passed at start, [`Event`]s that the host reports, and
+//! [`Action`]s that the router requests from the host. It contains no decisions and no wire format.
 //!
-//! All times are nanoseconds on the host's clock, and come in with the events.
+//! All times are nanoseconds on the host's clock, passed with the events.
 
 mod action;
 mod endpoint;
--- a/crates/stackgw-router/src/api/action.rs
+++ b/crates/stackgw-router/src/api/action.rs
@@ -1,59 +1,59 @@
-//! What a router asks of its host.
+//! Actions that a router requests from its host.
 
 use super::gossip::GossipUpdate;
 use super::request::{MemberId, RequestId};
 use super::time::Span;
 
-/// What a router asks of its host.
+/// An action that a router requests from its host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Send an attempt to a member.
     Send {
         /// The request.
         request: RequestId,
         /// The member to send it to.
         member: MemberId,
-        /// Give up after this; `None`: at the client's deadline.
+        /// Time after which the attempt times out. `None`: at the client's deadline.
         timeout: Option<Span>,
     },
-    /// Cancel an open attempt. Its end is still to be reported.
+    /// Cancel an open attempt. The host must still report its end.
     Cancel {
         /// The request.
         request: RequestId,
-        /// The attempt's number.
+        /// The attempt's number, from 0 in order of sending.
         attempt: u32,
     },
     /// Final answer: rejected, and a retry is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// When to retry.
+        /// How long the client is to wait before a retry.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed, and nothing is promised of a retry.
+    /// Final answer: failed, without a statement on whether a retry is harmless.
     Fail(RequestId),
     /// Set a timer.
     SetTimer {
-        /// How long from now.
+        /// Time until the timer fires.
         after: Span,
-        /// Comes back with the event.
+        /// Returned with the timer event.
         token: u64,
     },
     /// Send a health check to a member.
     HealthCheck(MemberId),
     /// Close idle connections to a member.
     CloseIdleConnections(MemberId),
-    /// The router has dropped all state of this member: its number will not be used again, and what the host keeps
-    /// by it may be dropped. If a list names the member once more, it is to get a new number.
+    /// The router has dropped all state of this member and will not use its number again, so the host may drop its
+    /// own state too. If the member is listed again, it must get a new number.
     ForgetMember(MemberId),
     /// Send gossip to another router, or to all of them.
     SendGossip {
-        /// The other router's index; `None`: all.
+        /// The receiving router's index. `None`: all routers.
         to: Option<u32>,
-        /// The updates, which a single router is to pass on and all of them only to merge.
+        /// The updates. A single receiver also relays them; if all receive them, they only merge them.
         updates: Vec<GossipUpdate>,
     },
-    /// Subscribe to changes of the endpoint list.
+    /// Subscribe to changes of the endpoint list, or unsubscribe.
     Subscribe(bool),
     /// Fetch the endpoint list once.
     FetchEndpointList,
--- a/crates/stackgw-router/src/api/endpoint.rs
+++ b/crates/stackgw-router/src/api/endpoint.rs
@@ -1,24 +1,24 @@
-//! The endpoint list, and what a router believes of its members.
+//! The endpoint list, and a router's view of its members.
 
 use super::request::{GroupId, MemberId};
 use super::time::Time;
 
-/// What the endpoint list says of a member's process.
+/// State of a member's process according to the endpoint list.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It serves.
+    /// It accepts requests.
     #[default]
     Serving,
-    /// It finishes the requests that it has and accepts no new ones.
+    /// It finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It is not listed any more.
+    /// It is no longer listed.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    /// Its number.
+    /// The number that the host assigned to it.
     pub id: MemberId,
     /// Its group.
     pub group: GroupId,
@@ -26,47 +26,47 @@
     pub zone: u32,
     /// Its weight in the rotation, relative to other members.
     pub weight: f64,
-    /// When its process started, if that is recent enough to be listed.
+    /// When its process started. `None` if the start is not recent enough to be listed.
     pub started_at: Option<Time>,
-    /// What the list says of its process.
+    /// State of its process.
     pub lifecycle: Lifecycle,
-    /// The list names it as the primary.
+    /// Whether it is listed as the primary.
     pub listed_primary: bool,
 }
 
-/// How much of the endpoint list an event carries.
+/// Which part of the endpoint list an event carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListScope {
-    /// The complete list; a member that is missing has been removed.
+    /// The complete list; members missing from it have been removed.
     Full,
-    /// The complete list as last known before a restart; it may be old.
+    /// The complete list as known before a restart; it may be outdated.
     Cached,
-    /// Changed entries alone.
+    /// Changed entries only.
     Changes,
-    /// The poll failed; the list known so far stays in force.
+    /// The poll failed; the current list remains valid.
     Failed,
 }
 
-/// The connections that a host may use to one member, where it limits them.
+/// Connections that the host may use to one member, if it limits them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionPermits {
-    /// How many are free.
+    /// Number of free connections.
     pub free: u32,
-    /// From when on one more may be opened.
+    /// Earliest time at which one more connection may be opened.
     pub may_open_from: Time,
 }
 
-/// What a router believes of one member.
+/// A router's view of one member.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MemberSnapshot {
-    /// Requests of this router that it holds.
+    /// Requests of this router in flight at the member.
     pub in_flight: u32,
-    /// It gets nothing but half-open attempts.
+    /// Whether it gets only half-open attempts.
     pub ejected: bool,
-    /// Smoothed answer time over its objective.
+    /// Smoothed response time divided by the latency objective.
     pub latency_ratio: f64,
-    /// How many requests of this router it may hold; below one, in the mean over time.
+    /// How many requests of this router may be in flight at the member; below one, on average over time.
     pub concurrency_limit: f64,
-    /// The latest position that it reported.
+    /// The latest position that it has reported.
     pub position: Option<Time>,
 }
--- a/crates/stackgw-router/src/api/event.rs
+++ b/crates/stackgw-router/src/api/event.rs
@@ -1,22 +1,22 @@
-//! What a host reports to its router.
+//! Events that a host reports to its router.
 
 use super::endpoint::{ListScope, Member};
 use super::gossip::GossipUpdate;
 use super::request::{MemberId, Request, RequestId};
 use super::time::{Span, Time};
 
-/// What a member reports of itself, as old as the report is.
+/// A member's report of its own state at the time of the report.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// Every commit up to this moment is applied.
+    /// The member has applied every commit up to this time.
     pub position: Option<Time>,
-    /// It is the primary.
+    /// Whether it is the primary.
     pub is_primary: Option<bool>,
-    /// Requests that it holds.
+    /// Requests in flight at the member.
     pub in_flight: Option<f64>,
-    /// Requests that wait there.
+    /// Requests queued at the member.
     pub queued: Option<f64>,
-    /// Busy share of its cores.
+    /// Share of its CPU cores that is busy.
     pub utilisation: Option<f64>,
 }
 
@@ -25,11 +25,11 @@
 pub enum Outcome {
     /// Served.
     Served,
-    /// The member answered with an error; it may have had an effect.
+    /// The member answered with an error; the attempt may have had an effect.
     Error,
-    /// Rejected unexecuted by a full or a draining member.
+    /// Rejected without execution by a full or draining member.
     Overloaded,
-    /// Rejected unexecuted: a write at a replica, or a read at a replica too far behind.
+    /// Rejected without execution: a write at a replica, or a read at a replica that lags too far behind.
     Misrouted,
     /// No answer in time; it may have run or may still run.
     TimedOut,
@@ -37,8 +37,8 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     ConnectionReset,
-    /// The response was malformed: it may have run, and nothing that it said counts. All members' responses may be
-    /// damaged on their way, so it speaks neither for nor against this one.
+    /// The response was malformed: the attempt may have run, and the content of the response is ignored. Responses of
+    /// all members may be damaged in transit, so this counts neither for nor against the member.
     MalformedResponse,
     /// Cancelled; it may have run.
     Cancelled,
@@ -47,16 +47,16 @@
 }
 
 impl Outcome {
-    /// The attempt is known not to have run.
+    /// Whether the attempt is known not to have run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::Misrouted | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// The end of one attempt.
+/// Result of one attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptResult {
-    /// Whose attempt.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Its number, from 0 in order of sending.
     pub attempt: u32,
@@ -66,9 +66,9 @@
     pub outcome: Outcome,
     /// Time since it was sent.
     pub elapsed: Span,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub request_finished: bool,
-    /// The member states that it is the primary, or that it is not.
+    /// Whether the member states that it is the primary.
     pub is_primary: Option<bool>,
     /// The member's position, or the commit time of a write.
     pub position: Option<Time>,
@@ -76,47 +76,47 @@
     pub load_report: LoadReport,
 }
 
-/// What a host reports to its router.
+/// An event that a host reports to its router.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or a change of it.
+    /// The endpoint list, or changes of it.
     EndpointList {
-        /// How much of it.
+        /// Which part of the list `members` holds.
         scope: ListScope,
-        /// The entries.
+        /// Entries of the list.
         members: Vec<Member>,
     },
-    /// A request came in; one final answer is owed.
+    /// A request arrived and must get one final answer.
     Request(Request),
-    /// An attempt's response began to stream; from now on nothing is owed for the request.
+    /// An attempt's response began to stream to the client; the router no longer owes a final answer.
     StreamStarted {
-        /// Whose attempt.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// The member that serves it.
         member: MemberId,
     },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// The client is gone; nothing is owed any more.
+    /// The client disconnected; the request needs no answer.
     ClientDisconnected(RequestId),
-    /// A timer that the router set, with its token.
+    /// A timer set by the router fired; carries its token.
     Timer(u64),
     /// A health check ended.
     HealthChecked {
         /// The member.
         member: MemberId,
-        /// It responded.
+        /// Whether the member responded.
         responded: bool,
         /// Time since it was sent.
         elapsed: Span,
-        /// What it reported.
+        /// The member's report.
         load_report: LoadReport,
     },
     /// Gossip from another router.
     Gossip {
-        /// When it was sent, by the common clock.
+        /// When it was sent, by the routers' common clock.
         sent_at: Time,
-        /// This router is to pass it on.
+        /// Whether this router is to relay it.
         relay: bool,
         /// The updates.
         updates: Vec<GossipUpdate>,
--- a/crates/stackgw-router/src/api/gossip.rs
+++ b/crates/stackgw-router/src/api/gossip.rs
@@ -1,19 +1,19 @@
-//! What routers pass on to each other.
+//! Updates that routers send to each other.
 
 use super::request::MemberId;
 use super::time::Time;
 
-/// What responses and health checks have shown of one member.
+/// What a router has learned about one member from responses and health checks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GossipUpdate {
-    /// Which member.
+    /// The member.
     pub member: MemberId,
-    /// Every commit up to this moment is applied there.
+    /// The member has applied every commit up to this time.
     pub position: Option<Time>,
-    /// It is the primary, or it is not.
+    /// Whether it is the primary.
     pub is_primary: Option<bool>,
-    /// Mean answer time over its objective.
+    /// Mean response time divided by the latency objective.
     pub latency_ratio: f64,
-    /// Number of answers in that mean.
+    /// Number of answers in `latency_ratio`.
     pub samples: u32,
 }
--- a/crates/stackgw-router/src/api/request.rs
+++ b/crates/stackgw-router/src/api/request.rs
@@ -1,30 +1,30 @@
-//! Requests, their classes, and the numbers that name things.
+//! Requests, their classes, and identifiers.
 
 use super::time::{Span, Time};
 
-/// A client's request, numbered by the host in order of arrival.
+/// Identifier of a client's request, assigned by the host in order of arrival.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A member: one database process that an endpoint list has named, numbered by the host in order of first
-/// mention.
+/// Identifier of a member (one database process on the endpoint list), assigned by the host in the order in which
+/// members are first listed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u32);
 
-/// A replication group: one primary and the replicas that hold the same data.
+/// Identifier of a replication group: one primary and the replicas that hold the same data.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u32);
 
-/// A client session, whose reads must see its own writes.
+/// Identifier of a client session, whose reads must see its own writes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub Box<str>);
 
-/// How current the data behind an answer must be.
+/// How up to date the data of an answer must be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
     /// A write: only the primary executes it.
     Write,
-    /// A read that must see every commit made before the request came in.
+    /// A read that must see every commit made before the request arrived.
     Strong,
     /// A read that must see what its session has written.
     ReadYourWrites,
@@ -34,29 +34,29 @@
     Eventual,
 }
 
-/// What a second execution of a request would do.
+/// Effect of a second execution of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// No harm.
+    /// A second execution does no harm.
     Idempotent,
-    /// The request carries an idempotency key: further executions are dropped within `scope`, for `window` after
-    /// the first attempt that may have run.
+    /// The request carries an idempotency key: further executions within `scope` are dropped for `window` after the
+    /// first attempt that may have run.
     WithKey {
-        /// Where the key is recognised.
+        /// Where the key is recognized.
         scope: KeyScope,
         /// How long it is remembered.
         window: Span,
     },
-    /// Harm: it must never run twice.
+    /// A second execution does harm: the request must never run twice.
     NonIdempotent,
 }
 
-/// Where an idempotency key is recognised.
+/// Where an idempotency key is recognized.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
-    /// In the request's group.
+    /// Within the request's group.
     Group,
-    /// In one zone.
+    /// Within one zone.
     Zone,
     /// Everywhere.
     Global,
@@ -65,38 +65,38 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// How current its data must be.
+    /// How up to date its data must be.
     pub consistency: Consistency,
-    /// What a second execution would do.
+    /// Effect of a second execution.
     pub idempotency: Idempotency,
-    /// Answers within this time count with their full weight.
+    /// Answers within this time count with the full weight.
     pub latency_objective: Span,
-    /// How long the client waits in all, over all its attempts.
+    /// Total time that the client waits, over all its attempts.
     pub deadline: Span,
-    /// What an answer in time counts.
+    /// Weight of an answer within the latency objective.
     pub priority_weight: f64,
-    /// The part of that weight that an answer after the objective still counts.
+    /// Share of `priority_weight` that an answer after the objective still counts.
     pub late_weight_share: f64,
 }
 
-/// A request as it came in.
+/// A request as it arrived.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Request {
-    /// Its number.
+    /// Its identifier.
     pub id: RequestId,
     /// Index of its class in [`super::Settings::classes`].
     pub class: usize,
     /// The group that holds its data.
     pub group: GroupId,
-    /// When the client gives this attempt up.
+    /// When the client gives up on this attempt.
     pub deadline: Time,
-    /// Its session, for writes and reads that must see them.
+    /// Its session, for writes and for reads that must see these.
     pub session: Option<SessionId>,
     /// When the session's last write was committed, as the client states it.
     pub last_write: Option<Time>,
-    /// The client states that it retries an earlier request.
+    /// Whether the client states that this is a retry of an earlier request.
     pub is_retry: bool,
-    /// It must see every commit made before it came in, whatever its class needs: the host does not know what its
-    /// session wrote.
+    /// Whether it must see every commit made before it arrived, regardless of its class. Set when the host does not
+    /// know what its session has written.
     pub requires_strong_read: bool,
 }
--- a/crates/stackgw-router/src/api/settings.rs
+++ b/crates/stackgw-router/src/api/settings.rs
@@ -1,146 +1,147 @@
-//! What a router is configured with at start.
+//! Configuration of a router at start.
 
 use super::request::Class;
 use super::time::Span;
 
-/// What a replica does with a read that it is too far behind for.
+/// How a replica handles a read for which it lags too far behind.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum LaggingReads {
-    /// It answers from the data it has; the router alone guards the staleness bound.
+    /// It answers from its current data; only the router enforces the staleness bound.
     #[default]
     ServedStale,
-    /// It rejects the read unexecuted.
+    /// It rejects the read without executing it.
     Rejected,
-    /// It waits up to this long to catch up, then rejects the read unexecuted.
+    /// It waits up to this long to catch up, then rejects the read without executing it.
     Delayed(Span),
 }
 
-/// How the endpoint list names the primary.
+/// How the endpoint list marks the primary.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum RoleListing {
-    /// Some seconds late.
+    /// It marks the current primary, some seconds late.
     #[default]
     Delayed,
-    /// As it was when the deployment started.
+    /// It marks the primary at the start of the deployment.
     AtStart,
-    /// Not at all.
+    /// It does not mark the primary.
     Never,
 }
 
-/// Who keeps track of when a session last wrote.
+/// Who tracks the time of a session's last write.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum SessionTracking {
     /// The client: its request carries the age of its last write.
     #[default]
     Client,
-    /// The router, from the responses to writes that it has seen.
+    /// The router, from the responses to writes that it forwarded.
     Router,
 }
 
-/// What load reports come with.
+/// Which messages carry load reports.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReporting {
     /// Responses and health checks.
     #[default]
     OnResponses,
-    /// Health checks alone.
+    /// Health checks only.
     OnHealthChecks,
-    /// Nothing: there are none.
+    /// None: members send no load reports.
     Never,
 }
 
-/// What the deployment allows.
+/// Capabilities and limits of the deployment.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Limits {
-    /// Attempts of one request, the first included.
+    /// Maximum number of attempts of one request, including the first.
     pub max_attempts: u32,
-    /// Two attempts of one request may be open at once.
+    /// Whether two attempts of one request may be open at once.
     pub hedged_requests: bool,
-    /// An open attempt may be cancelled.
+    /// Whether an open attempt may be cancelled.
     pub cancel: bool,
-    /// Health checks may be sent to members.
+    /// Whether health checks may be sent to members.
     pub health_checks: bool,
-    /// A rejection may say when to retry.
+    /// Whether a rejection may carry a retry-after.
     pub retry_after: bool,
-    /// The longest such wait that clients respect.
+    /// The longest retry-after that clients respect.
     pub max_retry_after: Span,
-    /// Routers may send each other messages.
+    /// Whether routers may send messages to each other.
     pub gossip: bool,
-    /// The host carries gossip between routers by its own means ([`crate::Router::take_gossip`]).
+    /// Whether the host itself carries gossip between routers ([`crate::Router::take_gossip`]).
     pub host_gossip: bool,
-    /// A connection that is not established by then has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout: Span,
 }
 
-/// The figures of the rules that every router must keep.
+/// Parameters of the rules that every router must follow.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Obligations {
-    /// A final answer still counts this long after the client's deadline.
+    /// How long after the client's deadline a final answer still counts.
     pub answer_slack: Span,
-    /// Nothing new may go to a member later than this after a notice that it is draining or removed.
+    /// How long new requests may be sent to a member after the notice that it is draining or removed.
     pub drain_grace: Span,
-    /// Only a drain is binding; a member that is merely removed from the list may still be used.
+    /// Whether only a drain is binding, so that a member that is merely removed from the list may still be used.
     pub removal_is_advisory: bool,
-    /// Share of its capacity that a member starts with.
+    /// Share of its full capacity that a member has when it starts.
     pub cold_capacity_share: f64,
-    /// How long slow start takes.
+    /// Duration of slow start.
     pub warm_up_time: Span,
-    /// In slow start, a member falls over when it is sent more than this multiple of its present capacity ...
+    /// In slow start, a member falls over if it is sent more than this multiple of its current capacity within
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// ... over a window of this length.
+    /// Length of the window that `overload_multiple` refers to.
     pub overload_window: Span,
 }
 
-/// What the deployment is charged for, as far as decisions depend on it.
+/// Costs that are charged to the deployment and that decisions depend on.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Costs {
-    /// For each health check, per request.
+    /// Cost of a health check, per request.
     pub health_check: f64,
-    /// For each attempt that crosses zones, per request.
+    /// Cost of an attempt that crosses zones, per request.
     pub cross_zone: f64,
-    /// For work whose answer nobody got, as a share of all work.
+    /// Cost of work whose answer no client received, as a share of all work.
     pub wasted_work: f64,
-    /// For weight that was not served before its objective had passed, as a share of all weight.
+    /// Cost of weight that was not served within its latency objective, as a share of all weight.
     pub late_failure: f64,
 }
 
-/// What a router is configured with at start.
+/// Configuration of a router at start.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Settings {
-    /// The classes of requests, which name them by index.
+    /// The classes of requests; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// How many routers serve this deployment.
+    /// Number of routers that serve this deployment.
     pub fleet_size: u32,
     /// This router's index among them, from 0.
     pub instance_index: u32,
     /// The zone that this router is in.
     pub zone: u32,
-    /// The host hands over events at least this far apart; 0: as they come.
+    /// Minimum time between the events that the host passes on; 0: events are passed on as they arrive.
     pub tick: Span,
-    /// The endpoint list must be polled; otherwise the host is notified of changes.
+    /// Whether the endpoint list must be polled; otherwise the host is notified of changes.
     pub polls_endpoint_list: bool,
-    /// A router that polls is taken to know what was listed this long ago.
+    /// A router that polls is assumed to know the list as it was this long ago.
     pub poll_grace: Span,
-    /// What a lagging replica does with a read.
+    /// How a lagging replica handles a read.
     pub lagging_reads: LaggingReads,
-    /// Every response carries a position; otherwise only a write's does.
+    /// Whether every response carries a position; otherwise only responses to writes do.
     pub positions_in_responses: bool,
-    /// How the endpoint list names the primary.
+    /// How the endpoint list marks the primary.
     pub role_listing: RoleListing,
-    /// Who keeps track of when a session last wrote.
+    /// Who tracks the time of a session's last write.
     pub session_tracking: SessionTracking,
-    /// A write is answered only once a replica has it.
+    /// Whether a write is answered only after a replica has it.
     pub commit_waits_for_replica: bool,
-    /// What load reports come with.
+    /// Which messages carry load reports.
     pub load_reporting: LoadReporting,
-    /// Load reports carry the member's position.
+    /// Whether load reports carry the member's position.
     pub reports_carry_position: bool,
-    /// Clients flag their retries.
+    /// Whether clients flag their retries.
     pub retries_are_flagged: bool,
-    /// What the deployment allows.
+    /// Capabilities and limits of the deployment.
     pub limits: Limits,
-    /// The figures of the rules that every router must keep.
+    /// Parameters of the rules that every router must follow.
     pub obligations: Obligations,
-    /// What the deployment is charged for.
+    /// Costs that are charged to the deployment.
     pub costs: Costs,
 }
--- a/crates/stackgw-router/src/api/time.rs
+++ b/crates/stackgw-router/src/api/time.rs
@@ -1,8 +1,8 @@
-//! Moments and lengths of time.
+//! Points in time and durations.
 
-/// A moment on the host's clock, in nanoseconds. Its zero has no meaning.
+/// A point in time on the host's clock, in nanoseconds from an arbitrary origin.
 pub type Time = i64;
-/// A length of time in nanoseconds.
+/// A duration in nanoseconds.
 pub type Span = i64;
 /// One millisecond as a [`Span`].
 pub const MS: Span = 1_000_000;
--- a/crates/stackgw-router/src/router/admission.rs
+++ b/crates/stackgw-router/src/router/admission.rs
@@ -6,7 +6,7 @@
 
 /// Lowest concurrency limit of a member, before the division among the routers of a large fleet.
 pub(super) const MIN_LIMIT: f64 = 0.3;
-/// Latency ratio: response time / latency objective. A limit shrinks above the high, grows below the good one.
+/// Latency ratio: response time / latency objective. Limits shrink above the high, grow below the good one.
 pub(super) const HIGH_LATENCY_RATIO: f64 = 0.33;
 const GOOD_LATENCY_RATIO: f64 = 0.27;
 const LIMIT_CUT: f64 = 0.85;
--- a/crates/stackgw-router/src/router/requests.rs
+++ b/crates/stackgw-router/src/router/requests.rs
@@ -2,7 +2,7 @@
 
 use super::{outliers, Router};
 use crate::api::*;
-use crate::state::{Disposition, MemberState, QueueRank, RequestState, Role};
+use crate::state::{DispatchResult, MemberState, QueueRank, RequestState, Role};
 
 /// Errors from this many different members show that the request itself is at fault: it is not retried.
 const MAX_FAILED_MEMBERS: usize = 2;
@@ -31,14 +31,16 @@
         let class = self.settings.classes[request.class].clone();
         self.requests.insert(RequestState::new(self.now, request, class));
         self.accrue_health_check_budget();
-        if self.dispatch(id) == Disposition::Queued {
+        if self.dispatch(id) == DispatchResult::Queued {
             self.check_health(group);
         }
     }
 
     /// Dispatches a request that has no open attempt: sends it, gives it its final answer, or queues it.
-    pub(super) fn dispatch(&mut self, id: RequestId) -> Disposition {
-        let Some(request) = self.requests.get_unsent(id) else { return Disposition::Settled };
+    pub(super) fn dispatch(&mut self, id: RequestId) -> DispatchResult {
+        let Some(request) = self.requests.get_dispatchable(id) else {
+            return DispatchResult::Settled;
+        };
         let too_late = |reserve| !self.may_send(request) || self.now >= self.queue_deadline(request, reserve);
         let must_end = too_late(QUEUE_RESERVE);
         // The queue's reserve must not reject a new request that a member, if only an idle one, can answer.
@@ -54,9 +56,9 @@
             self.reject_or_fail(id);
         } else {
             self.members.queue(request.group(), id);
-            return Disposition::Queued;
+            return DispatchResult::Queued;
         }
-        Disposition::Settled
+        DispatchResult::Settled
     }
 
     /// Dispatches queued requests, highest weight first, then least time left, so that none starves.
--- a/crates/stackgw-router/src/state/gossip.rs
+++ b/crates/stackgw-router/src/state/gossip.rs
@@ -1,19 +1,19 @@
-//! What members said of themselves, in which form it came in, and what is to be passed on of it.
+//! Observations of members' roles and positions, and the updates about them for other routers.
 
 use super::measure::LatencySample;
 use crate::api::{Action, AttemptResult, GossipUpdate, LoadReport, MemberId, Time};
 use std::collections::BTreeMap;
 
-/// Where an observation comes from.
+/// Source of an observation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
     /// The answer to a request.
     Answer,
-    /// A load report, or another router's gossip: as old as it may be.
+    /// A load report or another router's gossip, which may be old.
     Report,
 }
 
-/// What a member said of its role and position.
+/// What a member reported about its role and position.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Observation {
     pub(crate) at: Time,
@@ -39,7 +39,7 @@
         Observation { at, member, is_primary, position, source: Source::Report }
     }
 
-    /// As an update for other routers, with what was learned of the member's latency.
+    /// Converts the observation to an update for other routers, with the member's latency if it was measured.
     pub(crate) fn to_update(self, latency: Option<LatencySample>) -> GossipUpdate {
         let Observation { member, is_primary, position, .. } = self;
         let latency_ratio = latency.map_or(0.0, |sample| sample.ratio);
@@ -48,14 +48,14 @@
     }
 }
 
-/// Updates collected for other routers, one a member, and the term that they are collected in.
+/// Updates collected for other routers, one per member, and the current gossip term.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
-    /// Somebody takes the updates; otherwise none is collected.
+    /// Whether updates are collected: someone must take them from the queue.
     pub(crate) is_enabled: bool,
     updates: BTreeMap<MemberId, GossipUpdate>,
     pub(crate) term: i64,
-    /// Where this router collects the others' updates: when it sends them to all.
+    /// When this router broadcasts the updates that it collects. `None` if it does not collect in this term.
     pub(crate) broadcast_at: Option<Time>,
 }
 
@@ -76,7 +76,8 @@
         std::mem::take(&mut self.updates).into_values().collect()
     }
 
-    /// Takes all updates as a message to one router, or to all of them. `None`: there are none.
+    /// Takes all updates as a message to one router, or to all if `to` is `None`. Returns `None` if there are no
+    /// updates.
     pub(crate) fn take_message(&mut self, to: Option<u32>) -> Option<Action> {
         let updates = self.take();
         (!updates.is_empty()).then_some(Action::SendGossip { to, updates })
@@ -84,7 +85,7 @@
 }
 
 impl GossipUpdate {
-    /// Merges a later update on the same member: the most advanced position, the mean latency ratio.
+    /// Merges a later update on the same member: keeps the latest position and averages the latency ratio.
     fn merge(&mut self, later: &GossipUpdate) {
         if later.position >= self.position {
             self.position = later.position;
--- a/crates/stackgw-router/src/state/measure.rs
+++ b/crates/stackgw-router/src/state/measure.rs
@@ -1,4 +1,4 @@
-//! Measured values: latencies, a value for each role, throughput, and a hash where routers must differ.
+//! Measurements: latency, values by role, throughput, and a hash that varies decisions between routers.
 
 use crate::api::{Span, Time, SECOND};
 
@@ -27,7 +27,7 @@
 }
 
 impl ByRole {
-    /// The same value for both.
+    /// The same value for both roles.
     pub(crate) fn both(value: f64) -> Self {
         ByRole { replica: value, primary: value }
     }
@@ -47,54 +47,54 @@
     }
 }
 
-/// The latency ratio (answer time over its objective) of one answer, or the mean of several.
+/// Latency ratio (response time divided by the latency objective) of one answer, or the mean of several.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LatencySample {
     pub(crate) ratio: f64,
-    /// How many answers it stands for.
+    /// Number of answers in the mean.
     pub(crate) count: u32,
-    /// It is of an answer that served a request of this router.
+    /// Whether the answer served a request of this router.
     pub(crate) is_served: bool,
 }
 
 impl LatencySample {
-    /// Of a request that this router had served.
+    /// Sample of an answer that served a request of this router.
     pub(crate) fn served(ratio: f64) -> Self {
         LatencySample { ratio, count: 1, is_served: true }
     }
 
-    /// Of a request that was not served, or of requests that other routers had served.
+    /// Sample of a request that was not served, or of answers to other routers.
     pub(crate) fn unserved(ratio: f64, count: u32) -> Self {
         LatencySample { ratio, count, is_served: false }
     }
 }
 
-/// What the end of an attempt says of its member.
+/// Effect of an attempt's result on its member.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Assessment {
-    /// Added to its failure score.
+    /// Added to the member's failure score.
     pub(crate) failures: u32,
-    /// `None`: nothing was learned of its latency.
+    /// `None` if the result is no measure of the member's latency.
     pub(crate) latency: Option<LatencySample>,
 }
 
-/// Answers counted over a period, and the throughput of a warm member that follows from them.
+/// Counts answers per period and derives the throughput of a warm member.
 #[derive(Debug, Default)]
 pub(crate) struct ThroughputMeter {
-    /// Answers since the period began.
+    /// Answers in the current period.
     pub(crate) answers: ByRole,
     period_start: Time,
-    /// Smoothed answers per second that one warm member gives this router.
+    /// Smoothed answers per second of one warm member to this router.
     pub(crate) warm_by_role: ByRole,
 }
 
 impl ThroughputMeter {
-    /// How long the present period has lasted.
+    /// Duration of the current period so far.
     pub(crate) fn period(&self, now: Time) -> Span {
         now - self.period_start
     }
 
-    /// Answers in this period, per second and member, of so many members in one role.
+    /// Answers per second and member in the current period, for a role with this number of members.
     pub(crate) fn rate(&self, now: Time, role: Role, members: usize) -> f64 {
         let answers_each = self.answers.get(role) / members.max(1) as f64;
         answers_each * SECOND as f64 / self.period(now) as f64
@@ -110,7 +110,7 @@
         self.warm_by_role.replica.max(self.warm_by_role.primary)
     }
 
-    /// Takes over a throughput from elsewhere unless something was measured here.
+    /// Sets the throughput of a warm member unless it has been measured already.
     pub(crate) fn seed(&mut self, rate: f64) {
         if self.warm() <= 0.0 {
             self.warm_by_role = ByRole::both(rate);
@@ -118,12 +118,12 @@
     }
 }
 
-/// Moves a smoothed value towards a sample by this share of the way.
+/// Exponential smoothing: moves `value` toward `sample` by `share` of the difference.
 pub(crate) fn smooth(value: &mut f64, sample: f64, share: f64) {
     *value += (sample - *value) * share;
 }
 
-/// A share below one that differs between routers and members, and is the same for the same input.
+/// Hashes the input to a fraction in [0, 1), so that routers and members with different inputs differ.
 pub(crate) fn hash_fraction(input: u64) -> f64 {
     let mixed = (input ^ (input >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     ((mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 40) as f64 / (1u64 << 24) as f64
--- a/crates/stackgw-router/src/state/member.rs
+++ b/crates/stackgw-router/src/state/member.rs
@@ -1,4 +1,4 @@
-//! What the router knows of one member.
+//! State of one member as known to the router.
 
 use super::gossip::Observation;
 use crate::api::{
@@ -15,36 +15,36 @@
     pub(crate) lifecycle: Lifecycle,
     /// When this router was notified that the member is draining or removed.
     pub(crate) unavailable_since: Time,
-    /// Listed as removed where that is not binding: it may serve all the same.
+    /// Whether it is listed as removed where that is not binding: it may still serve.
     pub(crate) removal_in_doubt: bool,
     pub(crate) listed_primary: bool,
 
-    /// Latest position reported; it never goes back, so it holds from then on.
+    /// Latest reported position. Positions never go back, so it remains a valid lower bound.
     pub(crate) position: Time,
-    /// How far behind it was when it last reported.
+    /// Replication lag at its last report.
     pub(crate) lag: Span,
-    /// Position (or moment) at which it last said that it is a replica.
+    /// Position (or time, without one) at which it last reported to be a replica.
     pub(crate) replica_as_of: Time,
 
     pub(crate) in_flight: u32,
     pub(crate) last_sent_at: Time,
     pub(crate) concurrency_limit: f64,
-    /// Latency samples since the concurrency limit was last changed by its pace.
+    /// Latency samples since the concurrency limit was last cut, or raised by samples of unserved requests.
     pub(crate) samples_since_cut: u32,
-    /// Smoothed answer time over its objective.
+    /// Smoothed response time divided by the latency objective.
     pub(crate) latency_ratio: f64,
-    /// Smoothed answer time in nanoseconds.
+    /// Smoothed response time in nanoseconds.
     pub(crate) latency: f64,
 
-    /// When the latest of those attempts was sent that have been answered.
+    /// Send time of the most recently sent attempt that has been answered.
     pub(crate) latest_answered_send: Time,
-    /// Smoothed share of attempts whose answer is lost.
+    /// Smoothed share of attempts whose answer was lost.
     pub(crate) loss_share: f64,
-    /// Since when the requests in flight have seen no answer.
+    /// Since when no request in flight has been answered.
     pub(crate) unanswered_since: Time,
-    /// Out of the rotation until a half-open attempt succeeds.
+    /// Whether it is out of the rotation until a half-open attempt succeeds.
     pub(crate) ejected: bool,
-    /// When the next half-open attempt may be sent, and the wait before the one after it.
+    /// When the next half-open attempt may be sent; `half_open_wait` is the wait before the one after it.
     pub(crate) half_open_at: Time,
     pub(crate) half_open_wait: Span,
     pub(crate) failure_score: u32,
@@ -52,22 +52,22 @@
     pub(crate) checked_at: Time,
     pub(crate) check_pending: bool,
 
-    /// Its place in the rotation: the member with the least goes next.
+    /// Its place in the weighted rotation: the member with the lowest virtual time is next.
     pub(crate) virtual_time: f64,
-    /// Sends to it in slow start, within the last overload window.
+    /// Times of sends to it in slow start within the last overload window.
     pub(crate) cold_sends: VecDeque<Time>,
-    /// `None`: as many connections as are asked for may be opened to it.
+    /// `None`: connections to it are not limited.
     pub(crate) connection_permits: Option<ConnectionPermits>,
 }
 
 impl MemberState {
-    /// A member of which nothing has been heard.
+    /// A member that has not reported or answered yet.
     pub(crate) fn unobserved(endpoint: &Member) -> Self {
         let (group, started_at) = (endpoint.group, endpoint.started_at);
         MemberState { group, started_at, lag: Span::MAX / 2, ..MemberState::default() }
     }
 
-    /// Share of its capacity that it surely has by its age.
+    /// Share of its full capacity that it is guaranteed to have at its age.
     pub(crate) fn slow_start_factor(&self, now: Time, rules: &Obligations) -> f64 {
         let age = self.started_at.map_or(rules.warm_up_time, |started_at| (now - started_at).max(0)) as f64;
         let warmed_up = (age / rules.warm_up_time.max(1) as f64).min(1.0);
@@ -80,8 +80,8 @@
         MemberSnapshot { in_flight, ejected, latency_ratio, concurrency_limit, position }
     }
 
-    /// A restarted process is cold, and its past tells no health or role; but its drain still counts, and so does what
-    /// it had applied.
+    /// Resets the state after a restart of the process: it is cold, and its earlier health and role no longer apply.
+    /// Its drain, its position, its requests in flight and its connection permits remain.
     pub(crate) fn restart(&mut self, initial: MemberState) {
         *self = MemberState {
             position: self.position,
@@ -93,7 +93,7 @@
         };
     }
 
-    /// Takes over a position unless a later one is known.
+    /// Updates position and lag unless a later position is known.
     pub(crate) fn advance_position(&mut self, observed: &Observation) {
         if let Some(position) = observed.position.filter(|position| *position >= self.position) {
             self.position = position;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Counts a request that is sent to it.
+    /// Records that a request is sent to it.
     pub(crate) fn start_attempt(&mut self, now: Time) {
         if self.in_flight == 0 {
             self.unanswered_since = now;
@@ -111,18 +111,19 @@
         self.take_connection_permit();
     }
 
-    /// Notes a send in slow start, and drops those that were sent before the window.
+    /// Records a send in slow start and drops those before the window.
     pub(crate) fn record_cold_send(&mut self, now: Time, window: Span) {
         self.cold_sends.retain(|sent_at| now - *sent_at < window);
         self.cold_sends.push_back(now);
     }
 
-    /// Sends in slow start within the window.
+    /// Number of sends in slow start within the window.
     pub(crate) fn cold_sends_within(&self, now: Time, window: Span) -> usize {
         self.cold_sends.iter().filter(|sent_at| now - **sent_at < window).count()
     }
 
-    /// Notes an answer to an attempt that was sent `elapsed` ago: it is neither failing nor quiet.
+    /// Records an answer to an attempt that was sent `elapsed` ago: resets the failure score and the time without
+    /// an answer.
     pub(crate) fn record_answer(&mut self, now: Time, elapsed: Span) {
         self.failure_score = 0;
         self.unanswered_since = now;
@@ -135,27 +136,27 @@
         self.take_connection_permit();
     }
 
-    /// A health check is pending, and was sent inside this span.
+    /// Whether a health check is pending that was sent within this time.
     pub(crate) fn is_check_pending_within(&self, now: Time, span: Span) -> bool {
         self.check_pending && now - self.checked_at < span
     }
 
-    /// No health check is pending, and none was sent inside this span.
+    /// Whether no health check is pending and none was sent within this time.
     pub(crate) fn is_unchecked_for(&self, now: Time, span: Span) -> bool {
         !self.check_pending && now - self.checked_at >= span
     }
 
-    /// It can be reached now: a connection is free, or one may be opened.
+    /// Whether it can be reached now: a connection is free or may be opened.
     pub(crate) fn has_connection_permit(&self, now: Time) -> bool {
         self.connection_permits.is_none_or(|permits| permits.free > 0 || now >= permits.may_open_from)
     }
 
-    /// Connections to it are limited, and none is free.
+    /// Whether connections to it are limited and none is free.
     pub(crate) fn needs_new_connection(&self) -> bool {
         self.connection_permits.is_some_and(|permits| permits.free == 0)
     }
 
-    /// Something goes to it: one connection less, until the host says what there is.
+    /// Uses one connection permit. The count is provisional until the host sets the permits again.
     fn take_connection_permit(&mut self) {
         if let Some(permits) = &mut self.connection_permits {
             if permits.free > 0 {
@@ -166,17 +167,17 @@
         }
     }
 
-    /// Removed, or taken to be removed and ejected, since before a moment, with nothing in flight.
+    /// Whether it has been removed (or presumed removed and ejected) since before this time and has nothing in flight.
     pub(super) fn is_unused_since(&self, before: Time) -> bool {
         let removed = self.lifecycle == Lifecycle::Removed || self.removal_in_doubt && self.ejected;
         removed && self.in_flight == 0 && self.unavailable_since < before
     }
 }
 
-/// A member that may be used for something, with its number.
+/// A member that may be selected, with its identifier.
 pub(crate) type Candidate<'a> = (MemberId, &'a MemberState);
 
-/// Requests in flight at one of these members, in the mean.
+/// Mean number of requests in flight at these members.
 pub(crate) fn mean_in_flight(members: &[&Candidate]) -> f64 {
     let sum = members.iter().map(|(_, member)| f64::from(member.in_flight)).sum::<f64>();
     sum / members.len().max(1) as f64
--- a/crates/stackgw-router/src/state/mod.rs
+++ b/crates/stackgw-router/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The records that the routing decisions are made on, and the bookkeeping on them.
+//! Records that the routing decisions are based on, and their bookkeeping.
 //!
-//! Nothing here decides, and no value here is tuned: every decision, table and tuned value is in `crate::router`.
+//! This module makes no decisions and has no tuned values: all of these are in `crate::router`.
 
 mod gossip;
 mod measure;
@@ -12,5 +12,5 @@
 pub(crate) use gossip::{GossipQueue, Observation, Source};
 pub(crate) use measure::{hash_fraction, smooth, Assessment, ByRole, LatencySample, Role, ThroughputMeter};
 pub(crate) use member::{mean_in_flight, Candidate, MemberState};
-pub(crate) use request::{Disposition, QueueRank, RequestState, RequestTable, SessionWrites};
+pub(crate) use request::{DispatchResult, QueueRank, RequestState, RequestTable, SessionWrites};
 pub(crate) use table::MemberTable;
--- a/crates/stackgw-router/src/state/request.rs
+++ b/crates/stackgw-router/src/state/request.rs
@@ -1,4 +1,4 @@
-//! The records of requests: which attempts were sent, which are open, what may have run, and what sessions wrote.
+//! State of requests: attempts sent, attempts still open, whether one may have run; and the sessions' last writes.
 
 use crate::api::{
     AttemptResult, Class, Consistency, GroupId, Idempotency, MemberId, Outcome, Request, RequestId,
@@ -6,7 +6,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt whose end is not known yet.
+/// An attempt whose end has not been reported.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OpenAttempt {
     /// Its number, from 0 in order of sending.
@@ -14,26 +14,26 @@
     pub(crate) member: MemberId,
 }
 
-/// What dispatching a request came to.
+/// Result of dispatching a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Disposition {
-    /// It waits in its group's queue.
+pub(crate) enum DispatchResult {
+    /// The request is in its group's queue.
     Queued,
-    /// It was sent, has its final answer, or needed nothing.
+    /// The request was sent, has its final answer, or needed no dispatch.
     Settled,
 }
 
-/// What the order of a group's queue goes by.
+/// Sort key of a group's queue.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QueueRank {
     pub(crate) request: RequestId,
     /// The class's priority weight.
     pub(crate) weight: f64,
-    /// Until when it may be queued.
+    /// Until when the request may be queued.
     pub(crate) deadline: Time,
 }
 
-/// One request that is owed its final answer.
+/// A request without a final answer.
 #[derive(Debug)]
 pub(crate) struct RequestState {
     pub(crate) request: Request,
@@ -42,9 +42,9 @@
     pub(crate) attempts_sent: u32,
     pub(crate) last_sent_at: Time,
     pub(crate) open_attempts: Vec<OpenAttempt>,
-    /// When the first attempt that may have run was sent.
+    /// Send time of the first attempt that may have run.
     pub(crate) may_have_run_at: Option<Time>,
-    /// Members that rejected it unexecuted since the last health check came back.
+    /// Members that rejected it without execution since the last health check ended.
     pub(crate) rejected_by: Vec<MemberId>,
     /// Members that answered it with an error.
     pub(crate) failed_at: Vec<MemberId>,
@@ -77,7 +77,7 @@
         self.request.deadline
     }
 
-    /// What its class needs, unless it must see every commit whatever that is.
+    /// The consistency of its class, or `Strong` if the request itself requires that.
     pub(crate) fn consistency(&self) -> Consistency {
         if self.request.requires_strong_read {
             Consistency::Strong
@@ -94,7 +94,7 @@
         self.class.idempotency != Idempotency::NonIdempotent
     }
 
-    /// The member has rejected it, or answered it with an error.
+    /// Whether the member is excluded because it rejected the request or answered it with an error.
     pub(crate) fn is_excluded(&self, member: MemberId) -> bool {
         self.rejected_by.contains(&member) || self.failed_at.contains(&member)
     }
@@ -121,7 +121,7 @@
     }
 }
 
-/// All requests that are owed their final answer.
+/// All requests without a final answer.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable(BTreeMap<RequestId, RequestState>);
 
@@ -142,8 +142,8 @@
         self.0.get_mut(&id)
     }
 
-    /// A request that has no open attempt.
-    pub(crate) fn get_unsent(&self, id: RequestId) -> Option<&RequestState> {
+    /// The request, if it has no open attempt.
+    pub(crate) fn get_dispatchable(&self, id: RequestId) -> Option<&RequestState> {
         self.get(id).filter(|request| request.open_attempts.is_empty())
     }
 
@@ -151,7 +151,7 @@
         self.0.values()
     }
 
-    /// Those of these requests that are not ended.
+    /// Those of these requests that have no final answer yet.
     pub(crate) fn get_all<'a>(
         &'a self,
         ids: &'a BTreeSet<RequestId>,
@@ -159,7 +159,7 @@
         ids.iter().filter_map(|id| self.0.get(id))
     }
 
-    /// These requests may be sent to members that rejected them before.
+    /// Allows these requests to be sent to members that rejected them before.
     pub(crate) fn forget_rejections(&mut self, ids: &BTreeSet<RequestId>) {
         for id in ids {
             if let Some(request) = self.0.get_mut(id) {
@@ -168,13 +168,13 @@
         }
     }
 
-    /// Those whose client's deadline is this moment or earlier.
-    pub(crate) fn due_by(&self, moment: Time) -> Vec<RequestId> {
-        self.0.values().filter(|request| moment >= request.deadline()).map(RequestState::id).collect()
+    /// Requests whose client's deadline is at or before this time.
+    pub(crate) fn due_by(&self, time: Time) -> Vec<RequestId> {
+        self.0.values().filter(|request| time >= request.deadline()).map(RequestState::id).collect()
     }
 }
 
-/// When sessions last wrote, where the router keeps track of that.
+/// Times of the sessions' last writes, where the router tracks them.
 #[derive(Debug, Default)]
 pub(crate) struct SessionWrites(BTreeMap<SessionId, Time>);
 
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Drops what was written at this moment or before it.
-    pub(crate) fn forget_before(&mut self, moment: Time) {
-        self.0.retain(|_, written_at| *written_at > moment);
+    /// Drops sessions whose last write was at or before this time.
+    pub(crate) fn forget_before(&mut self, time: Time) {
+        self.0.retain(|_, written_at| *written_at > time);
     }
 }
--- a/crates/stackgw-router/src/state/table.rs
+++ b/crates/stackgw-router/src/state/table.rs
@@ -9,46 +9,46 @@
 /// One replication group.
 #[derive(Debug, Default)]
 pub(crate) struct GroupState {
-    /// Who belongs to it, so that no request walks over the whole fleet.
+    /// Its members, so that requests need not iterate over all members.
     members: Vec<MemberId>,
-    /// Last member to claim the primary's role.
+    /// Last member to claim the primary role.
     pub(crate) primary: Option<MemberId>,
     /// The position of that claim.
     pub(crate) claimed_at: Time,
     pub(crate) queued: BTreeSet<RequestId>,
-    /// How far the weighted rotation over its members has come.
+    /// Virtual time of the weighted rotation over its members.
     virtual_time: f64,
 }
 
 impl GroupState {
-    /// The member is not the primary any more.
+    /// Records that the member is no longer the primary.
     pub(crate) fn clear_primary(&mut self, member: MemberId) {
         self.primary = self.primary.filter(|primary| *primary != member);
     }
 
-    /// Moves a member that is used now back in the rotation by `step`, which is less the heavier it is. Time that it
-    /// was not used earns it one step's credit at most.
+    /// Moves a member that is used now back in the rotation by `step`, which is smaller for a higher weight. A member
+    /// that was not used for a while gets a credit of at most one step at weight 1.
     pub(crate) fn advance_rotation(&mut self, member: &mut MemberState, step: f64) {
         self.virtual_time = self.virtual_time.max(member.virtual_time);
         member.virtual_time = member.virtual_time.max(self.virtual_time - 1.0) + step;
     }
 }
 
-/// How many members of a group have limited connections, and how many of these this router is connected to.
+/// How many members of a group have limited connections, and to how many of these this router is connected.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionCounts {
     pub(crate) limited: u32,
     pub(crate) connected: u32,
 }
 
-/// All members by number, and the groups that they belong to.
+/// All members by identifier, and the groups that they belong to.
 #[derive(Debug, Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<MemberId, MemberState>,
     groups: BTreeMap<GroupId, GroupState>,
 }
 
-/// A member that is known to be in the table.
+/// Access to a member that must be in the table.
 impl Index<MemberId> for MemberTable {
     type Output = MemberState;
 
@@ -88,7 +88,7 @@
         self.members.values_mut().for_each(change);
     }
 
-    /// Members that a complete list leaves out.
+    /// Members that are missing from a complete list.
     pub(crate) fn missing_from_mut<'a>(
         &'a mut self,
         endpoints: &'a [Member],
@@ -98,7 +98,7 @@
         missing.map(|(_, member)| member)
     }
 
-    /// An endpoint's member, entered with this state if it is not known yet, and its group.
+    /// An endpoint's member, inserted with the initial state if it is not known yet, and its group.
     pub(crate) fn get_or_insert(
         &mut self,
         endpoint: &Member,
@@ -112,7 +112,7 @@
         (member, group)
     }
 
-    /// A member with its group.
+    /// A member and its group.
     pub(crate) fn with_group(&mut self, id: MemberId) -> Option<(&mut MemberState, &mut GroupState)> {
         let member = self.members.get_mut(&id)?;
         let group = self.groups.entry(member.group).or_default();
@@ -124,7 +124,7 @@
         ids.map(|id| (*id, &self.members[id]))
     }
 
-    /// The last member to claim the primary's role, as far as is known.
+    /// The last member known to have claimed the primary role.
     pub(crate) fn claimed_primary(&self, group: GroupId) -> Option<MemberId> {
         self.groups.get(&group).and_then(|group| group.primary)
     }
@@ -133,7 +133,7 @@
         self.groups.iter().filter(|(_, group)| matches(group)).map(|(id, _)| *id).collect()
     }
 
-    /// Enters a request into its group's queue.
+    /// Adds a request to its group's queue.
     pub(crate) fn queue(&mut self, group: GroupId, request: RequestId) {
         self.groups.entry(group).or_default().queued.insert(request);
     }
@@ -158,14 +158,14 @@
         self.iter().filter(|(_, member)| member.lifecycle == Lifecycle::Serving)
     }
 
-    /// How many serving members have this role, as far as is known.
+    /// Number of serving members known to have this role.
     pub(crate) fn count_serving(&self, role: Role) -> usize {
         let role_of =
             |id, member: &MemberState| Role::primary_if(self.claimed_primary(member.group) == Some(id));
         self.serving().filter(|(id, member)| role_of(*id, member) == role).count()
     }
 
-    /// How far this router is connected to a group, if connections to this member of it are limited.
+    /// Connection counts of the member's group. Zero if connections to the member are not limited.
     pub(crate) fn connection_counts(&self, member: &MemberState) -> ConnectionCounts {
         let mut counts = ConnectionCounts::default();
         if member.connection_permits.is_some() {
@@ -178,8 +178,8 @@
         counts
     }
 
-    /// Drops the members that have been unavailable since before a moment, and groups that are left with nothing.
-    /// Returns the members that were dropped.
+    /// Drops members that have been unavailable since before this time, and groups left without members and queued
+    /// requests. Returns the dropped members.
     pub(crate) fn forget_unavailable(&mut self, before: Time) -> Vec<MemberId> {
         let unused = self.members.iter().filter(|(_, member)| member.is_unused_since(before));
         let forgotten: Vec<MemberId> = unused.map(|(id, _)| *id).collect();
