--- a/crates/stackgw-router/src/router/requests.rs
+++ b/crates/stackgw-router/src/router/requests.rs
@@ -38,9 +38,7 @@
 
     /// Dispatches a request that has no open attempt: sends it, gives it its final answer, or queues it.
     pub(super) fn dispatch(&mut self, id: RequestId) -> DispatchResult {
-        let Some(request) = self.requests.get_dispatchable(id) else {
-            return DispatchResult::Settled;
-        };
+        let Some(request) = self.requests.get_dispatchable(id) else { return DispatchResult::Settled };
         let too_late = |reserve| !self.may_send(request) || self.now >= self.queue_deadline(request, reserve);
         let must_end = too_late(QUEUE_RESERVE);
         // The queue's reserve must not reject a new request that a member, if only an idle one, can answer.
--- a/crates/stackgw-router/src/state/gossip.rs
+++ b/crates/stackgw-router/src/state/gossip.rs
@@ -51,7 +51,7 @@
 /// Updates collected for other routers, one per member, and the current gossip term.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
-    /// Whether updates are collected: someone must take them from the queue.
+    /// Whether updates are collected, because this router sends them or its host takes them.
     pub(crate) is_enabled: bool,
     updates: BTreeMap<MemberId, GossipUpdate>,
     pub(crate) term: i64,
--- a/crates/stackgw-router/tests/common/mod.rs
+++ b/crates/stackgw-router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The host of one router under test, with a hand-driven clock.
+//! The host of one router under test, with a manually advanced clock.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use stackgw_router::{api::*, Router};
@@ -72,41 +72,41 @@
     }
 }
 
-/// Plays the host of one router: hands it events, and notes what it asks for.
+/// Acts as the host of one router: sends it events and records its actions.
 pub struct TestHost {
     pub router: Router,
     pub now: Time,
-    next: u64,
-    /// Everything the router asked for, in order.
+    next_request: u64,
+    /// All actions of the router, in order.
     pub log: Vec<Action>,
     attempts: std::collections::BTreeMap<RequestId, u32>,
 }
 
 impl TestHost {
-    /// Members 0 (the listed primary) to `count - 1`, as a cached list.
+    /// Starts with a cached list of members 0 (the listed primary) to `count - 1`.
     pub fn new(settings: Settings, count: u32) -> Self {
         TestHost::with_seed(settings, count, 42)
     }
 
-    /// As [`TestHost::new`], for one router of many.
+    /// As [`TestHost::new`], with this seed, for tests with several routers.
     pub fn with_seed(settings: Settings, count: u32, seed: u64) -> Self {
         let router = Router::new(settings, seed);
         let attempts = Default::default();
-        let mut host = TestHost { router, now: START, next: 0, log: Vec::new(), attempts };
+        let mut host = TestHost { router, now: START, next_request: 0, log: Vec::new(), attempts };
         let members = (0..count).map(|id| member(id, id == 0)).collect();
-        host.hand(Event::EndpointList { scope: ListScope::Cached, members });
+        host.send_event(Event::EndpointList { scope: ListScope::Cached, members });
         host
     }
 
-    /// As [`TestHost::new`], where each member has reported: 0 as primary, the others as replicas without lag.
+    /// As [`TestHost::new`], after each member has reported: 0 as primary, the others as replicas without lag.
     pub fn with_reports(settings: Settings, count: u32) -> Self {
         let mut host = TestHost::new(settings, count);
         (0..count).for_each(|id| host.report(id, id == 0, host.now));
         host
     }
 
-    /// Hands the router an event; what it asks for.
-    pub fn hand(&mut self, event: Event) -> Vec<Action> {
+    /// Sends the router an event and returns its actions.
+    pub fn send_event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -118,22 +118,22 @@
         actions
     }
 
-    /// Lets time pass, with a timer event every 10 ms; what the router asks for.
+    /// Advances the clock with a timer event every 10 ms, and returns the router's actions.
     pub fn advance(&mut self, span: Span) -> Vec<Action> {
         let (end, mut all) = (self.now + span, Vec::new());
         while self.now < end {
             self.now = (self.now + 10 * MS).min(end);
-            all.extend(self.hand(Event::Timer(0)));
+            all.extend(self.send_event(Event::Timer(0)));
         }
         all
     }
 
-    /// A new request; its number, and what the router asks for.
+    /// Sends a new request. Returns its identifier and the router's actions.
     pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.request_after_write(class, None)
     }
 
-    /// A new request, served by the members that it is sent to; these members.
+    /// Sends a new request, which the members that get it serve. Returns these members.
     pub fn serve(&mut self, class: usize, elapsed: Span) -> Vec<u32> {
         let (id, actions) = self.request(class);
         let to = sent_to(&actions);
@@ -141,10 +141,10 @@
         to
     }
 
-    /// A new request of a session whose last write was `age` ago.
+    /// Sends a new request of a session whose last write was `age` ago.
     pub fn request_after_write(&mut self, class: usize, age: Option<Span>) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
         let request = Request {
             id,
             class,
@@ -155,15 +155,15 @@
             is_retry: false,
             requires_strong_read: false,
         };
-        let actions = self.hand(Event::Request(request));
+        let actions = self.send_event(Event::Request(request));
         (id, actions)
     }
 
-    /// A health check comes back with this report.
+    /// Ends a health check with this report.
     pub fn report(&mut self, id: u32, is_primary: bool, position: Time) {
         let report =
             LoadReport { position: Some(position), is_primary: Some(is_primary), ..LoadReport::default() };
-        self.hand(Event::HealthChecked {
+        self.send_event(Event::HealthChecked {
             member: MemberId(id),
             responded: true,
             elapsed: MS,
@@ -171,25 +171,25 @@
         });
     }
 
-    /// Ends the latest attempt of a request, with member 0 as the primary.
+    /// Ends the latest attempt of a request, where an answering member states its role: member 0 is the primary.
     pub fn end_attempt(
         &mut self,
         request: RequestId,
         member: u32,
         outcome: Outcome,
-        took: Span,
+        elapsed: Span,
     ) -> Vec<Action> {
         let primary = outcome.is_answered().then_some(member == 0);
-        self.end_attempt_as(request, member, outcome, took, primary, None)
+        self.end_attempt_as(request, member, outcome, elapsed, primary, None)
     }
 
-    /// Ends the latest attempt of a request; what the member states of its role and position.
+    /// Ends the latest attempt of a request, where the member states this role and position.
     pub fn end_attempt_as(
         &mut self,
         request: RequestId,
         member: u32,
         outcome: Outcome,
-        took: Span,
+        elapsed: Span,
         primary: Option<bool>,
         position: Option<Time>,
     ) -> Vec<Action> {
@@ -202,37 +202,36 @@
             attempt,
             member,
             outcome,
-            elapsed: took,
+            elapsed,
             request_finished: finished,
             is_primary: primary,
             position,
             load_report: report,
         };
-        self.hand(Event::AttemptEnded(answer))
+        self.send_event(Event::AttemptEnded(answer))
     }
 }
 
-/// What tests ask of an outcome.
+/// Properties of an outcome that tests need.
 pub trait OutcomeExt {
-    /// The member itself answered.
+    /// Whether the member itself answered.
     fn is_answered(&self) -> bool;
 }
 
 impl OutcomeExt for Outcome {
-    /// The member itself answered.
     fn is_answered(&self) -> bool {
         matches!(self, Outcome::Served | Outcome::Error | Outcome::Overloaded | Outcome::Misrouted)
     }
 }
 
-/// Members that attempts were sent to.
+/// Members to which attempts were sent.
 pub fn sent_to(actions: &[Action]) -> Vec<u32> {
     let to = |a: &Action| if let Action::Send { member, .. } = a { Some(member.0) } else { None };
     actions.iter().filter_map(to).collect()
 }
 
-/// Members that health checks were sent to.
-pub fn checked(actions: &[Action]) -> Vec<u32> {
+/// Members to which health checks were sent.
+pub fn health_checked(actions: &[Action]) -> Vec<u32> {
     actions.iter().filter_map(|a| if let Action::HealthCheck(m) = a { Some(m.0) } else { None }).collect()
 }
 
@@ -244,10 +243,10 @@
     actions.contains(&Action::Fail(id))
 }
 
-/// Answers every health check sent so far, and those that the answers bring about.
+/// Answers every health check sent so far, and those sent in reaction to the answers.
 pub fn answer_health_checks(host: &mut TestHost, position: Time) {
     let mut answered = 0;
-    while let Some(member) = checked(&host.log).get(answered) {
+    while let Some(member) = health_checked(&host.log).get(answered) {
         host.report(*member, false, position);
         answered += 1;
     }
@@ -265,7 +264,7 @@
 }
 
 /// An event with these entries of the endpoint list; member 0 is the listed primary.
-pub fn listed(scope: ListScope, entries: &[(u32, Lifecycle)]) -> Event {
+pub fn list_event(scope: ListScope, entries: &[(u32, Lifecycle)]) -> Event {
     let members =
         entries.iter().map(|(id, lifecycle)| Member { lifecycle: *lifecycle, ..member(*id, *id == 0) });
     Event::EndpointList { scope, members: members.collect() }
--- a/crates/stackgw-router/tests/decisions/admission.rs
+++ b/crates/stackgw-router/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits, and requests that would come too late.
+//! Concurrency limits, and requests that would be answered too late.
 
 use crate::common::*;
 use stackgw_router::api::*;
@@ -19,12 +19,12 @@
     let actions = host.advance(300 * MS);
     let rejected = open.iter().filter(|id| is_rejected(&actions, **id)).count();
     assert!(rejected >= 30, "{rejected} of 60");
-    assert!(!actions.iter().any(|a| matches!(a, Action::Fail(_))), "all may be retried");
+    assert!(!actions.iter().any(|a| matches!(a, Action::Fail(_))), "all may be rejected");
 }
 
 #[test]
 fn a_limit_below_one_is_an_interval_and_high_latency_everywhere_lowers_all_limits() {
-    // Many routers, each with one request in flight, overfill every member in a burst.
+    // Even if each router has only one request in flight, many routers together overload every member in a burst.
     let mut settings = settings();
     settings.fleet_size = 12;
     let mut host = TestHost::with_reports(settings, 5);
@@ -44,21 +44,21 @@
         }
     }
     let again: usize = (0..10).map(|_| sent_to(&host.request(EVENTUAL).1).len()).sum();
-    assert!(again < 4, "{again} of four replicas took one more at once, after a minute of high latency");
+    assert!(again < 4, "{again} of four replicas got one more request at once, after high latency");
 }
 
-/// Found in an incident: requests with little time were rejected on arrival while every member was idle.
+/// Regression: requests with little time left were rejected on arrival although every member was idle.
 #[test]
 fn a_request_with_little_time_is_sent_to_an_idle_member_and_rejected_by_busy_ones() {
     let sends = |host: &mut TestHost, id: u64| {
         let deadline = host.now + 50 * MS;
         let id = RequestId(1000 + id);
         let request = Request { id, class: BOUNDED, group: GROUP, deadline, ..Request::default() };
-        sent_to(&host.hand(Event::Request(request))).len()
+        sent_to(&host.send_event(Event::Request(request))).len()
     };
     let mut host = TestHost::with_reports(settings(), 3);
     assert_eq!(sends(&mut host, 0), 1, "with all members idle");
-    // One more than two below the limit of each is no idle member.
+    // A member counts as idle while it has at least two fewer requests in flight than its limit.
     for _ in 0..22 {
         host.request(BOUNDED);
     }
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_idle_member_takes_each_request_of_a_thin_stream() {
+fn an_idle_member_gets_every_request_of_sparse_traffic() {
     let mut host = TestHost::with_reports(fleet(false), 3);
     host.advance(5 * SECOND);
     for _ in 0..4 {
@@ -85,6 +85,6 @@
     }
     let request = Request { id: RequestId(900), class: EVENTUAL, group: GROUP, ..Request::default() };
     let deadline = host.now + 200 * MS;
-    let actions = host.hand(Event::Request(Request { deadline, ..request }));
+    let actions = host.send_event(Event::Request(Request { deadline, ..request }));
     assert_eq!(sent_to(&actions).len(), 1, "a member has capacity, and answers within 140 ms");
 }
--- a/crates/stackgw-router/tests/decisions/consistency.rs
+++ b/crates/stackgw-router/tests/decisions/consistency.rs
@@ -1,4 +1,4 @@
-//! Each read sees data as current as its class needs.
+//! Each read sees data as up to date as its class requires.
 
 use crate::common::*;
 use stackgw_router::api::*;
@@ -10,13 +10,13 @@
 }
 
 #[test]
-fn session_reads_outside_the_window_need_a_covering_position() {
+fn session_reads_outside_the_window_need_a_position_at_or_after_the_write() {
     let mut host = TestHost::with_reports(settings(), 3);
     host.now += 4 * SECOND;
     let old = host.now - 3 * SECOND;
     assert!(sent_to(&host.request_after_write(SESSION, Some(2 * SECOND)).1).is_empty());
     answer_health_checks(&mut host, old);
-    assert_eq!(sent_to(&host.log), [0], "no replica covers the write");
+    assert_eq!(sent_to(&host.log), [0], "no replica has applied the write");
     host.report(2, false, host.now - SECOND);
     for _ in 0..4 {
         assert_eq!(sent_to(&host.request_after_write(SESSION, Some(2 * SECOND)).1), [2]);
@@ -43,16 +43,16 @@
     let old = host.now - 2 * SECOND;
     assert!(sent_to(&host.request(SESSION).1).is_empty(), "the replicas last reported before the write");
     answer_health_checks(&mut host, old);
-    assert_eq!(sent_to(&host.log).last(), Some(&0), "and have not caught up");
+    assert_eq!(sent_to(&host.log).last(), Some(&0), "the replicas have not caught up");
     host.report(1, false, host.now);
     assert_eq!(sent_to(&host.request(SESSION).1), [1]);
 }
 
 #[test]
-fn strong_reads_wait_until_a_member_has_claimed_the_role() {
+fn strong_reads_wait_until_a_member_has_claimed_the_primary_role() {
     let mut host = TestHost::new(settings(), 3);
     let (_, actions) = host.request(STRONG);
-    assert!(sent_to(&actions).is_empty(), "the list alone proves nothing");
+    assert!(sent_to(&actions).is_empty(), "the list does not prove the role");
     host.report(0, true, host.now);
     assert_eq!(sent_to(&host.log), [0]);
 }
@@ -60,7 +60,7 @@
 #[test]
 fn where_replicas_do_not_check_no_bounded_read_exceeds_its_bound() {
     let mut host = TestHost::with_reports(settings(), 3);
-    host.hand(Event::EndpointList { scope: ListScope::Changes, members: vec![member(0, false)] });
+    host.send_event(Event::EndpointList { scope: ListScope::Changes, members: vec![member(0, false)] });
     host.report(0, false, host.now + MS);
     host.now += BOUND;
     let (_, actions) = host.request(BOUNDED);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_new_member_is_not_taken_for_fresh() {
+fn a_new_member_is_not_considered_fresh() {
     let mut host =
         TestHost::with_reports(Settings { session_tracking: SessionTracking::Router, ..settings() }, 2);
     let (id, _) = host.request(WRITE);
@@ -76,8 +76,8 @@
     host.advance(2 * SECOND);
     (0..2).for_each(|m| host.report(m, m == 0, host.now));
     host.advance(2 * SECOND);
-    // Every member covered the write; one that joins now may start from an older copy.
-    host.hand(Event::EndpointList {
+    // Every member has applied the write, but one that joins now may start from an older copy.
+    host.send_event(Event::EndpointList {
         scope: ListScope::Changes,
         members: vec![just_started(2, false, host.now)],
     });
@@ -99,10 +99,13 @@
         requires_strong_read: true,
         ..Request::default()
     };
-    let actions = host.hand(Event::Request(request));
-    assert!(sent_to(&actions).is_empty(), "the list alone proves nothing");
-    assert!(actions.contains(&Action::HealthCheck(MemberId(0))), "so it is checked: {actions:?}");
-    // The listed one has become a replica, however far it has come.
+    let actions = host.send_event(Event::Request(request));
+    assert!(sent_to(&actions).is_empty(), "the list does not prove the role");
+    assert!(
+        actions.contains(&Action::HealthCheck(MemberId(0))),
+        "the listed primary gets a health check: {actions:?}"
+    );
+    // The listed primary has become a replica and gets no strong read, even with the latest position.
     host.report(0, false, host.now);
     assert!(!host.log.iter().any(|a| matches!(a, Action::Send { .. })));
     host.report(1, true, host.now);
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn a_session_read_takes_a_listed_primary_only_if_that_has_the_write() {
+fn a_session_read_goes_to_a_listed_primary_only_if_it_has_the_write() {
     for has_write in [false, true] {
         let mut host = TestHost::new(settings(), 1);
         if has_write {
@@ -121,11 +124,11 @@
                 latency_ratio: 0.0,
                 samples: 0,
             };
-            host.hand(Event::Gossip { sent_at: host.now, relay: false, updates: vec![update] });
+            host.send_event(Event::Gossip { sent_at: host.now, relay: false, updates: vec![update] });
         }
         let (_, actions) = host.request_after_write(SESSION, Some(100 * MS));
         assert_eq!(sent_to(&actions).len(), usize::from(has_write));
         let (_, actions) = host.request_after_write(SESSION, None);
-        assert_eq!(sent_to(&actions).len(), 1, "a session that wrote nothing may be served anywhere");
+        assert_eq!(sent_to(&actions).len(), 1, "a session without writes may be served by any member");
     }
 }
--- a/crates/stackgw-router/tests/decisions/final_answers.rs
+++ b/crates/stackgw-router/tests/decisions/final_answers.rs
@@ -1,4 +1,4 @@
-//! One final answer for each request: in time, and as a rejection wherever a retry is harmless.
+//! Every request gets one final answer: in time, and as a rejection wherever a retry is harmless.
 
 use crate::common::*;
 use stackgw_router::api::*;
@@ -6,39 +6,44 @@
 #[test]
 fn a_queued_request_is_rejected_while_its_client_can_still_retry() {
     let mut host = TestHost::new(settings(), 1);
-    host.hand(Event::EndpointList { scope: ListScope::Full, members: vec![] });
+    host.send_event(Event::EndpointList { scope: ListScope::Full, members: vec![] });
     let (id, actions) = host.request(WRITE);
     assert!(actions.iter().all(|a| !matches!(a, Action::Reject { .. } | Action::Fail(_))));
     let actions = host.advance(2 * SECOND);
     assert!(is_rejected(&actions, id));
-    let hint = actions.iter().find_map(|a| match a {
+    let retry_after = actions.iter().find_map(|a| match a {
         Action::Reject { retry_after, .. } => *retry_after,
         _ => None,
     });
-    assert!(hint.is_some_and(|h| h > 0 && h <= SECOND), "says when to come back: {hint:?}");
-    assert!(!is_rejected(&host.advance(3 * SECOND), id), "only once");
+    assert!(retry_after.is_some_and(|wait| wait > 0 && wait <= SECOND), "retry-after: {retry_after:?}");
+    assert!(!is_rejected(&host.advance(3 * SECOND), id), "rejected twice");
 }
 
-/// Found on sockets: writes queued without a primary were rejected just after half of their time, which costs.
+/// Regression: writes queued without a primary were rejected just after half of their time, which has a cost. Found
+/// in a run over sockets.
 #[test]
 fn a_queued_write_is_rejected_before_half_of_its_time_is_over() {
     for time in [40, 360, 750, 3_000] {
         let mut host = TestHost::new(settings(), 1);
-        host.hand(Event::EndpointList { scope: ListScope::Full, members: vec![] });
+        host.send_event(Event::EndpointList { scope: ListScope::Full, members: vec![] });
         let request =
             Request { class: WRITE, group: GROUP, deadline: host.now + time * MS, ..Request::default() };
         let requested_at = host.now;
-        host.hand(Event::Request(request));
+        host.send_event(Event::Request(request));
         while !is_rejected(&host.advance(10 * MS), RequestId(0)) {
             assert!(host.now < requested_at + 3 * SECOND, "never rejected");
         }
         let spent = host.now - requested_at;
-        assert!(spent <= time * MS / 2 && spent >= time * MS / 4, "{time} ms: after {} ms", spent / MS);
+        assert!(
+            spent <= time * MS / 2 && spent >= time * MS / 4,
+            "{time} ms: rejected after {} ms",
+            spent / MS
+        );
     }
 }
 
 #[test]
-fn an_attempt_whose_end_never_comes_is_failed_at_the_deadline() {
+fn a_request_whose_attempt_never_ends_is_failed_at_the_deadline() {
     let mut host = TestHost::with_reports(settings(), 2);
     let (id, _) = host.request(WRITE);
     let actions = host.advance(3 * SECOND + 15 * MS);
@@ -50,17 +55,17 @@
     let mut host = TestHost::with_reports(settings(), 3);
     let (id, actions) = host.request(BOUNDED);
     let to = sent_to(&actions)[0];
-    host.hand(Event::ClientDisconnected(id));
-    host.hand(Event::ClientDisconnected(id));
+    host.send_event(Event::ClientDisconnected(id));
+    host.send_event(Event::ClientDisconnected(id));
     let actions = host.end_attempt(id, to, Outcome::ConnectionReset, 10 * MS);
     assert!(sent_to(&actions).is_empty() && !is_rejected(&actions, id) && !is_failed(&actions, id));
 }
 
 #[test]
 fn a_read_that_is_too_late_to_count_is_rejected_with_a_long_retry_after() {
-    // its retry comes back late by nature, and many of them are a storm.
+    // Its retry would be late too, and many such retries are a retry storm.
     let mut host = TestHost::new(settings(), 1);
-    host.hand(Event::EndpointList { scope: ListScope::Full, members: vec![] });
+    host.send_event(Event::EndpointList { scope: ListScope::Full, members: vec![] });
     let (id, _) = host.request(EVENTUAL);
     let actions = host.advance(300 * MS);
     assert!(actions.contains(&Action::Reject { request: id, retry_after: Some(SECOND) }));
@@ -73,7 +78,7 @@
         let mut settings = settings();
         settings.classes[EVENTUAL].late_weight_share = late_weight_share;
         let mut host = TestHost::new(settings, 1);
-        host.hand(Event::EndpointList { scope: ListScope::Full, members: vec![] });
+        host.send_event(Event::EndpointList { scope: ListScope::Full, members: vec![] });
         let (id, _) = host.request(EVENTUAL);
         assert_eq!(is_rejected(&host.advance(400 * MS), id), !is_queued, "{late_weight_share}");
     }
@@ -86,18 +91,18 @@
     let (id, actions) = host.request(WITH_KEY);
     assert_eq!(sent_to(&actions), [0]);
     host.now += 100 * MS;
-    host.hand(Event::EndpointList { scope: ListScope::Full, members: vec![] });
+    host.send_event(Event::EndpointList { scope: ListScope::Full, members: vec![] });
     let actions = host.end_attempt(id, 0, Outcome::ConnectionReset, 100 * MS);
-    assert!(actions.iter().all(|a| !matches!(a, Action::Fail(_))), "queued: it may be retried");
+    assert!(actions.iter().all(|a| !matches!(a, Action::Fail(_))), "queued, as it may be retried");
     let mut after = 10 * MS;
     while host.now < deadline {
         host.now += after;
-        let actions = host.hand(Event::Timer(0));
+        let actions = host.send_event(Event::Timer(0));
         if is_failed(&actions, id) || is_rejected(&actions, id) {
             return assert!(host.now < deadline);
         }
-        let next = |a: &Action| if let Action::SetTimer { after, .. } = a { Some(*after) } else { None };
-        after = actions.iter().find_map(next).expect("a timer is always set");
+        let timer = |a: &Action| if let Action::SetTimer { after, .. } = a { Some(*after) } else { None };
+        after = actions.iter().find_map(timer).expect("a timer is always set");
     }
     panic!("no final answer before the deadline");
 }
--- a/crates/stackgw-router/tests/decisions/gossip.rs
+++ b/crates/stackgw-router/tests/decisions/gossip.rs
@@ -1,4 +1,4 @@
-//! What other routers report counts like own observations, as old as it is.
+//! Gossip from other routers counts like this router's own observations of the same age.
 
 use crate::common::*;
 use stackgw_router::api::*;
@@ -12,18 +12,22 @@
 fn positions_from_gossip_make_replicas_fresh_and_age_like_any_other() {
     let mut host = TestHost::new(fleet(true), 3);
     let updates = vec![update(0, host.now), update(2, host.now - 50 * MS)];
-    host.hand(Event::Gossip { sent_at: host.now, relay: false, updates });
+    host.send_event(Event::Gossip { sent_at: host.now, relay: false, updates });
     assert_eq!(sent_to(&host.request(BOUNDED).1), [2]);
     host.now += BOUND;
-    assert!(sent_to(&host.request(BOUNDED).1).is_empty(), "aged: checked first");
+    assert!(sent_to(&host.request(BOUNDED).1).is_empty(), "stale positions: a health check comes first");
 }
 
 #[test]
-fn late_gossip_undoes_nothing_newer() {
+fn late_gossip_does_not_override_newer_observations() {
     let mut host = TestHost::with_reports(fleet(true), 3);
     let old = host.now - SECOND;
     host.report(1, true, host.now);
-    host.hand(Event::Gossip { sent_at: old, relay: false, updates: vec![update(0, old), update(2, old)] });
+    host.send_event(Event::Gossip {
+        sent_at: old,
+        relay: false,
+        updates: vec![update(0, old), update(2, old)],
+    });
     assert_eq!(sent_to(&host.request(WRITE).1), [1], "an old claim does not move the primary");
     let (_, actions) = host.request(BOUNDED);
     assert!([0, 2].contains(&sent_to(&actions)[0]), "an old position does not make a fresh replica old");
@@ -49,7 +53,7 @@
 }
 
 #[test]
-fn gossip_that_the_host_carries_is_handed_over_once_and_merged_without_being_relayed() {
+fn gossip_carried_by_the_host_is_taken_once_and_merged_without_being_relayed() {
     let limits = Limits { host_gossip: true, ..settings().limits };
     let mut host = TestHost::new(Settings { limits, fleet_size: 3, ..settings() }, 3);
     host.report(1, false, START);
@@ -65,12 +69,12 @@
         latency_ratio: 0.0,
         samples: 0,
     };
-    host.hand(Event::Gossip {
+    host.send_event(Event::Gossip {
         sent_at: START,
         relay: false,
         updates: vec![update(2, true), update(0, false)],
     });
     assert!(host.router.take_gossip().is_empty());
-    assert_eq!(sent_to(&host.request(WRITE).1), [2], "the primary as others saw it, without a health check");
+    assert_eq!(sent_to(&host.request(WRITE).1), [2], "the primary known from gossip, without a health check");
     assert!(host.advance(2 * SECOND).iter().all(|action| !matches!(action, Action::SendGossip { .. })));
 }
--- a/crates/stackgw-router/tests/decisions/idempotency.rs
+++ b/crates/stackgw-router/tests/decisions/idempotency.rs
@@ -1,4 +1,4 @@
-//! No request runs twice where that does harm, and attempts stay within their limit.
+//! No request runs twice if that does harm, and the number of attempts stays within its limit.
 
 use crate::common::*;
 use stackgw_router::api::*;
@@ -32,7 +32,7 @@
     assert_eq!(sent_to(&actions), [0]);
     host.now += 1_600 * MS;
     let actions = host.end_attempt(id, 0, Outcome::ConnectionReset, 1_600 * MS);
-    assert!(sent_to(&actions).is_empty(), "its key is forgotten by now");
+    assert!(sent_to(&actions).is_empty(), "its idempotency key has expired");
     assert!(is_failed(&actions, id) && !is_rejected(&actions, id), "it may have run");
 }
 
@@ -42,7 +42,7 @@
     let (id, actions) = host.request(EVENTUAL);
     let to = sent_to(&actions)[0];
     let actions = host.advance(2 * SECOND);
-    assert!(sent_to(&actions).is_empty(), "cancelled at most, until the end is known");
+    assert!(sent_to(&actions).is_empty(), "no second attempt before the end of the first is reported");
     let actions = host.end_attempt(id, to, Outcome::Cancelled, 2 * SECOND);
     assert!(is_rejected(&actions, id), "too late to count");
 }
--- a/crates/stackgw-router/tests/decisions/main.rs
+++ b/crates/stackgw-router/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! What the router decides, by concern: each test plays the host of one router by hand.
+//! The router's decisions, one module per concern. Each test acts as the host of one router.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/stackgw-router/tests/decisions/outliers.rs
+++ b/crates/stackgw-router/tests/decisions/outliers.rs
@@ -1,4 +1,4 @@
-//! Members are ejected for faults of their own alone, and come back by a half-open attempt.
+//! Members are ejected only for their own faults, and readmitted by a half-open attempt.
 
 use crate::common::*;
 use stackgw_router::api::*;
@@ -6,25 +6,25 @@
 
 #[test]
 fn reads_at_an_unresponsive_replica_are_cancelled_and_sent_elsewhere() {
-    let mut patient = settings();
-    patient.classes.iter_mut().for_each(|class| class.latency_objective = 100 * MS);
-    patient.classes[EVENTUAL].latency_objective = 2 * SECOND;
-    let mut host = TestHost::with_reports(patient, 3);
+    let mut settings = settings();
+    settings.classes.iter_mut().for_each(|class| class.latency_objective = 100 * MS);
+    settings.classes[EVENTUAL].latency_objective = 2 * SECOND;
+    let mut host = TestHost::with_reports(settings, 3);
     let open: Vec<_> = (0..6).map(|_| host.request(EVENTUAL)).collect();
-    let mut stuck = None;
+    let mut unanswered = None;
     for (id, actions) in &open {
         match sent_to(actions)[0] {
-            1 => stuck = Some(*id),
+            1 => unanswered = Some(*id),
             to => drop(host.end_attempt(*id, to, Outcome::Served, 20 * MS)),
         }
     }
     let actions = host.advance(300 * MS);
-    let stuck = stuck.expect("replica 1 had its share");
-    assert!(actions.contains(&Action::Cancel { request: stuck, attempt: 0 }));
+    let unanswered = unanswered.expect("replica 1 got one of the reads");
+    assert!(actions.contains(&Action::Cancel { request: unanswered, attempt: 0 }));
     host.report(1, false, host.now);
     let to: Vec<_> = (0..4).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
     assert!(!to.contains(&1), "a health check does not prove that it serves");
-    assert_eq!(sent_to(&host.end_attempt(stuck, 1, Outcome::Cancelled, 300 * MS)), [2]);
+    assert_eq!(sent_to(&host.end_attempt(unanswered, 1, Outcome::Cancelled, 300 * MS)), [2]);
 }
 
 #[test]
@@ -42,8 +42,8 @@
     assert!(!next.contains(&1));
     host.advance(300 * MS);
     let (half_open, actions) = host.request(EVENTUAL);
-    assert_eq!(sent_to(&actions), [1], "one half-open attempt");
-    assert_ne!(sent_to(&host.request(EVENTUAL).1), [1], "one at a time");
+    assert_eq!(sent_to(&actions), [1], "a half-open attempt");
+    assert_ne!(sent_to(&host.request(EVENTUAL).1), [1], "only one half-open attempt at a time");
     host.end_attempt(half_open, 1, Outcome::Served, 10 * MS);
     let next: Vec<_> = (0..6).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
     assert!(next.contains(&1), "back in rotation");
@@ -51,7 +51,7 @@
 
 #[test]
 fn time_outs_mixed_with_answers_do_not_eject_a_member() {
-    // Requests that are costly by nature time out on healthy members.
+    // Expensive requests time out on healthy members too.
     let mut host = TestHost::with_reports(settings(), 2);
     for round in 0..40 {
         let (id, actions) = host.request(EVENTUAL);
@@ -59,7 +59,7 @@
         let outcome = if round % 2 == 0 { Outcome::TimedOut } else { Outcome::Served };
         host.now += 20 * MS;
         if outcome == Outcome::TimedOut {
-            host.hand(Event::ClientDisconnected(id));
+            host.send_event(Event::ClientDisconnected(id));
         }
         host.end_attempt(id, 1, outcome, 20 * MS);
     }
@@ -78,10 +78,10 @@
             to = sent_to(&host.end_attempt(id, member, outcome, MS));
         }
     }
-    assert!((2..=3).contains(&errors), "{errors} requests met it, and another served each");
+    assert!((2..=3).contains(&errors), "{errors} errors before it was ejected");
 }
 
-/// Found on a day when a quarter of all answers never came: each counted as one that took too long, limits shrank to
+/// Regression: when a quarter of all answers were lost, each counted as a slow answer. The concurrency limits shrank to
 /// nothing, and members that answered the rest at once were not used.
 #[test]
 fn lost_answers_lower_no_limit_and_their_reads_are_sent_elsewhere() {
@@ -100,12 +100,12 @@
                 Action::Send { request, member, .. } => {
                     sends += 1;
                     if sends % 4 == 0 {
-                        lost.insert(request, member.0); // Its answer never comes.
+                        lost.insert(request, member.0); // Its answer is lost.
                     } else {
                         answered.push((request, member.0));
                     }
                 }
-                // What is cancelled has ended at its member, and may be retried.
+                // A cancelled attempt has ended at its member, and its read may be retried.
                 Action::Cancel { request, .. } => {
                     if let Some(member) = lost.remove(&request) {
                         host.end_attempt(request, member, Outcome::Cancelled, 160 * MS);
@@ -120,15 +120,15 @@
         }
     }
     let cancelled = host.log.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
-    assert!(cancelled > 20, "{cancelled} cancelled well before their clients leave");
+    assert!(cancelled > 20, "{cancelled} attempts cancelled well before their deadlines");
     for (member, snapshot) in host.router.member_snapshots() {
         assert!(!snapshot.ejected && snapshot.concurrency_limit > 5.0, "{member:?}: {snapshot:?}");
     }
 }
 
-/// Without a visible loss, long work is left alone and late answers count.
+/// While loss is low, slow attempts are not cancelled, and their late answers count.
 #[test]
-fn an_answer_that_is_merely_late_is_waited_for_and_counts() {
+fn a_late_answer_is_waited_for_and_counts() {
     let mut host = TestHost::with_reports(settings(), 3);
     let (slow, actions) = host.request(BOUNDED);
     let to = sent_to(&actions)[0];
@@ -146,7 +146,8 @@
     assert!(latency_ratio(&host) > before);
 }
 
-/// Found on a day of random resets: the primary was ejected, reads seldom went to it, and its writes waited for long.
+/// Regression: after random connection resets the primary was ejected. It seldom got reads as half-open attempts, so
+/// writes waited for a long time.
 #[test]
 fn an_ejected_primary_gets_the_next_read_as_its_half_open_attempt() {
     let mut host = TestHost::with_reports(settings(), 3);
@@ -164,10 +165,10 @@
     assert_eq!(sent_to(&host.request(WRITE).1), [0]);
 }
 
-/// Connection resets in a row that eject a member.
+/// Number of consecutive connection resets that eject a member.
 const EJECTION_SCORE: usize = 4;
 
-/// A request that every member answers with an error; how many attempts it took.
+/// Sends a request that every member answers with an error. Returns the number of attempts.
 fn fail_everywhere(host: &mut TestHost) -> usize {
     let (id, actions) = host.request(EVENTUAL);
     let (mut to, mut attempts) = (sent_to(&actions), 0);
--- a/crates/stackgw-router/tests/decisions/primary_changes.rs
+++ b/crates/stackgw-router/tests/decisions/primary_changes.rs
@@ -1,10 +1,10 @@
-//! The primary is found again, whatever an old list, an old report or a lagging replica says.
+//! The current primary is found despite outdated lists, old reports and lagging replicas.
 
 use crate::common::*;
 use stackgw_router::api::*;
 
 #[test]
-fn an_old_report_does_not_undo_a_newer_answer() {
+fn an_old_report_does_not_override_a_newer_answer() {
     let mut host = TestHost::with_reports(settings(), 3);
     host.now += SECOND;
     let (id, _) = host.request(EVENTUAL);
@@ -20,7 +20,7 @@
     let mut host = TestHost::with_reports(settings(), 4);
     (0..4).for_each(|_| drop(host.request(WRITE)));
     let actions = host.advance(SECOND);
-    assert!(checked(&actions).contains(&2), "all members are checked for the role");
+    assert!(health_checked(&actions).contains(&2), "all members get health checks to find the primary");
     assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "a write may have run");
     let (id, actions) = host.request(WRITE);
     assert!(sent_to(&actions).is_empty(), "queued");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_primary_becomes_unresponsive_while_replicas_lag() {
+fn reads_wait_for_a_replica_to_catch_up_while_the_primary_is_unresponsive() {
     let mut host = TestHost::with_reports(settings(), 3);
     (0..4).for_each(|_| drop(host.request(WRITE)));
     host.advance(SECOND);
@@ -38,39 +38,39 @@
     let waiting: Vec<_> = (0..5).map(|_| host.request(BOUNDED)).collect();
     assert!(waiting.iter().all(|(_, actions)| sent_to(actions).is_empty()));
     host.report(1, false, host.now - 50 * MS);
-    assert!(sent_to(&host.log).ends_with(&[1, 1]), "served as soon as one has caught up");
+    assert!(sent_to(&host.log).ends_with(&[1, 1]), "served as soon as a replica has caught up");
 }
 
 #[test]
 fn a_restart_during_a_primary_change_trusts_answers_over_its_cached_list() {
     let mut host = TestHost::new(settings(), 3);
     let (id, actions) = host.request(WRITE);
-    assert_eq!(sent_to(&actions), [0], "the list is all there is");
+    assert_eq!(sent_to(&actions), [0], "only the list names a primary");
     let actions = host.end_attempt_as(id, 0, Outcome::Misrouted, MS, Some(false), Some(host.now));
     let tried = sent_to(&actions)[0];
     let actions = host.end_attempt_as(id, tried, Outcome::Misrouted, MS, Some(false), Some(host.now));
     let last = sent_to(&actions)[0];
     assert_ne!(last, tried);
     host.end_attempt_as(id, last, Outcome::Misrouted, MS, Some(false), Some(host.now));
-    assert!(!is_rejected(&host.log, id), "after one round it waits for a health check");
+    assert!(!is_rejected(&host.log, id), "after trying every member, it waits for a health check");
     host.now += 200 * MS;
     host.report(tried, true, host.now);
     assert!(sent_to(&host.log).ends_with(&[tried]));
 }
 
 #[test]
-fn a_frozen_list_does_not_bring_an_old_primary_back() {
+fn an_outdated_list_does_not_restore_an_old_primary() {
     let mut host = TestHost::with_reports(Settings { role_listing: RoleListing::AtStart, ..settings() }, 3);
     let (id, _) = host.request(WRITE);
     host.end_attempt_as(id, 0, Outcome::Misrouted, MS, Some(false), Some(host.now));
     host.now += SECOND;
     host.report(2, true, host.now);
-    host.hand(Event::EndpointList { scope: ListScope::Changes, members: vec![member(0, true)] });
+    host.send_event(Event::EndpointList { scope: ListScope::Changes, members: vec![member(0, true)] });
     assert_eq!(sent_to(&host.request(WRITE).1), [2]);
 }
 
 #[test]
-fn a_primary_that_changes_again_and_again_is_followed() {
+fn repeated_primary_changes_are_followed() {
     let mut host = TestHost::with_reports(settings(), 3);
     for round in 1..9 {
         let (old, new) = ((round - 1) % 3, round % 3);
--- a/crates/stackgw-router/tests/decisions/selection.rs
+++ b/crates/stackgw-router/tests/decisions/selection.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: split by kind, weighted rotation over fresh replicas, fallback to the primary.
+//! Selection without faults: writes to the primary, weighted rotation over fresh replicas, fallback to the primary.
 
 use crate::common::*;
 use stackgw_router::api::*;
@@ -15,7 +15,7 @@
 fn bounded_reads_rotate_over_fresh_replicas_by_weight() {
     let mut host = TestHost::with_reports(settings(), 4);
     let heavy = Member { weight: 2.0, ..member(3, false) };
-    host.hand(Event::EndpointList { scope: ListScope::Changes, members: vec![heavy] });
+    host.send_event(Event::EndpointList { scope: ListScope::Changes, members: vec![heavy] });
     let mut counts = [0; 4];
     for _ in 0..40 {
         let (id, actions) = host.request(BOUNDED);
@@ -43,9 +43,9 @@
     let old = host.now;
     host.now += BOUND;
     let (_, actions) = host.request(BOUNDED);
-    assert!(sent_to(&actions).is_empty(), "update of the replicas is milliseconds away");
+    assert!(sent_to(&actions).is_empty(), "a health check of the replicas takes milliseconds");
     answer_health_checks(&mut host, old);
-    assert_eq!(sent_to(&host.log), [0], "none proved fresh");
+    assert_eq!(sent_to(&host.log), [0], "no replica reported a fresh position");
 }
 
 #[test]
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn replicas_that_reported_a_hopeless_lag_are_not_tried() {
-    // where all lag, each read wastes a wait and an attempt on a miss that was foreseeable.
+fn replicas_that_reported_a_lag_far_beyond_the_bound_are_not_tried() {
+    // If all replicas lag, each such read would waste time and an attempt on a foreseeable rejection.
     let mut host = TestHost::new(Settings { lagging_reads: LaggingReads::Rejected, ..settings() }, 3);
     host.report(0, true, host.now);
     (1..3).for_each(|id| host.report(id, false, host.now - 5 * SECOND));
@@ -70,12 +70,12 @@
 }
 
 #[test]
-fn where_replicas_check_reads_an_aged_position_alone_excludes_none() {
+fn where_replicas_check_reads_a_stale_position_alone_excludes_none() {
     let mut host =
         TestHost::with_reports(Settings { lagging_reads: LaggingReads::Delayed(20 * MS), ..settings() }, 3);
     host.now += 2 * BOUND;
     let used: Vec<_> = (0..4).flat_map(|_| sent_to(&host.request(BOUNDED).1)).collect();
-    assert!(used.contains(&1) && used.contains(&2), "the load is spread, not piled on one: {used:?}");
+    assert!(used.contains(&1) && used.contains(&2), "the load is spread over both replicas: {used:?}");
     assert!(!used.contains(&0));
 }
 
@@ -83,7 +83,7 @@
 fn a_replica_with_clearly_more_in_flight_is_skipped() {
     let mut host = TestHost::with_reports(settings(), 4);
     let open: Vec<_> = (0..9).map(|_| host.request(EVENTUAL)).collect();
-    // Replica 1 keeps its three; the others finish.
+    // Replica 1 keeps its three requests in flight; the others answer theirs.
     for (id, actions) in &open {
         let to = sent_to(actions)[0];
         if to != 1 {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_day_without_faults_starts_no_fallback() {
+fn a_run_without_faults_triggers_no_fallback() {
     let mut host = TestHost::with_reports(settings(), 4);
     for round in 0..400 {
         let class = [BOUNDED, SESSION, WRITE, EVENTUAL][round % 4];
--- a/crates/stackgw-router/tests/decisions/slow_start.rs
+++ b/crates/stackgw-router/tests/decisions/slow_start.rs
@@ -1,13 +1,13 @@
-//! Members that have just started get what they can take.
+//! Members that have just started get no more requests than they can handle.
 
 use crate::common::*;
 use stackgw_router::api::*;
 
 #[test]
-fn a_cold_member_gets_no_more_than_its_budget_whatever_fails() {
+fn a_cold_member_gets_no_more_than_its_budget() {
     let mut host = TestHost::with_reports(settings(), 3);
     host.advance(SECOND);
-    host.hand(Event::EndpointList {
+    host.send_event(Event::EndpointList {
         scope: ListScope::Changes,
         members: vec![just_started(2, false, host.now)],
     });
@@ -17,7 +17,7 @@
         to_cold += host.serve(EVENTUAL, MS).into_iter().filter(|to| *to == 2).count();
         host.advance(6 * MS);
     }
-    assert!(to_cold > 0, "it gets its share");
+    assert!(to_cold > 0, "the cold member is used");
     assert!(to_cold <= 60, "{to_cold} sends in one window, of 300 requests for two replicas");
 }
 
@@ -26,7 +26,7 @@
     let mut host = TestHost::with_reports(settings(), 3);
     let draining = Member { lifecycle: Lifecycle::Draining, ..member(0, true) };
     let change = vec![draining, just_started(1, false, host.now)];
-    host.hand(Event::EndpointList { scope: ListScope::Changes, members: change });
+    host.send_event(Event::EndpointList { scope: ListScope::Changes, members: change });
     host.now += SECOND;
     host.report(1, true, host.now);
     let first: usize = (0..100).map(|_| sent_to(&host.request(WRITE).1).len()).sum();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn two_hundred_routers_that_may_each_send_a_little_do_not_each_send_one_to_a_cold_member() {
+fn two_hundred_routers_with_a_budget_below_one_do_not_each_send_one_request_to_a_cold_member() {
     let mut sends = 0;
     for seed in 0..200 {
         let mut host = TestHost::with_seed(Settings { fleet_size: 200, ..settings() }, 3, seed);
@@ -45,14 +45,15 @@
             host.advance(950 * MS);
         }
         let cold = Member { started_at: Some(host.now), ..member(0, true) };
-        host.hand(Event::EndpointList { scope: ListScope::Changes, members: vec![cold] });
+        host.send_event(Event::EndpointList { scope: ListScope::Changes, members: vec![cold] });
         host.report(0, true, host.now);
         host.log.clear();
         host.request(WRITE);
         host.advance(SECOND);
         sends += sent_to(&host.log).len();
     }
-    // Warm, it bore some 130 a second of all of them: a fifth of that, three times over, for the window.
+    // Warm, it answered some 130 requests/s for all routers. Cold, its budget is a fifth of that, times an overload
+    // multiple of three, over the window.
     assert!((1..=90).contains(&sends), "{sends} of 200 routers sent at once");
 }
 
@@ -60,14 +61,14 @@
 fn warm_throughput_is_that_of_the_busier_role() {
     let mut host =
         TestHost::with_reports(Settings { lagging_reads: LaggingReads::Rejected, ..settings() }, 3);
-    // Twenty reads a second, all at the two replicas; the primary idles and says nothing of what a member bears.
+    // Twenty reads/s, all at the two replicas. The primary is idle, so its rate is no measure of a member's capacity.
     for _ in 0..400 {
         host.serve(EVENTUAL, 5 * MS);
         host.advance(50 * MS);
     }
     let rate = host.router.warm_throughput();
-    assert!((9.0..11.0).contains(&rate), "{rate} a second; two replicas share twenty");
-    // Writes beside them change nothing while they are fewer.
+    assert!((9.0..11.0).contains(&rate), "{rate} requests/s; two replicas share twenty");
+    // Additional writes change nothing while they are fewer.
     for _ in 0..100 {
         for class in [EVENTUAL, EVENTUAL, EVENTUAL, EVENTUAL, WRITE] {
             host.serve(class, 5 * MS);
@@ -75,5 +76,5 @@
         host.advance(200 * MS);
     }
     let rate = host.router.warm_throughput();
-    assert!((9.0..11.0).contains(&rate), "{rate} a second");
+    assert!((9.0..11.0).contains(&rate), "{rate} requests/s");
 }
