--- a/crates/stackgw-router/src/router/health_checks.rs
+++ b/crates/stackgw-router/src/router/health_checks.rs
@@ -91,7 +91,7 @@
         stale.into_iter().map(|(id, _)| *id).collect()
     }
 
-    /// A merely listed primary does not count while queued reads need a claim: unchecked, they wait in vain.
+    /// Queued reads that need a claimed primary would wait in vain if a merely listed one counted as usable.
     fn usable_primary(&self, group: GroupId) -> Option<MemberId> {
         use Consistency::{ReadYourWrites, Strong};
         let needs_claim = |request: &RequestState| matches!(request.consistency(), Strong | ReadYourWrites);
--- a/crates/stackgw-router/src/router/requests.rs
+++ b/crates/stackgw-router/src/router/requests.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Gives a request that no member answers its final answer: a rejection if allowed, otherwise a failure.
+    /// Final answer of a request that no member answers: a rejection where that is allowed, else a failure.
     fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let rejection = Action::Reject { request: id, retry_after: self.retry_after(request) };
--- a/crates/stackgw-router/src/router/selection.rs
+++ b/crates/stackgw-router/src/router/selection.rs
@@ -121,7 +121,7 @@
             && self.router.has_capacity(member, role, share)
     }
 
-    /// Whether a member has the write. A merely listed primary may be a replica by now: its position decides.
+    /// Whether a member has the write. One only listed as primary may be a replica now: its position decides.
     fn has_applied(&self, id: MemberId, write: Time) -> bool {
         self.has_claimed(id) || self.router.members[id].position >= write
     }
--- a/crates/stackgw-router/tests/decisions/admission.rs
+++ b/crates/stackgw-router/tests/decisions/admission.rs
@@ -44,7 +44,10 @@
         }
     }
     let again: usize = (0..10).map(|_| sent_to(&host.request(EVENTUAL).1).len()).sum();
-    assert!(again < 4, "{again} of four replicas got one more request at once, after high latency");
+    assert!(
+        again < 4,
+        "{again} of four replicas got one more request at once, after 60 requests with high latency"
+    );
 }
 
 /// Regression: requests with little time left were rejected on arrival although every member was idle.
