--- a/crates/stackgw-router/src/router/selection.rs
+++ b/crates/stackgw-router/src/router/selection.rs
@@ -62,7 +62,7 @@
     /// A replica that has reached `min_position`, or the best fallback.
     fn select_for_read(&self, min_position: Time) -> Option<MemberId> {
         let replicas = self.replicas_with_capacity();
-        // An ejected primary gets reads as half-open attempts: it gets few others, and writes wait for it.
+        // An ejected primary gets reads as half-open attempts: it is sent few others, and writes wait for it.
         let half_open = self.primary_within(FULL_LIMIT).filter(|id| self.router.members[*id].ejected);
         let selected = half_open
             .or_else(|| select_replica(&replicas, |member| member.position >= min_position))
@@ -121,7 +121,7 @@
             && self.router.has_capacity(member, role, share)
     }
 
-    /// Whether a member has the write. One only listed as primary may be a replica now: its position decides.
+    /// Whether a member has the write. If only listed as primary, it may be a replica: its position decides.
     fn has_applied(&self, id: MemberId, write: Time) -> bool {
         self.has_claimed(id) || self.router.members[id].position >= write
     }
