--- a/crates/stackgw-sessions/src/context.rs
+++ b/crates/stackgw-sessions/src/context.rs
@@ -1,5 +1,4 @@
-//! What the roles of an instance have in common, and what they are given while one input is
-//! handled.
+//! The state that the roles of an instance share, and the context in which they handle one input.
 
 use crate::durability::Durability;
 use crate::identity::{Peer, RequestNumber};
@@ -11,15 +10,15 @@
 use crate::status::UncomparedCounters;
 use stackgw_router::api::Time;
 
-/// What the roles of an instance have in common.
+/// The state that the roles of an instance share.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Instance {
     pub(crate) settings: Settings,
-    /// The set in force.
+    /// The replica set in force.
     pub(crate) replica_set: ReplicaSet,
     pub(crate) durability: Durability,
     pub(crate) counters: UncomparedCounters,
-    /// The last number that was given to a lease request, a position query or a forwarded write.
+    /// The last number assigned to a lease request, a position query or a forwarded write.
     last_nonce: u64,
 }
 
@@ -34,7 +33,7 @@
         }
     }
 
-    /// This instance, in this incarnation.
+    /// This instance and its incarnation.
     pub(crate) fn local(&self) -> Peer {
         self.settings.local
     }
@@ -50,7 +49,7 @@
     }
 }
 
-/// One input's time, the state that roles share, and where their outputs go.
+/// The context of one input: its time, the shared state and the list that receives the outputs.
 pub(crate) struct Context<'a> {
     pub(crate) now: Time,
     pub(crate) instance: &'a mut Instance,
@@ -71,7 +70,7 @@
         self.outputs.push(Output::Send(to, message));
     }
 
-    /// Has a record stored, and gives its number.
+    /// Requests that a record be stored, and returns its number.
     pub(crate) fn store(&mut self, record: Record) -> u64 {
         self.outputs.push(Output::Store(record));
         self.instance.durability.number_record()
@@ -91,7 +90,7 @@
         self.instance.last_nonce
     }
 
-    /// Has the replica set in force recorded, where there is a store.
+    /// Requests that the replica set in force be recorded, if there is a store.
     pub(crate) fn record_replica_set(&mut self) {
         if self.instance.durability.has_store() {
             let digest = self.instance.replica_set.digest();
--- a/crates/stackgw-sessions/src/identity.rs
+++ b/crates/stackgw-sessions/src/identity.rs
@@ -1,21 +1,22 @@
-//! Identifiers that all modules of this package share: instances, incarnations, sessions, requests.
+//! Identifiers shared by all modules of this package: instances, incarnations, sessions, requests.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A write or a read, by the number that the host knows it by.
+/// The host's number for a write or a read.
 pub type RequestNumber = u64;
 
-/// As a destination: whichever incarnation is running. As the last known one: none is known yet.
+/// As a destination, means whichever incarnation is running. As the last known incarnation, means
+/// that none is known yet.
 pub const ANY_INCARNATION: u64 = 0;
 
-/// An instance, by a hash of its name: the same after a restart.
+/// Identifies an instance by a hash of its name. The ID stays the same across restarts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// The instance of this name.
+    /// The ID of the instance with this name.
     pub fn of(name: &str) -> Self {
         NodeId(xxh3_64(name.as_bytes()))
     }
@@ -29,18 +30,18 @@
 
 /// One incarnation of an instance.
 ///
-/// Danger: two processes that run under one name at once break the guarantee of this package, see
-/// `docs/operate/sessions.md`.
+/// NOTE: Two processes that run under the same name at the same time break the guarantee of this
+/// package; see `docs/operate/sessions.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// Which instance.
+    /// The instance.
     pub node: NodeId,
-    /// Higher at each start of the instance.
+    /// Increases with each start of the instance.
     pub incarnation: u64,
 }
 
 impl Peer {
-    /// Whichever incarnation of this instance is running.
+    /// Addresses whichever incarnation of this instance is running.
     pub fn any_incarnation(node: NodeId) -> Self {
         Peer {
             node,
@@ -49,20 +50,19 @@
     }
 }
 
-/// How what a peer shows of itself, its incarnation or its store, compares with what was known of
-/// it.
+/// How the incarnation or the store version that a peer reports compares with the one known before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Freshness {
-    /// As recent as what was known, or more so.
+    /// At least as recent as the one known before.
     Current,
-    /// Something later was known.
+    /// Older than the one known before.
     Outdated,
 }
 
-/// A session in its group, by a hash of both.
+/// Identifies a session within its group by a hash of both.
 ///
-/// Two sessions with the same key see each other's positions. Each then reads data that is newer
-/// than necessary, so a collision costs a little and breaks nothing.
+/// Sessions whose keys collide share their positions. Their reads then require newer data than
+/// necessary, so a collision costs some performance but never correctness.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionKey(pub u64);
 
--- a/crates/stackgw-sessions/src/lib.rs
+++ b/crates/stackgw-sessions/src/lib.rs
@@ -1,12 +1,13 @@
-//! What each session must see, across gateway instances and restarts.
+//! Read-your-writes consistency for sessions, across gateway instances and restarts.
 //!
-//! One [`Sessions`] stands in each instance, beside its router. The host reports each write that a
-//! member served ([`Sessions::record_write`]) and is told when the response to it may be sent
-//! ([`Output::Release`]). It reports each session read ([`Sessions::begin_read`]) and is told what
-//! the read has to see ([`Output::ReadRequirement`]). Between the two stands one invariant:
+//! Each instance runs one [`Sessions`] state machine next to its router. The host reports each
+//! write that a member served ([`Sessions::record_write`]), and [`Output::Release`] tells it when
+//! the response may be sent. The host reports each session read ([`Sessions::begin_read`]), and
+//! [`Output::ReadRequirement`] tells it which position the read must see. The state machine
+//! maintains this invariant:
 //!
-//! > Once the response to a write was sent, every later read of its session, at any instance, is
-//! > required to see a position that covers the write, or to see every commit
+//! > Once the response to a write has been sent, every later read of its session, at any instance,
+//! > is required to see a position at or after that of the write, or to see every commit
 //! > ([`ReadRequirement::Strong`]).
 //!
 //! # Roles
@@ -14,16 +15,17 @@
 //! | role | module | what it does |
 //! | --- | --- | --- |
 //! | writer | `writer`, `write_log`, `peer_replication`, `forwarding` | sends positions to the owners of a session, grants leases, releases responses |
-//! | session replica | `session_replica`, `peer_progress`, `positions` | records positions for others, holds leases of the other replicas, knows whether it is certain |
-//! | reader | `reader` | asks the owners of a session |
-//! | durability | `durability`, `record` | which records are in the store, and whether a peer's store is an old copy |
+//! | session replica | `session_replica`, `peer_progress`, `positions` | records positions for writers, holds leases granted by the other replicas, determines whether its positions are complete (whether it is certain) |
+//! | reader | `reader` | queries the owners of a session for its position |
+//! | durability | `durability`, `record` | tracks which records are in the store, and detects peers whose store is an old copy |
 //!
-//! `sessions` routes inputs to the roles; `context` is what they have in common.
+//! `sessions` routes inputs to the roles; `context` holds the state that they share.
 //!
-//! There is no I/O, clock, thread or randomness here: time, messages and the completion of store
-//! writes are inputs. The package does not know how messages are carried and sealed
-//! (`stackgw-cluster`), how records are stored (`stackgw-store`) or which member serves a read
-//! (`stackgw-router`). `docs/design/sessions.md` says why it is built so and when it fails.
+//! The package does no I/O and has no clock, threads or randomness: time, messages and the
+//! completion of store writes are inputs. It does not depend on how messages are transported and
+//! sealed (`stackgw-cluster`), how records are stored (`stackgw-store`) or which member serves a
+//! read (`stackgw-router`). `docs/design/sessions.md` describes the reasons for this design and its
+//! failure modes.
 
 mod context;
 mod durability;
--- a/crates/stackgw-sessions/src/output.rs
+++ b/crates/stackgw-sessions/src/output.rs
@@ -1,4 +1,4 @@
-//! What the state machine asks of its host.
+//! The outputs of the state machine, which its host carries out.
 
 use crate::identity::{Peer, RequestNumber};
 use crate::message::Message;
@@ -6,16 +6,17 @@
 use crate::uncertainty::UncertaintyReason;
 use stackgw_router::api::Time;
 
-/// What a read of a session has to see.
+/// What a read of a session must see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ReadRequirement {
-    /// This position, or none in particular: the session has not written within the retention.
+    /// This position. `None`: no particular one, as the session has not written within the
+    /// retention.
     Position(Option<Time>),
-    /// Every commit that was made before the read arrived.
+    /// Every commit made before the read arrived.
     Strong(UncertaintyReason),
 }
 
-/// Whether a write that a member served may wait for its release.
+/// Whether a write that a member served is accepted to wait for its release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum WriteAdmission {
     /// [`Output::Release`] follows once the response may be sent.
@@ -24,17 +25,17 @@
     Rejected,
 }
 
-/// What the host is to do.
+/// An action for the host to carry out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Send a message. An incarnation of [`ANY_INCARNATION`](crate::ANY_INCARNATION) means
     /// whichever is running.
     Send(Peer, Message),
-    /// The response of this write may be sent.
+    /// The response to this write may be sent.
     Release(RequestNumber),
-    /// What this read has to see.
+    /// What this read must see.
     ReadRequirement(RequestNumber, ReadRequirement),
     /// Write this record to the store, and call
-    /// [`handle_records_stored`](crate::Sessions::handle_records_stored) once it is there.
+    /// [`handle_records_stored`](crate::Sessions::handle_records_stored) once it is stored.
     Store(Record),
 }
--- a/crates/stackgw-sessions/src/positions.rs
+++ b/crates/stackgw-sessions/src/positions.rs
@@ -1,24 +1,25 @@
-//! The session positions that a replica records: bounded in number, dropped after the retention.
+//! The session positions that a replica records, limited in number and dropped after the retention.
 //!
-//! Invariant: until the retention ends, a session for which a position was added is never reported
-//! without a position, and never with an older one.
+//! Invariant: after a position has been added for a session and until the retention ends,
+//! [`SessionPositions::get`] returns that position or a later one.
 
 use crate::identity::SessionKey;
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The position of a write whose position is not known: later than any other, so that the reads of
-/// its session must see every commit.
+/// Stands for the position of a write whose position is not known. It is later than any other
+/// position, so the reads of its session must see every commit.
 pub const UNKNOWN_POSITION: Time = Time::MAX;
 
-/// Evicted positions share so many buckets. A session must see the position of its bucket.
+/// Number of buckets into which evicted positions are merged. A session must see the position of
+/// its bucket.
 const BUCKETS: usize = 4096;
-/// The high bits of a session's key select its bucket.
+/// The high bits of a session's key, shifted right by this, select its bucket.
 const BUCKET_SHIFT: u32 = 48;
-/// The buckets are searched for expired ones so many times in a retention, as that is too much work
-/// for each position.
+/// How often within one retention expired buckets are removed. Scanning all buckets for each added
+/// position would cost too much.
 const BUCKET_EXPIRIES_PER_RETENTION: Span = 16;
-/// The order of insertion may hold so many times as many entries as there may be positions.
+/// Maximum length of the insertion order, as a multiple of the maximum number of positions.
 const ORDER_FACTOR: usize = 2;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -36,28 +37,30 @@
     }
 }
 
-/// What is recorded of a session.
+/// The recorded position of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RecordedPosition {
-    /// Its reads must see this; [`UNKNOWN_POSITION`]: every commit.
+    /// The position that reads of the session must see; [`UNKNOWN_POSITION`]: every commit.
     pub position: Time,
-    /// When the position was added, or for an evicted one when its bucket last changed.
+    /// When the position was added or, for an evicted position, when its bucket last changed.
     pub at: Time,
-    /// It was evicted and shares a bucket with others: the session may see later data than it must.
+    /// Whether the position was evicted into a bucket shared with other sessions. Reads may then be
+    /// required to see later data than necessary.
     pub evicted: bool,
 }
 
 /// Positions by session.
 ///
 /// A position is dropped after the retention, when every member of the group has applied its write.
-/// One that there is no room for is merged into a bucket: until then the reads of its session see
-/// later data than they must.
+/// A position that exceeds the maximum number is merged into a bucket. Until the bucket expires,
+/// reads of the session may be required to see later data than necessary.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct SessionPositions {
     max_positions: usize,
     retention: Span,
     entries: BTreeMap<SessionKey, Entry>,
-    /// In the order of insertion. A session that was added again stands here more than once.
+    /// Insertion times in ascending order. A session whose position was added more than once has
+    /// several entries.
     order: VecDeque<(Time, SessionKey)>,
     buckets: BTreeMap<u16, Entry>,
     buckets_expired_at: Time,
@@ -65,7 +68,7 @@
 }
 
 impl SessionPositions {
-    /// At most so many, each for this long.
+    /// Retains at most `max_positions` positions, each for `retention`.
     pub fn new(max_positions: usize, retention: Span) -> Self {
         SessionPositions {
             max_positions: max_positions.max(1),
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Adds a position. The position of a session never goes back.
+    /// Adds a position. An earlier position than the recorded one does not replace it.
     pub fn add(&mut self, now: Time, key: SessionKey, position: Time) {
         self.expire(now);
         let known = self
@@ -92,13 +95,14 @@
         self.entries.insert(key, entry);
         self.order.push_back((now, key));
         self.evict_oldest();
-        // Danger: a session that writes all the time would make the order grow without limit.
+        // Without this, a session that writes continuously would make the insertion order grow
+        // without limit.
         if self.order.len() > self.max_positions.saturating_mul(ORDER_FACTOR) {
             self.compact_order();
         }
     }
 
-    /// Drops what is older than the retention.
+    /// Drops positions that are older than the retention.
     pub fn expire(&mut self, now: Time) {
         let oldest = now.saturating_sub(self.retention);
         while let Some((added_at, key)) = self.order.pop_front_if(|(at, _)| *at < oldest) {
@@ -113,7 +117,7 @@
         }
     }
 
-    /// What is recorded of a session.
+    /// The recorded position of a session, if it is within the retention.
     pub fn get(&self, now: Time, key: SessionKey) -> Option<RecordedPosition> {
         let oldest = now.saturating_sub(self.retention);
         let is_live = |entry: &&Entry| entry.added_at >= oldest;
@@ -130,22 +134,22 @@
         })
     }
 
-    /// How many positions are recorded.
+    /// Number of recorded positions, without evicted ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no position is recorded.
+    /// Whether no position is recorded, including evicted ones.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty() && self.buckets.is_empty()
     }
 
-    /// How many positions there was no room for.
+    /// How many positions were evicted because the maximum number was exceeded.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Whether a place in the order is that of the session's last insertion.
+    /// Whether an entry of the insertion order belongs to the session's last insertion.
     fn is_current(&self, added_at: Time, key: SessionKey) -> bool {
         self.entries
             .get(&key)
@@ -172,17 +176,17 @@
         *bucket = bucket.merge(entry);
     }
 
-    /// Leaves one place in the order for each entry.
+    /// Reduces the insertion order to one entry per session.
     fn compact_order(&mut self) {
         let entries = &self.entries;
         let mut previous = None;
-        self.order.retain(|place| {
-            let (added_at, key) = *place;
+        self.order.retain(|insertion| {
+            let (added_at, key) = *insertion;
             let is_current = entries
                 .get(&key)
                 .is_some_and(|entry| entry.added_at == added_at);
-            let is_repeated = previous == Some(*place);
-            previous = Some(*place);
+            let is_repeated = previous == Some(*insertion);
+            previous = Some(*insertion);
             is_current && !is_repeated
         });
     }
--- a/crates/stackgw-sessions/src/record.rs
+++ b/crates/stackgw-sessions/src/record.rs
@@ -1,78 +1,75 @@
-//! What an instance keeps in its store: the records that are written, and what they come to when
-//! they are read back.
+//! The records that an instance writes to its store, and the state that is recovered from them.
 //!
-//! The store itself is the host's. Its form on the disk is the concern of `stackgw-store`.
+//! The host owns the store itself; `stackgw-store` defines its format on disk.
 
 use crate::identity::{Peer, SessionKey};
 use serde::{Deserialize, Serialize};
 use stackgw_router::api::Time;
 
-/// How far a store has come. One that was restored from an old copy has fewer records than its
-/// instance had before.
+/// The version of a store. A store that was restored from an old copy has fewer records than its
+/// instance had written before.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct StoreVersion {
-    /// Which store: another one each time that one is created or invalidated.
+    /// Identifies the store. It gets a new ID when it is created and when it is invalidated.
     pub store_id: u64,
-    /// Records written to it since then.
+    /// Records written under this ID.
     pub records: u64,
-    /// The incarnation before this one that wrote to it; 0: none.
+    /// The previous incarnation that wrote to the store; 0: none.
     pub last_incarnation: u64,
 }
 
-/// What is to be written to the store. Records are numbered from 1 in the order in which they are
-/// requested.
+/// A record for the store. Records are numbered from 1 in the order in which they are requested.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Record {
-    /// The digest of the replica set from now on. What was recorded of peers under another one no
-    /// longer holds.
+    /// The digest of the replica set that is in force from this record on. Records about peers
+    /// under a different replica set are no longer valid.
     ReplicaSet(u64),
     /// A position that this instance records as an owner of the session.
     Position(SessionKey, Time),
     /// The position of a local write that some owner has not acknowledged.
     Unacknowledged(SessionKey, Time),
-    /// No write of this peer is missing here.
+    /// This instance has every write of this peer.
     CompletePeer(Peer),
-    /// How far the store of a peer has come.
+    /// The version of a peer's store.
     PeerStore(Peer, StoreVersion),
-    /// The store proved to be an old copy and begins anew: with this version, which has no records,
-    /// and unbroken since this incarnation.
+    /// The store was found to be an old copy and is reset to this version, which has no records,
+    /// with an unbroken history since this incarnation.
     Invalidated(StoreVersion, u64),
 }
 
-/// What became of the file of a store that accepts no more records.
+/// What happened to the file of a store that accepts no more records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum StoreFailure {
-    /// It was moved away: no later incarnation reads it.
+    /// It was moved away, so no later incarnation reads it.
     SetAside,
-    /// It could not be moved: a later incarnation would take it for complete.
+    /// It could not be moved, so a later incarnation would treat it as complete.
     LeftInPlace,
 }
 
-/// What the store had at start. All empty for a new one.
+/// The contents of the store at start. All fields are empty for a new store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct Recovered {
-    /// The incarnations from this one on wrote to this store without a gap; the current one for a
-    /// new store.
+    /// The first incarnation since which every incarnation wrote to this store without a gap; the
+    /// current incarnation for a new store.
     pub unbroken_since: u64,
-    /// How far the store has come.
+    /// The version of the store.
     pub store_version: StoreVersion,
-    /// How far the stores of peers had come, and in which of their incarnations.
+    /// The last known store versions of peers, with the incarnations that reported them.
     pub peer_stores: Vec<(Peer, StoreVersion)>,
     /// The digest of the replica set that was recorded last.
     pub replica_set: Option<u64>,
-    /// Positions recorded as an owner.
+    /// Positions that this instance recorded as an owner.
     pub positions: Vec<(SessionKey, Time)>,
     /// Positions of local writes that some owner had not acknowledged.
     pub unacknowledged: Vec<(SessionKey, Time)>,
-    /// Under that replica set: peers of which no write was missing, this instance itself perhaps
-    /// among them.
+    /// Peers whose writes were all known under that replica set. May include this instance itself.
     pub complete_peers: Vec<Peer>,
 }
 
 impl Recovered {
-    /// Adds a record to what was recorded before it.
+    /// Applies a record to the state recovered from the records before it.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::ReplicaSet(digest) => self.apply_replica_set(digest),
@@ -102,7 +99,7 @@
     }
 
     fn apply_invalidation(&mut self, version: StoreVersion, unbroken_since: u64) {
-        // The incarnation that wrote to the store last is still the same one.
+        // An invalidation does not change which incarnation wrote to the store last.
         self.store_version = StoreVersion {
             last_incarnation: self.store_version.last_incarnation,
             ..version
--- a/crates/stackgw-sessions/src/replica_set.rs
+++ b/crates/stackgw-sessions/src/replica_set.rs
@@ -4,20 +4,20 @@
 use stackgw_router::api::Span;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The session replicas as the operator's file names them.
+/// The session replicas listed in the operator's configuration file.
 ///
 /// Leases are granted only between replicas whose sets have the same digest.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct ReplicaSet {
-    /// Sorted, each once.
+    /// Sorted, without duplicates.
     replicas: Vec<NodeId>,
     owners_per_session: usize,
     digest: u64,
 }
 
 impl ReplicaSet {
-    /// These replicas, of which `owners_per_session` own each session. `durations` are those that
-    /// all replicas must have in common.
+    /// Creates a set in which each session is owned by `owners_per_session` of the replicas.
+    /// `durations` are settings that must be equal on all replicas.
     pub fn new(
         replicas: impl IntoIterator<Item = NodeId>,
         owners_per_session: usize,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Differs between sets that differ in their replicas, owners for each session or durations.
+    /// A hash of the replicas, the number of owners per session and the durations.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// All replicas, in the order of their ids.
+    /// All replicas, ordered by ID.
     pub fn replicas(&self) -> &[NodeId] {
         &self.replicas
     }
@@ -50,10 +50,10 @@
         self.replicas.binary_search(&node).is_ok()
     }
 
-    /// The owners of a session, in the order in which they are to be queried.
+    /// The owners of a session, in the order in which they are queried.
     ///
-    /// By rendezvous hashing: when a replica joins or leaves, only the sessions that it comes to
-    /// own or owned move.
+    /// Owners are chosen by rendezvous hashing: when a replica joins or leaves, only the sessions
+    /// that it gains or gives up change owners.
     pub fn owners(&self, key: SessionKey) -> impl Iterator<Item = NodeId> {
         let score = |node: &NodeId| xxh3_64_with_seed(&key.0.to_le_bytes(), node.0);
         let mut best: Vec<(u64, NodeId)> = Vec::with_capacity(self.owners_per_session + 1);
--- a/crates/stackgw-sessions/src/status.rs
+++ b/crates/stackgw-sessions/src/status.rs
@@ -1,4 +1,4 @@
-//! What an instance reports of itself to operators.
+//! The status that an instance reports to operators.
 
 use crate::identity::{NodeId, Peer};
 use crate::positions::RecordedPosition;
@@ -7,7 +7,7 @@
 use std::hash::{Hash, Hasher};
 use std::ops::{Deref, DerefMut};
 
-/// What was done since the start, and what stood in the way.
+/// Events since the start of this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Counters {
     /// Reads for which this instance knew the position itself.
@@ -18,10 +18,11 @@
     pub strong_reads: u64,
     /// Writes whose response was released.
     pub writes_released: u64,
-    /// Writes that were released although an owner had not acknowledged them, as its lease had
-    /// ended.
+    /// Writes that were released without the acknowledgement of an owner, because the owner's lease
+    /// had ended.
     pub released_unacknowledged: u64,
-    /// Messages that were for another incarnation, from an earlier one, or that could not be true.
+    /// Messages that were for another incarnation, came from an earlier one, or had an invalid
+    /// sender.
     pub messages_ignored: u64,
     /// Messages sent.
     pub messages_sent: u64,
@@ -29,12 +30,12 @@
     pub local_writes_evicted: u64,
     /// Writes, reads and acknowledgements that were rejected for lack of room.
     pub rejected: u64,
-    /// How often the store proved to be an old copy.
+    /// How often the store was found to be an old copy.
     pub outdated_stores: u64,
 }
 
-/// Counters that are equal to any others, as they have no influence on what an instance does: two
-/// instances that differ in them alone are the same state to a model checker.
+/// Counters that compare equal to any others. They do not influence behavior, so a model checker
+/// must treat two instances that differ only in their counters as the same state.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct UncomparedCounters(Counters);
 
@@ -67,13 +68,14 @@
 /// Another replica, as this instance sees it. Durations are in nanoseconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Which.
+    /// The replica.
     pub node: NodeId,
-    /// The incarnation last heard of; 0: never heard of.
+    /// The last known incarnation; 0: none is known.
     pub incarnation: u64,
-    /// How long the lease that it granted still holds, where this instance is a replica.
+    /// Remaining time of the lease that it granted to this instance. Zero if this instance is not a
+    /// replica.
     pub lease_held_for: Span,
-    /// How long a lease that was granted to it still binds.
+    /// Remaining time of the lease that this instance granted to it.
     pub lease_granted_for: Span,
     /// Local writes that it has not acknowledged.
     pub unacknowledged: usize,
@@ -84,29 +86,30 @@
 pub struct Status {
     /// This instance.
     pub local: Peer,
-    /// It is a session replica, else it forwards its writes to one.
+    /// Whether it is a session replica. Otherwise it forwards its writes to one.
     pub is_replica: bool,
-    /// Why it is uncertain, if it is. Without meaning where it is not a replica.
+    /// Why it is uncertain, if it is. Meaningless if it is not a replica.
     pub uncertainty: Option<UncertaintyReason>,
     /// The other replicas.
     pub peers: Vec<PeerStatus>,
-    /// Positions recorded.
+    /// Recorded positions.
     pub positions: usize,
     /// Positions evicted since the start.
     pub evicted: u64,
-    /// Local writes retained.
+    /// Retained local writes.
     pub local_writes: usize,
     /// Writes that wait for their release.
     pub pending: usize,
-    /// What was done.
+    /// Events since the start.
     pub counters: Counters,
 }
 
-/// What this instance by itself knows of a session.
+/// What this instance knows of a session without querying others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct SessionInspection {
     /// The recorded position, if there is one.
     pub position: Option<RecordedPosition>,
-    /// Whether every write whose response was sent is known here, else why not.
+    /// `Ok` if this instance knows every write whose response was sent; otherwise the reason why it
+    /// may not.
     pub certainty: Result<(), UncertaintyReason>,
 }
--- a/crates/stackgw-sessions/src/uncertainty.rs
+++ b/crates/stackgw-sessions/src/uncertainty.rs
@@ -7,18 +7,18 @@
 pub enum UncertaintyReason {
     /// This replica has not granted a lease: it is down, partitioned or slow.
     NoLease(NodeId),
-    /// This replica has another replica set in its file, or other durations.
+    /// The configuration of this replica has a different replica set or different durations.
     ReplicaSetMismatch(NodeId),
-    /// This replica grants leases, but writes that are younger than the retention may be missing.
+    /// This replica grants leases, but some of its writes within the retention may be missing.
     IncompleteHistory(NodeId),
-    /// This instance started more recently than the retention, without the positions that it had
+    /// This instance started less than one retention ago, without the positions that it had
     /// recorded before.
     RecentlyStarted,
-    /// Its store failed.
+    /// The store of this instance failed.
     StoreFailed,
     /// No owner replied in time.
     OwnersUnresponsive,
-    /// The owners that replied are not certain themselves.
+    /// The owners that replied are uncertain themselves.
     OwnersUncertain,
     /// The session has written, but the position of the write is not known.
     UnknownPosition,
@@ -27,8 +27,8 @@
 }
 
 impl UncertaintyReason {
-    /// The reason in words for operators, with the names that the host has for replicas. These
-    /// texts are part of the log, of the control socket and of `docs/operate/sessions.md`.
+    /// Describes the reason to operators; `name` gives the host's name of a replica. The log, the
+    /// control socket and `docs/operate/sessions.md` contain these texts.
     pub fn describe(&self, name: impl Fn(&NodeId) -> String) -> String {
         match self {
             Self::NoLease(node) => format!("no pledge from {}", name(node)),
