--- a/crates/stackgw-sessions/src/durability.rs
+++ b/crates/stackgw-sessions/src/durability.rs
@@ -1,44 +1,45 @@
-//! The store of an instance, as far as the protocol depends on it: which records it has, and
-//! whether the stores that peers come back with are as recent as they were.
+//! The state of the store that the protocol depends on: which records it has, and whether peers
+//! restart with stores as recent as before.
 //!
-//! Invariant: a store that was restored from an old copy is found to be outdated by every peer that
-//! knew it to have come further, and nothing that is missing from it is taken for complete.
+//! Invariant: every peer that knew a newer version of a store detects that it was restored from an
+//! old copy, and no history with writes missing from that copy is treated as complete.
 
 use crate::identity::{Freshness, NodeId, Peer};
 use crate::record::{Recovered, StoreVersion};
 use stackgw_router::api::Time;
 use std::collections::BTreeMap;
 
-/// How far the store of a peer had come when it was last heard of.
+/// The last known version of a peer's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct PeerVersion {
     /// The incarnation that reported it.
     pub(crate) peer: Peer,
-    /// `None`: it has no store.
+    /// `None`: the peer has no store.
     pub(crate) version: Option<StoreVersion>,
 }
 
 /// Which records are in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Durability {
-    /// The version when this incarnation started, or when the store began anew since; `None`: there
-    /// is no store, or no longer one.
+    /// The version when this incarnation started, or when the store was reset after that; `None`:
+    /// there is no store, or no longer one.
     initial_version: Option<StoreVersion>,
-    /// Records requested, and how many of them are in the store.
+    /// Requested records.
     requested: u64,
+    /// How many of the requested records are in the store.
     stored: u64,
-    /// Records requested when the store began anew.
+    /// Records requested up to the reset of the store; these do not count for its version.
     requested_before_version: u64,
-    /// The record of the replica set. No lease is granted before it is in the store.
+    /// Number of the record of the replica set. No lease is granted before it is in the store.
     replica_set_record: u64,
-    /// The store failed and its file stayed in place.
+    /// Whether the store failed and its file stayed in place.
     failed: bool,
     peer_versions: BTreeMap<NodeId, PeerVersion>,
     peer_versions_recorded_at: Time,
 }
 
 impl Durability {
-    /// The store as it was recovered; `None`: there is none.
+    /// Starts with a recovered store; `None`: there is no store.
     pub(crate) fn new(now: Time, recovered: Option<&Recovered>) -> Self {
         let peer_stores = recovered
             .into_iter()
@@ -70,13 +71,13 @@
         self.initial_version.is_some()
     }
 
-    /// Whether the store failed and its file stayed in place, where a later incarnation will take
-    /// it for complete.
+    /// Whether the store failed and its file stayed in place, where a later incarnation will treat
+    /// it as complete.
     pub(crate) fn has_failed(&self) -> bool {
         self.failed
     }
 
-    /// Numbers a record that is requested now.
+    /// Assigns the number of a record that is being requested.
     pub(crate) fn number_record(&mut self) -> u64 {
         self.requested += 1;
         self.requested
@@ -87,7 +88,7 @@
         record <= self.stored
     }
 
-    /// So many records are in the store.
+    /// Handles the confirmation that the first `records` requested records are in the store.
     pub(crate) fn confirm(&mut self, records: u64) {
         self.stored = self.stored.max(records.min(self.requested));
     }
@@ -100,7 +101,7 @@
         self.is_stored(self.replica_set_record)
     }
 
-    /// How far the store has come, if there is one.
+    /// The version of the store, if there is one.
     pub(crate) fn version(&self) -> Option<StoreVersion> {
         let initial = self.initial_version?;
         let since = self.stored.saturating_sub(self.requested_before_version);
@@ -110,12 +111,13 @@
         })
     }
 
-    /// The store failed and its file stayed in place.
+    /// Handles a failure of the store whose file stayed in place.
     pub(crate) fn fail(&mut self) {
         self.failed = true;
     }
 
-    /// The store failed and its file was set aside: this incarnation goes on without one.
+    /// Handles a failure of the store whose file was set aside: this incarnation continues without
+    /// a store.
     pub(crate) fn remove_store(&mut self) {
         self.initial_version = None;
         self.requested = 0;
@@ -123,10 +125,10 @@
         self.replica_set_record = 0;
     }
 
-    /// A peer knows this store to have come further than `reported`: it begins anew under the id of
-    /// this incarnation. Gives the new version; `None` where the report is of another store than
-    /// the present one.
-    pub(crate) fn begin_anew(
+    /// Resets the version of a store that a peer has found outdated at version `reported`. The
+    /// store gets `incarnation` as its ID. Returns the new version, or `None` if the report is
+    /// about a different store.
+    pub(crate) fn reset_version(
         &mut self,
         reported: StoreVersion,
         incarnation: u64,
@@ -143,17 +145,18 @@
         Some(*version)
     }
 
-    /// The record that the store began anew: those up to this one do not count for the new version.
+    /// Sets the number of the record of a reset. Records up to this one do not count for the new
+    /// version.
     pub(crate) fn set_invalidation_record(&mut self, record: u64) {
         self.requested_before_version = record;
     }
 
-    /// Compares the store of a replica with what was known of it, and notes how far it has come.
-    /// It is outdated where an earlier incarnation of that replica had brought it further, or had
-    /// run without it.
+    /// Compares a replica's store with its last known version, and records the reported version.
+    /// The store is outdated if an earlier incarnation of the replica had written more records to
+    /// it, or had run without it.
     ///
-    /// Danger: a replica with an outdated store would vouch for what is missing from it, as a
-    /// writer and as an owner.
+    /// Without this check, a replica with an outdated store would claim, as a writer and as an
+    /// owner, that its history is complete although writes are missing from it.
     pub(crate) fn check_peer_store(
         &mut self,
         from: Peer,
@@ -167,12 +170,11 @@
                 return Freshness::Outdated;
             }
         }
-        // Within one incarnation a smaller number of records is that of a message that arrived
-        // late.
-        let is_news = known.is_none_or(|known| {
+        // Within one incarnation, a smaller number of records means that the message was delayed.
+        let is_newer = known.is_none_or(|known| {
             (known.peer.incarnation, known.version) < (from.incarnation, version)
         });
-        if is_news {
+        if is_newer {
             let peer_version = PeerVersion {
                 peer: from,
                 version,
@@ -182,7 +184,8 @@
         Freshness::Current
     }
 
-    /// What is to be recorded of peers' stores, once in each retention.
+    /// The store versions of peers that are to be recorded, which is done once per retention.
+    /// Empty until then.
     pub(crate) fn due_peer_versions(&mut self, now: Time, oldest: Time) -> Vec<PeerVersion> {
         if self.peer_versions_recorded_at > oldest {
             return Vec::new();
@@ -193,7 +196,7 @@
 }
 
 impl PeerVersion {
-    /// Whether a store that a later incarnation has recovered is older than this.
+    /// Whether the store that a later incarnation has recovered is older than this version.
     fn proves_outdated(&self, recovered: StoreVersion) -> bool {
         let has_fewer_records = self.version.is_some_and(|known| {
             known.store_id == recovered.store_id && known.records > recovered.records
--- a/crates/stackgw-sessions/src/forwarding.rs
+++ b/crates/stackgw-sessions/src/forwarding.rs
@@ -1,12 +1,12 @@
-//! Writes of instances outside of the replica set: what such an instance has forwarded, and what a
-//! replica handles for others.
+//! Writes of instances outside of the replica set: those that such an instance forwards, and those
+//! that a replica handles for other instances.
 
 use crate::identity::{NodeId, Peer, RequestNumber, SessionKey};
 use crate::message::Message;
 use stackgw_router::api::Time;
 use std::collections::BTreeMap;
 
-/// An instance sends a write so many times to one replica before it turns to the next one.
+/// How many times a write is forwarded to one replica before the next replica is tried.
 const ATTEMPTS_PER_REPLICA: u32 = 3;
 
 /// A write that this instance forwards.
@@ -39,8 +39,8 @@
         self.0.insert(number, write);
     }
 
-    /// The next attempt to forward a write: to which replica, and what. The replicas are taken in
-    /// turn.
+    /// Counts the next attempt to forward a write, and returns its destination and message. The
+    /// replicas are tried in turn.
     pub(crate) fn next_attempt(
         &mut self,
         number: u64,
@@ -60,12 +60,12 @@
         Some((Peer::any_incarnation(replicas[index]), message))
     }
 
-    /// The replica says that a write's response may be sent: gives its request.
+    /// Removes a write whose response may be sent, and returns its request.
     pub(crate) fn release(&mut self, number: u64) -> Option<RequestNumber> {
         self.0.remove(&number).map(|write| write.request)
     }
 
-    /// The response to this request will not be sent.
+    /// Removes the write of a request whose response will not be sent.
     pub(crate) fn cancel(&mut self, request: RequestNumber) {
         self.0.retain(|_, write| write.request != request);
     }
@@ -83,12 +83,12 @@
     }
 }
 
-/// Where a write that this replica handles for another instance comes from.
+/// The origin of a write that this replica handles for another instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Origin {
     /// The incarnation that forwarded it.
     pub(crate) peer: Peer,
-    /// That instance's number for it.
+    /// The forwarding instance's number for the write.
     pub(crate) number: u64,
 }
 
@@ -105,17 +105,17 @@
         self.origins.insert(sequence, origin);
     }
 
-    /// Whether this write is handled already: it was sent again.
+    /// Whether this write is already being handled, so that this is a resend of it.
     pub(crate) fn contains(&self, origin: Origin) -> bool {
         self.sequences.contains_key(&origin)
     }
 
-    /// Whether the local write of this number is another instance's.
+    /// Whether the local write with this sequence number was forwarded by another instance.
     pub(crate) fn is_forwarded(&self, sequence: u64) -> bool {
         self.origins.contains_key(&sequence)
     }
 
-    /// Removes a write that is released now, and says where it comes from; `None` if it is this
+    /// Removes a write that is being released, and returns its origin; `None` if it is this
     /// instance's own.
     pub(crate) fn remove(&mut self, sequence: u64) -> Option<Origin> {
         let origin = self.origins.remove(&sequence)?;
--- a/crates/stackgw-sessions/src/peer_progress.rs
+++ b/crates/stackgw-sessions/src/peer_progress.rs
@@ -1,14 +1,14 @@
-//! What a session replica knows of another one as a writer: the lease that it granted, and from
-//! when on its writes are known here.
+//! The state that a session replica keeps of another replica as a writer: the lease that the writer
+//! granted, and the time since which its writes are known here.
 
 use crate::identity::{Freshness, ANY_INCARNATION};
 use crate::message::LeaseGrant;
 use stackgw_router::api::{Span, Time};
 use std::collections::VecDeque;
 
-/// Outstanding lease requests that are remembered for each peer.
+/// Maximum number of outstanding lease requests that are tracked for each peer.
 const MAX_OUTSTANDING_REQUESTS: usize = 8;
-/// From when on a replica's writes are known, if none of them is missing.
+/// The value of [`PeerProgress::complete_since`] if no write of a replica is missing.
 pub(crate) const COMPLETE_HISTORY: Time = Time::MIN / 2;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -17,17 +17,19 @@
     sent_at: Time,
 }
 
-/// Another replica as a writer: its lease, and from when on its writes are known here.
+/// Another replica as a writer: the lease that it granted, and the time since which its writes are
+/// known here.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct PeerProgress {
-    /// The incarnation that granted its last lease.
+    /// The incarnation that granted the last lease.
     pub(crate) incarnation: u64,
     pub(crate) lease_until: Time,
-    /// Every write whose response it has released since then was acknowledged here.
+    /// This instance has acknowledged every write whose response the peer has released since this
+    /// time.
     pub(crate) complete_since: Time,
-    /// The store has a record that no write of it is missing.
+    /// Whether a record that no write of the peer is missing was requested.
     pub(crate) is_recorded_complete: bool,
-    /// Its replica set is another one.
+    /// Whether the peer has reported a replica set that differs from the local one.
     pub(crate) replica_set_differs: bool,
     outstanding: VecDeque<OutstandingRequest>,
 }
@@ -44,7 +46,7 @@
         }
     }
 
-    /// What is known of it holds from now on only.
+    /// Discards the lease and the history: the peer's writes are known from `now` on only.
     pub(crate) fn reset(&mut self, now: Time) {
         self.lease_until = now;
         self.complete_since = now;
@@ -52,7 +54,7 @@
         self.outstanding.clear();
     }
 
-    pub(crate) fn note_request(&mut self, now: Time, nonce: u64) {
+    pub(crate) fn record_request(&mut self, now: Time, nonce: u64) {
         if self.outstanding.len() >= MAX_OUTSTANDING_REQUESTS {
             self.outstanding.pop_front();
         }
@@ -62,7 +64,7 @@
         });
     }
 
-    /// When the request of this nonce was sent. It is answered once.
+    /// Removes the outstanding request with this nonce and returns when it was sent.
     fn take_request(&mut self, nonce: u64) -> Option<Time> {
         let index = self
             .outstanding
@@ -73,7 +75,8 @@
             .map(|request| request.sent_at)
     }
 
-    /// Takes a lease. It counts from when it was requested, as its grantor counts from later.
+    /// Applies a lease grant. The lease starts when it was requested, so that it ends here before
+    /// it ends at the grantor, which starts it later.
     pub(crate) fn apply_grant(
         &mut self,
         now: Time,
@@ -88,15 +91,16 @@
         if incarnation < self.incarnation || lease_until <= now {
             return;
         }
-        // What earlier incarnations of it released is known only if this one vouches for them.
+        // Writes that earlier incarnations of the peer released are known only if the grant says
+        // that the history since then is unbroken.
         let is_unbroken =
             self.incarnation != ANY_INCARNATION && self.incarnation >= grant.unbroken_since;
-        let vouched_since = now.saturating_sub(grant.complete_for.max(0));
+        let granted_complete_since = now.saturating_sub(grant.complete_for.max(0));
         if !is_unbroken {
-            self.complete_since = vouched_since;
+            self.complete_since = granted_complete_since;
             self.is_recorded_complete = false;
         }
-        self.complete_since = self.complete_since.min(vouched_since);
+        self.complete_since = self.complete_since.min(granted_complete_since);
         if incarnation > self.incarnation {
             self.incarnation = incarnation;
             self.is_recorded_complete = false;
@@ -105,8 +109,9 @@
         self.replica_set_differs = false;
     }
 
-    /// Notes the incarnation of a message. Leases of earlier ones hold no longer.
-    pub(crate) fn note_incarnation(&mut self, now: Time, incarnation: u64) -> Freshness {
+    /// Compares the incarnation of a message's sender with the one that granted the last lease. A
+    /// later incarnation ends the lease.
+    pub(crate) fn observe_incarnation(&mut self, now: Time, incarnation: u64) -> Freshness {
         if incarnation < self.incarnation {
             return Freshness::Outdated;
         }
--- a/crates/stackgw-sessions/src/peer_replication.rs
+++ b/crates/stackgw-sessions/src/peer_replication.rs
@@ -1,32 +1,33 @@
-//! How far a replica has received the local writes, and which lease it was granted.
+//! Which local writes a replica has acknowledged, and which lease it was granted.
 
 use crate::identity::{Freshness, NodeId, Peer, SessionKey};
 use crate::replica_set::ReplicaSet;
 use stackgw_router::api::{Span, Time};
 use std::collections::BTreeSet;
 
-/// A grantor adds this part of a lease to it: clocks that run at different rates must not end it
-/// there first.
+/// The grantor extends each lease by its duration divided by this, so that the lease does not end
+/// at the grantor before it ends at the holder when their clocks run at different rates.
 const DRIFT_DIVISOR: Span = 16;
 
-/// How far a replica has received the local writes, and which lease it was granted.
+/// Which local writes a replica has acknowledged, and which lease it was granted.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct PeerReplication {
-    /// The incarnation that was last heard of.
+    /// The replica and its last known incarnation.
     pub(crate) peer: Peer,
-    /// The last lease that was granted to it binds until then, ...
+    /// End of the last lease that was granted to the replica.
     pub(crate) lease_until: Time,
-    /// ... for the sessions that it owned by this set.
+    /// The replica set of that lease. The lease applies to the sessions that the replica owned by
+    /// this set.
     lease_replica_set: ReplicaSet,
-    /// Sequence numbers of local writes that it has not acknowledged.
+    /// Sequence numbers of local writes that the replica has not acknowledged.
     pub(crate) unacknowledged: BTreeSet<u64>,
-    /// Of those that were released, the last one sent since its last lease request.
+    /// Sequence number of the last released write sent to the replica since its last lease request.
     pub(crate) last_sent: u64,
 }
 
 impl PeerReplication {
-    /// A replica that no incarnation is known of yet, and that may hold an earlier incarnation's
-    /// lease until then.
+    /// A replica with no known incarnation, which may hold a lease of an earlier incarnation of
+    /// this instance until `lease_until`.
     pub(crate) fn new(node: NodeId, lease_until: Time, replica_set: &ReplicaSet) -> Self {
         PeerReplication {
             peer: Peer::any_incarnation(node),
@@ -37,23 +38,24 @@
         }
     }
 
-    /// Whether its lease binds the writes of a session.
-    pub(crate) fn lease_binds(&self, now: Time, key: SessionKey) -> bool {
+    /// Whether the replica's lease is in effect and applies to the writes of a session.
+    pub(crate) fn lease_applies(&self, now: Time, key: SessionKey) -> bool {
         self.lease_until > now && self.lease_replica_set.is_owner(key, self.peer.node)
     }
 
     pub(crate) fn grant_lease(&mut self, now: Time, lease: Span, replica_set: &ReplicaSet) {
         self.lease_until = self.lease_until.max(now + lease + lease / DRIFT_DIVISOR);
-        // Pending writes that the replica owned by the earlier set stay unacknowledged.
+        // Pending writes of sessions that the replica owned by the earlier set still need its
+        // acknowledgement.
         self.lease_replica_set.clone_from(replica_set);
     }
 
-    /// Notes the incarnation of a message.
+    /// Updates the last known incarnation from that of a message's sender.
     ///
-    /// What an earlier incarnation acknowledged is in its store, or the later one is uncertain
-    /// until that is older than the retention. A lease that an earlier one was granted no longer
-    /// binds.
-    pub(crate) fn note_incarnation(
+    /// Writes that an earlier incarnation acknowledged stay acknowledged: either its store has
+    /// them, or the later incarnation is uncertain until they are older than the retention. A lease
+    /// granted to an earlier incarnation is no longer in effect.
+    pub(crate) fn observe_incarnation(
         &mut self,
         incarnation: u64,
         earlier_leases_until: Time,
@@ -62,15 +64,16 @@
             return Freshness::Outdated;
         }
         if incarnation > self.peer.incarnation {
-            // Danger: an earlier incarnation of this instance may have granted its lease to this
-            // incarnation of the replica, not to the one that was last heard of.
+            // The lease stays in effect until `earlier_leases_until`, because an earlier
+            // incarnation of this instance may have granted a lease to this incarnation of the
+            // replica rather than to the last known one.
             self.peer.incarnation = incarnation;
             self.lease_until = self.lease_until.min(earlier_leases_until);
         }
         Freshness::Current
     }
 
-    /// Unacknowledged writes that were not sent since its last lease request, in order.
+    /// Unacknowledged writes that were not sent since the replica's last lease request, in order.
     pub(crate) fn unsent(&self) -> impl Iterator<Item = &u64> {
         self.unacknowledged
             .range(self.last_sent.saturating_add(1)..)
--- a/crates/stackgw-sessions/src/reader.rs
+++ b/crates/stackgw-sessions/src/reader.rs
@@ -1,5 +1,5 @@
-//! An instance as a reader: finds out which position a session read has to see, from its own
-//! positions or from an owner of the session.
+//! The reader role: determines which position a session read must see, from the instance's own
+//! positions or by querying an owner of the session.
 
 use crate::context::Context;
 use crate::identity::{NodeId, Peer, RequestNumber, SessionKey};
@@ -11,16 +11,16 @@
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A read whose position is not known yet.
+/// A read whose required position is not known yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct PendingRead {
     request: RequestNumber,
     key: SessionKey,
-    /// Owners that may be queried next.
+    /// Owners that have not been queried yet.
     remaining: VecDeque<NodeId>,
 }
 
-/// A query that is outstanding.
+/// An outstanding query.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Lookup {
     read: PendingRead,
@@ -31,15 +31,16 @@
 /// The reader's state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(crate) struct Reader {
-    /// By nonce. Each waits equally long, so their deadlines are in the order of the nonces.
+    /// Outstanding queries by nonce. All have the same timeout, so their deadlines ascend with
+    /// their nonces.
     lookups: BTreeMap<u64, Lookup>,
-    /// Owners that gave no useful reply are not queried until then, so that not every read waits
-    /// for them.
+    /// Owners that gave no useful reply, with the time until which they are not queried, so that
+    /// not every read waits for them.
     avoided_until: BTreeMap<NodeId, Time>,
 }
 
 impl Reader {
-    /// Starts a read. Its requirement follows at once, or after queries.
+    /// Starts a read. Outputs its requirement at once, or after querying owners.
     pub(crate) fn begin_read(
         &mut self,
         context: &mut Context<'_>,
@@ -75,13 +76,13 @@
         self.query_next_owner(context, read, reason);
     }
 
-    /// The read is no longer waited for.
+    /// Cancels a read whose requirement is no longer needed.
     pub(crate) fn cancel_read(&mut self, request: RequestNumber) {
         self.lookups
             .retain(|_, lookup| lookup.read.request != request);
     }
 
-    /// An owner knows the position.
+    /// Handles the reply of an owner that knows the position.
     pub(crate) fn handle_position_reply(
         &mut self,
         context: &mut Context<'_>,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// An owner is uncertain itself: the next one is queried.
+    /// Handles the reply of an owner that is uncertain itself: queries the next owner.
     pub(crate) fn handle_uncertain_reply(
         &mut self,
         context: &mut Context<'_>,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Gives up queries that have waited long enough: the next owner is queried.
+    /// Abandons queries that have timed out, and queries the next owner for each.
     pub(crate) fn handle_timeout(&mut self, context: &mut Context<'_>) {
         let overdue = self
             .lookups
@@ -120,14 +121,14 @@
             let Some(lookup) = self.lookups.remove(&nonce) else {
                 continue;
             };
-            let pause = context.instance.settings.lease / REQUESTS_PER_LEASE;
-            self.avoid(context.now, lookup.owner, pause);
+            let backoff = context.instance.settings.lease / REQUESTS_PER_LEASE;
+            self.avoid(context.now, lookup.owner, backoff);
             let reason = UncertaintyReason::OwnersUnresponsive;
             self.query_next_owner(context, lookup.read, reason);
         }
     }
 
-    /// When the next query is to be given up.
+    /// When the next query times out.
     pub(crate) fn next_deadline(&self) -> Time {
         let oldest = self.lookups.values().next();
         oldest.map_or(Time::MAX, |lookup| lookup.deadline)
@@ -156,10 +157,10 @@
         context.send(Peer::any_incarnation(owner), query);
     }
 
-    /// The read of the query that this owner was sent.
+    /// Removes the query with this nonce if it was sent to this owner, and returns its read.
     ///
-    /// Danger: if a reply of another instance took the lookup away, the read would never be
-    /// answered.
+    /// Without the check of the owner, a reply of another instance would remove the query, and the
+    /// read would never be answered.
     fn take_lookup(&mut self, nonce: u64, from: NodeId) -> Option<PendingRead> {
         self.lookups
             .get(&nonce)
@@ -167,8 +168,8 @@
         self.lookups.remove(&nonce).map(|lookup| lookup.read)
     }
 
-    fn avoid(&mut self, now: Time, owner: NodeId, pause: Span) {
-        self.avoided_until.insert(owner, now + pause);
+    fn avoid(&mut self, now: Time, owner: NodeId, backoff: Span) {
+        self.avoided_until.insert(owner, now + backoff);
     }
 
     fn is_avoided(&self, now: Time, owner: NodeId) -> bool {
--- a/crates/stackgw-sessions/src/session_replica.rs
+++ b/crates/stackgw-sessions/src/session_replica.rs
@@ -1,8 +1,8 @@
-//! An instance as a session replica: records positions for others, holds leases of the other
-//! replicas, and knows by them whether it would have heard of every write.
+//! The session replica role: records positions for writers, and holds leases granted by the other
+//! replicas, which tell it whether it has received every write.
 //!
-//! Invariant: it is certain only while it holds a lease of every other replica, each of which
-//! vouches for all writes of a whole retention. What it records is then all there is.
+//! Invariant: a replica is certain only while it holds a lease from every other replica and none of
+//! their writes within the retention is missing here. Its recorded positions are then complete.
 
 use crate::context::{Context, Instance};
 use crate::identity::{Freshness, NodeId, Peer, SessionKey, ANY_INCARNATION};
@@ -15,7 +15,7 @@
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Leases are requested so many times in a lease.
+/// How often leases are requested within the duration of one lease.
 pub(crate) const REQUESTS_PER_LEASE: Span = 4;
 
 /// An acknowledgement that waits for its record to be stored.
@@ -37,9 +37,9 @@
 pub(crate) struct SessionReplica {
     positions: SessionPositions,
     peers: BTreeMap<NodeId, PeerProgress>,
-    /// Every write that this instance itself has released since then is known here.
+    /// Every write that this instance itself has released since this time is known here.
     local_complete_since: Time,
-    /// The store has a record that none of them is missing.
+    /// Whether a record that none of this instance's own writes is missing was requested.
     is_recorded_complete: bool,
     pending_acknowledgements: VecDeque<PendingAcknowledgement>,
     next_lease_request_at: Time,
@@ -65,18 +65,19 @@
         &mut self.positions
     }
 
-    /// How long the lease that a replica granted still holds.
+    /// Remaining time of the lease that a replica granted.
     pub(crate) fn lease_held_for(&self, now: Time, node: NodeId) -> Span {
         let peer = self.peers.get(&node);
         peer.map_or(0, |peer| (peer.lease_until - now).max(0))
     }
 
-    /// When leases are to be requested again.
+    /// When leases will be requested again.
     pub(crate) fn next_lease_request_at(&self) -> Time {
         self.next_lease_request_at
     }
 
-    /// Takes what the store had of peers, if it was recorded under the replica set in force.
+    /// Restores which peers' histories are complete. The records must be of the replica set in
+    /// force.
     pub(crate) fn restore_complete_peers(&mut self, local: NodeId, recovered: &Recovered) {
         for complete in &recovered.complete_peers {
             if complete.node == local {
@@ -90,14 +91,14 @@
         }
     }
 
-    /// Requests leases of the replicas of a set from now on.
+    /// Switches to the replica set in force: from now on requests leases from its replicas.
     pub(crate) fn apply_replica_set(&mut self, context: &Context<'_>) {
         let now = context.now;
         let replica_set = &context.instance.replica_set;
         let local = context.instance.local().node;
         self.peers.retain(|node, _| replica_set.contains(*node));
         for node in replica_set.replicas().iter().filter(|node| **node != local) {
-            // A lease granted under another set says nothing of the sessions that this replica has
+            // A lease granted under another set does not apply to sessions that this replica has
             // come to own.
             let peer = self
                 .peers
@@ -108,8 +109,8 @@
         self.next_lease_request_at = now;
     }
 
-    /// Of the sessions that this replica has come to own, it knows its own writes as far back as it
-    /// has retained them.
+    /// Records positions of local writes for the sessions that this replica has come to own. For
+    /// these sessions it knows its own writes only as far back as the write log goes.
     pub(crate) fn adopt_local_writes(&mut self, context: &Context<'_>, log: &WriteLog) {
         self.local_complete_since = self.local_complete_since.max(log.complete_since());
         self.is_recorded_complete = false;
@@ -122,14 +123,14 @@
         }
     }
 
-    /// This instance has become a replica now.
-    pub(crate) fn join(&mut self, now: Time) {
+    /// Handles that this instance has become a replica.
+    pub(crate) fn join_replica_set(&mut self, now: Time) {
         self.local_complete_since = self.local_complete_since.max(now);
     }
 
-    /// The store was an old copy: what it had of peers does not hold, and what was recorded since
-    /// is missing.
-    pub(crate) fn forget_history(&mut self, now: Time) {
+    /// Discards the history after the store was found to be an old copy: its records about peers
+    /// are no longer valid, and records written after the copy was made are missing.
+    pub(crate) fn reset_history(&mut self, now: Time) {
         self.local_complete_since = now;
         self.is_recorded_complete = false;
         for peer in self.peers.values_mut() {
@@ -139,12 +140,13 @@
         self.next_lease_request_at = now;
     }
 
-    /// Notes the incarnation of a message.
-    pub(crate) fn note_incarnation(&mut self, now: Time, from: Peer) -> Freshness {
+    /// Compares the incarnation of a message's sender with the last known one. A later incarnation
+    /// ends the sender's lease.
+    pub(crate) fn observe_incarnation(&mut self, now: Time, from: Peer) -> Freshness {
         self.peers
             .get_mut(&from.node)
             .map_or(Freshness::Current, |peer| {
-                peer.note_incarnation(now, from.incarnation)
+                peer.observe_incarnation(now, from.incarnation)
             })
     }
 
@@ -163,7 +165,7 @@
         }
     }
 
-    /// A peer has granted no lease, as its replica set is another one.
+    /// Handles the rejection of a lease request by a peer whose replica set differs.
     pub(crate) fn handle_replica_set_mismatch(&mut self, from: NodeId) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.replica_set_differs = true;
@@ -209,7 +211,7 @@
         if self.pending_acknowledgements.len() < context.instance.settings.max_pending {
             self.pending_acknowledgements.push_back(acknowledgement);
         } else {
-            // The writer sends these positions again.
+            // The writer resends these positions.
             context.instance.counters.rejected += 1;
         }
     }
@@ -224,19 +226,19 @@
         }
     }
 
-    /// Sends all acknowledgements: there is no store any more.
+    /// Sends all pending acknowledgements, as there is no store any more.
     pub(crate) fn acknowledge_all(&mut self, context: &mut Context<'_>) {
         for acknowledgement in std::mem::take(&mut self.pending_acknowledgements) {
             acknowledgement.send(context);
         }
     }
 
-    /// Sends none of the acknowledgements: what they stand for will never be stored.
+    /// Drops all pending acknowledgements, as their records will never be stored.
     pub(crate) fn drop_acknowledgements(&mut self) {
         self.pending_acknowledgements.clear();
     }
 
-    /// Replies to a reader that asks which position a session has to see.
+    /// Replies to a reader's query for the position that a session must see.
     pub(crate) fn handle_position_query(
         &self,
         context: &mut Context<'_>,
@@ -251,7 +253,7 @@
         context.send(from, reply);
     }
 
-    /// Whether leases are to be requested again.
+    /// Whether the next round of lease requests is due.
     pub(crate) fn is_lease_round_due(&self, context: &Context<'_>) -> bool {
         context.instance.is_replica() && self.next_lease_request_at <= context.now
     }
@@ -263,28 +265,29 @@
         self.positions.expire(context.now);
     }
 
-    /// Requests a lease of each other replica.
+    /// Requests a lease from each other replica.
     pub(crate) fn request_leases(&mut self, context: &mut Context<'_>) {
-        // Danger: a lease of a replica that acknowledges nothing would block every write.
+        // A replica whose store failed acknowledges nothing. If it held a lease, it would block
+        // every write.
         if context.instance.durability.has_failed() {
             return;
         }
         for (node, peer) in &mut self.peers {
             let nonce = context.next_nonce();
-            peer.note_request(context.now, nonce);
+            peer.record_request(context.now, nonce);
             let request = LeaseRequest {
                 nonce,
                 replica_set: context.instance.replica_set.digest(),
                 store_version: context.instance.durability.version(),
             };
-            // To whichever incarnation is running: this one makes itself known to it by the
-            // request.
+            // Addressed to whichever incarnation is running. The request tells that one the
+            // incarnation of this instance.
             context.send(Peer::any_incarnation(*node), Message::LeaseRequest(request));
         }
     }
 
-    /// Has the store record of which replicas no write is missing, so that a restart need not wait
-    /// for a retention.
+    /// Requests records of the replicas none of whose writes is missing, so that after a restart
+    /// this instance need not wait for a retention until it is certain.
     pub(crate) fn record_complete_peers(&mut self, context: &mut Context<'_>) {
         let durability = &context.instance.durability;
         if !durability.has_store() || durability.has_failed() || !durability.replica_set_is_stored()
@@ -302,8 +305,8 @@
         }
     }
 
-    /// The replicas, itself included, of which no write is missing since `oldest` and that are not
-    /// recorded as such.
+    /// Returns the replicas, including this one, none of whose writes since `oldest` is missing and
+    /// that are not recorded as complete yet, and marks them as recorded.
     fn take_newly_complete(&mut self, oldest: Time, local: Peer) -> Vec<Peer> {
         let mut complete = Vec::new();
         for (node, peer) in &mut self.peers {
@@ -323,11 +326,11 @@
         complete
     }
 
-    /// Whether every write whose response was sent is known here.
+    /// Checks that every write whose response was sent is known here.
     ///
     /// # Errors
     ///
-    /// Why a write may be missing.
+    /// Returns the reason why a write may be missing.
     pub(crate) fn certainty(
         &self,
         now: Time,
@@ -357,11 +360,11 @@
         Ok(())
     }
 
-    /// The position that a session has to see, if this replica owns it and is certain.
+    /// The position that a session must see, if this replica owns the session and is certain.
     ///
     /// # Errors
     ///
-    /// Why it is not known here.
+    /// Returns the reason why the position is not known here.
     pub(crate) fn required_position(
         &self,
         now: Time,
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -1,4 +1,4 @@
-//! The state machine of one instance: routes each input to the role that it concerns.
+//! The state machine of one instance: routes each input to the role that handles it.
 
 use crate::context::{Context, Instance};
 use crate::durability::Durability;
@@ -17,10 +17,10 @@
 use crate::writer::Writer;
 use stackgw_router::api::Time;
 
-/// One instance's part in the guarantee of this package. The same inputs give the same outputs.
+/// The state machine of one instance. It is deterministic: the same inputs give the same outputs.
 ///
 /// `now` is the instance's own clock in nanoseconds, which never goes back within an incarnation.
-/// Outputs are appended to `outputs` in the order in which they are to be carried out.
+/// Outputs are appended to `outputs` in the order in which the host must carry them out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Sessions {
     instance: Instance,
@@ -30,10 +30,10 @@
 }
 
 impl Sessions {
-    /// An instance that starts now.
+    /// Starts an instance at `now`.
     pub fn new(now: Time, mut settings: Settings, outputs: &mut Vec<Output>) -> Self {
-        // Danger: retained beside the positions made of it, what the store had would stand in
-        // memory twice.
+        // Taken out of the settings, which outlive this function. Otherwise the recovered records
+        // and the positions built from them would both stay in memory.
         let recovered = settings.recovered.take();
         let durability = Durability::new(now, recovered.as_ref());
         let log = new_write_log(now, &settings, recovered.as_ref());
@@ -59,7 +59,7 @@
         &self.instance.replica_set
     }
 
-    /// Replaces the list of replicas. What is known under the old one no longer holds.
+    /// Replaces the list of replicas. Leases and histories of the old replica set are discarded.
     pub fn set_replicas(&mut self, now: Time, replicas: Vec<NodeId>, outputs: &mut Vec<Output>) {
         let was_replica = self.is_replica();
         self.instance.settings.replicas = replicas;
@@ -73,16 +73,17 @@
         self.replica.apply_replica_set(&context);
         self.replica.adopt_local_writes(&context, self.writer.log());
         if !was_replica && context.instance.is_replica() {
-            self.replica.join(now);
+            self.replica.join_replica_set(now);
         }
         context.record_replica_set();
         self.handle_timeout(now, outputs);
     }
 
-    /// A member served a write of this session and gave its position, if it did.
+    /// Records a write of this session that a member served, with its position if the member
+    /// reported one.
     ///
-    /// Where the write is accepted, its response waits for [`Output::Release`]. Where it is
-    /// rejected there is no room to wait, and the response must not be sent.
+    /// If the write is accepted, its response waits for [`Output::Release`]. If it is rejected, too
+    /// many writes are pending, and the response must not be sent.
     pub fn record_write(
         &mut self,
         now: Time,
@@ -98,13 +99,14 @@
             .record_write(&mut context, positions, request, key, position)
     }
 
-    /// The response to this write will not be sent: it failed, or its client has gone.
+    /// Cancels a write whose response will not be sent, because the write failed or its client has
+    /// disconnected.
     pub fn cancel_write(&mut self, request: RequestNumber) {
         self.writer.cancel_write(request);
     }
 
-    /// A session read has arrived. What it has to see follows as [`Output::ReadRequirement`], at
-    /// once or within the lookup timeout of each owner.
+    /// Starts a session read that has arrived. [`Output::ReadRequirement`] follows at once, or
+    /// after at most one lookup timeout for each owner.
     pub fn begin_read(
         &mut self,
         now: Time,
@@ -117,12 +119,12 @@
             .begin_read(&mut context, &self.replica, request, key);
     }
 
-    /// The read is no longer waited for.
+    /// Cancels a read whose requirement is no longer needed.
     pub fn cancel_read(&mut self, request: RequestNumber) {
         self.reader.cancel_read(request);
     }
 
-    /// What this instance itself knows of a session, for operators.
+    /// Returns what this instance itself knows of a session, for operators.
     pub fn inspect_session(&self, now: Time, key: SessionKey) -> SessionInspection {
         SessionInspection {
             position: self.replica.positions().get(now, key),
@@ -130,7 +132,7 @@
         }
     }
 
-    /// A message has arrived, from an incarnation of a peer to an incarnation of this instance.
+    /// Handles a message from an incarnation of a peer to an incarnation of this instance.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -139,9 +141,11 @@
         message: Message,
         outputs: &mut Vec<Output>,
     ) {
-        // Danger: a message of an incarnation that is over would stand for the one that came after
-        // it.
-        if !self.is_addressed(from, to) || self.note_incarnation(now, from) == Freshness::Outdated {
+        // Without this check, a message of an earlier incarnation would be attributed to a later
+        // one.
+        if !self.is_addressed(from, to)
+            || self.observe_incarnation(now, from) == Freshness::Outdated
+        {
             self.instance.counters.messages_ignored += 1;
             return;
         }
@@ -152,7 +156,7 @@
         }
     }
 
-    /// So many records are in the store.
+    /// Handles the confirmation that the first `records` requested records are in the store.
     pub fn handle_records_stored(&mut self, now: Time, records: u64, outputs: &mut Vec<Output>) {
         self.instance.durability.confirm(records);
         let mut context = Context::new(now, &mut self.instance, outputs);
@@ -160,11 +164,12 @@
         self.writer.release_ready(&mut context);
     }
 
-    /// The store accepts no more records.
+    /// Handles a failure of the store, which accepts no more records.
     ///
-    /// Where its file was set aside, so that no later incarnation reads it, this one goes on as one
-    /// without a store. Where it was left in place, a later incarnation would take it for complete:
-    /// then nothing is acknowledged, known for certain or released any more.
+    /// If its file was set aside, so that no later incarnation reads it, this incarnation continues
+    /// without a store. If the file was left in place, a later incarnation would treat it as
+    /// complete: this incarnation then acknowledges and releases nothing any more, and is no longer
+    /// certain.
     pub fn handle_store_failure(
         &mut self,
         now: Time,
@@ -178,7 +183,7 @@
             }
             StoreFailure::SetAside => {
                 self.instance.durability.remove_store();
-                self.writer.log_mut().forget_records();
+                self.writer.log_mut().clear_records();
                 let mut context = Context::new(now, &mut self.instance, outputs);
                 self.replica.acknowledge_all(&mut context);
                 self.writer.release_ready(&mut context);
@@ -186,13 +191,14 @@
         }
     }
 
-    /// Whether responses to writes can be released at all: not after the store failed and its file
-    /// stayed in place. A host does better to reject writes then before they are executed.
+    /// Whether responses to writes can be released at all. They cannot be after the store of a
+    /// replica failed and its file stayed in place. The host should then reject writes before they
+    /// are executed.
     pub fn can_release(&self) -> bool {
         self.instance.can_release()
     }
 
-    /// When [`Sessions::handle_timeout`] is to be called next.
+    /// When [`Sessions::handle_timeout`] must be called next.
     pub fn next_deadline(&self) -> Time {
         let lease_request = if self.is_replica() {
             self.replica.next_lease_request_at()
@@ -204,7 +210,7 @@
             .min(self.writer.next_deadline())
     }
 
-    /// Does what is due by now.
+    /// Handles all deadlines that have passed.
     pub fn handle_timeout(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let mut context = Context::new(now, &mut self.instance, outputs);
         self.reader.handle_timeout(&mut context);
@@ -241,7 +247,7 @@
         }
     }
 
-    /// Takes what the store had.
+    /// Restores the state recovered from the store.
     fn restore(&mut self, now: Time, recovered: Recovered, outputs: &mut Vec<Output>) {
         let is_same_set = recovered.replica_set == Some(self.instance.replica_set.digest());
         let mut context = Context::new(now, &mut self.instance, outputs);
@@ -264,8 +270,8 @@
         }
     }
 
-    /// Whether a message is for this incarnation, or for whichever is running, and from another
-    /// instance.
+    /// Whether a message comes from another instance and is addressed to this incarnation or to
+    /// whichever is running.
     fn is_addressed(&self, from: Peer, to: Peer) -> bool {
         let local = self.instance.local();
         let is_destination =
@@ -274,15 +280,16 @@
         to.node == local.node && is_destination && is_origin
     }
 
-    /// Notes the incarnation of a message.
-    fn note_incarnation(&mut self, now: Time, from: Peer) -> Freshness {
-        match self.replica.note_incarnation(now, from) {
-            Freshness::Current => self.writer.log_mut().note_incarnation(from),
+    /// Compares the incarnation of a message's sender with the last known one, and updates the
+    /// latter.
+    fn observe_incarnation(&mut self, now: Time, from: Peer) -> Freshness {
+        match self.replica.observe_incarnation(now, from) {
+            Freshness::Current => self.writer.log_mut().observe_incarnation(from),
             Freshness::Outdated => Freshness::Outdated,
         }
     }
 
-    /// How far the store of a message's sender has come, if it had come further before.
+    /// The version of the store of a message's sender, if it is older than the last known one.
     fn outdated_store(&mut self, from: Peer, message: &Message) -> Option<StoreVersion> {
         let version = match message {
             Message::LeaseRequest(request) => request.store_version,
@@ -298,17 +305,20 @@
         }
     }
 
-    /// A peer knows this store to have come further than `reported`: the store begins anew, and so
-    /// does what this instance can be certain of.
+    /// Invalidates the store after a peer has reported that it is outdated at version `reported`.
+    /// Resets the version of the store and the history of this instance.
     fn invalidate_store(&mut self, now: Time, reported: StoreVersion, outputs: &mut Vec<Output>) {
         let incarnation = self.instance.local().incarnation;
-        let begun = self.instance.durability.begin_anew(reported, incarnation);
-        let Some(version) = begun else {
+        let new_version = self
+            .instance
+            .durability
+            .reset_version(reported, incarnation);
+        let Some(version) = new_version else {
             return;
         };
-        // Peers that have believed this incarnation already must not go on from that.
-        self.writer.log_mut().break_history(incarnation);
-        self.replica.forget_history(now);
+        // Peers that already hold leases of this incarnation must not rely on its history.
+        self.writer.log_mut().mark_history_broken(incarnation);
+        self.replica.reset_history(now);
         self.instance.counters.outdated_stores += 1;
         let unbroken_since = self.writer.log().unbroken_since();
         let record = Context::new(now, &mut self.instance, outputs)
@@ -371,7 +381,7 @@
     }
 }
 
-/// The write log at start.
+/// Creates the write log at start.
 fn new_write_log(now: Time, settings: &Settings, recovered: Option<&Recovered>) -> WriteLog {
     let unbroken_since = recovered.map_or(settings.local.incarnation, |recovered| {
         recovered.unbroken_since
@@ -380,12 +390,13 @@
     let mut log = WriteLog::new(now, unbroken_since, earlier_leases_until);
     let replica_set = settings.replica_set();
     let recorded_set = recovered.and_then(|recovered| recovered.replica_set);
-    // An instance outside of the replica set grants no lease, so no earlier incarnation of it binds
-    // this one. Where the store shows the same set, leases were granted only to the owners by that
-    // set, and these are taken to be bound. Else nobody knows to whom they were granted.
+    // An instance outside of the replica set grants no leases, so there are none of earlier
+    // incarnations to honor. If the store has the same set, leases were granted only to owners by
+    // that set, and these are assumed to hold one. Otherwise it is not known to whom leases were
+    // granted, and nothing is released until they have ended.
     let is_same_set = recorded_set == Some(replica_set.digest());
     if is_same_set || !replica_set.contains(settings.local.node) {
-        log.release_at_once(now);
+        log.allow_release(now);
     }
     log
 }
--- a/crates/stackgw-sessions/src/write_log.rs
+++ b/crates/stackgw-sessions/src/write_log.rs
@@ -1,8 +1,8 @@
-//! The local writes of an instance: which owners have acknowledged them, which leases bind them,
-//! when their responses may be released.
+//! The local writes of an instance: which owners have acknowledged them, which leases apply to
+//! them, and when their responses may be released.
 //!
-//! Invariant: while a lease that was granted to an owner may bind, the response to a write of a
-//! session of that owner is not released without that owner's acknowledgement.
+//! Invariant: while a lease that was granted to an owner may be in effect, the response to a write
+//! of a session of that owner is not released without that owner's acknowledgement.
 
 use crate::durability::Durability;
 use crate::identity::{Freshness, NodeId, Peer, RequestNumber, SessionKey};
@@ -17,15 +17,15 @@
 pub(crate) struct LocalWrite {
     pub(crate) key: SessionKey,
     pub(crate) position: Time,
-    /// Whose response waits for its release; `None`: it was released.
+    /// The request whose response waits for its release; `None`: the response was released.
     pub(crate) request: Option<RequestNumber>,
-    /// When the write was served, then when its response was released.
+    /// When the write was served or, once its response was released, the time of the release.
     pub(crate) since: Time,
     /// When the position was last sent to owners that have not acknowledged it.
     pub(crate) last_sent_at: Time,
-    /// The record that must be in the store first, if there is one.
+    /// The record that must be in the store before the release, if there is one.
     pub(crate) record: Option<u64>,
-    /// That record says that some owner has not acknowledged the write.
+    /// Whether a record says that some owner has not acknowledged the write.
     pub(crate) is_recorded_unacknowledged: bool,
 }
 
@@ -39,15 +39,15 @@
     }
 }
 
-/// What the release of a response still depends on.
+/// The condition on which the release of a response still depends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReleaseCondition {
-    /// Nothing.
+    /// The response may be released.
     Met,
-    /// The store must have a record that some owner has not acknowledged the write.
+    /// A record that some owner has not acknowledged the write must be requested and stored first.
     NeedsRecord,
-    /// An owner must acknowledge the write or the lease of that owner must end, or the store must
-    /// have its record.
+    /// The response must wait: until an owner acknowledges the write or its lease ends, or until
+    /// the write's record is in the store.
     Pending,
 }
 
@@ -63,23 +63,23 @@
     writes: BTreeMap<u64, LocalWrite>,
     next_sequence: u64,
     peers: BTreeMap<NodeId, PeerReplication>,
-    /// In the order of their release.
+    /// Released writes in the order of their release.
     released: VecDeque<Released>,
     /// Writes that wait for their release.
     pending: BTreeSet<u64>,
-    /// From then on no local write is missing here.
+    /// No local write released since this time is missing from the log.
     complete_since: Time,
-    /// The incarnations from this one on left no unacknowledged write that is missing here.
+    /// No unacknowledged write of the incarnations from this one on is missing from the log.
     unbroken_since: u64,
-    /// No response to a write is released before.
+    /// No response to a write is released before this time.
     no_release_before: Time,
-    /// Leases that an earlier incarnation granted may bind until then.
+    /// Leases that an earlier incarnation granted may be in effect until this time.
     earlier_leases_until: Time,
 }
 
 impl WriteLog {
-    /// An empty log. Until `earlier_leases_until` nothing is released, unless
-    /// [`WriteLog::release_at_once`] says so.
+    /// Creates an empty log. Nothing is released until `earlier_leases_until`, unless
+    /// [`WriteLog::allow_release`] is called.
     pub(crate) fn new(now: Time, unbroken_since: u64, earlier_leases_until: Time) -> Self {
         WriteLog {
             writes: BTreeMap::new(),
@@ -94,14 +94,14 @@
         }
     }
 
-    /// It is known to whom earlier incarnations may have granted leases: others' writes need not
-    /// wait.
-    pub(crate) fn release_at_once(&mut self, now: Time) {
+    /// Allows releases from `now` on. To be called if it is known to which replicas earlier
+    /// incarnations may have granted leases, so that only writes of their sessions must wait.
+    pub(crate) fn allow_release(&mut self, now: Time) {
         self.no_release_before = now;
     }
 
-    /// Replicates to the replicas of a set from now on, and to others only as long as a lease
-    /// binds.
+    /// Switches to a replica set: from now on replicates to its replicas, and to other replicas
+    /// only as long as their leases are in effect.
     pub(crate) fn apply_replica_set(&mut self, now: Time, local: NodeId, replica_set: &ReplicaSet) {
         self.peers
             .retain(|node, peer| replica_set.contains(*node) || peer.lease_until > now);
@@ -120,13 +120,13 @@
         }
     }
 
-    /// Adds a write, and gives its sequence number.
+    /// Adds a write, and returns its sequence number.
     pub(crate) fn append(&mut self, now: Time, replica_set: &ReplicaSet, write: LocalWrite) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         for peer in self.peers.values_mut() {
             let is_owner = replica_set.is_owner(write.key, peer.peer.node);
-            if is_owner || peer.lease_binds(now, write.key) {
+            if is_owner || peer.lease_applies(now, write.key) {
                 peer.unacknowledged.insert(sequence);
             }
         }
@@ -140,17 +140,17 @@
         sequence
     }
 
-    /// Notes the incarnation of a message.
-    pub(crate) fn note_incarnation(&mut self, from: Peer) -> Freshness {
+    /// Updates the last known incarnation of a replica from that of a message's sender.
+    pub(crate) fn observe_incarnation(&mut self, from: Peer) -> Freshness {
         let earlier_leases_until = self.earlier_leases_until;
         self.peers
             .get_mut(&from.node)
             .map_or(Freshness::Current, |peer| {
-                peer.note_incarnation(from.incarnation, earlier_leases_until)
+                peer.observe_incarnation(from.incarnation, earlier_leases_until)
             })
     }
 
-    /// What the release of a write's response still depends on.
+    /// The condition on which the release of a write's response still depends.
     pub(crate) fn release_condition(
         &self,
         now: Time,
@@ -160,14 +160,14 @@
         let Some(write) = self.writes.get(&sequence) else {
             return ReleaseCondition::Met;
         };
-        let is_bound = now < self.no_release_before
+        let awaits_leases = now < self.no_release_before
             || self
-                .peers_without(sequence)
+                .unacknowledged_peers(sequence)
                 .any(|peer| peer.lease_until > now);
         let is_stored = write
             .record
             .is_none_or(|record| durability.is_stored(record));
-        if is_bound || !is_stored {
+        if awaits_leases || !is_stored {
             return ReleaseCondition::Pending;
         }
         let needs_record = durability.has_store() && !write.is_recorded_unacknowledged;
@@ -177,7 +177,7 @@
         ReleaseCondition::Met
     }
 
-    /// Releases the response to a write, and gives its request.
+    /// Releases the response to a write, and returns its request.
     pub(crate) fn release(&mut self, now: Time, sequence: u64) -> Option<RequestNumber> {
         self.pending.remove(&sequence);
         let write = self.writes.get_mut(&sequence)?;
@@ -186,15 +186,16 @@
         write.request.take()
     }
 
-    /// The response to a pending write will not be sent.
+    /// Cancels a pending write whose response will not be sent.
     pub(crate) fn cancel(&mut self, sequence: u64) {
         if self.pending.remove(&sequence) {
             self.remove(sequence);
         }
     }
 
-    /// Drops writes that are older than the retention, and the oldest beyond so many: earlier ones
-    /// are then no longer vouched for. Gives how many were dropped for lack of room.
+    /// Drops released writes that are older than the retention, and the oldest ones beyond
+    /// `max_writes`; `complete_since` then moves past the latter. Returns the number of writes
+    /// dropped because of `max_writes`.
     pub(crate) fn expire(
         &mut self,
         now: Time,
@@ -213,28 +214,30 @@
             };
             self.complete_since = self.complete_since.max(oldest.at + 1);
             if self.remove(oldest.sequence) {
-                self.break_history(incarnation);
+                self.mark_history_broken(incarnation);
             }
             evicted += 1;
         }
         evicted
     }
 
-    /// Writes of this incarnation or of earlier ones may be missing here: who relied on them must
-    /// not go on from that.
-    pub(crate) fn break_history(&mut self, incarnation: u64) {
+    /// Marks the history as broken, as unacknowledged writes of this incarnation or of earlier ones
+    /// may be missing here. Replicas that relied on the history of these incarnations must no
+    /// longer do so.
+    pub(crate) fn mark_history_broken(&mut self, incarnation: u64) {
         self.unbroken_since = incarnation.saturating_add(1);
     }
 
-    /// Whether a replica may be granted a lease: it has acknowledged all that was released, and
-    /// nothing has waited for its acknowledgement since before a moment.
+    /// Whether a replica may be granted a lease: it has acknowledged all released writes, and no
+    /// pending write has waited for its acknowledgement since before `oldest_pending`.
     ///
-    /// Danger: where only the way to the replica is cut, its lease requests still arrive, and
-    /// leases that are renewed for ever would block writes for ever.
-    pub(crate) fn may_grant_lease(&self, node: NodeId, waiting_since: Time) -> bool {
+    /// Without the second condition, a partition in only the direction to the replica would block
+    /// writes forever: its lease requests would still arrive, and its leases would be renewed
+    /// forever.
+    pub(crate) fn may_grant_lease(&self, node: NodeId, oldest_pending: Time) -> bool {
         let is_recent = |sequence: &u64| {
             let write = self.writes.get(sequence);
-            self.pending.contains(sequence) && write.is_some_and(|w| w.since >= waiting_since)
+            self.pending.contains(sequence) && write.is_some_and(|w| w.since >= oldest_pending)
         };
         let peer = self.peers.get(&node);
         peer.is_some_and(|peer| peer.unacknowledged.iter().all(is_recent))
@@ -253,7 +256,7 @@
         }
     }
 
-    /// A replica has recorded the positions of these writes.
+    /// Handles the acknowledgement that a replica has recorded the positions of these writes.
     pub(crate) fn acknowledge(&mut self, node: NodeId, sequences: &[u64]) {
         if let Some(peer) = self.peers.get_mut(&node) {
             for sequence in sequences {
@@ -262,14 +265,15 @@
         }
     }
 
-    /// Unacknowledged released writes are sent to a replica from the first one on again.
+    /// Restarts the sending of unacknowledged released writes to a replica from the first one.
     pub(crate) fn restart_catch_up(&mut self, node: NodeId) {
         if let Some(peer) = self.peers.get_mut(&node) {
             peer.last_sent = 0;
         }
     }
 
-    /// The next released writes that a replica has not acknowledged.
+    /// Returns the next released writes that a replica has not acknowledged, and counts them as
+    /// sent.
     pub(crate) fn next_unsent(&mut self, node: NodeId, max_updates: usize) -> Vec<PositionUpdate> {
         let Some(peer) = self.peers.get_mut(&node) else {
             return Vec::new();
@@ -289,10 +293,11 @@
         updates
     }
 
-    /// Pending writes that a replica has not acknowledged and that were last sent by then.
+    /// Pending writes that a replica has not acknowledged and that were last sent at or before
+    /// `sent_by`.
     ///
-    /// Danger: what a replica that has long been gone has not acknowledged may be far more than
-    /// what is pending.
+    /// Iterates over the pending writes rather than over the replica's unacknowledged ones, of
+    /// which there may be far more if the replica has been down for long.
     pub(crate) fn pending_updates(
         &self,
         node: NodeId,
@@ -313,8 +318,8 @@
             .collect()
     }
 
-    /// Pending writes that were last sent by then are sent now.
-    pub(crate) fn note_sent(&mut self, now: Time, sent_by: Time) {
+    /// Marks pending writes that were last sent at or before `sent_by` as sent at `now`.
+    pub(crate) fn mark_sent(&mut self, now: Time, sent_by: Time) {
         for sequence in &self.pending {
             let write = self.writes.get_mut(sequence);
             if let Some(write) = write.filter(|write| write.last_sent_at <= sent_by) {
@@ -324,33 +329,36 @@
     }
 
     /// The update for a write, and the replicas that have not acknowledged it.
-    pub(crate) fn replication_of(&self, sequence: u64) -> Option<(PositionUpdate, Vec<Peer>)> {
+    pub(crate) fn update_and_recipients(
+        &self,
+        sequence: u64,
+    ) -> Option<(PositionUpdate, Vec<Peer>)> {
         let update = self.writes.get(&sequence)?.update(sequence);
-        let peers = self.peers_without(sequence).map(|peer| peer.peer);
+        let peers = self.unacknowledged_peers(sequence).map(|peer| peer.peer);
         Some((update, peers.collect()))
     }
 
     /// Whether some replica has not acknowledged a write.
     pub(crate) fn is_unacknowledged(&self, sequence: u64) -> bool {
-        self.peers_without(sequence).next().is_some()
+        self.unacknowledged_peers(sequence).next().is_some()
     }
 
-    /// The record that some owner has not acknowledged a write was requested.
-    pub(crate) fn note_unacknowledged_record(&mut self, sequence: u64, record: u64) {
+    /// Sets the record, now requested, that some owner has not acknowledged a write.
+    pub(crate) fn set_unacknowledged_record(&mut self, sequence: u64, record: u64) {
         if let Some(write) = self.writes.get_mut(&sequence) {
             write.record = Some(record);
             write.is_recorded_unacknowledged = true;
         }
     }
 
-    /// There is no store any more: no write waits for a record.
-    pub(crate) fn forget_records(&mut self) {
+    /// Clears the records that writes wait for, as there is no store any more.
+    pub(crate) fn clear_records(&mut self) {
         for write in self.writes.values_mut() {
             write.record = None;
         }
     }
 
-    /// The incarnation of a replica that was last heard of.
+    /// The last known incarnation of a replica.
     pub(crate) fn last_known_peer(&self, node: NodeId) -> Peer {
         let peer = self.peers.get(&node).map(|peer| peer.peer);
         peer.unwrap_or(Peer::any_incarnation(node))
@@ -384,12 +392,13 @@
         self.unbroken_since
     }
 
-    fn peers_without(&self, sequence: u64) -> impl Iterator<Item = &PeerReplication> {
+    /// The replicas that have not acknowledged a write.
+    fn unacknowledged_peers(&self, sequence: u64) -> impl Iterator<Item = &PeerReplication> {
         let peers = self.peers.values();
         peers.filter(move |peer| peer.unacknowledged.contains(&sequence))
     }
 
-    /// Removes a write; `true` if some replica had not acknowledged it.
+    /// Removes a write. Returns whether some replica had not acknowledged it.
     fn remove(&mut self, sequence: u64) -> bool {
         self.writes.remove(&sequence);
         let mut was_unacknowledged = false;
--- a/crates/stackgw-sessions/src/writer.rs
+++ b/crates/stackgw-sessions/src/writer.rs
@@ -1,5 +1,5 @@
-//! An instance as a writer: sends the positions of its writes to their owners, grants leases,
-//! releases responses.
+//! The writer role: sends the positions of writes to the owners of their sessions, grants leases
+//! and releases responses.
 //!
 //! An instance outside of the replica set forwards its writes to a replica, which handles them as
 //! its own.
@@ -14,16 +14,18 @@
 use crate::write_log::{LocalWrite, ReleaseCondition, WriteLog};
 use stackgw_router::api::{Span, Time};
 
-/// Messages with positions that are sent at once to a replica that has to catch up.
+/// Number of position messages that are sent at once to a replica that must catch up.
 const CATCH_UP_BATCHES: usize = 4;
-/// No lease is renewed for a replica that has left a write unacknowledged for this part of a lease.
+/// A replica's lease is not renewed while a write has waited for its acknowledgement for longer
+/// than the lease duration divided by this.
 const UNACKNOWLEDGED_LEASE_DIVISOR: Span = 2;
 
-/// A write that is to be added to the log.
+/// A write to be added to the log.
 pub(crate) struct NewWrite {
     pub(crate) key: SessionKey,
     pub(crate) position: Time,
-    /// Whose response waits for its release; `None`: an earlier incarnation released it.
+    /// The request whose response waits for its release; `None`: an earlier incarnation released
+    /// the response.
     pub(crate) request: Option<RequestNumber>,
 }
 
@@ -59,7 +61,7 @@
         self.log.pending().len() + self.outgoing.len()
     }
 
-    /// When unacknowledged positions and forwarded writes are to be sent again.
+    /// When unacknowledged positions and forwarded writes will be sent again.
     pub(crate) fn next_deadline(&self) -> Time {
         if self.log.pending().is_empty() && self.outgoing.is_empty() {
             Time::MAX
@@ -74,7 +76,7 @@
             .apply_replica_set(context.now, local, &context.instance.replica_set);
     }
 
-    /// A member has served a write: its response waits for its release.
+    /// Records a write that a member has served. Its response waits for its release.
     pub(crate) fn record_write(
         &mut self,
         context: &mut Context<'_>,
@@ -105,7 +107,7 @@
         WriteAdmission::Accepted
     }
 
-    /// The response to a write will not be sent.
+    /// Cancels a write whose response will not be sent.
     pub(crate) fn cancel_write(&mut self, request: RequestNumber) {
         self.outgoing.cancel(request);
         let is_canceled = |sequence: &u64| {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Adds a write that an earlier incarnation released without the acknowledgement of all owners.
+    /// Adds a write that an earlier incarnation released before all owners had acknowledged it.
     pub(crate) fn restore_unacknowledged(
         &mut self,
         context: &mut Context<'_>,
@@ -139,7 +141,7 @@
         );
     }
 
-    /// Handles a write that another instance forwards as if it were a local one.
+    /// Handles a forwarded write of another instance as if it were a local one.
     pub(crate) fn handle_forwarded_write(
         &mut self,
         context: &mut Context<'_>,
@@ -166,7 +168,7 @@
         self.try_release(context, sequence);
     }
 
-    /// A replica has released a write that this instance forwarded.
+    /// Handles the release, by a replica, of a write that this instance forwarded.
     pub(crate) fn handle_forwarded_release(&mut self, context: &mut Context<'_>, number: u64) {
         if let Some(request) = self.outgoing.release(number) {
             context.instance.counters.writes_released += 1;
@@ -174,7 +176,7 @@
         }
     }
 
-    /// A replica has recorded the positions of these writes.
+    /// Handles the acknowledgement that a replica has recorded the positions of these writes.
     pub(crate) fn handle_acknowledgement(
         &mut self,
         context: &mut Context<'_>,
@@ -190,9 +192,9 @@
         }
     }
 
-    /// Grants a replica the lease that it requests, if it has acknowledged all that was released.
+    /// Grants a replica the lease that it requests, if it has acknowledged all released writes.
     ///
-    /// Danger: granted before, a lease would make that replica certain of what it does not know.
+    /// A lease granted earlier would make the replica certain although it is missing writes.
     pub(crate) fn handle_lease_request(
         &mut self,
         context: &mut Context<'_>,
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Sends pending positions and forwarded writes again where it is time.
+    /// Resends pending positions and forwarded writes when the resend interval has passed.
     pub(crate) fn handle_timeout(&mut self, context: &mut Context<'_>) {
         let now = context.now;
         if self.resend_at > now {
@@ -227,7 +229,8 @@
         }
     }
 
-    /// Drops what is older than the retention, and what there is no room for.
+    /// Drops writes that are older than the retention, and the oldest ones beyond the maximum
+    /// number.
     pub(crate) fn expire(&mut self, context: &mut Context<'_>) {
         let settings = &context.instance.settings;
         let evicted = self.log.expire(
@@ -251,8 +254,8 @@
         self.resend_at = self.resend_at.min(context.now + resend_interval);
     }
 
-    /// Adds a write to the log, and to the positions where this instance is an owner. Gives its
-    /// sequence number.
+    /// Adds a write to the log, and its position to the recorded positions if this instance is an
+    /// owner. Returns the sequence number.
     fn append(
         &mut self,
         context: &mut Context<'_>,
@@ -289,7 +292,7 @@
 
     /// Sends the position of a write to the owners that have not acknowledged it.
     fn replicate(&self, context: &mut Context<'_>, sequence: u64) {
-        let Some((update, peers)) = self.log.replication_of(sequence) else {
+        let Some((update, peers)) = self.log.update_and_recipients(sequence) else {
             return;
         };
         for peer in peers {
@@ -297,7 +300,7 @@
         }
     }
 
-    /// Sends pending positions again that were last sent by then.
+    /// Resends pending positions that were last sent at or before `sent_by`.
     fn resend_pending(&mut self, context: &mut Context<'_>, sent_by: Time) {
         if self.log.pending().is_empty() {
             return;
@@ -310,10 +313,11 @@
                 context.send(peer, Message::Replicate(updates));
             }
         }
-        self.log.note_sent(context.now, sent_by);
+        self.log.mark_sent(context.now, sent_by);
     }
 
-    /// Sends a replica the next released writes that it has not acknowledged.
+    /// Sends a replica up to `batches` messages with the next released writes that it has not
+    /// acknowledged.
     fn catch_up(&mut self, context: &mut Context<'_>, node: NodeId, batches: usize) {
         for _ in 0..batches {
             let updates = self.log.next_unsent(node, MAX_POSITIONS_PER_MESSAGE);
@@ -325,8 +329,9 @@
     }
 
     fn may_grant_lease(&self, context: &Context<'_>, node: NodeId) -> bool {
-        let tolerated = context.instance.settings.lease / UNACKNOWLEDGED_LEASE_DIVISOR;
-        self.log.may_grant_lease(node, context.now - tolerated)
+        let max_pending_time = context.instance.settings.lease / UNACKNOWLEDGED_LEASE_DIVISOR;
+        self.log
+            .may_grant_lease(node, context.now - max_pending_time)
             && context.instance.durability.replica_set_is_stored()
     }
 
@@ -376,14 +381,14 @@
         }
     }
 
-    /// Has the store record that some owner has not acknowledged a write, so that a later
-    /// incarnation sends it again.
+    /// Requests a record that some owner has not acknowledged a write, so that a later incarnation
+    /// sends it again.
     fn record_unacknowledged(&mut self, context: &mut Context<'_>, sequence: u64) {
         let Some(write) = self.log.write(sequence) else {
             return;
         };
         let record = context.store(Record::Unacknowledged(write.key, write.position));
-        self.log.note_unacknowledged_record(sequence, record);
+        self.log.set_unacknowledged_record(sequence, record);
     }
 
     fn forward(&mut self, context: &mut Context<'_>, number: u64) {
