--- a/crates/stackgw-sessions/benches/scale.rs
+++ b/crates/stackgw-sessions/benches/scale.rs
@@ -1,6 +1,6 @@
-//! Sizes that sockets don't reach, in simulated time: messages for each request, the messages of
-//! leases, owners that move when a replica joins, memory of a million positions. `cargo bench -p
-//! stackgw-sessions --bench scale`.
+//! Measures clusters larger than tests over sockets can run, in simulated time: messages per
+//! request, lease messages, owners that change when a replica joins, and the memory of a million
+//! positions. Run with `cargo bench -p stackgw-sessions --bench scale`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -18,9 +18,9 @@
     ignore_positions: false,
 };
 
-/// Requests of each kind that messages are counted over.
+/// Number of requests of each kind over which messages are counted.
 const REQUESTS: u64 = 4_000;
-/// Over this time the messages of leases are counted.
+/// Time over which lease messages are counted.
 const IDLE_SPAN: Span = 10 * SECOND;
 /// Sessions whose owners are compared between two replica sets.
 const COMPARED_SESSIONS: u64 = 100_000;
@@ -73,7 +73,7 @@
     );
 }
 
-/// Messages for each request, without those of leases, of which there were so many in
+/// Messages per request, without lease messages, of which there were `lease_messages` in
 /// [`IDLE_SPAN`].
 fn messages_per_request(
     simulation: &mut Simulation,
@@ -93,7 +93,7 @@
     ((simulation.messages - before) as f64 - idle) / REQUESTS as f64
 }
 
-/// Sessions far apart.
+/// Keys that are spread out.
 fn key(n: u64) -> SessionKey {
     SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
--- a/crates/stackgw-sessions/tests/common/mod.rs
+++ b/crates/stackgw-sessions/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Several instances in simulated time: a network that loses, delays, duplicates and partitions;
-//! stores, crashes, pauses, clocks that differ; and the truth against which each read is checked.
+//! Simulates several instances: a network with loss, delays, duplicates and partitions; stores,
+//! crashes, pauses and clocks that differ. Each read is checked against the writes released before.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use rand::rngs::SmallRng;
@@ -34,7 +34,7 @@
     NodeId(index as u64 + 1)
 }
 
-/// The store of an instance: what the incarnations since it was created have written.
+/// The store of an instance: the records written since it was created.
 struct Store {
     unbroken_since: u64,
     records: Vec<Record>,
@@ -47,9 +47,9 @@
     pub incarnation: u64,
     pub has_store: bool,
     store: Option<Store>,
-    /// So many records survive a crash.
+    /// Number of records that survive a crash.
     synced: usize,
-    /// Records of earlier incarnations.
+    /// Number of records of earlier incarnations.
     recovered: usize,
     clock_offset: Time,
     clock_rate: f64,
@@ -78,20 +78,21 @@
     }
 }
 
-/// What the simulation does to the instances.
+/// The faults and delays that the simulation applies.
 #[derive(Debug, Clone, Copy)]
 pub struct Conditions {
-    /// The share of messages that are lost.
+    /// Fraction of messages that are lost.
     pub loss: f64,
-    /// The share of messages that arrive twice.
+    /// Fraction of messages that arrive twice.
     pub duplication: f64,
     pub max_delay: Span,
     pub max_sync_time: Span,
-    /// Every read is taken to need no position. Shows that the check of reads can fail.
+    /// Treats every read as not required to see any position, to show that the check of reads can
+    /// fail.
     pub ignore_positions: bool,
 }
 
-/// All outputs of an instance with the true time at which it gave them.
+/// An output of an instance, with the simulated time at which it was emitted.
 pub struct TracedOutput {
     pub at: Time,
     pub index: usize,
@@ -127,7 +128,7 @@
     pub conditions: Conditions,
     pub replicas: usize,
     pub instances: Vec<Instance>,
-    /// No message passes from the first to the second.
+    /// Pairs of instances: no message passes from the first to the second.
     pub partitions: BTreeSet<(usize, usize)>,
     outages: Vec<Outage>,
     events: BTreeMap<(Time, u64), Event>,
@@ -139,18 +140,18 @@
     pub certain_reads: u64,
     pub strong_reads: BTreeMap<UncertaintyReason, u64>,
     pub released: u64,
-    /// Reads that were not required to see a released write of their session.
+    /// Descriptions of reads that were not required to see a released write of their session.
     pub missed: Vec<String>,
     pub messages: u64,
     last_position: Time,
     /// Changes each instance's settings before it starts.
     adjust: fn(&mut Settings),
-    /// Filled where a test puts a list here.
+    /// All outputs, if a test has set a list here.
     pub trace: Option<Vec<TracedOutput>>,
 }
 
 impl Simulation {
-    /// So many replicas, and so many instances that forward their writes to them.
+    /// Starts `replicas` replicas, and `forwarders` instances that forward their writes to them.
     pub fn new(
         seed: u64,
         replicas: usize,
@@ -162,7 +163,7 @@
         Self::with_settings(seed, (replicas, forwarders), has_stores, conditions, adjust)
     }
 
-    /// The same with settings that differ from the usual ones.
+    /// Like [`Simulation::new`], with settings changed by `adjust`.
     pub fn with_settings(
         seed: u64,
         (replicas, forwarders): (usize, usize),
@@ -216,7 +217,7 @@
         });
     }
 
-    /// What an instance's own clock shows.
+    /// The time on an instance's own clock.
     pub fn clock(&self, index: usize) -> Time {
         let instance = &self.instances[index];
         instance.clock_offset + (self.now as f64 * instance.clock_rate) as Time
@@ -227,7 +228,7 @@
         self.events.insert((at, self.last_event), event);
     }
 
-    /// Starts an instance with what its store has.
+    /// Starts an instance with the records in its store.
     pub fn start(&mut self, index: usize) {
         let now = self.clock(index);
         let instance = &mut self.instances[index];
@@ -255,19 +256,20 @@
         self.instances[index].paused = true;
     }
 
-    /// An instance that was killed or paused runs again at a time, see [`Simulation::end_outages`].
+    /// Schedules an instance that was killed or paused to run again at `until`, when
+    /// [`Simulation::end_outages`] is next called.
     pub fn end_outage_at(&mut self, index: usize, until: Time) {
         self.outages.push(Outage { index, until });
     }
 
-    /// Starts and resumes the instances whose outage is over by now.
+    /// Starts or resumes the instances whose outage has ended.
     pub fn end_outages(&mut self) {
         let now = self.now;
         let outages = std::mem::take(&mut self.outages);
-        let (over, still): (Vec<_>, _) =
+        let (ended, remaining): (Vec<_>, _) =
             outages.into_iter().partition(|outage| outage.until <= now);
-        self.outages = still;
-        for Outage { index, .. } in over {
+        self.outages = remaining;
+        for Outage { index, .. } in ended {
             if self.instances[index].running.is_none() {
                 self.start(index);
             }
@@ -275,13 +277,13 @@
         }
     }
 
-    /// Puts the store back to what it had so many records ago.
+    /// Restores an old copy of the store, without its last `records` records.
     pub fn restore_old_store(&mut self, index: usize, records: usize) {
         let instance = &mut self.instances[index];
         instance.synced = instance.synced.saturating_sub(records);
     }
 
-    /// Sets an instance's clock forward or back; only while it is down.
+    /// Sets an instance's clock forward or back. The instance must be down.
     pub fn set_clock(&mut self, index: usize, by: Span) {
         self.instances[index].clock_offset += by;
     }
@@ -292,7 +294,7 @@
         instance.synced = 0;
     }
 
-    /// Has an instance handle an input, if it runs.
+    /// Lets an instance handle an input, if it is running.
     pub fn with(
         &mut self,
         index: usize,
@@ -395,7 +397,7 @@
             let max_delay = self.conditions.max_delay.max(MS / 5);
             let mut delay = self.rng.random_range(MS / 10..=max_delay);
             if self.rng.random::<f64>() < self.conditions.duplication / 4.0 {
-                delay += self.rng.random_range(0..2 * LEASE); // Long after it was sent.
+                delay += self.rng.random_range(0..2 * LEASE); // Arrives long after it was sent.
             }
             let message = message.clone();
             self.schedule(
@@ -452,7 +454,7 @@
             _ => None,
         };
         self.certain_reads += 1;
-        // Clocks' rates differ by a hundredth, so retentions end so much earlier.
+        // Clock rates differ by up to 1/100, so a retention may end earlier. 1/50 leaves a margin.
         let oldest = read.arrived_at - RETENTION + RETENTION / 50;
         let released = self.released_writes.get(&read.key).into_iter().flatten();
         let must_see = released
@@ -462,12 +464,12 @@
         if must_see > known {
             let at_ms = read.arrived_at / MS;
             self.missed.push(format!(
-                "at {index}, {at_ms} ms: must see {must_see:?}, is given {known:?}"
+                "instance {index}, {at_ms} ms: must see {must_see:?}, was required to see {known:?}"
             ));
         }
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time, and handles the events and deadlines within the span.
     pub fn advance(&mut self, span: Span) {
         let end = self.now + span;
         loop {
@@ -497,7 +499,7 @@
         self.now = end;
     }
 
-    /// The first instance to have a timeout, and when.
+    /// The earliest deadline of the running instances, and its instance.
     fn next_deadline(&self) -> Option<(Time, usize)> {
         let running = (0..self.instances.len()).filter(|index| !self.instances[*index].paused);
         let deadlines = running.filter_map(|index| {
@@ -511,7 +513,7 @@
     }
 
     fn handle_event(&mut self, event: Event) {
-        // What arrives at a paused process waits in its socket.
+        // Messages to a paused process wait in its socket buffer.
         if self.instances[event.target()].paused {
             return self.schedule(self.now + 20 * MS, event);
         }
@@ -554,8 +556,8 @@
 }
 
 impl Instance {
-    /// What the store has for an incarnation that starts now. Records that were not synced are
-    /// gone.
+    /// The state recovered from the store by an incarnation that is starting. Records that were not
+    /// synced are lost.
     fn recover(&mut self, last_incarnation: u64) -> Recovered {
         let incarnation = self.incarnation;
         let store = self.store.get_or_insert_with(|| Store {
--- a/crates/stackgw-sessions/tests/digest/fingerprint.rs
+++ b/crates/stackgw-sessions/tests/digest/fingerprint.rs
@@ -1,10 +1,10 @@
-//! Hashes outputs and states by numbers, so that names don't matter.
+//! Hashes outputs and states by numeric codes, so that renames do not change the digest.
 
 use crate::common::Simulation;
 use stackgw_sessions::*;
 use std::collections::BTreeSet;
 
-/// FNV-1a, 64 bits, and which kinds of outputs went into it.
+/// A 64-bit FNV-1a hash, with the kinds of records, reasons and messages that went into it.
 pub struct Digest {
     pub hash: u64,
     pub records: BTreeSet<u64>,
@@ -117,7 +117,7 @@
             Output::Send(to, message) => {
                 self.number(1);
                 let bytes = message.encode(*to);
-                // Behind the destination stands which message it is.
+                // The index of the message's variant follows the destination.
                 let kind = Message::PositionUncertain { nonce: 0 }.encode(*to).len() - 2;
                 self.messages.insert(bytes[kind]);
                 bytes.into_iter().for_each(|byte| self.byte(byte));
--- a/crates/stackgw-sessions/tests/digest/main.rs
+++ b/crates/stackgw-sessions/tests/digest/main.rs
@@ -1,6 +1,6 @@
-//! A digest of all outputs of several instances over random histories. Equal before and after a
-//! change that is meant to change nothing. `cargo test -p stackgw-sessions --test digest --
-//! --ignored --nocapture`.
+//! Computes a digest of all outputs of several instances over random histories. It is equal before
+//! and after a change that does not alter behavior. Run with `cargo test -p stackgw-sessions --test
+//! digest -- --ignored --nocapture`.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -14,7 +14,7 @@
 
 const HISTORIES: u64 = 400;
 const STEPS: usize = 700;
-/// Numbers of this test's own reads and writes, apart from those of the simulation.
+/// First number of this test's own reads and writes, distinct from those of the simulation.
 const FIRST_REQUEST: u64 = 1 << 40;
 const SESSIONS: u64 = 14;
 
@@ -30,7 +30,7 @@
     settings.owners_per_session = 1;
 }
 
-/// One history: the simulation, the digest of its outputs so far, and the next number of a request.
+/// One history: the simulation, the digest of its outputs so far, and the next request number.
 struct History {
     simulation: Simulation,
     digest: Digest,
@@ -88,12 +88,12 @@
         }
     }
 
-    fn below(&mut self, end: u64) -> u64 {
+    fn random_below(&mut self, end: u64) -> u64 {
         self.simulation.rng.random_range(0..end)
     }
 
-    fn any_instance(&mut self) -> usize {
-        self.below(self.instances as u64) as usize
+    fn random_instance(&mut self) -> usize {
+        self.random_below(self.instances as u64) as usize
     }
 
     fn is_ready(&self, n: usize) -> bool {
@@ -101,9 +101,9 @@
     }
 
     fn write(&mut self, n: usize) {
-        let key = SessionKey(self.below(SESSIONS));
-        let position =
-            (self.below(20) > 0).then_some(self.simulation.now + self.below(1_000) as Time);
+        let key = SessionKey(self.random_below(SESSIONS));
+        let position = (self.random_below(20) > 0)
+            .then_some(self.simulation.now + self.random_below(1_000) as Time);
         let request = self.next_request;
         self.next_request += 1;
         let mut admission = WriteAdmission::Rejected;
@@ -115,7 +115,7 @@
     }
 
     fn read(&mut self, n: usize) {
-        let key = SessionKey(self.below(SESSIONS));
+        let key = SessionKey(self.random_below(SESSIONS));
         let request = self.next_request;
         self.next_request += 1;
         self.simulation.with(n, |sessions, now, outputs| {
@@ -124,20 +124,20 @@
     }
 
     fn recent_request(&mut self) -> u64 {
-        let back = self.below(12) + 1;
+        let back = self.random_below(12) + 1;
         self.next_request.saturating_sub(back).max(FIRST_REQUEST)
     }
 
     fn kill(&mut self, n: usize) {
         self.simulation.kill(n);
-        match self.below(10) {
+        match self.random_below(10) {
             0 | 1 => self.simulation.lose_store(n),
             2 | 3 => {
-                let records = self.below(40) as usize;
+                let records = self.random_below(40) as usize;
                 self.simulation.restore_old_store(n, records);
             }
             4 => {
-                let by = self.below(4_000) as Span - 3_000;
+                let by = self.random_below(4_000) as Span - 3_000;
                 self.simulation.set_clock(n, by * MS);
                 if !self.has_stores {
                     self.simulation.instances[n].incarnation = 0;
@@ -145,23 +145,23 @@
             }
             _ => {}
         }
-        let until = self.simulation.now + self.below(1_000) as Span * MS;
+        let until = self.simulation.now + self.random_below(1_000) as Span * MS;
         self.simulation.end_outage_at(n, until);
     }
 
     fn change_replicas(&mut self) {
-        let count = if self.below(2) == 0 {
+        let count = if self.random_below(2) == 0 {
             self.replicas
         } else {
-            self.any_instance() + 1
+            self.random_instance() + 1
         };
-        let skip = if self.below(3) == 0 {
-            self.any_instance()
+        let skip = if self.random_below(3) == 0 {
+            self.random_instance()
         } else {
             usize::MAX
         };
         let list: Vec<_> = (0..count).filter(|n| *n != skip).map(node).collect();
-        let only = (self.below(3) == 0).then(|| self.any_instance());
+        let only = (self.random_below(3) == 0).then(|| self.random_instance());
         for n in (0..self.instances).filter(|n| only.is_none_or(|only| only == *n)) {
             let list = list.clone();
             self.simulation.with(n, |sessions, now, outputs| {
@@ -170,39 +170,39 @@
         }
     }
 
-    fn any_number(&mut self) -> u64 {
-        match self.below(4) {
-            0 => self.below(5),
+    fn random_number(&mut self) -> u64 {
+        match self.random_below(4) {
+            0 => self.random_below(5),
             1 => self.simulation.now as u64,
             2 => u64::MAX,
             _ => self.simulation.rng.random(),
         }
     }
 
-    fn any_version(&mut self) -> Option<StoreVersion> {
+    fn random_version(&mut self) -> Option<StoreVersion> {
         let version = StoreVersion {
-            store_id: self.any_number(),
-            records: self.any_number(),
-            last_incarnation: self.any_number(),
+            store_id: self.random_number(),
+            records: self.random_number(),
+            last_incarnation: self.random_number(),
         };
-        (self.below(2) == 0).then_some(version)
+        (self.random_below(2) == 0).then_some(version)
     }
 
-    /// A message that no instance has sent, from a peer that holds the key.
+    /// A message that no instance has sent, from a peer that holds the cluster key.
     fn forged_message(&mut self, n: usize) -> Message {
-        let key = SessionKey(self.below(SESSIONS));
+        let key = SessionKey(self.random_below(SESSIONS));
         let (nonce, number, position) = (
-            self.below(300),
-            self.any_number(),
-            self.any_number() as Time,
+            self.random_below(300),
+            self.random_number(),
+            self.random_number() as Time,
         );
-        let replica_set = if self.below(2) == 0 {
+        let replica_set = if self.random_below(2) == 0 {
             number
         } else {
             self.replica_set_of(n)
         };
-        let version = self.any_version();
-        match self.below(11) {
+        let version = self.random_version();
+        match self.random_below(11) {
             0 => Message::LeaseRequest(LeaseRequest {
                 nonce,
                 replica_set,
@@ -243,15 +243,15 @@
 
     fn forge(&mut self, n: usize) {
         let message = self.forged_message(n);
-        let other = self.any_instance();
-        let incarnation = self.simulation.instances[other].incarnation + self.below(40) / 39;
+        let other = self.random_instance();
+        let incarnation = self.simulation.instances[other].incarnation + self.random_below(40) / 39;
         let from = Peer {
             node: node(other),
             incarnation,
         };
         let to = Peer {
             node: node(n),
-            incarnation: self.below(2) * self.simulation.instances[n].incarnation,
+            incarnation: self.random_below(2) * self.simulation.instances[n].incarnation,
         };
         self.simulation.with(n, |sessions, now, outputs| {
             sessions.handle_message(now, from, to, message, outputs)
@@ -266,26 +266,26 @@
     }
 
     fn step(&mut self) {
-        let span = self.below(12_000) as Span * MS / 1_000;
+        let span = self.random_below(12_000) as Span * MS / 1_000;
         self.simulation.advance(span);
         self.simulation.end_outages();
-        let n = self.any_instance();
-        let kind = self.below(1_000);
+        let n = self.random_instance();
+        let kind = self.random_below(1_000);
         match kind {
             0..=4 => self.kill(n),
             5..=6 => {
                 self.simulation.pause(n);
-                let until = self.simulation.now + self.below(1_000) as Span * MS;
+                let until = self.simulation.now + self.random_below(1_000) as Span * MS;
                 self.simulation.end_outage_at(n, until);
             }
             7..=9 => {
-                let to = self.any_instance();
+                let to = self.random_instance();
                 self.simulation.partitions.insert((n, to));
             }
             10..=17 => self.simulation.partitions.clear(),
             18..=20 => self.change_replicas(),
             21 => {
-                let failure = if self.below(3) > 0 {
+                let failure = if self.random_below(3) > 0 {
                     StoreFailure::SetAside
                 } else {
                     StoreFailure::LeftInPlace
@@ -295,7 +295,7 @@
                 });
             }
             22..=27 => {
-                let span = self.below(1_500) as Span * RETENTION / 1_000;
+                let span = self.random_below(1_500) as Span * RETENTION / 1_000;
                 self.simulation.advance(span);
             }
             28..=45 if self.is_ready(n) => {
@@ -330,7 +330,7 @@
         }
     }
 
-    fn play(mut self) -> Played {
+    fn run(mut self) -> HistoryResult {
         let mut outputs = 0;
         for step in 0..STEPS {
             self.step();
@@ -345,14 +345,14 @@
         }
         self.simulation.advance(SECOND);
         self.hash_outputs();
-        Played {
+        HistoryResult {
             digest: self.digest,
             outputs,
         }
     }
 }
 
-struct Played {
+struct HistoryResult {
     digest: Digest,
     outputs: usize,
 }
@@ -362,31 +362,31 @@
 fn digest_of_random_histories() {
     let (mut digest, mut outputs) = (Digest::new(), 0);
     for seed in 0..HISTORIES {
-        let played = History::new(seed).play();
-        digest.number(played.digest.hash);
-        digest.records.extend(played.digest.records);
-        digest.reasons.extend(played.digest.reasons);
-        digest.messages.extend(played.digest.messages);
-        outputs += played.outputs;
+        let result = History::new(seed).run();
+        digest.number(result.digest.hash);
+        digest.records.extend(result.digest.records);
+        digest.reasons.extend(result.digest.reasons);
+        digest.messages.extend(result.digest.messages);
+        outputs += result.outputs;
     }
     println!("{HISTORIES} histories, {outputs} outputs");
     println!("digest sessions = {:016x}", digest.hash);
     assert_eq!(
         digest.records.len(),
         6,
-        "each kind of record is written: {:?}",
+        "not every kind of record was written: {:?}",
         digest.records
     );
     assert_eq!(
         digest.reasons.len(),
         10,
-        "each reason and none is given: {:?}",
+        "not every reason (with 0 for none) was reported: {:?}",
         digest.reasons
     );
     assert_eq!(
         digest.messages.len(),
         11,
-        "each kind of message is sent: {:?}",
+        "not every kind of message was sent: {:?}",
         digest.messages
     );
 }
--- a/crates/stackgw-sessions/tests/forged_messages.rs
+++ b/crates/stackgw-sessions/tests/forged_messages.rs
@@ -1,5 +1,5 @@
-//! Messages that make no sense, from peers that hold the key: nothing breaks, nothing grows, and
-//! they make nobody certain.
+//! Invalid or implausible messages from peers that hold the cluster key cause no failure, do not
+//! grow the state beyond its limits, and do not make an instance certain.
 
 mod common;
 
@@ -80,7 +80,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(5), cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn forged_messages_grow_nothing_and_make_nobody_certain(has_store in any::<bool>(), inputs in prop::collection::vec((0..4usize, number(), number(), message(ReplicaSet::new((0..3).map(node), 2, &[common::LEASE, RETENTION]).digest()), 0..100i64), 1..150)) {
+    fn forged_messages_do_not_grow_state_or_make_an_instance_certain(has_store in any::<bool>(), inputs in prop::collection::vec((0..4usize, number(), number(), message(ReplicaSet::new((0..3).map(node), 2, &[common::LEASE, RETENTION]).digest()), 0..100i64), 1..150)) {
         let mut replica_settings = settings(0, 50, 3);
         (replica_settings.max_pending, replica_settings.max_positions, replica_settings.max_local_writes) = (20, 30, 30);
         replica_settings.recovered = has_store.then(Recovered::default);
@@ -101,7 +101,8 @@
             }
             let status = sessions.status(now);
             prop_assert!(status.positions <= 30 && status.pending <= 20, "{status:?}");
-            // Its own start is less than a retention ago, and no message can change that.
+            // An instance that started less than a retention ago is uncertain, whatever messages
+            // arrive.
             prop_assert!(now - 1_000 * SECOND >= RETENTION || status.uncertainty.is_some());
             for output in outputs.drain(..) {
                 if let Output::Send(to, message) = output {
--- a/crates/stackgw-sessions/tests/histories.rs
+++ b/crates/stackgw-sessions/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Whole histories: random ones that are checked against the guarantee, and scripted ones for each
-//! hard case.
+//! Simulated histories of several instances: random ones in which every read is checked against the
+//! released writes, and scripted ones for particular faults.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use stackgw_router::api::{MS, SECOND};
 use stackgw_sessions::{Message, Peer, SessionKey, StoreFailure, UncertaintyReason};
 
-/// Steps of a random history.
+/// Number of steps of a random history.
 const STEPS: usize = 2_500;
 
 const RELIABLE: Conditions = Conditions {
@@ -26,7 +26,7 @@
     ignore_positions: false,
 };
 
-/// All faults at once, by chance.
+/// Runs random reads and writes with all kinds of faults at random.
 fn random_history(
     seed: u64,
     replicas: usize,
@@ -146,7 +146,7 @@
     simulation.advance(LEASE / 2);
     assert_eq!(
         simulation.released, 0,
-        "the dead one may still be taken for certain by others"
+        "the dead replica's lease may still be in effect"
     );
     simulation.advance(LEASE);
     assert_eq!(simulation.released, 1);
@@ -155,7 +155,7 @@
     assert_eq!(
         (simulation.certain_reads, simulation.strong_reads.len()),
         (0, 1),
-        "it may be alive elsewhere, and write"
+        "the replica may be alive behind a partition, and write"
     );
 }
 
@@ -190,14 +190,14 @@
 }
 
 #[test]
-fn a_write_released_while_its_owners_were_dead_is_replicated_when_they_are_back() {
+fn a_write_released_while_its_owners_were_dead_is_replicated_after_they_restart() {
     let mut simulation = certain_cluster(3, 0, true);
     simulation.kill(1);
     simulation.kill(2);
     (0..20).for_each(|session| simulation.write(0, session));
     simulation.advance(2 * LEASE);
     assert_eq!(simulation.released, 20);
-    // The writer dies too; its store has what they have not acknowledged.
+    // The writer is killed too. Its store has the writes that the owners have not acknowledged.
     simulation.kill(0);
     (0..3).for_each(|n| simulation.start(n));
     simulation.advance(2 * LEASE);
@@ -221,7 +221,10 @@
     simulation.advance(LEASE / 2);
     simulation.write(1, 1);
     simulation.advance(2 * LEASE);
-    assert_eq!(simulation.released, 1, "its lease is over");
+    assert_eq!(
+        simulation.released, 1,
+        "the paused replica's lease has ended"
+    );
     simulation.instances[0].paused = false;
     simulation.read(0, 1);
     assert_eq!(simulation.certain_reads, 0);
@@ -279,7 +282,7 @@
     assert_eq!(
         (uncertainty(&simulation, 0), uncertainty(&simulation, 1)),
         (None, None),
-        "they have run for long and vouch for their own writes at once"
+        "both have run for longer than the retention, so their histories are complete at once"
     );
 }
 
@@ -297,7 +300,7 @@
         "{:?}",
         simulation.strong_reads
     );
-    // Partitioned from all replicas its response is not released.
+    // The response is not released while the instance is partitioned from all replicas.
     simulation.partitions.extend([(3, 0), (3, 1), (3, 2)]);
     simulation.write(3, 5);
     simulation.advance(10 * LEASE);
@@ -305,7 +308,7 @@
 }
 
 #[test]
-fn a_failed_store_vouches_for_nothing() {
+fn a_failed_store_is_not_treated_as_complete() {
     let mut simulation = certain_cluster(2, 0, true);
     simulation.with(0, |sessions, now, outputs| {
         sessions.handle_store_failure(now, StoreFailure::SetAside, outputs)
@@ -316,14 +319,14 @@
     assert_eq!(
         (simulation.released, uncertainty(&simulation, 0)),
         (1, None),
-        "it goes on without a store"
+        "the instance continues without a store"
     );
     simulation.kill(0);
     simulation.start(0);
     simulation.advance(2 * LEASE);
     assert!(
         uncertainty(&simulation, 1).is_some(),
-        "its writes of before are not vouched for"
+        "the history of the restarted instance is not known to be complete"
     );
     let mut stuck = certain_cluster(2, 0, true);
     stuck.with(0, |sessions, now, outputs| {
@@ -333,7 +336,7 @@
     stuck.advance(3 * LEASE);
     assert_eq!(
         stuck.released, 0,
-        "a later incarnation would take that file for complete"
+        "a later incarnation would treat the file as complete"
     );
 }
 
@@ -357,7 +360,7 @@
 }
 
 #[test]
-fn a_late_message_of_an_earlier_incarnation_ends_no_lease() {
+fn a_delayed_message_of_an_earlier_incarnation_does_not_end_a_lease() {
     let mut simulation = certain_cluster(2, 0, true);
     simulation.partitions.extend([(0, 1), (1, 0)]);
     simulation.kill(0);
@@ -381,12 +384,12 @@
     simulation.advance(LEASE / 2);
     assert_eq!(
         simulation.released, 0,
-        "the later incarnation may hold a lease of this one's earlier incarnation"
+        "the replica's later incarnation may hold a lease of the writer's earlier incarnation"
     );
 }
 
 #[test]
-fn an_old_copy_of_a_store_is_detected_and_begins_anew() {
+fn an_old_copy_of_a_store_is_detected_and_reset() {
     let mut simulation = certain_cluster(2, 0, true);
     (0..20).for_each(|session| simulation.write(0, session));
     simulation.advance(50 * MS);
@@ -401,7 +404,7 @@
     assert_eq!(simulation.missed.len(), 0, "{:?}", simulation.missed);
     assert!(
         uncertainties.iter().all(Option::is_some),
-        "it lacks positions, and does not know which of its own are unacknowledged"
+        "the store lacks positions and records of unacknowledged writes"
     );
     simulation.advance(RETENTION);
     assert_eq!(
@@ -416,7 +419,8 @@
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed, 2, 2, seed % 2 == 0, RELIABLE);
         simulation.advance(RETENTION + SECOND);
-        // The replicas first, the new one after them, the forwarding instance at any time.
+        // The old replicas apply the change first, then the new one; the forwarding instance
+        // applies it at a random step.
         let mut changes = vec![
             (400, 0),
             (430, 1),
@@ -455,12 +459,12 @@
     }
     assert!(
         certain_after > 1_000,
-        "all are certain again: {certain_after}"
+        "too few reads were certain after the change: {certain_after}"
     );
 }
 
 #[test]
-fn a_reply_of_another_instance_than_the_queried_owner_ends_no_read() {
+fn a_reply_of_an_instance_that_was_not_queried_does_not_end_a_read() {
     let mut simulation = certain_cluster(3, 1, true);
     simulation.partitions.extend([(0, 3), (1, 3), (2, 3)]);
     simulation.read(3, 1);
@@ -493,6 +497,6 @@
             simulation.strong_reads.values().sum::<u64>()
         ),
         (0, 1),
-        "it is answered, once"
+        "the read is answered exactly once"
     );
 }
--- a/crates/stackgw-sessions/tests/model.rs
+++ b/crates/stackgw-sessions/tests/model.rs
@@ -1,6 +1,6 @@
-//! The protocol under a model checker: the state machines themselves, in every interleaving of
-//! messages that are delivered, duplicated or lost, of crashes, restarts, stores that sync or are
-//! lost, pauses and time, up to a bound.
+//! Runs the state machines under a model checker, which explores all interleavings of time,
+//! deadlines, delivered, duplicated and lost messages, crashes, restarts, and stores that sync or
+//! are lost, up to a bound.
 
 use stackgw_router::api::Time;
 use stackgw_sessions::*;
@@ -16,9 +16,9 @@
 
 const NO_READ_MISSES_A_WRITE: &str = "no read misses a released write";
 const A_READ_IS_CERTAIN: &str = "a read after a write is certain";
-const A_READ_AFTER_A_CRASH_IS_CERTAIN: &str = "and so is one after a crash";
+const A_READ_AFTER_A_CRASH_IS_CERTAIN: &str = "a read after a write and a crash is certain";
 
-/// What is explored.
+/// The bounds of the exploration.
 #[derive(Clone)]
 struct Bounds {
     nodes: usize,
@@ -28,10 +28,10 @@
     duplicates: u8,
     writes: u8,
     reads: u8,
-    /// A message arrives within so many ticks, or never.
+    /// Ticks within which a message arrives; it is lost otherwise.
     max_delay: Time,
     retention: Time,
-    /// The injected fault: records are reported as stored when they are not yet.
+    /// Injected fault: records are reported as stored before they are.
     acknowledges_early: bool,
 }
 
@@ -39,11 +39,11 @@
 struct Node {
     running: Option<Sessions>,
     incarnation: u64,
-    /// The incarnation that wrote to the store before.
+    /// The previous incarnation that wrote to the store.
     last_incarnation: u64,
     records: Vec<Record>,
     synced: usize,
-    /// Records of earlier incarnations.
+    /// Number of records of earlier incarnations.
     recovered: usize,
     unbroken_since: u64,
 }
@@ -64,9 +64,9 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Read {
-    /// Where it arrived.
+    /// The instance at which the read arrived.
     index: usize,
-    /// How many writes had been released by then.
+    /// How many writes had been released when the read arrived.
     released_before: usize,
 }
 
@@ -80,9 +80,9 @@
     duplicates: u8,
     writes: u8,
     reads: u8,
-    /// By request.
+    /// Indexed by request number.
     writes_made: Vec<Write>,
-    /// By request.
+    /// Indexed by request number.
     reads_made: Vec<Read>,
     released: usize,
     certain: bool,
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Instances that have run for long: the store of each says that no write is missing.
-    fn first(&self) -> Cluster {
+    /// A cluster that has run for long: each store has records that no write is missing.
+    fn initial_cluster(&self) -> Cluster {
         let replica_set =
             ReplicaSet::new((0..self.nodes).map(node_id), 2, &[LEASE, self.retention]);
         let complete = (0..self.nodes).map(|n| {
@@ -178,7 +178,8 @@
             missed: false,
         };
         (0..self.nodes).for_each(|n| self.start(&mut cluster, n));
-        // Leases of earlier incarnations are over, and they hold each other's leases.
+        // After this, leases of earlier incarnations have ended and the instances hold each other's
+        // leases.
         for _ in 0..6 {
             cluster.now += TICK;
             (0..self.nodes).for_each(|n| {
@@ -249,7 +250,7 @@
         }
     }
 
-    /// An instance is told that so many records of its store are stored.
+    /// Confirms to an instance that the first `records` records are in its store.
     fn confirm(&self, cluster: &mut Cluster, n: usize, records: usize) {
         let count = (records - cluster.nodes[n].recovered) as u64;
         self.with(cluster, n, |sessions, now, outputs| {
@@ -315,7 +316,7 @@
 }
 
 impl Node {
-    /// What was not synced is gone.
+    /// Stops the instance. Records that were not synced are lost.
     fn crash(&mut self) {
         self.running = None;
         self.records.truncate(self.synced);
@@ -344,7 +345,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<Cluster> {
-        vec![self.first()]
+        vec![self.initial_cluster()]
     }
 
     fn actions(&self, cluster: &Cluster, actions: &mut Vec<Action>) {
@@ -375,11 +376,11 @@
             if cluster.crashes < self.crashes {
                 actions.push(Action::Crash(n));
             }
-            // What is written and read is the same everywhere, so one of them writes.
+            // All writes have the same key and position, so it is enough that one instance writes.
             if cluster.writes < self.writes && n == 0 {
                 actions.push(Action::Write(n));
             }
-            // A read before any write was released shows nothing.
+            // A read before the first release of a write cannot violate the invariant.
             if cluster.reads < self.reads && cluster.released > 0 {
                 actions.push(Action::Read(n));
             }
@@ -454,14 +455,15 @@
     acknowledges_early: false,
 };
 
-/// Whether no read missed its write, in all of it or in as much as there was room for.
+/// Whether no read missed a released write, in all states or in up to about `max_states` of them.
 fn check(name: &str, bounds: Bounds, max_states: Option<usize>) -> bool {
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get().min(8));
     let mut builder = bounds.checker().threads(threads);
     if let Some(max_states) = max_states {
         builder = builder.target_state_count(max_states);
     }
-    // In breadth the shortest way to a fault is found; in depth far fewer states wait in memory.
+    // Breadth-first search finds the shortest path to a fault; depth-first search keeps far fewer
+    // pending states in memory.
     let checker: Box<dyn Checker<Bounds>> = match max_states {
         None => Box::new(builder.spawn_bfs().join()),
         Some(_) => Box::new(builder.spawn_dfs().join()),
@@ -472,9 +474,9 @@
         checker.unique_state_count(),
         checker.max_depth(),
         if max_states.is_none_or(|max_states| checker.state_count() < max_states) {
-            "all of it"
+            "exhaustive"
         } else {
-            "as far as memory allowed"
+            "stopped at the state limit"
         }
     );
     if let Some(path) = checker.discovery(NO_READ_MISSES_A_WRITE) {
@@ -484,7 +486,7 @@
     for property in [A_READ_IS_CERTAIN, A_READ_AFTER_A_CRASH_IS_CERTAIN] {
         assert!(
             checker.discovery(property).is_some(),
-            "{name}: never: {property}"
+            "{name}: not reached: {property}"
         );
     }
     true
@@ -507,11 +509,11 @@
     ));
 }
 
-/// Minutes; run by hand: `cargo test --release -p stackgw-sessions --test model -- --ignored
-/// --nocapture`.
+/// Takes minutes and is run by hand: `cargo test --release -p stackgw-sessions --test model --
+/// --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes"]
-fn as_far_as_feasible() {
+fn larger_bounds() {
     let max_states = Some(30_000_000);
     assert!(check(
         "two, more time and a lost store",
--- a/crates/stackgw-sessions/tests/positions.rs
+++ b/crates/stackgw-sessions/tests/positions.rs
@@ -1,4 +1,4 @@
-//! The bounds of session positions: none is forgotten before its retention ends, whatever is added.
+//! Session positions are limited in number, but none is lost before its retention ends.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -6,7 +6,7 @@
 
 const RETENTION: i64 = 1_000;
 
-/// Sessions far apart, so that some share a bucket and most don't.
+/// Keys that are spread out, so that some sessions share a bucket and most do not.
 fn key(n: u64) -> SessionKey {
     SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
@@ -15,7 +15,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_session_is_given_its_position_or_a_later_one(max_positions in 1..40usize, steps in prop::collection::vec((0..60u64, 0..100i64, 0..80i64), 1..300)) {
+    fn lookups_return_the_added_position_or_a_later_one(max_positions in 1..40usize, steps in prop::collection::vec((0..60u64, 0..100i64, 0..80i64), 1..300)) {
         let mut positions = SessionPositions::new(max_positions, RETENTION);
         let (mut now, mut added) = (0, Vec::new());
         for (session, position, span) in steps {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn memory_stays_bounded_when_a_session_writes_all_the_time() {
+fn memory_stays_bounded_when_sessions_write_continuously() {
     let mut positions = SessionPositions::new(100, RETENTION);
     for now in 0..100_000 {
         positions.add(now / 1_000, key(now as u64 % 7), now);
--- a/crates/stackgw-sessions/tests/stored_and_sent.rs
+++ b/crates/stackgw-sessions/tests/stored_and_sent.rs
@@ -1,11 +1,10 @@
-//! What other versions of this program send and have stored stays readable: bytes of each message,
-//! hashes that stand in messages and in stores, and what each kind of record comes to when it is
-//! read back.
+//! Compatibility with the messages and stores of other versions: the encoding of each message, the
+//! hashes that messages and stores contain, and the state recovered from each kind of record.
 
 use stackgw_router::api::SECOND;
 use stackgw_sessions::*;
 
-/// One line a message: a name and its bytes in hexadecimal digits.
+/// One line per message: its name and its bytes in hexadecimal digits.
 const MESSAGES: &str = include_str!("fixtures/messages.hex");
 
 const TO: Peer = Peer {
@@ -150,13 +149,13 @@
 }
 
 #[test]
-fn hashes_of_names_sessions_and_replica_sets_stay() {
+fn hashes_of_names_sessions_and_replica_sets_are_stable() {
     let nodes = ["g0", "g1", "g2"].map(NodeId::of);
     assert_eq!(nodes.map(|node| node.0), [NODES[0], NODES[1], NODES[2]]);
     assert_eq!(SessionKey::of(2, "7f3a9c21e0b4d655").0, SESSION);
     let replica_set = ReplicaSet::new(nodes, 2, &[800_000_000, 60 * SECOND]);
     assert_eq!(replica_set.digest(), REPLICA_SET);
-    let place = |node: NodeId| {
+    let index_of = |node: NodeId| {
         nodes
             .iter()
             .position(|known| *known == node)
@@ -165,14 +164,14 @@
     let owners = |n| {
         replica_set
             .owners(SessionKey(n))
-            .map(place)
+            .map(index_of)
             .collect::<Vec<_>>()
     };
     let owners: Vec<_> = (0..6).map(owners).collect();
     assert_eq!(owners, OWNERS.map(|owners| owners.to_vec()));
 }
 
-/// The ids of `g0`, `g1` and `g2`.
+/// The IDs of `g0`, `g1` and `g2`.
 const NODES: [u64; 3] = [
     4_795_034_760_179_464_576,
     17_976_738_094_164_826_054,
@@ -180,7 +179,7 @@
 ];
 const SESSION: u64 = 12_907_638_285_093_708_163;
 const REPLICA_SET: u64 = 16_563_709_622_201_792_816;
-/// Of sessions 0 to 5, by place among the three.
+/// The owners of sessions 0 to 5, as indices into the three instances.
 const OWNERS: [[usize; 2]; 6] = [[2, 1], [1, 0], [2, 1], [1, 2], [0, 2], [2, 0]];
 
 fn peer(node: u64, incarnation: u64) -> Peer {
@@ -190,7 +189,7 @@
     }
 }
 
-/// A record of each kind but that of an invalidation.
+/// The state recovered from records of each kind except [`Record::Invalidated`].
 fn recovered() -> Recovered {
     let records = [
         Record::ReplicaSet(5),
@@ -215,7 +214,7 @@
 }
 
 #[test]
-fn records_of_each_kind_come_back_as_what_they_say() {
+fn records_of_each_kind_are_recovered() {
     let store_version = StoreVersion {
         records: 309,
         ..VERSION
@@ -233,21 +232,21 @@
 }
 
 #[test]
-fn an_invalidated_store_begins_anew_and_another_replica_set_is_counted() {
+fn an_invalidated_store_is_reset_and_counts_a_new_replica_set_record() {
     let mut store = recovered();
-    let begun = StoreVersion {
+    let new_version = StoreVersion {
         store_id: 9,
         records: 0,
         last_incarnation: 0,
     };
-    store.apply(Record::Invalidated(begun, 10));
-    let begun = StoreVersion {
+    store.apply(Record::Invalidated(new_version, 10));
+    let new_version = StoreVersion {
         last_incarnation: VERSION.last_incarnation,
-        ..begun
+        ..new_version
     };
     let expected = Recovered {
         unbroken_since: 10,
-        store_version: begun,
+        store_version: new_version,
         complete_peers: Vec::new(),
         ..recovered()
     };
@@ -255,7 +254,7 @@
     store.apply(Record::ReplicaSet(6));
     let store_version = StoreVersion {
         records: 1,
-        ..begun
+        ..new_version
     };
     let expected = Recovered {
         replica_set: Some(6),
