--- a/crates/stackgw-sessions/src/message.rs
+++ b/crates/stackgw-sessions/src/message.rs
@@ -121,9 +121,9 @@
 /// Why bytes are not a message between instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DecodeError {
-    /// There are more than [`MAX_MESSAGE_BYTES`].
+    /// There are more than [`MAX_MESSAGE_BYTES`] bytes.
     TooLong,
-    /// They do not encode a message.
+    /// The bytes do not encode a message.
     Malformed,
     /// More bytes follow the message.
     TrailingBytes,
--- a/crates/stackgw-sessions/src/peer_replication.rs
+++ b/crates/stackgw-sessions/src/peer_replication.rs
@@ -64,9 +64,9 @@
             return Freshness::Outdated;
         }
         if incarnation > self.peer.incarnation {
-            // The lease stays in effect until `earlier_leases_until`, because an earlier
-            // incarnation of this instance may have granted a lease to this incarnation of the
-            // replica rather than to the last known one.
+            // The lease is shortened to `earlier_leases_until` rather than ended, because an
+            // earlier incarnation of this instance may have granted a lease to this incarnation of
+            // the replica rather than to the last known one.
             self.peer.incarnation = incarnation;
             self.lease_until = self.lease_until.min(earlier_leases_until);
         }
--- a/crates/stackgw-sessions/src/uncertainty.rs
+++ b/crates/stackgw-sessions/src/uncertainty.rs
@@ -1,4 +1,4 @@
-//! Why an instance cannot know which position a session has to see.
+//! Why an instance cannot know which position a session must see.
 
 use crate::identity::NodeId;
 
