--- a/crates/stackgw-bootstrap/src/bootstrap.rs
+++ b/crates/stackgw-bootstrap/src/bootstrap.rs
@@ -1,5 +1,5 @@
-//! One instance, from knowing nothing on: routes messages, watch events and timeouts to the parts that decide, and tells the
-//! caller what to do. The rules of the watch and of the exchange with peers are in the modules below.
+//! The state machine of one instance: routes messages, watch events and timeouts to the modules that handle them, and returns
+//! outputs to the caller. The rules of the watch and of the exchange with peers are in the submodules.
 
 mod peers;
 mod watch;
@@ -22,19 +22,19 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// One instance's way to the endpoint list.
+/// Obtains the endpoint list for one instance and keeps it up to date.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bootstrap {
     settings: BootstrapSettings,
     cache: EndpointCache,
-    /// `None`: there is no cluster.
+    /// `None` if there is no cluster.
     leaders: Option<WatchLeaders>,
     watch: ServiceWatch,
     poller: LeaderPoller,
     sender: SnapshotSender,
     contact: PeerContact,
     readiness: Readiness,
-    /// When the list was last handed out to be stored; `None`: never, or it has changed since.
+    /// When the list was last output to be stored; `None` if it never was, or has changed since.
     persisted_at: Option<Time>,
     warm_throughput: WarmThroughput,
     observations: Observations,
@@ -42,7 +42,7 @@
 }
 
 impl Bootstrap {
-    /// An instance that starts now, with the list that its disk has.
+    /// Creates an instance that starts now, with the list stored on its disk, if any.
     pub fn new(
         now: Time,
         settings: BootstrapSettings,
@@ -113,7 +113,7 @@
         self.counters
     }
 
-    /// The instances that should watch the list service, as seen from here.
+    /// The instances that should watch the list service, as this instance sees them.
     pub fn watch_leaders(&self) -> Vec<SocketAddr> {
         self.leaders
             .iter()
@@ -121,17 +121,17 @@
             .collect()
     }
 
-    /// Whether this instance has a watch on which it hears the list service.
+    /// Whether this instance has an open watch that has received a list.
     pub fn is_watch_live(&self) -> bool {
         self.watch.is_live()
     }
 
-    /// Whether the list may be routed by: there is one, and a better one is no longer waited for.
+    /// Whether the list may be used for routing: there is one, and it is confirmed or the wait for a confirmed one has ended.
     pub fn is_ready(&self, now: Time) -> bool {
         self.readiness.is_ready(now, self.cache.origin())
     }
 
-    /// For how long a client that comes now had better stay away, while this instance is not ready.
+    /// How long a client should wait before it retries, while this instance is not ready.
     pub fn retry_after(&self, now: Time) -> Span {
         let polled_at = self.watch.scheduled_at().unwrap_or(now) + self.poller.interval();
         let ready_at = match self.cache.origin() {
@@ -141,12 +141,12 @@
         (ready_at - now).max(self.settings.poll_rate.min_pause)
     }
 
-    /// Takes over how many requests a second a warm member answers this instance, by the router's measurements.
+    /// Sets how many requests per second a warm member answers this instance, as measured by the router.
     pub fn set_warm_throughput(&mut self, throughput: f64) {
         self.warm_throughput.set_measured(throughput);
     }
 
-    /// Takes over what answers have shown here of members, to be sent to peers.
+    /// Records observations of members from answers to this instance, to be sent to peers.
     pub fn record_observations(
         &mut self,
         now: Time,
@@ -160,7 +160,7 @@
 
     // Timeouts.
 
-    /// When [`Bootstrap::handle_timeout`] is to be called next; it may be called earlier.
+    /// When [`Bootstrap::handle_timeout`] must be called next; it may be called earlier.
     pub fn next_timeout(&self, now: Time) -> Time {
         let service_lost_at = self.contact.lost_at(self.readiness.started_at());
         let watch = self.watch.next_timeout().unwrap_or(service_lost_at);
@@ -172,7 +172,7 @@
         watch.max(now + MS).min(readiness).min(poll.max(now + MS))
     }
 
-    /// Does what is due by now.
+    /// Handles all timeouts that are due.
     pub fn handle_timeout(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.watch.has_timed_out(now) {
             out.push(Output::CloseWatch);
@@ -189,7 +189,7 @@
 
     // Inputs from the cluster and the operator.
 
-    /// Takes over which peers are live by the cluster's membership.
+    /// Sets the peers that are live according to the cluster's membership.
     pub fn update_membership(
         &mut self,
         now: Time,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Takes over other seeds, and perhaps another list service.
+    /// Applies new seeds, and a change of the list service if there is one.
     pub fn reload(&mut self, now: Time, reload: Reload<'_>, out: &mut Vec<Output>) {
         if let Some(leaders) = self.leaders.as_mut() {
             leaders.set_seeds(reload.seeds.iter().copied());
@@ -219,7 +219,7 @@
         self.update_watch(now, out);
     }
 
-    /// Handles a message of a peer.
+    /// Handles a message from a peer.
     pub fn handle_message(&mut self, now: Time, message: Message, out: &mut Vec<Output>) {
         match message {
             Message::Poll(poll) if poll.service_id == self.settings.service_id => {
--- a/crates/stackgw-bootstrap/src/bootstrap/peers.rs
+++ b/crates/stackgw-bootstrap/src/bootstrap/peers.rs
@@ -1,4 +1,4 @@
-//! The exchange of the list with peers: polls to the leaders, answers, pushes of changes, and snapshots that are merged.
+//! Exchange of the list with peers: polls of the leaders, answers to polls, pushes of changes, and merging of snapshots.
 
 use super::Bootstrap;
 use crate::endpoint::EndpointUpdate;
@@ -9,9 +9,9 @@
 use crate::watch_leaders::WatchLeaders;
 use stackgw_router::api::{Span, Time, MS};
 
-/// A peer's claim of an age or a Retry-After counts for no more than this, in milliseconds.
-const MAX_CLAIMED_MS: u64 = 1_000_000_000;
-/// Snapshots carry the throughput of a warm member in requests in so many seconds.
+/// Ages and retry-after times received from peers are limited to this, in milliseconds.
+const MAX_RECEIVED_MS: u64 = 1_000_000_000;
+/// Snapshots carry the throughput of a warm member in requests per this many seconds.
 const THROUGHPUT_SCALE: f64 = 1_000.0;
 
 impl Bootstrap {
@@ -55,7 +55,7 @@
         out.extend(answer.into_iter().map(send));
     }
 
-    /// Sends all peers what has changed since a version, and those that wait for the list all of it.
+    /// Sends the changes since `previous_revision` to all peers, and the complete list to peers that wait for it.
     pub(super) fn push_changes(
         &mut self,
         now: Time,
@@ -77,7 +77,7 @@
         out.extend(datagrams.into_iter().map(send));
     }
 
-    /// What this instance knows, without the list's entries; `None`: there is no cluster to send it to.
+    /// A snapshot of what this instance knows, without the list's entries; `None` if there is no cluster.
     fn snapshot_header(&mut self, now: Time, nonce: u32) -> Option<EndpointSnapshot> {
         let observations = self
             .observations
@@ -114,7 +114,7 @@
         }
         if snapshot.retry_after_ms > 0 {
             self.watch
-                .postpone(now, claimed_span(snapshot.retry_after_ms));
+                .postpone(now, received_span(snapshot.retry_after_ms));
         }
         if let Some(snapshot) = self.poller.handle_snapshot(now, snapshot) {
             self.merge_snapshot(now, snapshot, out);
@@ -132,7 +132,7 @@
         self.update_watch(now, out);
     }
 
-    /// Merges a snapshot of a list of this version, or, where it leaves its entries out, polls for them.
+    /// Merges a snapshot of the list at version `revision`, or polls for the entries if the snapshot has none.
     fn merge_revision(
         &mut self,
         now: Time,
@@ -140,7 +140,7 @@
         snapshot: EndpointSnapshot,
         out: &mut Vec<Output>,
     ) {
-        let confirmed_at = now - claimed_span(snapshot.confirmed_ago_ms);
+        let confirmed_at = now - received_span(snapshot.confirmed_ago_ms);
         let is_fresh = !snapshot.is_cached && now - confirmed_at < self.settings.watch_timeout;
         if is_fresh && Some(revision) >= self.cache.revision() {
             self.contact.record(now, snapshot.is_live);
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Polls at once for a newer version that could not be taken from the snapshot that named it.
+    /// Polls at once for a version that is newer than the cache and whose entries were not in the snapshot.
     fn poll_for_newer(&mut self, now: Time, revision: u64, is_fresh: bool) {
         if is_fresh && Some(revision) > self.cache.revision() {
             self.poller.expedite(now);
@@ -180,7 +180,7 @@
     }
 }
 
-/// A span that a peer claims, within limits.
-fn claimed_span(ms: u64) -> Span {
-    MS.saturating_mul(ms.min(MAX_CLAIMED_MS) as Span)
+/// Converts a time span received from a peer, limited to [`MAX_RECEIVED_MS`].
+fn received_span(ms: u64) -> Span {
+    MS.saturating_mul(ms.min(MAX_RECEIVED_MS) as Span)
 }
--- a/crates/stackgw-bootstrap/src/bootstrap/watch.rs
+++ b/crates/stackgw-bootstrap/src/bootstrap/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the list service: whether it is wanted, and what it brings.
+//! The watch of the list service: whether this instance needs one, and handling of its events.
 
 use super::Bootstrap;
 use crate::endpoint::EndpointUpdate;
@@ -8,11 +8,11 @@
 use crate::update_source::UpdateSource;
 use stackgw_router::api::{Span, Time, SECOND};
 
-/// A list that is still confirmed is stored anew this often.
+/// Interval at which an unchanged list is stored again, with the time of its latest confirmation.
 const PERSIST_INTERVAL: Span = 5 * SECOND;
 
 impl Bootstrap {
-    /// Opens, schedules or releases the watch, as it is wanted now.
+    /// Opens, schedules or releases the watch according to [`Bootstrap::wanted_watch`].
     pub(super) fn update_watch(&mut self, now: Time, out: &mut Vec<Output>) {
         let wanted = self.wanted_watch(now);
         match self
@@ -34,7 +34,7 @@
         }
     }
 
-    /// For whom this instance should watch the service; `None`: others do.
+    /// The scope in which this instance should watch the service; `None` if other instances do.
     fn wanted_watch(&self, now: Time) -> Option<WatchScope> {
         let is_leader = self.leaders.as_ref().is_none_or(|leaders| {
             leaders.is_leader() && (leaders.is_seed() || self.readiness.has_settled(now))
@@ -42,12 +42,12 @@
         if is_leader {
             return Some(WatchScope::Fleet);
         }
-        // No peer has heard the service for too long: whoever wants the list polls it for itself.
+        // No peer has had contact with the service for too long, so each instance polls it for itself.
         let is_service_lost = now >= self.contact.lost_at(self.readiness.started_at());
         is_service_lost.then_some(WatchScope::Standalone)
     }
 
-    /// The watch has brought a list, or changes of it.
+    /// Handles a complete list or changes received on the watch.
     pub fn handle_watch_update(
         &mut self,
         now: Time,
@@ -63,7 +63,7 @@
         if became_live {
             out.push(Output::Log(LogEvent::WatchEstablished(self.watch.scope())));
         }
-        // That the service is back is news to peers too, even where it brings nothing new.
+        // Peers need to know that the service is reachable again, even if the list is unchanged.
         if became_live
             || matches!(
                 outcome,
@@ -99,7 +99,7 @@
         outcome
     }
 
-    /// The watch has brought a sign of life without changes.
+    /// Handles a heartbeat on the watch, which carries no changes.
     pub fn handle_watch_heartbeat(&mut self, now: Time, out: &mut Vec<Output>) {
         self.watch.record_contact(now);
         if self.watch.is_live() {
@@ -108,8 +108,8 @@
         }
     }
 
-    /// The watch has ended, or could not be opened. `retry_after`: the service is overloaded and asks not to be polled for so
-    /// long.
+    /// Handles a watch that has ended or could not be opened. `retry_after` is set if the service is overloaded, and is the
+    /// time for which it must not be polled.
     pub fn handle_watch_lost(
         &mut self,
         now: Time,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Hands the list on to whoever routes by it, and to the disk.
+    /// Outputs a changed list to the router, and to the disk if it is due to be stored.
     pub(super) fn publish(&mut self, now: Time, outcome: MergeOutcome, out: &mut Vec<Output>) {
         if !matches!(outcome, MergeOutcome::Unchanged | MergeOutcome::Stale) {
             out.push(Output::Endpoints(outcome));
--- a/crates/stackgw-bootstrap/src/connection_pacer.rs
+++ b/crates/stackgw-bootstrap/src/connection_pacer.rs
@@ -1,13 +1,13 @@
-//! Paces connections to members that are warming up: which instance may open one when.
+//! Paces connections to members that are warming up: determines when each instance may open one.
 //!
-//! A handshake costs a member as much as several requests, and hundreds of instances that start together, or that lose a
-//! member together, all want one at once: the member then does nothing but handshakes, and one that is cold falls over. The
-//! rate of new connections that a member can take from all instances together grows as it warms up. An instance's place in
-//! that is its number, jittered within its own part. Each member of a group begins elsewhere in the order of instances, so
-//! that everybody has its first connection to some member early, and each member is connected to evenly from the first moment
-//! on.
+//! A handshake costs a member as much as several requests. Hundreds of instances that start together, or lose a member
+//! together, all need a connection at once: the member then does nothing but handshakes, and a cold member collapses under
+//! this load. The rate of new connections that a member can accept from all instances together grows as it warms up. Instances
+//! connect in the order of their numbers, each at a random position within its own slot. For each member of a group the order
+//! begins at a different instance, so that every instance has its first connection to some member early, and each member
+//! receives connections evenly from the beginning.
 //!
-//! A member that is warm is not paced: whoever has requests for it connects.
+//! Connections to a warm member are not paced: an instance that has requests for it connects at once.
 
 use crate::endpoint::StartTime;
 use rand::{RngExt, SeedableRng};
@@ -16,60 +16,60 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Sets the random numbers apart from those that other parts of an instance draw from the same seed.
+/// Makes the random numbers differ from those that other parts of an instance generate from the same seed.
 const SEED_SALT: u64 = 0xdea1;
-/// A smaller rate is read as this, in new connections a second.
+/// Lower bound of [`PacerConfig::connection_rate`], in new connections per second.
 const MIN_CONNECTION_RATE: f64 = 0.01;
-/// A smaller capacity of a cold member is read as this share.
+/// Lower bound of [`PacerConfig::cold_capacity_share`].
 const MIN_COLD_CAPACITY_SHARE: f64 = 0.01;
-/// Each handshake in a row that fails doubles the pause before the next, so often at most.
+/// Each consecutive failed handshake doubles the pause before the next one, at most this many times.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// What the pace of connections follows from.
+/// Parameters from which the pace of connections is computed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PacerConfig {
-    /// This instance's number in the fleet, from 0 on.
+    /// This instance's number in the fleet, starting at 0.
     pub instance_number: u32,
     /// The number of instances.
     pub fleet_size: u32,
-    /// New connections a second that a member which has just started can take from all instances together.
+    /// New connections per second that a member which has just started can accept from all instances together.
     pub connection_rate: f64,
-    /// The share of its capacity that it has then ...
+    /// The share of its warm capacity that a member has when it has just started.
     pub cold_capacity_share: f64,
-    /// ... and from which it grows evenly to all of it in this time.
+    /// The time in which a member's capacity grows linearly from the cold share to full capacity.
     pub warm_up_time: Span,
 }
 
-/// A member as the endpoint list has it.
+/// A member as it appears in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ListedMember<'a> {
-    /// Its number at this instance.
+    /// The member's number at this instance.
     pub id: MemberId,
-    /// Its name, the same at every instance.
+    /// The member's name, the same at every instance.
     pub name: &'a str,
-    /// Its group.
+    /// The member's group.
     pub group: GroupId,
-    /// When its process started.
+    /// When the member's process started.
     pub start_time: StartTime,
 }
 
-/// One member that may be cold.
+/// Pacing state of one member that may be cold.
 #[derive(Debug, Clone, PartialEq)]
 struct MemberPacing {
     group: GroupId,
     name_hash: u64,
-    /// As the list has it.
+    /// The start time in the list.
     start_time: StartTime,
-    /// When it started, for all that is known: when it was listed, if the list does not say.
+    /// The start time if it is known, otherwise the time at which this instance first saw the entry.
     assumed_start: Time,
     next_connection_at: Time,
-    /// Handshakes in a row that have failed.
+    /// Consecutive failed handshakes.
     failures: u32,
-    /// When it was listed, until the first connection is attempted.
+    /// When this instance first saw the entry; `None` after the first connection attempt.
     listed_at: Option<Time>,
 }
 
-/// The connections of one instance to members that are warming up.
+/// Paces the connections of one instance to members that are warming up.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConnectionPacer {
     config: PacerConfig,
@@ -79,7 +79,7 @@
 }
 
 impl ConnectionPacer {
-    /// The pacer of an instance that knows no member yet.
+    /// Creates a pacer without members.
     pub fn new(config: PacerConfig, seed: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT);
         ConnectionPacer {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// New connections a second that a member of this age can take.
+    /// New connections per second that a member of this age can accept.
     fn rate_at_age(&self, age: Span) -> f64 {
         let warmth = (age as f64 / self.config.warm_up_time.max(1) as f64).clamp(0.0, 1.0);
         let warm_multiple = 1.0
@@ -102,10 +102,10 @@
             * (1.0 + (warm_multiple - 1.0) * warmth)
     }
 
-    /// When a member that started at `started_at` will have taken so many connections from now on.
+    /// When a member that started at `started_at` will have accepted `count` further connections.
     fn time_of_connection(&self, now: Time, started_at: Time, count: f64) -> Time {
         let age = now - started_at;
-        // While it warms up its rate grows evenly: with a rate r and a growth g, count = r t + g t t / 2.
+        // During the warm-up the rate grows linearly: with the current rate r and its growth g, count = r t + g t t / 2.
         let rate = self.rate_at_age(age);
         let warming = (self.config.warm_up_time - age).max(0) as f64 / SECOND as f64;
         let warm_rate = self.rate_at_age(self.config.warm_up_time);
@@ -123,8 +123,8 @@
         now + (seconds * SECOND as f64) as Span
     }
 
-    /// Takes over a member as the list has it now. [`ConnectionPacer::schedule_new_members`] has to follow once all members of
-    /// the list have been taken over.
+    /// Adds or updates a member from the endpoint list. [`ConnectionPacer::schedule_new_members`] must be called after all
+    /// members of the list have been updated.
     pub fn update_member(&mut self, now: Time, member: ListedMember<'_>) {
         let assumed_start = match member.start_time {
             StartTime::LongAgo => return self.remove_member(member.id),
@@ -147,21 +147,21 @@
         self.members.insert(member.id, pacing);
     }
 
-    /// Gives each member that was listed in this moment its first connection's time, by its rank among its group's members.
+    /// Schedules the first connection to each member that was added at `now`, by the member's rank within its group.
     pub fn schedule_new_members(&mut self, now: Time) {
         let fleet_size = f64::from(self.config.fleet_size.max(1));
-        let own_place =
+        let own_position =
             (f64::from(self.config.instance_number) + self.rng.random::<f64>()) / fleet_size;
         for members in self.ranked_groups().into_values() {
             let count = members.len() as f64;
             for (rank, id) in members.into_iter().enumerate() {
-                let place = (own_place + rank as f64 / count).fract();
-                self.schedule_new_member(now, id, place * fleet_size);
+                let position = (own_position + rank as f64 / count).fract();
+                self.schedule_new_member(now, id, position * fleet_size);
             }
         }
     }
 
-    /// The paced members of each group in an order that is the same at every instance.
+    /// The paced members of each group, in an order that is the same at every instance.
     fn ranked_groups(&self) -> BTreeMap<GroupId, Vec<MemberId>> {
         let members = self.members.iter();
         let mut ranked: Vec<_> = members
@@ -194,14 +194,14 @@
         self.members.keys().copied()
     }
 
-    /// From when on this instance may open a connection to a member; `None`: it is warm, and any moment will do.
+    /// The time from which this instance may open a connection to a member; `None` if connections to it are not paced.
     pub fn next_connection_at(&self, now: Time, member: MemberId) -> Option<Time> {
         let pacing = self.members.get(&member)?;
         let is_warming_up = now - pacing.assumed_start < self.config.warm_up_time;
         is_warming_up.then_some(pacing.next_connection_at)
     }
 
-    /// A connection is being opened: the next one has to wait.
+    /// Records a connection attempt and schedules the next one.
     pub fn record_attempt(&mut self, now: Time, member: MemberId) {
         let Some(pacing) = self.members.get(&member) else {
             return;
@@ -216,7 +216,7 @@
         });
     }
 
-    /// A handshake has failed or was late.
+    /// Records a handshake that has failed or timed out.
     pub fn record_failure(&mut self, now: Time, member: MemberId) {
         if let Some(pacing) = self.members.get_mut(&member) {
             pacing.failures = pacing.failures.saturating_add(1);
@@ -224,24 +224,24 @@
         }
     }
 
-    /// A connection has come up.
+    /// Records a successful handshake.
     pub fn record_success(&mut self, member: MemberId) {
         self.members
             .entry(member)
             .and_modify(|pacing| pacing.failures = 0);
     }
 
-    /// A connection would have been opened before its time.
+    /// Records that a connection was deferred because its scheduled time had not come.
     pub fn record_deferral(&mut self) {
         self.deferrals += 1;
     }
 
-    /// How often a connection would have been opened before its time.
+    /// The number of deferred connections.
     pub fn deferrals(&self) -> u64 {
         self.deferrals
     }
 
-    /// Drops a member.
+    /// Removes a member.
     pub fn remove_member(&mut self, member: MemberId) {
         self.members.remove(&member);
     }
--- a/crates/stackgw-bootstrap/src/endpoint.rs
+++ b/crates/stackgw-bootstrap/src/endpoint.rs
@@ -1,14 +1,14 @@
-//! The entries of the endpoint list, in the form in which the list service sends them and instances store them.
+//! The entries of the endpoint list, in the format in which the list service sends them and instances store them.
 
 use serde::{Deserialize, Serialize};
 use stackgw_router::api::{Lifecycle, Time, MS};
 use std::net::SocketAddr;
 
-/// The `up_since_ms` of a process that has been up for long.
+/// The `up_since_ms` of a process that started long ago.
 const UP_FOR_LONG: i64 = 0;
-/// Unix times in milliseconds are below this (the year 2223), which leaves room for sums of them in nanoseconds.
+/// Exclusive upper bound of Unix times in milliseconds (the year 2223); leaves room for adding spans to them in nanoseconds.
 pub const MAX_UNIX_MS: i64 = 8_000_000_000_000;
-/// The `up_since_ms` of a process whose start is not known. All numbers below 0 and beyond all times are read as this.
+/// The `up_since_ms` of a process whose start is not known. All values below 0, and from [`MAX_UNIX_MS`] on, mean the same.
 pub(crate) const UP_SINCE_UNKNOWN: i64 = -1;
 
 /// One entry of the endpoint list: a member and where to reach it.
@@ -16,31 +16,31 @@
 pub struct Endpoint {
     /// The member's name, the same at every gateway.
     pub id: String,
-    /// Where this gateway reaches it.
+    /// The address at which this gateway reaches the member.
     pub address: SocketAddr,
-    /// Its zone's name.
+    /// The name of the member's zone.
     pub locality: String,
-    /// The number of its replication group.
+    /// The number of the member's replication group.
     pub cell: u32,
-    /// The state of its process, as the list has it.
+    /// The lifecycle phase of the member's process, according to the list.
     #[serde(with = "phase")]
     pub phase: Lifecycle,
-    /// Its weight.
+    /// The member's weight.
     pub size: f64,
-    /// When its process last started, in Unix milliseconds; see [`Endpoint::start_time`] for 0 and numbers below 0.
+    /// When the member's process last started, in Unix milliseconds; see [`Endpoint::start_time`] for 0 and negative values.
     pub up_since_ms: i64,
-    /// The list names it as the primary of its group.
+    /// Whether the list names the member as the primary of its group.
     pub leader: bool,
 }
 
 /// When a member's process last started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartTime {
-    /// So long ago that it has warmed up.
+    /// Long enough ago that the member is warm.
     LongAgo,
-    /// At this moment.
+    /// At this time.
     At(Time),
-    /// Nobody knows.
+    /// The start time is not known.
     Unknown,
 }
 
@@ -60,13 +60,13 @@
 pub struct EndpointUpdate {
     /// The list's version.
     pub revision: u64,
-    /// Whether these are all entries, not just those that have changed.
+    /// Whether the update has all entries, not only those that have changed.
     pub complete: bool,
     /// The entries.
     pub members: Vec<Endpoint>,
 }
 
-/// The stored and sent form of [`Lifecycle`]: a number.
+/// The format of [`Lifecycle`] in stored lists and messages: a number.
 mod phase {
     use serde::{de::Error, Deserialize, Deserializer, Serializer};
     use stackgw_router::api::Lifecycle;
@@ -93,7 +93,7 @@
             SERVING => Ok(Lifecycle::Serving),
             DRAINING => Ok(Lifecycle::Draining),
             REMOVED => Ok(Lifecycle::Removed),
-            other => Err(D::Error::custom(format!("{other} is no phase"))),
+            other => Err(D::Error::custom(format!("{other} is not a valid phase"))),
         }
     }
 }
--- a/crates/stackgw-bootstrap/src/endpoint_cache.rs
+++ b/crates/stackgw-bootstrap/src/endpoint_cache.rs
@@ -2,66 +2,67 @@
 //!
 //! | source | accepted when | trusted for |
 //! | --- | --- | --- |
-//! | the list service | it is no older than the cache | everything |
-//! | a peer that has heard the service lately | it is newer than the cache, or the cache holds a cached list | everything |
-//! | a cached list: the disk's, the platform's, or that of a peer which has lost the service | the cache is empty | members to try; no primary, nobody warm |
-//! | any that is older than the cache | never | nothing: drains that were announced since still bind |
+//! | the list service | it is not older than the cache | everything |
+//! | a peer with recent contact to the service | it is newer than the cache, or the cache holds a cached list | everything |
+//! | a cached list: from the disk, the platform, or a peer without contact to the service | the cache is empty | members to try; none is assumed primary or warm |
+//! | any source, with a list older than the cache | never | nothing: drains announced since stay in effect |
 //!
-//! There is one exception to the last line: a service that sends an older list alone for long has lost its state and counts
-//! its versions anew. Drains that it announced before bind until those members are known to have started again.
+//! There is one exception to the last row: a service that sends only an older list for a long time has lost its state and
+//! restarted its version numbers. Drains that it announced before stay in effect until those members are known to have
+//! started again.
 //!
-//! This module knows nothing of polls, watches or messages.
+//! This module is independent of polls, watches and messages.
 
 use crate::endpoint::{Endpoint, EndpointUpdate, StartTime, UP_SINCE_UNKNOWN};
 use crate::update_source::{Origin, UpdateSource};
 use stackgw_router::api::{Lifecycle, Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What became of an update.
+/// The result of merging an update.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MergeOutcome {
-    /// The complete list is to be taken anew; members that are missing in it are removed.
+    /// The complete list, which replaces the previous one; members that are missing from it are removed.
     Complete(Vec<Endpoint>),
-    /// The complete list, but from a cached copy: nobody in it is known to be a primary or to be warm.
+    /// The complete list, but from a cached copy: no member of it is known to be a primary or to be warm.
     Cached(Vec<Endpoint>),
     /// These entries have changed.
     Changed(Vec<Endpoint>),
-    /// The cache had all of it.
+    /// The update had no changes.
     Unchanged,
-    /// It is older than the cache, or cannot be applied to it, and was ignored.
+    /// The update is older than the cache, or cannot be applied to it, and was ignored.
     Stale,
 }
 
-/// What has changed since a version.
+/// The changes since a version, or the complete list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointDelta {
-    /// The version since which these are the changes; `None`: they are the complete list.
+    /// The entries are the changes since this version; `None`: they are the complete list.
     pub base: Option<u64>,
     /// The entries.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// When a member was announced to drain or to be removed.
+/// Records when a member was announced as draining or removed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct DrainMark {
     /// The version that announced it.
     revision: u64,
-    /// When this instance learned it.
-    noted_at: Time,
+    /// When this instance learned of it.
+    learned_at: Time,
 }
 
 impl DrainMark {
     /// Whether a version that lists the member as serving ends the drain: it is newer, or the member has started since.
     fn is_ended_by(&self, endpoint: &Endpoint, revision: u64) -> bool {
         revision > self.revision
-            || matches!(endpoint.start_time(), StartTime::At(started_at) if started_at > self.noted_at)
+            || matches!(endpoint.start_time(), StartTime::At(started_at) if started_at > self.learned_at)
     }
 }
 
 #[derive(Debug, Clone, PartialEq)]
 struct CacheEntry {
     endpoint: Endpoint,
-    /// The version that brought it.
+    /// The version of the last update that set this entry.
     revision: u64,
     drain: Option<DrainMark>,
 }
@@ -74,82 +75,82 @@
     origin: Origin,
     /// When the service last confirmed the list, as far as is known.
     confirmed_at: Time,
-    /// Since when the service itself has sent older lists alone.
-    behind_since: Option<Time>,
-    /// Entries of removed members were dropped up to this version.
+    /// Since when the service itself has sent only older lists; `None` if it does not.
+    service_behind_since: Option<Time>,
+    /// Entries of removed members have been dropped up to this version.
     dropped_revision: u64,
     reset_after: Span,
     resets: u64,
 }
 
-/// Removed members that are remembered, so that peers can be notified; beyond it the oldest are dropped.
+/// Maximum number of removed members that are kept so that peers can be notified; the oldest are dropped first.
 const MAX_REMOVED: usize = 1_024;
 
 impl EndpointCache {
-    /// An empty cache. A service that sends older lists alone for longer than `reset_after` is believed.
+    /// Creates an empty cache. The list of a service that sends only older lists for `reset_after` is accepted.
     pub fn new(reset_after: Span) -> Self {
         EndpointCache {
             entries: BTreeMap::new(),
             revision: None,
             origin: Origin::Cached,
             confirmed_at: 0,
-            behind_since: None,
+            service_behind_since: None,
             dropped_revision: 0,
             reset_after,
             resets: 0,
         }
     }
 
-    /// The version of the list; `None`: the cache is empty.
+    /// The version of the list; `None` if the cache is empty.
     pub fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// Where the list comes from; `None`: the cache is empty.
+    /// The origin of the list; `None` if the cache is empty.
     pub fn origin(&self) -> Option<Origin> {
         self.revision.map(|_| self.origin)
     }
 
-    /// Whether there is a list, and the service or a peer that hears it has sent or confirmed it.
+    /// Whether there is a list that was sent or confirmed by the service or by a peer in contact with it.
     pub fn is_confirmed(&self) -> bool {
         self.origin().is_some_and(|origin| origin != Origin::Cached)
     }
 
-    /// How long ago the service confirmed the list; `None`: the cache is empty.
+    /// How long ago the service confirmed the list; `None` if the cache is empty.
     pub fn age(&self, now: Time) -> Option<Span> {
         self.confirmed_at().map(|at| (now - at).max(0))
     }
 
-    /// When the service last confirmed the list, as far as is known; `None`: the cache is empty.
+    /// When the service last confirmed the list, as far as is known; `None` if the cache is empty.
     pub fn confirmed_at(&self) -> Option<Time> {
         self.revision.map(|_| self.confirmed_at)
     }
 
-    /// Whether the service sends older lists than this one.
+    /// Whether the service sends lists that are older than the cache.
     pub fn is_behind(&self) -> bool {
-        self.behind_since.is_some()
+        self.service_behind_since.is_some()
     }
 
-    /// How often a service that counts its versions anew was believed.
+    /// How many times the list of a service that restarted its version numbers was accepted.
     pub fn resets(&self) -> u64 {
         self.resets
     }
 
-    /// The service has confirmed that nothing has changed.
+    /// Records that the service has confirmed the list as unchanged.
     pub fn confirm(&mut self, confirmed_at: Time) {
-        if self.origin != Origin::Cached && self.behind_since.is_none() {
+        if self.origin != Origin::Cached && self.service_behind_since.is_none() {
             self.confirmed_at = self.confirmed_at.max(confirmed_at);
         }
     }
 
-    /// Another service numbers the list from now on: its versions cannot be compared with those of the earlier one.
+    /// Prepares for another list service, whose versions cannot be compared with those of the previous one.
     pub fn change_service(&mut self) {
         if self.revision.is_none() {
             return;
         }
         self.revision = Some(0);
         self.origin = Origin::Cached;
-        self.behind_since = None;
+        self.service_behind_since = None;
         self.dropped_revision = 0;
         self.renumber_entries(0);
     }
@@ -174,7 +175,7 @@
         }
     }
 
-    /// A cached list fills an empty cache, and no other.
+    /// Rejects a cached list unless it is complete and the cache is empty.
     fn screen_cached(&self, update: &EndpointUpdate) -> Option<MergeOutcome> {
         (self.revision.is_some() || !update.complete).then_some(MergeOutcome::Stale)
     }
@@ -198,13 +199,13 @@
 
     fn screen_service(&mut self, now: Time, update: &EndpointUpdate) -> Option<MergeOutcome> {
         if self.is_newer_than(update) {
-            let behind_since = *self.behind_since.get_or_insert(now);
-            if !update.complete || now - behind_since < self.reset_after {
+            let service_behind_since = *self.service_behind_since.get_or_insert(now);
+            if !update.complete || now - service_behind_since < self.reset_after {
                 return Some(MergeOutcome::Stale);
             }
             self.accept_reset(update.revision);
         }
-        self.behind_since = None;
+        self.service_behind_since = None;
         None
     }
 
@@ -213,8 +214,8 @@
             .is_some_and(|revision| update.revision < revision)
     }
 
-    /// The service counts its versions anew. What this list says of drains is older than they are, what it changes later is
-    /// not.
+    /// Accepts that the service has restarted its version numbers. Known drains are assigned this version, so that this list
+    /// does not end them, but later versions can.
     fn accept_reset(&mut self, revision: u64) {
         self.resets += 1;
         self.dropped_revision = revision;
@@ -244,9 +245,11 @@
         self.confirmed_at = source.confirmed_at(now);
         self.drop_oldest_removed();
         if self.origin == Origin::Cached {
-            return MergeOutcome::Cached(self.endpoints().map(without_claims).collect());
+            return MergeOutcome::Cached(
+                self.endpoints().map(without_role_and_start_time).collect(),
+            );
         }
-        // A cached list that has been confirmed is passed on anew, as its members' roles and ages hold now.
+        // A cached list that has just been confirmed is output again, because its members' roles and ages are now trusted.
         if is_complete || confirms_cached {
             return MergeOutcome::Complete(self.endpoints().cloned().collect());
         }
@@ -256,7 +259,7 @@
         MergeOutcome::Changed(changed)
     }
 
-    /// Marks members as removed that a complete list no longer names.
+    /// Marks members that are missing from a complete list as removed.
     fn remove_missing(&mut self, now: Time, update: &EndpointUpdate) {
         let revision = update.revision;
         let listed: BTreeSet<_> = update
@@ -274,13 +277,13 @@
             entry.revision = revision;
             entry.drain = entry.drain.or(Some(DrainMark {
                 revision,
-                noted_at: now,
+                learned_at: now,
             }));
         }
     }
 
-    /// Stores one entry of a version; returns it, as it now stands, if it has changed. `is_repeat`: the cache had the version
-    /// already.
+    /// Stores one entry of a version, and returns the stored entry if it has changed. `is_repeat`: the cache already had this
+    /// version.
     fn apply_endpoint(
         &mut self,
         now: Time,
@@ -298,12 +301,12 @@
         } else {
             drain = drain.or(Some(DrainMark {
                 revision,
-                noted_at: now,
+                learned_at: now,
             }));
         }
         let is_same = previous.is_some_and(|entry| entry.endpoint == endpoint);
-        // Danger: an entry that is as it was may have changed and changed back in between. It gets the new version, or a peer
-        // that knows it as it was between would never learn that it has changed back.
+        // An entry that equals the previous one may have changed and changed back in between. Without the new version, a peer
+        // that has the entry as it was in between would never learn that it has changed back.
         let revision = match previous {
             Some(entry) if is_same && is_repeat => entry.revision,
             _ => revision,
@@ -335,13 +338,13 @@
         }
     }
 
-    /// The members that are not removed, by name.
+    /// The members that are not removed, ordered by name.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         let endpoints = self.entries.values().map(|entry| &entry.endpoint);
         endpoints.filter(|endpoint| endpoint.phase != Lifecycle::Removed)
     }
 
-    /// What has changed since a version, or the complete list where that is not known.
+    /// The changes since version `base`, or the complete list if those changes are not known.
     pub fn changes_since(&self, base: Option<u64>) -> EndpointDelta {
         match base.filter(|base| *base >= self.dropped_revision && self.revision >= Some(*base)) {
             Some(base) => {
@@ -360,8 +363,9 @@
     }
 }
 
-/// An entry as a cached list proves it: nobody is known to be the primary, and each may just have started.
-fn without_claims(endpoint: &Endpoint) -> Endpoint {
+/// An entry of a cached list, without the fields that may be outdated: the member is not known to be the primary, and may have
+/// started recently.
+fn without_role_and_start_time(endpoint: &Endpoint) -> Endpoint {
     Endpoint {
         leader: false,
         up_since_ms: UP_SINCE_UNKNOWN,
--- a/crates/stackgw-bootstrap/src/fragments.rs
+++ b/crates/stackgw-bootstrap/src/fragments.rs
@@ -1,15 +1,16 @@
-//! Snapshots of the endpoint list that are larger than one datagram: splitting them, and putting them together.
+//! Splitting and reassembly of endpoint list snapshots that are larger than one datagram.
 
 use crate::endpoint::Endpoint;
 use crate::message::{EndpointSnapshot, Fragment, Message, MAX_FRAGMENTS};
 
-/// Bytes of one datagram's body at most.
+/// Maximum size of a datagram's body, in bytes.
 const MAX_BODY_BYTES: usize = 1_100;
-/// Bytes by which a snapshot may grow when its fragment and its entries' number are filled in.
+/// Bytes by which a snapshot may grow when its fragment and its number of entries are set.
 const HEADER_GROWTH_BYTES: usize = 16;
 
 impl EndpointSnapshot {
-    /// Fills a snapshot without entries with these, over as many datagrams as they need; `None`: they need too many.
+    /// Adds these entries to a snapshot without entries, split into as many datagrams as needed; `None` if an entry does not
+    /// fit into a datagram or more than [`MAX_FRAGMENTS`] datagrams are needed.
     pub fn into_fragments(self, endpoints: Vec<Endpoint>) -> Option<Vec<EndpointSnapshot>> {
         let header_bytes = Message::Snapshot(self.clone()).encode().len() + HEADER_GROWTH_BYTES;
         let batches = split_by_size(endpoints, MAX_BODY_BYTES.saturating_sub(header_bytes))?;
@@ -32,7 +33,7 @@
     }
 }
 
-/// Splits entries into batches of so many bytes at most, of which there is at least one; `None`: one entry has more.
+/// Splits entries into one or more batches of at most `max_bytes` each; `None` if a single entry is larger.
 fn split_by_size(endpoints: Vec<Endpoint>, max_bytes: usize) -> Option<Vec<Vec<Endpoint>>> {
     let mut batches = Vec::new();
     let mut batch = Vec::new();
@@ -53,17 +54,17 @@
     Some(batches)
 }
 
-/// Puts the fragments of one snapshot together.
+/// Reassembles the fragments of one snapshot.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reassembly {
-    /// The fragment that came first; all but the entries is taken from it.
+    /// The fragment received first; all fields except the entries are taken from it.
     first: EndpointSnapshot,
-    /// The entries of each fragment that has come.
+    /// The entries of each fragment received so far, by index.
     received: Vec<Option<Vec<Endpoint>>>,
 }
 
 impl Reassembly {
-    /// Begins with any fragment.
+    /// Starts a reassembly with any fragment of a snapshot.
     pub fn new(fragment: EndpointSnapshot) -> Self {
         let received = vec![None; usize::from(fragment.fragment.count)];
         let mut reassembly = Reassembly {
@@ -74,7 +75,7 @@
         reassembly
     }
 
-    /// Whether a fragment is of this snapshot.
+    /// Whether a fragment belongs to this snapshot.
     pub fn accepts(&self, fragment: &EndpointSnapshot) -> bool {
         let (first, other) = (&self.first, fragment);
         first.sender == other.sender
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The snapshot with all entries, once every fragment has come.
+    /// The snapshot with all entries, once every fragment has been received.
     pub fn complete(&self) -> Option<EndpointSnapshot> {
         let received: Option<Vec<_>> = self.received.iter().cloned().collect();
         Some(EndpointSnapshot {
--- a/crates/stackgw-bootstrap/src/leader_poller.rs
+++ b/crates/stackgw-bootstrap/src/leader_poller.rs
@@ -1,4 +1,4 @@
-//! Polling the watch leaders: whom to poll when, which answers belong to a poll, and putting answers in fragments together.
+//! Polls of the watch leaders: which instances to poll and when, matching of answers to polls, and reassembly of fragments.
 
 use crate::fragments::Reassembly;
 use crate::message::{EndpointSnapshot, UNSOLICITED};
@@ -8,26 +8,26 @@
 use stackgw_router::api::{Span, Time, MS, SECOND};
 use std::net::SocketAddr;
 
-/// Sets the random numbers apart from those that the poll schedule draws from the same seed.
+/// Makes the random numbers differ from those that the poll schedule generates from the same seed.
 const SEED_SALT: u64 = 0x57a7;
-/// Polls within one drain grace, so that two that are lost leave time for a third.
+/// Polls per drain grace; after two lost polls there is still time for a third.
 const POLLS_PER_GRACE: Span = 4;
 const MIN_POLL_INTERVAL: Span = 10 * MS;
-/// A poll without an answer is given up after this part of a drain grace.
+/// The answer timeout of a poll is the drain grace divided by this.
 const ANSWER_TIMEOUTS_PER_GRACE: Span = 10;
 const MIN_ANSWER_TIMEOUT: Span = 5 * MS;
-/// Intervals are jittered from this part of themselves on ...
+/// Minimum of the random factor by which each poll interval is multiplied.
 const MIN_JITTER: f64 = 0.75;
-/// ... by up to this part more.
+/// Difference between the maximum and the minimum of that factor.
 const JITTER_RANGE: f64 = 0.5;
-/// Instances polled at once at most, while leaders are lost.
+/// Maximum number of instances polled at once while leaders are lost.
 const MAX_WIDTH: usize = 64;
-/// The same where the answer is the complete list.
+/// Maximum number of instances polled at once while each answer is the complete list.
 const MAX_WIDTH_WITHOUT_LIST: usize = 8;
-/// An instance that went unanswered is polled again after this.
+/// An unresponsive instance is polled again after this.
 const UNRESPONSIVE_RETRY_INTERVAL: Span = SECOND;
 
-/// A poll that waits for its answer; the first one counts.
+/// A poll that waits for its answer; the first answer from any of its targets completes it.
 #[derive(Debug, Clone, PartialEq)]
 struct PollInFlight {
     targets: Vec<SocketAddr>,
@@ -55,12 +55,12 @@
     next_poll_at: Time,
     /// Selects the leader that is polled.
     rotation: u32,
-    /// Instances polled at once: one, or twice as many each time while a leader goes unanswered.
+    /// Number of instances polled at once: 1, or doubled with each poll while a leader has unanswered polls.
     width: usize,
 }
 
 impl LeaderPoller {
-    /// Polls that begin now, often enough that a drain is learned within `drain_grace`.
+    /// Creates a poller that begins now and polls often enough to learn of a drain within `drain_grace`.
     pub fn new(now: Time, drain_grace: Span, seed: u64) -> Self {
         LeaderPoller {
             rng: Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT),
@@ -73,12 +73,12 @@
         }
     }
 
-    /// How often the leaders are polled.
+    /// The average interval between polls of the leaders.
     pub fn interval(&self) -> Span {
         self.interval
     }
 
-    /// When the poll in flight is given up, or the next one is due.
+    /// When the poll in flight times out, or the next one is due.
     pub fn next_timeout(&self) -> Time {
         match &self.in_flight {
             Some(poll) => poll.sent_at + self.answer_timeout,
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Whether a poll is to be sent now.
+    /// Whether a poll must be sent now.
     pub fn is_due(&self, now: Time) -> bool {
         self.in_flight.is_none() && self.next_poll_at <= now
     }
 
-    /// Gives up a poll that nobody has answered in time, and polls the next leader at once. Returns whether there was one.
+    /// Abandons a poll that was not answered in time, so that the next leader is polled at once. Returns whether there was one.
     pub fn abandon_overdue(&mut self, now: Time) -> bool {
         let is_overdue = |poll: &PollInFlight| now - poll.sent_at >= self.answer_timeout;
         if !self.in_flight.as_ref().is_some_and(is_overdue) {
@@ -103,14 +103,14 @@
         true
     }
 
-    /// Begins a poll; `None`: there is nobody to poll. `has_list`: the answer will be changes, not the complete list.
+    /// Begins a poll; `None` if there is no instance to poll. `has_list`: the answer will have changes, not the complete list.
     pub fn begin_poll(
         &mut self,
         now: Time,
         leaders: &mut WatchLeaders,
         has_list: bool,
     ) -> Option<PollRequest> {
-        // Jitter in every interval: instances that started together do not stay in step.
+        // Every interval is jittered so that instances that started together do not poll in step.
         let jitter = MIN_JITTER + JITTER_RANGE * self.rng.random::<f64>();
         self.next_poll_at = now + (self.interval as f64 * jitter) as Span;
         self.adapt_width(leaders.has_unanswered_leader(), has_list);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Takes a snapshot, or a fragment of one. Returns the snapshot once it is complete.
+    /// Handles a snapshot, or a fragment of one. Returns the snapshot once it is complete.
     pub fn handle_snapshot(
         &mut self,
         now: Time,
@@ -193,8 +193,8 @@
         Some(snapshot)
     }
 
-    /// The poll that a fragment belongs to. Fragments are put together of one instance at a time; unsolicited ones begin a poll
-    /// of their own where none is in flight.
+    /// The poll to which a fragment belongs. Only one snapshot is reassembled at a time. If no poll is in flight, an
+    /// unsolicited fragment begins one of its own.
     fn poll_of_fragment(
         &mut self,
         now: Time,
--- a/crates/stackgw-bootstrap/src/message.rs
+++ b/crates/stackgw-bootstrap/src/message.rs
@@ -1,5 +1,5 @@
-//! The datagrams by which instances exchange the endpoint list, and their encoding. Lists of several datagrams are split and
-//! put together in [`crate::fragments`].
+//! The datagrams with which instances exchange the endpoint list, and their encoding. [`crate::fragments`] splits and
+//! reassembles lists that need several datagrams.
 //!
 //! The order of fields and variants is the wire format: `tests/stored_and_sent.rs` fails when it changes.
 
@@ -8,48 +8,48 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Fragments of one list at most.
+/// Maximum number of fragments of one list.
 pub const MAX_FRAGMENTS: u16 = 1_024;
-/// The nonce of a snapshot that nobody polled for.
+/// The nonce of a snapshot that does not answer a poll.
 pub const UNSOLICITED: u32 = 0;
 
 /// One datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks what has changed since the version that the sender has.
+    /// Requests the changes since the sender's version.
     Poll(Poll),
-    /// What the sender knows.
+    /// What the sender knows of the list.
     Snapshot(EndpointSnapshot),
 }
 
-/// The question what has changed since a version.
+/// A request for the changes since a version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Poll {
-    /// Where the answer goes.
+    /// The address to which the answer is sent.
     pub sender: SocketAddr,
     /// Identifies this poll; never [`UNSOLICITED`].
     pub nonce: u32,
-    /// The service whose versions are meant.
+    /// The service that assigned `known_revision`.
     pub service_id: u64,
-    /// The sender's version; `None`: it has none, or a cached list alone.
+    /// The sender's version; `None` if it has no list, or only a cached one.
     pub known_revision: Option<u64>,
-    /// What the sender has observed of members since its poll before.
+    /// The sender's own observations of members since its previous poll.
     pub observations: Vec<Observation>,
 }
 
-/// Which of a list's datagrams this is.
+/// The position of a datagram among those of one list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// Its number, from 0 on.
+    /// Index of the datagram, starting at 0.
     pub index: u16,
-    /// The number of datagrams; 0: the entries are left out.
+    /// The number of datagrams; 0 if the entries are omitted.
     pub count: u16,
 }
 
 impl Fragment {
-    /// Of a snapshot that leaves its entries out.
+    /// The fragment of a snapshot that omits its entries.
     pub const WITHOUT_ENTRIES: Fragment = Fragment { index: 0, count: 0 };
-    /// Of a snapshot that fits into one datagram.
+    /// The fragment of a snapshot that fits into one datagram.
     pub const ONLY: Fragment = Fragment { index: 0, count: 1 };
 }
 
@@ -58,39 +58,39 @@
 pub struct EndpointSnapshot {
     /// The instance that sent it.
     pub sender: SocketAddr,
-    /// That of the poll that it answers, or [`UNSOLICITED`].
+    /// The nonce of the poll that this answers, or [`UNSOLICITED`].
     pub nonce: u32,
-    /// The service whose versions are meant.
+    /// The service that assigned the versions in this snapshot.
     pub service_id: u64,
-    /// The sender's version; `None`: it has no list.
+    /// The sender's version; `None` if it has no list.
     pub revision: Option<u64>,
-    /// How long ago the service confirmed it, in milliseconds.
+    /// How long ago the service confirmed the list, in milliseconds.
     pub confirmed_ago_ms: u64,
-    /// The sender has a watch that hears the service.
+    /// The sender has a live watch of the service.
     pub is_live: bool,
-    /// The sender has a cached list alone. Passed on, that stays a cached list, however young.
+    /// The sender has only a cached list. The list stays a cached one when it is passed on, however recent it is.
     pub is_cached: bool,
-    /// For how long the service asks not to be polled, in milliseconds.
+    /// How long the service must not be polled, as it requested, in milliseconds.
     pub retry_after_ms: u64,
-    /// Requests in a thousand seconds that a warm member answers the sender: a first estimate, never proof.
+    /// Requests per thousand seconds that a warm member answers the sender: only an initial estimate for the receiver.
     pub warm_throughput_millis: u64,
-    /// The version since which the entries are what has changed; `None`: they are the complete list.
+    /// The entries are the changes since this version; `None`: they are the complete list.
     pub base: Option<u64>,
-    /// Which datagram of the list this is.
+    /// The position of this datagram among those of the list.
     pub fragment: Fragment,
     /// The entries.
     pub endpoints: Vec<Endpoint>,
-    /// What is known of members; in the first fragment alone.
+    /// Observations of members; in the first fragment only.
     pub observations: Vec<Observation>,
 }
 
 impl Message {
-    /// The datagram's body.
+    /// Encodes the message as a datagram's body.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads a datagram's body, which may be any bytes; `None`: it is not a valid message.
+    /// Decodes a datagram's body, which may be any bytes; `None` if it is not a valid message.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (message, rest) = postcard::take_from_bytes::<Message>(bytes).ok()?;
         let is_valid = match &message {
--- a/crates/stackgw-bootstrap/src/observation.rs
+++ b/crates/stackgw-bootstrap/src/observation.rs
@@ -1,48 +1,48 @@
-//! What instances tell each other of members: how far each has applied, and which one is the primary, so that an instance that
-//! has just started need not connect to every member to find out. An observation carries its moment, grows old, and is never
-//! proof.
+//! Observations of members that instances exchange: the position up to which each has applied, and which one is the primary, so
+//! that an instance that has just started need not connect to every member to find out. An observation has a timestamp,
+//! expires, and is only an estimate.
 
 use serde::{Deserialize, Serialize};
 use stackgw_router::api::{Span, Time, MS};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Observations in one datagram at most.
+/// Maximum number of observations in one datagram.
 pub const MAX_OBSERVATIONS_PER_MESSAGE: usize = 12;
-/// Members of which observations are remembered at most.
+/// Maximum number of members whose observations are kept.
 const MAX_OBSERVED_MEMBERS: usize = 4_096;
 
-/// What the answers of a member have shown to some instance.
+/// State of a member, as shown by its answer to some instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// The member's name, hashed by [`Observation::hash_name`].
     pub member_hash: u64,
-    /// Every commit up to this moment is applied there, in Unix milliseconds.
+    /// The member has applied every commit up to this time, in Unix milliseconds.
     pub position_ms: u64,
-    /// Whether it is the primary of its group; `None`: it did not say.
+    /// Whether the member is the primary of its group; `None` if its answer did not say.
     pub is_primary: Option<bool>,
-    /// When an answer showed this, in Unix milliseconds.
+    /// When the answer was received, in Unix milliseconds.
     pub observed_at_ms: u64,
 }
 
 impl Observation {
-    /// A member's name as observations carry it.
+    /// Computes the [`Observation::member_hash`] of a member's name.
     pub fn hash_name(name: &str) -> u64 {
         xxh3_64(name.as_bytes())
     }
 
-    /// When an answer showed this.
+    /// When the answer was received.
     pub fn observed_at(&self) -> Time {
         time_from_ms(self.observed_at_ms)
     }
 
-    /// Every commit up to this moment is applied there.
+    /// The member has applied every commit up to this time.
     pub fn position(&self) -> Time {
         time_from_ms(self.position_ms)
     }
 
-    /// The order by which one observation of a member replaces another. Positions never go back, so the greater one is later;
-    /// of one position, that with a role says more.
+    /// The order in which observations of a member replace each other. Positions never decrease, so the greater one is later;
+    /// at equal positions, an observation with a role is preferred.
     fn precedence(&self) -> (u64, bool, u64) {
         (
             self.position_ms,
@@ -60,22 +60,22 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Observations {
     latest: BTreeMap<u64, Observation>,
-    /// Members with an observation of this instance's own that was not sent yet.
+    /// Members for which this instance's own observation has not been sent yet.
     unsent: BTreeSet<u64>,
-    /// The last member of the batch before, where not all members fit into one.
+    /// The last member of the previous batch; the next batch begins after it.
     last_in_batch: u64,
 }
 
 impl Observations {
-    /// Takes one of this instance's own, to be sent to peers.
+    /// Merges an observation made by this instance, and marks it to be sent to peers.
     pub fn record_own(&mut self, now: Time, observation: Observation, max_age: Span) {
         if self.merge(now, observation, max_age) {
             self.unsent.insert(observation.member_hash);
         }
     }
 
-    /// Takes an observation that is younger than `max_age`, unless there is a later one of its member. Returns whether it was
-    /// taken.
+    /// Merges an observation that is younger than `max_age`, unless a later one of its member is known. Returns whether it was
+    /// stored.
     pub fn merge(&mut self, now: Time, observation: Observation, max_age: Span) -> bool {
         let observed_at = observation.observed_at();
         let is_out_of_range = now - observed_at >= max_age || observed_at > now + max_age;
@@ -89,8 +89,10 @@
         true
     }
 
-    /// This instance's own observations that were not sent yet, as many as one datagram carries. Danger: observations
-    /// of others must not be passed on here, or they would circulate without end.
+    /// Returns this instance's own observations that have not been sent yet, as many as fit into one datagram, and marks them
+    /// as sent.
+    ///
+    /// NOTE: Observations made by peers must not be passed on here, or they would circulate endlessly.
     pub fn take_unsent(&mut self) -> Vec<Observation> {
         let members: Vec<_> = self
             .unsent
@@ -106,7 +108,8 @@
             .collect()
     }
 
-    /// The next batch of all observations younger than `max_age`, as many as one datagram carries. Calls go round and round.
+    /// The next batch of observations younger than `max_age`, as many as fit into one datagram. Successive calls cycle through
+    /// all members.
     pub fn next_batch(&mut self, now: Time, max_age: Span) -> Vec<Observation> {
         self.drop_older_than(now, max_age);
         let rest = self.latest.range(self.last_in_batch.saturating_add(1)..);
--- a/crates/stackgw-bootstrap/src/output.rs
+++ b/crates/stackgw-bootstrap/src/output.rs
@@ -1,4 +1,4 @@
-//! What an instance asks its caller to do, and what it counts.
+//! Outputs of an instance that its caller carries out, and its counters.
 
 use crate::endpoint::EndpointUpdate;
 use crate::endpoint_cache::MergeOutcome;
@@ -15,41 +15,41 @@
     pub list: EndpointUpdate,
     /// When the service last confirmed it.
     pub confirmed_at: Time,
-    /// Requests a second that a warm member answered this instance; 0: not known.
+    /// Requests per second that a warm member answered this instance; 0 if not known.
     pub warm_throughput: f64,
 }
 
-/// What the caller has to do.
+/// An action for the caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Open a watch of what changes after this version; `None`: of the complete list.
+    /// Open a watch of the changes after this version; `None`: a watch that begins with the complete list.
     OpenWatch(Option<u64>),
     /// Close the watch.
     CloseWatch,
     /// Send a message to a peer.
     Send(SocketAddr, Message),
-    /// Hand the list, or its changes, to whoever routes by it.
+    /// Pass the list, or its changes, to the router.
     Endpoints(MergeOutcome),
     /// Store the list on the disk.
     Persist(CachedEndpoints),
-    /// Take this many requests a second for what a warm member answers this instance, until its own measurements replace it.
+    /// Use this as the requests per second that a warm member answers this instance, until its own measurements replace it.
     SeedWarmThroughput(f64),
-    /// Take these observations of peers for a first estimate of members' positions and roles.
+    /// Use these observations, made by peers, as initial estimates of members' positions and roles.
     Observations(Vec<Observation>),
     /// Write a line to the log.
     Log(LogEvent),
 }
 
-/// What is worth a line in the log.
+/// An event that is logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogEvent {
-    /// This instance watches the list service now.
+    /// This instance now watches the list service.
     WatchEstablished(WatchScope),
-    /// It has closed its watch, as peers watch the service.
+    /// This instance has closed its watch because peers watch the service.
     WatchReleased,
-    /// The service sends an older list than this version.
+    /// The service sends a list that is older than this version, which the cache holds.
     ServiceBehind(u64),
-    /// The service counts its versions anew, and is believed.
+    /// The service restarted its version numbers, and its list was accepted.
     ServiceReset,
 }
 
@@ -58,22 +58,22 @@
 pub struct BootstrapCounters {
     /// Watches opened.
     pub watches_opened: u64,
-    /// Of them, those opened for want of a leader that hears the service.
+    /// Watches opened because no leader in contact with the service could be reached; included in `watches_opened`.
     pub watches_without_leader: u64,
     /// Polls sent to peers.
     pub polls_sent: u64,
-    /// Times that no peer which was polled answered.
+    /// Rounds of polls that none of the polled peers answered in time.
     pub polls_unanswered: u64,
-    /// Polls of peers answered.
+    /// Polls from peers that were answered.
     pub polls_answered: u64,
-    /// Datagrams sent unasked, as the list had changed.
+    /// Unsolicited datagrams sent because the list had changed.
     pub snapshots_pushed: u64,
-    /// Snapshots of peers merged into the list.
+    /// Snapshots from peers merged into the list.
     pub snapshots_merged: u64,
     /// Updates that were older than the list.
     pub stale_updates: u64,
     /// Messages about another service's list.
     pub foreign_messages: u64,
-    /// Observations of peers that were newer than those known.
+    /// Observations from peers that were newer than those known.
     pub observations_merged: u64,
 }
--- a/crates/stackgw-bootstrap/src/peer_contact.rs
+++ b/crates/stackgw-bootstrap/src/peer_contact.rs
@@ -1,20 +1,20 @@
-//! When this instance last heard, by way of peers, that the list service is reached.
+//! Records when peers last showed that they are in contact with the list service.
 
 use crate::readiness::SETTLING_TIME;
 use stackgw_router::api::{Span, Time};
 
-/// What was heard of the list service by way of peers.
+/// Contact with the list service, as seen in messages from peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerContact {
     watch_timeout: Span,
-    /// When a list last came that the service had confirmed lately.
+    /// When a peer last sent a list that the service had recently confirmed.
     last_fresh_at: Option<Time>,
-    /// When such a list last came from a peer with a watch of its own.
+    /// When a peer with a live watch of its own last sent such a list.
     last_live_at: Option<Time>,
 }
 
 impl PeerContact {
-    /// Nothing has been heard yet. What is older than `watch_timeout` does not count.
+    /// Creates a record without any contact. A contact older than `watch_timeout` does not count.
     pub fn new(watch_timeout: Span) -> Self {
         PeerContact {
             watch_timeout,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A peer has sent a list that the service had confirmed lately; `is_live`: it has a watch of its own.
+    /// Records that a peer sent a list that the service had recently confirmed. `is_live`: the peer has a live watch.
     pub fn record(&mut self, now: Time, is_live: bool) {
         self.last_fresh_at = Some(now);
         if is_live {
@@ -31,13 +31,13 @@
         }
     }
 
-    /// Whether a peer with a watch of its own has been heard lately.
+    /// Whether a peer with a live watch of its own was heard within `watch_timeout`.
     pub fn has_live_peer(&self, now: Time) -> bool {
         self.last_live_at
             .is_some_and(|at| now - at < self.watch_timeout)
     }
 
-    /// From when on the service counts as lost to all peers, by an instance that started at `started_at`.
+    /// The time from which an instance that started at `started_at` assumes that no peer is in contact with the service.
     pub fn lost_at(&self, started_at: Time) -> Time {
         match self.last_fresh_at {
             Some(at) => at + self.watch_timeout,
--- a/crates/stackgw-bootstrap/src/readiness.rs
+++ b/crates/stackgw-bootstrap/src/readiness.rs
@@ -1,12 +1,12 @@
-//! When an instance is ready to route by its list, and when it has been up long enough to judge what it hears of peers.
+//! When an instance is ready to route by its list, and when it has run long enough to draw conclusions about its peers.
 
 use crate::update_source::Origin;
 use stackgw_router::api::{Span, Time, SECOND};
 
-/// A peer that is polled first thing may be starting itself: nothing is concluded from its silence before this.
+/// Nothing is concluded from the silence of peers until this time after the start, as they may be starting as well.
 pub const SETTLING_TIME: Span = SECOND;
 
-/// Measures the time since an instance started, or since its list service was replaced.
+/// Decides readiness by the time since an instance started, or since its list service was replaced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Readiness {
     started_at: Time,
@@ -14,7 +14,7 @@
 }
 
 impl Readiness {
-    /// An instance that starts now and waits for so long for a better list than a cached one.
+    /// Creates the state of an instance that starts now and waits for `cached_list_wait` for a better list than a cached one.
     pub fn new(now: Time, cached_list_wait: Span) -> Self {
         Readiness {
             started_at: now,
@@ -22,22 +22,22 @@
         }
     }
 
-    /// Begins anew, as the list service was replaced.
+    /// Restarts the time measurement because the list service was replaced.
     pub fn restart(&mut self, now: Time) {
         self.started_at = now;
     }
 
-    /// When the instance started.
+    /// When the instance started, or its list service was last replaced.
     pub fn started_at(&self) -> Time {
         self.started_at
     }
 
-    /// Whether the instance has been up long enough to judge what it hears of peers.
+    /// Whether the instance has run long enough to draw conclusions about its peers.
     pub fn has_settled(&self, now: Time) -> bool {
         now - self.started_at >= SETTLING_TIME
     }
 
-    /// Whether a list of this origin (`None`: there is none) may be routed by.
+    /// Whether a list of this origin may be used for routing. `None`: there is no list.
     pub fn is_ready(&self, now: Time, origin: Option<Origin>) -> bool {
         match origin {
             None => false,
@@ -46,12 +46,12 @@
         }
     }
 
-    /// From when on a cached list may be routed by.
+    /// The time from which a cached list may be used for routing.
     pub fn cached_list_ready_at(&self) -> Time {
         self.started_at + self.cached_list_wait
     }
 
-    /// When one of the answers above changes next by time alone.
+    /// The next time at which [`Readiness::has_settled`] or [`Readiness::is_ready`] may change without any input.
     pub fn next_change(&self, now: Time) -> Option<Time> {
         let changes = [self.started_at + SETTLING_TIME, self.cached_list_ready_at()];
         changes.into_iter().filter(|at| *at > now).min()
--- a/crates/stackgw-bootstrap/src/service_watch.rs
+++ b/crates/stackgw-bootstrap/src/service_watch.rs
@@ -1,10 +1,9 @@
-//! This instance's own watch of the list service: whether it is wanted, scheduled or open, and whether the service is heard on
-//! it.
+//! This instance's own watch of the list service: whether it is scheduled or open, for whom, and whether it is live.
 
 use crate::poll_schedule::PollSchedule;
 use stackgw_router::api::{Span, Time, SECOND};
 
-/// A watch that was opened for want of a leader stays open this long at least.
+/// A watch is kept open for at least this long before it is released because a peer has a live one.
 const MIN_OPEN_TIME: Span = 5 * SECOND;
 
 /// For whom an instance watches the list service.
@@ -12,7 +11,7 @@
 pub enum WatchScope {
     /// For the fleet, as one of its leaders.
     Fleet,
-    /// For itself: no leader that hears the service is heard here.
+    /// For itself: it can reach no leader that is in contact with the service.
     Standalone,
 }
 
@@ -20,29 +19,29 @@
 enum State {
     /// Not wanted.
     Idle,
-    /// To be opened at this moment.
+    /// To be opened at `at`.
     Scheduled { at: Time, scope: WatchScope },
-    /// Opened at this moment.
+    /// Opened at `since`.
     Open { since: Time, scope: WatchScope },
 }
 
-/// What has become of the watch.
+/// A change of the watch that the caller acts on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchChange {
-    /// It is to be opened.
+    /// The watch must be opened.
     Opened(WatchScope),
-    /// It was open for this instance alone, and is for the fleet now.
+    /// The watch was open for this instance alone, and now serves the fleet.
     Promoted,
-    /// It is to be closed, as peers watch the service.
+    /// The watch must be closed because peers watch the service.
     Released,
 }
 
-/// How many instances may poll the service at the same time as this one.
+/// How many instances may poll the service at the same time, this one included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pollers {
-    /// Where the leaders poll it.
+    /// When only the leaders poll it.
     pub leaders: u32,
-    /// Where every instance polls it for itself.
+    /// When every instance polls it for itself.
     pub fleet: u32,
 }
 
@@ -53,13 +52,13 @@
     schedule: PollSchedule,
     pollers: Pollers,
     timeout: Span,
-    /// The watch has brought a list.
+    /// The watch is open and has received a list that is up to date.
     is_live: bool,
     last_heard_at: Time,
 }
 
 impl ServiceWatch {
-    /// A watch that is not wanted yet. When nothing comes on it for `timeout` it is lost.
+    /// Creates a watch that is idle. An open watch that receives nothing for `timeout` is lost.
     pub fn new(now: Time, schedule: PollSchedule, pollers: Pollers, timeout: Span) -> Self {
         ServiceWatch {
             state: State::Idle,
@@ -78,12 +77,12 @@
         }
     }
 
-    /// Whether the watch has brought a list and is open.
+    /// Whether the watch is open and has received a list that is up to date.
     pub fn is_live(&self) -> bool {
         self.is_live
     }
 
-    /// For whom the watch is open or scheduled; the fleet, if it is neither.
+    /// For whom the watch is open or scheduled; the fleet if it is neither.
     pub fn scope(&self) -> WatchScope {
         match self.state {
             State::Idle => WatchScope::Fleet,
@@ -91,7 +90,7 @@
         }
     }
 
-    /// When the watch is to be opened, if it is scheduled.
+    /// When the watch will be opened, if it is scheduled.
     pub fn scheduled_at(&self) -> Option<Time> {
         match self.state {
             State::Scheduled { at, .. } => Some(at),
@@ -99,7 +98,7 @@
         }
     }
 
-    /// When the watch is to be opened, or is lost unless something comes; `None`: it is not wanted.
+    /// When the scheduled watch will be opened, or the open one is lost if it receives nothing; `None` if the watch is idle.
     pub fn next_timeout(&self) -> Option<Time> {
         match self.state {
             State::Idle => None,
@@ -108,13 +107,13 @@
         }
     }
 
-    /// Whether the watch is open and nothing has come on it for too long.
+    /// Whether the watch is open and has received nothing for the timeout.
     pub fn has_timed_out(&self, now: Time) -> bool {
         matches!(self.state, State::Open { .. }) && now - self.last_heard_at >= self.timeout
     }
 
-    /// Schedules, opens or releases the watch. `wanted`: for whom it is wanted now; `has_live_peer`: a peer with a watch of its
-    /// own has been heard lately.
+    /// Schedules, opens or releases the watch. `wanted`: for whom the watch is wanted now; `has_live_peer`: a peer with a live
+    /// watch of its own was recently heard.
     pub fn update(
         &mut self,
         now: Time,
@@ -162,23 +161,23 @@
         Some(WatchChange::Opened(scope))
     }
 
-    /// Something has come on the watch.
+    /// Records that the watch has received something.
     pub fn record_contact(&mut self, now: Time) {
         self.last_heard_at = now;
     }
 
-    /// The service has answered with a list, be it an old one.
+    /// Records that the service has answered with a list, even an outdated one.
     pub fn record_answer(&mut self, now: Time) {
         self.record_contact(now);
         self.schedule.record_success();
     }
 
-    /// The watch has brought a list that is up to date. Returns whether it is its first.
+    /// Marks the watch as live after it received a list that is up to date. Returns whether it was not live before.
     pub fn become_live(&mut self) -> bool {
         !std::mem::replace(&mut self.is_live, true)
     }
 
-    /// The watch has ended: it is scheduled anew. Returns whether it was open.
+    /// Schedules a watch that has ended again, after a backoff. Returns whether it was open.
     pub fn handle_lost(&mut self, now: Time, retry_after: Option<Span>) -> bool {
         let State::Open { scope, .. } = self.state else {
             return false;
@@ -192,7 +191,7 @@
         true
     }
 
-    /// Schedules an open watch anew, for this moment. Returns whether it was open.
+    /// Schedules an open watch to be opened again at once. Returns whether it was open.
     pub fn restart(&mut self, now: Time) -> bool {
         let State::Open { scope, .. } = self.state else {
             return false;
@@ -202,7 +201,7 @@
         true
     }
 
-    /// A peer has heard the service: a scheduled watch that was backed off since it was not reached need not wait any longer.
+    /// Ends the backoff of a scheduled watch, because a peer has shown that the service is reachable again.
     pub fn expedite(&mut self, now: Time) {
         let State::Scheduled { at, scope } = self.state else {
             return;
@@ -215,12 +214,12 @@
         };
     }
 
-    /// The service is overloaded, as a peer has passed on.
+    /// Postpones polls by a retry-after of the service that a peer passed on.
     pub fn postpone(&mut self, now: Time, retry_after: Span) {
         self.schedule.postpone(now, retry_after);
     }
 
-    /// For how long the service still asks not to be polled.
+    /// The remaining time for which the service must not be polled, as it requested.
     pub fn remaining_retry_after(&self, now: Time) -> Span {
         self.schedule.remaining_retry_after(now)
     }
--- a/crates/stackgw-bootstrap/src/settings.rs
+++ b/crates/stackgw-bootstrap/src/settings.rs
@@ -1,48 +1,48 @@
-//! What an instance is configured with.
+//! Settings of an instance.
 
 use crate::poll_schedule::PollRate;
 use stackgw_router::api::Span;
 use std::net::SocketAddr;
 
-/// Where this instance and its peers are reached.
+/// Addresses of this instance and its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// Where peers reach this instance.
+    /// The address at which peers reach this instance.
     pub advertised_address: SocketAddr,
-    /// Instances that are known before any membership is.
+    /// Instances that are known before the cluster's membership is.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What an instance is configured with.
+/// Settings of an instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BootstrapSettings {
     /// This instance's number, the fleet's size, and the capacity of the list service.
     pub poll_rate: PollRate,
-    /// The peers; `None`: there is no cluster, and this instance polls the service for itself.
+    /// The peers; `None` if there is no cluster and this instance polls the service for itself.
     pub peers: Option<PeerSettings>,
-    /// Instances that watch the service at least; [`crate::MIN_WATCH_LEADERS`] unless there is a reason.
+    /// Minimum number of instances that watch the service; normally [`crate::MIN_WATCH_LEADERS`].
     pub min_watch_leaders: u32,
-    /// The service that numbers the list, by [`crate::service_id`].
+    /// The service that assigns the list's versions, by [`crate::service_id`].
     pub service_id: u64,
-    /// A drain has to be known everywhere within this.
+    /// Time within which every instance has to know of a drain.
     pub drain_grace: Span,
-    /// A watch on which nothing comes for so long is lost.
+    /// A watch that receives nothing for this long is considered lost.
     pub watch_timeout: Span,
-    /// How long an instance that has only a cached list waits for a better one before it is ready.
+    /// How long an instance that has only a cached list waits for a confirmed one before it is ready.
     pub cached_list_wait: Span,
-    /// A service that sends older lists alone for this long has lost its state, and is believed.
+    /// A service that sends only older lists for this long is considered to have lost its state, and its list is accepted.
     pub service_reset_after: Span,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// What a running instance can be given anew.
+/// Settings that can be changed while an instance runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reload<'a> {
-    /// As in [`PeerSettings::seeds`].
+    /// Replaces [`PeerSettings::seeds`].
     pub seeds: &'a [SocketAddr],
-    /// As in [`BootstrapSettings::service_id`].
+    /// Replaces [`BootstrapSettings::service_id`].
     pub service_id: u64,
-    /// Whether the service is at another address now.
+    /// Whether the service's address has changed.
     pub has_service_moved: bool,
 }
--- a/crates/stackgw-bootstrap/src/snapshot_sender.rs
+++ b/crates/stackgw-bootstrap/src/snapshot_sender.rs
@@ -1,4 +1,4 @@
-//! Sending the endpoint list to peers: answers to their polls, and pushes when the list has changed.
+//! Sends the endpoint list to peers: answers to their polls, and pushes when the list has changed.
 
 use crate::endpoint_cache::{EndpointCache, EndpointDelta};
 use crate::message::EndpointSnapshot;
@@ -6,11 +6,11 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Peers that polled and could not be answered yet, at most.
+/// Maximum number of peers that polled before there was a list to send.
 const MAX_WAITING_PEERS: usize = 4_096;
-/// Complete lists sent in one poll interval, for each instance of the fleet; further peers get the version alone.
+/// Complete lists that may be sent in one poll interval, per instance of the fleet; further peers receive only the version.
 const COMPLETE_LISTS_PER_INTERVAL: u64 = 2;
-/// A smaller fleet may be sent as many complete lists as one of this size.
+/// Lower bound of the fleet size from which the budget of complete lists is computed.
 const MIN_BUDGETED_FLEET: u32 = 8;
 
 /// Limits how many complete lists are sent.
@@ -18,15 +18,15 @@
 struct CompleteListBudget {
     interval: Span,
     max_per_interval: u64,
-    interval_began_at: Time,
+    interval_started_at: Time,
     sent: u64,
 }
 
 impl CompleteListBudget {
-    /// Counts a complete list that is to be sent. Returns whether it may be.
+    /// Requests to send a complete list. Returns whether the budget permits it.
     fn try_spend(&mut self, now: Time) -> bool {
-        if now - self.interval_began_at >= self.interval {
-            self.interval_began_at = now;
+        if now - self.interval_started_at >= self.interval {
+            self.interval_started_at = now;
             self.sent = 0;
         }
         self.sent += 1;
@@ -37,19 +37,19 @@
 /// Sends the endpoint list to peers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SnapshotSender {
-    /// Peers that are sent the complete list as soon as there is one.
+    /// Peers that polled before there was a list, and receive the complete list with the next push.
     waiting_peers: BTreeSet<SocketAddr>,
     budget: CompleteListBudget,
 }
 
 impl SnapshotSender {
-    /// A sender for a fleet of this size, whose instances poll once in `poll_interval`.
+    /// Creates a sender for a fleet of this size, whose instances poll once per `poll_interval`.
     pub fn new(now: Time, fleet_size: u32, poll_interval: Span) -> Self {
         let budget = CompleteListBudget {
             interval: poll_interval,
             max_per_interval: COMPLETE_LISTS_PER_INTERVAL
                 * u64::from(fleet_size.max(MIN_BUDGETED_FLEET)),
-            interval_began_at: now,
+            interval_started_at: now,
             sent: 0,
         };
         SnapshotSender {
@@ -58,15 +58,15 @@
         }
     }
 
-    /// A peer has polled before there was anything to send.
+    /// Adds a peer that polled before there was a list to send.
     pub fn add_waiting_peer(&mut self, peer: SocketAddr) {
         if self.waiting_peers.len() < MAX_WAITING_PEERS {
             self.waiting_peers.insert(peer);
         }
     }
 
-    /// The answer to a peer that has a version: `header` with what has changed since, or alone where that is not known or too
-    /// much.
+    /// The answer to a peer's poll: `header` with the changes since `known_revision`, or with the complete list if those are
+    /// not known; `header` alone if there is no list, or it cannot be sent now.
     pub fn answer(
         &mut self,
         now: Time,
@@ -83,7 +83,8 @@
         fragments.unwrap_or_else(|| vec![header])
     }
 
-    /// What has changed since a version, in fragments; `None`: it is too much to be sent now.
+    /// The changes since a version, or the complete list, in fragments; `None` if they are too large or the budget of complete
+    /// lists is spent.
     fn fragments_since(
         &mut self,
         now: Time,
@@ -102,8 +103,8 @@
         .into_fragments(endpoints)
     }
 
-    /// What is sent to whom after the list has changed: to peers that wait for it all of it, to the others what has changed
-    /// since a version, or `header` alone where that is more than one datagram.
+    /// The datagrams to send after the list has changed, each with its receiver: the complete list to waiting peers, and to the
+    /// others the changes since `previous_revision`, or `header` alone if the changes need more than one datagram.
     pub fn push(
         &mut self,
         now: Time,
--- a/crates/stackgw-bootstrap/src/update_source.rs
+++ b/crates/stackgw-bootstrap/src/update_source.rs
@@ -1,13 +1,13 @@
-//! Where an update of the endpoint list comes from, and when the list service confirmed it.
+//! The source of an update of the endpoint list, and when the list service confirmed it.
 
 use stackgw_router::api::Time;
 
 /// Where an update of the endpoint list comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Origin {
-    /// The disk, the platform, or a peer that has lost the service: the list as it once was.
+    /// The disk, the platform, or a peer that has lost contact with the service: the list may be out of date.
     Cached,
-    /// A peer that hears the service.
+    /// A peer in contact with the service.
     Peer,
     /// The list service itself.
     Service,
@@ -21,14 +21,14 @@
         /// When the service last confirmed it, as far as is known.
         confirmed_at: Time,
     },
-    /// A peer that hears the service.
+    /// A peer in contact with the service.
     Peer {
-        /// When the service last confirmed what the peer sent.
+        /// When the service last confirmed the update.
         confirmed_at: Time,
-        /// The version since which an incomplete update has all changes.
+        /// An incomplete update has all changes since this version.
         base: Option<u64>,
     },
-    /// The list service itself, at this moment.
+    /// The list service itself.
     Service,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// When the service last confirmed the update, as far as is known; the service itself does so now.
+    /// When the service last confirmed the update, as far as is known; `now` if the service itself sent it.
     pub fn confirmed_at(self, now: Time) -> Time {
         match self {
             UpdateSource::Cached { confirmed_at } | UpdateSource::Peer { confirmed_at, .. } => {
--- a/crates/stackgw-bootstrap/src/warm_throughput.rs
+++ b/crates/stackgw-bootstrap/src/warm_throughput.rs
@@ -1,26 +1,27 @@
-//! How many requests a second a warm member answers this instance: measured here, or estimated from what others measured.
+//! The requests per second that a warm member answers this instance: measured locally, or estimated from measurements of peers.
 
-/// What is known of a warm member's throughput, in requests a second.
+/// The known throughput of a warm member, in requests per second.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct WarmThroughput {
-    /// By this instance's own measurements; 0: there are none yet.
+    /// Measured by this instance; 0 if there are no measurements yet.
     measured: f64,
-    /// What others measured has been taken for a first estimate.
+    /// An initial estimate has been set.
     is_seeded: bool,
 }
 
 impl WarmThroughput {
-    /// By this instance's own measurements; 0: there are none yet.
+    /// The throughput measured by this instance; 0 if there are no measurements yet.
     pub fn measured(&self) -> f64 {
         self.measured
     }
 
-    /// Takes over what this instance has measured.
+    /// Sets the throughput measured by this instance.
     pub fn set_measured(&mut self, throughput: f64) {
         self.measured = throughput;
     }
 
-    /// Takes what others measured for a first estimate. Returns it the first time, and only before anything was measured here.
+    /// Offers a throughput as the initial estimate. Returns it if it is accepted: only once, and only before this instance has
+    /// measurements of its own.
     pub fn seed(&mut self, throughput: f64) -> Option<f64> {
         let is_known = throughput > 0.0 && throughput.is_finite();
         if !is_known || self.measured > 0.0 || self.is_seeded {
--- a/crates/stackgw-bootstrap/src/watch_leaders.rs
+++ b/crates/stackgw-bootstrap/src/watch_leaders.rs
@@ -1,37 +1,37 @@
-//! Which instances watch the list service for the fleet; the others poll them.
+//! Election of the watch leaders: the instances that watch the list service for the fleet. The others poll them.
 //!
-//! Every instance computes the same order of succession: the seeds first, which even a fleet knows that has just started all
-//! at once and has met nobody yet, then whoever is live, each part by rendezvous hashing of addresses. Instances that have not
-//! answered here lately are left out, so that the next in the order takes the place of a lost leader. Two instances may see
-//! different leaders for a while; then the service has a watch or two more, and nothing else is lost.
+//! Every instance computes the same order of succession: first the seeds, which are known even to a fleet that has just
+//! started as a whole and has no membership yet, then the live peers, each part ordered by rendezvous hashing of addresses.
+//! Instances that have recently left polls unanswered are skipped, so that the next in the order replaces a lost leader. Two
+//! instances may see different leaders for a while; the only effect is one or two additional watches at the service.
 
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Polls in a row without an answer after which an instance is left out.
+/// Consecutive polls without an answer after which an instance is unresponsive and skipped in the succession.
 const MAX_UNANSWERED_POLLS: u32 = 3;
-/// Leaders at least: with three, one may be killed while another is stopped or cut off.
+/// Minimum number of leaders: with three, one may be killed while another is stopped or partitioned.
 pub const MIN_WATCH_LEADERS: u32 = 3;
-/// Instances that one leader answers; a larger fleet has more leaders.
+/// Maximum number of instances that one leader answers; a larger fleet has more leaders.
 const FOLLOWERS_PER_LEADER: u32 = 250;
 
-/// Polls of one instance since its last answer.
+/// Polls sent to one instance since its last answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct UnansweredPolls {
     count: u32,
     last_at: Time,
 }
 
-/// Which polls are wanted in one round.
+/// Parameters of one round of polls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PollRound {
-    /// Selects the leader that is polled; rises from round to round.
+    /// Selects the leader that is polled; increases from round to round.
     pub rotation: u32,
-    /// Instances to be polled beside each other.
+    /// Number of responsive instances to poll at once.
     pub width: usize,
-    /// An instance that went unanswered is polled again after this.
+    /// An unresponsive instance is polled again after this.
     pub retry_interval: Span,
 }
 
@@ -41,7 +41,7 @@
     local_address: SocketAddr,
     seeds: BTreeSet<SocketAddr>,
     live_peers: BTreeSet<SocketAddr>,
-    /// Seeds and live instances, first those that should watch.
+    /// Seeds and live instances in order of succession: the first responsive ones are the leaders.
     succession: Vec<SocketAddr>,
     unanswered: BTreeMap<SocketAddr, UnansweredPolls>,
     leader_count: u32,
@@ -52,7 +52,7 @@
 }
 
 impl WatchLeaders {
-    /// The view of the instance at `local_address` in a fleet of about `fleet_size`.
+    /// Creates the view of the instance at `local_address` in a fleet of about `fleet_size` instances.
     pub fn new(
         local_address: SocketAddr,
         seeds: impl IntoIterator<Item = SocketAddr>,
@@ -71,12 +71,12 @@
         leaders
     }
 
-    /// How many instances watch the service.
+    /// How many instances should watch the service.
     pub fn leader_count(&self) -> u32 {
         self.leader_count
     }
 
-    /// Takes over which peers are live by the cluster's membership.
+    /// Sets the peers that are live according to the cluster's membership.
     pub fn update_membership(&mut self, live_peers: BTreeSet<SocketAddr>) {
         let seeds = &self.seeds;
         self.unanswered
@@ -85,7 +85,7 @@
         self.rebuild_succession();
     }
 
-    /// Takes over other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         self.seeds = seeds.into_iter().collect();
         self.rebuild_succession();
@@ -101,7 +101,7 @@
         self.succession = succession;
     }
 
-    /// All seeds and live peers but this instance.
+    /// All seeds and live peers except this instance.
     pub fn peers(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let known = self.live_peers.union(&self.seeds).copied();
         known.filter(|address| *address != self.local_address)
@@ -113,7 +113,7 @@
             .is_some_and(|polls| polls.count >= MAX_UNANSWERED_POLLS)
     }
 
-    /// The instances that should watch the service now, the first in the succession first.
+    /// The instances that should watch the service now, in order of succession.
     pub fn leaders(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let responsive = self
             .succession
@@ -132,15 +132,15 @@
         self.seeds.contains(&self.local_address)
     }
 
-    /// Whether a leader owes an answer. After [`MAX_UNANSWERED_POLLS`] the next in the succession takes its place.
+    /// Whether a leader has unanswered polls. After [`MAX_UNANSWERED_POLLS`] the next in the succession replaces it.
     pub fn has_unanswered_leader(&self) -> bool {
         self.leaders()
             .any(|address| self.unanswered.contains_key(&address))
     }
 
-    /// The instances to poll in one round: a leader, by rotation; beside it the next in the succession until there are
-    /// `width`, for when leaders are lost by the dozen; and the unresponsive one that was polled longest ago, so that one that
-    /// has come back is found.
+    /// The instances to poll in one round: a leader, by rotation; further responsive instances in order of succession until
+    /// there are `width`, in case many leaders are lost at once; and the unresponsive instance that was polled longest ago, to
+    /// detect that it is back.
     pub fn select_poll_targets(&self, now: Time, round: PollRound) -> Vec<SocketAddr> {
         let mut targets = self.select_responsive(round);
         targets.extend(self.select_unresponsive(now, round.retry_interval));
@@ -164,7 +164,7 @@
         if leaders == 0 {
             return Vec::new();
         }
-        // Each instance begins with another leader.
+        // Instances begin with different leaders, which spreads the polls over them.
         let offset = rank(&self.local_address) as usize % leaders;
         let leader = candidates.remove((offset + round.rotation as usize) % leaders);
         let others = candidates.into_iter().take(round.width.saturating_sub(1));
@@ -172,7 +172,7 @@
     }
 
     fn select_unresponsive(&self, now: Time, retry_interval: Span) -> Option<SocketAddr> {
-        // Instances behind the last leader would not lead if they came back.
+        // Instances after the last leader in the succession would not become leaders if they came back.
         let last_leader = self.leaders().last();
         let before_last = self
             .succession
@@ -188,7 +188,7 @@
         due.min().map(|(_, address)| address)
     }
 
-    /// A poll was sent to an instance.
+    /// Records a poll sent to an instance.
     pub fn record_poll(&mut self, now: Time, address: SocketAddr) {
         let polls = self.unanswered.entry(address).or_insert(UnansweredPolls {
             count: 0,
@@ -198,7 +198,7 @@
         polls.last_at = now;
     }
 
-    /// An instance has sent something.
+    /// Records an answer, or any other message, from an instance.
     pub fn record_answer(&mut self, address: SocketAddr) {
         self.unanswered.remove(&address);
     }
