--- a/crates/stackgw-cluster/src/cluster.rs
+++ b/crates/stackgw-cluster/src/cluster.rs
@@ -19,24 +19,24 @@
 const KIND_MEMBERSHIP: u8 = 1;
 const KIND_SESSIONS: u8 = 2;
 const KIND_BOOTSTRAP: u8 = 3;
-/// Seeds that are not known to be up are contacted again after this.
+/// Interval at which seeds that are not known to be up are contacted.
 const SEED_INTERVAL: Span = SECOND;
 /// Minimum delay of a timer.
 const MIN_TIMER_DELAY: Span = MS;
-/// Stands for a delay that does not fit the clock; far away, and adding it to a time cannot
-/// overflow.
+/// Replaces a timer delay that does not fit into [`Span`]; far in the future, yet adding it to a
+/// time cannot overflow.
 const MAX_TIMER_DELAY: Span = Span::MAX / 4;
 
-/// What an instance needs to join its cluster.
+/// Settings with which an instance joins its cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterSettings {
     /// The instance itself.
     pub identity: Identity,
-    /// Addresses at which others may be found.
+    /// Addresses at which other instances may be reached.
     pub seeds: Vec<SocketAddr>,
     /// The keys of the cluster.
     pub keyring: Keyring,
-    /// Seed for the order in which others are probed.
+    /// Seed for the order in which other instances are probed.
     pub rng_seed: u64,
     /// Approximate number of instances; the time until a suspect is declared down follows from it.
     pub expected_instances: u32,
@@ -47,11 +47,11 @@
 pub struct Datagram {
     /// The receiver.
     pub to: SocketAddr,
-    /// What to send.
+    /// The bytes to send, envelope included.
     pub bytes: Vec<u8>,
 }
 
-/// What has become known.
+/// A change of membership, or a received message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// An instance is up.
@@ -59,15 +59,15 @@
     /// An instance seems to be down.
     Down(Identity),
     /// A later incarnation of this instance is up: this one was replaced, or two processes run
-    /// under one name.
+    /// with the same name.
     Superseded(Identity),
     /// A message between sessions.
     Sessions {
         /// The incarnation that sent it.
         from: Peer,
-        /// The incarnation of this instance that it is meant for.
+        /// The incarnation of this instance that it is addressed to.
         to: Peer,
-        /// What it says.
+        /// The message.
         message: Message,
     },
     /// A message of the bootstrap, still encoded.
@@ -77,38 +77,38 @@
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ReceiveError {
-    /// It is not authentic.
+    /// The datagram is not authentic.
     #[error(transparent)]
     NotAuthentic(#[from] VerifyError),
-    /// It is authentic, and no message.
-    #[error("no message")]
+    /// The datagram is authentic, but its body is not a valid message.
+    #[error("the body of the datagram is not a valid message")]
     Malformed,
 }
 
-/// Counters since the start.
+/// Counters since the instance started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DatagramCounters {
     /// Datagrams sent.
     pub sent: u64,
     /// Datagrams accepted.
     pub received: u64,
-    /// Dropped: none of ours, or of another version.
+    /// Dropped: not an envelope, or of another version.
     pub foreign: u64,
     /// Dropped: signed with an unknown key.
     pub unknown_key: u64,
-    /// Dropped: forged.
+    /// Dropped: the signature does not match.
     pub forged: u64,
     /// Dropped: authentic but malformed.
     pub malformed: u64,
-    /// Messages not sent, as no address of their receiver is known.
+    /// Messages not sent because no address of their receiver is known.
     pub unreachable: u64,
 }
 
-/// The membership, as one instance sees it.
+/// The cluster's membership, as one instance sees it.
 pub struct Cluster {
     settings: ClusterSettings,
     foca: Foca<Identity, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
-    /// What foca wants done, between a call into it and [`Cluster::apply_foca_output`].
+    /// Outputs of foca that [`Cluster::apply_foca_output`] has not yet carried out.
     foca_output: AccumulatingRuntime<Identity>,
     timers: BTreeMap<TimerKey, Timer<Identity>>,
     last_timer: u64,
@@ -117,11 +117,11 @@
     counters: DatagramCounters,
 }
 
-/// When a timer fires, and its number, as several may fire at once.
+/// When a timer fires, and its number, which distinguishes timers that fire at the same time.
 type TimerKey = (Time, u64);
 
 impl Cluster {
-    /// An instance that looks for the others from now on.
+    /// Creates an instance that contacts its seeds from now on.
     pub fn new(now: Time, settings: ClusterSettings) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(settings.rng_seed);
         let config = foca_config(settings.expected_instances);
@@ -142,7 +142,7 @@
         self.instances.iter()
     }
 
-    /// Increases with each change of who is up.
+    /// Increases with each change of the instances that are up.
     pub fn epoch(&self) -> u64 {
         self.instances.epoch()
     }
@@ -159,10 +159,10 @@
         self.contact_seeds_at = now;
     }
 
-    /// Handles a datagram that was received.
+    /// Handles a received datagram.
     ///
     /// # Errors
-    /// It was dropped, and changed nothing but counters.
+    /// If the datagram was dropped; it then has changed nothing except counters.
     pub fn handle_datagram(
         &mut self,
         now: Time,
@@ -188,7 +188,7 @@
         events: &mut Vec<Event>,
     ) -> Result<(), ReceiveError> {
         match kind {
-            // Foca checks what it decodes; a message that makes no sense changes nothing.
+            // Foca validates what it decodes; an invalid message changes nothing.
             KIND_MEMBERSHIP => {
                 let handled = self.foca.handle_data(body, &mut self.foca_output);
                 handled.map_err(|_| ReceiveError::Malformed)
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Sends a message between sessions; it is dropped where no address of its receiver is known.
+    /// Sends a message between sessions; it is dropped if no address of its receiver is known.
     pub fn send(&mut self, to: Peer, message: &Message, datagrams: &mut Vec<Datagram>) {
         let Some(receiver) = self.instances.get(to.node) else {
             self.counters.unreachable += 1;
@@ -217,7 +217,7 @@
         self.send_body(address, KIND_SESSIONS, &body, datagrams);
     }
 
-    /// Sends a message of the bootstrap to an address, whether or not it is known who is there.
+    /// Sends a message of the bootstrap to an address, even if no instance is known at that address.
     pub fn send_bootstrap(&mut self, to: SocketAddr, body: &[u8], datagrams: &mut Vec<Datagram>) {
         self.send_body(to, KIND_BOOTSTRAP, body, datagrams);
     }
@@ -228,7 +228,7 @@
         datagrams.push(Datagram { to, bytes });
     }
 
-    /// When [`Cluster::handle_timeout`] is to be called next.
+    /// When [`Cluster::handle_timeout`] must be called next.
     pub fn next_timeout(&self) -> Time {
         let first = self.timers.first_key_value();
         let timer_at = first.map_or(Time::MAX, |((at, _), _)| *at);
@@ -247,7 +247,7 @@
             .first_entry()
             .filter(|entry| entry.key().0 <= now)
         {
-            // An error says that what the timer was for is over; foca goes on with the next one.
+            // An error means that the timer is obsolete; foca continues with the next one.
             let _ = self
                 .foca
                 .handle_timer(entry.remove(), &mut self.foca_output);
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Introduces this instance to seeds that are not known to be up.
+    /// Announces this instance to seeds that are not known to be up.
     fn announce_to_seeds(&mut self) {
         let up: BTreeSet<_> = self
             .foca
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Carries out what foca wants done since the last call.
+    /// Carries out the outputs of foca since the last call.
     fn apply_foca_output(
         &mut self,
         now: Time,
@@ -333,7 +333,7 @@
     }
 }
 
-/// Foca's times for a local network, with datagrams that fit an envelope.
+/// Foca's timing for a local network, with packets that fit into an envelope.
 fn foca_config(expected_instances: u32) -> Config {
     let instances = NonZeroU32::new(expected_instances.max(2)).unwrap_or(NonZeroU32::MIN);
     let mut config = Config::new_lan(instances);
@@ -342,7 +342,8 @@
     config
 }
 
-/// A message of sessions: its sender, then receiver and message as `stackgw-sessions` encodes them.
+/// Decodes a message between sessions: its sender, then receiver and message as `stackgw-sessions`
+/// encodes them.
 fn decode_sessions(body: &[u8]) -> Option<Event> {
     let (from, rest) = postcard::take_from_bytes::<Peer>(body).ok()?;
     let (to, message) = Message::decode(rest).ok()?;
--- a/crates/stackgw-cluster/src/envelope.rs
+++ b/crates/stackgw-cluster/src/envelope.rs
@@ -1,7 +1,7 @@
-//! Authentication: an envelope that only those who share a key can write.
+//! Authentication of datagrams: an envelope that only holders of a shared key can sign.
 //!
 //! An envelope is a version byte, a kind byte, four bytes that name the key, the first sixteen
-//! bytes of a keyed hash over all the rest, then the body. The key is derived from the operator's
+//! bytes of a keyed hash over everything else, then the body. The key is derived from the operator's
 //! secret and the cluster's name, so that another cluster's envelopes fail even under the same
 //! secret. Bodies are not encrypted: they hold hashes and positions.
 
@@ -19,7 +19,7 @@
 /// Minimum length of a secret.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// A shared key. Its `Debug` form shows its name alone.
+/// A shared key. Its `Debug` form shows only its name.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
     key: [u8; 32],
@@ -34,7 +34,7 @@
 }
 
 impl Key {
-    /// Derives a cluster's key from its secret; `None` where that has fewer than 16 bytes.
+    /// Derives a cluster's key from its secret; `None` if the secret has fewer than 16 bytes.
     pub fn new(cluster: &str, secret: &[u8]) -> Option<Self> {
         if secret.len() < MIN_SECRET_BYTES {
             return None;
@@ -57,19 +57,19 @@
     }
 }
 
-/// The keys that are valid now: the first one signs, all of them verify.
+/// The valid keys: the first one signs, all of them verify.
 ///
-/// To replace a key without interruption, add the new one behind the old one on all instances, then
-/// swap the two on all, then remove the old one.
+/// To replace a key without interruption, add the new one after the old one on all instances, then
+/// swap the two on all instances, then remove the old one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Keyring {
     keys: Vec<Key>,
 }
 
-/// What an authentic envelope holds.
+/// The contents of an authentic envelope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Envelope<'a> {
-    /// What the body is, as its sender says.
+    /// The kind of the body, as set by the sender.
     pub kind: u8,
     /// The body.
     pub body: &'a [u8],
@@ -78,19 +78,19 @@
 /// Why an envelope is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum VerifyError {
-    /// Its length or version is none of ours.
-    #[error("no envelope of this version")]
+    /// Its length or version is not that of an envelope.
+    #[error("not an envelope of this version")]
     Foreign,
     /// It was signed with a key that is not valid here.
     #[error("signed with an unknown key")]
     UnknownKey,
-    /// Its tag does not match: it was changed on its way, or forged.
+    /// Its tag does not match: it was changed in transit, or forged.
     #[error("the signature does not match")]
     Forged,
 }
 
 impl Keyring {
-    /// A keyring of these keys; `None` where there is none.
+    /// Creates a keyring of these keys; `None` if there are none.
     pub fn new(keys: Vec<Key>) -> Option<Self> {
         (!keys.is_empty()).then_some(Keyring { keys })
     }
@@ -112,7 +112,7 @@
     /// Opens the envelope of a datagram.
     ///
     /// # Errors
-    /// It is longer than any datagram, or not authentic.
+    /// If the envelope is longer than [`MAX_DATAGRAM_BYTES`], or not authentic.
     pub fn verify<'a>(&self, bytes: &'a [u8]) -> Result<Envelope<'a>, VerifyError> {
         self.verify_sized(bytes, MAX_DATAGRAM_BYTES)
     }
@@ -120,7 +120,7 @@
     /// Opens an envelope of at most `max_bytes`.
     ///
     /// # Errors
-    /// It is longer, or not authentic.
+    /// If the envelope is longer, or not authentic.
     pub fn verify_sized<'a>(
         &self,
         bytes: &'a [u8],
@@ -143,7 +143,7 @@
     }
 }
 
-/// In constant time, as the time to compare must not show how much of a forged tag matches.
+/// Compares in constant time, so that the duration does not reveal how much of a forged tag matches.
 fn equal_in_constant_time(expected: &[u8; TAG_BYTES], found: &[u8]) -> bool {
     let difference = expected
         .iter()
--- a/crates/stackgw-cluster/src/identity.rs
+++ b/crates/stackgw-cluster/src/identity.rs
@@ -1,18 +1,18 @@
-//! One instance as its peers know it.
+//! The identity by which peers know an instance.
 
 use serde::{Deserialize, Serialize};
 use stackgw_sessions::{NodeId, Peer};
 use std::net::SocketAddr;
 
-/// One incarnation of an instance and its address. Order and types of the fields are the wire
+/// One incarnation of an instance and its address. The order and types of the fields are the wire
 /// format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Which instance, and in which incarnation.
+    /// The instance and its incarnation.
     pub peer: Peer,
-    /// Where it receives datagrams.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// Increases when others have taken it for down and it rejoins in the same incarnation.
+    /// Increases when peers have declared the instance down and it rejoins in the same incarnation.
     pub rejoin_count: u16,
 }
 
@@ -20,7 +20,7 @@
     /// The node of an instance of which only the address is known.
     pub(crate) const UNKNOWN_NODE: NodeId = NodeId(0);
 
-    /// Whichever instance is at this address, to be asked for the others.
+    /// A placeholder for the instance at this address, used to contact a seed.
     pub(crate) fn at(address: SocketAddr) -> Self {
         let peer = Peer {
             node: Self::UNKNOWN_NODE,
--- a/crates/stackgw-cluster/src/instances.rs
+++ b/crates/stackgw-cluster/src/instances.rs
@@ -6,34 +6,34 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Maximum number of instances that are remembered, those that are down included.
+/// Maximum number of instances in the table, including those that are down.
 const MAX_INSTANCES: usize = 4_096;
-/// An instance that has been down this long is forgotten, unless it is a seed.
+/// An instance that has been down this long is removed from the table, unless it is a seed.
 const DOWN_RETENTION: Span = 600 * SECOND;
 
 /// An instance that is or was up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstanceStatus {
-    /// Which one.
+    /// The instance's latest incarnation and its address.
     pub identity: Identity,
-    /// It seems to be up.
+    /// Whether the instance seems to be up.
     pub up: bool,
-    /// Since when that is so.
+    /// When this status was last observed.
     pub since: Time,
 }
 
-/// What an observation was news of.
+/// The result of observing the status of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Observation {
-    /// An instance came up or went down, or is another incarnation.
+    /// The instance came up, went down, or has another incarnation.
     Changed,
-    /// A later incarnation of this very instance is up.
+    /// A later incarnation of the local instance is up.
     Superseded,
-    /// Nothing.
+    /// Nothing has changed.
     Ignored,
 }
 
-/// The table of instances, as one of them sees it. It does not hold that one itself.
+/// The table of instances, as the local one sees it. It does not include the local instance.
 #[derive(Debug)]
 pub(crate) struct Instances {
     local: Peer,
@@ -42,7 +42,7 @@
 }
 
 impl Instances {
-    /// An empty table, kept by this instance.
+    /// Creates an empty table; `local` is the instance that keeps it.
     pub(crate) fn new(local: Peer) -> Self {
         Instances {
             local,
@@ -59,12 +59,12 @@
         self.by_node.get(&node)
     }
 
-    /// Increases with each change of who is up.
+    /// Increases with each change of the instances that are up.
     pub(crate) fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Takes in what is known of an instance now.
+    /// Updates the status of an instance.
     pub(crate) fn observe(&mut self, status: InstanceStatus) -> Observation {
         let peer = status.identity.peer;
         if peer.node == self.local.node {
@@ -90,7 +90,7 @@
         Observation::Changed
     }
 
-    /// Forgets instances that have been down for long.
+    /// Removes instances that have been down for [`DOWN_RETENTION`].
     pub(crate) fn prune(&mut self, now: Time, seeds: &[SocketAddr]) {
         self.by_node.retain(|_, status| {
             status.up
--- a/crates/stackgw-cluster/src/lib.rs
+++ b/crates/stackgw-cluster/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which other instances there are: SWIM membership (`foca`) over authenticated datagrams.
+//! Membership of the cluster of instances: SWIM (`foca`) over authenticated datagrams.
 //!
-//! - Membership is a hint: where an instance is reached and whether it seems to be up. No guarantee
-//!   rests on it; what must be certain rests on the leases of `stackgw-sessions`.
-//! - Nothing that fails authentication ([`Keyring::verify`]) changes any state but counters.
+//! - Membership is a hint: the address of an instance and whether it seems to be up. No guarantee
+//!   depends on it; guarantees are based on the leases of `stackgw-sessions`.
+//! - A datagram that fails authentication ([`Keyring::verify`]) changes no state except counters.
 //! - No I/O, clock or threads: datagrams, the time and a seed are passed in; datagrams to send and
 //!   events come out.
 //!
