--- a/crates/stackgw-bootstrap/src/bootstrap/peers.rs
+++ b/crates/stackgw-bootstrap/src/bootstrap/peers.rs
@@ -91,7 +91,7 @@
             service_id: self.settings.service_id,
             revision: self.cache.revision(),
             confirmed_ago_ms: u64::try_from(age / MS).unwrap_or_default(),
-            is_live: self.watch.is_live() && !self.cache.is_behind(),
+            is_live: self.watch.is_live() && !self.cache.is_service_behind(),
             is_cached: self.cache.revision().is_some() && !self.cache.is_confirmed(),
             retry_after_ms: u64::try_from(retry_after / MS).unwrap_or_default(),
             warm_throughput_millis: (self.warm_throughput.measured() * THROUGHPUT_SCALE) as u64,
--- a/crates/stackgw-bootstrap/src/bootstrap/watch.rs
+++ b/crates/stackgw-bootstrap/src/bootstrap/watch.rs
@@ -82,7 +82,7 @@
         out: &mut Vec<Output>,
     ) -> MergeOutcome {
         let previous_revision = self.cache.revision();
-        let was_behind = self.cache.is_behind();
+        let was_behind = self.cache.is_service_behind();
         let previous_resets = self.cache.resets();
         let outcome = self.cache.merge(now, update, UpdateSource::Service);
         self.watch.record_answer(now);
@@ -91,7 +91,7 @@
         }
         if outcome == MergeOutcome::Stale {
             self.counters.stale_updates += 1;
-            if self.cache.is_behind() && !was_behind {
+            if self.cache.is_service_behind() && !was_behind {
                 let revision = previous_revision.unwrap_or_default();
                 out.push(Output::Log(LogEvent::ServiceBehind(revision)));
             }
--- a/crates/stackgw-bootstrap/src/endpoint_cache.rs
+++ b/crates/stackgw-bootstrap/src/endpoint_cache.rs
@@ -127,7 +127,7 @@
     }
 
     /// Whether the service sends lists that are older than the cache.
-    pub fn is_behind(&self) -> bool {
+    pub fn is_service_behind(&self) -> bool {
         self.service_behind_since.is_some()
     }
 
--- a/crates/stackgw-bootstrap/tests/digest/hasher.rs
+++ b/crates/stackgw-bootstrap/tests/digest/hasher.rs
@@ -133,7 +133,7 @@
         self.origin(cache.origin());
         self.optional_time(cache.age(now));
         self.optional_time(cache.confirmed_at());
-        self.flag(cache.is_behind());
+        self.flag(cache.is_service_behind());
         self.unsigned(cache.resets());
         let endpoints: Vec<_> = cache.endpoints().collect();
         self.serialized(&endpoints);
--- a/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
+++ b/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
@@ -236,7 +236,7 @@
         json!({
             "service": self.service,
             "revision": cache.revision(), "origin": cache.origin().map(origin_name), "age_ms": cache.age(now).map(|age| age / MS),
-            "members": cache.endpoints().count(), "behind": cache.is_behind(), "resets": cache.resets(),
+            "members": cache.endpoints().count(), "behind": cache.is_service_behind(), "resets": cache.resets(),
             "ready": self.bootstrap.is_ready(now), "watch": is_live,
             "holders": leaders.iter().map(ToString::to_string).collect::<Vec<_>>(),
             "counts": {"watches": counts.watches_opened, "alone": counts.watches_without_leader, "asked": counts.polls_sent,
