--- a/crates/stackgw-bootstrap/src/watch_leaders.rs
+++ b/crates/stackgw-bootstrap/src/watch_leaders.rs
@@ -198,7 +198,7 @@
         polls.last_at = now;
     }
 
-    /// Records an answer, or any other message, from an instance.
+    /// Records an answer, or any other snapshot, from an instance.
     pub fn record_answer(&mut self, address: SocketAddr) {
         self.unanswered.remove(&address);
     }
