--- a/crates/stackgw-bootstrap/src/fragments.rs
+++ b/crates/stackgw-bootstrap/src/fragments.rs
@@ -10,7 +10,7 @@
 
 impl EndpointSnapshot {
     /// Adds these entries to a snapshot without entries, split into as many datagrams as needed; `None` if an entry does not
-    /// fit into a datagram or more than [`MAX_FRAGMENTS`] datagrams are needed.
+    /// fit into a datagram or more than `MAX_FRAGMENTS` datagrams are needed.
     pub fn into_fragments(self, endpoints: Vec<Endpoint>) -> Option<Vec<EndpointSnapshot>> {
         let header_bytes = Message::Snapshot(self.clone()).encode().len() + HEADER_GROWTH_BYTES;
         let batches = split_by_size(endpoints, MAX_BODY_BYTES.saturating_sub(header_bytes))?;
