--- a/crates/stackgw-bootstrap/tests/digest/main.rs
+++ b/crates/stackgw-bootstrap/tests/digest/main.rs
@@ -58,9 +58,9 @@
         sim.suspicion_time = 15 * SECOND;
         play(&mut digest, &mut rng, &mut sim, 10, 1_500);
         // Most instances are killed at once, so that many polls are not answered.
-        let stays = below(&mut rng, 120);
+        let survivor = below(&mut rng, 120);
         (0..120)
-            .filter(|n| n % 40 != stays % 40)
+            .filter(|n| n % 40 != survivor % 40)
             .for_each(|n| sim.kill(n));
         play(&mut digest, &mut rng, &mut sim, 10, 1_500);
     }
--- a/crates/stackgw-bootstrap/tests/histories.rs
+++ b/crates/stackgw-bootstrap/tests/histories.rs
@@ -104,7 +104,7 @@
 #[test]
 fn leaders_are_replaced_in_time_when_most_of_the_fleet_is_killed_unnoticed_by_the_membership() {
     // Each seed leaves different instances running, with a different number of killed ones before them in the succession.
-    for (fleet, left, most) in [
+    for (fleet, survivors, time_limit) in [
         (24, 4, 2 * SECOND),
         (24, 1, 2 * SECOND),
         (300, 90, 2 * SECOND),
@@ -115,20 +115,22 @@
             sim.suspicion_time = 15 * SECOND;
             sim.start_all(0..fleet);
             sim.advance(5 * SECOND);
-            let stays = |n: &usize| (n * 7 + seed as usize * 13) % fleet < left;
-            (0..fleet).filter(|n| !stays(n)).for_each(|n| sim.kill(n));
+            let survives = |n: &usize| (n * 7 + seed as usize * 13) % fleet < survivors;
+            (0..fleet)
+                .filter(|n| !survives(n))
+                .for_each(|n| sim.kill(n));
             sim.drain(1);
-            let sent = sim.datagrams;
-            sim.advance(most);
+            let sent_before = sim.datagrams;
+            sim.advance(time_limit);
             assert_eq!(
                 (sim.up_to_date_count(), sim.running_count()),
-                (left, left),
-                "{left} of {fleet}, seed {seed}"
+                (survivors, survivors),
+                "{survivors} of {fleet}, seed {seed}"
             );
-            let each = (sim.datagrams - sent) / left as u64;
+            let sent_by_each = (sim.datagrams - sent_before) / survivors as u64;
             assert!(
-                each <= 200 + 64 * (most / (100 * MS)) as u64,
-                "{each} datagrams from each"
+                sent_by_each <= 200 + 64 * (time_limit / (100 * MS)) as u64,
+                "{sent_by_each} datagrams from each survivor"
             );
         }
     }
@@ -281,7 +283,7 @@
         .collect();
     polls.sort_unstable();
     assert!(polls[0] >= now + 2 * SECOND);
-    let most = polls
+    let max_polls = polls
         .iter()
         .map(|at| {
             polls
@@ -290,7 +292,7 @@
                 .count()
         })
         .max();
-    assert!(most <= Some(24), "{most:?} of 200 in 100 ms");
+    assert!(max_polls <= Some(24), "{max_polls:?} of 200 in 100 ms");
 }
 
 /// Every instance must know of a change within six seconds after the service had it and was reachable. A poll fails after three
@@ -316,9 +318,9 @@
             let next = schedule.retry_at(now, 300);
             // An earlier retry-after postpones nothing. Together with the poll that fails late this is within six seconds,
             // including the time to connect.
-            let most = if is_postponed { 4600 * MS } else { 2600 * MS };
+            let max_pause = if is_postponed { 4600 * MS } else { 2600 * MS };
             assert!(
-                next - now <= most,
+                next - now <= max_pause,
                 "instance {number}, poll {n}: {} ms",
                 (next - now) / MS
             );
--- a/crates/stackgw-cluster/tests/fixtures.rs
+++ b/crates/stackgw-cluster/tests/fixtures.rs
@@ -44,7 +44,7 @@
 
 fn exchange() -> String {
     let line = |(at, datagram): &(Time, Datagram)| {
-        let (port, bytes) = (datagram.to.port(), hex(&datagram.bytes));
+        let (port, bytes) = (datagram.to.port(), encode_hex(&datagram.bytes));
         format!("{} {port} {bytes}\n", at / MS)
     };
     run().sent.iter().map(line).collect()
@@ -76,21 +76,21 @@
     named
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         write!(text, "{byte:02x}").expect("writing to a string cannot fail");
         text
     })
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
 fn fixture(name: &str) -> Vec<u8> {
     let mut lines = DATAGRAMS.lines().filter_map(|line| line.split_once(' '));
-    unhex(lines.find(|(known, _)| *known == name).expect(name).1)
+    decode_hex(lines.find(|(known, _)| *known == name).expect(name).1)
 }
 
 /// Writes both fixtures: `cargo test -p stackgw-cluster --test fixtures -- --ignored`
@@ -100,7 +100,7 @@
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures");
     let text: String = datagrams()
         .iter()
-        .map(|(name, bytes)| format!("{name} {}\n", hex(bytes)))
+        .map(|(name, bytes)| format!("{name} {}\n", encode_hex(bytes)))
         .collect();
     std::fs::write(format!("{folder}/datagrams.hex"), text).expect("the fixture is written");
     std::fs::write(format!("{folder}/exchange.hex"), exchange()).expect("the fixture is written");
@@ -111,7 +111,7 @@
     let current = datagrams();
     assert_eq!(current.len(), 6);
     for (name, bytes) in current {
-        assert_eq!(hex(&bytes), hex(&fixture(name)), "{name}");
+        assert_eq!(encode_hex(&bytes), encode_hex(&fixture(name)), "{name}");
     }
 }
 
