--- a/crates/stackgw-gateway/src/counters.rs
+++ b/crates/stackgw-gateway/src/counters.rs
@@ -1,10 +1,10 @@
-//! Counters of the gateway: plain numbers, logged on request and at the exit. Their names are part of the log.
+//! Counters of the gateway, logged on request and at exit. Their names are keys in the log line.
 
 use std::fmt;
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// Everything that is counted.
+        /// The counters of the gateway.
         #[derive(Debug, Default, Clone, PartialEq, Eq)]
         pub struct Counters { $($(#[$doc])* pub $name: u64),* }
 
@@ -21,25 +21,26 @@
 counters! {
     /// Statements received from clients and other frontends.
     taken,
-    /// Statements answered with an error because of their form, class or group.
+    /// Statements rejected with an error because of their form, class or group.
     malformed,
-    /// Requests answered with a member's row.
+    /// Requests answered with a row from a member.
     answered_served,
-    /// Requests rejected: nothing has run.
+    /// Requests rejected; none of them was executed.
     answered_rejected,
-    /// Requests failed: they may have run.
+    /// Requests failed; they may have been executed.
     answered_failed,
-    /// Requests whose client left before the response.
+    /// Requests whose client disconnected before the response.
     abandoned,
-    /// Requests rejected before the router saw them: too many were open or connected, or no list was known yet.
+    /// Requests rejected before they reached the router: too many requests or connections were open, or no endpoint list was
+    /// known yet.
     rejected_early,
-    /// Served requests whose answer is a stream.
+    /// Served requests whose response is a stream.
     streams_begun,
     /// Streams that ended before they were complete.
     streams_broken,
     /// Connections that were established too late for their attempt and kept for the next one.
     members_late,
-    /// Attempts asked for by the router.
+    /// Attempts started by the router.
     attempts,
     /// Attempts whose last byte was written to a member.
     written,
@@ -49,11 +50,11 @@
     ended_error,
     /// Attempts that a member rejected because it was full or draining.
     ended_overloaded,
-    /// Attempts that reached a member of the wrong role, or a replica too far behind.
+    /// Attempts that reached a member of the wrong role, or a replica that lagged too far.
     ended_misrouted,
     /// Attempts that timed out.
     ended_timed_out,
-    /// Attempts without a connection.
+    /// Attempts that got no connection.
     ended_no_connection,
     /// Attempts whose connection broke.
     ended_reset,
@@ -71,74 +72,74 @@
     clients_opened,
     /// Client connections open.
     clients_open,
-    /// Most client connections open together.
+    /// Most client connections open at the same time.
     clients_peak,
-    /// Idle client connections closed for others.
+    /// Idle client connections closed to make room for others.
     clients_evicted,
-    /// Client connections closed for bytes that are no messages of the protocol.
+    /// Client connections closed because of bytes that are not a message of the protocol.
     clients_bad,
     /// Client connections closed because they stalled inside a message or a response.
     clients_stalled,
     /// Client connections closed because they sent no request in time.
     clients_without_request,
-    /// Client connections rejected while no list was known, as those that wait for it took all places.
+    /// Client connections rejected while no endpoint list was known, because clients waiting for the list took all places.
     clients_rejected,
-    /// Client connections closed for sending too much ahead, or leaving too much unread, while memory was short.
+    /// Client connections closed because they sent too much ahead, or left too much unread, while memory was short.
     clients_over_buffer_limit,
-    /// Statements whose id is that of an open request.
+    /// Statements whose id was already used by an open request.
     ids_taken,
     /// Connections to members opened.
     members_opened,
-    /// Connections to members that came up.
+    /// Connections to members that were established.
     members_up,
     /// Connections to members open.
     members_open,
-    /// Most connections to members open together.
+    /// Most connections to members open at the same time.
     members_peak,
     /// Idle connections that the member closed.
     members_closed,
-    /// Idle connections retired ahead of the member's limit.
+    /// Idle connections closed by the gateway before the member's idle limit.
     members_retired,
     /// Idle connections closed to make room for others.
     members_evicted,
-    /// Connections closed for bytes that are no messages of the protocol.
+    /// Connections to members closed because of bytes that are not a message of the protocol.
     members_bad,
-    /// Connections closed for data that nothing had requested.
+    /// Connections to members closed because of data that no request had asked for.
     members_unexpected_data,
-    /// Positions in the future, which were discarded.
+    /// Positions discarded because they were in the future.
     positions_implausible,
     /// Attempts that got a second connection because the first one was closed before they were sent.
     members_reopened,
-    /// Members that lists have named and that are still known.
+    /// Members from endpoint lists that are still known.
     members_known,
-    /// Members dropped, gone for a while.
+    /// Members dropped after they had been removed for a while.
     members_forgotten,
-    /// Endpoint lists applied, complete or changes.
+    /// Endpoint lists applied, complete lists and changes.
     lists,
-    /// Times that the configuration was to be read anew.
+    /// Reloads of the configuration.
     reloads,
-    /// Of these, the ones whose file could not be used.
+    /// Reloads of the configuration that failed because a file could not be used.
     reloads_failed,
     /// Watches opened.
     watches,
-    /// Watches that ended, broke or fell silent.
+    /// Watches that ended, broke or timed out.
     watches_lost,
     /// Gossip datagrams sent.
     gossip_sent,
     /// Gossip datagrams received from other gateways of the tier.
     gossip_received,
-    /// Datagrams dropped: not from a gateway of the tier, or no gossip.
+    /// Datagrams dropped because they were not from a gateway of the tier, or not gossip.
     gossip_dropped,
-    /// Bytes that clients have sent and that are not delivered yet.
+    /// Bytes that clients have sent and that have not been passed to the reducer yet.
     read_ahead_bytes,
     /// Bytes of queued and open statements, and of responses that wait for confirmation.
     buffered_bytes,
-    /// Most such bytes at a time.
+    /// Highest value of `buffered_bytes`.
     buffered_peak,
 }
 
 impl Counters {
-    /// Raises a peak to what is open.
+    /// Raises each peak to its current value if that is higher.
     pub fn peaks(&mut self) {
         self.clients_peak = self.clients_peak.max(self.clients_open);
         self.members_peak = self.members_peak.max(self.members_open);
--- a/crates/stackgw-gateway/src/error.rs
+++ b/crates/stackgw-gateway/src/error.rs
@@ -1,36 +1,36 @@
-//! Why a gateway does not start.
+//! Errors that keep a gateway from starting.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a gateway does not start. Each error is one plain line that names the field at fault.
+/// An error that keeps a gateway from starting. Its message is one line that names the field at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
-    /// Signals cannot be received.
-    #[error("signals: {0}")]
+    /// The signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] std::io::Error),
-    /// The local socket cannot be opened.
-    #[error("control: {}: {source}", path.display())]
+    /// The control socket cannot be opened.
+    #[error("control: cannot open socket {}: {source}", path.display())]
     Control {
         /// The socket's path.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
-    /// An address cannot be listened on.
-    #[error("{field}: {address}: {source}")]
+    /// An address cannot be bound.
+    #[error("{field}: cannot bind {address}: {source}")]
     Listen {
         /// The configuration's field.
         field: &'static str,
-        /// The address that it names.
+        /// The address in that field.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The store of the sessions cannot be used.
+    /// The session store cannot be used.
     #[error(transparent)]
     Store(#[from] stackgw_store::StoreError),
-    /// The other frontend does not start.
+    /// The additional frontend cannot start.
     #[error(transparent)]
     Frontend(Box<dyn std::error::Error + Send + Sync>),
 }
--- a/crates/stackgw-gateway/src/lib.rs
+++ b/crates/stackgw-gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The stackgw gateway as a library: clients on one side, members on the other, both speaking PostgreSQL's protocol, and the
-//! router's decisions between them.
+//! The stackgw gateway as a library. It accepts clients, forwards their requests to members over PostgreSQL's protocol, and
+//! leaves the choice of member to the router.
 //!
-//! [`reducer::Reducer`] is the gateway without its sockets: a state machine of inputs and effects. [`run`] is the whole of it:
-//! one thread that reads sockets, hands inputs to the reducer and carries out its effects. Whatever needs a decision is the
-//! router's or the reducer's; the I/O side knows no request and no member's state.
+//! [`reducer::Reducer`] is the gateway without its sockets: a state machine of inputs and effects. [`run`] runs the complete
+//! gateway: one thread that reads sockets, passes inputs to the reducer and carries out its effects. All decisions are made by
+//! the router or the reducer; the I/O side keeps no state of requests or members.
 
 pub mod config;
 pub mod counters;
@@ -24,29 +24,30 @@
 use slog::Logger;
 use std::any::Any;
 
-/// What a frontend or its backend may fail with at start.
+/// An error that a frontend or its backend returns at start.
 pub type FrontendError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Starts a frontend beside the first protocol's, and the backend to members that speak its protocol. It is given the way to
-/// the reducer, the channels of commands to such members and of what they answer, and a log; both run until what it returns is
-/// dropped.
+/// Starts a frontend in addition to the PostgreSQL one, and the backend for members that speak its protocol.
+///
+/// The arguments are the handle for requests to the reducer, the channels of commands to the backend and of events from it, and
+/// a log. The frontend and its backend run until the returned value is dropped.
 pub type FrontendFactory =
     Box<dyn FnOnce(RequestHandle, BackendChannels, Logger) -> Result<Box<dyn Any>, FrontendError>>;
 
-/// Serves until SIGTERM has been seen through. Logs go to standard error without ever holding the gateway up.
+/// Serves until a SIGTERM has been handled completely. Logs go to standard error without blocking the gateway.
 ///
 /// # Errors
 ///
-/// The gateway does not start.
+/// The gateway cannot start.
 pub fn run(config: config::Config) -> Result<(), GatewayError> {
     run_with_frontend(config, None)
 }
 
-/// The same with another frontend beside the first protocol's.
+/// Like [`run`], with another frontend in addition to the PostgreSQL one.
 ///
 /// # Errors
 ///
-/// The gateway or its frontend does not start.
+/// The gateway or its frontend cannot start.
 pub fn run_with_frontend(
     config: config::Config,
     frontend: Option<FrontendFactory>,
--- a/crates/stackgw-gateway/src/limits.rs
+++ b/crates/stackgw-gateway/src/limits.rs
@@ -1,166 +1,173 @@
-//! Every size, count and time of the gateway, computed once at start and handed down.
+//! The limits of the gateway (sizes, counts and times), computed once at start and passed down.
 //!
-//! What the platform grants (memory, descriptors) is shared among the gateway's parts here and nowhere else. Times are in
-//! nanoseconds ([`Span`]).
+//! Only this module divides the platform's resources (memory, descriptors) among the gateway's parts. Times are in nanoseconds
+//! ([`Span`]).
 
 use stackgw_router::api::{Span, MS, SECOND};
 use stackgw_settings::PlatformSettings;
 
-/// What the platform grants one gateway.
+/// The resources that the platform grants one gateway.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Platform {
-    /// Memory in MiB; over it the gateway is killed.
+    /// Memory in MiB; a gateway that uses more is killed.
     pub memory_mb: usize,
     /// File descriptors that the process may hold.
     pub sockets: usize,
 }
 
-/// Every size, count and time of the gateway.
+/// The limits of the gateway: sizes, counts and times.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
     /// Client connections served at once.
     pub clients: usize,
-    /// More of them, accepted only to be rejected: left in the backlog, what they have sent would be lost.
+    /// Client connections above `clients` that are accepted only to be rejected: if they stayed in the backlog, the bytes that
+    /// they have sent would be lost.
     pub client_reserve: usize,
     /// Connections to members open at once, idle ones included.
     pub member_connections: usize,
-    /// With more client connections than this, one that has been idle for `soft_limit_idle` is closed.
+    /// Above this number of client connections, one that has been idle for `soft_limit_idle` is closed.
     pub client_soft_limit: usize,
-    /// See `client_soft_limit`.
+    /// Idle time after which a client connection is closed above `client_soft_limit`.
     pub soft_limit_idle: Span,
-    /// At the limit of clients, one that has been idle for this long may be closed for another.
+    /// At the limit of clients, a connection that has been idle for this long may be closed to make room for a new one.
     pub eviction_idle: Span,
-    /// One that has not sent a request yet is closed before all others, but its first one may be on its way: it is spared for
-    /// this long.
+    /// A connection without a request so far is evicted before all others, but not within this time of its start: its first
+    /// request may be on its way.
     pub eviction_grace: Span,
     /// Requests in flight or queued at once.
     pub requests: usize,
-    /// Members that are remembered from lists.
+    /// Members from endpoint lists that are kept in memory.
     pub members: usize,
-    /// A client's startup packet.
+    /// Size of a client's startup packet.
     pub startup_bytes: usize,
-    /// A client's message: a value of 64 KiB in hexadecimal, and the text around it.
+    /// Size of a client's message: a value of 64 KiB in hexadecimal, and the text around it.
     pub statement_bytes: usize,
-    /// What is read ahead of one client's messages that are taken. Danger: the end of a connection stands behind all that was
-    /// sent before it, and what is not read here keeps it from being seen.
+    /// Bytes that are read from one client ahead of the messages accepted from it. The end of a connection is seen only after
+    /// all bytes sent before it are read; a limit that is too low hides that the client has disconnected.
     pub read_ahead_bytes: usize,
-    /// One message of a member's answer, and a complete answer. Members may hold larger values than clients write here.
+    /// Size of one message of a member's response, and of a complete response. Members may hold larger values than clients can
+    /// write through the gateway.
     pub answer_bytes: usize,
-    /// The head of an HTTP answer.
+    /// Size of the head of an HTTP response.
     pub head_bytes: usize,
-    /// One endpoint list as JSON.
+    /// Size of one endpoint list as JSON.
     pub list_bytes: usize,
-    /// A datagram between gateways.
+    /// Size of a datagram between gateways.
     pub datagram_bytes: usize,
-    /// One read from a socket.
+    /// Size of one read from a socket.
     pub read_bytes: usize,
-    /// Statements of all clients, and again what they have sent beyond these; past it reads pause.
+    /// Size of the accepted statements of all clients, and separately of the bytes that they have sent beyond these; above it
+    /// reads pause.
     pub client_bytes: usize,
-    /// Partial answers of all members; past it reads pause.
+    /// Size of the partial responses of all members; above it reads pause.
     pub member_bytes: usize,
-    /// What all clients have left unread; past it the one that has not read for longest is disconnected.
+    /// Bytes written to all clients that they have not read; above it the client that has not read for longest is disconnected.
     pub pending_write_bytes: usize,
-    /// No new request goes to a member later than this after a notice that it is draining or removed ...
+    /// Time after a notice that a member is draining or removed until no new request may be sent to it.
     pub drain_grace: Span,
-    /// ... or, where this is set, that it is draining.
+    /// `drain_grace` applies only to notices that a member is draining, not to those that it is removed.
     pub removal_is_advisory: bool,
-    /// A connection to a member that is not up by then has failed.
+    /// Timeout of a connect to a member.
     pub connect_timeout: Span,
-    /// One whose handshake a member has begun may come up by then after that, for the next request.
+    /// Further time for a connect that timed out after the member had begun the handshake; the connection then serves the next
+    /// request.
     pub late_connect_timeout: Span,
-    /// A health check without an answer by then has failed.
+    /// Timeout of a health check.
     pub health_check_timeout: Span,
-    /// An answer that has begun and then brings nothing for this long is malformed.
+    /// A response that has begun and then stalls for this long is malformed.
     pub answer_stall_timeout: Span,
-    /// A member's clock may be ahead of this one's by so much; a position later than that is not believed.
+    /// How far a member's clock may be ahead of the gateway's; a position later than that is discarded.
     pub max_clock_skew: Span,
-    /// Idle connections to members are closed after this, ahead of the members' own limit.
+    /// Idle connections to members are closed after this time, before the members' own limit closes them.
     pub member_idle_timeout: Span,
-    /// Interval of the look at idle connections.
+    /// Interval at which idle connections are checked.
     pub sweep_interval: Span,
-    /// A client without a request by then, counted from its connecting, is disconnected.
+    /// A client that sends no request within this time after it connects is disconnected.
     pub first_request_timeout: Span,
-    /// A message that has begun must be complete by then.
+    /// Time in which a message that has begun must be complete.
     pub partial_message_timeout: Span,
-    /// A client that has not read an answer by then is disconnected.
+    /// A client that does not read a response within this time is disconnected.
     pub client_write_timeout: Span,
-    /// A client that has been sent why its connection ends may go on sending for this long ...
+    /// How long input of a client is still read and dropped after the error that ends its connection has been sent.
+    ///
+    /// Closing a socket that holds unread bytes sends a reset, which can discard the error before the client reads it.
     pub linger_timeout: Span,
-    /// ... and so much; it is read and dropped, as a close over unread bytes would be a reset that takes the error along.
+    /// How many bytes of input are still read and dropped in that case.
     pub linger_bytes: usize,
-    /// Malformed statements in a row, at most, before the connection ends.
+    /// Malformed statements in a row after which the connection is closed.
     pub max_consecutive_malformed: u32,
-    /// Statements of one client served at once, where it writes several before it reads. Danger: the time of those behind them
-    /// counts only from when they are taken, and their answers would come too late.
+    /// Statements of one client served at once, where it writes several before it reads. The deadline of each further one
+    /// counts only from when it is accepted; with a lower limit its response would come too late.
     pub max_pipelined_statements: usize,
-    /// Messages of one client handed over before all others have had their turn.
+    /// Messages of one client that are passed to the reducer before other tasks run.
     pub messages_per_turn: usize,
-    /// Interval of the look at clients that may have left while their bytes wait: a third of the tenth of a second after which
-    /// nothing may begin for them.
+    /// Interval at which clients whose bytes wait are checked for a disconnect. No work may begin for a client later than
+    /// 100 ms after it disconnects; the interval is a third of that.
     pub disconnect_poll_interval: Span,
-    /// So many of them are looked at before other tasks have had their turn.
+    /// Clients that are checked for a disconnect before other tasks run.
     pub disconnect_poll_batch: usize,
-    /// New connections accepted before other tasks have had their turn.
+    /// New connections that are accepted before other tasks run.
     pub accept_batch: usize,
-    /// Connections that the kernel queues before they are accepted.
+    /// Connections that the kernel queues until they are accepted.
     pub backlog: i32,
-    /// No request waits longer for its answer, whatever its `d` says.
+    /// Longest time that a request waits for its response, even if its `d` is larger.
     pub max_request_wait: Span,
-    /// A watch whose connection is not up by then is opened again.
+    /// A watch that is not connected within this time is reopened.
     pub watch_connect_timeout: Span,
-    /// One that is up has brought its first complete line by then.
+    /// A connected watch must deliver its first complete line within this time.
     pub watch_first_line_timeout: Span,
-    /// One without a complete line for this long after that is opened again: two of its blank lines.
+    /// A watch that delivers no complete line for this long after its first one is reopened: twice the interval of its blank
+    /// lines.
     ///
-    /// Danger: a change counts as notified 6 s after the list service had it and could be reached, whatever the watch was doing
-    /// then. Each of these three, the longest backoff and one more connect stay within that together.
+    /// A change counts as notified 6 s after the list service has it and is reachable, in whatever state the watch is. Each of
+    /// these three timeouts must stay within that, together with the longest backoff and one more connect.
     pub watch_idle_timeout: Span,
-    /// Shortest backoff before the list service is asked again.
+    /// Shortest backoff before another request to the list service.
     pub watch_min_backoff: Span,
-    /// Longest such backoff.
+    /// Longest backoff before another request to the list service.
     pub watch_max_backoff: Span,
     /// Pause after an error of the listener or of a datagram socket.
     pub error_backoff: Span,
     /// After SIGTERM new connections are accepted for this long.
     pub shutdown_accept: Span,
-    /// After SIGTERM clients keep the connections that they have for this long, and are served.
+    /// After SIGTERM clients keep their open connections, and are served, for this long.
     pub shutdown_serve: Span,
-    /// Interval at which clients are then looked at, and closed between requests.
+    /// Interval at which client connections are then checked, and closed if they are between requests.
     pub shutdown_sweep_interval: Span,
-    /// After SIGTERM every open request is answered at once from then on, and so is each that follows.
+    /// Time after SIGTERM from which every open request, and each new one, is rejected at once.
     pub shutdown_reject: Span,
-    /// After SIGTERM the gateway ends by then, whatever is left: ahead of a SIGKILL.
+    /// Time after SIGTERM at which the gateway exits even if requests are left: before the SIGKILL.
     pub shutdown_deadline: Span,
 }
 
-/// With fewer descriptors a gateway is of no use.
+/// A gateway cannot serve with fewer descriptors.
 pub const MIN_DESCRIPTORS: usize = 2 * OWN_DESCRIPTORS;
 /// Descriptors for the gateway itself: standard streams, listener, reactor, signals, datagrams, discovery.
 const OWN_DESCRIPTORS: usize = 32;
-/// The part of `client_bytes` that is reserved, in equal shares for all clients.
-const RESERVED_PART: usize = 4;
-/// Share of the others that connections to members may take; clients have the rest.
+/// One in this many of `client_bytes` is reserved, in equal shares for all clients.
+const RESERVED_DIVISOR: usize = 4;
+/// Share of the remaining descriptors for connections to members; clients get the rest.
 const MEMBER_SHARE: f64 = 0.4;
-/// Share that clients beyond `clients` may take, each for as long as its rejection needs.
+/// Share of the remaining descriptors for `client_reserve`, each held only until its client is rejected.
 const RESERVE_SHARE: f64 = 0.06;
-/// Values that clients write reach this.
+/// Largest value that clients write.
 const VALUE_BYTES: usize = 64 << 10;
-/// Text around a value: the statement's SQL, key and comment, or an answer's other messages.
+/// Text around a value: the statement's SQL, key and comment, or a response's other messages.
 const TEXT_BYTES: usize = 8 << 10;
-/// A client's largest statement, its value in hexadecimal.
+/// A client's largest statement, with its value in hexadecimal.
 const STATEMENT_BYTES: usize = 2 * VALUE_BYTES + TEXT_BYTES;
-/// An answer may take this part of the memory. Danger: one that is rejected for its size alone is asked for again and
-/// again, and costs its member as much each time.
-const ANSWER_PART: usize = 64;
-/// A connect may take so many times its timeout once the member has begun the handshake: as long again as a queue of a few
-/// such timeouts takes.
+/// A response may take one in this many bytes of the memory. A response that is rejected only for its size is requested again
+/// and again, at the same cost for its member each time.
+const RESPONSE_DIVISOR: usize = 64;
+/// Once the member has begun the handshake, a connect that timed out may take this many further timeouts: a queue of handshakes
+/// at the member can be a few timeouts long.
 const LATE_CONNECT_FACTOR: Span = 4;
-/// Members close idle connections after this where the settings do not say.
+/// Idle time after which members close connections, if the settings do not name it.
 const DEFAULT_MEMBER_IDLE: Span = 30 * SECOND;
-/// Requests are served for no longer than this after SIGTERM, whatever their deadlines.
+/// Longest time for which requests are served after SIGTERM, even if their deadlines are later.
 const MAX_SHUTDOWN_SERVE: Span = 3 * SECOND;
 
-/// What neither the platform nor the settings decide; what they do decide is 0 here.
+/// The limits that depend neither on the platform nor on the settings; all others are 0 here.
 const FIXED: Limits = Limits {
     clients: 0,
     client_reserve: 0,
@@ -218,23 +225,25 @@
 };
 
 impl Limits {
-    /// Bytes of each client that find room whatever all others hold, among statements and again in what is sent ahead.
+    /// Bytes reserved for each client however much the others hold: once for accepted statements, and once more for bytes sent
+    /// ahead of them.
     pub fn reserved_client_bytes(&self) -> usize {
         let connections = (self.clients + self.client_reserve).max(1);
-        (self.client_bytes / RESERVED_PART / connections).max(1)
+        (self.client_bytes / RESERVED_DIVISOR / connections).max(1)
     }
 
-    /// What all clients share beyond that.
+    /// Bytes that all clients share in addition to their reserved ones.
     pub fn shared_client_bytes(&self) -> usize {
-        self.client_bytes - self.client_bytes / RESERVED_PART
+        self.client_bytes - self.client_bytes / RESERVED_DIVISOR
     }
 
-    /// A client that has sent no more ahead is not closed for what all have sent: one statement.
+    /// A client that has sent no more bytes ahead than this, one statement, is not closed when the bytes sent ahead by all
+    /// clients exceed their limit.
     pub fn tolerated_read_ahead_bytes(&self) -> usize {
         self.statement_bytes.min(self.client_bytes / 16)
     }
 
-    /// The limits that this platform and these settings allow.
+    /// Computes the limits from the platform's resources and the settings.
     pub fn new(platform: Platform, settings: &PlatformSettings) -> Self {
         FIXED
             .with_descriptors(platform.sockets)
@@ -243,7 +252,7 @@
             .with_longest_deadline(longest_deadline(settings))
     }
 
-    /// Shares the descriptors among clients and members.
+    /// Divides the descriptors among clients and members.
     fn with_descriptors(self, descriptors: usize) -> Self {
         let usable = descriptors
             .saturating_sub(OWN_DESCRIPTORS)
@@ -260,10 +269,10 @@
         }
     }
 
-    /// Shares the memory among buffers.
+    /// Divides the memory among buffers.
     fn with_memory(self, bytes: usize) -> Self {
         Limits {
-            answer_bytes: VALUE_BYTES.max(bytes / ANSWER_PART) + TEXT_BYTES,
+            answer_bytes: VALUE_BYTES.max(bytes / RESPONSE_DIVISOR) + TEXT_BYTES,
             client_bytes: bytes / 6,
             member_bytes: bytes / 6,
             pending_write_bytes: bytes / 5,
