--- a/crates/stackgw-gateway/src/io/alarm.rs
+++ b/crates/stackgw-gateway/src/io/alarm.rs
@@ -1,10 +1,10 @@
-//! When the reducer wants to be woken next.
+//! The time of the reducer's next timer.
 
 use stackgw_router::api::Time;
 use std::cell::{Cell, RefCell};
 use std::task::Waker;
 
-/// When the reducer wants to be woken next.
+/// The time of the reducer's next timer, and the task that waits for it.
 #[derive(Debug, Default)]
 pub(super) struct Alarm {
     pub(super) due: Cell<Option<Time>>,
@@ -12,7 +12,7 @@
 }
 
 impl Alarm {
-    /// Sets the moment; the task is woken only where that comes sooner than what it waits for.
+    /// Sets the time; the task is woken only if it is earlier than the one it waits for.
     pub(super) fn set(&self, due: Option<Time>) {
         let before = self.due.replace(due);
         let is_sooner = due.is_some_and(|due| before.is_none_or(|before| due < before));
--- a/crates/stackgw-gateway/src/io/backend_channels.rs
+++ b/crates/stackgw-gateway/src/io/backend_channels.rs
@@ -1,5 +1,5 @@
-//! The channels between the gateway and a backend: commands to it, events from it. The other side of both runs on threads of
-//! its own and shares nothing else with this one.
+//! The channels between the gateway and a backend: commands to it, events from it. The backend runs on its own threads and
+//! shares no other state with the gateway.
 
 use crate::pg::Frame;
 use crate::reducer::{BackendRequest, CloseReason, ConnectionId, StreamHeader};
@@ -10,38 +10,38 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A stream on its way from the backend that has it to the frontend that wants it: both know what it is, the gateway does not.
+/// A stream that is passed from a backend to a frontend. Both know its type; the gateway does not.
 pub type RelayedStream = Box<dyn Any + Send>;
 
-/// What the gateway asks of a backend.
+/// A command from the gateway to a backend.
 #[derive(Debug)]
 pub enum BackendCommand {
     /// Open a connection to a member.
     Open(ConnectionId, SocketAddr),
-    /// Execute a request on it, one at a time.
+    /// Execute a request on a connection, one at a time.
     Execute(ConnectionId, BackendRequest),
-    /// Close a connection and stop what is executed on it; a write that has been sent runs to its end all the same.
+    /// Close a connection and stop the request on it; a write that has been sent is still executed to its end.
     Close(ConnectionId),
 }
 
-/// What a backend tells the gateway.
+/// An event from a backend to the gateway.
 pub enum BackendEvent {
-    /// A connection is up.
+    /// A connection is established.
     Connected(ConnectionId),
-    /// A message of an answer, in the first protocol.
+    /// A message of a response, in PostgreSQL's protocol.
     Frame(ConnectionId, Frame),
-    /// The answer comes as a stream, and this is it.
+    /// The response is this stream.
     StreamStarted(ConnectionId, StreamHeader, RelayedStream),
-    /// That stream waits for its reader.
+    /// The stream on a connection waits for its reader.
     StreamStalled(ConnectionId),
-    /// That stream is over.
+    /// The stream on a connection has ended.
     StreamEnded(ConnectionId, Outcome),
-    /// A connection is over, or never came up.
+    /// A connection has ended, or could not be established.
     Closed(ConnectionId, CloseReason),
 }
 
 impl BackendEvent {
-    /// The connection that it concerns.
+    /// Returns the connection that the event belongs to.
     pub(super) fn connection(&self) -> ConnectionId {
         match self {
             BackendEvent::Connected(id)
@@ -56,13 +56,13 @@
 
 /// A backend's ends of the two channels.
 pub struct BackendChannels {
-    /// What it is to do.
+    /// Commands from the gateway.
     pub commands: Receiver<BackendCommand>,
-    /// Where it tells what happened.
+    /// Events to the gateway.
     pub events: Sender<BackendEvent>,
 }
 
-/// Events of members that wait to be handled; past it the backend waits.
+/// Capacity of the event channel; the backend waits while it is full.
 const EVENT_QUEUE: usize = 256;
 
 /// The gateway's ends of the two channels.
@@ -72,9 +72,9 @@
 }
 
 impl BackendChannels {
-    /// Makes both channels.
+    /// Creates both channels.
     pub(super) fn new() -> (BackendChannels, GatewayChannels) {
-        // As many commands as there are connections to members, and these are bounded.
+        // The number of commands is bounded by the limit of connections to members.
         let (command_sender, commands) = async_channel::unbounded();
         let (events, event_receiver) = async_channel::bounded(EVENT_QUEUE);
         let gateway = GatewayChannels {
@@ -85,13 +85,13 @@
     }
 }
 
-/// The gateway's view of the backend.
+/// The backend as the gateway sees it.
 pub(super) struct Backends {
     /// `None`: there is no backend.
     commands: Option<Sender<BackendCommand>>,
-    /// The connections that it has.
+    /// The backend's open connections.
     pub(super) connections: RefCell<HashSet<ConnectionId>>,
-    /// The stream that has just begun on a connection.
+    /// Streams that have just started, by connection.
     pub(super) started_streams: RefCell<HashMap<ConnectionId, RelayedStream>>,
 }
 
@@ -104,13 +104,13 @@
         }
     }
 
-    /// Sends a command; whether there is a backend that takes it.
+    /// Sends a command. Returns whether there is a running backend.
     pub(super) fn send(&self, command: BackendCommand) -> bool {
         let commands = self.commands.as_ref();
         commands.is_some_and(|commands| commands.try_send(command).is_ok())
     }
 
-    /// The stream that has just begun on a connection.
+    /// Removes and returns the stream that has just started on a connection.
     pub(super) fn take_started_stream(&self, id: ConnectionId) -> Option<RelayedStream> {
         self.started_streams.borrow_mut().remove(&id)
     }
--- a/crates/stackgw-gateway/src/io/backends.rs
+++ b/crates/stackgw-gateway/src/io/backends.rs
@@ -1,5 +1,5 @@
-//! Members that speak another frontend's protocol. Commands to them go out by one channel, what they answer comes by another.
-//! The other side of both runs on threads of its own and shares nothing else with this one.
+//! Members that speak another frontend's protocol. Commands go to their backend through one channel, and its events arrive
+//! through another; the backend runs on its own threads.
 
 use super::backend_channels::{BackendCommand, BackendEvent};
 use super::driver::Driver;
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Hands over what members say.
+/// Passes the backend's events to the reducer.
 pub(super) async fn run(driver: Rc<Driver>, events: Receiver<BackendEvent>) {
     while let Ok(event) = events.recv().await {
-        // What it says of a connection that has been closed here is outdated.
+        // Events of a connection that the gateway has closed are outdated.
         if driver
             .backends
             .connections
@@ -34,7 +34,7 @@
                     .borrow_mut()
                     .insert(id, stream);
                 self.handle_input(Input::StreamStarted(id, header));
-                // Nobody took it.
+                // Drops the stream if no request has taken it.
                 let stream = self.backends.take_started_stream(id);
                 drop(stream);
             }
@@ -42,14 +42,14 @@
             BackendEvent::StreamEnded(id, outcome) => {
                 self.handle_input(Input::StreamEnded(id, outcome));
             }
-            BackendEvent::Closed(id, why) => {
+            BackendEvent::Closed(id, reason) => {
                 self.backends.connections.borrow_mut().remove(&id);
-                self.handle_input(Input::MemberClosed(id, why));
+                self.handle_input(Input::MemberClosed(id, reason));
             }
         }
     }
 
-    /// Opens a connection by the backend; where there is none it never comes up.
+    /// Opens a connection through the backend; without a backend it counts as disconnected.
     pub(super) fn open_backend_connection(&self, id: ConnectionId, address: SocketAddr) {
         if self.backends.send(BackendCommand::Open(id, address)) {
             self.backends.connections.borrow_mut().insert(id);
@@ -58,14 +58,14 @@
         }
     }
 
-    /// Executes a request. It counts as written at once: from here on it may have run, and what is known not to have left says
-    /// so itself.
+    /// Executes a request. It counts as written at once, because from now on it may have been executed; the outcome tells if it
+    /// was never sent.
     pub(super) fn execute_on_backend(&self, id: ConnectionId, request: BackendRequest) {
         self.backends.send(BackendCommand::Execute(id, request));
         self.queue_input(Input::MemberFlushed(id));
     }
 
-    /// Closes a connection that the backend has.
+    /// Closes a connection of the backend; does nothing for other connections.
     pub(super) fn close_backend_connection(&self, id: ConnectionId) {
         let is_known = self.backends.connections.borrow_mut().remove(&id);
         if is_known {
--- a/crates/stackgw-gateway/src/io/client_table.rs
+++ b/crates/stackgw-gateway/src/io/client_table.rs
@@ -1,4 +1,4 @@
-//! The table of clients' connections, and what the listener is to do. It does no I/O by itself.
+//! The table of client connections, and the state of the listener. It does no I/O.
 
 use super::connection::{Connection, ReadBudget};
 use super::flag::Flag;
@@ -9,7 +9,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// A client's connection and its task. Dropped, it is closed.
+/// A client's connection and its task. Dropping it closes the connection.
 pub(super) struct Client {
     pub(super) connection: Rc<Connection>,
     pub(super) _task: Task<()>,
@@ -19,26 +19,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct WaitingClient {
     pub(super) id: ClientId,
-    /// The size of that message; 0 while it is incomplete.
+    /// The size of the next message; 0 while it is incomplete.
     pub(super) message_bytes: usize,
 }
 
-/// All clients' connections, and what the listener is to do.
+/// All client connections, and the state of the listener.
 pub(super) struct Clients {
     pub(super) connections: RefCell<HashMap<ClientId, Client>>,
     pub(super) next_id: Cell<u64>,
-    /// Clients whose next messages are not accepted yet, in the order in which they began to wait: whoever has just had its
-    /// turn comes last.
+    /// Clients whose next messages are not accepted yet, in the order in which they began to wait. A client whose message has
+    /// just been accepted goes to the end.
     pub(super) waiting: RefCell<VecDeque<WaitingClient>>,
-    /// Clients whose tasks hold bytes, so that they may not be read on.
+    /// Clients whose tasks hold bytes that the reducer has not accepted; reads from them may be paused.
     pub(super) with_pending_bytes: RefCell<BTreeSet<ClientId>>,
-    /// Whether there are any such clients.
+    /// Set if `with_pending_bytes` is not empty.
     pub(super) any_pending_bytes: Flag,
-    /// Bytes that the clients' tasks hold.
+    /// The budget for bytes that the clients' tasks hold.
     pub(super) budget: Rc<ReadBudget>,
-    /// New connections are accepted.
+    /// Set while new connections are accepted.
     pub(super) accepts: Flag,
-    /// The listener is to be closed.
+    /// Set when the listener is to be closed.
     pub(super) stops_listening: Flag,
 }
 
@@ -61,7 +61,7 @@
         connections.get(&id).map(|client| client.connection.clone())
     }
 
-    /// Notes that a client's next message is not accepted yet.
+    /// Records that a client's next message is not accepted yet.
     pub(super) fn wait(&self, client: WaitingClient) {
         let mut waiting = self.waiting.borrow_mut();
         match waiting.iter_mut().find(|known| known.id == client.id) {
--- a/crates/stackgw-gateway/src/io/clients.rs
+++ b/crates/stackgw-gateway/src/io/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: one task for each, and the effects that concern them.
+//! Client connections: one task for each, and the effects on them.
 
 use super::client_table::{Client, WaitingClient};
 use super::connection::{Connection, ConnectionEvent, ConnectionEvents, ReadLimits, WriteProgress};
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 impl Driver {
-    /// Takes a connection that was accepted.
+    /// Registers an accepted connection and starts its task.
     pub(super) fn open_client(self: &Rc<Self>, socket: Async<TcpStream>) {
         let limits = ReadLimits {
             max_pending_bytes: self.limits.read_ahead_bytes,
@@ -31,7 +31,7 @@
         self.handle_input(Input::ClientConnected(id));
     }
 
-    /// Writes to a client, and closes its connection behind that where nothing follows.
+    /// Writes to a client; if `close` is set, its connection is closed after the write.
     pub(super) fn write_to_client(&self, id: ClientId, bytes: Vec<u8>, close: bool) {
         let Some(connection) = self.clients.connection(id) else {
             return;
@@ -43,43 +43,43 @@
         match connection.write(bytes) {
             WriteProgress::Complete => self.queue_input(Input::ClientFlushed(id)),
             WriteProgress::Partial => {}
-            WriteProgress::Broken => self.lose_client(id),
+            WriteProgress::Broken => self.disconnect_client(id),
         }
     }
 
-    /// Closes a client's connection unless it has sent something by now.
-    pub(super) fn close_client_if_quiet(&self, id: ClientId) {
+    /// Closes a client's connection unless it has received bytes meanwhile.
+    pub(super) fn close_client_if_idle(&self, id: ClientId) {
         let closed = self
             .clients
             .connection(id)
-            .is_some_and(|connection| connection.close_if_quiet());
+            .is_some_and(|connection| connection.close_if_idle());
         if closed {
-            self.lose_client(id);
+            self.disconnect_client(id);
         }
     }
 
-    /// Closes a client's connection; the client, if there was one.
+    /// Closes a client's connection. Returns the client if it was connected.
     pub(super) fn remove_client(&self, id: ClientId) -> Option<Client> {
         let client = self.clients.connections.borrow_mut().remove(&id);
         self.clients.with_pending_bytes.borrow_mut().remove(&id);
         client
     }
 
-    /// Closes a client's connection and tells the reducer.
-    fn lose_client(&self, id: ClientId) {
+    /// Closes a client's connection and reports that to the reducer.
+    fn disconnect_client(&self, id: ClientId) {
         if self.remove_client(id).is_some() {
             self.queue_input(Input::ClientClosed(id, CloseReason::Disconnected));
         }
     }
 
-    /// The process ends: what has been written goes out, nothing follows.
+    /// Ends the output to all clients before the process exits, so that written bytes are still delivered.
     pub(super) fn finish_writing_to_clients(&self) {
         for client in self.clients.connections.borrow().values() {
             client.connection.finish_writing();
         }
     }
 
-    /// Wakes the tasks of those clients whose next message is taken now.
+    /// Wakes the tasks of the clients whose next message is accepted now.
     pub(super) fn resume_waiting_clients(&self) {
         let reducer = self.reducer.borrow();
         let connections = self.clients.connections.borrow();
@@ -93,28 +93,28 @@
         });
     }
 
-    /// Whether a client's next message, of this size, is accepted now.
+    /// Returns whether a client's next message, of this size, is accepted now.
     fn accepts_message(&self, id: ClientId, bytes: usize) -> bool {
         self.reducer.borrow().accepts_frame_of(id, bytes)
     }
 
-    /// Hands over the messages that are complete, as far as they are accepted now.
-    async fn hand_over_messages(self: &Rc<Self>, id: ClientId, frames: &mut FrameDecoder) {
-        let mut handed_over = 0;
+    /// Passes complete messages to the reducer, as long as it accepts them.
+    async fn deliver_messages(self: &Rc<Self>, id: ClientId, frames: &mut FrameDecoder) {
+        let mut delivered = 0;
         while let Some(bytes) = frames.next_frame_bytes() {
             if !self.accepts_message(id, bytes) {
                 break;
             }
-            if handed_over == self.limits.messages_per_turn {
-                // Danger: one that sends hundreds of messages at once would keep all others waiting.
-                handed_over = 0;
+            if delivered == self.limits.messages_per_turn {
+                // Without this, a client that sends hundreds of messages at once would block all others.
+                delivered = 0;
                 future::yield_now().await;
                 continue;
             }
-            handed_over += 1;
+            delivered += 1;
             match frames.next_frame() {
                 Some(Ok(frame)) => self.handle_input(Input::ClientFrame(id, frame)),
-                // The stream ends once the reducer's last answer to this client is written.
+                // The task ends once the reducer's last response to this client is written.
                 Some(Err(_)) => {
                     self.handle_input(Input::ClientClosed(id, CloseReason::ProtocolError))
                 }
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Notes what a client's task holds and what that means for reading on.
-    fn note_pending_bytes(
+    /// Updates the state of reads after a change of the bytes that a client's task holds.
+    fn update_pending_bytes(
         self: &Rc<Self>,
         id: ClientId,
         connection: &Connection,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Reads a client's connection until it is over.
+/// Reads from a client's connection until it ends.
 async fn serve(driver: Rc<Driver>, id: ClientId, connection: Rc<Connection>) {
     let limits = &driver.limits;
     let mut frames = FrameDecoder::client(limits.startup_bytes, limits.statement_bytes);
@@ -170,15 +170,15 @@
                 return driver.handle_input(Input::ClientClosed(id, CloseReason::Disconnected));
             }
         }
-        driver.hand_over_messages(id, &mut frames).await;
+        driver.deliver_messages(id, &mut frames).await;
         if !driver.clients.contains(id) {
             return;
         }
         if connection.is_closing() {
             frames.clear();
         }
-        driver.note_pending_bytes(id, &connection, &frames);
-        // Danger: one that sends without a pause would keep all others waiting.
+        driver.update_pending_bytes(id, &connection, &frames);
+        // Without this, a client that sends without a pause would block all others.
         future::yield_now().await;
     }
 }
--- a/crates/stackgw-gateway/src/io/clock.rs
+++ b/crates/stackgw-gateway/src/io/clock.rs
@@ -3,7 +3,7 @@
 use stackgw_router::api::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The monotonic clock, anchored once to the system's: Unix time in nanoseconds that never goes back.
+/// The monotonic clock, anchored once to the system clock: Unix time in nanoseconds that never goes back.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Clock {
     anchor: Instant,
--- a/crates/stackgw-gateway/src/io/connection/events.rs
+++ b/crates/stackgw-gateway/src/io/connection/events.rs
@@ -1,4 +1,4 @@
-//! What happens on a connection, as a stream for its task.
+//! The events of a connection, as a stream for its task.
 
 use super::{Connection, WriteProgress};
 use futures_lite::stream::Stream;
@@ -9,24 +9,24 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// What happened on a connection.
+/// An event of a connection.
 #[derive(Debug)]
 pub(in crate::io) enum ConnectionEvent {
-    /// Bytes came.
+    /// Bytes were received.
     Read(Vec<u8>),
-    /// All that was left to write is written.
+    /// All queued bytes have been written.
     Written,
-    /// Someone asked for a look at what is buffered.
+    /// The task was woken to check the bytes that it holds.
     Woken,
-    /// The connection is over.
+    /// The connection has ended.
     Closed,
 }
 
-/// What happens on a connection, as a stream. Between two reads of one connection others have their turn, as its task gives
-/// way after each event.
+/// The events of a connection, as a stream. Other connections are read between two reads of one connection, because its task
+/// yields after each event.
 pub(in crate::io) struct ConnectionEvents {
     pub(in crate::io) connection: Rc<Connection>,
-    /// One read's bytes, shared by all connections.
+    /// Buffer for one read, shared by all connections.
     pub(in crate::io) buffer: Rc<RefCell<Vec<u8>>>,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Connection {
-    /// Writes what is left; pending where nothing is left, or the socket takes no more.
+    /// Writes queued bytes; pending if none are left, or the socket's send buffer is full.
     fn poll_write(&self, cx: &mut Context<'_>) -> Poll<ConnectionEvent> {
         while self.has_unwritten() {
             match self.write_unwritten() {
@@ -94,8 +94,8 @@
         Poll::Pending
     }
 
-    /// Reads and drops what still comes after the last write. Danger: a close over unread bytes is a reset, which may
-    /// overtake what was written last.
+    /// Reads and drops the bytes that arrive after the last write: closing a socket that holds unread bytes sends a reset,
+    /// which may overtake the last bytes written.
     fn poll_discard(&self, buffer: &mut [u8], cx: &mut Context<'_>) -> Poll<ConnectionEvent> {
         let discarded = match self.discarded.get() {
             Some(discarded) => discarded,
@@ -109,7 +109,7 @@
             match self.socket.get_ref().read(buffer) {
                 Ok(count) if count > 0 && discarded + count < self.limits.linger_bytes => {
                     self.discarded.set(Some(discarded + count));
-                    // One read at a time: who sends on has no claim on more.
+                    // One read per poll: a peer that keeps sending must not delay other tasks.
                     cx.waker().wake_by_ref();
                     return Poll::Pending;
                 }
--- a/crates/stackgw-gateway/src/io/connection/mod.rs
+++ b/crates/stackgw-gateway/src/io/connection/mod.rs
@@ -1,7 +1,7 @@
 //! One TCP connection, shared by the task that reads it and the effects that write to it.
 //!
-//! Reads keep within a budget that all connections of one kind share; writes go out at once as far as the socket takes them,
-//! and the connection's task writes the rest. What bytes mean is not known here.
+//! Reads keep within a budget that all connections of one kind share. Writes go to the socket at once as far as it accepts
+//! them, and the connection's task writes the rest. This module does not interpret the bytes.
 
 mod events;
 mod read_budget;
@@ -19,30 +19,30 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-/// One read's bytes when what comes last is dropped.
+/// Size of one read of bytes that are dropped.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
-/// How far a write got.
+/// The progress of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteProgress {
-    /// All is written.
+    /// All bytes are written.
     Complete,
-    /// The rest follows when the socket takes it.
+    /// The rest is written when the socket is writable.
     Partial,
     /// The connection is broken.
     Broken,
 }
 
-/// What one connection may read.
+/// Limits on the reads of one connection.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReadLimits {
-    /// With more than this not handed over it is not read on.
+    /// Reads pause while the connection's task holds more bytes than this.
     pub(super) max_pending_bytes: usize,
-    /// After its last write so much is read and dropped at most.
+    /// Maximum number of bytes that are read and dropped after the last write.
     pub(super) linger_bytes: usize,
 }
 
-/// A TCP connection. Dropped, it is closed.
+/// A TCP connection. Dropping it closes the connection.
 pub(super) struct Connection {
     socket: Async<TcpStream>,
     unwritten: RefCell<Vec<u8>>,
@@ -50,11 +50,11 @@
     waker: RefCell<Option<Waker>>,
     is_woken: Cell<bool>,
     closes_when_written: Cell<bool>,
-    /// Nothing more is sent; so much of what still came has been dropped.
+    /// Set once the sending side is closed: the number of bytes received and dropped since then.
     discarded: Cell<Option<usize>>,
-    /// Bytes that its task has read and not handed over.
+    /// Bytes that the connection's task has read and not passed on yet.
     pending_bytes: Cell<usize>,
-    /// The first of them are a complete message that is not accepted yet, so that nothing more is needed of it.
+    /// The pending bytes begin with a complete message that is not accepted yet, so that no further bytes are needed for it.
     awaits_acceptance: Cell<bool>,
     limits: ReadLimits,
     budget: Rc<ReadBudget>,
@@ -73,7 +73,7 @@
         limits: ReadLimits,
         budget: &Rc<ReadBudget>,
     ) -> Rc<Self> {
-        // A small message waits for no other; where that cannot be set it is merely slower.
+        // Sends small messages without delay. An error is ignored: the connection only gets slower.
         let _ = socket.get_ref().set_nodelay(true);
         Rc::new(Connection {
             socket,
@@ -89,13 +89,13 @@
         })
     }
 
-    /// Notes how much the connection's task has read and not handed over.
+    /// Sets the number of bytes that the connection's task has read and not passed on yet.
     pub(super) fn set_pending_bytes(&self, bytes: usize) {
         let before = self.pending_bytes.replace(bytes);
         self.budget.update(self.key(), before, bytes);
     }
 
-    /// Notes whether a complete message is not accepted yet.
+    /// Sets whether a complete message waits to be accepted.
     pub(super) fn set_awaiting_acceptance(&self, awaits_acceptance: bool) {
         self.awaits_acceptance.set(awaits_acceptance);
     }
@@ -104,7 +104,7 @@
         ConnectionKey(std::ptr::from_ref(self).addr())
     }
 
-    /// How many bytes may be read now; for 0 the waker is woken when it is more for the budget's sake.
+    /// Returns how many bytes may be read now. If the budget allows none, the waker is woken once it allows more.
     fn readable_bytes(&self, waker: &Waker) -> usize {
         let pending_bytes = self.pending_bytes.get();
         if pending_bytes > self.limits.max_pending_bytes {
@@ -115,7 +115,7 @@
             .readable_bytes(self.key(), pending_bytes, needs_more, waker)
     }
 
-    /// Wakes the connection's task for a look at what it has buffered.
+    /// Wakes the connection's task to check the bytes that it holds.
     pub(super) fn wake(&self) {
         self.is_woken.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Writes what the socket takes now; the task writes the rest.
+    /// Writes as much as the socket accepts now; the task writes the rest.
     pub(super) fn write(&self, bytes: Vec<u8>) -> WriteProgress {
         let mut unwritten = self.unwritten.borrow_mut();
         if !unwritten.is_empty() {
@@ -168,19 +168,19 @@
         progress
     }
 
-    /// Ends the connection once what is left has been written.
+    /// Closes the connection once all queued bytes have been written.
     pub(super) fn close_when_written(&self) {
         self.closes_when_written.set(true);
     }
 
-    /// Whether nothing more is taken from it.
+    /// Returns whether the connection is to be closed and its input dropped.
     pub(super) fn is_closing(&self) -> bool {
         self.closes_when_written.get()
     }
 
-    /// Why nothing may be written to a connection on which nothing is due: the other side has closed or broken it, or
-    /// something has come, whether its task has read it yet or not.
-    pub(super) fn why_unusable(&self) -> Option<CloseReason> {
+    /// Returns why a connection without an open request must not be written to: the peer has closed or broken it, or data has
+    /// arrived, whether the task has read it yet or not.
+    pub(super) fn unusable_reason(&self) -> Option<CloseReason> {
         let peeked = self.peek();
         if self.pending_bytes.get() > 0 {
             return Some(CloseReason::UnexpectedData);
@@ -193,8 +193,8 @@
         }
     }
 
-    /// How much of one byte waits to be read. Danger: a look that was interrupted has seen nothing, and what waits would
-    /// be lost with the connection.
+    /// Peeks at one unread byte. An interrupted call is repeated: it has seen nothing, and if it counted as empty, unread bytes
+    /// would be lost with the connection.
     fn peek(&self) -> std::io::Result<usize> {
         loop {
             match self.socket.get_ref().peek(&mut [0]) {
@@ -204,23 +204,23 @@
         }
     }
 
-    /// What the kernel is to be asked about it: whether the other side has closed, behind whatever it has sent before.
-    pub(super) fn hang_up_poll(&self) -> PollFd<'_> {
+    /// Returns the descriptor for a poll of whether the peer has closed the connection, even if bytes before that are unread.
+    pub(super) fn disconnect_poll_fd(&self) -> PollFd<'_> {
         PollFd::new(self.socket.get_ref(), PollFlags::RDHUP)
     }
 
-    /// Ends the connection unless something has come that was not handed over. Danger: what comes between the look and
-    /// the end is lost, so the end is not left to the moment when the connection's task is dropped.
-    pub(super) fn close_if_quiet(&self) -> bool {
-        let is_quiet = self.pending_bytes.get() == 0 && !matches!(self.peek(), Ok(1..));
-        if is_quiet {
+    /// Closes the connection unless bytes have arrived that were not passed on. Bytes that arrive between the check and the
+    /// close are lost, so the connection is shut down here and not later when its task is dropped.
+    pub(super) fn close_if_idle(&self) -> bool {
+        let is_idle = self.pending_bytes.get() == 0 && !matches!(self.peek(), Ok(1..));
+        if is_idle {
             let _ = self.socket.get_ref().shutdown(Shutdown::Both);
         }
-        is_quiet
+        is_idle
     }
 
-    /// The process ends: nothing follows what has been written. What has come and was not read is dropped first, as a close
-    /// over it would be a reset, which takes along what has not arrived on the other side.
+    /// Ends the output before the process exits. Unread bytes are dropped first: closing a socket that holds them sends a reset,
+    /// which discards bytes that the peer has not received yet.
     pub(super) fn finish_writing(&self) {
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
         let mut bytes_left = self.limits.linger_bytes;
--- a/crates/stackgw-gateway/src/io/connection/read_budget.rs
+++ b/crates/stackgw-gateway/src/io/connection/read_budget.rs
@@ -1,10 +1,10 @@
-//! How much all connections of one kind may have read ahead together.
+//! The limit on the bytes that all connections of one kind may read ahead together.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::task::Waker;
 
-/// Tells a connection from all others of its kind.
+/// Identifies a connection among all of its kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConnectionKey(pub(super) usize);
 
@@ -16,22 +16,22 @@
     waker: Waker,
 }
 
-/// Bytes that all connections of one kind may hold together before they have been handed over.
+/// The bytes that all connections of one kind may hold together before they are passed on.
 ///
-/// Half of them are for connections that hold no complete message yet. Of the other half each connection may hold as much as
-/// it leaves free (a dynamic threshold). Whatever the others hold, each has a small reserve besides. So those that send without
-/// end never take what a message of another needs.
+/// Half of the budget is for connections that hold no complete message yet. Of the other half, each connection may hold as much
+/// as it leaves free (a dynamic threshold). In addition each connection has a small reserve that does not depend on the others.
+/// So connections that send without pause never take the space that a message of another connection needs.
 ///
-/// Danger: parts of large messages could fill the budget and wait for it all together. So one connection at a time may read on
-/// beyond its part, until its message is handed over.
+/// Parts of large messages could fill the budget and then all wait for it. To prevent this deadlock, one connection at a time
+/// may exceed its share until its message has been passed on.
 pub(in crate::io) struct ReadBudget {
     used_bytes: Cell<usize>,
     max_bytes: usize,
-    /// What each connection may hold whatever the others do.
+    /// Bytes that each connection may hold regardless of the others.
     reserved_bytes: usize,
-    /// The one connection that reads on beyond its part.
+    /// The one connection that may exceed its share.
     exempt: Cell<Option<ConnectionKey>>,
-    /// In the order in which they began to wait.
+    /// Waiting connections, in the order in which they began to wait.
     waiting: RefCell<Vec<WaitingReader>>,
 }
 
@@ -50,7 +50,7 @@
         self.max_bytes.saturating_sub(self.used_bytes.get())
     }
 
-    /// A connection holds `after` bytes where it held `before`.
+    /// Records that a connection now holds `after` bytes instead of `before`.
     pub(super) fn update(&self, connection: ConnectionKey, before: usize, after: usize) {
         self.used_bytes.set(self.used_bytes.get() - before + after);
         if after >= before {
@@ -60,11 +60,11 @@
             self.exempt.set(None);
             self.wake_all();
         } else {
-            self.wake_within_part();
+            self.wake_within_share();
         }
     }
 
-    /// A connection is over.
+    /// Removes a connection that has ended.
     pub(super) fn forget(&self, connection: ConnectionKey) {
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|reader| reader.connection != connection);
@@ -75,24 +75,24 @@
         waiting.for_each(|reader| reader.waker.wake());
     }
 
-    /// Whether a connection that holds so many bytes is within its part.
-    fn is_within_part(&self, pending_bytes: usize, needs_more: bool) -> bool {
+    /// Returns whether a connection that holds `pending_bytes` is within its share.
+    fn is_within_share(&self, pending_bytes: usize, needs_more: bool) -> bool {
         let free_bytes = self.free_bytes();
         let shared_bytes = free_bytes.saturating_sub(self.max_bytes / 2);
         (needs_more && free_bytes > 0) || pending_bytes < shared_bytes
     }
 
-    /// Wakes those that are within their part now.
-    fn wake_within_part(&self) {
+    /// Wakes the waiting connections that are within their share now.
+    fn wake_within_share(&self) {
         let may_read = |reader: &mut WaitingReader| {
-            self.is_within_part(reader.pending_bytes, reader.needs_more)
+            self.is_within_share(reader.pending_bytes, reader.needs_more)
         };
         let woken: Vec<_> = self.waiting.borrow_mut().extract_if(.., may_read).collect();
         woken.into_iter().for_each(|reader| reader.waker.wake());
     }
 
-    /// How many bytes a connection that holds so many may read now; for 0 its task is woken when it may read. `needs_more`: it
-    /// holds no complete message.
+    /// Returns how many bytes a connection that holds `pending_bytes` may read now; if it is 0, its task is woken once it may
+    /// read. `needs_more` says that the connection holds no complete message.
     pub(super) fn readable_bytes(
         &self,
         connection: ConnectionKey,
@@ -100,7 +100,7 @@
         needs_more: bool,
         waker: &Waker,
     ) -> usize {
-        if self.is_within_part(pending_bytes, needs_more) {
+        if self.is_within_share(pending_bytes, needs_more) {
             return usize::MAX;
         }
         if needs_more && self.claim_exemption(connection, pending_bytes) {
@@ -118,7 +118,7 @@
         reserved_bytes
     }
 
-    /// Whether a connection is the one that reads on beyond its part; it becomes so where there is none.
+    /// Returns whether a connection may exceed its share; claims the exemption for it if no other connection has it.
     fn claim_exemption(&self, connection: ConnectionKey, pending_bytes: usize) -> bool {
         if self.exempt.get().is_none() && pending_bytes > 0 {
             self.exempt.set(Some(connection));
--- a/crates/stackgw-gateway/src/io/control.rs
+++ b/crates/stackgw-gateway/src/io/control.rs
@@ -1,4 +1,4 @@
-//! The local socket: one question a connection, a line of JSON each way.
+//! The control socket: one query per connection, with one line of JSON in each direction.
 
 use super::driver::Driver;
 use crate::error::GatewayError;
@@ -13,22 +13,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A question is no longer.
-const MAX_QUESTION_BYTES: usize = 4 << 10;
-/// One read's bytes of a question.
+/// Maximum size of a query.
+const MAX_QUERY_BYTES: usize = 4 << 10;
+/// Size of one read of a query.
 const READ_BYTES: usize = 512;
-/// So many connections are served at once; more wait in the backlog.
+/// Maximum number of connections that are served at once; further ones wait in the backlog.
 const MAX_CONNECTIONS: usize = 4;
-/// Whoever has not asked, or not read the answer, by then is disconnected.
+/// Time in which a connection must send its query and read the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after an error of the listener.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
-/// Pace at which a full house is looked at again.
+/// Interval at which the number of open connections is checked while it is at its maximum.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Only the gateway's own user may ask.
+/// Access for the gateway's own user only.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Opens the socket. What an ended process left there is removed; any other file stays, and is an error.
+/// Opens the socket. A socket that an ended process left behind is removed; any other file stays, and is an error.
 pub(super) fn listen(path: &Path) -> Result<Async<UnixListener>, GatewayError> {
     bind(path).map_err(|source| GatewayError::Control {
         path: path.to_owned(),
@@ -77,40 +77,40 @@
 }
 
 async fn serve(driver: &Rc<Driver>, mut socket: Async<UnixStream>) {
-    let question = read_question(&mut socket).await;
-    let answer = parse_question(&question).and_then(|question| ask_reducer(driver, question));
-    let answer = answer.unwrap_or_else(|| json!({"error": "no question that is known here"}));
-    let _ = socket.write_all(format!("{answer}\n").as_bytes()).await;
+    let query = read_query(&mut socket).await;
+    let reply = parse_query(&query).and_then(|query| query_reducer(driver, query));
+    let reply = reply.unwrap_or_else(|| json!({"error": "no question that is known here"}));
+    let _ = socket.write_all(format!("{reply}\n").as_bytes()).await;
 }
 
-async fn read_question(socket: &mut Async<UnixStream>) -> Vec<u8> {
-    let mut question = Vec::new();
+async fn read_query(socket: &mut Async<UnixStream>) -> Vec<u8> {
+    let mut query = Vec::new();
     let mut buffer = [0; READ_BYTES];
-    while !question.contains(&b'\n') && question.len() < MAX_QUESTION_BYTES {
+    while !query.contains(&b'\n') && query.len() < MAX_QUERY_BYTES {
         match socket.read(&mut buffer).await {
-            Ok(count) if count > 0 => question.extend_from_slice(&buffer[..count]),
+            Ok(count) if count > 0 => query.extend_from_slice(&buffer[..count]),
             _ => break,
         }
     }
-    question
+    query
 }
 
-fn ask_reducer(driver: &Rc<Driver>, question: StatusQuery) -> Option<Value> {
-    let number = driver.control_answers.number_question();
-    driver.handle_input(Input::StatusQuery(number, question));
-    // An input from outside the handling of another one has been handled by the time this returns.
-    driver.control_answers.take(number)
+fn query_reducer(driver: &Rc<Driver>, query: StatusQuery) -> Option<Value> {
+    let number = driver.status_replies.next_number();
+    driver.handle_input(Input::StatusQuery(number, query));
+    // The reply is available now: no other input is being handled when a task runs, so the call above handled this one.
+    driver.status_replies.take(number)
 }
 
-fn parse_question(text: &[u8]) -> Option<StatusQuery> {
+fn parse_query(text: &[u8]) -> Option<StatusQuery> {
     let line = text.split(|byte| *byte == b'\n').next()?;
-    let question: Value = serde_json::from_slice(line).ok()?;
-    match question.get("ask")?.as_str()? {
+    let query: Value = serde_json::from_slice(line).ok()?;
+    match query.get("ask")?.as_str()? {
         "sessions" => Some(StatusQuery::Sessions),
         "list" => Some(StatusQuery::EndpointList),
         "session" => {
-            let group = u32::try_from(question.get("group")?.as_u64()?).ok()?;
-            let session = question.get("session")?.as_str()?;
+            let group = u32::try_from(query.get("group")?.as_u64()?).ok()?;
+            let session = query.get("session")?.as_str()?;
             Some(StatusQuery::Session(group, session.to_owned()))
         }
         _ => None,
--- a/crates/stackgw-gateway/src/io/control_answers.rs
+++ b/crates/stackgw-gateway/src/io/control_answers.rs
@@ -1,28 +1,28 @@
-//! The reducer's answers to questions at the local socket, until the task that asked takes them.
+//! The reducer's replies to status queries from the control socket, until the task that sent the query takes them.
 
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
-/// The reducer's answers, by the number of their question.
+/// The reducer's replies, by the number of their query.
 #[derive(Debug, Default)]
-pub(super) struct Answers {
-    next_question: Cell<u64>,
-    by_question: RefCell<HashMap<u64, Value>>,
+pub(super) struct StatusReplies {
+    next_number: Cell<u64>,
+    by_number: RefCell<HashMap<u64, Value>>,
 }
 
-impl Answers {
-    pub(super) fn insert(&self, question: u64, answer: Value) {
-        self.by_question.borrow_mut().insert(question, answer);
+impl StatusReplies {
+    pub(super) fn insert(&self, number: u64, reply: Value) {
+        self.by_number.borrow_mut().insert(number, reply);
     }
 
-    pub(super) fn take(&self, question: u64) -> Option<Value> {
-        self.by_question.borrow_mut().remove(&question)
+    pub(super) fn take(&self, number: u64) -> Option<Value> {
+        self.by_number.borrow_mut().remove(&number)
     }
 
-    pub(super) fn number_question(&self) -> u64 {
-        let question = self.next_question.get();
-        self.next_question.set(question + 1);
-        question
+    pub(super) fn next_number(&self) -> u64 {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        number
     }
 }
--- a/crates/stackgw-gateway/src/io/datagrams.rs
+++ b/crates/stackgw-gateway/src/io/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams from other gateways: the platform's, and those of the operator's cluster.
+//! Datagrams from other gateways of the platform, and from instances of the operator's cluster.
 
 use super::driver::Driver;
 use crate::reducer::Input;
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Hands over each datagram of a socket as the input that it is; one over `max_bytes` is cut to one byte more, which shows that
-/// it is too long.
+/// Passes each datagram of a socket to the reducer as an input. A datagram above `max_bytes` is truncated to `max_bytes + 1`
+/// bytes, so that it is still recognized as too long.
 pub(super) async fn run(
     driver: Rc<Driver>,
     socket: Rc<Async<UdpSocket>>,
@@ -20,7 +20,7 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((count, from)) => driver.handle_input(input(from, buffer[..count].to_vec())),
-            // A datagram that was sent did not arrive; that must not become a busy loop.
+            // The socket can report errors of datagrams sent earlier; the pause prevents a busy loop.
             Err(_) => drop(Timer::after(backoff).await),
         }
     }
--- a/crates/stackgw-gateway/src/io/disconnects.rs
+++ b/crates/stackgw-gateway/src/io/disconnects.rs
@@ -1,7 +1,7 @@
-//! Finds clients that leave while what they have sent is not read on.
+//! Detects clients that disconnect while reads from them are paused.
 //!
-//! Danger: the end of a connection is read behind its last byte. One whose bytes wait for capacity, for the statements before
-//! them or for the rest of a message would be served, statement by statement, long after its client has gone.
+//! The end of a connection is read only after its last byte. Without this check, statements that wait for capacity, for earlier
+//! statements or for the rest of a message would be executed long after their client has disconnected.
 
 use super::connection::Connection;
 use super::driver::Driver;
@@ -12,13 +12,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A poll that does not wait.
-const AT_ONCE: Timespec = Timespec {
+/// Timeout of a poll that does not wait.
+const NO_WAIT: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 0,
 };
 
-/// Tells the reducer of such clients.
+/// Reports disconnected clients to the reducer.
 pub(super) async fn run(driver: Rc<Driver>) {
     let interval = Duration::from_nanos(driver.limits.disconnect_poll_interval as u64);
     loop {
@@ -50,19 +50,19 @@
     batch.iter().filter_map(connection).collect()
 }
 
-/// Those clients that have closed or broken their connections.
+/// Returns the clients that have closed their connections, or whose connections are broken.
 fn find_disconnected(connections: &[(ClientId, Rc<Connection>)]) -> Vec<ClientId> {
     let polls = connections
         .iter()
-        .map(|(_, connection)| connection.hang_up_poll());
+        .map(|(_, connection)| connection.disconnect_poll_fd());
     let mut polls: Vec<PollFd<'_>> = polls.collect();
-    // Where the kernel cannot be asked, the end is read behind the bytes before it.
-    if poll(&mut polls, Some(&AT_ONCE)).unwrap_or_default() == 0 {
+    // If the poll fails, the end of a connection is still read after the bytes before it.
+    if poll(&mut polls, Some(&NO_WAIT)).unwrap_or_default() == 0 {
         return Vec::new();
     }
-    let hung_up = connections
+    let disconnected = connections
         .iter()
         .zip(&polls)
         .filter(|(_, poll)| !poll.revents().is_empty());
-    hung_up.map(|((id, _), _)| *id).collect()
+    disconnected.map(|((id, _), _)| *id).collect()
 }
--- a/crates/stackgw-gateway/src/io/discovery.rs
+++ b/crates/stackgw-gateway/src/io/discovery.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 impl Driver {
-    /// Opens a watch of what changes after a version, in place of any other.
+    /// Opens a watch of the changes after a revision; replaces any other watch.
     pub(super) fn open_watch(self: &Rc<Self>, address: SocketAddr, after: Option<u64>) {
         let task = self.executor.spawn(watch(self.clone(), address, after));
         *self.list_requests.watch.borrow_mut() = Some(task);
@@ -27,18 +27,18 @@
         drop(task);
     }
 
-    /// Asks for the complete list, in place of any other such request.
+    /// Requests the complete list; replaces any other such request.
     pub(super) fn fetch_list(self: &Rc<Self>, address: SocketAddr) {
         let task = self.executor.spawn(fetch(self.clone(), address));
         *self.list_requests.fetch.borrow_mut() = Some(task);
     }
 }
 
-/// An answer that is being read.
+/// A response that is being read.
 struct Response {
     socket: Async<TcpStream>,
     reader: HttpLineReader,
-    /// What has been read and not been given out.
+    /// Events that have been read and not been returned yet.
     events: VecDeque<HttpEvent>,
 }
 
@@ -66,7 +66,7 @@
         })
     }
 
-    /// What comes next of the answer.
+    /// Returns the next event of the response.
     async fn next(&mut self, buffer: &mut [u8]) -> Result<Option<HttpEvent>, WatchError> {
         while self.events.is_empty() {
             match self.socket.read(buffer).await {
@@ -85,7 +85,7 @@
                             })?;
                     self.events.extend(events);
                 }
-                // Nothing has been read; the answer goes on.
+                // Nothing has been read; the read is repeated.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error.to_string().into()),
             }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Sends a request, and gives the answer's parts as they come.
+/// Sends a request and returns a stream of the response's events.
 fn request(
     driver: Rc<Driver>,
     address: SocketAddr,
@@ -112,7 +112,7 @@
     })
 }
 
-/// Hands over each line of a watch until it ends.
+/// Passes the lists of a watch to the reducer until the watch ends.
 async fn watch(driver: Rc<Driver>, address: SocketAddr, after: Option<u64>) {
     let mut events = pin!(request(
         driver.clone(),
@@ -135,14 +135,14 @@
     driver.handle_input(Input::WatchLost(error));
 }
 
-/// Asks for the complete list once.
+/// Requests the complete list once.
 async fn fetch(driver: Rc<Driver>, address: SocketAddr) {
     let timeout = Duration::from_nanos(driver.limits.watch_idle_timeout as u64);
-    let late = async {
+    let timed_out = async {
         Timer::after(timeout).await;
         None
     };
-    match future::or(read_list(&driver, address), late).await {
+    match future::or(read_list(&driver, address), timed_out).await {
         Some(list) => driver.handle_input(Input::EndpointList(list)),
         None => driver.handle_input(Input::FetchFailed),
     }
--- a/crates/stackgw-gateway/src/io/driver.rs
+++ b/crates/stackgw-gateway/src/io/driver.rs
@@ -1,10 +1,10 @@
-//! Drives the reducer: hands it inputs one at a time and carries out the effects that it asks for.
+//! Drives the reducer: passes inputs to it one at a time and carries out its effects.
 
 use super::alarm::Alarm;
 use super::backend_channels::Backends;
 use super::client_table::Clients;
 use super::clock::Clock;
-use super::control_answers::Answers;
+use super::control_answers::StatusReplies;
 use super::flag::Flag;
 use super::list_tasks::ListRequests;
 use super::member_table::Members;
@@ -21,10 +21,10 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// Everything the tasks share.
+/// The state that all tasks share.
 pub(super) struct Driver {
     pub(super) reducer: RefCell<Reducer>,
-    /// Inputs that wait for the one that is being handled.
+    /// Inputs that wait until the current one has been handled.
     pub(super) inputs: RefCell<VecDeque<Input>>,
     pub(super) is_handling: Cell<bool>,
     pub(super) limits: Limits,
@@ -39,35 +39,35 @@
     pub(super) list_requests: ListRequests,
     pub(super) datagrams: DatagramSockets,
     pub(super) storage: RefCell<Storage>,
-    pub(super) control_answers: Answers,
+    pub(super) status_replies: StatusReplies,
     pub(super) alarm: Alarm,
-    /// The gateway ends.
+    /// Set when the gateway exits.
     pub(super) exits: Flag,
-    /// One read's bytes, shared by all connections of this one thread.
+    /// Buffer for one read, shared by all connections of this thread.
     pub(super) read_buffer: Rc<RefCell<Vec<u8>>>,
 }
 
-/// Sockets for datagrams, where they are turned on.
+/// Sockets for datagrams, if they are turned on.
 #[derive(Default)]
 pub(super) struct DatagramSockets {
-    /// To other gateways, as the platform names them.
+    /// To the other gateways of the platform.
     pub(super) peers: Option<Rc<Async<UdpSocket>>>,
     /// To other instances of the operator's cluster.
     pub(super) cluster: Option<Rc<Async<UdpSocket>>>,
 }
 
-/// What writes to the disk, where that is turned on. Dropped, it commits what is queued.
+/// The writers to the disk, if they are turned on. Dropping them commits what is queued.
 #[derive(Default)]
 pub(super) struct Storage {
-    /// Records of sessions.
+    /// Writes session records.
     pub(super) records: Option<stackgw_store::RecordWriter>,
-    /// The endpoint list.
+    /// Writes the endpoint list.
     pub(super) endpoint_list: Option<stackgw_store::EndpointListWriter>,
 }
 
 impl Driver {
-    /// Hands an input to the reducer and carries out what it asks for, until nothing is left. An input that comes up while
-    /// another one is handled waits for it.
+    /// Passes an input to the reducer and carries out its effects, until no input is left. An input that arises while another
+    /// one is being handled is queued.
     pub(super) fn handle_input(self: &Rc<Self>, input: Input) {
         self.queue_input(input);
         if self.is_handling.replace(true) {
@@ -90,17 +90,17 @@
         self.alarm.set(self.reducer.borrow().next_due());
     }
 
-    /// Leaves an input for the loop that is handling inputs now.
+    /// Queues an input for the loop that is handling inputs now.
     pub(super) fn queue_input(&self, input: Input) {
         self.inputs.borrow_mut().push_back(input);
     }
 
-    /// Runs a task until the gateway ends.
+    /// Runs a task until the gateway exits.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
 
-    /// Carries out an effect. What follows from it at once is queued as an input.
+    /// Carries out an effect. Its immediate results are queued as inputs.
     pub(super) fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::AcceptClients(accepts) => self.clients.accepts.set(accepts),
@@ -110,15 +110,15 @@
                 close,
             } => self.write_to_client(client, bytes, close),
             Effect::ClientClose(client) => drop(self.remove_client(client)),
-            Effect::ClientCloseIfIdle(client) => self.close_client_if_quiet(client),
+            Effect::ClientCloseIfIdle(client) => self.close_client_if_idle(client),
             Effect::StopListening => self.clients.stops_listening.set(true),
             Effect::MemberConnect(id, address) => self.open_member_connection(id, address),
             Effect::MemberWrite(id, bytes) => self.write_to_member(id, bytes),
             Effect::MemberClose(id) => self.close_member_connection(id),
             Effect::BackendConnect(id, address) => self.open_backend_connection(id, address),
             Effect::BackendSend(id, request) => self.execute_on_backend(id, request),
-            Effect::CallCompleted(call, answer) => self.answer_frontend_request(call, answer),
-            Effect::CallStreaming(call, id) => self.answer_frontend_request_by_stream(call, id),
+            Effect::CallCompleted(call, response) => self.respond_to_frontend(call, response),
+            Effect::CallStreaming(call, id) => self.respond_to_frontend_with_stream(call, id),
             Effect::OpenWatch(address, after) => self.open_watch(address, after),
             Effect::CloseWatch => self.close_watch(),
             Effect::FetchEndpoints(address) => self.fetch_list(address),
@@ -138,7 +138,7 @@
                     writer.put(*list);
                 }
             }
-            Effect::StatusReply(question, answer) => self.control_answers.insert(question, answer),
+            Effect::StatusReply(number, reply) => self.status_replies.insert(number, reply),
             Effect::Log(text) => info!(self.log, "{text}"),
             Effect::Report(counters) => info!(self.log, "{counters}"),
             Effect::Exit => self.exit(),
@@ -151,7 +151,8 @@
     }
 }
 
-/// Sends a datagram where there is a socket. One that cannot leave now is lost, as any may be; what matters is sent again.
+/// Sends a datagram if there is a socket. A datagram that cannot be sent now is lost, as any datagram may be; the protocols
+/// resend where needed.
 fn send_datagram(socket: Option<&Async<UdpSocket>>, to: SocketAddr, bytes: &[u8]) {
     if let Some(socket) = socket {
         let _ = socket.get_ref().send_to(bytes, to);
--- a/crates/stackgw-gateway/src/io/flag.rs
+++ b/crates/stackgw-gateway/src/io/flag.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, RefCell};
 use std::task::{Poll, Waker};
 
-/// A flag that one task waits for at a time. Unset at first.
+/// A flag that one task at a time can wait for. It is not set initially.
 #[derive(Debug, Default)]
 pub(super) struct Flag {
     value: Cell<bool>,
--- a/crates/stackgw-gateway/src/io/frontends.rs
+++ b/crates/stackgw-gateway/src/io/frontends.rs
@@ -1,4 +1,4 @@
-//! Other frontends' requests: from threads of their own, through a channel, to the reducer and back.
+//! Requests of other frontends, which run on their own threads and communicate with the reducer through a channel.
 
 use super::driver::Driver;
 use super::request_handle::{FrontendMessage, FrontendResponse};
@@ -8,15 +8,15 @@
 use std::rc::Rc;
 
 impl Driver {
-    /// Gives a request its one final answer.
-    pub(super) fn answer_frontend_request(&self, id: CallId, answer: FinalResponse) {
+    /// Sends the final response to a request.
+    pub(super) fn respond_to_frontend(&self, id: CallId, final_response: FinalResponse) {
         if let Some(response) = self.open_requests.remove(id) {
-            let _ = response.try_send(FrontendResponse::Final(answer));
+            let _ = response.try_send(FrontendResponse::Final(final_response));
         }
     }
 
-    /// Gives a request the stream that has just begun on a connection.
-    pub(super) fn answer_frontend_request_by_stream(&self, id: CallId, connection: ConnectionId) {
+    /// Responds to a request with the stream that has just started on a connection.
+    pub(super) fn respond_to_frontend_with_stream(&self, id: CallId, connection: ConnectionId) {
         let response = self.open_requests.remove(id);
         let stream = self.backends.take_started_stream(connection);
         if let (Some(response), Some(stream)) = (response, stream) {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Hands over what comes from other frontends.
+/// Passes the messages of other frontends to the reducer.
 pub(super) async fn run(driver: Rc<Driver>, messages: Receiver<FrontendMessage>) {
     while let Ok(message) = messages.recv().await {
         match message {
--- a/crates/stackgw-gateway/src/io/list_tasks.rs
+++ b/crates/stackgw-gateway/src/io/list_tasks.rs
@@ -1,9 +1,9 @@
-//! The tasks that talk to the list service, held so that they can be replaced and ended.
+//! The tasks that communicate with the list service, kept so that they can be replaced and stopped.
 
 use async_executor::Task;
 use std::cell::RefCell;
 
-/// The tasks that talk to the list service. A task that is replaced or dropped ends.
+/// The tasks that communicate with the list service. Replacing or dropping a task stops it.
 #[derive(Default)]
 pub(super) struct ListRequests {
     pub(super) watch: RefCell<Option<Task<()>>>,
--- a/crates/stackgw-gateway/src/io/listener.rs
+++ b/crates/stackgw-gateway/src/io/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections.
+//! Accepts client connections.
 
 use super::driver::Driver;
 use crate::reducer::Input;
@@ -8,9 +8,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Accepts connections while the reducer has capacity, until it has the listener closed.
+/// Accepts connections while the reducer has capacity, until the reducer closes the listener.
 pub(super) async fn run(driver: Rc<Driver>, listener: Async<TcpListener>) {
-    // Danger: hundreds may connect at once; past the backlog the kernel lets the usual ones wait for seconds.
+    // Hundreds of clients may connect at once. With the default backlog, connects beyond it would wait for seconds.
     let _ = rustix::net::listen(listener.get_ref(), driver.limits.backlog);
     let mut accepted = 0;
     let backoff = Duration::from_nanos(driver.limits.error_backoff as u64);
@@ -31,7 +31,7 @@
                     future::yield_now().await;
                 }
             }
-            // Out of descriptors, or the client has gone already: neither may end the listener.
+            // No descriptor is left, or the client has disconnected already; neither may stop the listener.
             Some(Err(_)) => drop(Timer::after(backoff).await),
             None => break,
         }
@@ -41,7 +41,7 @@
     driver.handle_input(Input::ListenerClosed);
 }
 
-/// Whoever is in the backlog has been accepted by this machine, and is served.
+/// Accepts the connections in the backlog: the kernel has already established them, so they are served.
 fn accept_backlog(driver: &Rc<Driver>, listener: &Async<TcpListener>) {
     while let Ok((socket, _)) = listener.get_ref().accept() {
         if let Ok(socket) = Async::new(socket) {
--- a/crates/stackgw-gateway/src/io/member_table.rs
+++ b/crates/stackgw-gateway/src/io/member_table.rs
@@ -1,4 +1,4 @@
-//! The table of connections to members that speak PostgreSQL's protocol. It does no I/O by itself.
+//! The table of connections to members that speak PostgreSQL's protocol. It does no I/O.
 
 use super::connection::{Connection, ReadBudget};
 use crate::limits::Limits;
@@ -8,16 +8,16 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A connection to a member: its task, and its socket once it is up. Dropped, it is closed.
+/// A connection to a member: its task, and its socket once it is established. Dropping it closes the connection.
 pub(super) struct Member {
     pub(super) connection: Option<Rc<Connection>>,
     pub(super) _task: Task<()>,
 }
 
-/// All connections to members that speak the first protocol.
+/// All connections to members that speak PostgreSQL's protocol.
 pub(super) struct Members {
     pub(super) connections: RefCell<HashMap<ConnectionId, Member>>,
-    /// Bytes that the members' tasks hold.
+    /// The budget for bytes that the members' tasks hold.
     pub(super) budget: Rc<ReadBudget>,
 }
 
--- a/crates/stackgw-gateway/src/io/members.rs
+++ b/crates/stackgw-gateway/src/io/members.rs
@@ -1,4 +1,4 @@
-//! Members' connections: one task for each, and the effects that concern them.
+//! Connections to members: one task for each, and the effects on them.
 
 use super::connection::{Connection, ConnectionEvent, ConnectionEvents, ReadLimits, WriteProgress};
 use super::driver::Driver;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 impl Driver {
-    /// Opens a connection; the reducer ends it where that takes too long.
+    /// Opens a connection; the reducer closes it if that takes too long.
     pub(super) fn open_member_connection(self: &Rc<Self>, id: ConnectionId, address: SocketAddr) {
         let task = self.executor.spawn(serve(self.clone(), id, address));
         let member = Member {
@@ -22,7 +22,7 @@
         self.members.connections.borrow_mut().insert(id, member);
     }
 
-    /// Writes to a member where its connection can still carry a request.
+    /// Writes to a member if its connection can still carry a request.
     pub(super) fn write_to_member(&self, id: ConnectionId, bytes: Vec<u8>) {
         let Some(connection) = self.members.connection(id) else {
             return;
@@ -30,14 +30,14 @@
         match try_write(&connection, bytes) {
             Ok(WriteProgress::Complete) => self.queue_input(Input::MemberFlushed(id)),
             Ok(_) => {}
-            Err(why) => {
+            Err(reason) => {
                 self.members.connections.borrow_mut().remove(&id);
-                self.queue_input(Input::MemberClosed(id, why));
+                self.queue_input(Input::MemberClosed(id, reason));
             }
         }
     }
 
-    /// Closes a connection to a member, whichever protocol it speaks.
+    /// Closes a connection to a member of either protocol.
     pub(super) fn close_member_connection(&self, id: ConnectionId) {
         let member = self.members.connections.borrow_mut().remove(&id);
         drop(member);
@@ -45,11 +45,13 @@
     }
 }
 
-/// Writes to a connection that is fit for it; else says why the connection is over. Danger: a write into a connection that the
-/// member has closed would count as sent, and what waits on one would be taken for the answer.
+/// Writes to a connection if it is usable; otherwise returns the reason to close it.
+///
+/// Without the check, a write to a connection that the member has closed would count as sent, and unexpected data that waits on
+/// the connection would be taken for the response.
 fn try_write(connection: &Connection, bytes: Vec<u8>) -> Result<WriteProgress, CloseReason> {
-    if let Some(why) = connection.why_unusable() {
-        return Err(why);
+    if let Some(reason) = connection.unusable_reason() {
+        return Err(reason);
     }
     match connection.write(bytes) {
         WriteProgress::Broken => Err(CloseReason::Disconnected),
@@ -57,27 +59,27 @@
     }
 }
 
-/// Connects to a member and reads its connection until it is over.
+/// Connects to a member and reads from its connection until it ends.
 async fn serve(driver: Rc<Driver>, id: ConnectionId, address: SocketAddr) {
-    let why = match Async::<TcpStream>::connect(address).await {
+    let reason = match Async::<TcpStream>::connect(address).await {
         Ok(socket) => {
             let limits = ReadLimits {
                 max_pending_bytes: driver.limits.answer_bytes,
                 linger_bytes: 0,
             };
             let connection = Connection::new(socket, limits, &driver.members.budget);
-            read_answers(&driver, id, connection).await
+            read_responses(&driver, id, connection).await
         }
         Err(_) => CloseReason::Disconnected,
     };
     let member = driver.members.connections.borrow_mut().remove(&id);
     if member.is_some() {
-        driver.handle_input(Input::MemberClosed(id, why));
+        driver.handle_input(Input::MemberClosed(id, reason));
     }
 }
 
-/// Hands over what a member sends; gives why its connection is over.
-async fn read_answers(
+/// Passes a member's messages to the reducer. Returns the reason for the end of its connection.
+async fn read_responses(
     driver: &Rc<Driver>,
     id: ConnectionId,
     connection: Rc<Connection>,
@@ -99,32 +101,32 @@
             ConnectionEvent::Woken => {}
             ConnectionEvent::Closed => return CloseReason::Disconnected,
         }
-        let Ok(answer_ended) = hand_over_frames(driver, id, &connection, &mut frames) else {
+        let Ok(response_ended) = deliver_frames(driver, id, &connection, &mut frames) else {
             return CloseReason::ProtocolError;
         };
-        if !answer_ended || frames.pending_bytes() > 0 {
+        if !response_ended || frames.pending_bytes() > 0 {
             driver.handle_input(Input::MemberPartialFrame(id));
         }
     }
     CloseReason::Disconnected
 }
 
-/// Hands over the messages that are complete; gives whether the last of them, if any, ended an answer.
-fn hand_over_frames(
+/// Passes complete messages to the reducer. Returns whether the last of them ended a response; true if there was none.
+fn deliver_frames(
     driver: &Rc<Driver>,
     id: ConnectionId,
     connection: &Connection,
     frames: &mut FrameDecoder,
 ) -> Result<bool, FrameError> {
-    let mut answer_ended = true;
+    let mut response_ended = true;
     while let Some(frame) = frames.next_frame() {
-        // Danger: the answer's last message may bring the next request onto this connection at once. What is left
-        // here must be seen by then.
+        // The response's last message may let the reducer write the next request to this connection at once. The bytes left
+        // here must be counted before, so that they are recognized as unexpected data.
         connection.set_pending_bytes(frames.pending_bytes());
         let frame = frame?;
-        answer_ended = frame.kind == server::READY_FOR_QUERY;
+        response_ended = frame.kind == server::READY_FOR_QUERY;
         driver.handle_input(Input::MemberFrame(id, frame));
     }
     connection.set_pending_bytes(frames.pending_bytes());
-    Ok(answer_ended)
+    Ok(response_ended)
 }
--- a/crates/stackgw-gateway/src/io/mod.rs
+++ b/crates/stackgw-gateway/src/io/mod.rs
@@ -1,8 +1,8 @@
-//! The I/O side: tasks that read sockets and hand inputs to the reducer, and the driver that carries out its effects.
+//! The I/O side: tasks that read sockets and pass inputs to the reducer, and the driver that carries out its effects.
 //!
-//! Nothing here decides. All tasks run on one thread with one executor, so that state is shared by `Rc` and `RefCell`; no
-//! borrow lasts across an `await` or a call to the reducer. Other frontends and the disk have threads of their own and reach
-//! this one by channels.
+//! This module makes no decisions about requests. All tasks run on one thread with one executor and share state through `Rc`
+//! and `RefCell`; no borrow is held across an `await` or a call to the reducer. Other frontends and the disk run on their own
+//! threads and communicate with this one through channels.
 
 mod alarm;
 mod backend_channels;
--- a/crates/stackgw-gateway/src/io/request_handle.rs
+++ b/crates/stackgw-gateway/src/io/request_handle.rs
@@ -1,4 +1,5 @@
-//! The way of another frontend's request to the reducer and back: through a channel, as frontends have threads of their own.
+//! Sends requests of another frontend to the reducer and returns the responses, through channels: frontends have their own
+//! threads.
 
 use super::backend_channels::RelayedStream;
 use crate::reducer::{CallId, FinalResponse};
@@ -8,47 +9,47 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// The answer of a gateway that ends before the request's.
-const GATEWAY_ENDS: FrontendResponse =
+/// The response if the gateway exits before it has responded to the request.
+const GATEWAY_EXITED: FrontendResponse =
     FrontendResponse::Final(FinalResponse::Unavailable("the gateway ends"));
 
-/// What comes from another frontend.
+/// A message from another frontend.
 pub(super) enum FrontendMessage {
     /// A request.
     Execute(FrontendRequest),
-    /// Nobody waits for that request any more.
+    /// The client of a request no longer waits for its response.
     Cancel(CallId),
 }
 
 /// Another frontend's request.
 pub(super) struct FrontendRequest {
     pub(super) id: CallId,
-    /// In the form of the first protocol.
+    /// The statement's text, as in a query message of PostgreSQL's protocol.
     pub(super) statement: String,
-    /// Its answer may be a stream.
+    /// The response may be a stream.
     pub(super) accepts_stream: bool,
     pub(super) response: Sender<FrontendResponse>,
 }
 
-/// How another frontend's request is answered.
+/// The response to another frontend's request.
 pub enum FrontendResponse {
-    /// By its one final answer.
+    /// The one final response.
     Final(FinalResponse),
-    /// By a stream, which is its own from here on.
+    /// A stream, which the frontend owns from now on.
     Stream(RelayedStream),
 }
 
-/// The way to the reducer for another frontend. Clones lead to the same one.
+/// Sends requests of another frontend to the reducer. Clones use the same reducer.
 #[derive(Clone)]
 pub struct RequestHandle {
     messages: Sender<FrontendMessage>,
     next_id: Arc<AtomicU64>,
 }
 
-/// Cancels its request when dropped, unless the final answer has come.
+/// Cancels its request when dropped, unless the final response has arrived.
 pub struct RequestGuard {
     handle: RequestHandle,
-    /// `None`: nothing is left to cancel.
+    /// `None`: there is nothing to cancel.
     request: Option<CallId>,
 }
 
@@ -73,18 +74,19 @@
         (handle, receiver)
     }
 
-    /// Executes a statement in the form of the first protocol; gives its one final answer. Dropped before that, the client
-    /// is gone. How many may be executed at once is the caller's to bound.
+    /// Executes a statement, written as in PostgreSQL's protocol, and returns its final response. Dropping the future before
+    /// that cancels the request. The caller must limit the number of concurrent executions.
     pub async fn execute(&self, statement: String) -> FinalResponse {
         match self.send(statement, false).await {
-            (FrontendResponse::Final(answer), _) => answer,
+            (FrontendResponse::Final(response), _) => response,
             (FrontendResponse::Stream(_), _) => {
                 FinalResponse::Failed("a stream came where one value was asked for")
             }
         }
     }
 
-    /// The same where the answer may be a stream. The guard beside it is kept for as long as the stream is read.
+    /// Executes a statement whose response may be a stream. The caller keeps the returned guard for as long as it reads the
+    /// stream.
     pub async fn execute_streaming(&self, statement: String) -> (FrontendResponse, RequestGuard) {
         self.send(statement, true).await
     }
@@ -108,10 +110,10 @@
         };
         let message = FrontendMessage::Execute(request);
         if self.messages.send(message).await.is_err() {
-            return (GATEWAY_ENDS, guard);
+            return (GATEWAY_EXITED, guard);
         }
         guard.request = Some(id);
-        let response = receiver.recv().await.unwrap_or(GATEWAY_ENDS);
+        let response = receiver.recv().await.unwrap_or(GATEWAY_EXITED);
         if matches!(response, FrontendResponse::Final(_)) {
             guard.request = None;
         }
@@ -119,7 +121,7 @@
     }
 }
 
-/// Other frontends' requests that are open, and who waits for each.
+/// Open requests of other frontends, and the channels for their responses.
 #[derive(Default)]
 pub(super) struct OpenRequests(RefCell<HashMap<CallId, Sender<FrontendResponse>>>);
 
--- a/crates/stackgw-gateway/src/io/signals.rs
+++ b/crates/stackgw-gateway/src/io/signals.rs
@@ -10,7 +10,7 @@
     Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1])
 }
 
-/// Hands over each signal.
+/// Passes each signal to the reducer.
 pub(super) async fn run(driver: Rc<Driver>, mut signals: Signals) {
     while let Some(signal) = signals.next().await {
         match signal {
--- a/crates/stackgw-gateway/src/io/startup.rs
+++ b/crates/stackgw-gateway/src/io/startup.rs
@@ -1,10 +1,10 @@
-//! Opens what a gateway needs, in the order in which its parts depend on each other, and runs it to its end.
+//! Opens the parts of a gateway in the order of their dependencies, and runs the gateway until it exits.
 
 use super::alarm::Alarm;
 use super::backend_channels::{BackendChannels, BackendCommand, BackendEvent, Backends};
 use super::client_table::Clients;
 use super::clock::Clock;
-use super::control_answers::Answers;
+use super::control_answers::StatusReplies;
 use super::driver::{DatagramSockets, Driver, Storage};
 use super::flag::Flag;
 use super::list_tasks::ListRequests;
@@ -31,11 +31,11 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Serves until the reducer has the gateway end.
+/// Serves until the reducer ends the gateway.
 ///
 /// # Errors
 ///
-/// Something that the configuration names cannot be opened.
+/// A socket, store or frontend that the configuration names cannot be opened.
 pub(crate) fn serve(
     config: Config,
     frontend: Option<FrontendFactory>,
@@ -45,13 +45,13 @@
     Ok(())
 }
 
-/// A gateway with all that it needs open, before its first input.
+/// A gateway with all its parts open, before its first input.
 struct Gateway {
     driver: Rc<Driver>,
-    /// What the reducer asks for already.
+    /// Effects that the reducer has emitted before its first input.
     effects: Vec<Effect>,
     sources: InputSources,
-    /// Dropped, the other frontend and its backend end.
+    /// Dropping it stops the other frontend and its backend.
     running_frontend: Option<Box<dyn Any>>,
 }
 
@@ -61,7 +61,7 @@
         frontend: Option<FrontendFactory>,
         log: Logger,
     ) -> Result<Self, GatewayError> {
-        // First of all: a signal that came before would end the program.
+        // Done first: a signal that arrives earlier would kill the process.
         let signals = signals::listen().map_err(GatewayError::Signals)?;
         let control = config.operator.control.as_deref();
         let control = control.map(control::listen).transpose()?;
@@ -113,14 +113,14 @@
         }
         driver.handle_input(Input::Start);
         async_io::block_on(driver.executor.run(driver.exits.wait()));
-        // Danger: the executor's tasks hold the driver, which holds the executor, so neither is ever dropped; what is queued
-        // for the disk would be lost with the process.
+        // The executor's tasks hold the driver, which holds the executor, so neither is ever dropped. Without this explicit
+        // drop, writes queued for the disk would be lost when the process exits.
         drop(driver.storage.take());
         drop(self.running_frontend);
     }
 }
 
-/// What the driver sends by, beside clients' and members' connections.
+/// The outputs of the driver other than connections to clients and members.
 struct Outputs {
     datagrams: DatagramSockets,
     record_writer: Option<RecordWriter>,
@@ -151,7 +151,7 @@
     Ok(Rc::new(socket))
 }
 
-/// This instance as a part of the operator's cluster.
+/// The socket and store of this instance as a part of the operator's cluster.
 struct ClusterAccess {
     socket: Rc<Async<UdpSocket>>,
     incarnation: Incarnation,
@@ -160,7 +160,7 @@
 }
 
 impl ClusterAccess {
-    /// Binds the socket and opens the store, if the operator's file asks for them.
+    /// Binds the socket and opens the store, if the operator's file configures them.
     fn open(config: &Config, log: &Logger) -> Result<Option<Self>, GatewayError> {
         let Some(cluster) = &config.cluster else {
             return Ok(None);
@@ -194,16 +194,16 @@
     }
 }
 
-/// Another frontend and its backend, where there is one.
+/// Another frontend and its backend, if there is one.
 #[derive(Default)]
 struct RunningFrontend {
-    /// Dropped, both end.
+    /// Dropping it stops both.
     running: Option<Box<dyn Any>>,
     commands: Option<Sender<BackendCommand>>,
     inputs: Option<FrontendInputs>,
 }
 
-/// Where inputs of another frontend and its backend come from.
+/// The channels on which inputs of another frontend and its backend arrive.
 struct FrontendInputs {
     messages: Receiver<FrontendMessage>,
     events: Receiver<BackendEvent>,
@@ -226,10 +226,10 @@
     }
 }
 
-/// The reducer, with all that is turned on, before its first input.
+/// The reducer with its configured features, before its first input.
 struct Core {
     reducer: Reducer,
-    /// What it asks for already.
+    /// Effects that the reducer has emitted already.
     effects: Vec<Effect>,
     limits: Limits,
     reloader: ConfigReloader,
@@ -274,7 +274,7 @@
         }
     }
 
-    /// The driver of this reducer, and the effects that it is to carry out first.
+    /// Returns the driver of this reducer, and the effects that it must carry out first.
     fn into_driver(self, clock: Clock, log: Logger, outputs: Outputs) -> (Rc<Driver>, Vec<Effect>) {
         let driver = Driver {
             reducer: RefCell::new(self.reducer),
@@ -294,7 +294,7 @@
                 records: outputs.record_writer,
                 endpoint_list: self.list_writer,
             }),
-            control_answers: Answers::default(),
+            status_replies: StatusReplies::default(),
             alarm: Alarm::default(),
             exits: Flag::default(),
             read_buffer: Rc::new(RefCell::new(vec![0; self.limits.read_bytes])),
@@ -304,7 +304,7 @@
     }
 }
 
-/// Where inputs come from, beside the sockets that the driver itself sends by.
+/// The sources of inputs other than the sockets that the driver also sends on.
 struct InputSources {
     signals: Signals,
     control: Option<Async<UnixListener>>,
@@ -314,7 +314,7 @@
 }
 
 impl InputSources {
-    /// Starts a task for each.
+    /// Starts a task for each source.
     fn spawn_tasks(self, driver: &Rc<Driver>) {
         driver.spawn(signals::run(driver.clone(), self.signals));
         driver.spawn(timers::run(driver.clone()));
--- a/crates/stackgw-gateway/src/io/storage.rs
+++ b/crates/stackgw-gateway/src/io/storage.rs
@@ -1,4 +1,4 @@
-//! What the gateway keeps on a disk, where the operator's file asks for that: records of sessions, and the endpoint list.
+//! The data that the gateway stores on disk if the operator's file configures it: session records and the endpoint list.
 
 use super::driver::Driver;
 use crate::config::{Config, SessionSharingConfig};
@@ -13,18 +13,18 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The store of sessions' records, open.
+/// The open store of session records.
 pub(super) struct SessionStore {
     pub(super) incarnation: Incarnation,
     pub(super) writer: RecordWriter,
-    /// What became of the records.
+    /// The outcomes of the commits of records.
     pub(super) results: Receiver<CommitOutcome>,
 }
 
-/// Opens the store of sessions' records, if the operator's file names one.
+/// Opens the store of session records, if the operator's file names one.
 ///
-/// A store that another process has, or that can neither be used nor set aside, is an error: a later incarnation would take it
-/// for complete.
+/// A store that another process uses, or that can neither be used nor moved aside, is an error: otherwise a later incarnation
+/// would treat it as complete.
 pub(super) fn open_session_store(
     config: &Config,
     log: &Logger,
@@ -37,14 +37,16 @@
     };
     let opened = StoreFile::open(path, &owner(config, session_sharing))?;
     if let Some(reason) = opened.quarantined {
-        info!(log, "{reason}; starting cautiously");
+        info!(log, "{reason}; starting with an empty session store");
     }
     let incarnation = Incarnation {
         number: opened.incarnation,
         recovered: Some(opened.recovered),
     };
     let (sender, results) = async_channel::unbounded();
-    let writer = RecordWriter::start(opened.store, move |done| drop(sender.send_blocking(done)))?;
+    let writer = RecordWriter::start(opened.store, move |outcome| {
+        drop(sender.send_blocking(outcome))
+    })?;
     Ok(Some(SessionStore {
         incarnation,
         writer,
@@ -60,22 +62,22 @@
     }
 }
 
-/// Hands over what became of records.
+/// Passes the outcomes of commits to the reducer.
 pub(super) async fn run(driver: Rc<Driver>, results: Receiver<CommitOutcome>) {
-    while let Ok(done) = results.recv().await {
-        driver.handle_input(Input::StoreEvent(done));
+    while let Ok(outcome) = results.recv().await {
+        driver.handle_input(Input::StoreEvent(outcome));
     }
 }
 
-/// The endpoint list as the disk has it, and what keeps it from now on.
+/// The endpoint list read from disk, and the writer of later lists.
 #[derive(Default)]
 pub(super) struct EndpointListStore {
     pub(super) cached: Option<CachedEndpoints>,
     pub(super) writer: Option<EndpointListWriter>,
 }
 
-/// Opens the file of the endpoint list, if the operator's file names one. What cannot be read is logged, and costs a start no
-/// more than that.
+/// Opens the file of the endpoint list, if the operator's file names one. A file that cannot be read is logged; the gateway
+/// still starts.
 pub(super) fn open_endpoint_list(
     bootstrap: &stackgw_config::Bootstrap,
     log: &Logger,
@@ -85,22 +87,22 @@
     };
     let cached = read_endpoint_list(path, &bootstrap.service, log);
     let writer_log = log.clone();
-    let log_failure = move |failed: StoreError| info!(writer_log, "{failed}");
+    let log_failure = move |error: StoreError| info!(writer_log, "{error}");
     match EndpointListWriter::start(path, &bootstrap.service, log_failure) {
         Ok(writer) => EndpointListStore {
             cached,
             writer: Some(writer),
         },
-        Err(failed) => {
-            info!(log, "{failed}");
+        Err(error) => {
+            info!(log, "{error}");
             EndpointListStore::default()
         }
     }
 }
 
 fn read_endpoint_list(path: &Path, service: &str, log: &Logger) -> Option<CachedEndpoints> {
-    stackgw_store::read_endpoint_list(path, service).unwrap_or_else(|failed| {
-        info!(log, "{failed}; starting without it");
+    stackgw_store::read_endpoint_list(path, service).unwrap_or_else(|error| {
+        info!(log, "{error}; starting without a stored endpoint list");
         None
     })
 }
--- a/crates/stackgw-gateway/src/io/timers.rs
+++ b/crates/stackgw-gateway/src/io/timers.rs
@@ -1,4 +1,4 @@
-//! The one timer of the I/O side; the reducer keeps the order of all others.
+//! The single timer of the I/O side. The reducer orders its own timers, and this one fires when the first of them is due.
 
 use super::driver::Driver;
 use crate::reducer::Input;
@@ -9,11 +9,11 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A stream that yields each time the alarm goes off.
+/// A stream that yields an item each time the alarm is due.
 struct AlarmStream {
     driver: Rc<Driver>,
     timer: Timer,
-    /// What the timer is set for.
+    /// The time that the timer is set to.
     timer_due: Option<Time>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Tells the reducer whenever its next timer is due.
+/// Passes an input to the reducer whenever its next timer is due.
 pub(super) async fn run(driver: Rc<Driver>) {
     let mut alarm = AlarmStream {
         driver: driver.clone(),
@@ -50,7 +50,8 @@
         timer_due: None,
     };
     while alarm.next().await.is_some() {
-        // What has come goes first: after a pause, answers that are here already are not given up for time.
+        // Received bytes are handled first, so that after a pause of the process no response that has already arrived times
+        // out.
         future::yield_now().await;
         driver.handle_input(Input::TimerDue);
     }
--- a/crates/stackgw-gateway/tests/unit/connection.rs
+++ b/crates/stackgw-gateway/tests/unit/connection.rs
@@ -92,7 +92,7 @@
 #[test]
 fn a_quiet_connection_is_closed_at_once_when_its_task_still_holds_it() {
     let (connection, mut other) = pair();
-    assert!(connection.close_if_quiet());
+    assert!(connection.close_if_idle());
     assert_eq!(other.read(&mut [0; 8]).expect("the end"), 0);
 }
 
@@ -104,11 +104,11 @@
     while connection.socket.get_ref().peek(&mut [0]).is_err() {
         std::thread::yield_now();
     }
-    assert!(!connection.close_if_quiet());
+    assert!(!connection.close_if_idle());
     let (connection, _other) = pair();
     connection.set_pending_bytes(3);
     assert!(
-        !connection.close_if_quiet(),
+        !connection.close_if_idle(),
         "what its task holds counts too"
     );
 }
