--- a/crates/stackgw-gateway/src/io/connection/mod.rs
+++ b/crates/stackgw-gateway/src/io/connection/mod.rs
@@ -219,8 +219,8 @@
         is_idle
     }
 
-    /// Ends the output before the process exits. Unread bytes are dropped first: closing a socket that holds them sends a reset,
-    /// which discards bytes that the peer has not received yet.
+    /// Ends the output before the process exits. Unread bytes are dropped first: closing a socket that holds them sends a
+    /// reset, which discards bytes that the peer has not received yet.
     pub(super) fn finish_writing(&self) {
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
         let mut bytes_left = self.limits.linger_bytes;
--- a/crates/stackgw-gateway/src/pg/frame.rs
+++ b/crates/stackgw-gateway/src/pg/frame.rs
@@ -1,33 +1,33 @@
 //! Splits a byte stream into the protocol's messages.
 //!
-//! Each message keeps the bytes in which it came, so that it can be forwarded as it is. A message is checked by its type and
-//! length as soon as its first bytes are there: a sender that announces what it never sends is found out at once.
+//! Each message keeps its bytes as received, so that it can be forwarded unchanged. A message's type and length are checked as
+//! soon as its first bytes have arrived: a sender that announces a message it never sends is detected at once.
 
 use super::code;
 use super::message_kind::{client, server, STARTUP};
 
-/// A startup packet's length field.
+/// Size of a startup packet's length field.
 const STARTUP_HEADER_BYTES: usize = 4;
-/// A message's type byte and its length field.
+/// Size of a message's type byte and its length field.
 const HEADER_BYTES: usize = 5;
-/// A startup packet holds at least its length and a code.
+/// Smallest length of a startup packet: its length field and a code.
 const MIN_STARTUP_LENGTH: u32 = 8;
-/// A message's length counts its own four bytes.
+/// Smallest length of a message, which includes the 4 bytes of the length field.
 const MIN_MESSAGE_LENGTH: u32 = 4;
-/// ReadyForQuery holds one byte.
+/// Length of ReadyForQuery, whose body is one byte.
 const READY_FOR_QUERY_LENGTH: u32 = 5;
 
-/// One message, its header included.
+/// One message, including its header.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
-    /// Its type byte, of [`message_kind`](super::message_kind).
+    /// The type byte, one of [`message_kind`](super::message_kind).
     pub kind: u8,
-    /// The bytes as they came, header included.
+    /// The bytes as received, including the header.
     pub bytes: Vec<u8>,
 }
 
 impl Frame {
-    /// What follows the header.
+    /// Returns the bytes after the header.
     pub fn body(&self) -> &[u8] {
         let header = if self.kind == STARTUP {
             STARTUP_HEADER_BYTES
@@ -37,39 +37,39 @@
         self.bytes.get(header..).unwrap_or_default()
     }
 
-    /// The code at the start of a startup packet.
+    /// Returns the code at the start of a startup packet.
     pub fn code(&self) -> Option<u32> {
         self.body()
             .first_chunk()
             .map(|code| u32::from_be_bytes(*code))
     }
 
-    /// Whether the parameters of a startup packet are complete.
+    /// Returns whether the parameters of a startup packet are complete.
     pub fn has_parameters(&self) -> bool {
-        // Behind the code, names and values each with a zero byte, and one more zero byte.
+        // The code is followed by names and values, each terminated by a zero byte, and by one more zero byte.
         self.body()
             .get(4..)
             .is_some_and(|text| text == [0] || text.ends_with(&[0, 0]))
     }
 
-    /// Whether this is a startup packet of version 3, of any minor version.
+    /// Returns whether this is a startup packet of version 3, with any minor version.
     pub fn is_startup(&self) -> bool {
         let is_version_3 = |version: u32| version >> 16 == code::VERSION_3 >> 16;
         self.kind == STARTUP && self.code().is_some_and(is_version_3)
     }
 }
 
-/// A message whose type or length the protocol does not have.
+/// A message whose type or length is invalid in the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("message {:?} of length {length}", char::from(*kind))]
 pub struct FrameError {
-    /// Its type byte.
+    /// The type byte.
     pub kind: u8,
-    /// Its length field; 0 where the type alone is wrong.
+    /// The length field; 0 if the type is invalid.
     pub length: u32,
 }
 
-/// What a client may send, the copy protocol's messages included.
+/// Messages that a client may send, including those of the copy protocol.
 const CLIENT_KINDS: [u8; 14] = [
     client::QUERY,
     client::TERMINATE,
@@ -87,7 +87,7 @@
     client::PASSWORD,
 ];
 
-/// What a server may send in answer to simple queries.
+/// Messages that a server may send in response to simple queries.
 const SERVER_KINDS: [u8; 12] = [
     server::AUTHENTICATION,
     server::PARAMETER_STATUS,
@@ -103,7 +103,7 @@
     server::NEGOTIATE_PROTOCOL_VERSION,
 ];
 
-/// Messages of clients that have no body.
+/// Client messages without a body.
 const WITHOUT_BODY: [u8; 4] = [
     client::TERMINATE,
     client::SYNC,
@@ -111,7 +111,7 @@
     client::COPY_DONE,
 ];
 
-/// Who sends the messages of a stream.
+/// The sender of the messages of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Sender {
     Client,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Whether a message of this type can have this length, as far as its first bytes show.
+    /// Returns whether a message of this type may have this length, judging by the bytes received so far.
     fn may_send(self, kind: u8, length: u32, message: &[u8]) -> bool {
         match (self, kind) {
             (Sender::Server, server::READY_FOR_QUERY) => length == READY_FOR_QUERY_LENGTH,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Whether a data row can be one of a single column. The four bytes of the column's length are header enough to know.
+/// Returns whether a data row may have exactly one column; true until the 4 bytes of the column's length have arrived.
 fn may_be_one_column(length: u32, message: &[u8]) -> bool {
     let Some(column_length) = message.get(7..11).and_then(|bytes| bytes.first_chunk()) else {
         return true;
@@ -148,13 +148,13 @@
     message[HEADER_BYTES..7] == [0, 1] && i64::from(length) == row_length && column_length >= -1
 }
 
-/// The bytes of one connection that are not yet complete messages, or not yet asked for.
+/// Splits the bytes of one connection into messages; holds incomplete messages and those not returned yet.
 #[derive(Debug)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
-    /// Bytes of the buffer that have been handed out.
+    /// Bytes at the start of the buffer that have been returned in messages.
     start: usize,
-    /// The next packet is one of the startup, which has no type byte.
+    /// The next packet is a startup packet, which has no type byte.
     in_startup: bool,
     sender: Sender,
     max_message_bytes: usize,
@@ -162,7 +162,7 @@
 }
 
 impl FrameDecoder {
-    /// Decodes what a server sends: every message has a type.
+    /// Creates a decoder of a server's bytes, in which every message has a type.
     pub fn server(max_message_bytes: usize) -> Self {
         FrameDecoder {
             buffer: Vec::new(),
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Decodes what a client sends: packets without a type until the startup is done.
+    /// Creates a decoder of a client's bytes, in which packets have no type until the startup is complete.
     pub fn client(max_startup_bytes: usize, max_message_bytes: usize) -> Self {
         FrameDecoder {
             buffer: Vec::new(),
@@ -186,17 +186,18 @@
         }
     }
 
-    /// Takes bytes as they come.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.discard_handed_out();
-        // Doubled, a large part of a message would take twice the memory that it counts as.
+        self.discard_returned();
+        // `reserve` may double the capacity, so that a large part of a message would take twice the memory that it counts as.
         self.buffer.reserve_exact(bytes.len());
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Drops what has been handed out once it is half of the buffer, so that the buffer takes little more than what counts as
-    /// pending. Danger: a client that always has the next message on its way would never see the buffer emptied.
-    fn discard_handed_out(&mut self) {
+    /// Drops returned bytes once they are half of the buffer, so that the buffer takes little more memory than it counts as
+    /// pending. Dropping them only when the buffer is empty would let it grow without limit for a client that always has a
+    /// further message on its way.
+    fn discard_returned(&mut self) {
         if self.start >= self.buffer.len() - self.start {
             self.buffer.drain(..self.start);
             self.buffer.shrink_to_fit();
@@ -204,23 +205,23 @@
         }
     }
 
-    /// Drops all that is buffered.
+    /// Drops all buffered bytes.
     pub fn clear(&mut self) {
         self.buffer = Vec::new();
         self.start = 0;
     }
 
-    /// Bytes that have come and are not handed out.
+    /// Returns the number of received bytes that have not been returned in messages.
     pub fn pending_bytes(&self) -> usize {
         self.buffer.len() - self.start
     }
 
-    /// Bytes that the buffer takes, those of messages already handed out included.
+    /// Returns the size of the buffer, including bytes of messages that have already been returned.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The size of the next message if it is complete; 0 if its header is malformed, `None` until either is known.
+    /// Returns the size of the next message if it is complete, and 0 if its header is malformed; `None` until either is known.
     pub fn next_frame_bytes(&self) -> Option<usize> {
         let Ok((_, length)) = self.next_header()? else {
             return Some(0);
@@ -229,7 +230,7 @@
         (bytes <= self.pending_bytes()).then_some(bytes)
     }
 
-    /// The next complete message; `None` until there is one.
+    /// Returns the next complete message; `None` until there is one.
     pub fn next_frame(&mut self) -> Option<Result<Frame, FrameError>> {
         let (kind, length) = match self.next_header()? {
             Ok(header) => header,
@@ -238,19 +239,19 @@
         let end = self.start + self.type_bytes() + length as usize;
         let bytes = self.buffer.get(self.start..end)?.to_vec();
         self.start = end;
-        self.discard_handed_out();
+        self.discard_returned();
         let frame = Frame { kind, bytes };
         self.in_startup &= !frame.is_startup();
         Some(Ok(frame))
     }
 
-    /// Bytes before the length field.
+    /// Returns the number of bytes before the length field.
     fn type_bytes(&self) -> usize {
         usize::from(!self.in_startup)
     }
 
-    /// Type and length of the next message. Danger: a message that is checked only once it is complete may never be, and its
-    /// sender waits or sends on for nothing.
+    /// Returns the type and length of the next message. An invalid header is reported before the message is complete: the rest
+    /// of it may never arrive, and its sender would wait or keep sending in vain.
     fn next_header(&self) -> Option<Result<(u8, u32), FrameError>> {
         let message = &self.buffer[self.start..];
         if self.in_startup {
--- a/crates/stackgw-gateway/src/pg/load_report.rs
+++ b/crates/stackgw-gateway/src/pg/load_report.rs
@@ -1,18 +1,18 @@
-//! A member's load report: `name=value` pairs in a parameter of its answers.
+//! A member's load report: `name=value` pairs in a parameter of its responses.
 
 use stackgw_router::api::{LoadReport, Time};
 use stackgw_settings::record_load_field;
 
-/// No member has as many requests.
+/// Exclusive upper bound of a load; no member has as many requests.
 const MAX_LOAD: f64 = 1e6;
-/// Later than any clock shows, in Unix seconds.
+/// Exclusive upper bound of a position, in Unix seconds; later than any clock shows.
 const MAX_UNIX_SECONDS: Time = 8_000_000_000;
 const NANOSECONDS_PER_SECOND: Time = 1_000_000_000;
-/// Digits of a fraction of a second that count.
+/// Number of significant digits of a fraction of a second.
 const NANOSECOND_DIGITS: usize = 9;
 
-/// Reads `name=value` pairs; names without a meaning here are skipped. One pair that cannot be read makes the whole report
-/// unreadable, and so does one that is named twice or that no member can have.
+/// Parses `name=value` pairs and ignores unknown names. Returns `None` if any pair is malformed, duplicated or has a value that
+/// is impossible for a member.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     let mut names = Vec::new();
@@ -36,11 +36,12 @@
     Some(report)
 }
 
-/// Seconds as a decimal number, cut (never rounded up) to whole nanoseconds; a float of Unix times is too coarse.
+/// Parses seconds as a decimal number and truncates them (never rounding up) to whole nanoseconds; a floating-point number is
+/// too imprecise for Unix times.
 fn parse_nanoseconds(text: &str) -> Option<Time> {
     let (seconds, fraction) = text.split_once('.').unwrap_or((text, ""));
-    let is_plain = |digits: &str| digits.bytes().all(|byte| byte.is_ascii_digit());
-    if !is_plain(seconds) || !is_plain(fraction) || seconds.is_empty() {
+    let is_decimal = |digits: &str| digits.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_decimal(seconds) || !is_decimal(fraction) || seconds.is_empty() {
         return parse_float_seconds(text);
     }
     let fraction = fraction.get(..fraction.len().min(NANOSECOND_DIGITS))?;
--- a/crates/stackgw-gateway/src/pg/message_kind.rs
+++ b/crates/stackgw-gateway/src/pg/message_kind.rs
@@ -1,9 +1,9 @@
-//! The type bytes of messages. The same byte means one message from a client and another from a server.
+//! The type bytes of messages. The same byte can mean different messages from a client and from a server.
 
-/// Stands for the packets of the startup, which have no type byte.
+/// Represents startup packets, which have no type byte.
 pub const STARTUP: u8 = 0;
 
-/// What clients send.
+/// Messages that clients send.
 pub mod client {
     /// Query: a simple query.
     pub const QUERY: u8 = b'Q';
@@ -31,19 +31,19 @@
     pub const COPY_DONE: u8 = b'c';
     /// CopyFail.
     pub const COPY_FAIL: u8 = b'f';
-    /// PasswordMessage and other answers to an authentication request.
+    /// PasswordMessage and other responses to an authentication request.
     pub const PASSWORD: u8 = b'p';
 }
 
-/// What servers send.
+/// Messages that servers send.
 pub mod server {
     /// Authentication requests, and AuthenticationOk.
     pub const AUTHENTICATION: u8 = b'R';
     /// ParameterStatus.
     pub const PARAMETER_STATUS: u8 = b'S';
-    /// BackendKeyData: the key for cancelling.
+    /// BackendKeyData: the key for cancel requests.
     pub const BACKEND_KEY_DATA: u8 = b'K';
-    /// ReadyForQuery: ends every answer.
+    /// ReadyForQuery: ends every response.
     pub const READY_FOR_QUERY: u8 = b'Z';
     /// RowDescription.
     pub const ROW_DESCRIPTION: u8 = b'T';
--- a/crates/stackgw-gateway/src/pg/mod.rs
+++ b/crates/stackgw-gateway/src/pg/mod.rs
@@ -1,7 +1,7 @@
-//! Version 3 of PostgreSQL's wire protocol, as far as the gateway speaks it: messages on a byte stream, statements with their
-//! comment, replies of members, and the messages that the gateway writes itself.
+//! The part of version 3 of PostgreSQL's wire protocol that the gateway supports: messages on a byte stream, statements with
+//! their comment, replies of members, and the messages that the gateway writes itself.
 //!
-//! All of it is incremental and without I/O, every size has a limit, and nothing here decides what happens to a request.
+//! The parsers are incremental, do no I/O, limit every size and make no decisions about requests.
 
 mod frame;
 mod load_report;
@@ -17,7 +17,7 @@
 pub use sql::StatementTarget;
 pub use statement::{Statement, StatementError};
 
-/// Codes that stand where a startup packet has its version.
+/// Codes in the version field of a startup packet.
 pub mod code {
     /// Version 3.0; its upper half is the major version.
     pub const VERSION_3: u32 = 3 << 16;
--- a/crates/stackgw-gateway/src/pg/reply.rs
+++ b/crates/stackgw-gateway/src/pg/reply.rs
@@ -1,4 +1,4 @@
-//! A member's reply, gathered message by message until it is complete.
+//! A member's reply, assembled message by message until it is complete.
 
 use super::message_kind::server;
 use super::{parse_load_report, Frame};
@@ -7,47 +7,47 @@
 /// The body of AuthenticationOk.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
-/// A message that has no place in a reply, or a reply that is too large.
+/// A message that is not valid at its place in a reply, or a reply that is too large.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("unexpected message in a reply")]
 pub struct UnexpectedMessage;
 
-/// What a reply amounts to.
+/// The outcome of a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyOutcome {
     /// One complete row.
     Row,
     /// An error with this SQLSTATE.
     Error([u8; 5]),
-    /// Neither: complete, but without a row, or an answer to an empty query.
+    /// A complete reply without a row, also that to an empty query.
     NoRow,
 }
 
-/// A reply as far as it has come.
+/// The received part of a reply.
 #[derive(Debug, Default)]
 pub struct Reply {
-    /// The row's description, the row and its completion, as they came.
+    /// The row's description, the row and its completion, as received.
     pub row: Vec<u8>,
     has_description: bool,
     has_row: bool,
     has_completion: bool,
     is_ready: bool,
     sqlstate: Option<[u8; 5]>,
-    /// The member says that it is the primary, or that it is not.
+    /// Whether the member says that it is the primary; `None`: it does not say.
     pub primary: Option<bool>,
-    /// Its position, or the commit time of a write, in Unix nanoseconds.
+    /// The member's position, or the commit time of a write, in Unix nanoseconds.
     pub position: Option<Time>,
     /// The load report that came with the reply.
     pub report: LoadReport,
 }
 
 impl Reply {
-    /// Takes the next message; the row's messages may take `max_bytes`. `Ok(true)`: the member is ready again, the reply is
-    /// over.
+    /// Adds the next message; the row's messages may take `max_bytes`. Returns true once the member is ready again, which ends
+    /// the reply.
     ///
     /// # Errors
     ///
-    /// The message has no place here: the reply is malformed.
+    /// The message is not valid here, or the row is too large; the reply is malformed.
     pub fn take(&mut self, frame: &Frame, max_bytes: usize) -> Result<bool, UnexpectedMessage> {
         let body = frame.body();
         let is_open = self.ended().is_none();
@@ -85,12 +85,13 @@
         Ok(false)
     }
 
-    /// Whether the member is ready again behind it, so that nothing of it is missing.
+    /// Returns whether the member is ready again, so that no part of the reply is missing.
     pub fn is_complete(&self) -> bool {
         self.is_ready
     }
 
-    /// How it ended, once the member is ready again or has closed; `None`: it had not come so far.
+    /// Returns the outcome, also for a connection that closes before the member is ready again; `None` if the reply has not
+    /// reached its outcome.
     pub fn ended(&self) -> Option<ReplyOutcome> {
         match (self.sqlstate, self.has_completion) {
             (Some(sqlstate), _) => Some(ReplyOutcome::Error(sqlstate)),
@@ -100,12 +101,12 @@
         }
     }
 
-    /// The text of the row's one column, as health checks get it.
+    /// Returns the text of the row's one column; used for health checks.
     pub fn column(&self) -> Option<&str> {
         std::str::from_utf8(column_value(&self.row)??).ok()
     }
 
-    /// Takes a parameter's value. One that cannot be read is no reason to drop the row beside it.
+    /// Records a parameter's value. A malformed value is ignored: it must not make the row unusable.
     fn take_parameter(&mut self, body: &[u8]) {
         let mut parts = body
             .split(|byte| *byte == 0)
@@ -122,7 +123,7 @@
     }
 }
 
-/// A position in Unix milliseconds; 0 stands for none.
+/// Parses a position in Unix milliseconds; 0 means none.
 fn parse_position(text: &str) -> Option<Time> {
     let ms = text
         .parse::<i64>()
@@ -131,10 +132,10 @@
     ms.map(|ms| ms * MS)
 }
 
-/// The one column of a row whose description stands before it; `Some(None)`: it is null.
+/// Returns the one column of a row that is preceded by its description; `Some(None)` if the column is null.
 pub fn column_value(row: &[u8]) -> Option<Option<&[u8]>> {
     let description_bytes = 1 + u32::from_be_bytes(*row.get(1..)?.first_chunk()?) as usize;
-    // Type, length, number of columns, length of the column.
+    // The row begins with its type, its length, the number of columns and the length of the column.
     let row = row.get(description_bytes..)?;
     match usize::try_from(i32::from_be_bytes(*row.get(7..)?.first_chunk()?)) {
         Ok(length) => Some(Some(row.get(11..)?.get(..length)?)),
@@ -142,7 +143,7 @@
     }
 }
 
-/// Whether a data row has one column, whose length is that of the row.
+/// Returns whether a data row has exactly one column, whose length matches that of the row.
 fn is_one_column(body: &[u8]) -> bool {
     let [0, 1, a, b, c, d, value @ ..] = body else {
         return false;
@@ -153,10 +154,10 @@
     }
 }
 
-/// Table, column, type, its size, its modifier and its format, behind a field's name.
+/// Size of the table, column, type, type size, type modifier and format that follow a field's name.
 const FIELD_TAIL_BYTES: usize = 18;
 
-/// Whether a row's description names one column.
+/// Returns whether a row's description names exactly one column.
 fn is_one_field(body: &[u8]) -> bool {
     let Some(fields) = body.strip_prefix(&[0, 1]) else {
         return false;
@@ -165,7 +166,7 @@
     name_length.is_some_and(|length| fields.len() == length + 1 + FIELD_TAIL_BYTES)
 }
 
-/// Whether a body is one text with its zero byte.
+/// Returns whether a body is one string with its terminating zero byte.
 fn is_text(body: &[u8]) -> bool {
     body.split_last().is_some_and(|(end, text)| {
         *end == 0
@@ -176,7 +177,8 @@
     })
 }
 
-/// The code of an error whose fields are complete: each a letter and a text with its zero byte, then one more zero byte.
+/// Returns the SQLSTATE of an error whose fields are complete: each is a letter and a string with its terminating zero byte,
+/// and one more zero byte follows the last.
 fn parse_sqlstate(body: &[u8]) -> Option<[u8; 5]> {
     let fields = body.strip_suffix(&[0, 0])?;
     let mut sqlstate = None;
--- a/crates/stackgw-gateway/src/pg/sql.rs
+++ b/crates/stackgw-gateway/src/pg/sql.rs
@@ -1,15 +1,15 @@
 //! The two forms of SQL that the gateway forwards: a read of one key, and an insert of one value.
 
-/// What a statement is about, as far as its SQL alone says.
+/// The key that a statement reads or writes, from its SQL without the comment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatementTarget<'a> {
     /// The quoted key.
     pub key: &'a str,
-    /// It writes the key.
+    /// Whether the statement writes the key.
     pub writes: bool,
 }
 
-/// Reads a statement without its comment; `None` where it has neither form.
+/// Parses a statement without its comment; returns `None` if it has neither form.
 pub(super) fn parse_target(sql: &str) -> Option<StatementTarget<'_>> {
     let mut rest = Tokens(sql);
     let first = rest.word()?;
@@ -29,7 +29,7 @@
     (rest.is_empty() && !target.key.is_empty()).then_some(target)
 }
 
-/// `SELECT column FROM table WHERE column = 'key'`, behind its first word; gives the key.
+/// Parses the rest of `SELECT column FROM table WHERE column = 'key'` after its first word, and returns the key.
 fn parse_select<'a>(rest: &mut Tokens<'a>) -> Option<&'a str> {
     rest.word()?;
     rest.keyword("from")?;
@@ -40,7 +40,8 @@
     rest.quoted()
 }
 
-/// `INSERT INTO table (column, column) VALUES ('key', '\xhex') RETURNING column`, behind its first word; gives the key.
+/// Parses the rest of `INSERT INTO table (column, column) VALUES ('key', '\xhex') RETURNING column` after its first word, and
+/// returns the key.
 fn parse_insert<'a>(rest: &mut Tokens<'a>) -> Option<&'a str> {
     rest.keyword("into")?;
     rest.word()?;
@@ -63,11 +64,11 @@
     Some(key)
 }
 
-/// The text that is not read yet.
+/// The text that has not been parsed yet.
 struct Tokens<'a>(&'a str);
 
 impl<'a> Tokens<'a> {
-    /// The next word: letters, digits and underscores.
+    /// Returns the next word, which consists of letters, digits and underscores.
     fn word(&mut self) -> Option<&'a str> {
         let text = self.0.trim_start();
         let ends = |c: char| !c.is_ascii_alphanumeric() && c != '_';
@@ -85,7 +86,7 @@
         Some(())
     }
 
-    /// The text between the next two quotation marks.
+    /// Returns the text between the next two quotation marks.
     fn quoted(&mut self) -> Option<&'a str> {
         self.symbol('\'')?;
         let (inner, rest) = self.0.split_once('\'')?;
--- a/crates/stackgw-gateway/src/pg/statement.rs
+++ b/crates/stackgw-gateway/src/pg/statement.rs
@@ -1,50 +1,51 @@
-//! A client's statement: checked for its form, read for what decisions need, forwarded as it came but for its timeout `d`.
+//! A client's statement. Its form is checked, the fields that decisions need are parsed, and it is forwarded unchanged except
+//! for its timeout `d`.
 
 use super::sql::{parse_target, StatementTarget};
 use super::Frame;
 use std::ops::Range;
 
-/// Header of a query message: its type and its length.
+/// Size of the header of a query message: its type and its length.
 const HEADER_BYTES: usize = 5;
-/// Timeouts are below this, in milliseconds.
+/// Exclusive upper bound of timeouts, in milliseconds.
 const TIMEOUT_MS_END: u64 = 1 << 32;
-/// Positions are below this, in Unix milliseconds.
+/// Exclusive upper bound of positions, in Unix milliseconds.
 const POSITION_MS_END: u64 = 1 << 43;
 
-/// Why a statement is not forwarded. Its text is sent to the client.
+/// An error in a statement, which is not forwarded. The message is sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.message())]
 pub enum StatementError {
-    /// The query's text lacks its zero byte.
+    /// The query's text has no terminating zero byte.
     Unterminated,
-    /// The query is no UTF-8.
+    /// The query is not valid UTF-8.
     NotText,
-    /// No comment.
+    /// The statement has no comment.
     NoComment,
-    /// The SQL is neither of the two known forms.
+    /// The SQL has neither of the two supported forms.
     UnknownForm,
-    /// The comment does not end with the statement.
+    /// The statement does not end with the end of the comment.
     UnterminatedComment,
     /// A part of the comment has no `=`.
     NotAPair,
-    /// A field of the comment is there twice.
+    /// A field of the comment is duplicated.
     DuplicateField,
-    /// No `id`, or an empty one.
+    /// `id` is missing or empty.
     NoId,
-    /// No `c`.
+    /// `c` is missing.
     NoClass,
-    /// No `d`.
+    /// `d` is missing.
     NoTimeout,
-    /// `d` is no number, or too large a one.
+    /// `d` is not a number, or is too large.
     InvalidTimeout,
-    /// `after` is no number, or too large a one.
+    /// `after` is not a number, or is too large.
     InvalidPosition,
-    /// `cluster` is missing or no number.
+    /// `cluster` is missing or not a number.
     InvalidCluster,
 }
 
 impl StatementError {
-    /// The text for the client.
+    /// Returns the message for the client.
     pub const fn message(self) -> &'static str {
         match self {
             StatementError::Unterminated => "the query has no end",
@@ -64,11 +65,11 @@
     }
 }
 
-/// What the decisions need of a statement, and the bytes in which it came.
+/// The fields of a statement that decisions need, and its bytes as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Statement {
     bytes: Vec<u8>,
-    /// Where the digits of `d` stand in the bytes.
+    /// The range of the digits of `d` in the bytes.
     timeout_digits: Range<usize>,
     /// The request's id.
     pub id: String,
@@ -76,46 +77,46 @@
     pub key: String,
     /// The class's name.
     pub class: String,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the response, in milliseconds.
     pub wait_ms: u64,
     /// The group's number.
     pub cluster: u32,
-    /// The position that a read has to see, in Unix milliseconds.
+    /// The position that a read must have reached, in Unix milliseconds.
     pub after_ms: Option<i64>,
-    /// The client retries an earlier attempt.
+    /// Whether the client repeats an earlier request.
     pub repeat: bool,
-    /// The statement writes.
+    /// Whether the statement writes.
     pub write: bool,
 }
 
 impl Statement {
-    /// Whether a query message holds no statement at all.
+    /// Returns whether a query message holds no statement.
     pub fn is_empty(frame: &Frame) -> bool {
         let is_blank = |byte: &u8| byte.is_ascii_whitespace() || matches!(byte, b';' | 0);
         frame.body().iter().all(is_blank)
     }
 
-    /// What a query message is about, as far as its SQL alone says.
+    /// Returns the target of a query message from its SQL, without parsing its comment.
     pub fn target(frame: &Frame) -> Option<StatementTarget<'_>> {
         let text = std::str::from_utf8(frame.body()).ok()?;
         parse_target(text.split_at(text.rfind("/*")?).0)
     }
 
-    /// Reads a query message, whose bytes are kept.
+    /// Parses a query message and keeps its bytes.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong with it.
+    /// The first malformed part of the statement or its comment.
     pub fn parse(frame: Frame) -> Result<Self, StatementError> {
         let text = frame
             .body()
             .strip_suffix(b"\0")
             .ok_or(StatementError::Unterminated)?;
         let text = std::str::from_utf8(text).map_err(|_| StatementError::NotText)?;
-        let comment_at = text.rfind("/*").ok_or(StatementError::NoComment)?;
-        let (sql, comment) = text.split_at(comment_at);
+        let comment_start = text.rfind("/*").ok_or(StatementError::NoComment)?;
+        let (sql, comment) = text.split_at(comment_start);
         let target = parse_target(sql).ok_or(StatementError::UnknownForm)?;
-        let fields = CommentFields::parse(comment, HEADER_BYTES + comment_at)?;
+        let fields = CommentFields::parse(comment, HEADER_BYTES + comment_start)?;
         let id = fields
             .id
             .filter(|id| !id.is_empty())
@@ -137,17 +138,17 @@
             after_ms,
             repeat: fields.repeat == Some("1"),
             write: target.writes,
-            timeout_digits: timeout.at,
+            timeout_digits: timeout.range,
             bytes: frame.bytes,
         })
     }
 
-    /// Bytes that it takes, those of the names that are kept beside the message included.
+    /// Returns the memory that the statement takes, including the names that are kept besides the message.
     pub fn size_bytes(&self) -> usize {
         self.bytes.len() + 2 * self.id.len() + self.key.len() + self.class.len()
     }
 
-    /// The message as it came, `d` set to the time that this attempt may take.
+    /// Returns the message with `d` set to the time that this attempt may take, and otherwise unchanged.
     pub fn with_timeout(&self, wait_ms: u64) -> Vec<u8> {
         let digits = wait_ms.to_string();
         let mut message = Vec::with_capacity(self.bytes.len() + digits.len());
@@ -160,26 +161,26 @@
     }
 }
 
-/// A value of the comment, and where in the message it stands.
-struct Located<'a> {
+/// A value of the comment, and its range in the message.
+struct LocatedValue<'a> {
     text: &'a str,
-    at: Range<usize>,
+    range: Range<usize>,
 }
 
-/// The fields of a statement's comment that mean something here.
+/// The fields of a statement's comment that the gateway uses.
 #[derive(Default)]
 struct CommentFields<'a> {
     id: Option<&'a str>,
     class: Option<&'a str>,
-    timeout: Option<Located<'a>>,
+    timeout: Option<LocatedValue<'a>>,
     cluster: Option<&'a str>,
     after: Option<&'a str>,
     repeat: Option<&'a str>,
 }
 
 impl<'a> CommentFields<'a> {
-    /// Reads a comment that begins at this place of the message.
-    fn parse(comment: &'a str, comment_at: usize) -> Result<Self, StatementError> {
+    /// Parses a comment that begins at this offset in the message.
+    fn parse(comment: &'a str, comment_offset: usize) -> Result<Self, StatementError> {
         let inner = comment
             .strip_prefix("/*")
             .and_then(|comment| comment.strip_suffix("*/"));
@@ -187,22 +188,22 @@
             .filter(|inner| !inner.contains("*/"))
             .ok_or(StatementError::UnterminatedComment)?;
         let mut fields = CommentFields::default();
-        let mut part_at = comment_at + "/*".len();
+        let mut part_offset = comment_offset + "/*".len();
         for part in inner.split(',') {
             let (name, value) = part
                 .trim()
                 .split_once('=')
                 .ok_or(StatementError::NotAPair)?;
             let leading_spaces = part.len() - part.trim_start().len();
-            let value_at = part_at + leading_spaces + name.len() + "=".len();
+            let value_offset = part_offset + leading_spaces + name.len() + "=".len();
             let replaced = match name {
                 "id" => fields.id.replace(value).is_some(),
                 "c" => fields.class.replace(value).is_some(),
                 "d" => {
-                    let at = value_at..value_at + value.len();
+                    let range = value_offset..value_offset + value.len();
                     fields
                         .timeout
-                        .replace(Located { text: value, at })
+                        .replace(LocatedValue { text: value, range })
                         .is_some()
                 }
                 "cluster" => fields.cluster.replace(value).is_some(),
@@ -213,7 +214,7 @@
             if replaced {
                 return Err(StatementError::DuplicateField);
             }
-            part_at += part.len() + ",".len();
+            part_offset += part.len() + ",".len();
         }
         Ok(fields)
     }
@@ -229,7 +230,7 @@
     ms.ok_or(StatementError::InvalidTimeout)
 }
 
-/// A position in Unix milliseconds; 0 asks for none.
+/// Parses a position in Unix milliseconds; 0 means that none is required.
 fn parse_after(text: &str) -> Result<Option<i64>, StatementError> {
     let ms = parse_digits(text)
         .filter(|ms| *ms < POSITION_MS_END)
--- a/crates/stackgw-gateway/src/pg/write.rs
+++ b/crates/stackgw-gateway/src/pg/write.rs
@@ -3,9 +3,9 @@
 use super::code;
 use super::message_kind::{client, server};
 
-/// The rest of a field's description behind its name: no table, no type, text format.
+/// The rest of a field's description after its name: no table, no type, text format.
 const FIELD_TAIL: [u8; 18] = [0; 18];
-/// NegotiateProtocolVersion's body: minor version 0 is the newest, no option is known.
+/// The body of NegotiateProtocolVersion: the newest minor version is 0, and 0 unrecognized options are listed.
 const NO_OPTIONS: [u8; 8] = [0; 8];
 
 fn message(out: &mut Vec<u8>, kind: u8, body: &[u8]) {
@@ -14,7 +14,7 @@
     out.extend_from_slice(body);
 }
 
-/// One row of one column `val`, with its description and its completion.
+/// RowDescription, DataRow and CommandComplete of one row with one column `val`.
 pub fn row(out: &mut Vec<u8>, value: Option<&[u8]>) {
     let mut description = vec![0, 1];
     description.extend(b"val\0");
@@ -46,7 +46,7 @@
     message(out, server::EMPTY_QUERY_RESPONSE, b"");
 }
 
-/// What follows a client's startup: welcome, parameters, key for cancelling, ReadyForQuery.
+/// The response to a client's startup: AuthenticationOk, parameters, BackendKeyData and ReadyForQuery.
 pub fn welcome(out: &mut Vec<u8>, process: u32, secret: u32) {
     message(out, server::AUTHENTICATION, &0u32.to_be_bytes());
     for (name, value) in [
@@ -65,12 +65,12 @@
     ready(out);
 }
 
-/// NegotiateProtocolVersion: minor version 0 is the newest, no option is known.
+/// NegotiateProtocolVersion: the newest minor version is 0, and no unrecognized options are listed.
 pub fn negotiate(out: &mut Vec<u8>) {
     message(out, server::NEGOTIATE_PROTOCOL_VERSION, &NO_OPTIONS);
 }
 
-/// ErrorResponse; `fatal` where the connection ends with it.
+/// ErrorResponse; `fatal` means that the connection ends with it.
 pub fn error(out: &mut Vec<u8>, fatal: bool, code: &str, text: &str, detail: Option<&str>) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
     let mut body = Vec::new();
@@ -89,7 +89,7 @@
     message(out, server::ERROR_RESPONSE, &body);
 }
 
-/// A simple query.
+/// Query: a simple query.
 pub fn query(out: &mut Vec<u8>, text: &str) {
     let mut body = text.as_bytes().to_vec();
     body.push(0);
