--- a/crates/stackgw-gateway/src/pg/statement.rs
+++ b/crates/stackgw-gateway/src/pg/statement.rs
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Returns the memory that the statement takes, including the names that are kept besides the message.
+    /// Returns the memory that the statement takes, including the names that are kept in addition to the message.
     pub fn size_bytes(&self) -> usize {
         self.bytes.len() + 2 * self.id.len() + self.key.len() + self.class.len()
     }
