--- a/crates/stackgw-gateway/src/counters.rs
+++ b/crates/stackgw-gateway/src/counters.rs
@@ -140,7 +140,7 @@
 
 impl Counters {
     /// Raises each peak to its current value if that is higher.
-    pub fn peaks(&mut self) {
+    pub fn raise_peaks(&mut self) {
         self.clients_peak = self.clients_peak.max(self.clients_open);
         self.members_peak = self.members_peak.max(self.members_open);
         self.buffered_peak = self.buffered_peak.max(self.buffered_bytes);
--- a/crates/stackgw-gateway/src/reducer/steps/dispatch.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/dispatch.rs
@@ -20,7 +20,7 @@
         let is_listening = !self.shutdown.listener_closed();
         self.clients.admit(cx, is_listening);
         cx.counters.read_ahead_bytes = self.clients.read_ahead_bytes() as u64;
-        cx.counters.peaks();
+        cx.counters.raise_peaks();
         if !is_listening && self.clients.is_empty() && !self.requests.has_calls() {
             self.exit(cx);
         }
