--- a/crates/stackgw-gateway/src/pg/reply.rs
+++ b/crates/stackgw-gateway/src/pg/reply.rs
@@ -50,7 +50,7 @@
     /// The message is not valid here, or the row is too large; the reply is malformed.
     pub fn take(&mut self, frame: &Frame, max_bytes: usize) -> Result<bool, UnexpectedMessage> {
         let body = frame.body();
-        let is_open = self.ended().is_none();
+        let is_open = self.outcome().is_none();
         match frame.kind {
             server::ROW_DESCRIPTION if is_open && !self.has_description && is_one_field(body) => {
                 self.has_description = true;
@@ -92,7 +92,7 @@
 
     /// Returns the outcome, also for a connection that closes before the member is ready again; `None` if the reply has not
     /// reached its outcome.
-    pub fn ended(&self) -> Option<ReplyOutcome> {
+    pub fn outcome(&self) -> Option<ReplyOutcome> {
         match (self.sqlstate, self.has_completion) {
             (Some(sqlstate), _) => Some(ReplyOutcome::Error(sqlstate)),
             (None, true) if self.has_row => Some(ReplyOutcome::Row),
--- a/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
@@ -224,7 +224,7 @@
 
 /// What a reply means for its attempt; `None`: it has not ended.
 pub(super) fn reply_outcome(reply: &Reply) -> Option<Outcome> {
-    Some(match reply.ended()? {
+    Some(match reply.outcome()? {
         ReplyOutcome::Row => Outcome::Served,
         ReplyOutcome::Error(code) => match &code {
             // A write at a replica; a read at a replica that is too far behind.
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -132,7 +132,7 @@
                 break;
             }
         }
-        let _ = (reply.ended(), reply.column());
+        let _ = (reply.outcome(), reply.column());
         prop_assert!(reply.row.len() <= MOST + 300);
     }
 
@@ -235,7 +235,7 @@
     assert!(all.iter().all(|f| reply.take(f, MOST) == Ok(false)));
     assert_eq!(reply.take(&ready(), MOST), Ok(true));
     assert_eq!(
-        (reply.ended(), reply.primary),
+        (reply.outcome(), reply.primary),
         (Some(ReplyOutcome::Row), Some(true))
     );
     assert_eq!(reply.position, Some(1_767_225_600_123 * MS));
@@ -286,7 +286,7 @@
     .concat();
     assert!(all.iter().all(|f| reply.take(f, MOST) == Ok(false)));
     assert_eq!(
-        (reply.ended(), reply.primary, reply.position),
+        (reply.outcome(), reply.primary, reply.position),
         (Some(ReplyOutcome::Row), None, None)
     );
 }
@@ -307,9 +307,12 @@
             })
     };
     let good = row(b"abc");
-    assert_eq!(take(&good).expect("a row").ended(), Some(ReplyOutcome::Row));
     assert_eq!(
-        take(&good[..2]).expect("so far").ended(),
+        take(&good).expect("a row").outcome(),
+        Some(ReplyOutcome::Row)
+    );
+    assert_eq!(
+        take(&good[..2]).expect("so far").outcome(),
         None,
         "not complete"
     );
@@ -326,11 +329,11 @@
     assert_eq!(
         take(&[good[0].clone(), good[2].clone()])
             .expect("no row")
-            .ended(),
+            .outcome(),
         Some(ReplyOutcome::NoRow)
     );
     assert_eq!(
-        take(&[error("25006")]).expect("an error").ended(),
+        take(&[error("25006")]).expect("an error").outcome(),
         Some(ReplyOutcome::Error(*b"25006"))
     );
     let long = Frame {
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -380,7 +380,7 @@
     format!(
         "{} | {} whole={} {primary} {} {} {} | {} {} {} {} {}",
         taken.join(","),
-        ended_text(reply.ended()),
+        ended_text(reply.outcome()),
         reply.is_complete(),
         reply.position.unwrap_or(-1),
         reply.column().unwrap_or("-"),
