--- a/crates/stackgw-gateway/src/pg/write.rs
+++ b/crates/stackgw-gateway/src/pg/write.rs
@@ -47,7 +47,7 @@
 }
 
 /// The response to a client's startup: AuthenticationOk, parameters, BackendKeyData and ReadyForQuery.
-pub fn welcome(out: &mut Vec<u8>, process: u32, secret: u32) {
+pub fn startup_response(out: &mut Vec<u8>, process: u32, secret: u32) {
     message(out, server::AUTHENTICATION, &0u32.to_be_bytes());
     for (name, value) in [
         ("server_version", "16.0"),
--- a/crates/stackgw-gateway/src/reducer/steps/client_messages.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/client_messages.rs
@@ -140,7 +140,7 @@
                     write::negotiate(&mut reply);
                 }
                 let secret = self.clients.issue_cancel_key(id);
-                write::welcome(&mut reply, id.0 as u32, secret);
+                write::startup_response(&mut reply, id.0 as u32, secret);
                 self.write_to_client(cx, id, reply, false);
             }
             _ => {
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -72,7 +72,7 @@
     line(
         &mut out,
         "welcome",
-        written(|out| write::welcome(out, 7, 0xdead_beef)),
+        written(|out| write::startup_response(out, 7, 0xdead_beef)),
     );
     line(&mut out, "negotiate", written(write::negotiate));
     line(
--- a/crates/stackgw-testkit/src/postgres_member.rs
+++ b/crates/stackgw-testkit/src/postgres_member.rs
@@ -94,7 +94,7 @@
         let mut bytes = Vec::new();
         if is_startup(&frame) {
             (frame.code() == Some(code::VERSION_3)).then_some(())?;
-            write::welcome(&mut bytes, self.index as u32, 0);
+            write::startup_response(&mut bytes, self.index as u32, 0);
             return Some(Reply {
                 bytes,
                 is_write: false,
