--- a/crates/stackgw-gateway/tests/config.rs
+++ b/crates/stackgw-gateway/tests/config.rs
@@ -49,12 +49,12 @@
         (
             "\"phase\":\"ready\"",
             "\"phase\":\"odd\"",
-            "known: members: phase is 'odd'",
+            "known: members: phase 'odd' is unknown",
         ),
         (
             "127.0.0.1:7001",
             "here",
-            "known: members: host_port is 'here'",
+            "known: members: host_port 'here' is not an address and port",
         ),
     ] {
         assert!(whole.contains(from), "{from}");
