--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -72,7 +72,7 @@
     line(
         &mut out,
         "welcome",
-        written(|out| write::welcome(out, 7, 0xdead_beef)),
+        written(|out| write::startup_response(out, 7, 0xdead_beef)),
     );
     line(&mut out, "negotiate", written(write::negotiate));
     line(
@@ -380,7 +380,7 @@
     format!(
         "{} | {} whole={} {primary} {} {} {} | {} {} {} {} {}",
         taken.join(","),
-        ended_text(reply.ended()),
+        ended_text(reply.outcome()),
         reply.is_complete(),
         reply.position.unwrap_or(-1),
         reply.column().unwrap_or("-"),
