--- a/crates/stackgw-gateway/src/reducer/steps/dispatch.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands inputs and timers to the steps that they concern.
+//! Dispatches inputs and timers to their handlers.
 
 use crate::counters::Counters;
 use crate::limits::Limits;
@@ -10,7 +10,7 @@
 use stackgw_router::api::{Event, ListScope};
 
 impl Gateway {
-    /// Takes one input, then delivers what it queued for the router and adjusts timers and admission.
+    /// Handles one input, then delivers the events that it queued to the router and updates timers and admission.
     pub(crate) fn handle(&mut self, cx: &mut Context<'_>, input: Input) {
         self.handle_input(cx, input);
         self.run_router(cx);
@@ -55,7 +55,7 @@
             Input::GossipDatagram(from, bytes) => self.handle_gossip(cx, from, &bytes),
             Input::ClusterDatagram(bytes) => self.handle_cluster_datagram(cx, &bytes),
             Input::StoreEvent(outcome) => self.handle_store_event(cx, outcome),
-            Input::StatusQuery(asker, query) => self.handle_status_query(cx, asker, query),
+            Input::StatusQuery(id, query) => self.handle_status_query(cx, id, query),
             Input::TimerDue => self.handle_due_timers(cx),
             Input::Reload(config) => self.reload(cx, config),
             Input::Terminate => self.begin_shutdown(cx),
@@ -79,10 +79,10 @@
         if self.watch.is_subscribed() && self.bootstrap.is_none() {
             self.watch.open(cx);
         }
-        cx.log(format!("started, {} members known", self.members.len()));
+        cx.log(format!("started with {} known members", self.members.len()));
     }
 
-    /// Handles the timers that are due, each with what it queues for the router.
+    /// Handles the due timers. The events that each one queues are delivered to the router before the next one.
     fn handle_due_timers(&mut self, cx: &mut Context<'_>) {
         while let Some(timer) = cx.timers.pop_due(cx.now) {
             self.handle_timer(cx, timer);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whether a client's next message, of this size in bytes, may be delivered.
+    /// Returns whether a client's next message, of this size in bytes, may be delivered.
     pub(crate) fn accepts_frame(
         &self,
         id: ClientId,
--- a/crates/stackgw-gateway/src/reducer/steps/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/mod.rs
@@ -1,6 +1,6 @@
-//! What is done for each input: methods of [`Gateway`](super::state::Gateway) that call its components in order.
+//! Handlers for each input: methods of [`Gateway`](super::state::Gateway) that call its components in order.
 //!
-//! The order of effects, of timers and of the router's events is part of the behaviour.
+//! The order of effects, timers and router events is part of the behavior.
 
 mod attempts;
 mod bootstrap;
--- a/crates/stackgw-gateway/src/reducer/steps/reload.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration for a running gateway.
+//! Reload of the configuration of a running gateway.
 
 use crate::config::{Config, ConfigError};
 use crate::reducer::context::Context;
@@ -6,8 +6,8 @@
 use crate::reducer::state::Gateway;
 
 impl Gateway {
-    /// Takes over what a running gateway can change and logs what it cannot. A configuration that cannot be used changes
-    /// nothing.
+    /// Applies the parts of a configuration that a running gateway can change and logs the names of the others. An invalid
+    /// configuration changes nothing.
     pub(super) fn reload(
         &mut self,
         cx: &mut Context<'_>,
@@ -36,14 +36,14 @@
 
     fn log_reload(&self, cx: &mut Context<'_>, config: &Config) {
         let mut line = format!(
-            "configuration read anew, the list is at {}",
+            "configuration reloaded, endpoint list at {}",
             config.discovery
         );
         let unchanged = self
             .static_config
             .differing_parts(&StaticConfig::of(config));
         if !unchanged.is_empty() {
-            line += &format!("; unchanged until a restart: {}", unchanged.join(", "));
+            line += &format!("; not applied until a restart: {}", unchanged.join(", "));
         }
         cx.log(line);
     }
--- a/crates/stackgw-gateway/src/reducer/steps/router_actions.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/router_actions.rs
@@ -9,7 +9,7 @@
 use stackgw_router::api::{Action, GossipUpdate, Outcome, RequestId, Span, MS};
 
 impl Gateway {
-    /// Delivers what is queued for the router and carries out what it asks for, until nothing is left.
+    /// Delivers queued events to the router and applies its actions until the queue is empty.
     pub(super) fn run_router(&mut self, cx: &mut Context<'_>) {
         loop {
             self.update_connection_permits(cx);
--- a/crates/stackgw-gateway/src/reducer/steps/shutdown.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: accepted requests are finished, and clients are served until shortly before the kill.
+//! Graceful shutdown: accepted requests are finished, and clients are served until shortly before the SIGKILL.
 
 use super::requests::SHUTTING_DOWN;
 use crate::reducer::context::Context;
@@ -21,7 +21,10 @@
         cx.set_timer_after(limits.shutdown_serve, Timer::DrainClients);
         cx.set_timer_after(limits.shutdown_reject, Timer::RejectRemaining);
         cx.set_timer_after(limits.shutdown_deadline, Timer::ShutdownDeadline);
-        cx.log(format!("ending, {} requests in hand", self.requests.len()));
+        cx.log(format!(
+            "shutting down, {} requests open",
+            self.requests.len()
+        ));
     }
 
     pub(super) fn stop_listening(&mut self, cx: &mut Context<'_>) {
@@ -31,12 +34,13 @@
     pub(super) fn handle_listener_closed(&mut self, cx: &mut Context<'_>) {
         self.shutdown.close_listener();
         let clients = self.clients.len();
-        cx.log(format!("no longer listening, {clients} clients are here"));
+        cx.log(format!("no longer listening, {clients} clients connected"));
     }
 
-    /// Closes clients between requests, again and again until none is left.
+    /// Closes clients between requests and repeats this until none is left.
     ///
-    /// Danger: closed as soon as the listener is, they would reconnect where nobody serves until this gateway is back.
+    /// If clients were closed together with the listener, they would reconnect to an address that does not respond until this
+    /// gateway has restarted.
     pub(super) fn drain_clients(&mut self, cx: &mut Context<'_>) {
         if !self.shutdown.may_drain(cx.now) {
             return;
@@ -49,12 +53,12 @@
         }
     }
 
-    /// Shortly before a SIGKILL: open requests get a response that promises nothing, and from now on every request is rejected.
-    /// Clients are closed between requests as before, and the program exits with the last of them.
+    /// Answers all open requests shortly before a SIGKILL and rejects every request from now on. The response of a request that
+    /// was sent leaves open whether it ran. Clients are still closed between requests, and the program exits with the last of
+    /// them.
     ///
-    /// Danger: each response may let a statement start that waited behind it, and that one has been accepted too. So have
-    /// those that a client's task has read and could not deliver, and a response that is not flushed yet is none: if this were
-    /// the exit, they would be lost with the process.
+    /// If the program exited here, accepted statements would be lost: those that start once the response before them is sent,
+    /// those that a client's task has read but could not deliver, and those whose response is not flushed yet.
     pub(super) fn reject_remaining(&mut self, cx: &mut Context<'_>) {
         self.shutdown.start_rejecting();
         let mut remaining = self.unanswered_requests();
@@ -71,7 +75,7 @@
         self.requests.unanswered().into_iter().collect()
     }
 
-    /// A request that was never sent may be retried elsewhere.
+    /// Answers an open request. One that was never sent may be retried at another gateway.
     fn reject_remaining_request(&mut self, cx: &mut Context<'_>, request: RequestId) {
         let open = self.requests.get(request);
         let was_sent = open.is_some_and(|open| open.attempts_started > 0);
--- a/crates/stackgw-gateway/src/reducer/steps/status.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/status.rs
@@ -9,7 +9,7 @@
 use stackgw_router::api::Time;
 
 impl Gateway {
-    /// Each member that the router knows.
+    /// Returns the status of each member that the router knows.
     pub(crate) fn member_statuses(&self) -> impl Iterator<Item = MemberStatus> + '_ {
         self.router.member_snapshots().map(|(id, snapshot)| {
             let name = self.members.get(id).map_or("?", |e| e.name.as_str());
@@ -42,11 +42,11 @@
     pub(super) fn handle_status_query(
         &mut self,
         cx: &mut Context<'_>,
-        asker: u64,
+        id: u64,
         query: StatusQuery,
     ) {
         let reply = self.status_reply(cx.now, query);
-        cx.emit(Effect::StatusReply(asker, reply));
+        cx.emit(Effect::StatusReply(id, reply));
     }
 
     fn status_reply(&self, now: Time, query: StatusQuery) -> Value {
--- a/crates/stackgw-gateway/src/reducer/steps/sweep.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/sweep.rs
@@ -1,4 +1,4 @@
-//! The periodic check for what is idle or stalled.
+//! The periodic check for idle and stalled connections.
 
 use crate::reducer::context::Context;
 use crate::reducer::state::Gateway;
@@ -19,7 +19,7 @@
             cx.counters.members_retired += 1;
             self.close_connection(cx, id);
         }
-        // Danger: where members are replaced throughout, connections to removed ones take places from others.
+        // Without this, connections to removed members would use up the connection limit when all members are replaced.
         for member in self.members.past_grace(cx.now, cx.limits.drain_grace) {
             self.close_unused(cx, member);
         }
