--- a/crates/stackgw-gateway/src/reducer/state/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/state/cluster.rs
@@ -82,7 +82,7 @@
     }
 
     /// Datagrams that claim to be of this cluster and were refused.
-    pub(crate) fn refused_datagrams(&self) -> u64 {
+    pub(crate) fn rejected_datagrams(&self) -> u64 {
         let counters = self.cluster.counters();
         counters.foreign + counters.unknown_key + counters.forged + counters.malformed
     }
--- a/crates/stackgw-gateway/src/reducer/steps/bootstrap.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/bootstrap.rs
@@ -1,5 +1,5 @@
-//! Bootstrap of the endpoint list: carries messages between `stackgw-bootstrap`, the watch, the other instances, the disk and
-//! the router. Which source is believed for what is decided there.
+//! Bootstrap of the endpoint list: passes messages between `stackgw-bootstrap`, the watch, the other instances, the disk and
+//! the router. `stackgw-bootstrap` decides which source is trusted for what.
 
 use super::attempts::is_plausible;
 use crate::discovery::ListEntry;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// The newer of the lists that the disk and the platform's configuration have. Of which time the latter is, it does not
-    /// say.
+    /// Returns the newer of the lists in the disk cache and in the platform's configuration. The latter does not carry the time
+    /// at which it was confirmed.
     fn newest_cached(&mut self, cached: Option<CachedEndpoints>) -> Option<CachedEndpoints> {
         let initial = self.watch.take_initial().map(|list| CachedEndpoints {
             list,
@@ -90,7 +90,7 @@
         lists.max_by_key(|cached| cached.list.revision)
     }
 
-    /// Lets the bootstrap act and carries out what it asks for.
+    /// Runs an action on the bootstrap and applies its outputs.
     pub(super) fn run_bootstrap(
         &mut self,
         cx: &mut Context<'_>,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Sets the bootstrap's timer again where its time has changed.
+    /// Reschedules the bootstrap's timer if its time has changed.
     pub(super) fn schedule_bootstrap(&mut self, cx: &mut Context<'_>) {
         if let Some(bootstrap) = self.bootstrap.as_mut() {
             let at = bootstrap.bootstrap().next_timeout(cx.now);
@@ -164,10 +164,10 @@
         });
     }
 
-    /// What responses have said of members since the last time, for the other instances.
+    /// Takes the members' roles and positions that responses have reported since the last call, for the other instances.
     fn take_observations(&mut self, now: Time) -> Vec<Observation> {
-        // Danger: a response may be as old as the last time, and a role from just before its member started again must not
-        // pass for one from after it.
+        // A response may be as old as the last call. Observations carry the time of that call, so that a role from before a
+        // member's restart is not taken for one from after it.
         let bootstrap = self.bootstrap.as_mut();
         let since = bootstrap.map_or(now, |bootstrap| bootstrap.restart_observation(now));
         let updates = self.router.take_gossip();
@@ -183,7 +183,7 @@
         updates.iter().filter_map(observe).collect()
     }
 
-    /// What responses have said of members at other instances, for the router.
+    /// Passes the observations of members by other instances to the router.
     fn merge_observations(&mut self, cx: &mut Context<'_>, observations: &[Observation]) {
         for observation in observations {
             self.merge_observation(cx, observation);
@@ -201,7 +201,7 @@
         if !is_plausible(cx, position) {
             return;
         }
-        // Danger: a process that has started since is no primary until it says so itself.
+        // A member that has restarted since the observation is not the primary until its own responses say so.
         let endpoint = self.members.get(member);
         let started_at = endpoint.and_then(|endpoint| endpoint.started_at);
         let is_current = started_at.is_none_or(|at| observation.observed_at() > at);
@@ -212,7 +212,7 @@
             latency_ratio: 0.0,
             samples: 0,
         };
-        // The response that carried a position is no older than it.
+        // A response is never older than the position that it carries.
         let observed_at = observation.observed_at().max(observation.position());
         self.router.enqueue(Event::Gossip {
             sent_at: observed_at.min(cx.now),
@@ -221,7 +221,7 @@
         });
     }
 
-    /// Takes over the members of a list.
+    /// Updates the bootstrap with the members of a list.
     pub(super) fn update_bootstrap_members(&mut self, cx: &Context<'_>, entries: &[ListEntry]) {
         let Some(bootstrap) = self.bootstrap.as_mut() else {
             return;
@@ -234,7 +234,7 @@
         bootstrap.schedule_new_members(cx.now);
     }
 
-    /// Tells the router how it may connect to those members for which that has changed.
+    /// Updates the router's connection permits for the members whose permits have changed.
     pub(super) fn update_connection_permits(&mut self, cx: &Context<'_>) {
         let Some(bootstrap) = self.bootstrap.as_mut() else {
             return;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// A message of another instance's bootstrap.
+    /// Handles a bootstrap message from another instance.
     pub(super) fn handle_bootstrap_message(&mut self, cx: &mut Context<'_>, body: &[u8]) {
         let Some(message) = Message::decode(body) else {
             cx.counters.gossip_dropped += 1;
@@ -259,7 +259,7 @@
         });
     }
 
-    /// An instance of the cluster has come or gone.
+    /// Updates the bootstrap after an instance has joined or left the cluster.
     pub(super) fn update_bootstrap_membership(&mut self, cx: &mut Context<'_>) {
         let Some(cluster) = self.cluster.as_ref() else {
             return;
@@ -273,7 +273,7 @@
         });
     }
 
-    /// Takes over what a running gateway can change. `list_moved`: the list is at another address now.
+    /// Applies the options that a running gateway can change. `list_moved`: the address of the endpoint list has changed.
     pub(super) fn reload_bootstrap(
         &mut self,
         cx: &mut Context<'_>,
@@ -284,7 +284,7 @@
         let (bootstrap, options) = match (self.bootstrap.as_mut(), options) {
             (Some(bootstrap), Some(options)) => (bootstrap, options),
             (None, None) => return,
-            _ => return cx.log("start is turned on or off by a restart alone"),
+            _ => return cx.log("the `start` section can be added or removed only by a restart"),
         };
         let service_changed = bootstrap.set_service(&options.service);
         let reload = Reload {
@@ -302,17 +302,17 @@
 fn describe(event: LogEvent) -> String {
     match event {
         LogEvent::WatchEstablished(WatchScope::Fleet) => {
-            "holds a watch of the list for the fleet".to_owned()
+            "watching the endpoint list for the fleet".to_owned()
         }
         LogEvent::WatchEstablished(WatchScope::Standalone) => {
-            "watches the list for itself: nobody tells it who hears the service".to_owned()
+            "watching the endpoint list for this instance alone: no watch leader that receives the list is known".to_owned()
         }
-        LogEvent::WatchReleased => "leaves the watch of the list to others".to_owned(),
+        LogEvent::WatchReleased => "closed the watch of the endpoint list; other instances hold it".to_owned(),
         LogEvent::ServiceBehind(version) => {
-            format!("the list service tells older lists than version {version}, which is held")
+            format!("the list service sends lists older than the known version {version}")
         }
         LogEvent::ServiceReset => {
-            "the list service counts its versions anew, and is believed".to_owned()
+            "the list service restarted its version numbers; accepting its lists".to_owned()
         }
     }
 }
--- a/crates/stackgw-gateway/src/reducer/steps/client_connections.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/client_connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: reading ahead, writing, closing, and readiness.
+//! Clients' connections: read-ahead, writing, closing, and readiness.
 
 use crate::pg::write;
 use crate::reducer::context::Context;
@@ -12,9 +12,9 @@
 use crate::reducer::state::Gateway;
 
 impl Gateway {
-    /// A client has sent something that is not delivered. Beyond their share of the memory, the idle client with the
-    /// largest part of a message gets an error and is closed. One whose complete messages wait keeps its connection for the
-    /// responses; it is merely not read on.
+    /// Handles that a client has sent data that is not delivered yet. If the read-ahead of all clients exceeds three quarters of
+    /// the client buffer limit, the idle client with the largest partial message gets an error and is closed. A client whose
+    /// complete messages wait keeps its connection, as it still gets responses; its socket is just not read further.
     pub(super) fn handle_read_ahead(
         &mut self,
         cx: &mut Context<'_>,
@@ -24,7 +24,7 @@
         if !self.clients.contains(id) {
             return;
         }
-        // Its time runs only while nothing that precedes it keeps it from being accepted.
+        // The timeout of a partial message runs only while a message of this client would be accepted.
         let is_partial = read_ahead.is_partial && self.accepts_frame(id, 0, cx.counters, cx.limits);
         self.clients
             .set_read_ahead(cx.now, id, read_ahead.bytes, is_partial);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Everything that was written to a client is flushed. During a shutdown, it is closed once it is idle.
+    /// Handles that everything written to a client was flushed. During a shutdown, an idle client is then closed.
     pub(super) fn handle_client_flushed(&mut self, cx: &mut Context<'_>, id: ClientId) {
         let is_connected = self.clients.finish_write(cx.now, id);
         if is_connected && self.shutdown.is_draining(cx.now) && self.clients.is_idle(id) {
@@ -47,26 +47,27 @@
         }
     }
 
-    /// A client's bytes are no messages of the protocol: its connection alone ends, with an error if it can still be read.
+    /// Handles bytes from a client that violate the protocol: the client gets an error and is closed; no other connection is
+    /// affected.
     pub(super) fn handle_client_protocol_error(&mut self, cx: &mut Context<'_>, id: ClientId) {
         if !self.clients.contains(id) {
             return;
         }
         cx.counters.clients_bad += 1;
-        cx.log_rarely(cx.counters.clients_bad, "bad bytes from clients:");
+        cx.log_rarely(cx.counters.clients_bad, "protocol errors from clients:");
         self.clients.take_partial(id);
         let text = "these bytes are no message of the protocol";
         self.write_client_error(cx, id, ClientError::fatal(PROTOCOL_VIOLATION, text));
     }
 
-    /// A client has not finished a message, or has sent no request, in time. The first gets an error; the second does not,
-    /// as a request may be on its way, which an error must not meet in place of its response.
+    /// Closes a client that has not finished a message, or has sent no request, in time. The first gets an error. The second
+    /// gets none: its first request may be on its way, and the error would be taken for the response.
     pub(super) fn close_inactive_client(&mut self, cx: &mut Context<'_>, id: ClientId) {
         if self.clients.take_partial(id) {
             cx.counters.clients_stalled += 1;
             cx.log_rarely(
                 cx.counters.clients_stalled,
-                "clients that stood still inside a message:",
+                "clients that stalled within a message:",
             );
             let text = "the message was not finished in time";
             return self.write_client_error(cx, id, ClientError::fatal(PROTOCOL_VIOLATION, text));
@@ -74,7 +75,7 @@
         cx.counters.clients_without_request += 1;
         cx.log_rarely(
             cx.counters.clients_without_request,
-            "clients that asked nothing:",
+            "clients that sent no request in time:",
         );
         cx.emit(Effect::ClientCloseIfIdle(id));
     }
@@ -85,14 +86,14 @@
         self.remove_client(cx, id);
     }
 
-    /// A client's connection has ended.
+    /// Removes a client whose connection has ended and abandons its requests.
     pub(super) fn remove_client(&mut self, cx: &mut Context<'_>, id: ClientId) {
         for request in self.clients.remove(cx, id).unwrap_or_default() {
             self.abandon(cx, request);
         }
     }
 
-    /// Writes to a client, behind the responses that it still waits for.
+    /// Writes to a client after the responses that it still waits for.
     pub(super) fn write_to_client(
         &mut self,
         cx: &mut Context<'_>,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Writes bytes that are counted as pending already and have no response before them.
+    /// Writes bytes that are already counted as pending and have no open response before them.
     pub(super) fn send_to_client(
         &mut self,
         cx: &mut Context<'_>,
@@ -124,9 +125,9 @@
         self.limit_pending_writes(cx, id);
     }
 
-    /// Closes the client with the most unread bytes where all clients together have left too much unread.
+    /// Closes the client with the most unread bytes if the unread bytes of all clients exceed the limit.
     ///
-    /// Danger: clients that ask for large values and do not read them would together take all memory.
+    /// Without this, clients that request large values and do not read them could together use up all memory.
     fn limit_pending_writes(&mut self, cx: &mut Context<'_>, writing_to: ClientId) {
         if self.clients.pending_write_bytes() <= cx.limits.pending_write_bytes {
             return;
@@ -146,8 +147,8 @@
         self.write_to_client(cx, id, error.to_messages(), error.fatal);
     }
 
-    /// Whether a client that came when all places were taken is rejected with its first request: it gets the place of one
-    /// without any request, if there is one.
+    /// Rejects the first request of a client that connected when the client limit was reached, unless there is capacity now or
+    /// an idle client that has sent no request can be closed for it. Returns whether the client is rejected.
     pub(super) fn reject_over_capacity(&mut self, cx: &mut Context<'_>, id: ClientId) -> bool {
         match self.clients.claim_capacity(id, cx.limits.clients) {
             Capacity::Available => false,
@@ -156,7 +157,7 @@
                 false
             }
             Capacity::Exhausted => {
-                // Danger: waiting for a place would use up its time; nothing has run, so it may go elsewhere.
+                // Waiting for capacity would use up the request's deadline; nothing has run, so a retry elsewhere is safe.
                 let error = ClientError::fatal(TOO_MANY_CONNECTIONS, "too many connections");
                 self.write_client_error(cx, id, error);
                 true
@@ -166,7 +167,7 @@
 
     // Readiness.
 
-    /// Whether this gateway reports that it is ready.
+    /// Returns whether this gateway reports that it is ready.
     pub(super) fn is_ready(&self, cx: &Context<'_>) -> bool {
         let is_bootstrapped = self
             .bootstrap
@@ -183,7 +184,7 @@
         self.write_to_client(cx, id, reply, false);
     }
 
-    /// Answers the clients that wait for the gateway to be ready, if it is.
+    /// Answers the clients that wait for readiness if the gateway is ready.
     pub(super) fn answer_awaiting_ready(&mut self, cx: &mut Context<'_>) {
         if !self.is_ready(cx) {
             return;
@@ -200,6 +201,6 @@
     cx.counters.clients_over_buffer_limit += 1;
     cx.log_rarely(
         cx.counters.clients_over_buffer_limit,
-        "clients that sent or left unread too much:",
+        "clients over the buffer limit:",
     );
 }
--- a/crates/stackgw-gateway/src/reducer/steps/client_messages.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/client_messages.rs
@@ -1,4 +1,4 @@
-//! Clients' messages: startup, cancel requests, queries, and what is not supported.
+//! Clients' messages: startup, cancel requests, queries, and unsupported messages.
 
 use crate::pg::{code, write, Frame, Statement};
 use crate::reducer::context::Context;
@@ -10,7 +10,7 @@
 use crate::reducer::state::Gateway;
 
 impl Gateway {
-    /// A client's complete message.
+    /// Handles a client's complete message.
     pub(super) fn handle_client_frame(&mut self, cx: &mut Context<'_>, id: ClientId, frame: Frame) {
         match self.clients.receive_frame(id) {
             None => {}
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Handles the messages of a client that may run now.
+    /// Dispatches a client's queued messages that may run now.
     pub(super) fn dispatch_queued_frames(&mut self, cx: &mut Context<'_>, id: ClientId) {
         while let Some(queued) = self.clients.dequeue_runnable(cx, id, &self.requests) {
             self.dispatch_frame(cx, id, queued);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The end of a sequence of the extended protocol.
+    /// Handles a Sync, the end of a message sequence of the extended protocol.
     fn handle_sync(&mut self, cx: &mut Context<'_>, id: ClientId) {
         self.clients.set_skipping(id, false);
         let mut reply = Vec::new();
@@ -53,8 +53,8 @@
         self.write_to_client(cx, id, reply, false);
     }
 
-    /// A message of the extended protocol, or a function call, neither of which is supported. The rest of a sequence is
-    /// skipped up to its Sync; a function call has none.
+    /// Rejects a message of the extended protocol or a function call; neither is supported. The rest of a message sequence is
+    /// skipped up to its Sync. A function call has no Sync.
     fn reject_extended_protocol(&mut self, cx: &mut Context<'_>, id: ClientId, kind: u8) {
         let is_function_call = kind == b'F';
         self.clients.set_skipping(id, !is_function_call);
@@ -67,10 +67,11 @@
         self.write_to_client(cx, id, reply, false);
     }
 
-    /// An empty query is answered once the gateway is ready.
+    /// Handles an empty query, which is answered once the gateway is ready.
     fn handle_empty_query(&mut self, cx: &mut Context<'_>, id: ClientId) {
         let is_ready = self.is_ready(cx);
-        // Danger: clients that wait for the list may take all places; whoever comes then is rejected, not kept waiting.
+        // Clients that wait for the endpoint list may reach the client limit; further clients are rejected rather than kept
+        // waiting.
         if !is_ready && self.reject_over_capacity(cx, id) {
             cx.counters.clients_rejected += 1;
             return;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A malformed statement gets an error. A client that sends nothing else is closed.
+    /// Rejects a malformed statement with an error. A client that sends too many of them in a row is closed.
     fn reject_malformed(&mut self, cx: &mut Context<'_>, id: ClientId, text: &'static str) {
         cx.counters.malformed += 1;
         let Some(consecutive) = self.clients.count_malformed(id) else {
@@ -123,7 +124,7 @@
         self.write_client_error(cx, id, error);
     }
 
-    /// The first message of a connection: a startup, a request for encryption, or a cancel request.
+    /// Handles the first message of a connection: a startup, an encryption request or a cancel request.
     fn handle_startup(&mut self, cx: &mut Context<'_>, id: ClientId, frame: &Frame) {
         let version = frame.code().unwrap_or_default();
         match version {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Cancels the first open request of the client whose key the frame names.
+    /// Cancels the first open request of the client whose cancel key the frame carries.
     fn handle_cancel_request(&mut self, cx: &mut Context<'_>, frame: &Frame) {
         let &[_, _, _, _, a, b, c, d, e, f, g, h] = frame.body() else {
             return;
--- a/crates/stackgw-gateway/src/reducer/steps/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/cluster.rs
@@ -1,4 +1,4 @@
-//! The other instances of the operator's cluster, and what comes from them.
+//! The other instances of the operator's cluster: membership changes and messages.
 
 use crate::config::ClusterConfig;
 use crate::reducer::context::Context;
@@ -20,7 +20,7 @@
         self.schedule_cluster(cx);
     }
 
-    /// Sends to other instances, where there are any.
+    /// Sends datagrams to other instances; does nothing without a cluster.
     pub(super) fn send_to_cluster(
         &mut self,
         cx: &mut Context<'_>,
@@ -37,9 +37,9 @@
         };
         let (step, received) = cluster.handle_datagram(cx.now, bytes);
         if received.is_err() {
-            let refused = cluster.refused_datagrams();
-            let what = "datagrams refused that claim to be of this cluster:";
-            cx.log_rarely(refused, what);
+            let rejected = cluster.rejected_datagrams();
+            let what = "datagrams rejected that claim to belong to this cluster:";
+            cx.log_rarely(rejected, what);
         }
         self.apply_cluster_step(cx, step);
     }
@@ -69,16 +69,16 @@
         match event {
             Event::Up(id) => {
                 if let Some(name) = self.instance_name(&id) {
-                    cx.log(format!("instance {name} is at {}", id.address));
+                    cx.log(format!("instance {name} is up at {}", id.address));
                 }
             }
             Event::Down(id) => {
                 if let Some(name) = self.instance_name(&id) {
-                    cx.log(format!("instance {name} seems gone"));
+                    cx.log(format!("instance {name} is down"));
                 }
             }
             Event::Superseded(id) => cx.log(format!(
-                "another process goes by this gateway's name at {}: one of them must end",
+                "another process at {} uses this gateway's name: one of them must be stopped",
                 id.address
             )),
             Event::Sessions { from, to, message } => {
@@ -91,13 +91,14 @@
         }
     }
 
-    /// The name of an instance, where sessions are shared. Without them, instances by the hundred come and go unlogged.
+    /// Returns the name of an instance if sessions are shared. Without session sharing there may be hundreds of instances, and
+    /// their changes are not logged.
     fn instance_name(&self, id: &Identity) -> Option<String> {
         let sessions = self.sessions.as_ref()?;
         Some(sessions.name(&id.peer.node))
     }
 
-    /// Sets the membership's timer again where its time has changed.
+    /// Reschedules the membership's timer if its time has changed.
     pub(super) fn schedule_cluster(&mut self, cx: &mut Context<'_>) {
         if let Some(cluster) = self.cluster.as_mut() {
             let at = cluster.cluster().next_timeout();
@@ -110,12 +111,12 @@
         let (cluster, config) = match (self.cluster.as_mut(), config) {
             (Some(cluster), Some(config)) => (cluster, config),
             (None, None) => return,
-            _ => return cx.log("the cluster is joined or left by a restart alone"),
+            _ => return cx.log("the cluster can be joined or left only by a restart"),
         };
         let unchanged = cluster.reload(cx.now, config);
         if !unchanged.is_empty() {
             let names = unchanged.join(", ");
-            cx.log(format!("cluster: unchanged until a restart: {names}"));
+            cx.log(format!("cluster: not applied until a restart: {names}"));
         }
     }
 }
--- a/crates/stackgw-gateway/src/reducer/steps/endpoints.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/endpoints.rs
@@ -24,7 +24,7 @@
         });
     }
 
-    /// The watch ended or could not be opened: the bootstrap, or the watch itself after a backoff, opens another.
+    /// Handles a watch that ended or could not be opened. The bootstrap, or the watch itself after a backoff, opens another.
     pub(super) fn handle_watch_lost(&mut self, cx: &mut Context<'_>, error: &WatchError) {
         self.watch.clear_timeout(cx);
         if self.bootstrap.is_some() {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The watch has not connected, has not delivered its first line, or has fallen silent.
+    /// Handles a watch that has not connected, has not delivered its first line, or has been silent for too long.
     pub(super) fn handle_watch_timeout(&mut self, cx: &mut Context<'_>) {
         self.watch.clear_timeout(cx);
         cx.emit(Effect::CloseWatch);
@@ -52,7 +52,7 @@
         self.report_list_failure();
     }
 
-    /// The old list stays in force; a router that polls the list will poll again.
+    /// Reports the failure to the router, which keeps its list and, if it polls the list, will poll again.
     fn report_list_failure(&mut self) {
         self.router.enqueue(Event::EndpointList {
             scope: ListScope::Failed,
@@ -60,7 +60,7 @@
         });
     }
 
-    /// The watch, or a fetch, delivered a list.
+    /// Handles a list from the watch or from a fetch.
     pub(super) fn handle_endpoint_list(&mut self, cx: &mut Context<'_>, list: ListUpdate) {
         let limit = cx.limits.watch_idle_timeout;
         self.watch.extend_timeout(cx, limit);
@@ -82,7 +82,7 @@
         self.apply_list(cx, scope, &list.members);
     }
 
-    /// Takes over a list, or what changed in it.
+    /// Applies a complete list or a list of changes.
     pub(super) fn apply_list(
         &mut self,
         cx: &mut Context<'_>,
@@ -103,7 +103,8 @@
         self.answer_awaiting_ready(cx);
     }
 
-    /// Takes over one entry of a list; the member as the router knows it. `None`: there are too many members.
+    /// Applies one entry of a list. Returns the member as the router's event carries it, or `None` if the limit of members is
+    /// reached.
     pub(super) fn apply_list_entry(
         &mut self,
         cx: &mut Context<'_>,
@@ -125,7 +126,7 @@
         let started_at = match entry.start_time() {
             StartTime::LongAgo => None,
             StartTime::At(at) => Some(at),
-            // It may have started just now.
+            // The member may have just started.
             StartTime::Unknown => Some(cx.now),
         };
         let removal_is_advisory = cx.limits.removal_is_advisory;
@@ -144,7 +145,7 @@
         })
     }
 
-    /// Drops everything that goes by a member's number.
+    /// Removes all state that is keyed by a member's id.
     pub(super) fn forget_member(&mut self, cx: &mut Context<'_>, member: MemberId) {
         let Some(endpoint) = self.members.remove(member) else {
             return;
@@ -158,7 +159,7 @@
         self.close_unused(cx, member);
     }
 
-    /// A datagram from another gateway of the tier.
+    /// Handles a gossip datagram from another gateway of the tier.
     pub(super) fn handle_gossip(&mut self, cx: &mut Context<'_>, from: SocketAddr, bytes: &[u8]) {
         let max_bytes = cx.limits.datagram_bytes;
         match self.gossip.decode(cx.now, from, bytes, max_bytes) {
@@ -177,6 +178,6 @@
 
 fn count_lost_watch(cx: &mut Context<'_>, error: &WatchError) {
     cx.counters.watches_lost += 1;
-    let what = format!("watch of the list lost ({}),", error.reason);
+    let what = format!("watch of the endpoint list lost ({}), count:", error.reason);
     cx.log_rarely(cx.counters.watches_lost, &what);
 }
--- a/crates/stackgw-gateway/src/reducer/steps/requests.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/requests.rs
@@ -13,7 +13,7 @@
 pub(super) const SHUTTING_DOWN: &str = "the gateway ends";
 
 impl Gateway {
-    /// A request of another frontend, as a query message.
+    /// Handles a request of another frontend, given as a PostgreSQL query message.
     pub(super) fn handle_call(
         &mut self,
         cx: &mut Context<'_>,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Nobody waits for another frontend's request any more. The stream of a read is cancelled; a write runs to completion.
+    /// Handles the cancellation of another frontend's request. A response stream is cancelled; a request without one is
+    /// abandoned, and a write that was sent runs to completion.
     pub(super) fn handle_call_cancelled(&mut self, cx: &mut Context<'_>, call: CallId) {
         let Some(request) = self.requests.take_call(call) else {
             return;
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Accepts a request of any frontend and reports it to the router, or says why it is not accepted.
+    /// Accepts a request of any frontend and submits it to the router, or returns the response that rejects it.
     pub(super) fn submit(
         &mut self,
         cx: &mut Context<'_>,
@@ -65,7 +66,7 @@
         statement: Statement,
     ) -> Result<RequestId, FinalResponse> {
         if matches!(requester, Requester::Call(_)) {
-            check_bytes(cx, &statement)?;
+            check_buffered_bytes(cx, &statement)?;
         }
         let class = self.check_statement(cx, &statement)?;
         let consistency = self.classes[class].consistency;
@@ -99,14 +100,14 @@
         Ok(id)
     }
 
-    /// The index of a statement's class, if the statement is valid and endpoints are known.
+    /// Returns the index of a statement's class if the statement is valid and endpoints are known.
     fn check_statement(
         &mut self,
         cx: &mut Context<'_>,
         statement: &Statement,
     ) -> Result<usize, FinalResponse> {
         if self.shutdown.is_rejecting() {
-            return Err(reject_unseen(cx, FinalResponse::Unavailable(SHUTTING_DOWN)));
+            return Err(reject_early(cx, FinalResponse::Unavailable(SHUTTING_DOWN)));
         }
         let mut classes = self.names.classes.iter();
         let class = classes
@@ -114,7 +115,7 @@
             .ok_or(FinalResponse::Malformed("the class is unknown"))?;
         if self.members.is_empty() {
             let response = self.no_endpoints_response(cx.now);
-            return Err(reject_unseen(cx, response));
+            return Err(reject_early(cx, response));
         }
         if !self.members.has_group(statement.cluster) {
             return Err(FinalResponse::Malformed("the cluster is unknown"));
@@ -125,18 +126,18 @@
             return Err(FinalResponse::Malformed(text));
         }
         if self.requests.has_statement_id(&statement.id) {
-            // Danger: members take two requests with one id for the same, and the first would get the other's response.
+            // Members treat two requests with the same id as one, and the first would get the other's response.
             cx.counters.ids_taken += 1;
             cx.log_rarely(
                 cx.counters.ids_taken,
-                "statements under the id of an open request:",
+                "statements with the id of an open request:",
             );
             return Err(FinalResponse::Malformed("a request with this id is open"));
         }
         Ok(class)
     }
 
-    /// Rejects what exceeds the limit of open requests, and writes whose responses could not be confirmed.
+    /// Rejects requests over the limit of open requests, and writes that could not be confirmed.
     fn check_capacity(
         &self,
         cx: &mut Context<'_>,
@@ -144,11 +145,11 @@
     ) -> Result<(), FinalResponse> {
         if self.requests.len() >= cx.limits.requests {
             let response = FinalResponse::Rejected("too many requests are open", None);
-            return Err(reject_unseen(cx, response));
+            return Err(reject_early(cx, response));
         }
         let is_write = consistency == Consistency::Write;
-        match self.write_obstacle().filter(|_| is_write) {
-            Some(text) => Err(reject_unseen(cx, FinalResponse::Rejected(text, None))),
+        match self.write_rejection_reason().filter(|_| is_write) {
+            Some(text) => Err(reject_early(cx, FinalResponse::Rejected(text, None))),
             None => Ok(()),
         }
     }
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Gives a request its final response; whether somebody still waited for it.
+    /// Sends a request's final response. Returns whether a requester was still waiting for it.
     pub(super) fn answer(
         &mut self,
         cx: &mut Context<'_>,
@@ -196,7 +197,7 @@
         requester.is_some()
     }
 
-    /// Puts a response into its place in the client's pipeline, and writes every response that has nothing open before it.
+    /// Puts a response into its slot in the client's pipeline, and writes all completed responses at the pipeline's front.
     pub(super) fn deliver_response(
         &mut self,
         cx: &mut Context<'_>,
@@ -213,7 +214,7 @@
         self.dispatch_queued_frames(cx, client);
     }
 
-    /// Nobody waits for a request's response any more.
+    /// Handles that the requester no longer waits for a request's response.
     pub(super) fn abandon(&mut self, cx: &mut Context<'_>, id: RequestId) {
         let Some(open) = self.requests.get_mut(id) else {
             return;
@@ -231,19 +232,19 @@
     }
 }
 
-/// Rejects a call whose statement does not fit beside those that are buffered; one as small as a client's reserve always does.
-/// Clients' own messages are held back before they come here.
-fn check_bytes(cx: &mut Context<'_>, statement: &Statement) -> Result<(), FinalResponse> {
+/// Rejects a call whose statement does not fit into the shared buffer limit; one within a client's reserve always fits.
+/// PostgreSQL clients' messages have their own check, [`Gateway::accepts_frame`], before they are delivered.
+fn check_buffered_bytes(cx: &mut Context<'_>, statement: &Statement) -> Result<(), FinalResponse> {
     let is_full = cx.counters.buffered_bytes >= cx.limits.shared_client_bytes() as u64;
     if is_full && statement.size_bytes() > cx.limits.reserved_client_bytes() {
         let response = FinalResponse::Rejected("too many bytes of statements are open", None);
-        return Err(reject_unseen(cx, response));
+        return Err(reject_early(cx, response));
     }
     Ok(())
 }
 
-/// Counts a request that is rejected before the router has seen it.
-fn reject_unseen(cx: &mut Context<'_>, response: FinalResponse) -> FinalResponse {
+/// Counts a request that is rejected before it reaches the router.
+fn reject_early(cx: &mut Context<'_>, response: FinalResponse) -> FinalResponse {
     cx.counters.rejected_early += 1;
     response
 }
--- a/crates/stackgw-gateway/src/reducer/steps/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions across instances: carries reads and writes between the router, the clients and `stackgw-sessions`. What a read
-//! must see and when a write's response may be sent is decided there; which member serves is the router's.
+//! Sessions across instances: passes reads and writes between the router, the clients and `stackgw-sessions`, which decides
+//! what a read must see and when a write's response may be sent. The router decides which member serves.
 
 use crate::config::{ClusterConfig, SessionSharingConfig};
 use crate::pg::Statement;
@@ -16,10 +16,10 @@
 };
 use stackgw_store::CommitOutcome;
 
-/// An unconfirmed write is given up this many ticks before its client's deadline, so that the response still arrives.
+/// An unconfirmed write fails this many ticks before its client's deadline, so that the response still arrives in time.
 const CONFIRMATION_MARGIN_TICKS: Span = 4;
 
-/// No member's clock is further ahead of this one.
+/// Bound on how far a member's clock may be ahead of this instance's; a position beyond it is implausible.
 const MAX_CLOCK_SKEW: Span = 10 * SECOND;
 
 fn session_key(statement: &Statement) -> SessionKey {
@@ -42,7 +42,7 @@
         self.schedule_sessions(cx);
     }
 
-    /// Lets the sessions act and carries out what they ask for.
+    /// Runs an action on the sessions and applies its outputs.
     pub(super) fn run_sessions(
         &mut self,
         cx: &mut Context<'_>,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The session store committed records or failed.
+    /// Handles a commit or a failure of the session store.
     pub(super) fn handle_store_event(&mut self, cx: &mut Context<'_>, outcome: CommitOutcome) {
         let now = cx.now;
         let (error, quarantined) = match outcome {
@@ -84,10 +84,11 @@
             CommitOutcome::Failed { error, quarantined } => (error, quarantined),
         };
         let (failure, consequence) = if quarantined {
-            let consequence = "it was set aside; a restart will be cautious";
+            let consequence =
+                "the store file was quarantined; after a restart session reads are strong at first";
             (StoreFailure::SetAside, consequence)
         } else {
-            (StoreFailure::LeftInPlace, "writes are turned away")
+            (StoreFailure::LeftInPlace, "writes are rejected")
         };
         cx.log(format!("{error}; {consequence}"));
         if let Some(sessions) = self.sessions.as_mut() {
@@ -98,8 +99,9 @@
         });
     }
 
-    /// Why no write is accepted now, if none is: its response could not be sent.
-    pub(super) fn write_obstacle(&self) -> Option<&'static str> {
+    /// Returns why writes are rejected now, or `None` if they are accepted. A write is rejected if its response could not be
+    /// sent.
+    pub(super) fn write_rejection_reason(&self) -> Option<&'static str> {
         let sessions = self.sessions.as_ref()?.sessions();
         let cluster = self.cluster.as_ref()?.cluster();
         if !sessions.can_release() {
@@ -113,7 +115,7 @@
         is_cut_off.then_some("no keeper of sessions is known here, another gateway takes writes")
     }
 
-    /// Sets the sessions' timer again where its time has changed.
+    /// Reschedules the sessions' timer if its time has changed.
     pub(super) fn schedule_sessions(&mut self, cx: &mut Context<'_>) {
         if let Some(sessions) = self.sessions.as_mut() {
             let at = sessions.sessions().next_deadline();
@@ -134,7 +136,7 @@
         self.schedule_sessions(cx);
     }
 
-    /// Logs when reads became certain, or why they no longer are.
+    /// Logs that session reads have become certain, or why they are no longer certain.
     pub(super) fn log_session_certainty(&mut self, cx: &mut Context<'_>) {
         let sessions = self.sessions.as_mut();
         if let Some(line) = sessions.and_then(|sessions| sessions.certainty_change(cx.now)) {
@@ -150,12 +152,12 @@
         let (sessions, config) = match (self.sessions.as_mut(), config) {
             (Some(sessions), Some(config)) => (sessions, config),
             (None, None) => return,
-            _ => return cx.log("sessions are turned on or off by a restart alone"),
+            _ => return cx.log("session sharing can be enabled or disabled only by a restart"),
         };
         let unchanged = sessions.reload(config, &self.static_config.name);
         if !unchanged.is_empty() {
             let names = unchanged.join(", ");
-            cx.log(format!("sessions: unchanged until a restart: {names}"));
+            cx.log(format!("sessions: not applied until a restart: {names}"));
         }
         let now = cx.now;
         let replicas = node_ids(&config.options.keepers);
@@ -166,7 +168,7 @@
 
     // Reads.
 
-    /// A session read waits to learn what it must see; then it is submitted to the router.
+    /// Looks up what a session read must see; the read is submitted to the router once that is known.
     pub(super) fn begin_session_read(&mut self, cx: &mut Context<'_>, request: Request) {
         let Some(open) = self.requests.get_mut(request.id) else {
             return;
@@ -192,11 +194,11 @@
         };
         let is_possible = |position: Time| (0..cx.now + MAX_CLOCK_SKEW).contains(&position);
         match requirement {
-            // Danger: a position that cannot be, from a peer or an old file, would overflow or be awaited in vain.
+            // An impossible position, from a peer or an old file, would overflow or would never be reached by a replica.
             ReadRequirement::Position(Some(position)) if !is_possible(position) => {
                 request.requires_strong_read = true;
             }
-            // A position that the client's statement carries counts too.
+            // The client's statement may itself carry a position.
             ReadRequirement::Position(position) => {
                 request.last_write = request.last_write.max(position);
             }
@@ -212,8 +214,8 @@
 
     // Writes.
 
-    /// Keeps a served write's response back until the owners of its session have confirmed the write; returns the row where
-    /// it may be sent as it is.
+    /// Holds a served write's response until the owners of its session have confirmed the write. Returns the row if the
+    /// response needs no confirmation and can be sent at once.
     pub(super) fn await_write_confirmation(
         &mut self,
         cx: &mut Context<'_>,
@@ -247,7 +249,7 @@
         None
     }
 
-    /// A write is confirmed: its response is sent.
+    /// Sends the response of a confirmed write.
     fn release_write(&mut self, cx: &mut Context<'_>, id: RequestId) {
         if let Some(row) = self.requests.take_held_response(cx, id) {
             let answered = self.answer(cx, id, FinalResponse::Served(row));
@@ -255,8 +257,8 @@
         }
     }
 
-    /// A write has run but was not confirmed in time: a response that says so would let the session's next read miss it, so the
-    /// response promises nothing.
+    /// Handles a write that has run but was not confirmed in time. If its response reported success, the session's next read
+    /// could miss the write, so the response leaves open whether it ran.
     pub(super) fn fail_unconfirmed_write(&mut self, cx: &mut Context<'_>, id: RequestId) {
         let open = self.requests.get(id);
         if !open.is_some_and(|open| open.has_unconfirmed_write()) {
@@ -267,7 +269,7 @@
             let count = sessions.count_unconfirmed_write();
             cx.log_rarely(
                 count,
-                "writes served whose session could not be told in time:",
+                "writes served but not confirmed by their session owners in time:",
             );
         }
         let text = "the write was sent and may have run, its answer could not be confirmed";
@@ -275,7 +277,7 @@
         cx.counters.answered_failed += u64::from(answered);
     }
 
-    /// Nobody waits for a request's session any more.
+    /// Cancels a request's pending read or write of its session.
     pub(super) fn cancel_session_ticket(&mut self, id: RequestId) {
         if let Some(sessions) = self.sessions.as_mut() {
             sessions.cancel(id.0);
