--- a/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
+++ b/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
@@ -161,7 +161,7 @@
     }
 
     /// A connection to a member was opened, closed, used or became idle.
-    pub(crate) fn connections_changed(&mut self, member: MemberId) {
+    pub(crate) fn mark_connections_changed(&mut self, member: MemberId) {
         if self.pacer.is_some() {
             self.changed_permits.insert(member);
         }
--- a/crates/stackgw-gateway/src/reducer/state/connection.rs
+++ b/crates/stackgw-gateway/src/reducer/state/connection.rs
@@ -62,7 +62,7 @@
     /// How long the member took until the stream began.
     pub(crate) time_to_first_byte: Span,
     /// It counts as load of its member, until it waits for its reader.
-    pub(crate) is_load: bool,
+    pub(crate) counts_as_load: bool,
 }
 
 /// A connection to a member.
--- a/crates/stackgw-gateway/src/reducer/steps/attempts.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: their connections, and what their end means.
+//! Attempts and health checks: their connections and outcomes.
 
 use crate::pg::{self, write, Reply};
 use crate::reducer::backend::BackendRequest;
@@ -16,16 +16,16 @@
 /// The statement of a health check.
 const HEALTH_CHECK: &str = "SHOW server_load";
 
-/// What is written for a task, and until when its response is awaited.
+/// A task's query, and the deadline of its response.
 struct OutgoingTask {
     query: Vec<u8>,
     deadline: Time,
-    /// The form in which another frontend's protocol carries it; its statement is in `query`.
+    /// The request for a member that speaks another frontend's protocol, without its statement, which is in `query`.
     backend_request: BackendRequest,
 }
 
 impl Gateway {
-    /// Sends an attempt of a request, for which the router allows so long.
+    /// Sends an attempt of a request, with the timeout that the router sets.
     pub(super) fn send_attempt(
         &mut self,
         cx: &mut Context<'_>,
@@ -53,7 +53,8 @@
         self.assign_connection(cx, member, task);
     }
 
-    /// Gives a task the member's idle connection that was used last, or one that is being established, or a new one.
+    /// Assigns a task to the member's most recently used idle connection, else to one that is being established, else to a new
+    /// connection.
     pub(super) fn assign_connection(
         &mut self,
         cx: &mut Context<'_>,
@@ -64,7 +65,7 @@
         let Some((address, is_backend)) = endpoint.map(|e| (e.address, e.is_backend)) else {
             return self.finish_unsent(cx, member, task);
         };
-        self.note_connections_changed(member);
+        self.mark_connections_changed(member);
         if let Some(id) = self.connections.take_idle(member) {
             self.attach(id, task);
             return self.write_task(cx, id);
@@ -94,7 +95,7 @@
         bootstrap.is_none_or(|bootstrap| bootstrap.may_connect(cx.now, member))
     }
 
-    /// Closes an unused connection where the limit of connections is reached; false if all are in use.
+    /// Closes an unused connection if the limit of connections is reached. Returns false if all are in use.
     fn make_room_for_connection(&mut self, cx: &mut Context<'_>) -> bool {
         if self.connections.len() < cx.limits.member_connections {
             return true;
@@ -107,7 +108,7 @@
         true
     }
 
-    /// Ties a task to its connection.
+    /// Attaches a task to its connection.
     fn attach(&mut self, id: ConnectionId, task: ConnectionTask) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.task = Some(task);
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Unties a connection's task from it.
+    /// Detaches a connection's task from it.
     pub(super) fn detach(&mut self, id: ConnectionId) -> Option<ConnectionTask> {
         let task = self.connections.get_mut(id)?.task.take()?;
         if let ConnectionTask::Attempt(attempt) = task {
@@ -133,7 +134,7 @@
         Some(task)
     }
 
-    /// Writes a connection's task; its time to respond begins.
+    /// Writes a connection's task and sets the timer for its deadline.
     pub(super) fn write_task(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -143,13 +144,13 @@
             .members
             .is_past_grace(cx.now, member, cx.limits.drain_grace)
         {
-            // Danger: a slow connect would carry a request that was sent within the grace of a drain past it.
+            // Without this check, a slow connect could send a request after the drain grace that was assigned within it.
             connection.state = ConnectionState::Writing;
             cx.emit(Effect::MemberClose(id));
             return self.finish_task(cx, id, Outcome::NotSent);
         }
-        // Danger: a client may leave, or its deadline pass, while its attempt waits for a connection; where the settings
-        // allow no cancellation nothing has withdrawn that attempt.
+        // A client may disconnect, or its deadline may pass, while its attempt waits for a connection. If the settings do not
+        // allow cancellation, the attempt has not been cancelled.
         let task = connection.task;
         if task.is_some_and(|task| self.is_obsolete(cx.now, task)) {
             return self.release_connection(cx, id, Outcome::NotSent);
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Whether nobody waits for an attempt any more, or not for long enough.
+    /// Returns whether an attempt's request is finished or its deadline has passed.
     fn is_obsolete(&self, now: Time, task: ConnectionTask) -> bool {
         let ConnectionTask::Attempt(attempt) = task else {
             return false;
@@ -214,7 +215,7 @@
         attempt.deadline <= now || open.is_none_or(|open| open.is_finished)
     }
 
-    /// A usable connection's task has ended, be it answered or obsolete: the connection is idle.
+    /// Ends a connection's task, answered or obsolete, and returns the usable connection to the pool.
     pub(super) fn release_connection(
         &mut self,
         cx: &mut Context<'_>,
@@ -229,10 +230,10 @@
         self.connections.clear_timer(cx, id);
         self.finish_task(cx, id, outcome);
         self.connections.return_to_pool(cx.now, member, id);
-        self.note_connections_changed(member);
+        self.mark_connections_changed(member);
     }
 
-    /// Ends the task of a connection, which is forgotten unless it is idle.
+    /// Ends the task of a connection. The connection is removed unless it is idle.
     pub(super) fn finish_task(&mut self, cx: &mut Context<'_>, id: ConnectionId, outcome: Outcome) {
         let task = self.detach(id);
         let Some(connection) = self.connections.get_mut(id) else {
@@ -241,7 +242,7 @@
         let member = connection.member;
         let mut reply = std::mem::take(&mut connection.reply);
         if !reply.is_complete() || outcome == Outcome::MalformedResponse {
-            // An incomplete reply says nothing of its member.
+            // The role, position and load report of an incomplete reply are not used.
             reply = Reply::default();
         }
         if connection.state != ConnectionState::Idle {
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Ends a task that has no connection.
+    /// Ends a task that is not attached to a connection.
     pub(super) fn finish_without_reply(
         &mut self,
         cx: &mut Context<'_>,
@@ -338,7 +339,7 @@
     }
 }
 
-/// Discards what a reply says of its member that cannot be: a position and the role beside it, or a load report.
+/// Discards an implausible position with the role beside it, and a load report with an implausible position.
 pub(super) fn discard_implausible(cx: &mut Context<'_>, reply: &mut Reply) {
     if !is_plausible(cx, reply.position) {
         reply.primary = None;
@@ -349,9 +350,9 @@
     }
 }
 
-/// Whether a position is not in the future; one that is gets counted.
+/// Returns whether a position is not in the future, within the allowed clock skew; counts it otherwise.
 ///
-/// Danger: a position in the future would make its member the freshest for as long as it lasts.
+/// Without this check, a position in the future would make its member the freshest until that time.
 pub(super) fn is_plausible(cx: &mut Context<'_>, position: Option<Time>) -> bool {
     let is_plausible = position.is_none_or(|at| at <= cx.now + cx.limits.max_clock_skew);
     cx.counters.positions_implausible += u64::from(!is_plausible);
--- a/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
@@ -10,19 +10,19 @@
 use stackgw_router::api::{MemberId, Outcome};
 
 /// What the end of a connection means for its task.
-enum Closure {
+enum ConnectionEnd {
     /// The connection was idle.
     Idle,
-    /// Nothing has been sent: the task goes to another connection.
+    /// None of the task was sent: it moves to another connection.
     Reconnect(Option<ConnectionTask>),
-    /// Its stream is broken.
+    /// The response stream is broken.
     StreamBroken,
-    /// The task ends.
+    /// The task ends with this outcome.
     Ended(Outcome),
 }
 
 impl Gateway {
-    /// A connection is established: sends the startup, or the task where the protocol has none.
+    /// Handles an established connection: sends the startup message, or the task if the protocol has no startup.
     pub(super) fn handle_member_connected(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -40,32 +40,34 @@
         cx.emit(Effect::MemberWrite(id, startup));
     }
 
-    /// A connection has ended. What that means for its task depends on whether the last byte of it was written.
+    /// Handles the end of a connection. Its task's outcome depends on whether the last byte of the task was written.
     pub(super) fn handle_member_closed(
         &mut self,
         cx: &mut Context<'_>,
         id: ConnectionId,
         reason: CloseReason,
     ) {
-        self.note_failed_handshake(cx, id);
+        self.record_failed_handshake(cx, id);
         let Some(connection) = self.connections.get(id) else {
             return;
         };
         count_close_reason(cx, reason);
-        match closure(connection, reason) {
-            Closure::Idle => {
+        match connection_end(connection, reason) {
+            ConnectionEnd::Idle => {
                 let was_disconnected = reason == CloseReason::Disconnected;
                 cx.counters.members_closed += u64::from(was_disconnected);
                 self.connections.remove_from_pool(id);
                 self.forget_connection(cx, id);
             }
-            Closure::Reconnect(task) => self.reconnect(cx, id, task),
-            Closure::StreamBroken => self.handle_stream_ended(cx, id, Outcome::ConnectionReset),
-            Closure::Ended(outcome) => self.finish_task(cx, id, outcome),
+            ConnectionEnd::Reconnect(task) => self.reconnect(cx, id, task),
+            ConnectionEnd::StreamBroken => {
+                self.handle_stream_ended(cx, id, Outcome::ConnectionReset)
+            }
+            ConnectionEnd::Ended(outcome) => self.finish_task(cx, id, outcome),
         }
     }
 
-    /// Closes a connection that is of no more use.
+    /// Closes a connection for this reason and handles its end.
     pub(super) fn abort_connection(
         &mut self,
         cx: &mut Context<'_>,
@@ -76,7 +78,7 @@
         self.handle_member_closed(cx, id, reason);
     }
 
-    /// Gives a task of which nothing has been sent another connection.
+    /// Moves a task of which nothing has been sent to another connection.
     fn reconnect(&mut self, cx: &mut Context<'_>, id: ConnectionId, task: Option<ConnectionTask>) {
         let Some(member) = self.connections.get(id).map(|connection| connection.member) else {
             return;
@@ -89,8 +91,8 @@
         }
     }
 
-    /// A connection has ended or timed out: if its handshake was going on, the pacer learns that it failed.
-    fn note_failed_handshake(&mut self, cx: &Context<'_>, id: ConnectionId) {
+    /// Reports a failed handshake to the connection pacer if the connection ended or timed out during its handshake.
+    fn record_failed_handshake(&mut self, cx: &Context<'_>, id: ConnectionId) {
         let connection = self.connections.get(id);
         let handshaking = connection.filter(|connection| connection.is_handshaking());
         if let (Some(connection), Some(bootstrap)) = (handshaking, self.bootstrap.as_mut()) {
@@ -98,9 +100,9 @@
         }
     }
 
-    /// A connection was not established in time, or its task's time is up.
+    /// Handles a connection that was not established in time, or whose task has timed out.
     pub(super) fn handle_connection_timeout(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
-        self.note_failed_handshake(cx, id);
+        self.record_failed_handshake(cx, id);
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
@@ -120,11 +122,11 @@
         self.give_up_connection(cx, id, outcome);
     }
 
-    /// Ends the task of a connection and closes that, as it can carry nothing else.
+    /// Ends the task of a connection and closes the connection, which cannot carry another task.
     ///
-    /// Danger: a handshake that a member has begun costs it the same whether or not somebody still waits for it. Closed, it is
-    /// begun again by the next attempt, and a fleet that starts before busy members does nothing but handshakes. One for each
-    /// member is left to finish for whoever asks next.
+    /// A handshake that a member has begun costs the member the same whether or not a task still waits for it. If it were
+    /// closed, the next attempt would begin another one, and a fleet that starts while its members are busy would cause nothing
+    /// but handshakes. Therefore one handshake for each member is left to finish, for the member's next task.
     pub(super) fn give_up_connection(
         &mut self,
         cx: &mut Context<'_>,
@@ -132,7 +134,7 @@
         outcome: Outcome,
     ) {
         let connection = self.connections.get(id);
-        let Some(member) = connection.and_then(|connection| self.keeps_handshake(connection))
+        let Some(member) = connection.and_then(|connection| self.handshake_to_keep(connection))
         else {
             cx.emit(Effect::MemberClose(id));
             return self.finish_task(cx, id, outcome);
@@ -146,8 +148,9 @@
         }
     }
 
-    /// The member of a handshake that is left to finish without its task: the member has begun it, serves, and has no other.
-    fn keeps_handshake(&self, connection: &Connection) -> Option<MemberId> {
+    /// Returns the member of a connection whose handshake is left to finish without its task: the member has begun it, is not
+    /// draining, and has no other such handshake.
+    fn handshake_to_keep(&self, connection: &Connection) -> Option<MemberId> {
         let member = connection.member;
         let has_begun = connection.state == ConnectionState::Startup
             && !connection.is_backend
@@ -173,56 +176,56 @@
 
     pub(super) fn forget_connection(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         if let Some(member) = self.connections.remove(cx, id) {
-            self.note_connections_changed(member);
+            self.mark_connections_changed(member);
         }
     }
 
-    /// A connection to a member was opened, closed, used or became idle.
-    pub(super) fn note_connections_changed(&mut self, member: MemberId) {
+    /// Handles that a connection to a member was opened, closed, used or became idle.
+    pub(super) fn mark_connections_changed(&mut self, member: MemberId) {
         if let Some(bootstrap) = self.bootstrap.as_mut() {
-            bootstrap.connections_changed(member);
+            bootstrap.mark_connections_changed(member);
         }
     }
 }
 
-/// What the end of a connection means for its task.
-fn closure(connection: &Connection, reason: CloseReason) -> Closure {
-    // An error may be a member's last message; a row counts only once the member is ready again behind it.
+/// Determines what the end of a connection means for its task.
+fn connection_end(connection: &Connection, reason: CloseReason) -> ConnectionEnd {
+    // An error may be a member's last message; a row counts only once the member is ready again after it.
     let replied = reply_outcome(&connection.reply)
         .filter(|outcome| *outcome != Outcome::Served || connection.reply.is_complete());
     match connection.state {
-        ConnectionState::Idle => Closure::Idle,
-        ConnectionState::Streaming(_) => Closure::StreamBroken,
-        ConnectionState::Connecting => Closure::Ended(Outcome::ConnectFailed),
+        ConnectionState::Idle => ConnectionEnd::Idle,
+        ConnectionState::Streaming(_) => ConnectionEnd::StreamBroken,
+        ConnectionState::Connecting => ConnectionEnd::Ended(Outcome::ConnectFailed),
         // The connection was closed while idle, so nothing of this request has been sent.
         ConnectionState::Writing
             if connection.is_reused
                 && reason != CloseReason::ProtocolError
                 && replied.is_none() =>
         {
-            Closure::Reconnect(connection.task)
+            ConnectionEnd::Reconnect(connection.task)
         }
-        // The connection was established, so the member is there; only this connection is broken.
+        // The connection was established, so the member is reachable; only this connection is broken.
         ConnectionState::Startup
             if reason == CloseReason::Disconnected
                 && replied.is_none()
                 && connection.task.is_none_or(ConnectionTask::may_reconnect) =>
         {
-            Closure::Reconnect(connection.task.map(ConnectionTask::reconnected))
+            ConnectionEnd::Reconnect(connection.task.map(ConnectionTask::reconnected))
         }
         ConnectionState::Startup | ConnectionState::Writing => match replied {
-            Some(Outcome::Overloaded) => Closure::Ended(Outcome::Overloaded),
-            _ => Closure::Ended(Outcome::ConnectFailed),
+            Some(Outcome::Overloaded) => ConnectionEnd::Ended(Outcome::Overloaded),
+            _ => ConnectionEnd::Ended(Outcome::ConnectFailed),
         },
         ConnectionState::AwaitingResponse => match (reason, replied) {
-            (CloseReason::NotSent, None) => Closure::Ended(Outcome::ConnectFailed),
-            (CloseReason::ProtocolError, _) => Closure::Ended(Outcome::MalformedResponse),
-            (_, replied) => Closure::Ended(replied.unwrap_or(Outcome::ConnectionReset)),
+            (CloseReason::NotSent, None) => ConnectionEnd::Ended(Outcome::ConnectFailed),
+            (CloseReason::ProtocolError, _) => ConnectionEnd::Ended(Outcome::MalformedResponse),
+            (_, replied) => ConnectionEnd::Ended(replied.unwrap_or(Outcome::ConnectionReset)),
         },
     }
 }
 
-/// What a reply means for its attempt; `None`: it has not ended.
+/// Returns the outcome of a reply for its attempt, or `None` if the reply has not ended.
 pub(super) fn reply_outcome(reply: &Reply) -> Option<Outcome> {
     Some(match reply.ended()? {
         ReplyOutcome::Row => Outcome::Served,
@@ -240,13 +243,13 @@
     match reason {
         CloseReason::ProtocolError => {
             cx.counters.members_bad += 1;
-            cx.log_rarely(cx.counters.members_bad, "bad bytes from members:");
+            cx.log_rarely(cx.counters.members_bad, "protocol errors from members:");
         }
         CloseReason::UnexpectedData => {
             cx.counters.members_unexpected_data += 1;
             cx.log_rarely(
                 cx.counters.members_unexpected_data,
-                "connections with more than was asked for:",
+                "member connections with unexpected data:",
             );
         }
         CloseReason::Disconnected | CloseReason::NotSent => {}
--- a/crates/stackgw-gateway/src/reducer/steps/member_messages.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/member_messages.rs
@@ -11,7 +11,7 @@
 use stackgw_router::api::Outcome;
 
 impl Gateway {
-    /// The last byte of a task is written.
+    /// Handles that the last byte of a task was written.
     pub(super) fn handle_member_flushed(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -24,7 +24,7 @@
         cx.counters.written += u64::from(is_attempt);
     }
 
-    /// A member's complete message.
+    /// Handles a member's complete message.
     pub(super) fn handle_member_frame(
         &mut self,
         cx: &mut Context<'_>,
@@ -37,33 +37,33 @@
         let taken = connection.reply.take(frame, cx.limits.answer_bytes);
         match (connection.state, taken) {
             (ConnectionState::Streaming(_), _) => {}
-            // Danger: a second response, or noise behind a response, would be taken for the next request's response. Between
-            // requests nothing is in place, but a member that closes an idle connection may say why.
+            // A second response, or unexpected data after a response, would be taken for the next request's response. An idle
+            // connection therefore must not receive anything, except an error with which a member closes it.
             (ConnectionState::Idle, _) => {
-                let is_farewell = frame.kind == b'E';
-                let reason = if is_farewell {
+                let is_error = frame.kind == b'E';
+                let reason = if is_error {
                     CloseReason::Disconnected
                 } else {
                     CloseReason::UnexpectedData
                 };
                 self.abort_connection(cx, id, reason);
             }
-            (ConnectionState::Startup, Ok(_)) if !is_greeting(frame.kind) => {
+            (ConnectionState::Startup, Ok(_)) if !is_startup_message(frame.kind) => {
                 self.abort_connection(cx, id, CloseReason::ProtocolError);
             }
             (ConnectionState::Connecting, _) | (_, Err(_)) => {
                 self.abort_connection(cx, id, CloseReason::ProtocolError);
             }
             (_, Ok(false)) => {}
-            (ConnectionState::Startup, Ok(true)) => self.handle_greeting(cx, id),
+            (ConnectionState::Startup, Ok(true)) => self.handle_startup_complete(cx, id),
             (ConnectionState::Writing | ConnectionState::AwaitingResponse, Ok(true)) => {
                 self.handle_response(cx, id);
             }
         }
     }
 
-    /// A member is ready for the first time: writes the connection's task, or leaves it idle.
-    fn handle_greeting(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
+    /// Handles the end of a connection's startup: writes its task, or returns it to the pool if it has none.
+    fn handle_startup_complete(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
@@ -79,10 +79,10 @@
         self.connections.clear_timer(cx, id);
         self.connections.take_connecting(member);
         self.connections.return_to_pool(cx.now, member, id);
-        self.note_connections_changed(member);
+        self.mark_connections_changed(member);
     }
 
-    /// A response is complete, and the member is ready again.
+    /// Handles a complete response; the member is ready for the next query.
     fn handle_response(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else {
             return;
@@ -90,15 +90,15 @@
         let outcome = reply_outcome(&connection.reply).unwrap_or(Outcome::MalformedResponse);
         let is_writing = connection.state == ConnectionState::Writing;
         if is_writing || outcome == Outcome::MalformedResponse {
-            // It is out of step: what is still to be written would be taken for the next request.
+            // The connection is out of sync: bytes still to be written would be taken for the next request.
             cx.emit(Effect::MemberClose(id));
             return self.finish_task(cx, id, outcome);
         }
         self.release_connection(cx, id, outcome);
     }
 
-    /// Part of a message is no response yet. On an idle connection nothing had requested it; a response that has begun must go
-    /// on in time.
+    /// Handles part of a message. On an idle connection it is unexpected data. A response that has begun must make progress
+    /// within a timeout.
     pub(super) fn handle_member_partial_frame(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -106,7 +106,7 @@
         match connection.state {
             ConnectionState::Idle => self.abort_connection(cx, id, CloseReason::UnexpectedData),
             ConnectionState::AwaitingResponse => {
-                // Danger: a length beyond what follows would hold its request until the client's deadline.
+                // Otherwise a message shorter than its declared length would block its request until the client's deadline.
                 connection.response_started = true;
                 let stalls_at = cx.now + cx.limits.answer_stall_timeout;
                 let at = connection.task_deadline.min(stalls_at);
@@ -117,7 +117,7 @@
     }
 }
 
-/// Messages of a PostgreSQL server's startup.
-fn is_greeting(kind: u8) -> bool {
+/// Returns whether a message of this type may occur in a PostgreSQL server's startup.
+fn is_startup_message(kind: u8) -> bool {
     matches!(kind, b'R' | b'S' | b'K' | b'N' | b'v' | b'E' | b'Z')
 }
--- a/crates/stackgw-gateway/src/reducer/steps/streams.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/streams.rs
@@ -1,5 +1,5 @@
-//! Responses that are streams: from its first message on, such a response belongs to its call and is never begun again at
-//! another member. It counts as load of its member until it waits for its reader.
+//! Responses that are streams: from its first message on, such a response belongs to its call and is never restarted on
+//! another member. It counts as load of its member until it is paused for its reader.
 
 use super::attempts::{count_outcome, discard_implausible};
 use crate::pg::Reply;
@@ -12,8 +12,8 @@
 use stackgw_router::api::{AttemptResult, Event, Outcome, RequestId};
 
 impl Gateway {
-    /// A response has begun as a stream: the request is decided, its other attempts are cancelled, and nothing of it is sent
-    /// again.
+    /// Handles the start of a response stream: the request's outcome is decided, its other attempts are cancelled, and it is not
+    /// sent again.
     pub(super) fn handle_stream_started(
         &mut self,
         cx: &mut Context<'_>,
@@ -44,13 +44,13 @@
         let request = attempt.request;
         self.router
             .enqueue(Event::StreamStarted { request, member });
-        for other in self.decide_by_stream(request, id) {
+        for other in self.finish_by_stream(request, id) {
             cx.emit(Effect::MemberClose(other));
             self.finish_task(cx, other, Outcome::Cancelled);
         }
     }
 
-    /// The call that waits for a request, if its response may be a stream.
+    /// Returns the call that waits for a request, if its response may be a stream.
     fn streamable_call(&self, request: RequestId) -> Option<CallId> {
         let open = self.requests.get(request)?;
         if open.is_finished || !open.may_stream {
@@ -70,7 +70,7 @@
         attempt: Attempt,
         header: StreamHeader,
     ) {
-        // What the header says is kept until the router learns how the attempt ended.
+        // The header's data is kept until the attempt's outcome is reported to the router.
         let mut reply = Reply::default();
         reply.primary = header.primary;
         reply.position = header.position;
@@ -81,13 +81,13 @@
             connection.state = ConnectionState::Streaming(StreamState {
                 call,
                 time_to_first_byte: cx.now - attempt.sent_at,
-                is_load: true,
+                counts_as_load: true,
             });
         }
     }
 
-    /// A request is decided by the stream on a connection; the connections of its other attempts.
-    fn decide_by_stream(&mut self, request: RequestId, id: ConnectionId) -> Vec<ConnectionId> {
+    /// Marks a request as decided by the stream on a connection. Returns the connections of its other attempts.
+    fn finish_by_stream(&mut self, request: RequestId, id: ConnectionId) -> Vec<ConnectionId> {
         let Some(open) = self.requests.get_mut(request) else {
             return Vec::new();
         };
@@ -97,21 +97,21 @@
         connections.filter(|connection| *connection != id).collect()
     }
 
-    /// A stream waits for its reader: from now on it is no load of its member.
+    /// Handles that a stream is paused for its reader: from now on it does not count as load of its member.
     ///
-    /// Danger: streams that nobody reads would otherwise count against their member's limit and block it for all others.
+    /// Otherwise streams whose readers have stalled would use up their member's concurrency limit and block other requests.
     pub(super) fn handle_stream_paused(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
         if let ConnectionState::Streaming(stream) = &mut connection.state {
-            if std::mem::replace(&mut stream.is_load, false) {
+            if std::mem::replace(&mut stream.counts_as_load, false) {
                 self.report_stream_outcome(id, Outcome::Served);
             }
         }
     }
 
-    /// Reports the end of an attempt whose response is a stream, by the time until the stream began.
+    /// Reports the outcome of an attempt whose response is a stream. Its elapsed time is the time to the first byte.
     fn report_stream_outcome(&mut self, id: ConnectionId, outcome: Outcome) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -136,7 +136,7 @@
         }));
     }
 
-    /// A stream has ended. The router learns the time until it began, not how long its reader took.
+    /// Handles the end of a stream. The router is given the time to the first byte, as the total depends on the reader.
     pub(super) fn handle_stream_ended(
         &mut self,
         cx: &mut Context<'_>,
@@ -150,7 +150,7 @@
             return;
         };
         let member = connection.member;
-        if stream.is_load {
+        if stream.counts_as_load {
             self.report_stream_outcome(id, outcome);
         }
         let task = self.detach(id);
@@ -159,7 +159,7 @@
                 connection.state = ConnectionState::Idle;
             }
             self.connections.return_to_pool(cx.now, member, id);
-            self.note_connections_changed(member);
+            self.mark_connections_changed(member);
         } else {
             cx.counters.streams_broken += 1;
             self.close_connection(cx, id);
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The connection on which a request's response is a stream.
+    /// Returns the connection that streams a request's response.
     pub(super) fn streaming_connection(&self, request: RequestId) -> Option<ConnectionId> {
         let attempts = &self.requests.get(request)?.attempts;
         let mut connections = attempts.iter().map(|attempt| attempt.connection);
