--- a/crates/stackgw-gateway/src/reducer/state/admission.rs
+++ b/crates/stackgw-gateway/src/reducer/state/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of clients, and eviction of idle ones for others.
+//! Admission of clients, and eviction of idle clients for new ones.
 
 use super::client::EvictionRank;
 use super::clients::Clients;
@@ -9,44 +9,45 @@
 use crate::reducer::timers::Timer;
 use stackgw_router::api::{Span, Time};
 
-/// What becomes of a client that came when all places were taken, with its first request.
+/// Whether there is capacity for the first request of a client that connected when the client limit was reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Capacity {
-    /// There is a place for it.
+    /// There is capacity for it.
     Available,
-    /// There is one once this idle client is closed.
+    /// There is capacity once this idle client is closed.
     AfterEvicting(ClientId),
     Exhausted,
 }
 
 impl Clients {
-    /// Accepts new clients while there is room for one more, and makes room by closing idle ones. Where all places are taken
-    /// one is kept free. Clients without any request make room first, as hundreds may connect and send nothing; then the client
-    /// idle longest, after a while, as one that was just answered often asks again. A client that has sent something by then
-    /// stays.
+    /// Accepts new clients while there is capacity. At the client limit, closes idle clients to keep capacity for one more.
+    /// Clients that have sent no request are closed first, as hundreds may connect and send nothing; then the client that has
+    /// been idle longest, after a delay, as a client that was just answered often sends another request. A client that has sent
+    /// something before it is closed stays connected.
     ///
-    /// Danger: clients that ask once and keep their connection run out of connections for what they ask next, well before all
-    /// places here are taken. So beyond the soft limit, half of the places, those that have been idle for longer are closed.
+    /// Clients that send one request and keep the connection run out of connections for further requests well before the
+    /// client limit is reached here. Above the soft limit, half of the client limit, clients that have been idle for longer are
+    /// therefore closed.
     pub(crate) fn admit(&mut self, cx: &mut Context<'_>, is_listening: bool) {
         let connected = self.connected.len();
         let is_full = connected >= cx.limits.clients;
         if is_listening && (is_full || connected > cx.limits.client_soft_limit) {
             self.evict_idle(cx, is_full);
         }
-        let places = cx.limits.clients + cx.limits.client_reserve;
-        let accepts = connected < places && is_listening;
+        let max_connected = cx.limits.clients + cx.limits.client_reserve;
+        let accepts = connected < max_connected && is_listening;
         if accepts != self.is_accepting {
             self.is_accepting = accepts;
             cx.emit(Effect::AcceptClients(accepts));
         }
     }
 
-    /// The timer for the next eviction has gone off.
+    /// Handles the timer for the next eviction.
     pub(crate) fn admission_timer_fired(&mut self) {
         self.admission_timer_pending = false;
     }
 
-    /// Asks the first idle client that may be closed now to make room, else sets the timer for when one may be.
+    /// Closes the first idle client that may be closed now, else sets the timer for the time when one may be.
     fn evict_idle(&mut self, cx: &mut Context<'_>, is_full: bool) {
         let without_request = self
             .first_idle(false)
@@ -59,7 +60,8 @@
         if let Some(oldest) = candidates().find(|rank| now >= evictable_at(rank)) {
             let client = oldest.client;
             self.evicting = Some(client);
-            // Danger: one that has sent something stays, and would keep all others from making room.
+            // A client that has sent something stays connected. Unless it moves to the end of the eviction order, it would be
+            // chosen again and again and no other client would be closed.
             self.refresh_idle(now, client);
             cx.emit(Effect::ClientCloseIfIdle(client));
         } else if let Some(at) = candidates().map(evictable_at).min() {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The idle client that has been idle longest, with at least this rank.
+    /// Returns the first idle client in the eviction order; with `has_sent_request`, the first of those that have sent one.
     fn first_idle(&self, has_sent_request: bool) -> Option<EvictionRank> {
         let first = EvictionRank {
             has_sent_request,
@@ -79,9 +81,9 @@
         self.eviction_order.range(first..).next().copied()
     }
 
-    /// Whether there is a place for a client with its first request.
-    pub(crate) fn claim_capacity(&mut self, id: ClientId, places: usize) -> Capacity {
-        let is_full = self.connected.len() > places;
+    /// Determines whether there is capacity for a client's first request.
+    pub(crate) fn claim_capacity(&mut self, id: ClientId, client_limit: usize) -> Capacity {
+        let is_full = self.connected.len() > client_limit;
         let client = self.connected.get_mut(&id);
         let was_over_capacity =
             client.is_some_and(|client| std::mem::take(&mut client.is_over_capacity));
@@ -103,7 +105,8 @@
     }
 }
 
-/// How long a client is idle before it may be closed for another. A new client's first request may be on its way.
+/// Returns how long a client must be idle before it may be closed for another. A new client gets a delay too, as its first
+/// request may be on its way.
 fn eviction_delay(rank: &EvictionRank, is_full: bool, limits: &Limits) -> Span {
     match (is_full, rank.has_sent_request) {
         (false, _) => limits.soft_limit_idle,
--- a/crates/stackgw-gateway/src/reducer/state/client.rs
+++ b/crates/stackgw-gateway/src/reducer/state/client.rs
@@ -6,28 +6,27 @@
 use stackgw_router::api::{RequestId, Time};
 use std::collections::VecDeque;
 
-/// One response's place in a client's pipeline.
+/// The slot of one response in a client's pipeline.
 #[derive(Debug, Default)]
 pub(crate) struct PipelineSlot {
-    /// The request that it waits for.
+    /// The request whose response is awaited; `None` once the response is complete.
     pub(super) request: Option<RequestId>,
-    /// What that request's statement takes.
+    /// Size of that request's statement.
     pub(super) statement_bytes: usize,
     pub(crate) reply: Vec<u8>,
-    /// The connection closes after it.
+    /// The connection is closed after this response.
     pub(crate) is_last: bool,
 }
 
-/// A message that waits until what precedes it is answered.
+/// A message that waits until the messages before it are answered.
 #[derive(Debug)]
 pub(crate) struct QueuedFrame {
-    /// The deadline of its statement counts from here.
+    /// Start of the statement's deadline.
     pub(crate) received_at: Time,
     pub(crate) frame: Frame,
 }
 
-/// A client's place among those that may be closed for others: whoever has sent no request goes first, then whoever has been
-/// idle longest.
+/// A client's rank in the eviction order: clients that have sent no request are first, then those that have been idle longest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     pub(super) has_sent_request: bool,
@@ -39,14 +38,14 @@
 #[derive(Debug)]
 pub(super) struct Client {
     pub(super) connected_at: Time,
-    /// The key that cancels its query; set once its startup is done.
+    /// The secret of the key that cancels its query; set once its startup is done.
     pub(super) cancel_key: Option<u32>,
-    /// Its open requests and the responses that wait behind them, in its order.
+    /// Its open requests and the responses queued behind them, in the order of its messages.
     pub(super) pipeline: VecDeque<PipelineSlot>,
     pub(super) queued: VecDeque<QueuedFrame>,
-    /// Since when something written to it has not been flushed.
+    /// Since when a write to it has not been flushed.
     pub(super) unflushed_since: Option<Time>,
-    /// Bytes that are written to it or wait in its pipeline, and are not flushed.
+    /// Bytes that are written to it or queued in its pipeline, and are not flushed.
     pub(super) pending_write_bytes: usize,
     /// Since when a message has been incomplete.
     pub(super) partial_since: Option<Time>,
@@ -54,13 +53,13 @@
     pub(super) read_ahead_bytes: usize,
     /// Malformed statements since its last valid one.
     pub(super) consecutive_malformed: u32,
-    /// It came when all places were taken: rejected with its first statement unless there is a place by then.
+    /// It connected when the client limit was reached: its first request is rejected unless there is capacity at that time.
     pub(super) is_over_capacity: bool,
     /// It sent an empty query before the gateway was ready.
     pub(super) awaits_ready: bool,
     /// It used the extended protocol, which is not supported: its messages are skipped up to its Sync.
     pub(super) skips_to_sync: bool,
-    /// Since when nothing more is accepted from it, as its connection ends with an error.
+    /// Since when no more messages are accepted from it, as its connection ends with an error.
     pub(super) closing_since: Option<Time>,
     pub(super) has_sent_request: bool,
     pub(super) idle_since: Time,
@@ -91,18 +90,19 @@
         self.pipeline.is_empty() && self.queued.is_empty() && self.is_receptive()
     }
 
-    /// Whether another message may be delivered, with at most so many statements in its pipeline.
+    /// Returns whether another message may be delivered, with at most `max_pipelined` statements in its pipeline and queue.
     pub(super) fn accepts_frame(&self, max_pipelined: usize) -> bool {
         self.is_receptive()
             && self.pipeline.len() + self.queued.len() < max_pipelined
             && !self.pipeline.iter().any(|slot| slot.is_last)
     }
 
-    /// Whether another message of this size may be buffered beside what this client and all others have buffered.
+    /// Returns whether another message of this size may be buffered, given the bytes that this client and all others have
+    /// buffered.
     ///
-    /// A message within the client's reserve always may. Half of what all clients share is for those that have nothing
-    /// buffered; of the other half each may hold as much as it leaves free (a dynamic threshold). So clients that send without
-    /// end leave capacity to others.
+    /// A message within the client's reserve always may. Half of the shared bytes is kept for clients that have nothing
+    /// buffered. Of the other half, each client may hold as much as is still free (a dynamic threshold). Clients that send
+    /// continuously thus leave capacity to others.
     pub(super) fn has_capacity(
         &self,
         bytes: usize,
@@ -116,7 +116,7 @@
         is_within_reserve || (held_bytes == 0 && free_bytes > 0) || held_bytes < free_for_more
     }
 
-    /// What its statements take that are queued or open.
+    /// Bytes of its queued and open statements.
     fn statement_bytes(&self) -> usize {
         let queued = self.queued.iter().map(|queued| queued.frame.bytes.len());
         let open = self.pipeline.iter().map(|slot| slot.statement_bytes);
--- a/crates/stackgw-gateway/src/reducer/state/client_buffers.rs
+++ b/crates/stackgw-gateway/src/reducer/state/client_buffers.rs
@@ -1,5 +1,5 @@
-//! What clients have sent that is not delivered, and what is written to them that is not flushed: who may go on, and who pays
-//! where all together hold too much.
+//! Client buffers: bytes that clients have sent and that are not delivered, and bytes written to clients that are not flushed.
+//! Decides whose next message is accepted, and which client is closed if the buffers of all clients exceed a limit.
 
 use super::client::PipelineSlot;
 use super::clients::Clients;
@@ -9,12 +9,13 @@
 use std::cmp::Reverse;
 
 impl Clients {
-    // What clients send.
+    // Data from clients.
 
-    /// Whether a client's next message, of this size, may be delivered while so many bytes of statements are buffered.
+    /// Returns whether a client's next message, of this size, may be delivered while `buffered_bytes` of statements are
+    /// buffered.
     ///
-    /// Danger: a cancel request that waited for the memory that its own query takes would come too late, so a client that
-    /// has not finished its startup needs none.
+    /// The buffer limit does not apply before a client has finished its startup. Otherwise a cancel request could wait for the
+    /// memory that its own query uses and would come too late.
     pub(crate) fn accepts_frame(
         &self,
         id: ClientId,
@@ -29,7 +30,8 @@
         })
     }
 
-    /// Sets what a client has sent that is not delivered. A message that is incomplete counts from now if `is_partial`.
+    /// Sets how many bytes a client has sent that are not delivered. If `is_partial`, the timeout of an incomplete message starts
+    /// now, unless it is running already.
     pub(crate) fn set_read_ahead(
         &mut self,
         now: Time,
@@ -45,21 +47,21 @@
         client.partial_since = is_partial.then(|| client.partial_since.unwrap_or(now));
     }
 
-    /// What all clients have sent that is not delivered.
+    /// Bytes that all clients have sent and that are not delivered.
     pub(crate) fn read_ahead_bytes(&self) -> usize {
         self.read_ahead_bytes
     }
 
-    /// The client that is closed for what all have sent ahead: of the idle ones that do not finish a message and have sent
-    /// more than an equal part of the total, and more than `tolerated_bytes`, the one with the most bytes; one that has sent
-    /// no request before all others.
+    /// Returns the client to close when the read-ahead of all clients exceeds its limit. Candidates are idle clients with an
+    /// incomplete message that have sent more than an equal share of the total and more than `tolerated_bytes`. Clients that
+    /// have sent no request are chosen first, then the one with the most bytes.
     ///
-    /// Danger: without the lower bounds a newcomer with a few bytes would be closed for what others have sent.
+    /// Without the lower bounds, a new client with a few bytes would be closed because of the bytes of others.
     pub(crate) fn largest_partial_read_ahead(&self, tolerated_bytes: usize) -> Option<ClientId> {
         let senders = self.connected.iter();
         let senders = senders.filter(|(_, client)| client.read_ahead_bytes > 0);
-        let equal_part = self.read_ahead_bytes / senders.clone().count().max(1);
-        let lower_bound = equal_part.max(tolerated_bytes);
+        let equal_share = self.read_ahead_bytes / senders.clone().count().max(1);
+        let lower_bound = equal_share.max(tolerated_bytes);
         let candidates = senders.filter(|(_, client)| {
             client.read_ahead_bytes > lower_bound
                 && client.partial_since.is_some()
@@ -70,8 +72,8 @@
         largest.map(|(id, _)| *id)
     }
 
-    /// A client's message is delivered: nothing is incomplete or undelivered any more. Whether its startup is done; `None`: it
-    /// is not connected.
+    /// Handles the delivery of a client's message: its read-ahead is empty. Returns whether its startup is done, or `None` if the
+    /// client is not connected.
     pub(crate) fn receive_frame(&mut self, id: ClientId) -> Option<bool> {
         let client = self.connected.get_mut(&id)?;
         client.partial_since = None;
@@ -79,9 +81,9 @@
         Some(client.cancel_key.is_some())
     }
 
-    // What is written to clients.
+    // Writes to clients.
 
-    /// Counts bytes as pending. They are returned if they may be written at once, else kept behind the pipeline.
+    /// Counts bytes as pending. Returns them if they may be written at once; otherwise they are queued at the pipeline's end.
     pub(crate) fn prepare_write(
         &mut self,
         id: ClientId,
@@ -102,7 +104,7 @@
         None
     }
 
-    /// A write begins; false if the client is not connected. What a client that is closed has sent is dropped.
+    /// Begins a write. Returns false if the client is not connected. If the client is to be closed, its read-ahead is dropped.
     pub(crate) fn begin_write(&mut self, now: Time, id: ClientId, close: bool) -> bool {
         let Some(client) = self.connected.get_mut(&id) else {
             return false;
@@ -116,7 +118,7 @@
         true
     }
 
-    /// Everything that was written to a client is flushed; false if it is not connected.
+    /// Handles that everything written to a client was flushed. Returns false if it is not connected.
     pub(crate) fn finish_write(&mut self, now: Time, id: ClientId) -> bool {
         let Some(client) = self.connected.get_mut(&id) else {
             return false;
@@ -129,14 +131,15 @@
         true
     }
 
-    /// Bytes of all clients that are not flushed.
+    /// Bytes written or queued for all clients that are not flushed.
     pub(crate) fn pending_write_bytes(&self) -> usize {
         self.pending_write_bytes
     }
 
-    /// The client that is closed for what all have left unread: of those that do not read, the one with the most bytes, then
-    /// the one that has not read for longest. A client that something is being written to counts where it has not read what
-    /// came before. Where all read, it is the one with the most bytes behind a response that is not there yet.
+    /// Returns the client to close when the unread bytes of all clients exceed their limit: of the clients with unflushed writes
+    /// the one with the most bytes, and at equal bytes the one that has not read for longest. The client that is being written
+    /// to is a candidate only if an earlier write is not flushed. If no candidate has unflushed writes, it is the one with the
+    /// most bytes queued behind an open response.
     pub(crate) fn largest_unread(&self, now: Time, writing_to: ClientId) -> Option<ClientId> {
         let candidates = self.connected.iter().filter(|(id, client)| {
             let was_unflushed = client.unflushed_since.is_some_and(|since| since < now);
--- a/crates/stackgw-gateway/src/reducer/state/clients.rs
+++ b/crates/stackgw-gateway/src/reducer/state/clients.rs
@@ -1,4 +1,4 @@
-//! The clients that are connected, and their pipelines. Their buffers are in [`super::client_buffers`].
+//! The connected clients and their pipelines. Their buffers are in [`super::client_buffers`].
 
 use super::client::{Client, EvictionRank, PipelineSlot, QueuedFrame};
 use super::requests::Requests;
@@ -20,14 +20,14 @@
     /// A timer for the next eviction is pending.
     pub(super) admission_timer_pending: bool,
     pub(super) is_accepting: bool,
-    /// The client that was last asked to make room.
+    /// The client that was last chosen for eviction.
     pub(super) evicting: Option<ClientId>,
     /// State of the generator of cancel keys.
     cancel_key_seed: u64,
 }
 
-/// Whether a time lies further back than a span.
-fn has_passed(now: Time, since: Option<Time>, span: Span) -> bool {
+/// Returns whether a time is further in the past than a span; false without a time.
+fn has_elapsed(now: Time, since: Option<Time>, span: Span) -> bool {
     since.is_some_and(|since| now - since > span)
 }
 
@@ -79,7 +79,7 @@
         self.connected.insert(id, client);
     }
 
-    /// Removes a client; its open requests. `None`: it was not connected.
+    /// Removes a client. Returns its open requests, or `None` if it was not connected.
     pub(crate) fn remove(&mut self, cx: &mut Context<'_>, id: ClientId) -> Option<Vec<RequestId>> {
         let client = self.connected.remove(&id)?;
         self.eviction_order.remove(&client.eviction_rank(id));
@@ -97,7 +97,7 @@
         Some(slots.filter_map(|slot| slot.request).collect())
     }
 
-    /// Takes note that a client's state has changed: it may have become idle, or busy.
+    /// Updates the eviction order after a client may have become idle or busy.
     pub(crate) fn refresh_idle(&mut self, now: Time, id: ClientId) {
         let Some(client) = self.connected.get_mut(&id) else {
             return;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// A client has sent its first request, or another one.
+    /// Marks that a client has sent a request.
     pub(crate) fn mark_request_sent(&mut self, id: ClientId) {
         let Some(client) = self.connected.get_mut(&id) else {
             return;
@@ -133,11 +133,11 @@
         }
     }
 
-    /// Takes a client's next message if it may run now: once everything before it is answered, or beside statements of other
-    /// keys, or as a read beside reads.
+    /// Takes a client's next message if it may run now: everything before it is answered, or the open statements concern other
+    /// keys, or it and they only read.
     ///
-    /// Danger: one after another, pipelined statements would wait for the slowest before them until their deadline, above all
-    /// behind a write that waits for a primary.
+    /// If pipelined statements ran strictly one after another, each would wait for the slowest before it, possibly until its
+    /// deadline; the longest wait is behind a write that waits for a primary.
     pub(crate) fn dequeue_runnable(
         &mut self,
         cx: &mut Context<'_>,
@@ -149,20 +149,20 @@
             return None;
         }
         let pipeline = &client.pipeline;
-        let runs_beside = |frame: &Frame| {
+        let may_run_concurrently = |frame: &Frame| {
             let target = Statement::target(frame).filter(|_| frame.kind == b'Q');
             let mut open = pipeline.iter().filter_map(|slot| slot.request);
             target
                 .is_some_and(|target| open.all(|request| requests.is_independent(request, &target)))
         };
         let is_runnable =
-            |queued: &mut QueuedFrame| pipeline.is_empty() || runs_beside(&queued.frame);
+            |queued: &mut QueuedFrame| pipeline.is_empty() || may_run_concurrently(&queued.frame);
         let queued = client.queued.pop_front_if(is_runnable)?;
         cx.counters.buffered_bytes -= queued.frame.bytes.len() as u64;
         Some(queued)
     }
 
-    /// Ends the wait for the rest of a message; whether there was one.
+    /// Clears the timeout of an incomplete message. Returns whether there was one.
     pub(crate) fn take_partial(&mut self, id: ClientId) -> bool {
         let client = self.connected.get_mut(&id);
         client.is_some_and(|client| client.partial_since.take().is_some())
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Counts a malformed statement; how many came in a row. `None`: the client is not connected.
+    /// Counts a malformed statement. Returns how many came in a row, or `None` if the client is not connected.
     pub(crate) fn count_malformed(&mut self, id: ClientId) -> Option<u32> {
         let client = self.connected.get_mut(&id)?;
         client.consecutive_malformed += 1;
@@ -188,7 +188,7 @@
 
     // Startup, cancel keys and readiness.
 
-    /// Finishes a client's startup; the secret of its cancel key.
+    /// Finishes a client's startup. Returns the secret of its cancel key.
     pub(crate) fn issue_cancel_key(&mut self, id: ClientId) -> u32 {
         self.cancel_key_seed = self
             .cancel_key_seed
@@ -201,7 +201,7 @@
         secret
     }
 
-    /// The first open request of the client that has this cancel key.
+    /// Returns the client's first open request if the secret is that of its cancel key.
     pub(crate) fn cancellable_request(&self, id: ClientId, secret: u32) -> Option<RequestId> {
         let client = self.connected.get(&id)?;
         if client.cancel_key != Some(secret) {
@@ -228,7 +228,7 @@
 
     // The pipeline.
 
-    /// Reserves the next place in a client's pipeline for a request's response.
+    /// Reserves the next slot in a client's pipeline for a request's response.
     pub(crate) fn push_request(
         &mut self,
         id: ClientId,
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Puts a request's response into its place; false if the client does not wait for it.
+    /// Puts a request's response into its slot. Returns false if the client does not wait for it.
     pub(crate) fn fill_slot(&mut self, id: ClientId, request: RequestId, reply: Vec<u8>) -> bool {
         let Some(client) = self.connected.get_mut(&id) else {
             return false;
@@ -262,33 +262,33 @@
         true
     }
 
-    /// Takes the first response of a client's pipeline, if nothing before it is open.
+    /// Takes the first slot of a client's pipeline if its response is complete.
     pub(crate) fn pop_completed(&mut self, id: ClientId) -> Option<PipelineSlot> {
         let client = self.connected.get_mut(&id)?;
         let is_completed = |slot: &mut PipelineSlot| slot.request.is_none();
         client.pipeline.pop_front_if(is_completed)
     }
 
-    // Clients whose time is up.
+    // Clients to close.
 
     pub(crate) fn is_closing(&self, id: ClientId) -> bool {
         let client = self.connected.get(&id);
         client.is_some_and(|client| client.closing_since.is_some())
     }
 
-    /// Clients that do not read, or do not close after an error.
+    /// Clients that have not read, or have not closed after an error, in time.
     pub(crate) fn stalled(&self, now: Time, limits: &Limits) -> Vec<ClientId> {
         self.select(|client| {
-            has_passed(now, client.unflushed_since, limits.client_write_timeout)
-                || has_passed(now, client.closing_since, limits.linger_timeout)
+            has_elapsed(now, client.unflushed_since, limits.client_write_timeout)
+                || has_elapsed(now, client.closing_since, limits.linger_timeout)
         })
     }
 
-    /// Clients that do not finish a message, or have sent no request in time.
+    /// Clients that have not finished a message, or have sent no request, in time.
     pub(crate) fn inactive(&self, now: Time, limits: &Limits) -> Vec<ClientId> {
         self.select(|client| {
-            let is_partial = has_passed(now, client.partial_since, limits.partial_message_timeout);
-            // One whose complete messages wait for capacity has sent something.
+            let is_partial = has_elapsed(now, client.partial_since, limits.partial_message_timeout);
+            // A client whose complete messages wait for capacity has sent something.
             let is_unused = !client.has_sent_request
                 && client.is_idle()
                 && client.read_ahead_bytes == 0
--- a/crates/stackgw-gateway/src/reducer/state/connection.rs
+++ b/crates/stackgw-gateway/src/reducer/state/connection.rs
@@ -19,17 +19,17 @@
     pub(crate) number: u32,
     pub(crate) sent_at: Time,
     pub(crate) deadline: Time,
-    /// A second connection was opened for it, as the first one broke in its startup.
+    /// A second connection was opened for it, as the first one broke during its startup.
     pub(crate) reconnected: bool,
 }
 
 impl ConnectionTask {
-    /// Whether a connection that breaks in its startup is opened once more. A health check has one connection.
+    /// Returns whether the task gets a second connection if this one breaks during its startup. A health check does not.
     pub(crate) fn may_reconnect(self) -> bool {
         matches!(self, ConnectionTask::Attempt(attempt) if !attempt.reconnected)
     }
 
-    /// The same task on its second connection.
+    /// Returns the same task, marked as being on its second connection.
     pub(crate) fn reconnected(self) -> Self {
         match self {
             ConnectionTask::Attempt(attempt) => ConnectionTask::Attempt(Attempt {
@@ -44,12 +44,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
     Connecting,
-    /// The member's greeting has not come.
+    /// The startup message is sent; the member is not ready yet.
     Startup,
     Idle,
-    /// The task's bytes are being written.
+    /// The task is being written.
     Writing,
-    /// They are written; the response has not come.
+    /// The task is written; the response is not complete.
     AwaitingResponse,
     /// The response is a stream and belongs to its call.
     Streaming(StreamState),
@@ -59,9 +59,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct StreamState {
     pub(crate) call: CallId,
-    /// How long the member took until the stream began.
+    /// Time from the sending of the attempt until the stream began.
     pub(crate) time_to_first_byte: Span,
-    /// It counts as load of its member, until it waits for its reader.
+    /// The stream counts as load of its member until it is paused for its reader.
     pub(crate) counts_as_load: bool,
 }
 
@@ -73,18 +73,18 @@
     /// It speaks another frontend's protocol.
     pub(crate) is_backend: bool,
     pub(crate) task: Option<ConnectionTask>,
-    /// It was idle before this task.
+    /// The connection was idle before this task.
     pub(crate) is_reused: bool,
     pub(crate) reply: Reply,
     /// The response has begun and is not complete.
     pub(crate) response_started: bool,
-    /// The end of its task's time.
+    /// The deadline of the task's response.
     pub(crate) task_deadline: Time,
     pub(crate) timer: Option<TimerKey>,
 }
 
 impl Connection {
-    /// The connection is not usable yet.
+    /// Returns whether the connection is not established or has not finished its startup.
     pub(crate) fn is_handshaking(&self) -> bool {
         matches!(
             self.state,
--- a/crates/stackgw-gateway/src/reducer/state/connections.rs
+++ b/crates/stackgw-gateway/src/reducer/state/connections.rs
@@ -9,16 +9,16 @@
 use stackgw_router::api::{MemberId, Time};
 use std::collections::{BTreeMap, HashMap};
 
-/// All connections to members, the idle ones, and handshakes that nobody waits for.
+/// All connections to members, with the idle ones and those in a handshake without a task.
 ///
 /// Invariants: each connection has at most one timer; the pool holds connections without a task; for each member at most
-/// one handshake goes on without a task.
+/// one handshake is in progress without a task.
 #[derive(Default)]
 pub(crate) struct Connections {
     open: HashMap<ConnectionId, Connection>,
     next_id: u64,
     pool: ConnectionPool,
-    /// For each member the connection that is being established with nobody waiting for it.
+    /// For each member the connection that is being established without a task.
     connecting: BTreeMap<MemberId, ConnectionId>,
 }
 
@@ -35,7 +35,7 @@
         self.open.get_mut(&id)
     }
 
-    /// Attempts that are open on connections to a member.
+    /// Counts the attempts that are open on connections to a member.
     pub(crate) fn attempts_on(&self, member: MemberId) -> usize {
         let has_attempt = |connection: &&Connection| {
             connection.member == member
@@ -48,7 +48,7 @@
         self.pool.count(member)
     }
 
-    /// Registers a connection that is to be established, and sets its connect limit.
+    /// Registers a connection that is being established and sets its connect timeout.
     pub(crate) fn open(
         &mut self,
         cx: &mut Context<'_>,
@@ -75,7 +75,7 @@
         id
     }
 
-    /// Takes the member's idle connection that was used last.
+    /// Takes the member's most recently used idle connection.
     pub(crate) fn take_idle(&mut self, member: MemberId) -> Option<ConnectionId> {
         let id = self.pool.take_latest(member)?;
         if let Some(connection) = self.open.get_mut(&id) {
@@ -84,7 +84,7 @@
         Some(id)
     }
 
-    /// Takes the member's connection that is being established with nobody waiting for it.
+    /// Takes the member's connection that is being established without a task.
     pub(crate) fn take_connecting(&mut self, member: MemberId) -> Option<ConnectionId> {
         self.connecting.remove(&member)
     }
@@ -93,12 +93,12 @@
         self.connecting.contains_key(&member)
     }
 
-    /// Lets a handshake go on for whoever asks next.
+    /// Keeps a connection whose handshake continues without a task, for the member's next task.
     pub(crate) fn keep_connecting(&mut self, member: MemberId, id: ConnectionId) {
         self.connecting.insert(member, id);
     }
 
-    /// Takes a connection that may be closed for another: the one idle longest, else a handshake that nobody waits for.
+    /// Takes a connection that may be closed for another one: the one idle longest, else one in a handshake without a task.
     pub(crate) fn take_evictable(&mut self) -> Option<ConnectionId> {
         let idle = self.pool.take_oldest();
         idle.or_else(|| self.connecting.pop_first().map(|(_, id)| id))
@@ -111,7 +111,7 @@
         unused
     }
 
-    /// Takes the connections that have been idle since before a time.
+    /// Takes the connections that became idle before a time.
     pub(crate) fn take_idle_since_before(&mut self, before: Time) -> Vec<ConnectionId> {
         self.pool.take_idle_since_before(before)
     }
@@ -125,7 +125,7 @@
         self.pool.remove(id);
     }
 
-    /// Sets a connection's one timer.
+    /// Sets a connection's timer, replacing the previous one.
     pub(crate) fn set_timer(&mut self, cx: &mut Context<'_>, id: ConnectionId, at: Time) {
         let timer = cx.timers.set(at, Timer::Connection(id));
         if let Some(connection) = self.open.get_mut(&id) {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Removes a connection with its timer; the member that it led to. It is not in the pool.
+    /// Removes a connection that is not in the pool, and its timer. Returns its member.
     pub(crate) fn remove(&mut self, cx: &mut Context<'_>, id: ConnectionId) -> Option<MemberId> {
         let connection = self.open.remove(&id)?;
         cx.counters.members_open -= 1;
--- a/crates/stackgw-gateway/src/reducer/state/pool.rs
+++ b/crates/stackgw-gateway/src/reducer/state/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to members: the one used last is reused first, the one idle longest is closed first.
+//! Idle connections to members: the most recently used one is reused first, the one that was idle longest is closed first.
 
 use crate::reducer::ids::ConnectionId;
 use stackgw_router::api::{MemberId, Time};
@@ -27,12 +27,12 @@
         self.entries.insert(id, (member, idle));
     }
 
-    /// How many of a member's connections are idle.
+    /// Counts a member's idle connections.
     pub(super) fn count(&self, member: MemberId) -> usize {
         self.by_member.get(&member).map_or(0, BTreeSet::len)
     }
 
-    /// Takes the member's connection that was used last.
+    /// Takes the member's most recently used connection.
     pub(super) fn take_latest(&mut self, member: MemberId) -> Option<ConnectionId> {
         let id = self.by_member.get(&member)?.last()?.id;
         self.remove(id);
@@ -46,7 +46,7 @@
         Some(id)
     }
 
-    /// Takes all connections that have been idle since before a time, the oldest first.
+    /// Takes all connections that became idle before a time, the one idle longest first.
     pub(super) fn take_idle_since_before(&mut self, before: Time) -> Vec<ConnectionId> {
         let mut expired = Vec::new();
         while self.all.first().is_some_and(|idle| idle.since < before) {
@@ -55,7 +55,7 @@
         expired
     }
 
-    /// Takes all connections of one member, the latest first.
+    /// Takes all connections of one member, the most recently used first.
     pub(super) fn take_all(&mut self, member: MemberId) -> Vec<ConnectionId> {
         std::iter::from_fn(|| self.take_latest(member)).collect()
     }
--- a/crates/stackgw-gateway/src/reducer/state/requests.rs
+++ b/crates/stackgw-gateway/src/reducer/state/requests.rs
@@ -24,17 +24,17 @@
 /// A request, until it has its response and its last attempt has ended.
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
-    /// Who still waits for the response.
+    /// The requester that still waits for the response.
     pub(crate) requester: Option<Requester>,
     pub(crate) statement: Statement,
     pub(crate) deadline: Time,
     pub(crate) attempts_started: u32,
     pub(crate) attempts: Vec<OpenAttempt>,
-    /// Its outcome is decided.
+    /// The outcome is decided.
     pub(crate) is_finished: bool,
-    /// It waits to learn what its session wrote; the router does not know of it yet.
+    /// The request for the router, held until the session's last write is known.
     pub(crate) awaiting_session: Option<Box<Request>>,
-    /// Its response may be a stream.
+    /// The response may be a stream.
     pub(crate) may_stream: bool,
     unconfirmed_write: Option<UnconfirmedWrite>,
 }
@@ -48,7 +48,7 @@
 /// All open requests.
 ///
 /// Invariants: a statement's id belongs to one open request; the bytes of open statements and of unconfirmed responses are
-/// counted in `held_bytes`.
+/// counted in the `buffered_bytes` counter.
 #[derive(Default)]
 pub(crate) struct Requests {
     open: HashMap<RequestId, OpenRequest>,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Requests whose requester still waits, in their order.
+    /// Requests whose requester still waits, in the order of their ids.
     pub(crate) fn unanswered(&self) -> Vec<RequestId> {
         let open = self.open.iter();
         let unanswered = open.filter(|(_, request)| request.requester.is_some());
@@ -126,7 +126,7 @@
         ids
     }
 
-    /// Whether a statement may run beside this request: they concern different keys, or both only read.
+    /// Returns whether a statement may run concurrently with this request: they concern different keys, or both only read.
     pub(crate) fn is_independent(&self, id: RequestId, target: &StatementTarget<'_>) -> bool {
         self.get(id).is_none_or(|request| {
             let other = &request.statement;
@@ -150,7 +150,7 @@
 
     // Served writes that wait for confirmation.
 
-    /// Keeps a served write's response back; the outcome of its request is decided.
+    /// Holds a served write's response and marks the outcome of its request as decided.
     pub(crate) fn hold_response(&mut self, cx: &mut Context<'_>, id: RequestId, row: Vec<u8>) {
         if let Some(request) = self.open.get_mut(&id) {
             cx.counters.buffered_bytes += row.len() as u64;
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Takes a response that was kept back, with its timeout.
+    /// Takes a held response and cancels its timeout.
     pub(crate) fn take_held_response(
         &mut self,
         cx: &mut Context<'_>,
