--- a/crates/stackgw-gateway/src/reducer/state/backoff.rs
+++ b/crates/stackgw-gateway/src/reducer/state/backoff.rs
@@ -1,27 +1,27 @@
-//! The pauses between watches of the endpoint list, so that a fleet which loses the list service together does not come back to
-//! it in step.
+//! Backoff between watches of the endpoint list. It prevents the instances of a fleet that lose the list service at the same time
+//! from reconnecting at the same time.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use stackgw_router::api::{Span, Time};
 
-/// A pause with jitter is at least this part of the longest one.
+/// A pause with jitter is at least this fraction of the current backoff length.
 const MIN_JITTER_FRACTION: f64 = 0.5;
 
-/// Which of a fleet's instances this one is.
+/// This instance's position in its fleet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct InstanceSlot {
     pub(crate) index: u32,
     pub(crate) fleet_size: u32,
-    /// Seeds its random numbers; other instances have others.
+    /// Seed of the random numbers; it differs between instances.
     pub(crate) seed: u64,
 }
 
-/// A backoff whose length doubles, with jitter. Once it has grown to its longest, the pauses end in the instance's own slot of
-/// each such interval: slots lie evenly apart over the fleet, which random pauses alone do not.
+/// A backoff whose length doubles, with jitter. Once it has reached the maximum, the pauses end at the instance's own slot in
+/// each interval of that length: slots are spaced evenly over the fleet, while random pauses would not be.
 pub(crate) struct Backoff {
     length: Span,
-    /// Where in an interval the slot lies, from 0 to 1.
+    /// The slot's position in an interval, from 0 to 1.
     slot: f64,
     rng: Pcg64Mcg,
 }
@@ -29,8 +29,8 @@
 impl Backoff {
     pub(crate) fn new(instance: InstanceSlot) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(instance.seed);
-        let is_numbered = instance.index < instance.fleet_size;
-        let slot = if is_numbered {
+        let has_index = instance.index < instance.fleet_size;
+        let slot = if has_index {
             f64::from(instance.index) / f64::from(instance.fleet_size)
         } else {
             rng.random_range(0.0..1.0)
@@ -42,12 +42,12 @@
         }
     }
 
-    /// The next pause starts from the shortest again.
+    /// Restarts the backoff from the shortest pause.
     pub(crate) fn reset(&mut self) {
         self.length = 0;
     }
 
-    /// The next pause: positive, and never longer than `max`.
+    /// Returns the next pause, which is positive and never longer than `max`.
     pub(crate) fn next_pause(&mut self, now: Time, min: Span, max: Span) -> Span {
         self.length = (self.length * 2).clamp(min, max);
         if self.length == max {
--- a/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
+++ b/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
@@ -1,5 +1,5 @@
-//! Bootstrap and polling of the endpoint list in this instance, the pacing of connections to members that warm up, and how
-//! operators see both.
+//! Bootstrap and polling of the endpoint list in this instance, pacing of connections to members that are warming up, and
+//! status reports of both.
 
 use crate::discovery::ListEntry;
 use crate::reducer::timers::TimerKey;
@@ -18,18 +18,18 @@
     spare_outputs: Vec<Output>,
     timer: Option<TimerKey>,
     service: String,
-    /// Who may connect to a cold member when; `None`: connections are not paced.
+    /// Decides when this instance may connect to a cold member; `None` if connections are not paced.
     pacer: Option<ConnectionPacer>,
-    /// Members whose connection permits may have changed since the router was last told.
+    /// Members whose connection permits may have changed since they were last passed to the router.
     changed_permits: BTreeSet<MemberId>,
-    /// Members by the hashes of their names that observations carry.
+    /// Members by the hash of their name, which observations carry.
     members_by_hash: HashMap<u64, MemberId>,
     /// When observations were last taken from the router.
     observed_since: Time,
 }
 
 impl BootstrapCoordination {
-    /// The state at the start, and what is to be done first.
+    /// Creates the state at the start. Returns it with the first outputs to apply.
     pub(crate) fn new(
         now: Time,
         settings: BootstrapSettings,
@@ -55,7 +55,7 @@
         &self.bootstrap
     }
 
-    /// Lets the bootstrap act; what it asks for, to be given back by [`recycle`](Self::recycle).
+    /// Runs an action on the bootstrap and returns its outputs. Return the emptied vector by [`recycle`](Self::recycle).
     pub(crate) fn apply(
         &mut self,
         action: impl FnOnce(&mut Bootstrap, &mut Vec<Output>),
@@ -65,7 +65,7 @@
         outputs
     }
 
-    /// Takes back an empty vector of outputs.
+    /// Keeps an empty vector of outputs for reuse.
     pub(crate) fn recycle(&mut self, outputs: Vec<Output>) {
         self.spare_outputs = outputs;
     }
@@ -78,7 +78,7 @@
         self.timer = timer;
     }
 
-    /// Changes the list service's name; false if it is the same.
+    /// Sets the list service's name. Returns whether it has changed.
     pub(crate) fn set_service(&mut self, service: &str) -> bool {
         let differs = self.service != service;
         self.service = service.to_owned();
@@ -87,7 +87,7 @@
 
     // Observations of members.
 
-    /// When observations were last taken from the router; the next ones count from now.
+    /// Returns when observations were last taken from the router, and starts a new interval now.
     pub(crate) fn restart_observation(&mut self, now: Time) -> Time {
         std::mem::replace(&mut self.observed_since, now)
     }
@@ -98,7 +98,7 @@
 
     // Pacing of connections.
 
-    /// Takes over a member as the list has it. A list from the disk does not say whether a member has just started.
+    /// Updates a member from its list entry. An entry of a cached list does not say whether the member has just started.
     pub(crate) fn update_member(&mut self, now: Time, member: MemberId, entry: &ListEntry) {
         let name_hash = Observation::hash_name(&entry.id);
         self.members_by_hash.insert(name_hash, member);
@@ -115,7 +115,7 @@
         self.changed_permits.insert(member);
     }
 
-    /// All members of a list have been taken over.
+    /// Schedules connections to new members, after all members of a list were updated.
     pub(crate) fn schedule_new_members(&mut self, now: Time) {
         if let Some(pacer) = self.pacer.as_mut() {
             pacer.schedule_new_members(now);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether a connection to a member may be opened now; one that may not is counted.
+    /// Returns whether a connection to a member may be opened now, and counts a deferral if not.
     pub(crate) fn may_connect(&mut self, now: Time, member: MemberId) -> bool {
         let Some(pacer) = self.pacer.as_mut() else {
             return true;
@@ -160,20 +160,20 @@
         }
     }
 
-    /// A connection to a member was opened, closed, used or became idle.
+    /// Handles that a connection to a member was opened, closed, used or became idle.
     pub(crate) fn mark_connections_changed(&mut self, member: MemberId) {
         if self.pacer.is_some() {
             self.changed_permits.insert(member);
         }
     }
 
-    /// Every paced member may have warmed up by now.
+    /// Marks the permits of all paced members as changed, as each member may have warmed up.
     pub(crate) fn refresh_permits(&mut self) {
         let paced = self.pacer.iter().flat_map(ConnectionPacer::paced_members);
         self.changed_permits.extend(paced);
     }
 
-    /// Takes the members whose permits may have changed, each with the permits that it has now.
+    /// Takes the members whose permits may have changed, each with its current permits.
     pub(crate) fn take_changed_permits(
         &mut self,
         now: Time,
@@ -195,7 +195,7 @@
         changed.into_iter().map(permits).collect()
     }
 
-    /// How many members' connections are paced now: not those that have warmed up since they were listed.
+    /// Counts the members whose connections are paced now, without those that have warmed up since they were listed.
     fn paced_members(&self, now: Time) -> usize {
         let Some(pacer) = &self.pacer else {
             return 0;
@@ -204,14 +204,14 @@
         pacer.paced_members().filter(is_paced).count()
     }
 
-    /// How often a connection would have been opened too early.
+    /// Returns how often a connection was deferred because it would have been opened too early.
     fn deferrals(&self) -> u64 {
         self.pacer.as_ref().map_or(0, ConnectionPacer::deferrals)
     }
 
-    // What operators see.
+    // Status reports.
 
-    /// One line for the log.
+    /// Returns the log line of a report.
     pub(crate) fn log_line(&self, now: Time) -> String {
         let (counts, cache) = (self.bootstrap.counters(), self.bootstrap.cache());
         let leaders = self.bootstrap.watch_leaders();
@@ -219,16 +219,16 @@
         let origin = cache.origin().map_or("nothing", origin_name);
         let age = cache
             .age(now)
-            .map_or_else(|| "never".to_owned(), |age| format!("{} ms", age / MS));
+            .map_or_else(|| "never".to_owned(), |age| format!("{} ms ago", age / MS));
         format!(
-            "list from {origin}, version {:?}, vouched for {age} ago, watch={is_live} holders={leaders:?} watches={} alone={} asked={} \
+            "list from {origin}, version {:?}, last confirmed {age}, watch={is_live} holders={leaders:?} watches={} alone={} asked={} \
              unanswered={} answered={} pushed={} taken={} older={} foreign={} sighted={} dealt={} waited={}",
             cache.revision(), counts.watches_opened, counts.watches_without_leader, counts.polls_sent, counts.polls_unanswered, counts.polls_answered, counts.snapshots_pushed,
             counts.snapshots_merged, counts.stale_updates, counts.foreign_messages, counts.observations_merged, self.paced_members(now), self.deferrals()
         )
     }
 
-    /// The reply to a query of the endpoint list.
+    /// Returns the reply to a status query for the endpoint list.
     pub(crate) fn status(&self, now: Time) -> Value {
         let (counts, cache) = (self.bootstrap.counters(), self.bootstrap.cache());
         let leaders = self.bootstrap.watch_leaders();
--- a/crates/stackgw-gateway/src/reducer/state/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/state/cluster.rs
@@ -8,7 +8,7 @@
 use stackgw_router::api::Time;
 use stackgw_sessions::Peer;
 
-/// What the cluster asks for and reports after a step.
+/// Datagrams to send and events to handle after a step of the cluster.
 #[derive(Default)]
 pub(crate) struct ClusterStep {
     datagrams: Vec<Datagram>,
@@ -16,7 +16,7 @@
 }
 
 impl ClusterStep {
-    /// Takes what is to be sent.
+    /// Takes the datagrams to send, as effects.
     pub(crate) fn take_effects(&mut self) -> impl Iterator<Item = Effect> {
         std::mem::take(&mut self.datagrams).into_iter().map(send)
     }
@@ -29,7 +29,7 @@
 /// The membership and its one timer.
 pub(crate) struct ClusterMembership {
     cluster: Cluster,
-    /// The options of the start; most hold until a restart.
+    /// The options at the start; most cannot be changed without a restart.
     options: stackgw_config::Cluster,
     timer: Option<TimerKey>,
 }
@@ -59,7 +59,7 @@
         &self.cluster
     }
 
-    /// Sends by way of the cluster.
+    /// Runs an action that sends through the cluster. Returns its datagrams as effects.
     pub(crate) fn send(
         &mut self,
         action: impl FnOnce(&mut Cluster, &mut Vec<Datagram>),
@@ -81,13 +81,13 @@
         (step, received)
     }
 
-    /// Datagrams that claim to be of this cluster and were refused.
+    /// Counts the rejected datagrams that claimed to belong to this cluster.
     pub(crate) fn rejected_datagrams(&self) -> u64 {
         let counters = self.cluster.counters();
         counters.foreign + counters.unknown_key + counters.forged + counters.malformed
     }
 
-    /// The membership's timer has gone off.
+    /// Handles the membership's timer.
     pub(crate) fn handle_timeout(&mut self, now: Time) -> ClusterStep {
         self.timer = None;
         let mut step = ClusterStep::default();
@@ -104,7 +104,7 @@
         self.timer = Some(timer);
     }
 
-    /// Takes over another configuration's keys and seeds; the names of the options that differ and hold until a restart.
+    /// Applies the keys and seeds of a new configuration. Returns the names of the options that differ and need a restart.
     pub(crate) fn reload(&mut self, now: Time, config: &ClusterConfig) -> Vec<&'static str> {
         let seeds = config.options.seeds.clone();
         self.cluster.reload(now, config.keyring.clone(), seeds);
@@ -112,7 +112,7 @@
     }
 }
 
-/// The names of the options that a running gateway cannot change and that differ.
+/// Returns the names of the options that differ and that a running gateway cannot change.
 fn differing_options(
     old: &stackgw_config::Cluster,
     new: &stackgw_config::Cluster,
--- a/crates/stackgw-gateway/src/reducer/state/gossip.rs
+++ b/crates/stackgw-gateway/src/reducer/state/gossip.rs
@@ -4,7 +4,7 @@
 use stackgw_settings::{GossipCodec, GossipMessage};
 use std::net::SocketAddr;
 
-/// The other gateways' addresses, and the codec, which knows the members that are in the directory.
+/// The addresses of the tier's gateways, and the codec, which knows the members of the directory.
 pub(crate) struct Gossip {
     peers: Vec<SocketAddr>,
     broadcast: Option<SocketAddr>,
@@ -44,7 +44,7 @@
         self.codec.remove(member);
     }
 
-    /// The address of one gateway, or of all of them; `None` where there is none.
+    /// Returns the address of one gateway, or the broadcast address of all; `None` if none is configured.
     pub(crate) fn address(&self, to: Option<u32>) -> Option<SocketAddr> {
         match to {
             Some(index) => self.peers.get(index as usize).copied(),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The datagrams that carry these updates; one to a single gateway is to be passed on by it.
+    /// Encodes updates as datagrams. A datagram to a single gateway is relayed by it.
     pub(crate) fn encode(
         &self,
         now: Time,
@@ -62,7 +62,8 @@
         self.codec.encode(now, to.is_some(), updates)
     }
 
-    /// `None`: the sender is no other gateway of the tier, or the bytes are no gossip.
+    /// Decodes a datagram. Returns `None` if the sender is not another gateway of the tier, or the bytes are not valid gossip or
+    /// more than `max_bytes`.
     pub(crate) fn decode(
         &self,
         now: Time,
--- a/crates/stackgw-gateway/src/reducer/state/members.rs
+++ b/crates/stackgw-gateway/src/reducer/state/members.rs
@@ -14,13 +14,13 @@
     pub(crate) address: SocketAddr,
     /// It speaks another frontend's protocol.
     pub(crate) is_backend: bool,
-    /// When its process started, where that is recent or unknown.
+    /// When its process started; if unknown, when the list was received. `None` if it started long ago.
     pub(crate) started_at: Option<Time>,
-    /// Since when the list has had it draining or removed, where that is binding.
+    /// Since when the list has it as draining or removed, if that is binding.
     pub(crate) draining_since: Option<Time>,
 }
 
-/// Every listed member by number and by name, until the router has no more use for it.
+/// All listed members by id and by name, until the router forgets them.
 #[derive(Debug)]
 pub(crate) struct MemberDirectory {
     endpoints: BTreeMap<MemberId, Endpoint>,
@@ -61,7 +61,7 @@
             .any(|endpoint| endpoint.group == group)
     }
 
-    /// Adds a member that no list has named before.
+    /// Adds a new member.
     pub(crate) fn insert(&mut self, entry: &ListEntry) -> MemberId {
         let id = MemberId(self.next_id);
         self.next_id += 1;
@@ -84,7 +84,7 @@
         Some(endpoint)
     }
 
-    /// Changes a member's address; false if it is the same.
+    /// Sets a member's address. Returns whether it has changed.
     pub(crate) fn move_to(&mut self, member: MemberId, address: SocketAddr) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&member) else {
             return false;
@@ -92,7 +92,7 @@
         std::mem::replace(&mut endpoint.address, address) != address
     }
 
-    /// Takes over what the list says of a member's group, start and lifecycle.
+    /// Updates a member's group, start time and lifecycle from its list entry.
     pub(crate) fn update(
         &mut self,
         now: Time,
@@ -114,7 +114,7 @@
         endpoint.draining_since = is_binding.then(|| endpoint.draining_since.unwrap_or(now));
     }
 
-    /// Members that a complete list does not name are draining from now on.
+    /// Marks members that are missing from a complete list as draining from now on.
     pub(crate) fn drain_unlisted(&mut self, now: Time, listed: &BTreeSet<MemberId>) {
         let endpoints = self.endpoints.iter_mut();
         for (_, endpoint) in endpoints.filter(|(id, _)| !listed.contains(id)) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Whether a member has been draining for longer than the grace.
+    /// Returns whether a member has been draining for longer than the grace.
     pub(crate) fn is_past_grace(&self, now: Time, member: MemberId, grace: Span) -> bool {
         self.get(member)
             .is_some_and(|endpoint| endpoint.is_past_grace(now, grace))
--- a/crates/stackgw-gateway/src/reducer/state/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/state/mod.rs
@@ -1,7 +1,7 @@
 //! The gateway's state, one component for each concern.
 //!
-//! Each component owns its fields and keeps its invariants; none knows the others. Steps that need several components are
-//! methods of [`Gateway`] in `steps`.
+//! Each component owns its fields, keeps its invariants and does not depend on the others. Steps that need several components
+//! are methods of [`Gateway`] in `steps`.
 
 pub(crate) mod admission;
 pub(crate) mod backoff;
@@ -47,7 +47,7 @@
     pub(crate) static_config: StaticConfig,
     pub(crate) names: NameTable,
     pub(crate) classes: Vec<Class>,
-    /// Seeds the random numbers of the components that are enabled before the start.
+    /// Seed of the random numbers of the components that are enabled before the start.
     pub(crate) seed: u64,
     pub(crate) router: RouterDriver,
     pub(crate) clients: Clients,
@@ -57,19 +57,19 @@
     pub(crate) watch: EndpointWatch,
     pub(crate) gossip: Gossip,
     pub(crate) shutdown: Shutdown,
-    /// Sessions across instances, where the operator's file enables them.
+    /// Sessions across instances, if the operator's file enables them.
     pub(crate) sessions: Option<Box<SessionCoordination>>,
-    /// The other instances, where the operator's file names them.
+    /// Membership of the cluster, if the operator's file configures one.
     pub(crate) cluster: Option<Box<ClusterMembership>>,
-    /// Bootstrap and polling of the endpoint list, where the operator's file enables it.
+    /// Bootstrap and polling of the endpoint list, if the operator's file enables it.
     pub(crate) bootstrap: Option<Box<BootstrapCoordination>>,
 }
 
 impl Gateway {
-    /// The state before [`Input::Start`](super::Input::Start), and its limits.
+    /// Creates the state before [`Input::Start`](super::Input::Start). Returns it with its limits.
     pub(crate) fn new(config: Config) -> (Self, Limits) {
         let static_config = StaticConfig::of(&config);
-        // Instances may share a seed, but not a name.
+        // Instances may have the same seed, but their names differ.
         let seed = config.seed ^ xxh3_64(config.name.as_bytes());
         let instance = InstanceSlot {
             index: config.settings.router.instance_index,
@@ -78,12 +78,12 @@
         };
         let mut settings = config.settings.router;
         if config.session_sharing.is_some() {
-            // The gateways find out what a session wrote, so the router learns it with each read.
+            // The gateways look up what a session wrote, so the router gets it with each read.
             settings.session_tracking = SessionTracking::Client;
         }
-        // Bootstrap brings the list by a watch.
+        // The bootstrap receives the list by a watch, so the router need not poll it.
         settings.polls_endpoint_list &= config.bootstrap.is_none();
-        // Observations of members travel beside the list where the platform has no gossip messages.
+        // If the platform has no gossip messages, observations of members are sent with the endpoint list.
         settings.limits.host_gossip =
             config.bootstrap.is_some() && config.cluster.is_some() && !settings.limits.gossip;
         let gateway = Gateway {
--- a/crates/stackgw-gateway/src/reducer/state/router_driver.rs
+++ b/crates/stackgw-gateway/src/reducer/state/router_driver.rs
@@ -1,4 +1,4 @@
-//! The router and the events that wait for it.
+//! The router and its queue of events.
 
 use crate::reducer::clock::TickClock;
 use stackgw_router::api::{
@@ -31,8 +31,8 @@
         self.events.push_back(event);
     }
 
-    /// Delivers the next event; the actions that the router asks for, to be given back by
-    /// [`recycle`](Self::recycle). `None`: no event is queued.
+    /// Delivers the next event and returns the router's actions, or `None` if no event is queued. Return the emptied vector by
+    /// [`recycle`](Self::recycle).
     pub(crate) fn deliver_next(&mut self, now: Time) -> Option<Vec<Action>> {
         let event = self.events.pop_front()?;
         let mut actions = std::mem::take(&mut self.spare_actions);
@@ -41,7 +41,7 @@
         Some(actions)
     }
 
-    /// Takes back an empty vector of actions.
+    /// Keeps an empty vector of actions for reuse.
     pub(crate) fn recycle(&mut self, actions: Vec<Action>) {
         self.spare_actions = actions;
     }
@@ -50,7 +50,7 @@
         self.router.member_snapshots()
     }
 
-    /// Requests a second that a member that has warmed up answers.
+    /// Requests per second that a warm member answers.
     pub(crate) fn warm_throughput(&self) -> f64 {
         self.router.warm_throughput()
     }
@@ -59,12 +59,12 @@
         self.router.seed_warm_throughput(rate);
     }
 
-    /// What responses have said of members since it was last taken.
+    /// Takes the updates about members that responses have carried since the last call.
     pub(crate) fn take_gossip(&mut self) -> Vec<GossipUpdate> {
         self.router.take_gossip()
     }
 
-    /// Sets how a member may be connected to; `None`: its connections are not paced.
+    /// Sets a member's connection permits; `None` if its connections are not paced.
     pub(crate) fn set_connection_permits(
         &mut self,
         member: MemberId,
--- a/crates/stackgw-gateway/src/reducer/state/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/state/sessions.rs
@@ -1,4 +1,4 @@
-//! Coordination of sessions across instances: the state of `stackgw-sessions` in this instance, and how operators see it.
+//! Coordination of sessions across instances: the state of `stackgw-sessions` in this instance, and its status reports.
 
 use super::static_config::select_differing;
 use crate::config::SessionSharingConfig;
@@ -12,20 +12,20 @@
 };
 use std::collections::BTreeMap;
 
-/// A change in whether reads are certain is logged at most once in this long.
+/// Minimum interval between log lines about the certainty of session reads.
 const CERTAINTY_LOG_INTERVAL: Span = 5 * SECOND;
 
-/// One incarnation of this instance: what its store had at the start.
+/// One incarnation of this instance, with the content of its store at the start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Incarnation {
-    /// Higher than that of any incarnation before.
+    /// Higher than the number of every earlier incarnation.
     pub number: u64,
-    /// What the store had; `None`: there is no store.
+    /// The recovered content of the store; `None` without a store.
     pub recovered: Option<Recovered>,
 }
 
 impl Incarnation {
-    /// The instance of this name in this incarnation.
+    /// Returns the peer with this name in this incarnation.
     pub fn peer(&self, name: &str) -> Peer {
         Peer {
             node: NodeId::of(name),
@@ -34,32 +34,32 @@
     }
 }
 
-/// What was last logged of whether reads are certain.
+/// The certainty of session reads that was last logged.
 #[derive(Debug, Clone, Copy)]
 struct LoggedCertainty {
     uncertainty: Option<UncertaintyReason>,
     at: Time,
 }
 
-/// The sessions of this instance, and what is counted and shown of them.
+/// The sessions of this instance, with the counters and names for status reports.
 pub(crate) struct SessionCoordination {
     sessions: Sessions,
     /// Kept for its allocation.
     spare_outputs: Vec<Output>,
     names: BTreeMap<NodeId, String>,
-    /// The options of the start; most hold until a restart.
+    /// The options at the start; most cannot be changed without a restart.
     options: stackgw_config::Sessions,
     timer: Option<TimerKey>,
     store_failed: bool,
     /// Reads that had to be strong, by reason.
     strong_reads: BTreeMap<UncertaintyReason, u64>,
     logged: Option<LoggedCertainty>,
-    /// Served writes that could not be confirmed in time.
+    /// Served writes that were not confirmed in time.
     unconfirmed_writes: u64,
 }
 
 impl SessionCoordination {
-    /// The state at the start, and what is to be done first.
+    /// Creates the state at the start. Returns it with the first outputs to apply.
     pub(crate) fn new(
         now: Time,
         config: &SessionSharingConfig,
@@ -99,7 +99,7 @@
         &self.sessions
     }
 
-    /// Lets the sessions act; what they ask for, to be given back by [`recycle`](Self::recycle).
+    /// Runs an action on the sessions and returns its outputs. Return the emptied vector by [`recycle`](Self::recycle).
     pub(crate) fn apply(
         &mut self,
         action: impl FnOnce(&mut Sessions, &mut Vec<Output>),
@@ -109,12 +109,12 @@
         outputs
     }
 
-    /// Takes back an empty vector of outputs.
+    /// Keeps an empty vector of outputs for reuse.
     pub(crate) fn recycle(&mut self, outputs: Vec<Output>) {
         self.spare_outputs = outputs;
     }
 
-    /// Nobody waits for a request's session any more.
+    /// Cancels a request's pending read or write of its session.
     pub(crate) fn cancel(&mut self, ticket: u64) {
         self.sessions.cancel_read(ticket);
         self.sessions.cancel_write(ticket);
@@ -136,13 +136,13 @@
         *self.strong_reads.entry(reason).or_default() += 1;
     }
 
-    /// Counts a served write that could not be confirmed in time; how many there are.
+    /// Counts a served write that was not confirmed in time. Returns the count.
     pub(crate) fn count_unconfirmed_write(&mut self) -> u64 {
         self.unconfirmed_writes += 1;
         self.unconfirmed_writes
     }
 
-    /// Takes over the replicas of another configuration; the names of the options that differ and hold until a restart.
+    /// Updates the instance names from a new configuration. Returns the names of the options that differ and need a restart.
     pub(crate) fn reload(
         &mut self,
         config: &SessionSharingConfig,
@@ -152,7 +152,7 @@
         differing_options(&self.options, &config.options)
     }
 
-    /// The name that the operator knows an instance by, if it is a replica.
+    /// Returns an instance's configured name, or the debug form of its id if it is neither a replica nor this instance.
     pub(crate) fn name(&self, node: &NodeId) -> String {
         self.names
             .get(node)
@@ -160,18 +160,18 @@
             .unwrap_or_else(|| format!("{node:?}"))
     }
 
-    /// A reason, in the operator's names.
+    /// Describes a reason with the configured names of instances.
     fn describe(&self, reason: UncertaintyReason) -> String {
         reason.describe(|node| self.name(node))
     }
 
-    /// A line for the log where reads became certain or uncertain, and that was not logged recently.
+    /// Returns a log line if session reads became certain or uncertain and no change was logged recently.
     pub(crate) fn certainty_change(&mut self, now: Time) -> Option<String> {
         let status = self.sessions.status(now);
-        let is_known = |logged: LoggedCertainty| {
+        let needs_no_line = |logged: LoggedCertainty| {
             logged.uncertainty == status.uncertainty || now - logged.at < CERTAINTY_LOG_INTERVAL
         };
-        if !status.is_replica || self.logged.is_some_and(is_known) {
+        if !status.is_replica || self.logged.is_some_and(needs_no_line) {
             return None;
         }
         self.logged = Some(LoggedCertainty {
@@ -179,18 +179,18 @@
             at: now,
         });
         Some(match status.uncertainty {
-            None => "session reads are sure".to_owned(),
-            Some(reason) => format!("session reads are cautious: {}", self.describe(reason)),
+            None => "session reads are certain".to_owned(),
+            Some(reason) => format!("session reads are strong: {}", self.describe(reason)),
         })
     }
 
-    /// One line for the log.
+    /// Returns the log line of a report.
     pub(crate) fn log_line(&self, now: Time, datagrams: DatagramCounters) -> String {
         let status = self.sessions.status(now);
         let counts = status.counters;
         let certainty = status
             .uncertainty
-            .map_or("sure".to_owned(), |reason| self.describe(reason));
+            .map_or("certain".to_owned(), |reason| self.describe(reason));
         format!(
             "sessions {certainty}: marks={} own={} waiting={} pushed_out={} sure_here={} sure_there={} cautious={} released={} \
              released_owed={} in_doubt={} sent={} disregarded={} unknown_key={} forged={} malformed={}",
@@ -200,7 +200,7 @@
         )
     }
 
-    /// The reply to a query of all sessions.
+    /// Returns the reply to a status query for all sessions.
     pub(crate) fn status(&self, now: Time, cluster: &Cluster) -> Value {
         let status = self.sessions.status(now);
         let name = |node: &NodeId| self.name(node);
@@ -237,7 +237,7 @@
         })
     }
 
-    /// The reply to a query of one session.
+    /// Returns the reply to a status query for one session.
     pub(crate) fn session_status(&self, now: Time, group: u32, session: &str) -> Value {
         let key = SessionKey::of(group, session);
         let owners = self.sessions.replica_set().owners(key);
@@ -269,7 +269,7 @@
         .collect()
 }
 
-/// The names of the options that a running gateway cannot change and that differ.
+/// Returns the names of the options that differ and that a running gateway cannot change.
 fn differing_options(
     old: &stackgw_config::Sessions,
     new: &stackgw_config::Sessions,
--- a/crates/stackgw-gateway/src/reducer/state/shutdown.rs
+++ b/crates/stackgw-gateway/src/reducer/state/shutdown.rs
@@ -1,4 +1,4 @@
-//! How far the shutdown has come.
+//! The progress of a graceful shutdown.
 
 use stackgw_router::api::Time;
 
@@ -13,17 +13,17 @@
 }
 
 impl Shutdown {
-    /// Begins the shutdown; false if it has begun already.
+    /// Begins the shutdown. Returns false if it has begun already.
     pub(crate) fn request(&mut self) -> bool {
         !std::mem::replace(&mut self.requested, true)
     }
 
-    /// Idle clients are closed from this time on.
+    /// Sets the time from which on idle clients are closed.
     pub(crate) fn set_drains_from(&mut self, at: Time) {
         self.drains_from = at;
     }
 
-    /// Whether the time to close idle clients has come, once a shutdown was requested.
+    /// Returns whether the time from which on a shutdown closes idle clients has passed.
     pub(crate) fn may_drain(&self, now: Time) -> bool {
         now >= self.drains_from
     }
@@ -40,7 +40,7 @@
         self.listener_closed
     }
 
-    /// From now on every new request is rejected.
+    /// Rejects every new request from now on.
     pub(crate) fn start_rejecting(&mut self) {
         self.rejecting = true;
     }
@@ -49,7 +49,7 @@
         self.rejecting
     }
 
-    /// Marks the exit; false if it was marked already.
+    /// Marks the exit. Returns false if it was marked already.
     pub(crate) fn exit(&mut self) -> bool {
         !std::mem::replace(&mut self.exited, true)
     }
--- a/crates/stackgw-gateway/src/reducer/state/static_config.rs
+++ b/crates/stackgw-gateway/src/reducer/state/static_config.rs
@@ -5,7 +5,7 @@
 use stackgw_settings::PlatformSettings;
 use std::net::SocketAddr;
 
-/// What holds until a restart.
+/// The parts that stay unchanged until a restart.
 #[derive(Debug, PartialEq)]
 pub(crate) struct StaticConfig {
     pub(crate) name: String,
@@ -13,7 +13,7 @@
     peer_listen: Option<SocketAddr>,
     pub(crate) settings: PlatformSettings,
     limits: Limits,
-    /// The other frontend's part: its thread has it from its start on.
+    /// Configuration of the Arrow Flight frontend, which its thread reads only at the start.
     flight: Option<FlightConfig>,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The names of the parts in which another configuration differs.
+    /// Returns the names of the parts in which another configuration differs.
     pub(crate) fn differing_parts(&self, other: &StaticConfig) -> Vec<&'static str> {
         let same_settings = self.settings == other.settings;
         select_differing([
@@ -43,7 +43,7 @@
     }
 }
 
-/// The names of those parts that differ.
+/// Returns the names of the parts that differ.
 pub(crate) fn select_differing<const N: usize>(
     parts: [(&'static str, bool); N],
 ) -> Vec<&'static str> {
--- a/crates/stackgw-gateway/src/reducer/state/watch.rs
+++ b/crates/stackgw-gateway/src/reducer/state/watch.rs
@@ -8,11 +8,11 @@
 use stackgw_router::api::Span;
 use std::net::SocketAddr;
 
-/// The watch, and the fetch of the complete list beside it.
+/// The watch of the endpoint list, and the fetch of the complete list.
 ///
 /// Invariant: the timeout is set exactly while a watch is open.
 pub(crate) struct EndpointWatch {
-    /// The agent that serves the list.
+    /// Address of the agent that serves the list.
     discovery: SocketAddr,
     /// The router wants a watch.
     subscribed: bool,
@@ -20,11 +20,11 @@
     is_open: bool,
     timeout: Option<TimerKey>,
     backoff: Backoff,
-    /// The complete list was asked for and has not come.
+    /// A fetch of the complete list is pending.
     fetching: bool,
-    /// The revision of the last list.
+    /// The revision of the last accepted list.
     revision: Option<u64>,
-    /// The list that the platform's configuration carries, until it is used.
+    /// The list in the platform's configuration, until it is used.
     initial: Option<ListUpdate>,
 }
 
@@ -71,13 +71,13 @@
         self.subscribed = subscribed;
     }
 
-    /// Opens the router's watch of what changes after the last revision.
+    /// Opens the router's watch for changes after the last revision.
     pub(crate) fn open(&mut self, cx: &mut Context<'_>) {
         self.is_open = true;
         self.open_after(cx, self.revision);
     }
 
-    /// Opens a watch of what changes after a revision, or of everything.
+    /// Opens a watch for changes after a revision, or for the complete list.
     pub(crate) fn open_after(&mut self, cx: &mut Context<'_>, revision: Option<u64>) {
         cx.counters.watches += 1;
         cx.emit(Effect::OpenWatch(self.discovery, revision));
@@ -91,7 +91,7 @@
         cx.emit(Effect::CloseWatch);
     }
 
-    /// The watch made progress: it has this long until its next line. Without an open watch nothing changes.
+    /// Restarts the timeout until the watch's next line after it has made progress; does nothing without an open watch.
     pub(crate) fn extend_timeout(&mut self, cx: &mut Context<'_>, span: Span) {
         if self.timeout.is_some() {
             self.set_timeout(cx, span);
@@ -107,7 +107,7 @@
         self.timeout = Some(cx.set_timer_after(span, Timer::WatchTimeout));
     }
 
-    /// The router's watch has ended: opens another after a backoff. False if none was open.
+    /// Handles the end of the router's watch: another is opened after a backoff. Returns false if none was open.
     pub(crate) fn retry_later(&mut self, cx: &mut Context<'_>) -> bool {
         if !std::mem::replace(&mut self.is_open, false) {
             return false;
@@ -118,12 +118,12 @@
         true
     }
 
-    /// A list came: the next backoff starts from the shortest again.
+    /// Restarts the backoff from the shortest pause, after a list was received.
     pub(crate) fn reset_backoff(&mut self) {
         self.backoff.reset();
     }
 
-    /// Takes over a list's revision. False for a change that a newer revision has overtaken.
+    /// Sets the revision to that of a list. Returns false for a list of changes that is older than the current revision.
     pub(crate) fn accept(&mut self, list: &ListUpdate) -> bool {
         let is_stale = |known| list.revision < known;
         if !list.complete && self.revision.is_some_and(is_stale) {
@@ -143,14 +143,15 @@
         self.fetching = false;
     }
 
-    /// Changes the agent's address; false if it is the same.
+    /// Sets the agent's address. Returns whether it has changed.
     pub(crate) fn move_to(&mut self, discovery: SocketAddr) -> bool {
         std::mem::replace(&mut self.discovery, discovery) != discovery
     }
 
-    /// Starts again at another agent.
+    /// Restarts the watch at another agent.
     ///
-    /// Danger: another agent counts its revisions anew. Compared with the old one's, its lists would pass for stale.
+    /// Another agent has its own revision numbers. If the old agent's revision were kept, the new one's lists could be taken
+    /// for stale.
     pub(crate) fn restart(&mut self, cx: &mut Context<'_>) {
         self.revision = None;
         self.backoff.reset();
--- a/crates/stackgw-gateway/src/reducer/steps/attempts.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/attempts.rs
@@ -144,7 +144,8 @@
             .members
             .is_past_grace(cx.now, member, cx.limits.drain_grace)
         {
-            // Without this check, a slow connect could send a request after the drain grace that was assigned within it.
+            // Without this check, a request that was assigned within the drain grace could be sent after it, when the connect
+            // was slow.
             connection.state = ConnectionState::Writing;
             cx.emit(Effect::MemberClose(id));
             return self.finish_task(cx, id, Outcome::NotSent);
