--- a/crates/stackgw-gateway/src/reducer/backend.rs
+++ b/crates/stackgw-gateway/src/reducer/backend.rs
@@ -1,28 +1,28 @@
-//! Requests to members that speak another frontend's protocol, and which members those are.
+//! Requests to members that speak another frontend's protocol, and the selection of those members.
 
 use crate::config::OperatorConfig;
 use crate::discovery::ListEntry;
 use stackgw_router::api::{LoadReport, Time};
 use std::collections::BTreeSet;
 
-/// Header of a PostgreSQL query message: its type and its length.
+/// Size of the header of a PostgreSQL query message: type and length.
 const QUERY_HEADER_BYTES: usize = 5;
 
 /// A request to a member that speaks another frontend's protocol.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BackendRequest {
-    /// The statement with its comment, as in a PostgreSQL query.
+    /// The statement with its request comment, as in a PostgreSQL query.
     pub statement: String,
     /// How long the gateway waits for the response, in milliseconds.
     pub timeout_ms: u64,
-    /// The statement writes: once sent, it runs to completion even if its client leaves.
+    /// The statement writes: once sent, it runs to completion even if its client disconnects.
     pub is_write: bool,
     /// The response may be a stream; otherwise it is one value.
     pub may_stream: bool,
 }
 
 impl BackendRequest {
-    /// The same request with the statement of a query message.
+    /// Returns this request with the statement of a query message.
     pub(crate) fn with_query(self, query: &[u8]) -> Self {
         let text = query
             .get(QUERY_HEADER_BYTES..)
@@ -35,18 +35,18 @@
     }
 }
 
-/// What the start of a stream says of its member.
+/// The data about the member at the start of a stream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct StreamHeader {
-    /// The member is the primary, or is not.
+    /// Whether the member is the primary.
     pub primary: Option<bool>,
     /// The member's replication position.
     pub position: Option<Time>,
-    /// The load report that came with it.
+    /// The member's load report.
     pub report: LoadReport,
 }
 
-/// Which members speak another frontend's protocol, by the operator's file.
+/// The groups and members that speak another frontend's protocol, from the operator's file.
 #[derive(Debug, Default)]
 pub(crate) struct BackendSelection {
     groups: BTreeSet<u32>,
--- a/crates/stackgw-gateway/src/reducer/clock.rs
+++ b/crates/stackgw-gateway/src/reducer/clock.rs
@@ -2,10 +2,10 @@
 
 use stackgw_router::api::{Span, Time};
 
-/// Rounds times down to ticks. The router's interface promises that events are no closer together than one tick; events
-/// that are closer belong to the same tick.
+/// Rounds times down to ticks. The router requires that the times of events differ by at least one tick or are equal; events
+/// that are closer together get the same time.
 ///
-/// Danger: after a pause of this process, the first of many late responses would otherwise alone count as late.
+/// Otherwise, after a pause of this process, only the first of many late responses would count as late.
 #[derive(Debug, Clone, Copy)]
 pub struct TickClock {
     tick: Span,
@@ -13,7 +13,7 @@
 }
 
 impl TickClock {
-    /// A clock whose ticks are at least this far apart.
+    /// Creates a clock whose ticks are at least this far apart.
     pub fn new(tick: Span) -> Self {
         TickClock {
             tick,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The tick that this time belongs to.
+    /// Returns the start of the tick that this time belongs to.
     pub fn tick_of(&mut self, now: Time) -> Time {
         match self.current {
             Some(current) if now - current < self.tick => current,
--- a/crates/stackgw-gateway/src/reducer/context.rs
+++ b/crates/stackgw-gateway/src/reducer/context.rs
@@ -1,4 +1,4 @@
-//! What every step of the reducer works with.
+//! The context of a step of the reducer.
 
 use super::effect::Effect;
 use super::timers::{Timer, TimerKey, Timers};
@@ -6,7 +6,7 @@
 use crate::limits::Limits;
 use stackgw_router::api::{Span, Time};
 
-/// The surroundings of one input: its time, where its effects go, and what all components share.
+/// The context of one input: its time, its effects, and the state that all components share.
 pub(crate) struct Context<'a> {
     pub(crate) now: Time,
     pub(crate) effects: &'a mut Vec<Effect>,
@@ -24,7 +24,7 @@
         self.emit(Effect::Log(line.into()));
     }
 
-    /// Logs what may occur often: at the first, second, fourth, eighth time and so on.
+    /// Logs a frequent event with its count, at the first, second, fourth, eighth occurrence and so on.
     pub(crate) fn log_rarely(&mut self, count: u64, what: &str) {
         if count.is_power_of_two() {
             self.log(format!("{what} {count}"));
--- a/crates/stackgw-gateway/src/reducer/effect.rs
+++ b/crates/stackgw-gateway/src/reducer/effect.rs
@@ -1,4 +1,4 @@
-//! What the reducer asks of the I/O side.
+//! Effects that the I/O side carries out for the reducer.
 
 use super::backend::BackendRequest;
 use super::ids::{CallId, ClientId, ConnectionId};
@@ -22,13 +22,13 @@
     },
     /// Close a client's connection at once.
     ClientClose(ClientId),
-    /// Close a client's connection unless it has sent something by now, which is then to be reported.
+    /// Close a client's connection unless it has sent something that is not delivered yet; that is then reported instead.
     ClientCloseIfIdle(ClientId),
     /// Connect to a member.
     MemberConnect(ConnectionId, SocketAddr),
     /// Connect to a member that speaks another frontend's protocol.
     BackendConnect(ConnectionId, SocketAddr),
-    /// Send a request on such a connection.
+    /// Send a request to a member that speaks another frontend's protocol.
     BackendSend(ConnectionId, BackendRequest),
     /// Write to a member.
     MemberWrite(ConnectionId, Vec<u8>),
@@ -55,7 +55,7 @@
     StoreEndpoints(Box<stackgw_bootstrap::CachedEndpoints>),
     /// The reply to a query at the control socket.
     StatusReply(u64, serde_json::Value),
-    /// Accept what waits in the backlog, then close the listener.
+    /// Accept the connections in the backlog, then close the listener.
     StopListening,
     /// A line for the log.
     Log(String),
--- a/crates/stackgw-gateway/src/reducer/ids.rs
+++ b/crates/stackgw-gateway/src/reducer/ids.rs
@@ -1,10 +1,10 @@
-//! The numbers by which the I/O side and the reducer name connections and requests.
+//! Ids of connections and requests, shared by the I/O side and the reducer.
 
 /// A client's connection, numbered by the I/O side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// A request of another frontend than the PostgreSQL listener, numbered by the I/O side.
+/// A request of a frontend other than the PostgreSQL listener, numbered by the I/O side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Who receives a request's final response.
+/// The receiver of a request's final response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Requester {
     /// A PostgreSQL client, in the order of its pipeline.
--- a/crates/stackgw-gateway/src/reducer/input.rs
+++ b/crates/stackgw-gateway/src/reducer/input.rs
@@ -1,4 +1,4 @@
-//! What the I/O side reports to the reducer.
+//! Inputs that the I/O side reports to the reducer.
 
 use super::backend::StreamHeader;
 use super::ids::{CallId, ClientId, ConnectionId};
@@ -11,22 +11,22 @@
 /// Why a connection has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The other side closed or reset it, or it was never established.
+    /// The remote side closed or reset it, or it was never established.
     Disconnected,
-    /// As `Disconnected`, and the request on it is known never to have been sent.
+    /// Like `Disconnected`, and its request was certainly not sent.
     NotSent,
-    /// Its bytes are no messages of the protocol.
+    /// Bytes on it violated the protocol.
     ProtocolError,
-    /// Data arrived on it that nothing had requested.
+    /// Data arrived on it without a request.
     UnexpectedData,
 }
 
-/// What a client has sent that has not been delivered yet.
+/// Data that a client has sent and that has not been delivered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadAhead {
     /// Its size in bytes.
     pub bytes: usize,
-    /// Its first message is not complete, so that the client holds itself up; else that message waits for capacity.
+    /// The first message is not complete, so delivery waits for the client; otherwise that message waits for capacity.
     pub is_partial: bool,
 }
 
@@ -57,7 +57,7 @@
     ClientConnected(ClientId),
     /// A client's complete message; delivered only where [`accepts_frame`](super::Reducer::accepts_frame) allows it.
     ClientFrame(ClientId, Frame),
-    /// What a client has sent that has not been delivered yet.
+    /// The data that a client has sent and that has not been delivered yet has changed.
     ClientReadAhead(ClientId, ReadAhead),
     /// Everything that was to be written to a client has been written.
     ClientFlushed(ClientId),
@@ -87,23 +87,23 @@
     GossipDatagram(SocketAddr, Vec<u8>),
     /// A datagram from another instance of the operator's cluster.
     ClusterDatagram(Vec<u8>),
-    /// A member's response is a stream and has begun.
+    /// A member's response has begun as a stream.
     StreamStarted(ConnectionId, StreamHeader),
-    /// A member's stream waits for its reader.
+    /// A member's stream is paused for its reader.
     StreamPaused(ConnectionId),
     /// A member's stream has ended; its connection is idle again after [`Outcome::Served`].
     StreamEnded(ConnectionId, Outcome),
     /// A request of another frontend, as a PostgreSQL query message, and whether its response may be a stream.
     Call(CallId, Frame, bool),
-    /// Nobody waits for that request any more.
+    /// The frontend no longer waits for that request.
     CallCancelled(CallId),
     /// The session store committed records or failed.
     StoreEvent(stackgw_store::CommitOutcome),
-    /// A query at the control socket, with the number that its reply carries.
+    /// A query at the control socket, with the number that identifies its reply.
     StatusQuery(u64, StatusQuery),
-    /// The time of [`next_due`](super::Reducer::next_due) has come.
+    /// The time returned by [`next_due`](super::Reducer::next_due) has passed.
     TimerDue,
-    /// The configuration as it is now, or why it cannot be used.
+    /// The reloaded configuration, or why it is invalid.
     Reload(Result<Box<Config>, ConfigError>),
     /// Finish the accepted requests and exit.
     Terminate,
@@ -118,7 +118,7 @@
 pub enum StatusQuery {
     /// The state of session coordination, and why reads are uncertain.
     Sessions,
-    /// What is known of one session of a group.
+    /// The state of one session of a group.
     Session(u32, String),
     /// The source and age of the endpoint list.
     EndpointList,
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -1,14 +1,14 @@
 //! The gateway's state machine, without I/O.
 //!
-//! [`Reducer::handle`] takes one [`Input`] at a time and appends the [`Effect`]s that the I/O side is to carry out, in their
-//! order. It is the only place where the gateway's state changes. It knows no socket, clock or task, and it decides nothing
-//! about requests: whom to ask, when to stop, retry or reject is the router's.
+//! [`Reducer::handle`] takes one [`Input`] at a time and appends the [`Effect`]s that the I/O side is to carry out, in order. It
+//! is the only place where the gateway's state changes. It uses no socket, clock or task, and it makes no decisions about
+//! requests: the router decides which member serves a request, and when to stop, retry or reject it.
 //!
 //! - `state` has the components: each owns its part of the state and keeps its invariants.
-//! - `steps` has what is done for each input: small methods that call the components in order.
+//! - `steps` has the handlers for each input: small methods that call the components in order.
 //!
 //! Invariants: each request gets one final response; a connection to a member carries one request at a time; the same inputs at
-//! the same times give the same effects.
+//! the same times produce the same effects.
 
 mod backend;
 mod clock;
@@ -50,7 +50,7 @@
 }
 
 impl Reducer {
-    /// A gateway that has not started yet.
+    /// Creates a gateway that has not started yet.
     pub fn new(config: Config) -> Self {
         let (gateway, limits) = Gateway::new(config);
         Reducer {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The gateway, and the surroundings of a step.
+    /// Returns the gateway and the context of a step.
     fn step<'a>(
         &'a mut self,
         now: Time,
@@ -77,14 +77,14 @@
         (&mut self.gateway, context)
     }
 
-    /// Joins the cluster as this incarnation of this instance; before [`Input::Start`].
+    /// Joins the cluster as this incarnation of this instance. Must be called before [`Input::Start`].
     pub fn join_cluster(&mut self, now: Time, config: &ClusterConfig, local: Peer) {
         let mut effects = Vec::new();
         let (gateway, mut cx) = self.step(now, &mut effects);
         gateway.join_cluster(&mut cx, config, local);
     }
 
-    /// Joins the cluster and shares sessions with its other instances; before [`Input::Start`].
+    /// Joins the cluster and shares sessions with its other instances. Must be called before [`Input::Start`].
     pub fn enable_session_sharing(
         &mut self,
         now: Time,
@@ -96,8 +96,8 @@
         gateway.enable_session_sharing(&mut cx, config, incarnation);
     }
 
-    /// Learns the endpoint list as the operator's file says, starting from what the disk had; before [`Input::Start`], and
-    /// after [`Reducer::join_cluster`] where there are other instances.
+    /// Enables the bootstrap of the endpoint list as the operator's file configures it, starting from the list cached on disk.
+    /// Must be called before [`Input::Start`] and, if there are other instances, after [`Reducer::join_cluster`].
     pub fn enable_bootstrap(
         &mut self,
         now: Time,
@@ -110,34 +110,34 @@
         gateway.enable_bootstrap(&mut cx, options, cluster, cached);
     }
 
-    /// Takes one input and appends what is to be done about it.
+    /// Handles one input and appends its effects.
     pub fn handle(&mut self, now: Time, input: Input, effects: &mut Vec<Effect>) {
         let (gateway, mut cx) = self.step(now, effects);
         gateway.handle(&mut cx, input);
     }
 
-    /// When [`Input::TimerDue`] is wanted next.
+    /// Returns when [`Input::TimerDue`] is to be reported next.
     pub fn next_due(&self) -> Option<Time> {
         self.timers.next_due()
     }
 
-    /// Whether a client's next message may be delivered now, whatever its size.
+    /// Returns whether a client's next message may be delivered now regardless of its size.
     pub fn accepts_frame(&self, client: ClientId) -> bool {
         self.accepts_frame_of(client, usize::MAX)
     }
 
-    /// Whether a client's next message, of this size in bytes, may be delivered now; until then it stays where it is.
+    /// Returns whether a client's next message, of this size in bytes, may be delivered now. If not, the I/O side keeps it.
     pub fn accepts_frame_of(&self, client: ClientId, bytes: usize) -> bool {
         self.gateway
             .accepts_frame(client, bytes, &self.counters, &self.limits)
     }
 
-    /// The counters as they stand.
+    /// The current counters.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Each member that the router knows: its assessment, and what is open on connections to it.
+    /// Returns the status of each member that the router knows.
     pub fn member_statuses(&self) -> impl Iterator<Item = MemberStatus> + '_ {
         self.gateway.member_statuses()
     }
--- a/crates/stackgw-gateway/src/reducer/response.rs
+++ b/crates/stackgw-gateway/src/reducer/response.rs
@@ -1,8 +1,8 @@
-//! A request's final response, and how the PostgreSQL protocol expresses it.
+//! A request's final response and its encoding in the PostgreSQL protocol.
 
 use crate::pg::write;
 
-/// SQLSTATE `too_many_connections`: nothing has run, a retry is harmless.
+/// SQLSTATE `too_many_connections`: nothing has run, a retry is safe.
 pub(crate) const TOO_MANY_CONNECTIONS: &str = "53300";
 /// SQLSTATE `cannot_connect_now`.
 const CANNOT_CONNECT_NOW: &str = "57P03";
@@ -22,20 +22,20 @@
 /// A request's one final response, independent of the protocol that carries it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// The row's description, the row and its completion, as the member sent them.
+    /// The row description, the row and the command completion, as the member sent them.
     Served(Vec<u8>),
-    /// Nothing has run and a retry is harmless; perhaps after so many milliseconds.
+    /// Nothing has run and a retry is safe, after this many milliseconds if given.
     Rejected(&'static str, Option<i64>),
-    /// No endpoint list is known, or the gateway shuts down; otherwise as `Rejected`.
+    /// Nothing has run and a retry is safe: no endpoint list is known, or the gateway is shutting down.
     Unavailable(&'static str),
     /// The request may or may not have run.
     Failed(&'static str),
-    /// The request itself is at fault.
+    /// The request itself is invalid.
     Malformed(&'static str),
 }
 
 impl FinalResponse {
-    /// The response as PostgreSQL messages.
+    /// Encodes the response as PostgreSQL messages.
     pub(crate) fn into_messages(self) -> Vec<u8> {
         let (code, text, retry_after_ms) = match self {
             FinalResponse::Served(mut row) => {
@@ -58,7 +58,7 @@
 /// An error that concerns a client's connection rather than one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ClientError {
-    /// The connection ends with this error.
+    /// The connection is closed after this error.
     pub(crate) fatal: bool,
     /// The SQLSTATE.
     pub(crate) code: &'static str,
@@ -66,7 +66,7 @@
 }
 
 impl ClientError {
-    /// An error that ends the connection.
+    /// An error after which the connection is closed.
     pub(crate) fn fatal(code: &'static str, text: &'static str) -> Self {
         ClientError {
             fatal: true,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// An error after which the client may go on.
+    /// An error after which the client may continue.
     pub(crate) fn recoverable(code: &'static str, text: &'static str) -> Self {
         ClientError {
             fatal: false,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The error as PostgreSQL messages; unless it is fatal, the gateway is ready for the next query.
+    /// Encodes the error as PostgreSQL messages, followed by ReadyForQuery unless it is fatal.
     pub(crate) fn to_messages(self) -> Vec<u8> {
         let mut reply = Vec::new();
         write::error(&mut reply, self.fatal, self.code, self.text, None);
--- a/crates/stackgw-gateway/src/reducer/timers.rs
+++ b/crates/stackgw-gateway/src/reducer/timers.rs
@@ -1,4 +1,4 @@
-//! The reducer's timers. Timers that are due at the same time go off in the order in which they were set.
+//! The reducer's timers. Timers that are due at the same time fire in the order in which they were set.
 
 use super::ids::ConnectionId;
 use stackgw_router::api::{RequestId, Time};
@@ -7,37 +7,37 @@
 /// What a timer is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The router's, with its token.
+    /// A timer of the router, with its token.
     Router(u64),
-    /// A connection's connect limit, or the end of its attempt's or health check's time.
+    /// A connection's connect timeout, or the deadline of its attempt or health check.
     Connection(ConnectionId),
     /// The periodic check for idle and stalled connections.
     Sweep,
-    /// The backoff before the watch is opened again is over.
+    /// The end of the backoff before the watch is opened again.
     WatchReconnect,
-    /// The watch has not connected, has not delivered its first line, or has fallen silent.
+    /// The timeout of the watch: it has not connected, has not delivered its first line, or has been silent for too long.
     WatchTimeout,
-    /// A client may by now be closed for another.
+    /// The time at which an idle client may be closed for another.
     Admission,
-    /// Of session coordination.
+    /// The timer of session coordination.
     Sessions,
-    /// Of cluster membership.
+    /// The timer of cluster membership.
     Cluster,
-    /// Of the bootstrap of the endpoint list.
+    /// The timer of the bootstrap of the endpoint list.
     Bootstrap,
-    /// A served write whose session owners did not confirm it in time.
+    /// The time limit for the session owners' confirmation of a served write.
     WriteConfirmation(RequestId),
     /// Shutdown: stop accepting connections.
     StopListening,
-    /// Shutdown: close clients that are idle.
+    /// Shutdown: close idle clients.
     DrainClients,
-    /// Shutdown: answer whatever is still open.
+    /// Shutdown: answer all open requests and reject new ones.
     RejectRemaining,
     /// Shutdown: exit.
     ShutdownDeadline,
 }
 
-/// Names a pending timer.
+/// Identifies a pending timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TimerKey {
     at: Time,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Keeps a timer that is set for this time already, else replaces it.
+    /// Keeps a timer that is already set for this time, else replaces it.
     pub(crate) fn reschedule(
         &mut self,
         current: Option<TimerKey>,
@@ -91,7 +91,7 @@
         self.pending.first_key_value().map(|(key, _)| key.at)
     }
 
-    /// Takes the first timer that is due by now.
+    /// Takes the first timer that is due.
     pub(crate) fn pop_due(&mut self, now: Time) -> Option<Timer> {
         let first = self
             .pending
