--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -1,7 +1,7 @@
 //! The gateway's state machine, without I/O.
 //!
-//! [`Reducer::handle`] takes one [`Input`] at a time and appends the [`Effect`]s that the I/O side is to carry out, in order. It
-//! is the only place where the gateway's state changes. It uses no socket, clock or task, and it makes no decisions about
+//! [`Reducer::handle`] takes one [`Input`] at a time and appends the [`Effect`]s that the I/O side is to carry out, in order.
+//! It is the only place where the gateway's state changes. It uses no socket, clock or task, and it makes no decisions about
 //! requests: the router decides which member serves a request, and when to stop, retry or reject it.
 //!
 //! - `state` has the components: each owns its part of the state and keeps its invariants.
--- a/crates/stackgw-gateway/src/reducer/state/admission.rs
+++ b/crates/stackgw-gateway/src/reducer/state/admission.rs
@@ -25,9 +25,9 @@
     /// been idle longest, after a delay, as a client that was just answered often sends another request. A client that has sent
     /// something before it is closed stays connected.
     ///
-    /// Clients that send one request and keep the connection run out of connections for further requests well before the
-    /// client limit is reached here. Above the soft limit, half of the client limit, clients that have been idle for longer are
-    /// therefore closed.
+    /// Client processes that use each connection for one request and keep it open run out of connections for their next
+    /// requests well before the client limit is reached here. Above the soft limit, half of the client limit, clients that have
+    /// been idle for longer are therefore closed.
     pub(crate) fn admit(&mut self, cx: &mut Context<'_>, is_listening: bool) {
         let connected = self.connected.len();
         let is_full = connected >= cx.limits.clients;
--- a/crates/stackgw-gateway/src/reducer/state/backoff.rs
+++ b/crates/stackgw-gateway/src/reducer/state/backoff.rs
@@ -1,4 +1,4 @@
-//! Backoff between watches of the endpoint list. It prevents the instances of a fleet that lose the list service at the same time
+//! Backoff between watches of the endpoint list. It keeps the instances of a fleet that lost the list service at the same time
 //! from reconnecting at the same time.
 
 use rand::{RngExt, SeedableRng};
--- a/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
+++ b/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Handles that a connection to a member was opened, closed, used or became idle.
+    /// Marks a member whose connection permits may have changed: a connection to it was opened, closed, used or became idle.
     pub(crate) fn mark_connections_changed(&mut self, member: MemberId) {
         if self.pacer.is_some() {
             self.changed_permits.insert(member);
--- a/crates/stackgw-gateway/src/reducer/state/client_buffers.rs
+++ b/crates/stackgw-gateway/src/reducer/state/client_buffers.rs
@@ -30,8 +30,8 @@
         })
     }
 
-    /// Sets how many bytes a client has sent that are not delivered. If `is_partial`, the timeout of an incomplete message starts
-    /// now, unless it is running already.
+    /// Sets how many bytes a client has sent that are not delivered. If `is_partial`, the timeout of an incomplete message
+    /// starts now, unless it is running already.
     pub(crate) fn set_read_ahead(
         &mut self,
         now: Time,
@@ -72,7 +72,7 @@
         largest.map(|(id, _)| *id)
     }
 
-    /// Handles the delivery of a client's message: its read-ahead is empty. Returns whether its startup is done, or `None` if the
+    /// Clears a client's read-ahead after the delivery of a message. Returns whether its startup is done, or `None` if the
     /// client is not connected.
     pub(crate) fn receive_frame(&mut self, id: ClientId) -> Option<bool> {
         let client = self.connected.get_mut(&id)?;
@@ -118,7 +118,7 @@
         true
     }
 
-    /// Handles that everything written to a client was flushed. Returns false if it is not connected.
+    /// Handles the flush of everything written to a client. Returns false if it is not connected.
     pub(crate) fn finish_write(&mut self, now: Time, id: ClientId) -> bool {
         let Some(client) = self.connected.get_mut(&id) else {
             return false;
@@ -136,8 +136,8 @@
         self.pending_write_bytes
     }
 
-    /// Returns the client to close when the unread bytes of all clients exceed their limit: of the clients with unflushed writes
-    /// the one with the most bytes, and at equal bytes the one that has not read for longest. The client that is being written
+    /// Returns the client to close when the unread bytes of all clients exceed their limit: of the clients with unflushed
+    /// writes the one with the most bytes, and at equal bytes the one that has not read for longest. The client that is being written
     /// to is a candidate only if an earlier write is not flushed. If no candidate has unflushed writes, it is the one with the
     /// most bytes queued behind an open response.
     pub(crate) fn largest_unread(&self, now: Time, writing_to: ClientId) -> Option<ClientId> {
--- a/crates/stackgw-gateway/src/reducer/state/gossip.rs
+++ b/crates/stackgw-gateway/src/reducer/state/gossip.rs
@@ -62,8 +62,8 @@
         self.codec.encode(now, to.is_some(), updates)
     }
 
-    /// Decodes a datagram. Returns `None` if the sender is not another gateway of the tier, or the bytes are not valid gossip or
-    /// more than `max_bytes`.
+    /// Decodes a datagram. Returns `None` if the sender is not another gateway of the tier, or the bytes are not valid gossip
+    /// or more than `max_bytes`.
     pub(crate) fn decode(
         &self,
         now: Time,
--- a/crates/stackgw-gateway/src/reducer/state/shutdown.rs
+++ b/crates/stackgw-gateway/src/reducer/state/shutdown.rs
@@ -7,7 +7,7 @@
 pub(crate) struct Shutdown {
     requested: bool,
     listener_closed: bool,
-    drains_from: Time,
+    drain_start: Time,
     rejecting: bool,
     exited: bool,
 }
@@ -19,13 +19,13 @@
     }
 
     /// Sets the time from which on idle clients are closed.
-    pub(crate) fn set_drains_from(&mut self, at: Time) {
-        self.drains_from = at;
+    pub(crate) fn set_drain_start(&mut self, at: Time) {
+        self.drain_start = at;
     }
 
     /// Returns whether the time from which on a shutdown closes idle clients has passed.
     pub(crate) fn may_drain(&self, now: Time) -> bool {
-        now >= self.drains_from
+        now >= self.drain_start
     }
 
     pub(crate) fn is_draining(&self, now: Time) -> bool {
--- a/crates/stackgw-gateway/src/reducer/steps/bootstrap.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/bootstrap.rs
@@ -30,9 +30,9 @@
         });
         let settings = BootstrapSettings {
             poll_rate,
-            peers: cluster.map(|own| PeerSettings {
-                advertised_address: own.advertised_address(),
-                seeds: own.seeds.clone(),
+            peers: cluster.map(|cluster| PeerSettings {
+                advertised_address: cluster.advertised_address(),
+                seeds: cluster.seeds.clone(),
             }),
             min_watch_leaders: stackgw_bootstrap::MIN_WATCH_LEADERS,
             service_id: stackgw_bootstrap::service_id(&options.service),
@@ -305,9 +305,12 @@
             "watching the endpoint list for the fleet".to_owned()
         }
         LogEvent::WatchEstablished(WatchScope::Standalone) => {
-            "watching the endpoint list for this instance alone: no watch leader that receives the list is known".to_owned()
+            "watching the endpoint list for this instance alone: no connected watch leader is known"
+                .to_owned()
+        }
+        LogEvent::WatchReleased => {
+            "closed the watch of the endpoint list; other instances hold it".to_owned()
         }
-        LogEvent::WatchReleased => "closed the watch of the endpoint list; other instances hold it".to_owned(),
         LogEvent::ServiceBehind(version) => {
             format!("the list service sends lists older than the known version {version}")
         }
--- a/crates/stackgw-gateway/src/reducer/steps/client_connections.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/client_connections.rs
@@ -12,9 +12,10 @@
 use crate::reducer::state::Gateway;
 
 impl Gateway {
-    /// Handles that a client has sent data that is not delivered yet. If the read-ahead of all clients exceeds three quarters of
-    /// the client buffer limit, the idle client with the largest partial message gets an error and is closed. A client whose
-    /// complete messages wait keeps its connection, as it still gets responses; its socket is just not read further.
+    /// Updates a client's read-ahead, the data that it has sent and that is not delivered yet. If the read-ahead of all clients
+    /// exceeds three quarters of the client buffer limit, the idle client with the largest partial message gets an error and is
+    /// closed. A client whose complete messages wait keeps its connection, as it still gets responses; its socket is just not
+    /// read further.
     pub(super) fn handle_read_ahead(
         &mut self,
         cx: &mut Context<'_>,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Handles that everything written to a client was flushed. During a shutdown, an idle client is then closed.
+    /// Handles the flush of everything written to a client. During a shutdown, an idle client is then closed.
     pub(super) fn handle_client_flushed(&mut self, cx: &mut Context<'_>, id: ClientId) {
         let is_connected = self.clients.finish_write(cx.now, id);
         if is_connected && self.shutdown.is_draining(cx.now) && self.clients.is_idle(id) {
--- a/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Handles that a connection to a member was opened, closed, used or became idle.
+    /// Marks a member whose connection permits may have changed: a connection to it was opened, closed, used or became idle.
     pub(super) fn mark_connections_changed(&mut self, member: MemberId) {
         if let Some(bootstrap) = self.bootstrap.as_mut() {
             bootstrap.mark_connections_changed(member);
--- a/crates/stackgw-gateway/src/reducer/steps/member_messages.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/member_messages.rs
@@ -11,7 +11,7 @@
 use stackgw_router::api::Outcome;
 
 impl Gateway {
-    /// Handles that the last byte of a task was written.
+    /// Marks a task as completely written; its response is awaited from now on.
     pub(super) fn handle_member_flushed(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
--- a/crates/stackgw-gateway/src/reducer/steps/requests.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/requests.rs
@@ -214,7 +214,7 @@
         self.dispatch_queued_frames(cx, client);
     }
 
-    /// Handles that the requester no longer waits for a request's response.
+    /// Abandons a request whose requester no longer waits for the response.
     pub(super) fn abandon(&mut self, cx: &mut Context<'_>, id: RequestId) {
         let Some(open) = self.requests.get_mut(id) else {
             return;
--- a/crates/stackgw-gateway/src/reducer/steps/shutdown.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/shutdown.rs
@@ -17,7 +17,7 @@
         let limits = cx.limits;
         cx.set_timer_after(limits.shutdown_accept, Timer::StopListening);
         self.shutdown
-            .set_drains_from(cx.now + limits.shutdown_serve);
+            .set_drain_start(cx.now + limits.shutdown_serve);
         cx.set_timer_after(limits.shutdown_serve, Timer::DrainClients);
         cx.set_timer_after(limits.shutdown_reject, Timer::RejectRemaining);
         cx.set_timer_after(limits.shutdown_deadline, Timer::ShutdownDeadline);
--- a/crates/stackgw-gateway/src/reducer/steps/streams.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/streams.rs
@@ -12,8 +12,8 @@
 use stackgw_router::api::{AttemptResult, Event, Outcome, RequestId};
 
 impl Gateway {
-    /// Handles the start of a response stream: the request's outcome is decided, its other attempts are cancelled, and it is not
-    /// sent again.
+    /// Handles the start of a response stream: the request's outcome is decided, its other attempts are cancelled, and it is
+    /// not sent again.
     pub(super) fn handle_stream_started(
         &mut self,
         cx: &mut Context<'_>,
@@ -97,7 +97,7 @@
         connections.filter(|connection| *connection != id).collect()
     }
 
-    /// Handles that a stream is paused for its reader: from now on it does not count as load of its member.
+    /// Handles a stream that is paused for its reader: from now on it does not count as load of its member.
     ///
     /// Otherwise streams whose readers have stalled would use up their member's concurrency limit and block other requests.
     pub(super) fn handle_stream_paused(&mut self, id: ConnectionId) {
