--- a/crates/stackgw-gateway/src/reducer/ids.rs
+++ b/crates/stackgw-gateway/src/reducer/ids.rs
@@ -15,7 +15,7 @@
 /// The receiver of a request's final response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Requester {
-    /// A PostgreSQL client, in the order of its pipeline.
+    /// A PostgreSQL client, which gets its responses in the order of its pipeline.
     Client(ClientId),
     /// Another frontend.
     Call(CallId),
--- a/crates/stackgw-gateway/src/reducer/input.rs
+++ b/crates/stackgw-gateway/src/reducer/input.rs
@@ -55,7 +55,7 @@
     Start,
     /// A client connected.
     ClientConnected(ClientId),
-    /// A client's complete message; delivered only where [`accepts_frame`](super::Reducer::accepts_frame) allows it.
+    /// A client's complete message; delivered only if [`accepts_frame`](super::Reducer::accepts_frame) allows it.
     ClientFrame(ClientId, Frame),
     /// The data that a client has sent and that has not been delivered yet has changed.
     ClientReadAhead(ClientId, ReadAhead),
@@ -69,7 +69,7 @@
     MemberFlushed(ConnectionId),
     /// A member's complete message.
     MemberFrame(ConnectionId, Frame),
-    /// What a member has sent so far ends inside a response or a message.
+    /// The data received from a member so far ends within a response or a message.
     MemberPartialFrame(ConnectionId),
     /// A connection to a member has ended, or could not be established.
     MemberClosed(ConnectionId, CloseReason),
--- a/crates/stackgw-gateway/src/reducer/state/client_buffers.rs
+++ b/crates/stackgw-gateway/src/reducer/state/client_buffers.rs
@@ -137,9 +137,9 @@
     }
 
     /// Returns the client to close when the unread bytes of all clients exceed their limit: of the clients with unflushed
-    /// writes the one with the most bytes, and at equal bytes the one that has not read for longest. The client that is being written
-    /// to is a candidate only if an earlier write is not flushed. If no candidate has unflushed writes, it is the one with the
-    /// most bytes queued behind an open response.
+    /// writes the one with the most bytes, and at equal bytes the one that has not read for longest. The client that is being
+    /// written to is a candidate only if an earlier write is not flushed. If no candidate has unflushed writes, it is the one
+    /// with the most bytes queued behind an open response.
     pub(crate) fn largest_unread(&self, now: Time, writing_to: ClientId) -> Option<ClientId> {
         let candidates = self.connected.iter().filter(|(id, client)| {
             let was_unflushed = client.unflushed_since.is_some_and(|since| since < now);
--- a/crates/stackgw-gateway/src/reducer/state/members.rs
+++ b/crates/stackgw-gateway/src/reducer/state/members.rs
@@ -1,4 +1,4 @@
-//! The members that endpoint lists have named.
+//! The directory of the members that have been in an endpoint list.
 
 use crate::discovery::ListEntry;
 use crate::reducer::backend::BackendSelection;
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// A member that a list has named.
+/// A member that has been in an endpoint list.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) name: String,
