--- a/crates/stackgw-streams/src/channel_pool.rs
+++ b/crates/stackgw-streams/src/channel_pool.rs
@@ -1,4 +1,4 @@
-//! Assignment of requests to connections, where one connection carries many requests.
+//! Assignment of requests to connections that each carry many requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,29 +10,29 @@
 #[derive(Debug)]
 struct Channel<M> {
     member: M,
-    /// Requests that it carries.
+    /// Number of requests assigned to the connection.
     requests: usize,
-    /// It broke and takes no further request.
+    /// The connection failed and accepts no further requests.
     broken: bool,
 }
 
 /// The connections to all members. `M` identifies a member.
 ///
-/// Requests are packed on few connections: the fullest one with capacity takes the next request, so
-/// that connections left over from a busy time run empty and are closed. A connection that broke
-/// takes no further request.
+/// Requests are packed onto few connections: the next request is assigned to the fullest connection
+/// with capacity, so that connections left over from a load peak drain and are closed. A connection
+/// that failed is assigned no further requests.
 #[derive(Debug)]
 pub struct ChannelPool<M> {
     requests_per_channel: usize,
     channels: BTreeMap<ChannelId, Channel<M>>,
-    /// For each member: the connections with capacity, ordered by the requests that they carry.
+    /// The connections with capacity of each member, ordered by their number of requests.
     available: BTreeMap<M, BTreeSet<(usize, ChannelId)>>,
     next_id: u64,
 }
 
 impl<M: Ord + Clone> ChannelPool<M> {
-    /// An empty pool whose connections carry up to `requests_per_channel` requests each, at least
-    /// one.
+    /// Creates an empty pool whose connections carry up to `requests_per_channel` requests each; 0
+    /// counts as 1.
     pub fn new(requests_per_channel: usize) -> Self {
         ChannelPool {
             requests_per_channel: requests_per_channel.max(1),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Assigns one more request to a connection to `member`, to a new one where none has capacity.
+    /// Assigns a request to a connection to `member`; adds a connection if none has capacity.
     pub fn assign(&mut self, member: &M) -> ChannelId {
         let fullest = self.fullest_available(member);
         let id = fullest.unwrap_or_else(|| self.add_channel(member));
@@ -50,8 +50,8 @@
         id
     }
 
-    /// Takes a finished request off its connection. Returns whether the connection carries none any
-    /// more; it has then left the pool and is to be closed.
+    /// Removes a finished request from its connection. Returns `true` if that was the connection's
+    /// last request: the connection has then been removed from the pool, and the caller closes it.
     pub fn release(&mut self, id: ChannelId) -> bool {
         self.update(id, |channel| {
             channel.requests = channel.requests.saturating_sub(1);
@@ -61,15 +61,15 @@
             .get(&id)
             .is_some_and(|channel| channel.requests == 0);
         if is_empty {
-            // Takes it out of `available`, too.
+            // Removes the connection from `available`.
             self.mark_broken(id);
             self.channels.remove(&id);
         }
         is_empty
     }
 
-    /// Notes that a connection broke or could not be established: no further request is assigned to
-    /// it. The requests on it end by themselves and are released as all others.
+    /// Records that a connection failed or could not be established: no further request is assigned
+    /// to it. Its current requests end by themselves and still have to be released.
     pub fn mark_broken(&mut self, id: ChannelId) {
         self.update(id, |channel| channel.broken = true);
     }
@@ -101,7 +101,7 @@
         id
     }
 
-    /// Changes a connection and brings `available` up to date.
+    /// Changes a connection and updates `available` accordingly.
     fn update(&mut self, id: ChannelId, change: impl FnOnce(&mut Channel<M>)) {
         let Some(channel) = self.channels.get_mut(&id) else {
             return;
--- a/crates/stackgw-streams/src/flow_control.rs
+++ b/crates/stackgw-streams/src/flow_control.rs
@@ -11,7 +11,7 @@
 /// A stream that [`FlowControl::expire`] has ended and closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExpiredStream {
-    /// Which one.
+    /// Identifies the stream.
     pub id: StreamId,
     /// Why it was ended.
     pub reason: EndReason,
@@ -20,26 +20,27 @@
 /// One stream.
 #[derive(Debug, Default)]
 struct StreamState {
-    /// Bytes that arrived and that the reader has not consumed.
+    /// Bytes received from the member and not yet consumed by the reader.
     buffered_bytes: usize,
-    /// Since when the reader has consumed nothing, while something is buffered.
+    /// When the reader last consumed a message, or the first message was buffered; `None` while
+    /// nothing is buffered.
     unread_since: Option<Time>,
-    /// Since when the member has been read without sending anything.
+    /// When the read in progress began; `None` while the member is not being read.
     reading_since: Option<Time>,
-    /// The stream is in [`FlowControl::queue`] and waits for space within
+    /// Whether the stream is in [`FlowControl::queue`], waiting for space within
     /// [`StreamLimits::bytes_total`].
     queued: bool,
-    /// The member has sent all.
+    /// Whether the member has sent its last message.
     receive_finished: bool,
     /// The client's deadline.
     deadline: Option<Time>,
-    /// The time by which the stream is listed in [`FlowControl::timeouts`].
+    /// The stream's entry in [`FlowControl::timeouts`].
     next_timeout: Option<Time>,
 }
 
 impl StreamState {
-    /// When the stream is to be ended, and why: the client's deadline first, as it counts whatever
-    /// else is late.
+    /// The times at which the stream is to be ended, with their reasons. The client's deadline comes
+    /// first because it takes precedence over the other timeouts.
     fn timeouts(&self, limits: &StreamLimits) -> impl Iterator<Item = (Time, EndReason)> {
         let deadline = self.deadline.map(|at| (at, EndReason::DeadlineExceeded));
         let reader = self
@@ -51,7 +52,7 @@
         [deadline, reader, member].into_iter().flatten()
     }
 
-    /// The first reason whose time has come.
+    /// The first reason in the order of [`StreamState::timeouts`] whose time has passed.
     fn expired(&self, limits: &StreamLimits, now: Time) -> Option<EndReason> {
         let mut timeouts = self.timeouts(limits);
         timeouts
@@ -62,26 +63,26 @@
 
 /// Flow control over all bulk streams of a gateway.
 ///
-/// Calls that name a closed stream do nothing.
+/// Calls with the id of a closed stream have no effect.
 #[derive(Debug)]
 pub struct FlowControl {
     limits: StreamLimits,
     streams: BTreeMap<StreamId, StreamState>,
     next_id: u64,
-    /// The sum over all streams.
+    /// Bytes buffered by all streams.
     buffered_bytes: usize,
-    /// Streams that wait for space within [`StreamLimits::bytes_total`], the longest waiting first.
-    /// May still name streams that have been closed or no longer wait; they are dropped when they
-    /// reach the front.
+    /// Streams that wait for space within [`StreamLimits::bytes_total`], longest waiting first. May
+    /// contain streams that are closed or no longer waiting; these are skipped when they reach the
+    /// front.
     queue: VecDeque<StreamId>,
-    /// Streams that may be read on again since the last [`FlowControl::take_resumed`].
+    /// Streams that may read again and have not been returned by [`FlowControl::take_resumed`] yet.
     resumed: Vec<StreamId>,
     /// The next timeout of each stream that has one.
     timeouts: BTreeSet<(Time, StreamId)>,
 }
 
 impl FlowControl {
-    /// Flow control without any stream.
+    /// Creates flow control without streams.
     pub fn new(limits: StreamLimits) -> Self {
         FlowControl {
             limits,
@@ -98,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// [`TooManyStreams`] where [`StreamLimits::max_streams`] are open.
+    /// Returns [`TooManyStreams`] if [`StreamLimits::max_streams`] are open.
     pub fn open(&mut self) -> Result<StreamId, TooManyStreams> {
         if self.streams.len() >= self.limits.max_streams {
             return Err(TooManyStreams);
@@ -117,9 +118,9 @@
         }
     }
 
-    /// Asks to read one message from the stream's member. If granted,
-    /// [`StreamLimits::member_timeout`] begins; if not, [`FlowControl::take_resumed`] names the
-    /// stream once it may ask again.
+    /// Requests permission to read one message from the stream's member. If it is granted,
+    /// [`StreamLimits::member_timeout`] starts; otherwise, [`FlowControl::take_resumed`] returns the
+    /// stream once the call can be repeated.
     pub fn try_read(&mut self, now: Time, id: StreamId) -> bool {
         let total_exhausted = self.buffered_bytes >= self.limits.bytes_total;
         let Some(stream) = self.streams.get_mut(&id) else {
@@ -128,8 +129,8 @@
         if stream.receive_finished || stream.buffered_bytes >= self.limits.bytes_per_stream {
             return false;
         }
-        // Danger: a stream that buffers nothing must be read on even so. Otherwise streams that
-        // nobody reads would take the whole buffer, and all others would stall behind them.
+        // A stream that buffers nothing may read even if the total is exhausted. Otherwise, streams
+        // whose clients do not read could occupy the whole buffer and stall all other streams.
         if total_exhausted && stream.buffered_bytes > 0 {
             if !stream.queued {
                 stream.queued = true;
@@ -142,7 +143,7 @@
         true
     }
 
-    /// Records that a message arrived from the stream's member and is buffered.
+    /// Records that a message from the stream's member was received and buffered.
     pub fn record_received(&mut self, now: Time, id: StreamId, bytes: usize) {
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
@@ -174,7 +175,7 @@
         self.resume_queued();
     }
 
-    /// Notes that the member has sent all. What is buffered stays for the reader.
+    /// Records that the member has sent its last message. Buffered messages can still be consumed.
     pub fn finish_receiving(&mut self, id: StreamId) {
         if let Some(stream) = self.streams.get_mut(&id) {
             stream.receive_finished = true;
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Closes a stream and drops what it buffers.
+    /// Closes a stream and releases its buffer space.
     pub fn close(&mut self, id: StreamId) {
         let Some(stream) = self.streams.remove(&id) else {
             return;
@@ -195,18 +196,18 @@
         self.resume_queued();
     }
 
-    /// Takes the streams for which [`FlowControl::try_read`] may be asked again since the last
-    /// call.
+    /// Returns the streams for which [`FlowControl::try_read`] can be called again, and clears the
+    /// list of them.
     pub fn take_resumed(&mut self) -> Vec<StreamId> {
         std::mem::take(&mut self.resumed)
     }
 
-    /// When [`FlowControl::expire`] is to be called next.
+    /// When [`FlowControl::expire`] has to be called next.
     pub fn next_timeout(&self) -> Option<Time> {
         self.timeouts.first().map(|(at, _)| *at)
     }
 
-    /// Ends and closes the streams whose time has come.
+    /// Ends and closes the streams whose deadline or timeout has passed.
     pub fn expire(&mut self, now: Time) -> Vec<ExpiredStream> {
         let mut expired = Vec::new();
         while let Some((at, id)) = self.timeouts.first().copied() {
@@ -222,7 +223,7 @@
         expired
     }
 
-    /// Bytes that all streams buffer.
+    /// Bytes buffered by all streams.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
@@ -237,7 +238,7 @@
         self.streams.is_empty()
     }
 
-    /// Brings `timeouts` up to date with a stream's state.
+    /// Updates `timeouts` after a change of the stream's state.
     fn update_timeout(&mut self, id: StreamId) {
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
@@ -255,8 +256,8 @@
         }
     }
 
-    /// Gives free space to the streams that wait for it: to as many as could each fill up to their
-    /// own limit.
+    /// Resumes queued streams, as many as fit into the free space if each fills its buffer up to
+    /// [`StreamLimits::bytes_per_stream`].
     fn resume_queued(&mut self) {
         let limits = &self.limits;
         let mut free_bytes = limits.bytes_total.saturating_sub(self.buffered_bytes);
@@ -267,8 +268,8 @@
             let Some(stream) = self.streams.get_mut(&id) else {
                 continue;
             };
-            let waited = std::mem::replace(&mut stream.queued, false);
-            if waited && !stream.receive_finished {
+            let was_queued = std::mem::replace(&mut stream.queued, false);
+            if was_queued && !stream.receive_finished {
                 let could_fill = limits
                     .bytes_per_stream
                     .saturating_sub(stream.buffered_bytes);
--- a/crates/stackgw-streams/src/lib.rs
+++ b/crates/stackgw-streams/src/lib.rs
@@ -1,26 +1,26 @@
 //! Flow control for bulk streams that a gateway relays, and the assignment of requests to shared
 //! connections.
 //!
-//! This is a core without I/O, clock or threads: the caller hands in the time and carries out what
-//! is decided.
+//! This crate has no I/O, clock or threads: the caller passes in the current time and carries out
+//! the decisions.
 //!
-//! - [`FlowControl`] decides which stream is read on at its member, which waits for buffer space,
-//!   and which is ended: for a reader that makes no progress, for a member that stopped sending, or
-//!   for its client's deadline.
+//! - [`FlowControl`] decides which stream may read its next message from its member, which waits
+//!   for buffer space, and which is ended: because its reader makes no progress, because its member
+//!   stopped sending, or because its client's deadline has passed.
 //! - [`ChannelPool`] decides which of the connections to a member carries the next request, and
-//!   when one is closed.
+//!   when a connection is closed.
 //!
-//! It must not know the protocol, the messages of a stream or what a connection is made of.
+//! This crate does not depend on the protocol, the messages of a stream or the transport.
 //!
 //! # Invariants
 //!
 //! The random histories under `tests/` assert these:
 //!
-//! - A stream buffers at most [`StreamLimits::bytes_per_stream`] and one message; all streams
-//!   together buffer at most [`StreamLimits::bytes_total`] and one message for each stream.
-//! - A stream whose reader has consumed all that arrived is always read on, whatever the others
-//!   buffer: no reader waits for another one's.
-//! - Buffer space that becomes free goes to the stream that has waited longest for it.
+//! - A stream buffers at most [`StreamLimits::bytes_per_stream`] plus one message; all streams
+//!   together buffer at most [`StreamLimits::bytes_total`] plus one message per stream.
+//! - A stream that buffers nothing may always read, regardless of how much the other streams
+//!   buffer: no reader waits for another reader.
+//! - Freed buffer space goes to the stream that has waited longest for it.
 //! - A stream is ended once, for one reason.
 
 mod channel_pool;
--- a/crates/stackgw-streams/src/limits.rs
+++ b/crates/stackgw-streams/src/limits.rs
@@ -1,4 +1,4 @@
-//! What streams may take, and why one is refused or ended.
+//! Limits of streams, and the reasons for which a stream is rejected or ended.
 
 use stackgw_router::api::Span;
 use std::fmt;
@@ -6,22 +6,22 @@
 /// Limits of a gateway's bulk streams. Sizes are in bytes, times in nanoseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamLimits {
-    /// Streams that may be open at once.
+    /// Maximum number of streams open at once.
     pub max_streams: usize,
-    /// A stream that buffers this much is not read on.
+    /// A stream that buffers this much reads no further messages.
     pub bytes_per_stream: usize,
-    /// Once all streams together buffer this much, only those are read on that buffer nothing.
+    /// Once all streams together buffer this much, only streams that buffer nothing may read.
     pub bytes_total: usize,
-    /// A reader that consumes nothing for this long, while something is buffered for it, is ended.
+    /// A stream is ended if its reader consumes nothing for this long while messages are buffered.
     pub reader_timeout: Span,
-    /// A member that sends nothing for this long, while it is being read, is given up.
+    /// A stream is ended if its member sends nothing for this long while it is being read.
     pub member_timeout: Span,
 }
 
 /// Why a stream was ended by the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndReason {
-    /// The reader made no progress for [`StreamLimits::reader_timeout`].
+    /// The reader consumed nothing for [`StreamLimits::reader_timeout`].
     SlowReader,
     /// The member sent nothing for [`StreamLimits::member_timeout`] while it was being read.
     UnresponsiveMember,
@@ -41,7 +41,7 @@
     }
 }
 
-/// [`StreamLimits::max_streams`] are open.
+/// The limit [`StreamLimits::max_streams`] is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooManyStreams;
 
