--- a/crates/stackgw-flight/src/auth_service.rs
+++ b/crates/stackgw-flight/src/auth_service.rs
@@ -1,5 +1,5 @@
-//! The service that faces clients: authentication before each call of the frontend, Handshake, and
-//! GetSchema, which the Flight SQL service of `arrow-flight` leaves out.
+//! The service that clients call: authenticates each call before the frontend handles it, and
+//! implements Handshake and GetSchema, which the Flight SQL service of `arrow-flight` leaves out.
 
 use crate::clock::unix_time_ms;
 use crate::config::ServerConfig;
@@ -15,7 +15,7 @@
 use tonic::metadata::MetadataMap;
 use tonic::{Request, Response, Status, Streaming};
 
-/// The frontend behind authentication.
+/// The frontend with authentication of each call.
 pub(crate) struct AuthenticatedService {
     frontend: Frontend,
     users: Option<Users>,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Rejects a call whose client has not authenticated, where there are users.
+    /// Rejects a call without valid credentials, if users are configured.
     fn authenticate<T>(&self, call: &Request<T>) -> Result<(), Status> {
         if let Some(users) = &self.users {
             users.authenticate(&self.key_ring, call.metadata(), unix_time_ms())?;
@@ -41,7 +41,8 @@
         Ok(())
     }
 
-    /// A token for the calls after this one; none where there are no users.
+    /// Authenticates a handshake and issues a token for later calls; `None` if no users are
+    /// configured.
     fn issue_token(&self, headers: &MetadataMap) -> Result<Option<String>, Status> {
         let Some(users) = &self.users else {
             return Ok(None);
@@ -67,19 +68,20 @@
     type ListActionsStream = <Frontend as FlightService>::ListActionsStream;
     type DoExchangeStream = <Frontend as FlightService>::DoExchangeStream;
 
-    /// Issues a token to whoever authenticates; where nobody has to, the answer is empty.
+    /// Issues a token to a client that authenticates. The response is empty if no users are
+    /// configured.
     async fn handshake(
         &self,
         call: Request<Streaming<HandshakeRequest>>,
     ) -> Result<Response<Self::HandshakeStream>, Status> {
         let token = self.issue_token(call.metadata())?;
         let payload = token.clone().unwrap_or_default().into_bytes();
-        let answer = HandshakeResponse {
+        let message = HandshakeResponse {
             protocol_version: 0,
             payload: payload.into(),
         };
-        let answers = futures::stream::once(async { Ok(answer) });
-        let mut response = Response::new(answers.boxed());
+        let messages = futures::stream::once(async { Ok(message) });
+        let mut response = Response::new(messages.boxed());
         let header = token.and_then(|token| format!("Bearer {token}").parse().ok());
         if let Some(header) = header {
             response.metadata_mut().insert("authorization", header);
--- a/crates/stackgw-flight/src/cancellation.rs
+++ b/crates/stackgw-flight/src/cancellation.rs
@@ -1,5 +1,5 @@
-//! The requests that run at this instance, by the handle that they were started with, so that a
-//! client can cancel them.
+//! Registry of the requests that run at this instance, by the handle that each was started with, so
+//! that clients can cancel them.
 
 use crate::sync::lock;
 use std::collections::BTreeMap;
@@ -9,16 +9,16 @@
 
 type CancelStream = Box<dyn Fn() + Send + Sync>;
 
-/// One request.
+/// A request that can be cancelled.
 #[derive(Default)]
 struct RunningRequest {
-    /// Wakes whoever waits for the answer, before that has begun.
+    /// Wakes the task that waits for the response, before the response has begun.
     cancelled: Notify,
-    /// Ends the answer's stream, once that has begun.
+    /// Ends the response stream, once it has begun.
     cancel_stream: Mutex<Option<CancelStream>>,
 }
 
-/// Identifies a request: requests may share a handle.
+/// Identifies a request. Several requests may share a handle; `number` distinguishes them.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct RequestKey {
     handle: Vec<u8>,
@@ -26,8 +26,8 @@
 }
 
 impl RequestKey {
-    /// The keys of all requests that were started with this handle.
-    fn all_of(handle: &[u8]) -> RangeInclusive<Self> {
+    /// The range of the keys of all requests that were started with this handle.
+    fn range_of(handle: &[u8]) -> RangeInclusive<Self> {
         let key = |number| RequestKey {
             handle: handle.to_vec(),
             number,
@@ -36,13 +36,13 @@
     }
 }
 
-/// The requests that run now. The frontend's limit on requests bounds them.
+/// The running requests. Their number is bounded by the frontend's limit on open requests.
 #[derive(Default)]
 pub(crate) struct RunningRequests {
     requests: Mutex<BTreeMap<RequestKey, Arc<RunningRequest>>>,
 }
 
-/// A registered request. Dropped, it is no longer running.
+/// A registered request. Dropping the guard removes it from the registry.
 pub(crate) struct RunningGuard {
     registry: Arc<RunningRequests>,
     key: RequestKey,
@@ -50,11 +50,11 @@
 }
 
 impl RunningRequests {
-    /// Registers a request that runs from now on.
+    /// Registers a request until the returned guard is dropped.
     pub(crate) fn register(self: &Arc<Self>, handle: &[u8]) -> RunningGuard {
         let request = Arc::<RunningRequest>::default();
         let mut requests = lock(&self.requests);
-        let last = requests.range(RequestKey::all_of(handle)).next_back();
+        let last = requests.range(RequestKey::range_of(handle)).next_back();
         let key = RequestKey {
             handle: handle.to_vec(),
             number: last.map_or(0, |(key, _)| key.number + 1),
@@ -67,11 +67,11 @@
         }
     }
 
-    /// Cancels all requests that were started with this handle. Returns whether there was any.
+    /// Cancels all requests that were started with this handle. Returns whether there were any.
     pub(crate) fn cancel(&self, handle: &[u8]) -> bool {
         let requests = lock(&self.requests);
         let mut found = false;
-        for request in requests.range(RequestKey::all_of(handle)).map(|(_, r)| r) {
+        for request in requests.range(RequestKey::range_of(handle)).map(|(_, r)| r) {
             found = true;
             request.cancelled.notify_one();
             if let Some(cancel_stream) = lock(&request.cancel_stream).as_ref() {
@@ -88,7 +88,7 @@
         self.request.cancelled.notified().await;
     }
 
-    /// From now on, cancelling the request calls `cancel_stream`.
+    /// Sets the function that is called when the request is cancelled.
     pub(crate) fn on_cancel(&self, cancel_stream: impl Fn() + Send + Sync + 'static) {
         *lock(&self.request.cancel_stream) = Some(Box::new(cancel_stream));
     }
--- a/crates/stackgw-flight/src/clock.rs
+++ b/crates/stackgw-flight/src/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, by which sealed handles expire.
+//! The wall clock, which determines the expiry of sealed handles.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/stackgw-flight/src/config.rs
+++ b/crates/stackgw-flight/src/config.rs
@@ -8,43 +8,44 @@
 /// Configuration of Flight SQL at one gateway.
 #[derive(Debug, Clone)]
 pub struct ServerConfig {
-    /// Address that clients connect to.
+    /// Address to listen on for clients.
     pub listen: SocketAddr,
-    /// Keys that seal tickets and prepared statements: the same on all instances.
+    /// Keys that seal tickets and prepared statements. All instances must have the same keys.
     pub key_ring: Keyring,
     /// How long a ticket, a prepared statement or a bearer token is valid, in milliseconds.
     pub ticket_lifetime_ms: u64,
-    /// Timeout of a request whose client names none, and the longest one, in milliseconds.
+    /// Default and maximum timeout of a request, in milliseconds.
     pub request_timeout_ms: u64,
-    /// Requests that may be open at once.
+    /// Maximum number of requests open at once.
     pub max_requests: usize,
-    /// HTTP/2 streams of one client connection.
+    /// Maximum number of concurrent HTTP/2 streams per client connection.
     pub max_streams_per_connection: u32,
     /// Threads of the runtime that serves clients and members.
     pub worker_threads: usize,
-    /// Limits of the bulk streams that pass through.
+    /// Limits of the relayed bulk streams.
     pub stream_limits: StreamLimits,
-    /// How members that speak Flight SQL are reached.
+    /// Connections to members that speak Flight SQL.
     pub backend: BackendConfig,
-    /// Groups all of whose members speak Flight SQL: their answers bring their own schema.
+    /// Groups whose members all speak Flight SQL. The schema of a response from such a group is not
+    /// known before the response arrives.
     pub flight_groups: Vec<u32>,
-    /// An answer is sent this long before its client's deadline, in milliseconds.
+    /// Time reserved for sending the response before the client's deadline, in milliseconds.
     pub answer_slack_ms: u64,
-    /// Who may connect; anybody where there is none.
+    /// Users who may connect; `None` disables authentication.
     pub users: Option<Users>,
 }
 
 /// Configuration of the connections to members that speak Flight SQL.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendConfig {
-    /// A connection that is not established by then has failed, in milliseconds.
+    /// Timeout for establishing a connection, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Requests on one connection.
+    /// Maximum number of requests on one connection.
     pub requests_per_channel: usize,
-    /// Largest message, in bytes.
+    /// Maximum size of a message, in bytes.
     pub max_message_bytes: usize,
-    /// Largest single value, in bytes.
+    /// Maximum size of a single value, in bytes.
     pub max_value_bytes: usize,
-    /// How long the outcome of a write is awaited whose client has disconnected, in milliseconds.
+    /// How long to wait for the outcome of a write whose client has disconnected, in milliseconds.
     pub write_outcome_timeout_ms: u64,
 }
--- a/crates/stackgw-flight/src/error.rs
+++ b/crates/stackgw-flight/src/error.rs
@@ -1,61 +1,62 @@
-//! Errors that keep Flight SQL from starting. Each is one line that names the key of the operator's
-//! file at fault.
+//! Errors that prevent Flight SQL from starting. Each message is one line that begins with the key
+//! of the operator's file that caused the error.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why Flight SQL does not start.
+/// An error that prevents Flight SQL from starting.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The frontend cannot listen, or has no threads to serve with.
+    /// The address cannot be bound, or the server's threads cannot be started.
     #[error("flight.listen: {address}: {source}")]
     Listen {
-        /// The address of the operator's file.
+        /// The address from the operator's file.
         address: SocketAddr,
-        /// What the operating system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The file of users cannot be used.
+    /// The users file cannot be read or is invalid.
     #[error("flight.auth: {}: {problem}", file.display())]
     Users {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the file.
         #[source]
         problem: UsersFileProblem,
     },
 }
 
-/// What is wrong with a file of users. Lines count from one.
+/// What is wrong with a users file. Lines are counted from 1.
 #[derive(Debug, Error)]
 pub enum UsersFileProblem {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
-    /// It is a directory or a device, or larger than a file of users may be.
-    #[error("no plain file, or too large a one")]
-    NotPlainFile,
+    /// The path is not a regular file (for example, a directory or a device), or the file exceeds
+    /// the size limit of users files.
+    #[error("is not a regular file, or is too large")]
+    NotRegularFile,
     /// A line has no colon.
-    #[error("line {line}: is no name:secret")]
+    #[error("line {line}: is not of the form name:secret")]
     Malformed {
-        /// Number of the line.
+        /// Line number.
         line: usize,
     },
-    /// A line has no name, or too short a secret.
+    /// A line has no name, or its secret is too short.
     #[error("line {line}: the name is empty, or the secret has fewer than 8 bytes")]
     ShortSecret {
-        /// Number of the line.
+        /// Line number.
         line: usize,
     },
     /// A line repeats a name.
-    #[error("line {line}: names a user twice")]
+    #[error("line {line}: duplicate user name")]
     DuplicateUser {
-        /// Number of the line.
+        /// Line number.
         line: usize,
     },
-    /// There is no user in it.
-    #[error("names nobody")]
+    /// The file contains no users.
+    #[error("contains no users")]
     NoUsers,
 }
--- a/crates/stackgw-flight/src/lib.rs
+++ b/crates/stackgw-flight/src/lib.rs
@@ -1,25 +1,26 @@
 //! Arrow Flight SQL: a frontend for clients of the gateway, and a backend to members that speak it.
 //!
-//! # Job
+//! # Overview
 //!
-//! - `frontend` serves clients. A call becomes a [`StatementTemplate`], which runs as one statement
-//!   of the PostgreSQL protocol through the same reducer and router as all others, by a
-//!   [`stackgw_gateway::RequestHandle`]. Its one final outcome becomes a stream or a status
-//!   ([`to_status`]).
-//! - `backend` carries out what the gateway asks of members that speak Flight SQL.
-//! - `relay` passes bulk streams from a member to a client, as `stackgw_streams` allows.
+//! - `frontend` serves clients. It turns a call into a [`StatementTemplate`], which runs as one
+//!   statement of the PostgreSQL protocol through a [`stackgw_gateway::RequestHandle`], with the
+//!   same reducer and router as all other requests. The request's single final outcome becomes a
+//!   stream or a status ([`to_status`]).
+//! - `backend` executes the gateway's commands on members that speak Flight SQL.
+//! - `relay` passes bulk streams from a member to a client, under the flow control of
+//!   `stackgw_streams`.
 //!
 //! # Invariants
 //!
-//! - Tickets, prepared statements and bearer tokens are sealed and complete in themselves
-//!   ([`SealedHandle`]): any instance serves them, also after a restart.
-//! - A statement that writes runs by DoPut alone, as tickets may be used more than once.
-//! - A stream that has begun belongs to its client and is never begun again elsewhere.
+//! - Tickets, prepared statements and bearer tokens are sealed and self-contained
+//!   ([`SealedHandle`]): any instance accepts them, also after a restart.
+//! - A statement that writes runs through DoPut only, because tickets may be used more than once.
+//! - A stream that has begun belongs to its client and is never restarted at another member.
 //!
-//! # What it must not know
+//! # Out of scope
 //!
-//! Which member serves a request, whether it is retried, and what bulk streams may take: the
-//! router, the reducer and `stackgw_streams` decide that. `docs/design/flight.md` has the reasons.
+//! The router and the reducer decide which member serves a request and whether it is retried;
+//! `stackgw_streams` limits the buffers of bulk streams. `docs/design/flight.md` gives the reasons.
 
 mod auth_service;
 mod backend;
--- a/crates/stackgw-flight/src/server.rs
+++ b/crates/stackgw-flight/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: gRPC on a runtime and threads of its own, beside the gateway's.
+//! The gRPC server, on its own runtime and threads, separate from the gateway's.
 
 use crate::auth_service::AuthenticatedService;
 use crate::backend::Backend;
@@ -21,24 +21,25 @@
 use tonic::transport::server::Router;
 use tonic::transport::Server;
 
-/// Name of the server's threads.
+/// Name of the server threads.
 const THREAD_NAME: &str = "flight";
-/// Largest list of headers of one call, in bytes.
+/// Maximum size of a call's header list, in bytes.
 const MAX_HEADER_BYTES: u32 = 16 << 10;
-/// Largest message of a client, in bytes.
+/// Maximum size of a message from a client, in bytes.
 const MAX_MESSAGE_BYTES: usize = 256 << 10;
-/// Streams that a client may reset before they are accepted; more end its connection.
+/// Maximum number of streams that a client resets before they are accepted; its connection is
+/// closed if it exceeds this.
 const MAX_PENDING_RESETS: usize = 20;
-/// How often an idle connection is probed, and how long it may take to reply.
+/// Interval between HTTP/2 keepalive pings, and timeout for the reply.
 const KEEPALIVE: Duration = Duration::from_secs(10);
-/// How long the runtime may take to end. What was open when the gateway ended has had its answer by
-/// then, and nobody waits for idle connections.
+/// Timeout for shutting down the runtime. By then, requests that were open when the gateway ended
+/// have been answered; idle connections need no further time.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A running server. Dropped, it shuts down.
+/// A running server. Dropping the handle shuts it down and waits for its threads.
 #[derive(Debug)]
 pub struct ServerHandle {
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
     shutdown: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -53,7 +54,7 @@
     }
 }
 
-/// What the server needs of the gateway, and its configuration.
+/// Everything that the server needs to run.
 struct ServerTask {
     config: ServerConfig,
     gateway: RequestHandle,
@@ -65,7 +66,8 @@
 ///
 /// # Errors
 ///
-/// [`Error::Listen`], for example where the port is in use.
+/// Returns [`Error::Listen`] if the address cannot be bound (for example, because the port is in
+/// use) or the threads cannot be started.
 pub fn start(
     config: ServerConfig,
     gateway: RequestHandle,
@@ -84,17 +86,17 @@
 }
 
 impl ServerTask {
-    /// Runs the server on threads of its own.
+    /// Starts the server on its own threads.
     fn spawn(self) -> Result<ServerHandle, io::Error> {
         let listener = TcpListener::bind(self.config.listen)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let runtime = build_runtime(self.config.worker_threads)?;
-        let (shutdown, shut_down) = oneshot::channel::<()>();
+        let (shutdown, shutdown_signal) = oneshot::channel::<()>();
         info!(self.log, "flight sql at {address}");
         let thread = std::thread::Builder::new().name(THREAD_NAME.to_owned());
         let thread = thread.spawn(move || {
-            let _ = runtime.block_on(runtime.spawn(self.serve(listener, shut_down)));
+            let _ = runtime.block_on(runtime.spawn(self.serve(listener, shutdown_signal)));
             runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
         })?;
         Ok(ServerHandle {
@@ -104,8 +106,8 @@
         })
     }
 
-    /// Serves until `shut_down` ends.
-    async fn serve(self, listener: TcpListener, shut_down: oneshot::Receiver<()>) {
+    /// Serves until the sender of `shutdown_signal` is dropped.
+    async fn serve(self, listener: TcpListener, shutdown_signal: oneshot::Receiver<()>) {
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
             return;
         };
@@ -114,11 +116,11 @@
         let backend_config = self.config.backend.clone();
         let backend = Backend::new(backend_config, self.backend, relay, self.log.clone());
         tokio::spawn(backend.run());
-        let shut_down = async { drop(shut_down.await) };
+        let shutdown_signal = async { drop(shutdown_signal.await) };
         let served = build_router(&self.config, self.gateway)
-            .serve_with_incoming_shutdown(accept(listener), shut_down);
+            .serve_with_incoming_shutdown(accept(listener), shutdown_signal);
         if let Err(error) = served.await {
-            info!(self.log, "flight sql ended: {error}");
+            info!(self.log, "flight sql server stopped: {error}");
         }
     }
 }
@@ -143,10 +145,10 @@
         .add_service(service.max_decoding_message_size(MAX_MESSAGE_BYTES))
 }
 
-/// The connections of clients.
+/// Accepts client connections.
 ///
-/// Danger: without TCP_NODELAY an answer's last small frame would wait for the client's
-/// acknowledgement of the one before it, 40 ms.
+/// Without TCP_NODELAY, the last small frame of a response would be delayed by 40 ms, waiting for
+/// the client to acknowledge the previous frame.
 fn accept(listener: tokio::net::TcpListener) -> impl Stream<Item = Result<TcpStream, io::Error>> {
     TcpListenerStream::new(listener).map(|accepted| {
         let connection = accepted?;
--- a/crates/stackgw-flight/src/status.rs
+++ b/crates/stackgw-flight/src/status.rs
@@ -1,4 +1,4 @@
-//! Statuses that clients see: the table in `docs/design/flight.md`.
+//! Statuses returned to clients, as listed in `docs/design/flight.md`.
 
 use crate::statement::StatementError;
 use crate::tickets::TicketError;
@@ -7,7 +7,7 @@
 use tonic::{Code, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
-/// The innermost source of an error: transport errors say little more than that there was one.
+/// The text of an error's innermost source. The outer text of transport errors has no details.
 pub fn root_cause(error: &dyn std::error::Error) -> String {
     let mut innermost = error;
     while let Some(source) = innermost.source() {
@@ -16,7 +16,7 @@
     innermost.to_string()
 }
 
-/// The status of a request's final outcome. What a served request returned is not part of it.
+/// Converts a request's final outcome to a status. The value of a served request is not included.
 pub fn to_status(outcome: &FinalResponse) -> Status {
     match outcome {
         FinalResponse::Served(_) => Status::ok(""),
@@ -27,7 +27,7 @@
     }
 }
 
-/// A request that has not run, with the time to come back where one is known.
+/// The status of a request that has not run, with the retry-after time if one is known.
 pub(crate) fn rejected(text: &str, retry_after_ms: Option<i64>) -> Status {
     let Some(retry_after_ms) = retry_after_ms else {
         return Status::unavailable(text);
--- a/crates/stackgw-flight/src/tickets.rs
+++ b/crates/stackgw-flight/src/tickets.rs
@@ -1,16 +1,16 @@
-//! Tickets, prepared statements and bearer tokens: sealed by the cluster's keys, with an expiry,
-//! complete in themselves.
+//! Tickets, prepared statements and bearer tokens: self-contained handles with an expiry time,
+//! sealed with the cluster's keys.
 
 use crate::statement::StatementTemplate;
 use serde::{Deserialize, Serialize};
 use stackgw_cluster::{Envelope, Keyring};
 use thiserror::Error;
 
-/// Tells handles from the datagrams between instances, which are sealed by the same keys.
+/// Distinguishes handles from the datagrams between instances, which are sealed with the same keys.
 const SEAL_KIND: u8 = 0x46;
 
-/// What a sealed handle holds. Its encoding is on the wire: the order of variants and of their
-/// fields is fixed.
+/// The contents of a sealed handle. The encoding is part of the wire format: the order of the
+/// variants and of their fields must not change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SealedHandle {
     /// A statement that is ready to run.
@@ -20,22 +20,22 @@
         /// Distinguishes tickets of the same statement.
         nonce: u64,
     },
-    /// A prepared statement, its parameters open or bound.
+    /// A prepared statement, with unbound or bound parameters.
     Prepared(StatementTemplate),
     /// The name of a user who has authenticated.
     Bearer(String),
 }
 
-/// Why a handle is not accepted.
+/// Why a handle is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TicketError {
-    /// It was not sealed by a key that is valid here.
+    /// The handle was not sealed with a key that is valid here.
     #[error("the handle is forged, foreign or sealed with a key that is no longer valid")]
     Foreign,
-    /// It has expired.
+    /// The handle has expired.
     #[error("the handle has expired")]
     Expired,
-    /// It is valid, and of another kind than the call needs.
+    /// The handle is valid, but not of the kind that the call requires.
     #[error("the handle is of another kind")]
     WrongKind,
 }
@@ -43,7 +43,7 @@
 impl SealedHandle {
     /// Seals the handle until `expires_at_ms`, in Unix milliseconds.
     pub fn seal(&self, key_ring: &Keyring, expires_at_ms: u64) -> Vec<u8> {
-        // Encoding these types into memory does not fail.
+        // Encoding these types into memory cannot fail.
         let body = postcard::to_allocvec(&(expires_at_ms, self)).unwrap_or_default();
         key_ring.sign(SEAL_KIND, &body)
     }
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// [`TicketError::Foreign`] and [`TicketError::Expired`].
+    /// Returns [`TicketError::Foreign`] or [`TicketError::Expired`].
     pub fn open(key_ring: &Keyring, handle: &[u8], now_ms: u64) -> Result<Self, TicketError> {
         let opened = key_ring.verify_sized(handle, usize::MAX);
         let Envelope { kind, body } = opened.map_err(|_| TicketError::Foreign)?;
--- a/crates/stackgw-flight/src/users.rs
+++ b/crates/stackgw-flight/src/users.rs
@@ -1,5 +1,5 @@
-//! Authentication: users and their secrets from a file, and the bearer tokens that a handshake
-//! issues.
+//! Authentication of clients: users and their secrets, read from a file, and the bearer tokens that
+//! a handshake issues.
 
 use crate::error::{Error, UsersFileProblem};
 use crate::tickets::SealedHandle;
@@ -13,31 +13,31 @@
 /// How clients authenticate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AuthScheme {
-    /// By name and secret; a handshake issues a token for the calls after it.
+    /// With name and secret; a handshake issues a token for later calls.
     Basic,
-    /// By a secret of the file as the token.
+    /// With a secret from the users file as bearer token.
     Bearer,
 }
 
-/// The users of a file. Secrets are stored as hashes, whose comparison takes the same time whatever
-/// differs.
+/// The users from a file. Secrets are stored as hashes, which are compared in constant time.
 #[derive(Debug, Clone)]
 pub struct Users {
     scheme: AuthScheme,
     secrets: BTreeMap<String, blake3::Hash>,
 }
 
-/// Largest file of users, in bytes.
+/// Maximum size of a users file, in bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// Shortest secret, in bytes.
+/// Minimum length of a secret, in bytes.
 const MIN_SECRET_BYTES: usize = 8;
 
 impl Users {
-    /// Reads a file of lines `name:secret`; empty lines and those that begin with `#` are skipped.
+    /// Reads a file with lines of the form `name:secret`. Empty lines and lines that begin with `#`
+    /// are skipped.
     ///
     /// # Errors
     ///
-    /// [`Error::Users`], which names the file and the line at fault.
+    /// Returns [`Error::Users`] with the file and the invalid line.
     pub fn read(scheme: AuthScheme, file: &Path) -> Result<Self, Error> {
         let secrets = read_secrets(file).map_err(|problem| Error::Users {
             file: file.to_owned(),
@@ -46,7 +46,7 @@
         Ok(Users { scheme, secrets })
     }
 
-    /// The name of the user who makes a call, by its header `authorization`.
+    /// Authenticates a call by its `authorization` header. Returns the user's name.
     pub(crate) fn authenticate(
         &self,
         key_ring: &Keyring,
@@ -57,7 +57,7 @@
             .ok_or_else(|| Status::unauthenticated("who asks is not known"))
     }
 
-    /// The token that a handshake issues, valid until `expires_at_ms` in Unix milliseconds.
+    /// Issues a token that is valid until `expires_at_ms`, in Unix milliseconds.
     pub(crate) fn issue_token(&self, key_ring: &Keyring, name: &str, expires_at_ms: u64) -> String {
         let bearer = SealedHandle::Bearer(name.to_owned());
         BASE64_STANDARD.encode(bearer.seal(key_ring, expires_at_ms))
@@ -80,15 +80,15 @@
     fn identify_by_secret(&self, secret: &str) -> Option<String> {
         let hash = blake3::hash(secret.as_bytes());
         let mut users = self.secrets.iter();
-        let (name, _) = users.find(|(_, known)| **known == hash)?;
+        let (name, _) = users.find(|(_, user_hash)| **user_hash == hash)?;
         Some(name.clone())
     }
 
     fn identify_by_token(&self, key_ring: &Keyring, token: &str, now_ms: u64) -> Option<String> {
         let handle = BASE64_STANDARD.decode(token).ok()?;
         match SealedHandle::open(key_ring, &handle, now_ms) {
-            // Danger: a token outlives the file that it was issued by. Without the look into the
-            // present file a user who was removed from it would still be accepted.
+            // A token stays valid after the users file has changed. Without this check, a user who
+            // was removed from the file would still be accepted.
             Ok(SealedHandle::Bearer(name)) if self.secrets.contains_key(&name) => Some(name),
             _ => None,
         }
@@ -98,15 +98,15 @@
         let decoded = BASE64_STANDARD.decode(credentials).ok()?;
         let text = String::from_utf8(decoded).ok()?;
         let (name, secret) = text.split_once(':')?;
-        let known = self.secrets.get(name)?;
-        (*known == blake3::hash(secret.as_bytes())).then(|| name.to_owned())
+        let expected_hash = self.secrets.get(name)?;
+        (*expected_hash == blake3::hash(secret.as_bytes())).then(|| name.to_owned())
     }
 }
 
 fn read_secrets(file: &Path) -> Result<BTreeMap<String, blake3::Hash>, UsersFileProblem> {
     let metadata = std::fs::metadata(file)?;
     if !metadata.is_file() || metadata.len() > MAX_FILE_BYTES {
-        return Err(UsersFileProblem::NotPlainFile);
+        return Err(UsersFileProblem::NotRegularFile);
     }
     let text = std::fs::read_to_string(file)?;
     let mut secrets = BTreeMap::new();
--- a/crates/stackgw-flight/tests/statements_and_tickets.rs
+++ b/crates/stackgw-flight/tests/statements_and_tickets.rs
@@ -200,13 +200,13 @@
 fn errors_in_a_file_of_users_name_the_file_and_the_line() {
     let file = std::env::temp_dir().join(format!("stackgw-users-{}", std::process::id()));
     for (text, problem) in [
-        ("# nobody\n", "names nobody"),
-        ("depot\n", "line 1: is no name:secret"),
+        ("# nobody\n", "contains no users"),
+        ("depot\n", "line 1: is not of the form name:secret"),
         (
             "a:12345678\n\ndepot:short\n",
             "line 3: the name is empty, or the secret has fewer than 8 bytes",
         ),
-        ("a:12345678\na:87654321\n", "line 2: names a user twice"),
+        ("a:12345678\na:87654321\n", "line 2: duplicate user name"),
     ] {
         std::fs::write(&file, text).expect("a file");
         let error = Users::read(AuthScheme::Basic, &file)
--- a/crates/stackgw-streams/src/flow_control.rs
+++ b/crates/stackgw-streams/src/flow_control.rs
@@ -39,7 +39,7 @@
 }
 
 impl StreamState {
-    /// The times at which the stream is to be ended, with their reasons. The client's deadline comes
+    /// The times at which the stream is to be ended, with their reasons. The client's deadline is
     /// first because it takes precedence over the other timeouts.
     fn timeouts(&self, limits: &StreamLimits) -> impl Iterator<Item = (Time, EndReason)> {
         let deadline = self.deadline.map(|at| (at, EndReason::DeadlineExceeded));
@@ -119,8 +119,8 @@
     }
 
     /// Requests permission to read one message from the stream's member. If it is granted,
-    /// [`StreamLimits::member_timeout`] starts; otherwise, [`FlowControl::take_resumed`] returns the
-    /// stream once the call can be repeated.
+    /// [`StreamLimits::member_timeout`] starts; otherwise, [`FlowControl::take_resumed`] returns
+    /// the stream once the call can be repeated.
     pub fn try_read(&mut self, now: Time, id: StreamId) -> bool {
         let total_exhausted = self.buffered_bytes >= self.limits.bytes_total;
         let Some(stream) = self.streams.get_mut(&id) else {
