--- a/crates/stackgw-flight/src/frontend/executor.rs
+++ b/crates/stackgw-flight/src/frontend/executor.rs
@@ -109,7 +109,7 @@
 }
 
 fn check_bound(statement: &StatementTemplate) -> Result<(), Status> {
-    if statement.open_parameters() > 0 {
+    if statement.unbound_parameters() > 0 {
         return Err(Status::invalid_argument("parameters are not bound"));
     }
     Ok(())
--- a/crates/stackgw-flight/src/frontend/prepared.rs
+++ b/crates/stackgw-flight/src/frontend/prepared.rs
@@ -61,7 +61,7 @@
     ) -> Result<i64, Status> {
         let timeout_ms = self.timeout_ms(&call)?;
         let mut statement = self.open_prepared(&update.prepared_statement_handle)?;
-        if statement.open_parameters() > 0 {
+        if statement.unbound_parameters() > 0 {
             let parameters = read_parameters(call.into_inner()).await?;
             statement = statement.bind(&parameters)?;
         }
--- a/crates/stackgw-flight/src/frontend/schemas.rs
+++ b/crates/stackgw-flight/src/frontend/schemas.rs
@@ -35,7 +35,9 @@
 pub(super) fn parameter_schema(statement: &StatementTemplate) -> Schema {
     let key = Field::new(KEY_COLUMN, DataType::Utf8, false);
     let value = Field::new(VALUE_COLUMN, DataType::Binary, false);
-    let parameters = [key, value].into_iter().take(statement.open_parameters());
+    let parameters = [key, value]
+        .into_iter()
+        .take(statement.unbound_parameters());
     Schema::new(parameters.collect::<Vec<_>>())
 }
 
--- a/crates/stackgw-flight/src/relay/buffer.rs
+++ b/crates/stackgw-flight/src/relay/buffer.rs
@@ -1,4 +1,4 @@
-//! The buffer between the two ends of one stream.
+//! The buffer between a stream's writer and its reader.
 
 use crate::sync::lock;
 use arrow_flight::FlightData;
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 use tonic::Status;
 
-/// Bytes that flow control counts for a message.
+/// The size of a message as counted by flow control, in bytes.
 pub(super) fn message_bytes(message: &FlightData) -> usize {
     message.data_header.len() + message.data_body.len() + message.app_metadata.len()
 }
@@ -18,23 +18,23 @@
 #[derive(Default)]
 struct BufferState {
     messages: VecDeque<FlightData>,
-    /// What comes after the last message, once that is known.
+    /// How the stream ended: set once no further messages follow.
     result: Option<Result<(), Status>>,
-    /// Why the gateway ended the stream, if it did.
+    /// Why the gateway ended the stream, if it did so.
     end_reason: Option<EndReason>,
     reader_dropped: bool,
-    reader: Option<Waker>,
+    reader_waker: Option<Waker>,
 }
 
 impl BufferState {
     fn wake_reader(&mut self) {
-        if let Some(waker) = self.reader.take() {
+        if let Some(waker) = self.reader_waker.take() {
             waker.wake();
         }
     }
 }
 
-/// Messages that have arrived and are not read yet, and how the stream ended.
+/// Messages received from the member and not yet read by the client, and how the stream ended.
 #[derive(Default)]
 pub(super) struct StreamBuffer {
     state: Mutex<BufferState>,
@@ -42,7 +42,7 @@
 }
 
 impl StreamBuffer {
-    /// Appends a message, unless the stream has ended or nobody reads it any more.
+    /// Appends a message, unless the stream has ended or its reader was dropped.
     pub(super) fn push(&self, message: FlightData) {
         let mut state = lock(&self.state);
         if state.result.is_none() && !state.reader_dropped {
@@ -51,14 +51,14 @@
         state.wake_reader();
     }
 
-    /// Ends the stream behind the buffered messages, unless it has ended before.
+    /// Ends the stream after the buffered messages, unless it has already ended.
     pub(super) fn finish(&self) {
         let mut state = lock(&self.state);
         state.result.get_or_insert(Ok(()));
         state.wake_reader();
     }
 
-    /// Ends the stream with an error behind the buffered messages, unless it has ended before.
+    /// Ends the stream with an error after the buffered messages, unless it has already ended.
     pub(super) fn fail(&self, status: Status) {
         let mut state = lock(&self.state);
         state.result.get_or_insert(Err(status));
@@ -66,8 +66,8 @@
         self.writer_wakeup.notify_one();
     }
 
-    /// Ends the stream at once on the gateway's decision. The buffered messages are dropped, as
-    /// flow control has given their space to other streams.
+    /// Ends the stream immediately, for `reason`. The buffered messages are dropped, because flow
+    /// control has already released their space for other streams.
     pub(super) fn abort(&self, status: Status, reason: EndReason) {
         let mut state = lock(&self.state);
         state.messages.clear();
@@ -77,23 +77,23 @@
         self.writer_wakeup.notify_one();
     }
 
-    /// Notes that nobody reads the stream any more.
+    /// Records that the reader was dropped.
     pub(super) fn drop_reader(&self) {
         lock(&self.state).reader_dropped = true;
         self.writer_wakeup.notify_one();
     }
 
-    /// Has the writer look again whether it may go on.
+    /// Wakes the writer, so that it checks again whether it may continue.
     pub(super) fn wake_writer(&self) {
         self.writer_wakeup.notify_one();
     }
 
-    /// Waits until the writer is to look again.
+    /// Waits until the writer is woken.
     pub(super) async fn writer_woken(&self) {
         self.writer_wakeup.notified().await;
     }
 
-    /// The outcome of the member's attempt where the stream was ended from this side.
+    /// The outcome of the attempt at the member, if the gateway or the client ended the stream.
     pub(super) fn outcome(&self) -> Option<Outcome> {
         let state = lock(&self.state);
         match state.end_reason {
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Takes the next message; behind the last one an error, once, or the end.
+    /// Polls for the next message. After the last message, returns the stream's error once, if
+    /// there is one, then `None`.
     pub(super) fn poll_next(
         &self,
         context: &mut Context<'_>,
@@ -113,7 +114,7 @@
             return Poll::Ready(Some(Ok(message)));
         }
         let Some(result) = &mut state.result else {
-            state.reader = Some(context.waker().clone());
+            state.reader_waker = Some(context.waker().clone());
             return Poll::Pending;
         };
         let result = std::mem::replace(result, Ok(()));
--- a/crates/stackgw-flight/src/relay/mod.rs
+++ b/crates/stackgw-flight/src/relay/mod.rs
@@ -1,8 +1,8 @@
-//! Bulk streams on their way from a member to a client.
+//! Relaying of bulk streams from members to clients.
 //!
-//! `stackgw_streams::FlowControl` decides which member is read on and which stream is ended. This
-//! module has what that needs: its clock, its timer, the buffered messages and the wake-ups of both
-//! ends. Messages are not decoded.
+//! `stackgw_streams::FlowControl` decides when the next message of a stream is read and which
+//! streams are ended. This module provides its clock and timer, stores the buffered messages, and
+//! wakes the writers and readers. Messages are not decoded.
 
 mod buffer;
 mod reader;
@@ -15,8 +15,8 @@
 
 use std::sync::Arc;
 
-/// Opens a stream: the end that a member's messages are written to, and the end that a client
-/// reads. `None` where as many streams are open as may be.
+/// Opens a stream. Returns its writer, for the member's messages, and its reader, for the client;
+/// `None` if the maximum number of streams is open.
 pub(crate) fn open_stream(relay: &Arc<Relay>) -> Option<(RelayWriter, RelayReader)> {
     let stream = relay.open()?;
     Some((RelayWriter::new(stream.clone()), RelayReader::new(stream)))
--- a/crates/stackgw-flight/src/relay/reader.rs
+++ b/crates/stackgw-flight/src/relay/reader.rs
@@ -1,4 +1,4 @@
-//! The end of a stream that a client reads.
+//! The reader of a stream, which passes the messages to the client.
 
 use super::buffer::message_bytes;
 use super::streams::RelayStream;
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use tonic::Status;
 
-/// The end that a client reads. Dropped, the stream is cancelled at its member.
+/// The client's side of a stream. Dropping the reader cancels the stream at its member.
 pub(crate) struct RelayReader {
     stream: RelayStream,
-    /// What is to be dropped with the reader.
+    /// Values that are dropped together with the reader.
     _guards: Option<Box<dyn Send>>,
 }
 
@@ -26,25 +26,25 @@
         }
     }
 
-    /// Ends the stream where it is not complete after this time.
+    /// Ends the stream if it is not complete within `timeout` from now.
     pub(crate) fn set_timeout(&self, timeout: Duration) {
         let timeout = Time::try_from(timeout.as_nanos()).unwrap_or(Time::MAX / 2);
         let RelayStream { relay, id, .. } = &self.stream;
         relay.update(|now, flow| flow.set_deadline(*id, now.saturating_add(timeout)));
     }
 
-    /// Keeps `guards` for as long as the stream is read.
+    /// Keeps `guards` until the reader is dropped.
     pub(crate) fn attach_guards(&mut self, guards: impl Send + 'static) {
         self._guards = Some(Box::new(guards));
     }
 
-    /// Cancels the stream on the request of somebody else than its reader.
+    /// Returns a function that cancels the stream, for callers other than its reader.
     pub(crate) fn canceller(&self) -> impl Fn() + Send + Sync + 'static {
         let RelayStream { relay, buffer, id } = self.stream.clone();
         move || {
             relay.update(|_, flow| flow.close(id));
             let status = Status::cancelled("cancelled on the client's request");
-            // To the member this is the same as a client whose deadline has passed.
+            // The member's attempt is treated as if the client's deadline had passed.
             buffer.abort(status, EndReason::DeadlineExceeded);
         }
     }
--- a/crates/stackgw-flight/src/relay/streams.rs
+++ b/crates/stackgw-flight/src/relay/streams.rs
@@ -1,4 +1,4 @@
-//! All streams of this gateway: flow control with its clock and its timer.
+//! Flow control over all streams of this gateway, with its clock and timer.
 
 use super::buffer::StreamBuffer;
 use crate::sync::lock;
@@ -13,20 +13,20 @@
 struct RelayState {
     flow: FlowControl,
     buffers: HashMap<StreamId, Arc<StreamBuffer>>,
-    /// The time that [`Relay::run_timer`] waits for.
+    /// The time at which [`Relay::run_timer`] wakes next.
     timer: Option<Time>,
 }
 
-/// All streams of this gateway.
+/// The open streams of this gateway.
 pub(crate) struct Relay {
     state: Mutex<RelayState>,
-    /// Where flow control's clock has its zero.
+    /// Zero point of flow control's clock.
     epoch: Instant,
-    /// Wakes [`Relay::run_timer`] where it has to look earlier than planned.
+    /// Notifies [`Relay::run_timer`] that the next timeout is now earlier.
     timer_changed: Notify,
 }
 
-/// One stream, as both of its ends know it.
+/// One stream, as shared by its writer and its reader.
 #[derive(Clone)]
 pub(super) struct RelayStream {
     pub(super) relay: Arc<Relay>,
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Ends the streams whose time has come, for as long as it is polled.
+    /// Ends streams when their deadlines or timeouts pass. Never returns.
     pub(crate) async fn run_timer(self: Arc<Self>) {
         loop {
             let wait = self.expire_streams();
@@ -76,10 +76,11 @@
         lock(&self.state).buffers.remove(&id);
     }
 
-    /// Changes flow control's state, and wakes whoever that concerns.
+    /// Changes flow control's state, then wakes the writers of resumed streams and, if the next
+    /// timeout is now earlier, the timer.
     pub(super) fn update<T>(&self, change: impl FnOnce(Time, &mut FlowControl) -> T) -> T {
         let mut state = lock(&self.state);
-        let changed = change(self.now(), &mut state.flow);
+        let result = change(self.now(), &mut state.flow);
         for id in state.flow.take_resumed() {
             if let Some(buffer) = state.buffers.get(&id) {
                 buffer.wake_writer();
@@ -91,10 +92,11 @@
                 self.timer_changed.notify_one();
             }
         }
-        changed
+        result
     }
 
-    /// Ends the streams whose time has come. Returns how long to wait for the next one.
+    /// Ends the streams whose deadline or timeout has passed. Returns the time until the next
+    /// timeout.
     fn expire_streams(&self) -> Option<Duration> {
         let mut expired = Vec::new();
         let mut state = lock(&self.state);
@@ -113,13 +115,13 @@
         Some(Duration::from_nanos(u64::try_from(wait).unwrap_or(0)))
     }
 
-    /// Nanoseconds since the relay was made.
+    /// Nanoseconds since the relay was created.
     fn now(&self) -> Time {
         Time::try_from(self.epoch.elapsed().as_nanos()).unwrap_or(Time::MAX)
     }
 }
 
-/// The status by which a client learns that its stream was ended.
+/// The status sent to the client when its stream is ended.
 fn end_status(reason: EndReason) -> Status {
     let text = reason.to_string();
     match reason {
--- a/crates/stackgw-flight/src/relay/writer.rs
+++ b/crates/stackgw-flight/src/relay/writer.rs
@@ -1,4 +1,4 @@
-//! The end of a stream that a member's messages are written to.
+//! The writer of a stream, which receives the member's messages.
 
 use super::buffer::message_bytes;
 use super::streams::RelayStream;
@@ -6,7 +6,7 @@
 use stackgw_router::api::Outcome;
 use tonic::Status;
 
-/// The end that a member's messages are written to.
+/// The member's side of a stream.
 pub(crate) struct RelayWriter {
     stream: RelayStream,
 }
@@ -16,11 +16,11 @@
         RelayWriter { stream }
     }
 
-    /// Whether the member is to be read on now.
+    /// Whether the next message may be read from the member now.
     ///
     /// # Errors
     ///
-    /// The outcome, where the stream was ended from this side.
+    /// Returns the attempt's outcome if the gateway or the client ended the stream.
     pub(crate) fn try_read(&self) -> Result<bool, Outcome> {
         if let Some(outcome) = self.stream.buffer.outcome() {
             return Err(outcome);
@@ -29,11 +29,11 @@
         Ok(relay.update(|now, flow| flow.try_read(now, *id)))
     }
 
-    /// Waits until the member is to be read on.
+    /// Waits until the next message may be read from the member.
     ///
     /// # Errors
     ///
-    /// The outcome, where the stream was ended from this side.
+    /// Returns the attempt's outcome if the gateway or the client ended the stream.
     pub(crate) async fn wait_until_readable(&self) -> Result<(), Outcome> {
         while !self.try_read()? {
             self.stream.buffer.writer_woken().await;
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Waits until the stream is ended from this side.
+    /// Waits until the gateway or the client ends the stream. Returns the attempt's outcome.
     pub(crate) async fn wait_until_ended(&self) -> Outcome {
         loop {
             if let Some(outcome) = self.stream.buffer.outcome() {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Passes a message on.
+    /// Buffers a message for the reader.
     pub(crate) fn write(&self, message: FlightData) {
         let RelayStream { relay, buffer, id } = &self.stream;
         let bytes = message_bytes(&message);
@@ -59,13 +59,13 @@
         buffer.push(message);
     }
 
-    /// The member has sent all.
+    /// Ends the stream after its last message.
     pub(crate) fn finish(self) {
         self.finish_receiving();
         self.stream.buffer.finish();
     }
 
-    /// The stream broke off; what came before stays for the reader.
+    /// Ends the stream with an error. The reader still receives the buffered messages.
     pub(crate) fn fail(self, reason: &str) {
         self.finish_receiving();
         let status = Status::aborted(format!("the stream broke off: {reason}"));
--- a/crates/stackgw-flight/src/statement/comment.rs
+++ b/crates/stackgw-flight/src/statement/comment.rs
@@ -1,9 +1,9 @@
-//! The comment that ends a statement: `/* name=value, name=value */`.
+//! The options comment at the end of a statement: `/* name=value, name=value */`.
 
 use super::error::StatementError;
 use super::options::RequestOptions;
 
-/// Splits a statement from its last comment and reads the options in that one.
+/// Splits a statement into its SQL and the options in its last comment.
 pub(super) fn split_comment(text: &str) -> Result<(&str, RequestOptions), StatementError> {
     let Some(start) = text.rfind("/*") else {
         return Ok((text, RequestOptions::default()));
@@ -33,7 +33,7 @@
 
 /// Sets one option; unknown names are ignored.
 fn set_option(options: &mut RequestOptions, name: &str, value: &str) -> Result<(), StatementError> {
-    let set_before = match name {
+    let already_set = match name {
         "c" => options.class.replace(value.to_owned()).is_some(),
         "cluster" => options.group.replace(value.to_owned()).is_some(),
         "id" => options.id.replace(value.to_owned()).is_some(),
@@ -45,7 +45,7 @@
         }
         _ => false,
     };
-    if set_before {
+    if already_set {
         return Err(StatementError::RepeatedOption(name.to_owned()));
     }
     Ok(())
--- a/crates/stackgw-flight/src/statement/mod.rs
+++ b/crates/stackgw-flight/src/statement/mod.rs
@@ -1,7 +1,7 @@
-//! Statements of Flight SQL clients, and how they become statements of the PostgreSQL protocol.
+//! Conversion of Flight SQL clients' statements to statements of the PostgreSQL protocol.
 //!
-//! A statement's comment and the headers of its call may both name the same options; then they must
-//! agree. Parameters stand as `?` in place of the key and of the value.
+//! If a statement's comment and the headers of its call set the same option, the values must be
+//! equal. `?` is the placeholder for the key and for the value.
 
 mod comment;
 mod error;
--- a/crates/stackgw-flight/src/statement/parameters.rs
+++ b/crates/stackgw-flight/src/statement/parameters.rs
@@ -5,18 +5,18 @@
 /// The value of a parameter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ParameterValue {
-    /// A text: the key.
+    /// A string, for the key.
     Text(String),
-    /// Bytes: the value.
+    /// A byte string, for the value.
     Bytes(Vec<u8>),
 }
 
-/// Number of parameters that a statement leaves open.
+/// Number of a statement's unbound parameters.
 pub(super) fn count_placeholders(sql: &str) -> usize {
     placeholders(sql).count()
 }
 
-/// The statement with its placeholders replaced by literals.
+/// Returns the statement with its placeholders replaced by literals.
 pub(super) fn bind(sql: &str, values: &[ParameterValue]) -> Result<String, StatementError> {
     let expected = count_placeholders(sql);
     if values.len() != expected {
@@ -26,17 +26,17 @@
         });
     }
     let mut bound = String::new();
-    let mut copied = 0;
+    let mut copied_to = 0;
     for (position, value) in placeholders(sql).zip(values) {
-        bound += &sql[copied..position];
+        bound += &sql[copied_to..position];
         bound += &literal(value)?;
-        copied = position + 1;
+        copied_to = position + 1;
     }
-    bound += &sql[copied..];
+    bound += &sql[copied_to..];
     Ok(bound)
 }
 
-/// Byte positions of the placeholders: question marks outside quotes.
+/// Byte offsets of the placeholders: question marks outside quotes.
 fn placeholders(sql: &str) -> impl Iterator<Item = usize> + '_ {
     let mut quoted = false;
     sql.bytes().enumerate().filter_map(move |(position, byte)| {
@@ -47,8 +47,8 @@
 
 fn literal(value: &ParameterValue) -> Result<String, StatementError> {
     match value {
-        // Danger: such a key would end its quotes or begin a comment, and so write the rest of the
-        // statement itself.
+        // Without this check, a key could terminate its literal or begin a comment, and so inject
+        // SQL into the statement.
         ParameterValue::Text(text) if text.contains(['\'', '\0']) || text.contains("/*") => {
             Err(StatementError::InvalidKey)
         }
--- a/crates/stackgw-flight/src/statement/template.rs
+++ b/crates/stackgw-flight/src/statement/template.rs
@@ -1,4 +1,4 @@
-//! A statement with its options.
+//! Statements with their options.
 
 use super::comment::split_comment;
 use super::error::StatementError;
@@ -6,14 +6,14 @@
 use super::parameters::{self, ParameterValue};
 use serde::{Deserialize, Serialize};
 
-/// Longest statement in bytes, its value included.
+/// Maximum length of a statement in bytes, including its value.
 const MAX_STATEMENT_BYTES: usize = 136 << 10;
-/// The keyword that a statement begins with which writes.
+/// First keyword of statements that write.
 const INSERT: &str = "insert";
 
-/// A statement that is complete but for the id and the timeout that each execution has of its own.
+/// A statement with its options. Each execution adds its own id and timeout.
 ///
-/// Tickets hold it: the order of the fields is on the wire.
+/// Tickets contain the template, so the order of its fields is part of the wire format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatementTemplate {
     sql: String,
@@ -26,53 +26,54 @@
 }
 
 impl StatementTemplate {
-    /// Reads a statement with its comment, and the headers of the call that brought it.
+    /// Parses a statement and its comment, and merges the options with those of the call's headers.
     ///
     /// # Errors
     ///
-    /// What is malformed, missing or contradictory.
+    /// Returns an error if the statement or an option is malformed, if a required option is
+    /// missing, or if the comment and the headers contradict each other.
     pub fn parse(statement: &str, headers: &RequestOptions) -> Result<Self, StatementError> {
         if statement.len() > MAX_STATEMENT_BYTES {
             return Err(StatementError::TooLong);
         }
         let (sql, comment) = split_comment(statement)?;
-        let class = agree("class", comment.class, &headers.class)?;
-        let group = agree("group", comment.group, &headers.group)?;
+        let class = merge_option("class", comment.class, &headers.class)?;
+        let group = merge_option("group", comment.group, &headers.group)?;
         let template = StatementTemplate {
             sql: sql.trim().trim_end_matches(';').trim_end().to_owned(),
             class: require(class, "class", "c")?,
             group: require(group, "group", "cluster")?,
-            after: agree("after", comment.after, &headers.after)?,
-            retry: agree("repeat", comment.retry, &headers.retry)?,
-            id: agree("id", comment.id, &headers.id)?,
-            timeout_ms: shorter(comment.timeout_ms, headers.timeout_ms),
+            after: merge_option("after", comment.after, &headers.after)?,
+            retry: merge_option("repeat", comment.retry, &headers.retry)?,
+            id: merge_option("id", comment.id, &headers.id)?,
+            timeout_ms: min_timeout(comment.timeout_ms, headers.timeout_ms),
         };
         template.check_options()?;
         Ok(template)
     }
 
-    /// Whether the statement writes, as far as its first keyword shows.
+    /// Whether the statement writes, judging by its first keyword.
     pub fn is_write(&self) -> bool {
         self.sql
             .get(..INSERT.len())
             .is_some_and(|keyword| keyword.eq_ignore_ascii_case(INSERT))
     }
 
-    /// Whether the statement is for this replication group.
+    /// Whether the statement is addressed to this replication group.
     pub fn is_for_group(&self, group: u32) -> bool {
         self.group.parse() == Ok(group)
     }
 
-    /// Number of parameters that are not bound.
-    pub fn open_parameters(&self) -> usize {
+    /// Number of unbound parameters.
+    pub fn unbound_parameters(&self) -> usize {
         parameters::count_placeholders(&self.sql)
     }
 
-    /// The statement with its parameters bound.
+    /// Returns the statement with its parameters bound to `values`.
     ///
     /// # Errors
     ///
-    /// [`StatementError::ParameterCount`] and [`StatementError::InvalidKey`].
+    /// Returns [`StatementError::ParameterCount`] or [`StatementError::InvalidKey`].
     pub fn bind(&self, values: &[ParameterValue]) -> Result<Self, StatementError> {
         let sql = parameters::bind(&self.sql, values)?;
         Ok(StatementTemplate {
@@ -81,8 +82,8 @@
         })
     }
 
-    /// The statement's text for one execution: under `id` unless it has one of its own, and with
-    /// the shorter one of `timeout_ms` and its own timeout.
+    /// Renders the statement's text for one execution, with `id` unless the statement sets an id,
+    /// and with the shorter of `timeout_ms` and the statement's own timeout.
     pub fn render(&self, id: &str, timeout_ms: u64) -> String {
         let StatementTemplate {
             sql, class, group, ..
@@ -100,17 +101,18 @@
         text + " */"
     }
 
-    /// The client's timeout in milliseconds: the shorter one of the statement's and of the call's.
+    /// The client's timeout in milliseconds: the shorter of the statement's and the call's timeout.
     pub fn timeout_ms(&self, call_timeout_ms: Option<u64>) -> Option<u64> {
-        shorter(self.timeout_ms, call_timeout_ms)
+        min_timeout(self.timeout_ms, call_timeout_ms)
     }
 
-    /// The statement without an id of its own: each execution is then a request of its own.
+    /// Removes the statement's id, so that each execution is a separate request.
     pub fn without_id(self) -> Self {
         StatementTemplate { id: None, ..self }
     }
 
-    /// Danger: an option that closes the comment would write the rest of the statement itself.
+    /// Rejects option values with characters that are not allowed in a comment. Without this check,
+    /// an option could terminate the comment and inject SQL into the statement.
     fn check_options(&self) -> Result<(), StatementError> {
         let required = [&self.class, &self.group];
         let optional = [&self.after, &self.retry, &self.id];
@@ -128,8 +130,8 @@
     byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.')
 }
 
-/// The value of an option that comment and header may both set.
-fn agree(
+/// The value of an option that the comment, the header or both may set.
+fn merge_option(
     name: &'static str,
     comment: Option<String>,
     header: &Option<String>,
@@ -150,6 +152,6 @@
     value.ok_or(StatementError::MissingOption { header, comment })
 }
 
-fn shorter(one: Option<u64>, other: Option<u64>) -> Option<u64> {
-    [one, other].into_iter().flatten().min()
+fn min_timeout(first: Option<u64>, second: Option<u64>) -> Option<u64> {
+    [first, second].into_iter().flatten().min()
 }
--- a/crates/stackgw-flight/tests/statements_and_tickets.rs
+++ b/crates/stackgw-flight/tests/statements_and_tickets.rs
@@ -103,14 +103,17 @@
 fn bound_parameters_cannot_inject_sql() {
     let insert = "INSERT INTO state (uid, val) VALUES (?, ?) RETURNING val";
     let template = StatementTemplate::parse(insert, &headers()).expect("good");
-    assert_eq!((template.open_parameters(), template.is_write()), (2, true));
+    assert_eq!(
+        (template.unbound_parameters(), template.is_write()),
+        (2, true)
+    );
     let bound = template
         .bind(&[
             ParameterValue::Text("a?b".to_owned()),
             ParameterValue::Bytes(vec![1, 255]),
         ])
         .expect("they fit");
-    assert_eq!(bound.open_parameters(), 0);
+    assert_eq!(bound.unbound_parameters(), 0);
     let text = bound.render("i", 9);
     assert!(text.contains("('a?b', '\\x01ff')"), "{text}");
     assert_eq!(parsed(&text).key, "a?b");
--- a/crates/stackgw-flight/tests/wire_fixtures.rs
+++ b/crates/stackgw-flight/tests/wire_fixtures.rs
@@ -267,7 +267,7 @@
     format!(
         "writes={} parameters={} group2={} group3={} wait={:?},{:?} text={} fresh={}",
         template.is_write(),
-        template.open_parameters(),
+        template.unbound_parameters(),
         template.is_for_group(2),
         template.is_for_group(3),
         template.timeout_ms(None),
