--- a/crates/stackgw-flight/src/backend/connection.rs
+++ b/crates/stackgw-flight/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection as the gateway sees it: connecting, its requests one after another, its end.
+//! A connection as the gateway sees it: connecting, running its requests in sequence, closing.
 
 use super::dispatcher::{Backend, ConnectionCommands};
 use super::request::{LostConnection, MemberRequest, RequestEnd};
@@ -11,24 +11,25 @@
 use std::time::Duration;
 use tonic::transport::{Channel, Endpoint, Error};
 
-/// Bytes of one stream that HTTP/2 buffers beside what flow control allows; a connection has as
-/// many for each request.
+/// HTTP/2 flow-control window of one stream, in bytes. HTTP/2 may buffer this much for a stream in
+/// addition to what the relay's flow control allows.
 ///
-/// Danger: a connection with less would stall once some of its streams are not read.
+/// The window of a connection is one stream window per request, plus one. With a smaller window,
+/// all streams of a connection would stall if some of them are not read.
 const WINDOW_BYTES: u32 = 512 << 10;
-/// Largest window of HTTP/2.
+/// Maximum window size in HTTP/2, in bytes.
 const MAX_WINDOW_BYTES: u32 = i32::MAX as u32;
 
-/// Why there is no connection.
+/// Why a connection was not established.
 enum ConnectFailure {
-    /// The gateway closed it before it was established.
+    /// The gateway closed the connection before it was established.
     Cancelled,
     /// The member could not be reached.
     Unreachable,
 }
 
 impl Backend {
-    /// Runs a connection from its opening to its end.
+    /// Runs a connection from opening to closing.
     pub(super) async fn run_connection(
         self: Arc<Self>,
         id: ConnectionId,
@@ -44,12 +45,13 @@
             Ok(channel) => {
                 self.notify(BackendEvent::Connected(id)).await;
                 if let Some(lost) = self.run_requests(id, channel, commands).await {
-                    // What broke under one request is given no others.
+                    // An HTTP/2 connection that failed for one request is not used for others.
                     self.mark_channel_broken(channel_id);
-                    if let Some(reason) = lost.reason {
+                    if let Some(reason) = lost.log_reason {
                         self.log_lost_connection(address, &reason);
                     }
-                    self.notify(BackendEvent::Closed(id, lost.closed)).await;
+                    self.notify(BackendEvent::Closed(id, lost.close_reason))
+                        .await;
                 }
             }
             Err(failure) => {
@@ -63,7 +65,8 @@
         self.release_channel(channel_id);
     }
 
-    /// Runs the requests on a connection. Returns how it was lost, unless the gateway closed it.
+    /// Runs the requests on a connection. Returns how the connection was lost, or `None` if the
+    /// gateway closed it.
     async fn run_requests(
         self: &Arc<Self>,
         id: ConnectionId,
@@ -81,16 +84,16 @@
         None
     }
 
-    /// The HTTP/2 connection, established by whoever needs it first.
+    /// Returns the shared HTTP/2 connection, establishing it if necessary.
     async fn connect(&self, id: ChannelId, address: SocketAddr) -> Result<Channel, ConnectFailure> {
         let shared = self.shared_channel(id);
         let timeout = Duration::from_millis(self.config.connect_timeout_ms);
         let connecting = shared.get_or_try_init(|| self.establish(address, timeout));
-        // A host that accepts the connection and then sends nothing has not established one.
+        // Also covers a host that accepts the TCP connection and then sends nothing.
         match tokio::time::timeout(timeout, connecting).await {
             Ok(Ok(channel)) => return Ok(channel.clone()),
             Ok(Err(error)) => self.log_lost_connection(address, &root_cause(&error)),
-            Err(_) => self.log_lost_connection(address, "not up in time"),
+            Err(_) => self.log_lost_connection(address, "connecting timed out"),
         }
         Err(ConnectFailure::Unreachable)
     }
--- a/crates/stackgw-flight/src/backend/dispatcher.rs
+++ b/crates/stackgw-flight/src/backend/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The gateway's commands to the backend, and the events that it gets back.
+//! Executes the gateway's commands to the backend, and reports events to the gateway.
 
 use crate::config::BackendConfig;
 use crate::relay::Relay;
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot, OnceCell};
 use tonic::transport::Channel;
 
-/// An HTTP/2 connection, once it is established.
+/// An HTTP/2 connection; the cell is empty until it is established.
 pub(super) type SharedChannel = Arc<OnceCell<Channel>>;
 
 /// The connections to all members that speak Flight SQL.
@@ -25,23 +25,23 @@
     gateway: BackendChannels,
     pool: Mutex<ChannelPool<SocketAddr>>,
     channels: Mutex<HashMap<ChannelId, SharedChannel>>,
-    /// Writes whose client had disconnected by their end.
-    unattended_writes: AtomicU64,
-    /// Connections that broke or could not be established.
+    /// Number of writes whose client disconnected before their outcome was known.
+    abandoned_writes: AtomicU64,
+    /// Number of connections that failed or could not be established.
     lost_connections: AtomicU64,
 }
 
-/// One connection as the gateway sees it. Dropped, it is closed.
+/// A connection as the gateway sees it. Dropping the handle closes the connection.
 struct ConnectionHandle {
     requests: mpsc::UnboundedSender<BackendRequest>,
     _open: oneshot::Sender<()>,
 }
 
-/// What the gateway asks of one connection.
+/// The gateway's commands to one connection.
 pub(super) struct ConnectionCommands {
-    /// The requests on it, one at a time.
+    /// The requests to run on the connection, one at a time.
     pub(super) requests: mpsc::UnboundedReceiver<BackendRequest>,
-    /// Ends when the gateway closes it.
+    /// Resolves when the gateway closes the connection.
     pub(super) closed: oneshot::Receiver<()>,
 }
 
@@ -60,12 +60,12 @@
             gateway,
             pool: Mutex::new(pool),
             channels: Mutex::default(),
-            unattended_writes: AtomicU64::new(0),
+            abandoned_writes: AtomicU64::new(0),
             lost_connections: AtomicU64::new(0),
         })
     }
 
-    /// Carries out the gateway's commands, until the gateway ends.
+    /// Executes the gateway's commands until the gateway ends.
     pub(crate) async fn run(self: Arc<Self>) {
         let mut connections: HashMap<ConnectionId, ConnectionHandle> = HashMap::new();
         while let Ok(command) = self.gateway.commands.recv().await {
@@ -75,7 +75,8 @@
                 }
                 BackendCommand::Execute(id, request) => {
                     if let Some(connection) = connections.get(&id) {
-                        // A connection that has ended has notified the gateway.
+                        // Sending fails if the connection has ended; the gateway has then been
+                        // notified.
                         let _ = connection.requests.send(request);
                     }
                 }
@@ -85,10 +86,10 @@
     }
 
     fn open(self: &Arc<Self>, id: ConnectionId, address: SocketAddr) -> ConnectionHandle {
-        let (requests, received) = mpsc::unbounded_channel();
+        let (requests, request_receiver) = mpsc::unbounded_channel();
         let (open, closed) = oneshot::channel();
         let commands = ConnectionCommands {
-            requests: received,
+            requests: request_receiver,
             closed,
         };
         tokio::spawn(self.clone().run_connection(id, address, commands));
@@ -98,53 +99,55 @@
         }
     }
 
-    /// Reports an event to the gateway; to nobody once that has ended.
+    /// Sends an event to the gateway; the event is dropped if the gateway has ended.
     pub(super) async fn notify(&self, event: BackendEvent) {
         let _ = self.gateway.events.send(event).await;
     }
 
-    /// Assigns a connection of the gateway to one of HTTP/2.
+    /// Assigns a connection of the gateway to an HTTP/2 connection.
     pub(super) fn assign_channel(&self, address: SocketAddr) -> ChannelId {
         lock(&self.pool).assign(&address)
     }
 
-    /// The place of an HTTP/2 connection, established or not.
+    /// The cell of an HTTP/2 connection, which may not be established yet.
     pub(super) fn shared_channel(&self, id: ChannelId) -> SharedChannel {
         lock(&self.channels).entry(id).or_default().clone()
     }
 
-    /// No further request goes by this HTTP/2 connection.
+    /// Excludes an HTTP/2 connection from further requests.
     pub(super) fn mark_channel_broken(&self, id: ChannelId) {
         lock(&self.pool).mark_broken(id);
     }
 
-    /// A connection of the gateway has ended; the HTTP/2 connection is closed behind the last one.
+    /// Releases an ended connection of the gateway. The last one to be released closes the HTTP/2
+    /// connection.
     pub(super) fn release_channel(&self, id: ChannelId) {
         if lock(&self.pool).release(id) {
             lock(&self.channels).remove(&id);
         }
     }
 
-    /// Logs a connection that broke or could not be established.
+    /// Counts a connection that failed or could not be established, and logs it as
+    /// [`count_to_log`] decides.
     pub(super) fn log_lost_connection(&self, address: SocketAddr, reason: &str) {
         if let Some(count) = count_to_log(&self.lost_connections) {
             info!(
                 self.log,
-                "connections to members by flight sql that broke or never came up: {count}; \
+                "flight sql connections to members that failed or were not established: {count}; \
                  the last one to {address}: {reason}"
             );
         }
     }
 
-    /// Counts a write whose client has disconnected. Returns the count where the write's end is to
-    /// be logged.
-    pub(super) fn count_unattended_write(&self) -> Option<u64> {
-        count_to_log(&self.unattended_writes)
+    /// Counts a write whose client has disconnected. Returns the count if the write's end is to be
+    /// logged.
+    pub(super) fn count_abandoned_write(&self) -> Option<u64> {
+        count_to_log(&self.abandoned_writes)
     }
 }
 
-/// Counts one more; the count where it is to be logged: the first, second, fourth, eighth and so
-/// on.
+/// Increments a counter. Returns the new count if it is to be logged, which is at powers of two, to
+/// limit the log volume.
 fn count_to_log(counter: &AtomicU64) -> Option<u64> {
     let count = counter.fetch_add(1, Ordering::Relaxed) + 1;
     count.is_power_of_two().then_some(count)
--- a/crates/stackgw-flight/src/backend/member_status.rs
+++ b/crates/stackgw-flight/src/backend/member_status.rs
@@ -1,4 +1,5 @@
-//! What a member's statuses and headers mean to the gateway: the table in `docs/design/flight.md`.
+//! Conversion of a member's statuses and headers for the gateway, as listed in
+//! `docs/design/flight.md`.
 
 use crate::protocol::{LOAD_HEADER, NEVER_RAN, POSITION_HEADER, RAN_TRAILER, ROLE_HEADER};
 use stackgw_gateway::pg::{write, Frame, FrameDecoder, Reply};
@@ -7,16 +8,15 @@
 use tonic::metadata::MetadataMap;
 use tonic::{Code, ConnectError, Status};
 
-/// SQLSTATE of a request that the member must not serve in its role, or that it is too far behind
-/// for.
+/// SQLSTATE of a request that the member cannot serve because of its role or its replay lag.
 const READ_ONLY: &str = "25006";
 /// SQLSTATE of a request that the member has rejected.
 const OVERLOADED: &str = "53300";
 /// SQLSTATE of a request that may have run.
 const INTERNAL_ERROR: &str = "XX000";
 
-/// How the connection was lost, where a status was made on this side because of that. A member's
-/// own have no source.
+/// How the connection was lost, if the status was created locally because of that. Statuses sent by
+/// members have no source error.
 pub(super) fn connection_loss(status: &Status) -> Option<CloseReason> {
     let mut source = status.source();
     source?;
@@ -29,14 +29,15 @@
     Some(CloseReason::Disconnected)
 }
 
-/// The error message of the PostgreSQL protocol for a member's status, with what the member says of
-/// itself beside it.
+/// Writes a member's status as an error message of the PostgreSQL protocol, followed by the
+/// parameters from [`write_member_parameters`].
 pub(super) fn write_error(out: &mut Vec<u8>, status: &Status) {
     write::error(out, false, sqlstate(status), status.message(), None);
     write_member_parameters(out, status.metadata());
 }
 
-/// What a member says of itself beside an answer, as parameters of the PostgreSQL protocol.
+/// Writes the role, replay position and load report from a member's headers as parameter messages
+/// of the PostgreSQL protocol.
 pub(super) fn write_member_parameters(out: &mut Vec<u8>, headers: &MetadataMap) {
     for (header, parameter) in [
         (ROLE_HEADER, "node_role"),
@@ -50,14 +51,14 @@
     }
 }
 
-/// What a member says of itself beside an answer, as the reducer takes it. Read by the parser of
-/// the PostgreSQL protocol, so that there is one.
+/// Parses the role, replay position and load report in a member's headers. The values are converted
+/// to PostgreSQL messages first, so that both protocols share one parser.
 pub(super) fn parse_member_parameters(headers: &MetadataMap) -> StreamHeader {
     let mut bytes = Vec::new();
     write_member_parameters(&mut bytes, headers);
     let mut reply = Reply::default();
     for frame in decode_frames(&bytes) {
-        // Parameters are in place anywhere.
+        // The parser accepts parameters at any point of a reply.
         let _ = reply.take(&frame, usize::MAX);
     }
     StreamHeader {
@@ -67,7 +68,7 @@
     }
 }
 
-/// The messages that were written one behind another.
+/// Splits consecutive messages into frames.
 pub(super) fn decode_frames(bytes: &[u8]) -> Vec<Frame> {
     let mut decoder = FrameDecoder::server(bytes.len());
     decoder.feed(bytes);
--- a/crates/stackgw-flight/src/backend/mod.rs
+++ b/crates/stackgw-flight/src/backend/mod.rs
@@ -1,19 +1,20 @@
-//! The backend: members that speak Flight SQL, behind the same pool, limits and router as all
-//! others.
+//! The backend: connections to members that speak Flight SQL. The gateway's pool, limits and router
+//! are the same as for members that speak the PostgreSQL protocol.
 //!
-//! To the gateway each request in flight is a connection of its own, as in the PostgreSQL protocol;
-//! here many of them share one HTTP/2 connection, as `stackgw_streams::ChannelPool` assigns them. A
-//! statement is sent as it is, by GetFlightInfo and DoGet. What comes back is one value for a
-//! request of one value, and a stream that passes through undecoded for a request that takes one.
+//! The gateway treats each request in flight as a separate connection, as in the PostgreSQL
+//! protocol. In this module, many such connections share one HTTP/2 connection, as assigned by
+//! `stackgw_streams::ChannelPool`. A statement is sent unchanged, with GetFlightInfo and DoGet. The
+//! response is relayed as an undecoded stream if the request accepts one, and is decoded to a
+//! single value otherwise.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `dispatcher` | takes the gateway's commands and starts a task for each connection |
-//! | `connection` | one connection: connecting, its requests one after another, its end |
-//! | `request` | one request: asking the member, cancelling what nobody waits for |
-//! | `stream` | an answer that passes through |
-//! | `value` | an answer of one value |
-//! | `member_status` | what a member's statuses and headers mean to the gateway |
+//! | `dispatcher` | receives the gateway's commands and starts a task for each connection |
+//! | `connection` | a connection's life cycle: connecting, running requests in sequence, closing |
+//! | `request` | one request: sending it to the member, cancelling it if it is no longer needed |
+//! | `stream` | responses that are relayed as streams |
+//! | `value` | responses with a single value |
+//! | `member_status` | conversion of a member's statuses and headers for the gateway |
 
 mod connection;
 mod dispatcher;
--- a/crates/stackgw-flight/src/backend/request.rs
+++ b/crates/stackgw-flight/src/backend/request.rs
@@ -1,4 +1,4 @@
-//! One request at a member.
+//! A request to a member.
 
 use super::dispatcher::Backend;
 use super::member_status::{connection_loss, decode_frames, write_error, write_member_parameters};
@@ -26,40 +26,40 @@
 use tonic::transport::Channel;
 use tonic::{Request, Status, Streaming};
 
-/// A member is notified of a cancelled request; what it answers does not matter.
+/// Timeout for notifying a member of a cancelled request; its reply is ignored.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How a request ended for its connection.
+/// The state of the connection after a request.
 pub(super) enum RequestEnd {
-    /// The connection takes another request.
+    /// The connection can run another request.
     Reusable,
-    /// The connection takes no other request.
+    /// The connection cannot run further requests.
     Lost(LostConnection),
     /// The gateway closed the connection while the request ran.
     ClosedByGateway,
 }
 
-/// A connection that takes no further request.
+/// Why a connection cannot run further requests.
 pub(super) struct LostConnection {
-    /// What the gateway is to know.
-    pub(super) closed: CloseReason,
-    /// What is to be logged; nothing where the connection was given up on purpose.
-    pub(super) reason: Option<String>,
+    /// The reason to report to the gateway.
+    pub(super) close_reason: CloseReason,
+    /// The reason to log; `None` if the connection was closed on purpose.
+    pub(super) log_reason: Option<String>,
 }
 
-/// The member's answer, before its first message.
+/// The member's response, before its first message is read.
 pub(super) struct MemberResponse {
     pub(super) headers: MetadataMap,
     pub(super) messages: Streaming<FlightData>,
 }
 
-/// One request on its way.
+/// A request that is running at a member.
 pub(super) struct MemberRequest {
     pub(super) backend: Arc<Backend>,
     pub(super) connection: ConnectionId,
     channel: Channel,
     request: BackendRequest,
-    /// By what the member can be asked to cancel the request, once it has answered GetFlightInfo.
+    /// The member's reply to GetFlightInfo, which is needed to cancel the request.
     flight_info: Mutex<Option<FlightInfo>>,
 }
 
@@ -79,19 +79,19 @@
         }
     }
 
-    /// Runs the request. `closed` ends when the gateway closes the connection.
+    /// Runs the request. `closed` resolves when the gateway closes the connection.
     pub(super) async fn run(&self, closed: &mut oneshot::Receiver<()>) -> RequestEnd {
         if self.request.is_write {
             return self.run_write(closed).await;
         }
-        let answered = async {
+        let response = async {
             match self.request.may_stream {
                 true => self.relay_stream().await,
                 false => self.fetch_value().await,
             }
         };
         tokio::select! {
-            end = answered => end,
+            end = response => end,
             _ = closed => {
                 self.cancel();
                 RequestEnd::ClosedByGateway
@@ -99,33 +99,30 @@
         }
     }
 
-    /// Danger: a write that was sent may run whatever is done here. It is awaited to its end even
-    /// where its client has disconnected, so that its outcome is known.
+    /// Runs a write. A write that was sent may run at the member even if it is cancelled here, so
+    /// it is awaited even after its client has disconnected, to learn its outcome.
     async fn run_write(&self, closed: &mut oneshot::Receiver<()>) -> RequestEnd {
-        let mut answered = std::pin::pin!(self.fetch_value());
+        let mut response = std::pin::pin!(self.fetch_value());
         tokio::select! {
-            end = &mut answered => return end,
+            end = &mut response => return end,
             _ = closed => {}
         }
-        let longest = self.backend.config.write_outcome_timeout_ms;
-        let timeout = Duration::from_millis(self.request.timeout_ms.max(longest));
-        let count = self.backend.count_unattended_write();
-        let has_ended = tokio::time::timeout(timeout, answered).await.is_ok();
+        let min_timeout_ms = self.backend.config.write_outcome_timeout_ms;
+        let timeout = Duration::from_millis(self.request.timeout_ms.max(min_timeout_ms));
+        let count = self.backend.count_abandoned_write();
+        let has_ended = tokio::time::timeout(timeout, response).await.is_ok();
         if let Some(count) = count {
-            let end = if has_ended {
-                "ended"
-            } else {
-                "did not end in time"
-            };
+            let end = if has_ended { "ended" } else { "timed out" };
             info!(
                 self.backend.log,
-                "writes whose client had left by their end: {count}; the last one {end}"
+                "writes whose client disconnected before their outcome was known: {count}; \
+                 the last one {end}"
             );
         }
         RequestEnd::ClosedByGateway
     }
 
-    /// Sends the statement. Returns what comes before the first message.
+    /// Sends the statement. Returns the response before its first message is read.
     pub(super) async fn send(&self) -> Result<MemberResponse, Status> {
         let mut client = self.client();
         let timeout = Duration::from_millis(self.request.timeout_ms);
@@ -148,8 +145,8 @@
         Ok(MemberResponse { headers, messages })
     }
 
-    /// Has the member stop what nobody waits for. A member that watches for reset streams has
-    /// noticed already.
+    /// Asks the member to cancel the request, in the background. Members that detect reset streams
+    /// have already stopped it.
     pub(super) fn cancel(&self) {
         let Some(info) = lock(&self.flight_info).take() else {
             return;
@@ -165,43 +162,47 @@
         });
     }
 
-    /// Answers the gateway by a member's status.
+    /// Reports a member's error status to the gateway.
     pub(super) async fn fail(&self, status: &Status) -> RequestEnd {
-        if let Some(closed) = connection_loss(status) {
-            let reason = Some(root_cause(status)).filter(|reason| !reason.is_empty());
-            return RequestEnd::Lost(LostConnection { closed, reason });
+        if let Some(close_reason) = connection_loss(status) {
+            let log_reason = Some(root_cause(status)).filter(|reason| !reason.is_empty());
+            return RequestEnd::Lost(LostConnection {
+                close_reason,
+                log_reason,
+            });
         }
-        let mut answer = Vec::new();
-        write_error(&mut answer, status);
-        self.answer(answer).await
+        let mut response = Vec::new();
+        write_error(&mut response, status);
+        self.respond(response).await
     }
 
-    /// A request whose answer is one value.
+    /// Runs a request whose response is a single value.
     async fn fetch_value(&self) -> RequestEnd {
-        match self.fetch_answer().await {
-            Ok(answer) => self.answer(answer).await,
+        match self.fetch_response().await {
+            Ok(response) => self.respond(response).await,
             Err(status) => self.fail(&status).await,
         }
     }
 
-    async fn fetch_answer(&self) -> Result<Vec<u8>, Status> {
+    /// Sends the statement and encodes the response in messages of the PostgreSQL protocol.
+    async fn fetch_response(&self) -> Result<Vec<u8>, Status> {
         let MemberResponse { headers, messages } = self.send().await?;
         let messages = messages.map(|message| message.map_err(FlightError::from));
         let batches = FlightRecordBatchStream::new_from_flight_data(messages);
-        let mut answer = Vec::new();
+        let mut response = Vec::new();
         match read_single_value(batches, self.backend.config.max_value_bytes).await? {
-            SingleValue::Value(value) => write::row(&mut answer, value.as_deref()),
-            // It may have run, and is served to nobody.
-            SingleValue::OtherShape => write::empty(&mut answer),
+            SingleValue::Value(value) => write::row(&mut response, value.as_deref()),
+            // The statement may have run, but its result cannot be returned to the client.
+            SingleValue::Unsupported => write::empty(&mut response),
         }
-        write_member_parameters(&mut answer, &headers);
-        Ok(answer)
+        write_member_parameters(&mut response, &headers);
+        Ok(response)
     }
 
-    /// Hands over an answer in the messages of the PostgreSQL protocol.
-    async fn answer(&self, mut answer: Vec<u8>) -> RequestEnd {
-        write::ready(&mut answer);
-        for frame in decode_frames(&answer) {
+    /// Passes a response, in messages of the PostgreSQL protocol, to the gateway.
+    async fn respond(&self, mut response: Vec<u8>) -> RequestEnd {
+        write::ready(&mut response);
+        for frame in decode_frames(&response) {
             let event = BackendEvent::Frame(self.connection, frame);
             self.backend.notify(event).await;
         }
@@ -214,7 +215,8 @@
     }
 }
 
-/// The ticket of an answer that is all in one place, and that place the member itself.
+/// The ticket of a response with a single endpoint at the member itself; `None` for any other
+/// response.
 fn single_ticket(info: &FlightInfo) -> Option<Ticket> {
     let [endpoint] = &info.endpoint[..] else {
         return None;
--- a/crates/stackgw-flight/src/backend/stream.rs
+++ b/crates/stackgw-flight/src/backend/stream.rs
@@ -1,4 +1,4 @@
-//! An answer that passes through as a stream.
+//! Responses that are relayed as streams.
 
 use super::member_status::{connection_loss, parse_member_parameters};
 use super::request::{LostConnection, MemberRequest, RequestEnd};
@@ -11,7 +11,7 @@
 use tonic::metadata::MetadataMap;
 use tonic::{Status, Streaming};
 
-/// An answer whose stream has begun.
+/// A response whose first message, the schema, has been received.
 struct StartedStream {
     headers: MetadataMap,
     schema: FlightData,
@@ -19,7 +19,7 @@
 }
 
 impl MemberRequest {
-    /// A request whose answer passes through.
+    /// Runs a request whose response is relayed as a stream.
     pub(super) async fn relay_stream(&self) -> RequestEnd {
         let started = match self.start_stream().await {
             Ok(started) => started,
@@ -27,8 +27,8 @@
         };
         let header = parse_member_parameters(&started.headers);
         let Some((writer, reader)) = open_stream(&self.backend.relay) else {
-            // The member has done nothing wrong, and is not asked again: the client learns that
-            // there is no stream.
+            // The request is not retried, and this does not count as the member's failure: the
+            // client's call fails because too many streams are open.
             self.notify_started(header, None).await;
             return self.end_stream(Outcome::Cancelled).await;
         };
@@ -41,11 +41,11 @@
         self.end_stream(outcome).await
     }
 
-    /// Sends the statement and reads the first message, which has to be the schema.
+    /// Sends the statement and reads the first message, which must be the schema.
     async fn start_stream(&self) -> Result<StartedStream, Status> {
         let mut response = self.send().await?;
         let first = response.messages.message().await?;
-        let schema = first.filter(|message| message_kind(message) == Some(MessageHeader::Schema));
+        let schema = first.filter(|message| message_type(message) == Some(MessageHeader::Schema));
         let missing = || Status::internal("the stream does not begin with its schema");
         Ok(StartedStream {
             headers: response.headers,
@@ -54,19 +54,20 @@
         })
     }
 
-    /// Reads on as flow control allows, until the stream has ended one way or another.
+    /// Relays messages as flow control permits, until the stream ends. Returns the attempt's
+    /// outcome.
     async fn relay_messages(
         &self,
         writer: RelayWriter,
         mut messages: Streaming<FlightData>,
     ) -> Outcome {
-        let mut stalled_before = false;
+        let mut has_stalled = false;
         loop {
             match writer.try_read() {
                 Ok(true) => {}
                 Ok(false) => {
-                    if !stalled_before {
-                        stalled_before = true;
+                    if !has_stalled {
+                        has_stalled = true;
                         let event = BackendEvent::StreamStalled(self.connection);
                         self.backend.notify(event).await;
                     }
@@ -82,7 +83,7 @@
             };
             match message {
                 Ok(Some(message)) if is_data(&message) => writer.write(message),
-                ended => return finish_stream(writer, ended),
+                end => return finish_stream(writer, end),
             }
         }
     }
@@ -95,22 +96,23 @@
     async fn end_stream(&self, outcome: Outcome) -> RequestEnd {
         let event = BackendEvent::StreamEnded(self.connection, outcome);
         self.backend.notify(event).await;
-        let reason = match outcome {
+        let log_reason = match outcome {
             Outcome::Served => return RequestEnd::Reusable,
-            // It was ended from this side, and the connection is given up on purpose.
+            // The gateway or the client ended the stream; the connection is closed on purpose.
             Outcome::Cancelled => None,
-            _ => Some(format!("a stream ended as {outcome:?}")),
+            _ => Some(format!("a stream ended with outcome {outcome:?}")),
         };
         RequestEnd::Lost(LostConnection {
-            closed: CloseReason::Disconnected,
-            reason,
+            close_reason: CloseReason::Disconnected,
+            log_reason,
         })
     }
 }
 
-/// Ends a stream behind its last message. Returns the outcome of the member's attempt.
-fn finish_stream(writer: RelayWriter, ended: Result<Option<FlightData>, Status>) -> Outcome {
-    match ended {
+/// Ends a stream after its last data message. `end` is what was read next: the end of the stream,
+/// an invalid message or an error. Returns the outcome of the attempt at the member.
+fn finish_stream(writer: RelayWriter, end: Result<Option<FlightData>, Status>) -> Outcome {
+    match end {
         Ok(None) => {
             writer.finish();
             Outcome::Served
@@ -131,13 +133,13 @@
     }
 }
 
-/// Whether a message may follow the schema.
+/// Whether a message is readable and is not a second schema.
 fn is_data(message: &FlightData) -> bool {
-    !matches!(message_kind(message), Some(MessageHeader::Schema) | None)
+    !matches!(message_type(message), Some(MessageHeader::Schema) | None)
 }
 
-/// What kind of message it is; nothing else of it is read. `None` where it cannot be read.
-fn message_kind(message: &FlightData) -> Option<MessageHeader> {
+/// The type of a message, read from its header alone; `None` if the header is invalid.
+fn message_type(message: &FlightData) -> Option<MessageHeader> {
     if message.data_header.is_empty() && !message.app_metadata.is_empty() {
         return Some(MessageHeader::NONE);
     }
--- a/crates/stackgw-flight/src/backend/value.rs
+++ b/crates/stackgw-flight/src/backend/value.rs
@@ -1,4 +1,4 @@
-//! Answers of one value.
+//! Responses with a single value.
 
 use arrow_array::cast::AsArray;
 use arrow_array::{Array, RecordBatch};
@@ -8,15 +8,15 @@
 use futures::StreamExt;
 use tonic::Status;
 
-/// An answer that should be one value.
+/// A response that is expected to be a single value.
 pub(super) enum SingleValue {
-    /// One row of one column; `None` for NULL.
+    /// The value of a single row and column; `None` for NULL.
     Value(Option<Vec<u8>>),
-    /// No row, several rows or columns, or a value of another type or beyond the limit.
-    OtherShape,
+    /// No rows, several rows or columns, or a value of an unsupported type or above the size limit.
+    Unsupported,
 }
 
-/// Reads an answer to its end.
+/// Reads a response until its end, or until it is found to be unsupported.
 pub(super) async fn read_single_value(
     mut batches: FlightRecordBatchStream,
     max_bytes: usize,
@@ -27,23 +27,24 @@
         let batch = batch.map_err(into_status)?;
         rows += batch.num_rows();
         if rows > 1 || batch.num_columns() != 1 || is_too_large(&batch, max_bytes) {
-            return Ok(SingleValue::OtherShape);
+            return Ok(SingleValue::Unsupported);
         }
         if batch.num_rows() == 1 {
-            let Some(found) = first_value(batch.column(0)) else {
-                return Ok(SingleValue::OtherShape);
+            let Some(first) = first_value(batch.column(0)) else {
+                return Ok(SingleValue::Unsupported);
             };
-            value = Some(found);
+            value = Some(first);
         }
     }
     Ok(match value {
-        Some(Some(bytes)) if bytes.len() > max_bytes => SingleValue::OtherShape,
+        Some(Some(bytes)) if bytes.len() > max_bytes => SingleValue::Unsupported,
         Some(value) => SingleValue::Value(value),
-        None => SingleValue::OtherShape,
+        None => SingleValue::Unsupported,
     })
 }
 
-/// A batch's memory is allotted in steps, so that it may exceed that of its value.
+/// Whether a batch certainly exceeds the limit. Twice the limit is allowed because the memory of a
+/// batch is allocated in steps and may exceed the size of its value.
 fn is_too_large(batch: &RecordBatch, max_bytes: usize) -> bool {
     batch.get_array_memory_size() > max_bytes.saturating_mul(2)
 }
@@ -55,7 +56,7 @@
     }
 }
 
-/// The first row's value, `Some(None)` for NULL. `None` where the column is neither text nor bytes.
+/// The first row's value, `Some(None)` for NULL; `None` if the column is neither text nor bytes.
 fn first_value(column: &dyn Array) -> Option<Option<Vec<u8>>> {
     if column.is_null(0) {
         return Some(None);
