--- a/crates/stackgw-flight/src/frontend/batches.rs
+++ b/crates/stackgw-flight/src/frontend/batches.rs
@@ -1,5 +1,5 @@
-//! Batches of rows: the parameters that a client sends, and the answers that the gateway makes by
-//! itself.
+//! Record batches: decoding of the parameters that a client sends, and encoding of the responses
+//! that the gateway builds itself.
 
 use super::schemas::value_schema;
 use crate::statement::ParameterValue;
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use tonic::{Response, Status};
 
-/// The messages of an answer.
+/// The messages of a response.
 pub(super) type FlightDataStream = BoxStream<'static, Result<FlightData, Status>>;
 
-/// Reads the parameters that a client binds: one batch of one row.
+/// Reads the parameters that a client binds: one batch with one row.
 pub(super) async fn read_parameters(
     data: PeekableFlightDataStream,
 ) -> Result<Vec<ParameterValue>, Status> {
@@ -37,7 +37,7 @@
     values.ok_or_else(|| Status::invalid_argument("parameters are texts and bytes"))
 }
 
-/// The first row's value; `None` where the column is neither text nor bytes.
+/// The first row's value; `None` if the column is neither text nor bytes.
 fn first_value(column: &ArrayRef) -> Option<ParameterValue> {
     let text = |text: &str| ParameterValue::Text(text.to_owned());
     let bytes = |bytes: &[u8]| ParameterValue::Bytes(bytes.to_vec());
@@ -51,14 +51,14 @@
     }
 }
 
-/// A value as an answer of one row.
+/// Creates a response with one row that contains `value`.
 pub(super) fn value_response(value: Option<&[u8]>) -> Response<FlightDataStream> {
     let column = BinaryArray::from(vec![value]);
     let batch = RecordBatch::try_new(value_schema(), vec![Arc::new(column)]);
     batch_response(value_schema(), batch.map_err(FlightError::from))
 }
 
-/// A batch as an answer.
+/// Creates a response from a batch.
 pub(super) fn batch_response(
     schema: SchemaRef,
     batch: Result<RecordBatch, FlightError>,
@@ -70,8 +70,8 @@
     Response::new(messages.boxed())
 }
 
-/// The FlightInfo of an answer that is had here by one ticket. Without a schema where only the
-/// answer brings it.
+/// Creates the FlightInfo of a response that this gateway returns for a single ticket. `schema` is
+/// `None` if the schema is not known before the response.
 pub(super) fn flight_info(
     schema: Option<&Schema>,
     ticket: Vec<u8>,
--- a/crates/stackgw-flight/src/frontend/call.rs
+++ b/crates/stackgw-flight/src/frontend/call.rs
@@ -1,4 +1,4 @@
-//! What the headers of a call say.
+//! Parsing of a call's headers.
 
 use crate::protocol::{
     AFTER_HEADER, CLASS_HEADER, GROUP_HEADER, ID_HEADER, RETRY_HEADER, TIMEOUT_HEADER,
@@ -7,10 +7,10 @@
 use tonic::metadata::MetadataMap;
 use tonic::Status;
 
-/// Most digits of a timeout, by the specification of gRPC.
+/// Maximum number of digits of a timeout, as specified by gRPC.
 const MAX_TIMEOUT_DIGITS: usize = 8;
 
-/// The options that the headers of a call set.
+/// The request options in the headers of a call.
 pub(super) fn request_options(
     headers: &MetadataMap,
     answer_slack_ms: u64,
@@ -25,8 +25,8 @@
     })
 }
 
-/// The client's timeout in milliseconds, less what an answer needs on its way, as the client counts
-/// until that has arrived.
+/// The client's timeout in milliseconds, minus `answer_slack_ms`, at most half of the timeout. The
+/// client's timeout runs until the response has arrived, so that time is reserved for sending it.
 pub(super) fn timeout_ms(
     headers: &MetadataMap,
     answer_slack_ms: u64,
@@ -40,7 +40,7 @@
     Ok(Some(timeout_ms - answer_slack_ms.min(timeout_ms / 2)))
 }
 
-/// Up to eight digits and a unit.
+/// Parses up to 8 digits followed by a unit.
 fn parse_timeout_ms(text: &str) -> Option<u64> {
     let unit_at = text.len().checked_sub(1)?;
     let (digits, unit) = text.split_at_checked(unit_at)?;
--- a/crates/stackgw-flight/src/frontend/cancel.rs
+++ b/crates/stackgw-flight/src/frontend/cancel.rs
@@ -1,5 +1,5 @@
-//! Cancelling a query that runs at this gateway. One that runs at another instance can be cancelled
-//! there alone.
+//! Cancelling of queries that run at this gateway. A query that runs at another instance can only
+//! be cancelled there.
 
 use super::context::Frontend;
 use crate::protocol::{decode_command, CANCEL_FLIGHT_INFO};
@@ -14,10 +14,10 @@
 use prost::Message;
 use tonic::Status;
 
-/// `CANCEL_RESULT_CANCELLED` of CancelQuery, whose names the library does not export.
+/// `CANCEL_RESULT_CANCELLED` of CancelQuery, which `arrow-flight` does not export.
 const CANCEL_RESULT_CANCELLED: i32 = 1;
 
-/// What clients are shown of the action.
+/// The entry of CancelFlightInfo in the list of actions.
 pub(super) fn cancel_action_type() -> ActionType {
     ActionType {
         r#type: CANCEL_FLIGHT_INFO.to_owned(),
@@ -26,7 +26,7 @@
 }
 
 impl Frontend {
-    /// CancelFlightInfo. Returns the result's body.
+    /// Handles CancelFlightInfo. Returns the body of the result.
     pub(super) fn cancel_flight_info(&self, action: &Action) -> Result<Vec<u8>, Status> {
         if action.r#type != CANCEL_FLIGHT_INFO {
             return Err(Status::unimplemented("there is no such action"));
@@ -39,7 +39,7 @@
         Ok(result.encode_to_vec())
     }
 
-    /// CancelQuery, the older action for the same.
+    /// Handles CancelQuery, an older action with the same effect.
     pub(super) fn cancel_query(
         &self,
         query: &ActionCancelQueryRequest,
@@ -56,7 +56,7 @@
             let text = "that holds no ticket of ours";
             return Err(Status::invalid_argument(text));
         };
-        // A request may run on past the expiry of its handle.
+        // An expired handle is accepted, because a request may run longer than its handle is valid.
         if let Err(TicketError::Foreign) = self.open(&handle) {
             return Err(TicketError::Foreign.into());
         }
@@ -72,7 +72,7 @@
     Status::invalid_argument(format!("the action's body: {error}"))
 }
 
-/// What a request is registered by: the sealed handle in its ticket.
+/// The sealed handle in a query's ticket, under which the running request is registered.
 fn running_handle(info: &FlightInfo) -> Option<Vec<u8>> {
     let ticket = &info.endpoint.first()?.ticket.as_ref()?.ticket;
     if let Some(statement) = decode_command::<TicketStatementQuery>(ticket) {
--- a/crates/stackgw-flight/src/frontend/catalog.rs
+++ b/crates/stackgw-flight/src/frontend/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog, the schema and the one table that clients see.
+//! Metadata queries: the catalog, the schema and the single table that clients see.
 
 use super::batches::{batch_response, flight_info, FlightDataStream};
 use super::schemas::{table_schema, table_types_schema};
@@ -19,22 +19,22 @@
 const TABLE: &str = "state";
 const TABLE_TYPE: &str = "TABLE";
 
-/// The answer to a query of the catalog.
+/// The response to a metadata query.
 pub(super) struct CatalogRows {
     schema: SchemaRef,
     batch: Result<RecordBatch, FlightError>,
 }
 
-/// A query of the catalog.
+/// A metadata query.
 pub(super) trait CatalogQuery: ProstMessageExt {
-    /// The schema of the answer.
+    /// The schema of the response.
     fn schema(self) -> SchemaRef;
 
-    /// The answer.
+    /// The rows of the response.
     fn rows(self) -> Result<CatalogRows, Status>;
 }
 
-/// GetFlightInfo of a query of the catalog: the query is its own ticket.
+/// Handles GetFlightInfo of a metadata query: the query itself is the ticket.
 pub(super) fn catalog_info(
     query: impl CatalogQuery,
     call: Request<FlightDescriptor>,
@@ -43,7 +43,7 @@
     flight_info(Some(&query.schema()), ticket, call.into_inner())
 }
 
-/// DoGet of a query of the catalog.
+/// Handles DoGet of a metadata query.
 pub(super) fn catalog_rows(query: impl CatalogQuery) -> Result<Response<FlightDataStream>, Status> {
     let CatalogRows { schema, batch } = query.rows()?;
     Ok(batch_response(schema, batch))
--- a/crates/stackgw-flight/src/frontend/context.rs
+++ b/crates/stackgw-flight/src/frontend/context.rs
@@ -1,4 +1,4 @@
-//! What all calls of the frontend share.
+//! State and functions that all calls of the frontend share.
 
 use super::call;
 use super::executor::Executor;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reads the statement of a call, with the options of its headers.
+    /// Parses the statement of a call, with the options in the call's headers.
     pub(super) fn parse_statement<T>(
         &self,
         query: &str,
@@ -49,33 +49,33 @@
         Ok(StatementTemplate::parse(query, &options)?)
     }
 
-    /// The timeout of a call in milliseconds, where its client names one.
+    /// The timeout of a call in milliseconds, if the client set one.
     pub(super) fn timeout_ms<T>(&self, call: &Request<T>) -> Result<Option<u64>, Status> {
         call::timeout_ms(call.metadata(), self.answer_slack_ms)
     }
 
-    /// The schema of a statement's answer, where it is known before the answer: members that speak
-    /// Flight SQL bring their own.
-    pub(super) fn answer_schema(&self, statement: &StatementTemplate) -> Option<SchemaRef> {
+    /// The schema of a statement's response, if it is known before the response: members that speak
+    /// Flight SQL send their own schema.
+    pub(super) fn response_schema(&self, statement: &StatementTemplate) -> Option<SchemaRef> {
         let mut flight_groups = self.flight_groups.iter();
-        let brings_its_own = flight_groups.any(|group| statement.is_for_group(*group));
-        (!brings_its_own).then(value_schema)
+        let members_send_schema = flight_groups.any(|group| statement.is_for_group(*group));
+        (!members_send_schema).then(value_schema)
     }
 
-    /// Seals a handle for as long as tickets are valid.
+    /// Seals a handle that is valid for the lifetime of tickets.
     pub(super) fn seal(&self, handle: &SealedHandle) -> Vec<u8> {
         let expires_at_ms = unix_time_ms().saturating_add(self.ticket_lifetime_ms);
         handle.seal(&self.key_ring, expires_at_ms)
     }
 
-    /// Opens a handle that is still valid.
+    /// Opens a handle, if it is valid and has not expired.
     pub(super) fn open(&self, handle: &[u8]) -> Result<SealedHandle, TicketError> {
         SealedHandle::open(&self.key_ring, handle, unix_time_ms())
     }
 }
 
-/// Danger: a ticket or a prepared statement may be used more than once, and a write that runs twice
-/// is an error.
+/// Rejects statements that write. A ticket or a prepared statement may be used more than once, and
+/// a write must not run twice.
 pub(super) fn check_is_read(statement: &StatementTemplate) -> Result<(), Status> {
     if statement.is_write() {
         let text = "a statement that writes goes by DoPut";
--- a/crates/stackgw-flight/src/frontend/executor.rs
+++ b/crates/stackgw-flight/src/frontend/executor.rs
@@ -1,4 +1,4 @@
-//! Runs statements through the gateway.
+//! Execution of statements through the gateway.
 
 use super::batches::{value_response, FlightDataStream};
 use crate::cancellation::RunningRequests;
@@ -14,15 +14,15 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tonic::{Response, Status};
 
-/// Rows that a statement changes which writes.
-const ROWS_OF_AN_UPDATE: i64 = 1;
+/// Number of rows changed by a statement that writes.
+const ROWS_PER_UPDATE: i64 = 1;
 
-/// Runs statements through the gateway, a limited number at once.
+/// Runs statements through the gateway, with a limit on concurrent requests.
 pub(super) struct Executor {
     gateway: RequestHandle,
     permits: Arc<Semaphore>,
     running: Arc<RunningRequests>,
-    /// Timeout of a request whose client names none, and the longest one.
+    /// Default and maximum timeout of a request, in milliseconds.
     max_timeout_ms: u64,
 }
 
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Runs a statement that writes. Returns the number of rows that it changed. Dropped, the
-    /// request is cancelled.
+    /// Runs a statement that writes. Returns the number of rows that it changed. Dropping the
+    /// future cancels the request.
     pub(super) async fn execute_update(
         &self,
         statement: &StatementTemplate,
@@ -51,11 +51,11 @@
         let _permit = self.acquire_permit()?;
         let text = self.render(statement, timeout_ms);
         served_value(self.gateway.execute(text).await)?;
-        Ok(ROWS_OF_AN_UPDATE)
+        Ok(ROWS_PER_UPDATE)
     }
 
-    /// Runs a statement that reads: a member's stream as it comes, or one value as a row of its
-    /// own. `handle` is what the request can be cancelled by.
+    /// Runs a statement that reads. The response is the member's stream, or a single row with one
+    /// value. `handle` identifies the request for cancelling.
     pub(super) async fn execute_query(
         &self,
         statement: &StatementTemplate,
@@ -67,7 +67,7 @@
         let running = self.running.register(handle);
         let text = self.render(statement, timeout_ms);
         let (response, request_guard) = tokio::select! {
-            responded = self.gateway.execute_streaming(text) => responded,
+            response = self.gateway.execute_streaming(text) => response,
             () = running.cancelled() => {
                 return Err(Status::cancelled("cancelled on the client's request"));
             }
@@ -80,7 +80,7 @@
             }
         };
         let mut reader = into_reader(stream)?;
-        // A client that named no timeout reads for as long as the stream goes on.
+        // Without a timeout from the client, the duration of the stream is not limited.
         if let Some(timeout_ms) = statement.timeout_ms(timeout_ms) {
             reader.set_timeout(Duration::from_millis(timeout_ms));
         }
@@ -89,18 +89,19 @@
         Ok(Response::new(reader.boxed()))
     }
 
-    /// Cancels what runs here by a handle. Returns whether there was anything.
+    /// Cancels the running requests that were started with `handle`. Returns whether there were
+    /// any.
     pub(super) fn cancel(&self, handle: &[u8]) -> bool {
         self.running.cancel(handle)
     }
 
     fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, Status> {
         let permits = self.permits.clone();
-        let full = |_| rejected("too many requests are open", None);
-        permits.try_acquire_owned().map_err(full)
+        let reject = |_| rejected("too many requests are open", None);
+        permits.try_acquire_owned().map_err(reject)
     }
 
-    /// The statement's text for one execution, under an id of its own.
+    /// Renders the statement's text for one execution, with a new random id.
     fn render(&self, statement: &StatementTemplate, timeout_ms: Option<u64>) -> String {
         let id = format!("f{:032x}", rand::random::<u128>());
         let timeout_ms = timeout_ms.unwrap_or(self.max_timeout_ms);
@@ -115,7 +116,7 @@
     Ok(())
 }
 
-/// The value of a served request.
+/// The value of a served request; an error for all other outcomes.
 fn served_value(outcome: FinalResponse) -> Result<Option<Vec<u8>>, Status> {
     let FinalResponse::Served(row) = outcome else {
         return Err(to_status(&outcome));
@@ -125,8 +126,8 @@
     Ok(value.map(<[u8]>::to_vec))
 }
 
-/// The reader that the backend handed to the gateway. It handed over none where too many streams
-/// were open.
+/// The reader that the backend passed to the gateway; an error if too many streams were open, in
+/// which case the backend passed none.
 fn into_reader(stream: RelayedStream) -> Result<RelayReader, Status> {
     let reader = stream.downcast::<Option<RelayReader>>().ok();
     let reader = reader.and_then(|reader| *reader);
--- a/crates/stackgw-flight/src/frontend/mod.rs
+++ b/crates/stackgw-flight/src/frontend/mod.rs
@@ -1,17 +1,17 @@
-//! The frontend: the calls of Flight SQL clients.
+//! The frontend: handles the calls of Flight SQL clients.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `service` | the calls of Flight SQL, each handed to the module of its concern |
-//! | `context` | what all calls share |
-//! | `statements` | statements, and the tickets that they run by |
+//! | `service` | the calls of Flight SQL, each delegated to one of the modules below |
+//! | `context` | state and functions that all calls share |
+//! | `statements` | statements, and the tickets that execute them |
 //! | `prepared` | prepared statements |
-//! | `cancel` | cancelling a query that runs |
-//! | `catalog`, `sql_info` | what there is to query; answered without a member |
-//! | `executor` | runs a statement through the gateway: limits, the one outcome or the stream |
-//! | `call` | what the headers of a call say |
-//! | `batches` | batches of rows: parameters on their way in, answers on their way out |
-//! | `schemas` | the schemas of parameters and answers |
+//! | `cancel` | cancelling running queries |
+//! | `catalog`, `sql_info` | metadata queries, which are answered without a member |
+//! | `executor` | runs a statement through the gateway, limits the number of requests |
+//! | `call` | parsing of a call's headers |
+//! | `batches` | record batches: decoding of parameters, encoding of responses |
+//! | `schemas` | the schemas of parameters and responses |
 
 mod batches;
 mod call;
--- a/crates/stackgw-flight/src/frontend/prepared.rs
+++ b/crates/stackgw-flight/src/frontend/prepared.rs
@@ -1,4 +1,4 @@
-//! Prepared statements. All that is known of one is sealed in its handle; nothing is stored here.
+//! Prepared statements. The handle contains the whole sealed statement; the gateway stores nothing.
 
 use super::batches::{flight_info, read_parameters, FlightDataStream};
 use super::context::{check_is_read, Frontend};
@@ -16,7 +16,7 @@
 use tonic::{Request, Response, Status};
 
 impl Frontend {
-    /// Seals a statement in the handle of a prepared statement.
+    /// Creates a prepared statement, sealed in its handle.
     pub(super) fn prepare(
         &self,
         query: &ActionCreatePreparedStatementRequest,
@@ -25,7 +25,7 @@
         let transaction = query.transaction_id.as_ref();
         let statement = self.parse_statement(&query.query, transaction, call)?;
         let statement = statement.without_id();
-        let dataset_schema = match self.answer_schema(&statement) {
+        let dataset_schema = match self.response_schema(&statement) {
             Some(schema) => encode_schema(&schema)?,
             None => prost::bytes::Bytes::new(),
         };
@@ -68,7 +68,7 @@
         self.executor.execute_update(&statement, timeout_ms).await
     }
 
-    /// GetFlightInfo of a prepared statement that reads: the statement is its own ticket.
+    /// Handles GetFlightInfo of a prepared statement that reads: the command itself is the ticket.
     pub(super) fn prepared_info(
         &self,
         query: &CommandPreparedStatementQuery,
@@ -76,12 +76,12 @@
     ) -> Result<Response<FlightInfo>, Status> {
         let statement = self.open_prepared(&query.prepared_statement_handle)?;
         check_is_read(&statement)?;
-        let schema = self.answer_schema(&statement);
+        let schema = self.response_schema(&statement);
         let ticket = query.as_any().encode_to_vec();
         flight_info(schema.as_deref(), ticket, call.into_inner())
     }
 
-    /// Runs a prepared statement that reads, its parameters bound.
+    /// Runs a prepared statement that reads, whose parameters are bound.
     pub(super) async fn run_prepared_query(
         &self,
         query: &CommandPreparedStatementQuery,
@@ -96,7 +96,7 @@
             .await
     }
 
-    /// The statement in the handle of a prepared statement.
+    /// Opens the handle of a prepared statement. Returns the statement.
     pub(super) fn open_prepared(&self, handle: &[u8]) -> Result<StatementTemplate, TicketError> {
         match self.open(handle)? {
             SealedHandle::Prepared(statement) => Ok(statement),
--- a/crates/stackgw-flight/src/frontend/service.rs
+++ b/crates/stackgw-flight/src/frontend/service.rs
@@ -1,4 +1,4 @@
-//! The calls of Flight SQL, each handed to the module of its concern.
+//! The calls of Flight SQL, each delegated to the responsible module.
 
 use super::batches::FlightDataStream;
 use super::cancel::cancel_action_type;
@@ -61,7 +61,7 @@
         _: ActionClosePreparedStatementRequest,
         _: Request<Action>,
     ) -> Result<(), Status> {
-        Ok(()) // Nothing is stored for it here.
+        Ok(()) // The gateway stores no prepared statements.
     }
 
     async fn do_put_prepared_statement_query(
--- a/crates/stackgw-flight/src/frontend/sql_info.rs
+++ b/crates/stackgw-flight/src/frontend/sql_info.rs
@@ -1,4 +1,4 @@
-//! SqlInfo: what the gateway can do.
+//! The response to GetSqlInfo: the gateway's capabilities.
 
 use super::batches::{batch_response, flight_info, FlightDataStream};
 use arrow_flight::error::FlightError;
@@ -13,9 +13,9 @@
 /// `SQL_SUPPORTED_TRANSACTION_NONE`.
 const NO_TRANSACTIONS: i32 = 0;
 
-/// What the gateway can do, as GetSqlInfo lists it.
+/// The gateway's capabilities, as listed by GetSqlInfo.
 pub(super) struct GatewaySqlInfo {
-    /// Built once; an error is reported to whoever queries it.
+    /// Built once; a build error is returned by each query.
     data: Result<SqlInfoData, FlightError>,
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// GetFlightInfo of GetSqlInfo: the query is its own ticket.
+    /// Handles GetFlightInfo of GetSqlInfo: the query itself is the ticket.
     pub(super) fn info(
         &self,
         query: CommandGetSqlInfo,
@@ -46,7 +46,7 @@
         flight_info(Some(&schema), ticket, call.into_inner())
     }
 
-    /// DoGet of GetSqlInfo.
+    /// Handles DoGet of GetSqlInfo.
     pub(super) fn rows(
         &self,
         query: CommandGetSqlInfo,
--- a/crates/stackgw-flight/src/frontend/statements.rs
+++ b/crates/stackgw-flight/src/frontend/statements.rs
@@ -1,4 +1,4 @@
-//! Statements, the tickets that they run by, and their schemas.
+//! Statements, the tickets that execute them, and their response schemas.
 
 use super::batches::{flight_info, FlightDataStream};
 use super::context::{check_is_read, Frontend};
@@ -14,7 +14,7 @@
 use tonic::{Request, Response, Status};
 
 impl Frontend {
-    /// Seals a statement in a ticket.
+    /// Handles GetFlightInfo of a statement that reads: seals the statement in a ticket.
     pub(super) fn statement_info(
         &self,
         query: &CommandStatementQuery,
@@ -23,7 +23,7 @@
         let transaction = query.transaction_id.as_ref();
         let statement = self.parse_statement(&query.query, transaction, &call)?;
         check_is_read(&statement)?;
-        let schema = self.answer_schema(&statement);
+        let schema = self.response_schema(&statement);
         let handle = self.seal(&SealedHandle::Ticket {
             statement: statement.without_id(),
             nonce: rand::random(),
@@ -35,7 +35,7 @@
         flight_info(schema.as_deref(), ticket, call.into_inner())
     }
 
-    /// Runs the statement of a ticket.
+    /// Runs the statement in a ticket.
     pub(super) async fn run_ticket(
         &self,
         ticket: &TicketStatementQuery,
@@ -63,7 +63,7 @@
         self.executor.execute_update(&statement, timeout_ms).await
     }
 
-    /// The schema of a command's answer.
+    /// The response schema of a command.
     pub(crate) fn schema_of_command(
         &self,
         call: &Request<FlightDescriptor>,
@@ -80,7 +80,7 @@
             let text = "the schema of statements and table types is told";
             return Err(Status::unimplemented(text));
         };
-        let Some(schema) = self.answer_schema(&statement) else {
+        let Some(schema) = self.response_schema(&statement) else {
             let text = "this group's members tell the schema with the answer";
             return Err(Status::unimplemented(text));
         };
