--- a/crates/stackgw-flight/src/server.rs
+++ b/crates/stackgw-flight/src/server.rs
@@ -36,7 +36,7 @@
 /// have been answered; idle connections need no further time.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A running server. Dropping the handle shuts it down and waits for its threads.
+/// A running server. Dropping the handle shuts the server down and waits for it to stop.
 #[derive(Debug)]
 pub struct ServerHandle {
     /// Address that the server listens on.
--- a/crates/stackgw-flight/tests/statements_and_tickets.rs
+++ b/crates/stackgw-flight/tests/statements_and_tickets.rs
@@ -1,4 +1,4 @@
-//! Statements with headers, tickets and statuses, without a server.
+//! Statements with headers, sealed handles, statuses and the users file, without a server.
 
 use stackgw_cluster::{Key, Keyring};
 use stackgw_flight::{
@@ -20,8 +20,8 @@
     }
 }
 
-/// As the reducer reads it.
-fn parsed(text: &str) -> Statement {
+/// Parses a rendered statement as the reducer does.
+fn parse_rendered(text: &str) -> Statement {
     let mut bytes = Vec::new();
     write::query(&mut bytes, text);
     Statement::parse(Frame { kind: b'Q', bytes }).expect("a statement of the PostgreSQL protocol")
@@ -31,8 +31,8 @@
 fn headers_and_comment_make_one_statement() {
     let template =
         StatementTemplate::parse(&format!("{SELECT}; /* c=look, after=77 */"), &headers())
-            .expect("they agree");
-    let statement = parsed(&template.render("id1", 500));
+            .expect("comment and headers agree");
+    let statement = parse_rendered(&template.render("id1", 500));
     assert_eq!(
         (
             statement.class.as_str(),
@@ -45,26 +45,29 @@
         (statement.id.as_str(), statement.wait_ms, statement.after_ms),
         ("id1", 500, Some(77))
     );
-    let own = RequestOptions {
+    let headers_with_id = RequestOptions {
         id: Some("mine".to_owned()),
         timeout_ms: Some(90),
         retry: Some("1".to_owned()),
         ..headers()
     };
-    let template =
-        StatementTemplate::parse(&format!("{SELECT} /* d=120 */"), &own).expect("they agree");
-    let statement = parsed(&template.render("id1", 500));
+    let template = StatementTemplate::parse(&format!("{SELECT} /* d=120 */"), &headers_with_id)
+        .expect("comment and headers agree");
+    let statement = parse_rendered(&template.render("id1", 500));
     assert_eq!(
         (statement.id.as_str(), statement.wait_ms, statement.repeat),
         ("mine", 90, true)
     );
-    assert_eq!(parsed(&template.without_id().render("id2", 50)).wait_ms, 50);
+    assert_eq!(
+        parse_rendered(&template.without_id().render("id2", 50)).wait_ms,
+        50
+    );
 }
 
 #[test]
 fn missing_repeated_and_contradictory_options_are_named() {
     let none = RequestOptions::default();
-    for (text, headers, names) in [
+    for (text, headers, expected) in [
         (SELECT.to_owned(), &none, "x-stackgw-class"),
         (format!("{SELECT} /* c=look */"), &none, "x-stackgw-group"),
         (format!("{SELECT} /* c=mine */"), &headers(), "contradict"),
@@ -81,10 +84,13 @@
         (format!("{SELECT} /* c=look"), &headers(), "no end"),
         (format!("{SELECT} /* look */"), &headers(), "no name=value"),
     ] {
-        let why = StatementTemplate::parse(&text, headers)
+        let error = StatementTemplate::parse(&text, headers)
             .expect_err(&text)
             .to_string();
-        assert!(why.contains(names) && !why.contains('\n'), "{text}: {why}");
+        assert!(
+            error.contains(expected) && !error.contains('\n'),
+            "{text}: {error}"
+        );
     }
 }
 
@@ -102,7 +108,7 @@
 #[test]
 fn bound_parameters_cannot_inject_sql() {
     let insert = "INSERT INTO state (uid, val) VALUES (?, ?) RETURNING val";
-    let template = StatementTemplate::parse(insert, &headers()).expect("good");
+    let template = StatementTemplate::parse(insert, &headers()).expect("a valid statement");
     assert_eq!(
         (template.unbound_parameters(), template.is_write()),
         (2, true)
@@ -112,11 +118,11 @@
             ParameterValue::Text("a?b".to_owned()),
             ParameterValue::Bytes(vec![1, 255]),
         ])
-        .expect("they fit");
+        .expect("the values match the parameters");
     assert_eq!(bound.unbound_parameters(), 0);
     let text = bound.render("i", 9);
     assert!(text.contains("('a?b', '\\x01ff')"), "{text}");
-    assert_eq!(parsed(&text).key, "a?b");
+    assert_eq!(parse_rendered(&text).key, "a?b");
     assert!(template
         .bind(&[ParameterValue::Text("a".to_owned())])
         .is_err());
@@ -147,7 +153,7 @@
             &format!("{SELECT} /* x={} */", "y".repeat(5_000)),
             &headers(),
         )
-        .expect("good"),
+        .expect("a valid statement"),
         nonce: 7,
     };
     let sealed = ticket.seal(&ours, 1_000);
@@ -173,7 +179,7 @@
             Err(TicketError::Foreign)
         );
     }
-    // A datagram between instances under the same key is no handle.
+    // A datagram between instances, signed with the same key, is not accepted as a handle.
     assert_eq!(
         SealedHandle::open(&ours, &ours.sign(1, &sealed), 1),
         Err(TicketError::Foreign)
@@ -184,23 +190,23 @@
 fn each_outcome_has_its_status() {
     let rejected = to_status(&FinalResponse::Rejected("not now", Some(250)));
     assert_eq!(rejected.code(), Code::Unavailable);
-    let wait = rejected
+    let retry_after = rejected
         .get_details_retry_info()
         .and_then(|info| info.retry_delay);
-    assert_eq!(wait.map(|wait| wait.as_millis()), Some(250));
+    assert_eq!(retry_after.map(|delay| delay.as_millis()), Some(250));
     let codes = [
         (FinalResponse::Rejected("no", None), Code::Unavailable),
         (FinalResponse::Unavailable("no"), Code::Unavailable),
         (FinalResponse::Failed("no"), Code::Aborted),
         (FinalResponse::Malformed("no"), Code::InvalidArgument),
     ];
-    for (ended, code) in codes {
-        assert_eq!(to_status(&ended).code(), code);
+    for (outcome, code) in codes {
+        assert_eq!(to_status(&outcome).code(), code);
     }
 }
 
 #[test]
-fn errors_in_a_file_of_users_name_the_file_and_the_line() {
+fn errors_in_a_users_file_name_the_file_and_the_line() {
     let file = std::env::temp_dir().join(format!("stackgw-users-{}", std::process::id()));
     for (text, problem) in [
         ("# nobody\n", "contains no users"),
@@ -211,7 +217,7 @@
         ),
         ("a:12345678\na:87654321\n", "line 2: duplicate user name"),
     ] {
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("the file is written");
         let error = Users::read(AuthScheme::Basic, &file)
             .expect_err(text)
             .to_string();
@@ -220,6 +226,6 @@
             "{error}"
         );
     }
-    std::fs::remove_file(&file).expect("it was there");
+    std::fs::remove_file(&file).expect("the file exists");
     assert!(Users::read(AuthScheme::Bearer, &file).is_err());
 }
--- a/crates/stackgw-flight/tests/wire_fixtures.rs
+++ b/crates/stackgw-flight/tests/wire_fixtures.rs
@@ -1,6 +1,8 @@
-//! What clients see and give back stays as it was: sealed handles, statuses, and how statements and headers are read.
+//! The wire format matches recorded fixtures: sealed handles, statuses, and the parsing of
+//! statements and headers.
 //!
-//! The files under `tests/fixtures/` are never written by these tests. One that differs is printed whole.
+//! These tests never write the files under `tests/fixtures/`. If a result differs from its fixture,
+//! the whole result is printed.
 
 use stackgw_cluster::{Key, Keyring};
 use stackgw_flight::{
@@ -11,8 +13,8 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Later than any clock that opens the fixtures' handles.
-const UNTIL_MS: u64 = 1_900_000_000_000;
+/// Expiry time of the fixtures' handles, in Unix milliseconds; later than [`NOW_MS`].
+const EXPIRES_AT_MS: u64 = 1_900_000_000_000;
 const NOW_MS: u64 = 1_700_000_000_000;
 
 fn fixture(name: &str) -> String {
@@ -22,18 +24,18 @@
     std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{}: {error}", file.display()))
 }
 
-/// Compares with a fixture line by line, so that a difference names its line.
+/// Compares with a fixture line by line, so that a failure shows the line that differs.
 fn assert_equals_fixture(name: &str, actual: &str) {
     let expected = fixture(name);
     if expected == actual {
         return;
     }
     println!("{name} is now:\n{actual}");
-    for (number, (was, is)) in expected.lines().zip(actual.lines()).enumerate() {
-        assert_eq!(was, is, "{name}, line {}", number + 1);
+    for (index, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
+        assert_eq!(expected, actual, "{name}, line {}", index + 1);
     }
     panic!(
-        "{name}: {} lines were expected, {} came",
+        "{name}: expected {} lines, found {}",
         expected.lines().count(),
         actual.lines().count()
     );
@@ -51,7 +53,7 @@
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
-fn ring() -> Keyring {
+fn key_ring() -> Keyring {
     let key = |secret: &str| Key::new("flight", secret.as_bytes()).expect("a secret");
     Keyring::new(vec![
         key("the first secret of the fixtures"),
@@ -90,7 +92,7 @@
         ParameterValue::Text("k1".to_owned()),
         ParameterValue::Bytes(vec![0, 1, 255]),
     ];
-    let bound = open.bind(&values).expect("they fit");
+    let bound = open.bind(&values).expect("the values match the parameters");
     vec![
         (
             "ticket-of-a-read",
@@ -119,20 +121,24 @@
 fn sealed_handles_keep_their_bytes_and_their_contents() {
     let mut actual = String::new();
     for (name, sealed) in handles() {
-        writeln!(actual, "{name} {}", hex(&sealed.seal(&ring(), UNTIL_MS)))
-            .expect("a string takes all");
+        writeln!(
+            actual,
+            "{name} {}",
+            hex(&sealed.seal(&key_ring(), EXPIRES_AT_MS))
+        )
+        .expect("writing to a string succeeds");
     }
     assert_equals_fixture("handles.txt", &actual);
     for (line, (name, sealed)) in fixture("handles.txt").lines().zip(handles()) {
-        let (named, handle) = line.split_once(' ').expect("a name and a handle");
-        assert_eq!(named, name);
+        let (recorded_name, handle) = line.split_once(' ').expect("a name and a handle");
+        assert_eq!(recorded_name, name);
         assert_eq!(
-            SealedHandle::open(&ring(), &unhex(handle), NOW_MS),
+            SealedHandle::open(&key_ring(), &unhex(handle), NOW_MS),
             Ok(sealed),
             "{name}"
         );
         assert_eq!(
-            SealedHandle::open(&ring(), &unhex(handle), UNTIL_MS),
+            SealedHandle::open(&key_ring(), &unhex(handle), EXPIRES_AT_MS),
             Err(TicketError::Expired),
             "{name}"
         );
@@ -163,30 +169,31 @@
         ),
     ];
     let mut actual = String::new();
-    for (name, ended) in outcomes {
-        let status = to_status(&ended);
+    for (name, outcome) in outcomes {
+        let status = to_status(&outcome);
         let (code, details) = (i32::from(status.code()), hex(status.details()));
         writeln!(
             actual,
             "{name} code={code} text={:?} details={details}",
             status.message()
         )
-        .expect("room");
+        .expect("writing to a string succeeds");
     }
-    for (name, unusable) in [
+    for (name, error) in [
         ("foreign", TicketError::Foreign),
         ("expired", TicketError::Expired),
         ("other", TicketError::WrongKind),
     ] {
-        writeln!(actual, "handle-{name} text={:?}", unusable.to_string()).expect("room");
+        writeln!(actual, "handle-{name} text={:?}", error.to_string())
+            .expect("writing to a string succeeds");
     }
     let inner = std::io::Error::other("the innermost");
     let outer = std::io::Error::other(inner);
-    writeln!(actual, "root text={:?}", root_cause(&outer)).expect("room");
+    writeln!(actual, "root text={:?}", root_cause(&outer)).expect("writing to a string succeeds");
     assert_equals_fixture("statuses.txt", &actual);
 }
 
-/// Statements and the headers that they come with.
+/// Statements with the headers of their calls.
 fn calls() -> Vec<(String, RequestOptions)> {
     let look = || headers("look", "2");
     let forged = |class: &str| headers(class, "2");
@@ -249,8 +256,8 @@
     ]
 }
 
-/// The first and the last bytes of a text, and its length.
-fn shortened(text: &str) -> String {
+/// The first and last 100 bytes of a text and its length, or the whole text up to 300 bytes.
+fn abbreviate(text: &str) -> String {
     if text.len() <= 300 {
         return format!("{text:?}");
     }
@@ -263,7 +270,7 @@
 }
 
 /// All properties of a statement, in one line.
-fn described(template: &StatementTemplate) -> String {
+fn describe(template: &StatementTemplate) -> String {
     format!(
         "writes={} parameters={} group2={} group3={} wait={:?},{:?} text={} fresh={}",
         template.is_write(),
@@ -272,26 +279,26 @@
         template.is_for_group(3),
         template.timeout_ms(None),
         template.timeout_ms(Some(100)),
-        shortened(&template.render("made-id", 500)),
-        shortened(&template.clone().without_id().render("made-id", 50)),
+        abbreviate(&template.render("made-id", 500)),
+        abbreviate(&template.clone().without_id().render("made-id", 50)),
     )
 }
 
 #[test]
-fn statements_and_headers_are_read_as_before() {
+fn statements_and_headers_parse_as_recorded() {
     let mut actual = String::new();
     for (number, (statement, headers)) in calls().iter().enumerate() {
         let line = match StatementTemplate::parse(statement, headers) {
-            Ok(template) => described(&template),
+            Ok(template) => describe(&template),
             Err(error) => format!("error={:?}", error.to_string()),
         };
-        writeln!(actual, "{number} {line}").expect("room");
+        writeln!(actual, "{number} {line}").expect("writing to a string succeeds");
     }
     assert_equals_fixture("statements.txt", &actual);
 }
 
 #[test]
-fn parameters_are_bound_as_before() {
+fn parameters_bind_as_recorded() {
     let text = |text: &str| ParameterValue::Text(text.to_owned());
     let insert = StatementTemplate::parse(INSERT, &headers("buy", "3")).expect("a statement");
     let quoted = StatementTemplate::parse("SELECT '?' WHERE uid = ?", &headers("look", "2"))
@@ -314,10 +321,10 @@
     let mut actual = String::new();
     for (number, (template, values)) in cases.iter().enumerate() {
         let line = match template.bind(values) {
-            Ok(bound) => described(&bound),
+            Ok(bound) => describe(&bound),
             Err(error) => format!("error={:?}", error.to_string()),
         };
-        writeln!(actual, "{number} {line}").expect("room");
+        writeln!(actual, "{number} {line}").expect("writing to a string succeeds");
     }
     assert_equals_fixture("bindings.txt", &actual);
 }
--- a/crates/stackgw-streams/tests/digest.rs
+++ b/crates/stackgw-streams/tests/digest.rs
@@ -1,5 +1,6 @@
-//! Digests of all that the flow and the channels give out over random histories: equal before and after a change of shape.
-//! They are printed, not compared: `cargo test -p stackgw-streams --test digest -- --ignored --nocapture`.
+//! Digests of all results of [`FlowControl`] and [`ChannelPool`] over random histories, which a
+//! refactoring must not change. They are printed for manual comparison, not checked:
+//! `cargo test -p stackgw-streams --test digest -- --ignored --nocapture`.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -20,33 +21,33 @@
         Digest(0xcbf2_9ce4_8422_2325)
     }
 
-    fn bytes(&mut self, bytes: &[u8]) {
+    fn add_bytes(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
-    fn number(&mut self, number: i64) {
-        self.bytes(&number.to_le_bytes());
+    fn add_number(&mut self, number: i64) {
+        self.add_bytes(&number.to_le_bytes());
     }
 
-    fn size(&mut self, size: usize) {
-        self.number(i64::try_from(size).expect("a small number"));
+    fn add_size(&mut self, size: usize) {
+        self.add_number(i64::try_from(size).expect("size fits into an i64"));
     }
 }
 
-/// Numbers ids in the order of their first appearance, as they show no number of their own.
-struct Numbers<I>(BTreeMap<I, usize>);
+/// Numbers ids in the order of their first appearance, because the ids do not expose their values.
+struct IdNumbering<I>(BTreeMap<I, usize>);
 
-impl<I: Ord + Copy> Numbers<I> {
-    fn of(&mut self, id: I) -> usize {
+impl<I: Ord + Copy> IdNumbering<I> {
+    fn number_of(&mut self, id: I) -> usize {
         let next = self.0.len();
         *self.0.entry(id).or_insert(next)
     }
 }
 
-fn end_number(end: EndReason) -> i64 {
-    match end {
+fn reason_number(reason: EndReason) -> i64 {
+    match reason {
         EndReason::SlowReader => 1,
         EndReason::UnresponsiveMember => 2,
         EndReason::DeadlineExceeded => 3,
@@ -63,13 +64,13 @@
     }
 }
 
-/// One history of a flow; ids that are closed are used on, as late calls would.
+/// A random history of flow control. Closed ids stay in use, as in late calls.
 fn flow_history(seed: u64, digest: &mut Digest) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut flow = FlowControl::new(random_limits(&mut random));
     let mut now: Time = 0;
     let mut ids: Vec<StreamId> = Vec::new();
-    let mut numbers = Numbers(BTreeMap::new());
+    let mut numbers = IdNumbering(BTreeMap::new());
     for _ in 0..STEPS {
         now += random.random_range(0..4 * MS);
         let action = random.random_range(0..14);
@@ -79,44 +80,44 @@
             (0 | 1, _) | (_, None) => match flow.open() {
                 Ok(id) => {
                     ids.push(id);
-                    digest.size(numbers.of(id));
+                    digest.add_size(numbers.number_of(id));
                 }
-                Err(full) => digest.bytes(full.to_string().as_bytes()),
+                Err(error) => digest.add_bytes(error.to_string().as_bytes()),
             },
             (2, Some(id)) => flow.close(id),
             (3, Some(id)) => flow.finish_receiving(id),
             (4, Some(id)) => flow.set_deadline(id, now + random.random_range(0..40 * MS)),
-            (5..=7, Some(id)) => digest.number(i64::from(flow.try_read(now, id))),
+            (5..=7, Some(id)) => digest.add_number(i64::from(flow.try_read(now, id))),
             (8..=10, Some(id)) => flow.record_received(now, id, random.random_range(0..90)),
             (11 | 12, Some(id)) => flow.record_consumed(now, id, random.random_range(0..90)),
             (_, Some(_)) => {
                 for ExpiredStream { id, reason } in flow.expire(now) {
-                    digest.size(numbers.of(id));
-                    digest.number(end_number(reason));
-                    digest.bytes(reason.to_string().as_bytes());
+                    digest.add_size(numbers.number_of(id));
+                    digest.add_number(reason_number(reason));
+                    digest.add_bytes(reason.to_string().as_bytes());
                 }
             }
         }
         if random.random_bool(0.7) {
-            let woken = flow.take_resumed();
-            digest.size(woken.len());
-            for id in woken {
-                digest.size(numbers.of(id));
+            let resumed = flow.take_resumed();
+            digest.add_size(resumed.len());
+            for id in resumed {
+                digest.add_size(numbers.number_of(id));
             }
         }
-        digest.number(flow.next_timeout().unwrap_or(-1));
-        digest.size(flow.buffered_bytes());
-        digest.size(flow.len());
-        digest.number(i64::from(flow.is_empty()));
+        digest.add_number(flow.next_timeout().unwrap_or(-1));
+        digest.add_size(flow.buffered_bytes());
+        digest.add_size(flow.len());
+        digest.add_number(i64::from(flow.is_empty()));
     }
 }
 
-/// One history of connections; ids that are closed are used on here, too.
+/// A random history of a channel pool. Closed ids stay in use, as in late calls.
 fn channels_history(seed: u64, digest: &mut Digest) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut pool = ChannelPool::new(random.random_range(0..6));
     let mut ids: Vec<ChannelId> = Vec::new();
-    let mut numbers = Numbers(BTreeMap::new());
+    let mut numbers = IdNumbering(BTreeMap::new());
     for _ in 0..STEPS {
         let action = random.random_range(0..20);
         let recent = ids.len().saturating_sub(30);
@@ -125,13 +126,13 @@
             (0..=9, _) | (_, None) => {
                 let id = pool.assign(&random.random_range(0..4u8));
                 ids.push(id);
-                digest.size(numbers.of(id));
+                digest.add_size(numbers.number_of(id));
             }
             (10 | 11, Some(id)) => pool.mark_broken(id),
-            (_, Some(id)) => digest.number(i64::from(pool.release(id))),
+            (_, Some(id)) => digest.add_number(i64::from(pool.release(id))),
         }
-        digest.size(pool.len());
-        digest.number(i64::from(pool.is_empty()));
+        digest.add_size(pool.len());
+        digest.add_number(i64::from(pool.is_empty()));
     }
 }
 
@@ -142,13 +143,13 @@
 }
 
 #[test]
-#[ignore = "prints a digest to be compared by hand"]
+#[ignore = "prints a digest for manual comparison"]
 fn digest_of_flow_histories() {
     print_digest("streams-flow", flow_history);
 }
 
 #[test]
-#[ignore = "prints a digest to be compared by hand"]
+#[ignore = "prints a digest for manual comparison"]
 fn digest_of_channel_histories() {
     print_digest("streams-channels", channels_history);
 }
--- a/crates/stackgw-streams/tests/histories.rs
+++ b/crates/stackgw-streams/tests/histories.rs
@@ -1,4 +1,5 @@
-//! Whole and random histories of streams and connections, checked against the package's invariants.
+//! Scripted and random histories of streams and connections, checked against the invariants of the
+//! crate.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -18,14 +19,14 @@
 };
 const MAX_MESSAGE_BYTES: usize = 60;
 
-/// What has been done to one stream.
+/// Expected state of a stream.
 #[derive(Default)]
 struct StreamModel {
     /// Sizes of the buffered messages.
     buffered: Vec<usize>,
     reading: bool,
     receive_finished: bool,
-    /// It was not allowed to read and has not been resumed since.
+    /// The stream was denied a read and has not been resumed since.
     waiting: bool,
 }
 
@@ -35,14 +36,14 @@
     }
 }
 
-/// A random history of a flow control, beside a model of its streams.
+/// A random history of flow control, with a model of its streams.
 struct History {
     flow: FlowControl,
     streams: BTreeMap<StreamId, StreamModel>,
     random: SmallRng,
     now: Time,
-    /// Names the seed and the step where an assertion fails.
-    place: String,
+    /// Seed and step, for the messages of failed assertions.
+    context: String,
 }
 
 impl History {
@@ -52,7 +53,7 @@
             streams: BTreeMap::new(),
             random: SmallRng::seed_from_u64(seed),
             now: 0,
-            place: String::new(),
+            context: String::new(),
         }
     }
 
@@ -73,7 +74,7 @@
             }
         }
         self.check_limits();
-        self.check_nobody_is_forgotten();
+        self.check_waiting_streams();
     }
 
     fn pick(&mut self) -> StreamId {
@@ -84,7 +85,7 @@
     fn expire(&mut self) {
         for ExpiredStream { id, .. } in self.flow.expire(self.now) {
             let ended = self.streams.remove(&id);
-            assert!(ended.is_some(), "ended twice, {}", self.place);
+            assert!(ended.is_some(), "stream ended twice, {}", self.context);
         }
     }
 
@@ -104,7 +105,7 @@
     fn finish_receiving(&mut self) {
         let id = self.pick();
         self.flow.finish_receiving(id);
-        let stream = self.streams.get_mut(&id).expect("it is there");
+        let stream = self.streams.get_mut(&id).expect("stream exists");
         stream.receive_finished = true;
         stream.reading = false;
         stream.waiting = false;
@@ -112,14 +113,14 @@
 
     fn read(&mut self) {
         let id = self.pick();
-        let stream = self.streams.get_mut(&id).expect("it is there");
+        let stream = self.streams.get_mut(&id).expect("stream exists");
         if !stream.receive_finished && !stream.reading && !stream.waiting {
             stream.reading = self.flow.try_read(self.now, id);
             let may_wait = !stream.buffered.is_empty();
             assert!(
                 stream.reading || may_wait,
-                "an empty one waits, {}",
-                self.place
+                "a stream that buffers nothing was denied a read, {}",
+                self.context
             );
             stream.waiting = !stream.reading;
         }
@@ -133,24 +134,25 @@
 
     fn consume(&mut self) {
         let id = self.pick();
-        let stream = self.streams.get_mut(&id).expect("it is there");
+        let stream = self.streams.get_mut(&id).expect("stream exists");
         if let Some(bytes) = stream.buffered.pop() {
             self.flow.record_consumed(self.now, id, bytes);
         }
     }
 
     fn check_limits(&self) {
-        let place = &self.place;
+        let context = &self.context;
         let sums = self.streams.values().map(StreamModel::buffered_bytes);
         let stream_limit = LIMITS.bytes_per_stream + MAX_MESSAGE_BYTES;
-        assert!(sums.clone().all(|sum| sum < stream_limit), "{place}");
-        assert_eq!(self.flow.buffered_bytes(), sums.sum::<usize>(), "{place}");
+        assert!(sums.clone().all(|sum| sum < stream_limit), "{context}");
+        assert_eq!(self.flow.buffered_bytes(), sums.sum::<usize>(), "{context}");
         let total_limit = LIMITS.bytes_total + LIMITS.max_streams * MAX_MESSAGE_BYTES;
-        assert!(self.flow.buffered_bytes() < total_limit, "{place}");
+        assert!(self.flow.buffered_bytes() < total_limit, "{context}");
     }
 
-    /// No stream is left waiting that free space or an empty buffer would let go on.
-    fn check_nobody_is_forgotten(&self) {
+    /// Checks that no stream is left waiting while space is free in total and the stream either
+    /// buffers nothing, or is below its own limit and the only one that buffers anything.
+    fn check_waiting_streams(&self) {
         let total = self.flow.buffered_bytes();
         for stream in self.streams.values().filter(|stream| stream.waiting) {
             let buffered = stream.buffered_bytes();
@@ -158,8 +160,8 @@
                 buffered == 0 || (buffered < LIMITS.bytes_per_stream && total == buffered);
             assert!(
                 !could_read || total >= LIMITS.bytes_total,
-                "forgotten, {}",
-                self.place
+                "a stream that could read was not resumed, {}",
+                self.context
             );
         }
     }
@@ -170,7 +172,7 @@
     for seed in 0..300 {
         let mut history = History::new(seed);
         for step in 0..400 {
-            history.place = format!("seed {seed}, step {step}");
+            history.context = format!("seed {seed}, step {step}");
             history.step();
         }
     }
@@ -183,7 +185,7 @@
         bytes_per_stream: 80,
         ..LIMITS
     });
-    let [a, b, c] = [0; 3].map(|_| flow.open().expect("room"));
+    let [a, b, c] = [0; 3].map(|_| flow.open().expect("below the limit of streams"));
     for id in [a, b, c] {
         assert!(flow.try_read(0, id));
         flow.record_received(0, id, 40);
@@ -193,20 +195,20 @@
     assert_eq!(
         flow.take_resumed(),
         [a, b],
-        "it has taken all it had; then the first in line"
+        "stream a, which buffers nothing; then b, which has waited longest"
     );
 }
 
 #[test]
 fn each_timeout_ends_a_stream_once_with_its_own_reason() {
-    let run = |until: Option<Time>, does: &dyn Fn(&mut FlowControl, StreamId)| {
+    let run = |deadline: Option<Time>, action: &dyn Fn(&mut FlowControl, StreamId)| {
         let mut flow = FlowControl::new(LIMITS);
-        let id = flow.open().expect("room");
-        until
+        let id = flow.open().expect("below the limit of streams");
+        deadline
             .into_iter()
-            .for_each(|until| flow.set_deadline(id, until));
-        does(&mut flow, id);
-        let due = flow.next_timeout().expect("a time");
+            .for_each(|deadline| flow.set_deadline(id, deadline));
+        action(&mut flow, id);
+        let due = flow.next_timeout().expect("a timeout is set");
         assert_eq!(flow.expire(due - 1), []);
         let ended = flow.expire(due);
         assert_eq!(
@@ -231,9 +233,9 @@
 }
 
 #[test]
-fn slow_progress_and_an_unread_member_are_no_timeouts() {
+fn slow_progress_and_an_unread_member_do_not_time_out() {
     let mut flow = FlowControl::new(LIMITS);
-    let id = flow.open().expect("room");
+    let id = flow.open().expect("below the limit of streams");
     let mut now = 0;
     for _ in 0..10 {
         while flow.try_read(now, id) {
@@ -245,7 +247,7 @@
     }
 }
 
-/// What has been done to one connection.
+/// Expected state of a connection.
 struct ChannelModel {
     member: u8,
     requests: usize,
@@ -267,10 +269,11 @@
     seed: u64,
 ) {
     let id = pool.assign(&member);
-    let mut others = channels.values();
-    let with_capacity = others.any(|channel| channel.member == member && channel.has_capacity());
+    let mut existing = channels.values();
+    let any_has_capacity =
+        existing.any(|channel| channel.member == member && channel.has_capacity());
     let is_new = !channels.contains_key(&id);
-    assert_eq!(is_new, !with_capacity, "seed {seed}");
+    assert_eq!(is_new, !any_has_capacity, "seed {seed}");
     let channel = channels.entry(id).or_insert(ChannelModel {
         member,
         requests: 0,
@@ -293,7 +296,7 @@
                 assign(&mut pool, &mut channels, member, seed);
             } else if !channels.is_empty() {
                 let at = random.random_range(0..channels.len());
-                let (id, channel) = channels.iter_mut().nth(at).expect("it is there");
+                let (id, channel) = channels.iter_mut().nth(at).expect("index is in range");
                 let id = *id;
                 if random.random_bool(0.1) {
                     pool.mark_broken(id);
