--- a/crates/stackgw-flight/src/backend/connection.rs
+++ b/crates/stackgw-flight/src/backend/connection.rs
@@ -89,7 +89,7 @@
         let shared = self.shared_channel(id);
         let timeout = Duration::from_millis(self.config.connect_timeout_ms);
         let connecting = shared.get_or_try_init(|| self.establish(address, timeout));
-        // Also covers a host that accepts the TCP connection and then sends nothing.
+        // This timeout also covers a host that accepts the TCP connection and then sends nothing.
         match tokio::time::timeout(timeout, connecting).await {
             Ok(Ok(channel)) => return Ok(channel.clone()),
             Ok(Err(error)) => self.log_lost_connection(address, &root_cause(&error)),
--- a/crates/stackgw-flight/src/backend/dispatcher.rs
+++ b/crates/stackgw-flight/src/backend/dispatcher.rs
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Counts a connection that failed or could not be established, and logs it as
-    /// [`count_to_log`] decides.
+    /// Counts a connection that failed or could not be established, and logs it if
+    /// [`count_to_log`] returns the count.
     pub(super) fn log_lost_connection(&self, address: SocketAddr, reason: &str) {
         if let Some(count) = count_to_log(&self.lost_connections) {
             info!(
@@ -146,8 +146,8 @@
     }
 }
 
-/// Increments a counter. Returns the new count if it is to be logged, which is at powers of two, to
-/// limit the log volume.
+/// Increments a counter. Returns the new count if it is to be logged: at 1, 2, 4, 8 and all further
+/// powers of two, so that frequent events do not flood the log.
 fn count_to_log(counter: &AtomicU64) -> Option<u64> {
     let count = counter.fetch_add(1, Ordering::Relaxed) + 1;
     count.is_power_of_two().then_some(count)
--- a/crates/stackgw-streams/src/flow_control.rs
+++ b/crates/stackgw-streams/src/flow_control.rs
@@ -161,13 +161,13 @@
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        let before = stream.buffered_bytes;
-        let freed = bytes.min(before);
-        stream.buffered_bytes -= freed;
-        self.buffered_bytes -= freed;
+        let bytes_before = stream.buffered_bytes;
+        let freed_bytes = bytes.min(bytes_before);
+        stream.buffered_bytes -= freed_bytes;
+        self.buffered_bytes -= freed_bytes;
         let is_empty = stream.buffered_bytes == 0;
         stream.unread_since = (!is_empty).then_some(now);
-        let fell_below_limit = before >= limit && stream.buffered_bytes < limit;
+        let fell_below_limit = bytes_before >= limit && stream.buffered_bytes < limit;
         if (fell_below_limit || is_empty) && !stream.receive_finished {
             self.resumed.push(id);
         }
