--- a/crates/stackgw-testkit/src/cold_connect.rs
+++ b/crates/stackgw-testkit/src/cold_connect.rs
@@ -1,5 +1,5 @@
-//! The first seconds of a fleet: clients connect to each gateway as soon as it says that it is ready, and send requests at a
-//! steady rate whatever becomes of earlier ones (an open-loop load).
+//! The client load during a fleet's first seconds: clients connect to each gateway as soon as it reports that it is ready, and
+//! send requests at a steady rate without waiting for earlier ones to succeed (an open-loop load).
 
 use crate::client::{Client, RequestOutcome};
 use crate::cold_connect_report::ColdConnectReport;
@@ -12,26 +12,26 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The latency objective of all classes; what is served later counts as late.
+/// The latency objective of all classes; later answers count as late.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(200);
 
-/// Beyond any request's deadline.
+/// Longer than any request's deadline.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
 const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// How many keys each client uses.
+/// The number of keys that each client uses.
 const KEYS: u64 = 50;
 
-/// Each run's requests have ids of their own.
+/// The number of runs so far, which makes request ids unique across runs.
 static RUNS: AtomicU64 = AtomicU64::new(0);
 
-/// What clients do.
+/// The load of all clients.
 #[derive(Debug, Clone)]
 pub struct ColdConnectLoad {
-    /// Requests a second at each gateway, from when it is ready; above 0.
+    /// Requests per second at each gateway once it is ready; above 0.
     pub rate: f64,
-    /// Of a hundred requests so many are writes.
+    /// The percentage of requests that are writes.
     pub write_percentage: u32,
     /// How long the load lasts.
     pub duration: Duration,
@@ -39,13 +39,13 @@
     pub seed: u64,
 }
 
-/// A write as its client knows it.
+/// A write that a client has sent.
 struct SentWrite {
     id: String,
     is_rejected: bool,
 }
 
-/// What all clients of a run share.
+/// The state that all clients of a run share.
 struct Run<'a> {
     load: &'a ColdConnectLoad,
     gateways: &'a GatewayFleet,
@@ -57,8 +57,8 @@
 }
 
 impl ColdConnectLoad {
-    /// Runs it from `started` on; `meanwhile` runs beside the clients and may break what it likes. Clients of a gateway that ends
-    /// wait until it is ready again.
+    /// Runs the load from `started` on; `meanwhile` runs concurrently with the clients and may inject any faults. Clients of a
+    /// gateway that exits wait until it is ready again.
     pub fn run(
         &self,
         group: &ReplicaGroup,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Waits until the gateway can serve; false where it does not before the end.
+    /// Waits until the gateway is ready; returns false if it is not before the run's end.
     fn wait_until_ready(&mut self, client: &mut Client) -> bool {
         let left = self.run.end().saturating_duration_since(Instant::now());
         client.set_reply_timeout(left.max(Duration::from_millis(1)));
@@ -161,8 +161,8 @@
         true
     }
 
-    /// Sends requests, each one when it is due whatever became of the one before, until the end or until the connection is of no
-    /// use any more.
+    /// Sends requests at their scheduled times, regardless of the outcome of earlier ones, until the run's end or until the
+    /// connection is unusable.
     fn send_requests(&mut self, client: &mut Client) {
         let interval = 1.0 / self.run.load.rate;
         let mut due = Instant::now() + Duration::from_secs_f64(self.rng.random::<f64>() * interval);
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Sends a request, and notes how it ended; false where the connection is of no use any more.
+    /// Sends a request and records its outcome; returns false if the connection is unusable afterwards.
     fn send_request(&mut self, client: &mut Client) -> bool {
         self.requests += 1;
         let (run, gateway, number) = (self.run.number, self.gateway, self.requests);
--- a/crates/stackgw-testkit/src/cold_connect_report.rs
+++ b/crates/stackgw-testkit/src/cold_connect_report.rs
@@ -1,4 +1,4 @@
-//! What clients got in the first seconds of a fleet.
+//! The outcomes of clients' requests in the first seconds of a fleet.
 
 use crate::client::RequestOutcome;
 use serde::Serialize;
@@ -10,9 +10,9 @@
 pub struct SecondCounts {
     /// Sent in this second.
     pub requests: u64,
-    /// Of those: served within the latency objective.
+    /// Requests of these that were served within the latency objective.
     pub served_in_time: u64,
-    /// Of those: served later.
+    /// Requests of these that were served later.
     pub served_late: u64,
 }
 
@@ -22,13 +22,13 @@
     }
 }
 
-/// What clients got.
+/// The outcomes of clients' requests.
 #[derive(Debug, Clone, Default)]
 pub struct ColdConnectReport {
-    /// When each gateway answered that it is ready, in milliseconds from the beginning, in order; those that never did are not
-    /// among them.
+    /// When each gateway reported that it was ready, in milliseconds since the start, in ascending order. Gateways that never
+    /// did are left out.
     pub ready_ms: Vec<u64>,
-    /// Requests that were sent.
+    /// Requests sent.
     pub requests: u64,
     /// Served within the latency objective.
     pub served_in_time: u64,
@@ -38,30 +38,30 @@
     pub rejected: u64,
     /// Failed.
     pub failed: u64,
-    /// Cut off by the kill of a gateway.
+    /// Disconnected by the kill of a gateway.
     pub disconnected: u64,
-    /// Got no answer though their connection stayed open, or more than one.
+    /// Requests with no answer although the connection stayed open, or with more than one answer.
     pub lost: u64,
     /// Writes that ran more than once, or ran though they were rejected.
     pub duplicate_writes: u64,
-    /// For each second from the beginning, by when they were sent.
+    /// Counts for each second since the start, by the time at which requests were sent.
     pub seconds: Vec<SecondCounts>,
 }
 
 impl ColdConnectReport {
-    /// When this fraction of a fleet was ready.
+    /// The time at which this fraction of the fleet was ready; `None` if it never was.
     pub fn ready_time(&self, fraction: f64, fleet: usize) -> Option<Duration> {
         let count = (fraction * fleet as f64).ceil() as usize;
         let ready_ms = self.ready_ms.get(count.checked_sub(1)?)?;
         Some(Duration::from_millis(*ready_ms))
     }
 
-    /// The fraction served in time of what was sent.
+    /// The fraction of sent requests that were served in time.
     pub fn served_fraction(&self) -> f64 {
         self.served_in_time as f64 / self.requests.max(1) as f64
     }
 
-    /// The fraction served in time of what was sent in the first so many seconds.
+    /// The fraction of the requests sent in the first `seconds` that were served in time.
     pub fn served_fraction_within(&self, seconds: usize) -> f64 {
         let first = || self.seconds.iter().take(seconds);
         let served: u64 = first().map(|second| second.served_in_time).sum();
@@ -69,7 +69,7 @@
         served as f64 / requests.max(1) as f64
     }
 
-    /// The fraction served, in time or late, of what was sent.
+    /// The fraction of sent requests that were served, in time or late.
     pub fn answered_fraction(&self) -> f64 {
         (self.served_in_time + self.served_late) as f64 / self.requests.max(1) as f64
     }
--- a/crates/stackgw-testkit/src/error.rs
+++ b/crates/stackgw-testkit/src/error.rs
@@ -1,10 +1,10 @@
-//! What can go wrong with a fixture or a measurement.
+//! Errors of fixtures and measurements.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a fixture could not be set up, or a measurement not be taken.
+/// An error that prevents setting up a fixture or taking a measurement.
 #[derive(Debug, Error)]
 pub enum TestkitError {
     /// A file, a folder or a program could not be used.
@@ -12,13 +12,13 @@
     File {
         /// The file, the folder or the program.
         path: PathBuf,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// A socket or a process failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A gateway's process ended, or did not listen in time.
+    /// A gateway's process exited, or did not listen in time.
     #[error("gateway g{index} did not start: {last_log_line}")]
     GatewayStart {
         /// The gateway's number.
@@ -26,14 +26,14 @@
         /// The last line of its log.
         last_log_line: String,
     },
-    /// A gateway that is needed does not run.
-    #[error("the gateway does not run")]
+    /// A required gateway is not running.
+    #[error("the gateway is not running")]
     GatewayNotRunning,
-    /// A gateway offers no Flight SQL.
-    #[error("the gateway has no Flight SQL")]
+    /// A gateway does not serve Flight SQL.
+    #[error("the gateway does not serve Flight SQL")]
     NoFlightSql,
-    /// A client got no connection to a gateway.
-    #[error("no connection")]
+    /// A client could not connect to a gateway.
+    #[error("could not connect to the gateway")]
     NoConnection,
     /// A Flight SQL server could not be reached.
     #[error("{address}: {reason}")]
@@ -46,19 +46,19 @@
     /// A Flight SQL call failed.
     #[error("{0}")]
     FlightCall(String),
-    /// Flight SQL offered a statement's answer without a ticket.
-    #[error("no ticket")]
+    /// The flight info of a statement has no ticket for its answer.
+    #[error("the flight info has no ticket")]
     NoTicket,
-    /// A stream ended that should have gone on.
-    #[error("it ended")]
+    /// A stream ended before its last message was expected.
+    #[error("the stream ended early")]
     StreamEnded,
-    /// Members still worked on a stream ten seconds after its client had cancelled it.
-    #[error("the work did not stop")]
+    /// Members were still working on a stream ten seconds after its client had cancelled it.
+    #[error("members were still working on the cancelled stream")]
     WorkNotStopped,
 }
 
 impl TestkitError {
-    /// An I/O error together with the file that it is about.
+    /// An I/O error with the path that it concerns.
     pub(crate) fn file(path: &Path, source: io::Error) -> Self {
         TestkitError::File {
             path: path.to_owned(),
--- a/crates/stackgw-testkit/src/fleet_config.rs
+++ b/crates/stackgw-testkit/src/fleet_config.rs
@@ -1,41 +1,41 @@
-//! What a fleet of gateways is set up as.
+//! The configuration of a fleet of gateways.
 
 use crate::replica_group::Protocol;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What the gateways' operator's files turn on.
+/// The feature that the gateways' operator's files turn on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetMode {
     /// Sessions shared across instances.
     SharedSessions,
-    /// Nothing: sessions are tracked in each process alone, and no operator's file is given.
+    /// None: each process tracks its sessions on its own, and gateways run without an operator's file.
     LocalSessions,
-    /// What [`FleetConfig::bootstrap`] says; sessions are tracked in each process alone.
+    /// The bootstrap settings of [`FleetConfig::bootstrap`]; each process tracks its sessions on its own.
     Bootstrap,
 }
 
-/// How gateways come to know the endpoint list, where not as the platform has it.
+/// How gateways obtain the endpoint list, beyond the platform's configuration.
 #[derive(Debug, Clone, Default)]
 pub struct BootstrapConfig {
-    /// They talk to each other; the session replicas are the seeds.
+    /// Whether gateways form a cluster, with the session replicas as its seeds.
     pub has_cluster: bool,
-    /// The lines of the operator's file below `start:`, without their indent; `{n}` is the gateway's number and `{folder}`
-    /// where files go.
+    /// The lines of the operator's file below `start:`, without indentation. `{n}` is replaced by the gateway's number and
+    /// `{folder}` by the fleet's folder.
     pub yaml_lines: Vec<String>,
 }
 
-/// How Flight SQL clients show who they are.
+/// How Flight SQL clients authenticate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FlightAuth {
-    /// Name and password, once for each connection.
+    /// With a name and password, once for each connection.
     Basic,
-    /// A token with each call.
+    /// With a bearer token on each call.
     Bearer,
 }
 
 impl FlightAuth {
-    /// As the operator's file names it.
+    /// The method's name in the operator's file.
     pub fn name(self) -> &'static str {
         match self {
             FlightAuth::Basic => "basic",
@@ -44,56 +44,56 @@
     }
 }
 
-/// A user whom gateways know where clients show who they are.
+/// A user that gateways with authentication accept.
 #[derive(Debug, Clone, Copy)]
 pub struct FlightUser {
-    /// The name.
+    /// The user's name.
     pub name: &'static str,
-    /// The password, or the token.
+    /// The password, or the bearer token.
     pub secret: &'static str,
 }
 
-/// The one user that gateways know.
+/// The only user that gateways accept.
 pub const FLIGHT_USER: FlightUser = FlightUser {
     name: "depot",
     secret: "a secret of this test",
 };
 
-/// What gateways are set up as.
+/// The configuration of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetConfig {
-    /// The program.
+    /// The path of the gateway's program.
     pub program: PathBuf,
-    /// Where files go; it must exist.
+    /// The folder for the gateways' files; it must exist.
     pub folder: PathBuf,
-    /// The list service's addresses, handed out to the gateways in turn.
+    /// The list service's addresses, assigned to the gateways round-robin.
     pub list_addresses: Vec<SocketAddr>,
-    /// How many gateways.
+    /// The number of gateways.
     pub gateways: usize,
-    /// The first so many of them are session replicas, and the cluster's seeds.
+    /// The number of session replicas, which are also the cluster's seeds; they are the first gateways.
     pub session_replicas: usize,
-    /// What is turned on.
+    /// The feature that is turned on.
     pub mode: FleetMode,
-    /// Session replicas have stores on disk.
+    /// Whether session replicas have stores on disk.
     pub has_disks: bool,
     /// The sessions' lease, in milliseconds.
     pub lease_ms: u64,
     /// The sessions' retention, in milliseconds.
     pub retention_ms: u64,
-    /// Their datagrams pass through relays that can block and lose them.
+    /// Whether cluster datagrams pass through relays that can block and drop them.
     pub has_relays: bool,
-    /// They speak Flight SQL too.
+    /// Whether gateways also serve Flight SQL.
     pub has_flight_sql: bool,
-    /// What the members speak.
+    /// The protocol that members speak.
     pub member_protocol: Protocol,
-    /// Flight SQL clients show that they are [`FLIGHT_USER`].
+    /// How Flight SQL clients authenticate as [`FLIGHT_USER`]; `None`: they do not.
     pub flight_auth: Option<FlightAuth>,
-    /// How they come to know the list, in [`FleetMode::Bootstrap`].
+    /// How gateways obtain the list, in [`FleetMode::Bootstrap`].
     pub bootstrap: BootstrapConfig,
 }
 
 impl FleetConfig {
-    /// Two gateways with shared sessions, both session replicas with disks; nothing else is on.
+    /// Two gateways with shared sessions, both session replicas with stores on disk; all other features are off.
     pub fn new(program: PathBuf, folder: PathBuf, list_addresses: Vec<SocketAddr>) -> Self {
         FleetConfig {
             program,
--- a/crates/stackgw-testkit/src/fleet_load.rs
+++ b/crates/stackgw-testkit/src/fleet_load.rs
@@ -1,4 +1,4 @@
-//! What came to all members of a group. Field names in JSON are those of the command's output, which stays as it is.
+//! The load on all members of a group. Field names in JSON are those of the command's output and must not change.
 
 use crate::replica_group::ReplicaGroup;
 use crate::slow_start_model::ObservedLoad;
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// What came to one member. Serialized as a list, in this order.
+/// The load on one member. Serialized as a list, in this order.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 #[serde(into = "[u64; 3]")]
 pub struct MemberCounts {
@@ -24,33 +24,33 @@
     }
 }
 
-/// What came to all members of a group.
+/// The load on all members of a group.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct FleetLoad {
-    /// New connections at all of them.
+    /// New connections at all members.
     pub handshakes: usize,
-    /// New connections at the busiest one in its worst 100 ms.
+    /// The most new connections at one member within 100 ms.
     #[serde(rename = "worst_handshakes")]
     pub peak_handshakes: usize,
-    /// The most work at a cold one, over the work at which it collapses.
+    /// The peak work at a cold member, relative to the work at which it collapses.
     #[serde(rename = "cold")]
     pub peak_overload: f64,
-    /// How often one collapsed.
+    /// Collapses of members.
     #[serde(rename = "fell")]
     pub collapses: u64,
-    /// Requests that they rejected.
+    /// Requests rejected by members.
     #[serde(rename = "shed")]
     pub rejected: u64,
     /// Health checks.
     #[serde(rename = "probes")]
     pub health_checks: u64,
-    /// Each member, the first one being the primary.
+    /// The load on each member; the first one is the primary.
     pub members: Vec<MemberCounts>,
 }
 
 impl FleetLoad {
-    /// Adds up what came to members since their capacities were set; connections count from `since` on, in time since the group's
-    /// start.
+    /// Sums up the load on members since their capacities were set. Only connections at or after `since`, relative to the group's
+    /// start, are counted.
     pub fn of(group: &ReplicaGroup, since: Duration) -> Self {
         let mut total = FleetLoad::default();
         for member in 0..group.members.len() {
--- a/crates/stackgw-testkit/src/flight_client.rs
+++ b/crates/stackgw-testkit/src/flight_client.rs
@@ -1,4 +1,4 @@
-//! A Flight SQL client for measurements: connections, and the messages of an answer as they come, undecoded.
+//! A Flight SQL client for measurements, which returns the messages of an answer as they arrive, undecoded.
 
 use crate::error::TestkitError;
 use arrow_flight::sql::client::FlightSqlServiceClient;
@@ -18,7 +18,7 @@
 /// The messages of an answer.
 pub(crate) type MessageStream = Pin<Box<dyn Stream<Item = Result<FlightData, Status>>>>;
 
-/// Connects to a gateway or to a member.
+/// Connects to a gateway or a member.
 pub(crate) async fn connect(address: SocketAddr) -> Result<SqlClient, TestkitError> {
     let failure = |reason: String| TestkitError::FlightConnection { address, reason };
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
@@ -30,7 +30,7 @@
     Ok(FlightSqlServiceClient::new(channel))
 }
 
-/// Begins an answer: gets a ticket for the statement, and then its stream.
+/// Gets a ticket for a statement, and opens the stream of its answer.
 pub(crate) async fn begin(
     client: &mut SqlClient,
     statement: String,
@@ -45,13 +45,13 @@
     Ok(Box::pin(answer.into_inner()))
 }
 
-/// The next message of a stream that has not ended.
+/// The next message of a stream. The end of the stream is an error.
 pub(crate) async fn next_message(stream: &mut MessageStream) -> Result<FlightData, TestkitError> {
     let next = stream.next().await.ok_or(TestkitError::StreamEnded)?;
     next.map_err(|e| TestkitError::FlightCall(e.to_string()))
 }
 
-/// Reads a stream to its end; gives the bytes of its batches.
+/// Reads a stream to its end; returns the total size of its batches in bytes.
 pub(crate) async fn read_to_end(stream: &mut MessageStream) -> Result<u64, TestkitError> {
     let mut bytes = 0;
     while let Some(message) = stream.next().await {
--- a/crates/stackgw-testkit/src/flight_member.rs
+++ b/crates/stackgw-testkit/src/flight_member.rs
@@ -1,5 +1,5 @@
-//! A member that speaks Arrow Flight SQL, over the same log, faults and record of executions as one that speaks PostgreSQL's
-//! protocol. Its connections are served on one thread.
+//! A member that speaks Arrow Flight SQL, with the same log, faults and execution log as one that speaks PostgreSQL's
+//! protocol. One thread serves all its connections.
 
 use crate::bulk_stream::{batch, schema, BulkRequest, VALUE_COLUMN};
 use crate::member::FakeMember;
@@ -24,10 +24,10 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status};
 
-/// The action by which a client cancels.
+/// The action type of a client's cancellation.
 const CANCEL_ACTION: &str = "CancelFlightInfo";
 
-/// The protocol before one member.
+/// The protocol front end of one member.
 pub(crate) struct FlightMember {
     pub(crate) index: usize,
     pub(crate) member: Arc<FakeMember>,
@@ -37,7 +37,7 @@
 type Batches = <FlightMember as FlightService>::DoGetStream;
 
 impl FlightMember {
-    /// Serves the connections that are sent to it, on a thread of its own.
+    /// Starts a thread that serves the connections sent through the returned channel.
     pub(crate) fn spawn(self) -> std::io::Result<mpsc::UnboundedSender<TcpStream>> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -65,7 +65,7 @@
         answer
     }
 
-    /// Runs a statement, after whatever delay the member's faults ask for.
+    /// Runs a statement, with the delay that the member's faults add.
     async fn execute(&self, text: &str) -> StatementOutcome {
         let _in_flight = self.member.begin_work();
         if self.member.is_unresponsive() {
@@ -78,7 +78,7 @@
         outcome
     }
 
-    /// An answer of one batch.
+    /// An answer that consists of one batch.
     fn answer(&self, value: &[u8], position_ms: Option<u64>) -> Response<Batches> {
         let batch = batch(VALUE_COLUMN, value);
         let encoded = FlightDataEncoderBuilder::new()
@@ -153,7 +153,7 @@
         if request.get_ref().r#type != CANCEL_ACTION {
             return Err(Status::unimplemented("no such action"));
         }
-        // Its stream has been reset by then; what is left is to say so.
+        // The client has already reset the stream, so all that is left is to count and confirm the cancellation.
         self.member.cancellations.fetch_add(1, Ordering::Relaxed);
         let body = CancelFlightInfoResult {
             status: CancelStatus::Cancelled.into(),
--- a/crates/stackgw-testkit/src/gateway_files.rs
+++ b/crates/stackgw-testkit/src/gateway_files.rs
@@ -1,5 +1,4 @@
-//! The files of one gateway in a fleet's folder: the platform's document, the operator's file, keys, logs and stores. It starts
-//! nothing.
+//! The files of one gateway in a fleet's folder: the platform's document, the operator's file, keys, logs and stores.
 
 use crate::error::TestkitError;
 use crate::fleet_config::{FleetConfig, FleetMode, FLIGHT_USER};
@@ -13,13 +12,13 @@
 
 const CLUSTER_NAME: &str = "testkit";
 
-/// Limits of bulk streams, short so that tests see them reached.
+/// Limits of bulk streams, low enough for tests to reach them.
 const BULK_LIMITS: &str =
     "  bulk: {stall: 1500ms, silence: 700ms, each_kib: 256, all_kib: 4096, message_kib: 2048}";
 
 const MS_IN_NS: i64 = 1_000_000;
 
-/// Where one gateway's files are.
+/// The paths of one gateway's files.
 pub(crate) struct GatewayFiles<'a> {
     pub(crate) folder: &'a Path,
     pub(crate) index: usize,
@@ -40,7 +39,7 @@
         self.path("yaml")
     }
 
-    /// The sessions' store.
+    /// The session store.
     pub(crate) fn session_store(&self) -> PathBuf {
         self.path("redb")
     }
@@ -50,28 +49,28 @@
         self.path("sock")
     }
 
-    /// What the gateway has logged.
+    /// The gateway's log.
     pub(crate) fn log(&self) -> PathBuf {
         self.path("log")
     }
 
-    /// The last line that the gateway has logged.
+    /// The last line of the gateway's log.
     pub(crate) fn last_log_line(&self) -> String {
         let text = std::fs::read_to_string(self.log()).unwrap_or_default();
-        text.lines().last().unwrap_or("it said nothing").to_owned()
+        text.lines().last().unwrap_or("its log is empty").to_owned()
     }
 }
 
-/// The addresses of a fleet's datagrams, by gateway.
+/// The cluster addresses of a fleet, by gateway.
 pub(crate) struct ClusterAddresses {
-    /// Where each gateway listens.
+    /// The address at which each gateway listens.
     pub(crate) listen: Vec<SocketAddr>,
-    /// Where the others send to: the same, or the relay before it.
+    /// The address to which its peers send: the same, or that of its relay.
     pub(crate) advertise: Vec<SocketAddr>,
 }
 
 impl ClusterAddresses {
-    /// The seeds as a YAML list.
+    /// The seeds as items of a YAML list.
     fn seeds(&self, config: &FleetConfig) -> String {
         let seeds = self.advertise.iter().take(config.session_replicas);
         let seeds: Vec<_> = seeds.map(|address| format!("\"{address}\"")).collect();
@@ -119,7 +118,7 @@
     config.folder.join("flight.users")
 }
 
-/// The operator's file of a gateway whose sessions are shared.
+/// The operator's file of a gateway with shared sessions.
 fn sessions_part(
     config: &FleetConfig,
     files: &GatewayFiles,
@@ -146,7 +145,7 @@
     lines.join("\n") + "\n"
 }
 
-/// The operator's file of a gateway that finds the list by itself or with others.
+/// The operator's file of a gateway with bootstrap settings, with or without a cluster.
 fn bootstrap_part(
     config: &FleetConfig,
     files: &GatewayFiles,
@@ -176,7 +175,7 @@
     lines.join("\n") + "\n"
 }
 
-/// What the operator's file has on Flight SQL, before the gateway and behind it.
+/// The Flight SQL part of the operator's file, for clients and for members.
 fn flight_part(config: &FleetConfig) -> String {
     let mut lines = Vec::new();
     if config.has_flight_sql {
@@ -239,7 +238,7 @@
     })
 }
 
-/// What the platform's document says of the members and of sessions.
+/// The platform's settings for members and sessions.
 fn domain(config: &FleetConfig) -> Value {
     let session_marks = match config.mode {
         FleetMode::SharedSessions => "client",
--- a/crates/stackgw-testkit/src/gateway_fleet.rs
+++ b/crates/stackgw-testkit/src/gateway_fleet.rs
@@ -1,5 +1,5 @@
-//! Gateways as real processes, with their files in a folder of their own. They are killed, paused and started anew; their logs
-//! are copied into files, and say where they listen.
+//! Gateways as real processes, with their files in their own folder. They can be killed, paused and restarted. Their logs are
+//! copied into files and searched for the addresses at which they listen.
 
 use crate::error::TestkitError;
 use crate::fleet_config::{FleetConfig, FleetMode};
@@ -15,27 +15,27 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A gateway that does not listen by then has not started.
+/// How long a gateway may take to listen before its start counts as failed.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Its port may be taken for a moment: then a gateway is started once more.
+/// How often a failed start is retried, as another process may hold the gateway's port for a moment.
 const START_RETRIES: usize = 3;
 const START_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 const LISTEN_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Counters that are not in the log by then do not come.
+/// How long to wait for a gateway to log its counters.
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a gateway logs before its counters.
+/// The text that precedes the counters in a gateway's log.
 const COUNTERS_LINE: &str = "counters ";
 
-/// What a gateway logs before the address at which it listens ...
+/// The text that precedes the address of the PostgreSQL listener in a gateway's log.
 const LISTENING_LINE: &str = "listening on ";
-/// ... and before the one of Flight SQL.
+/// The text that precedes the address of the Flight SQL listener in a gateway's log.
 const FLIGHT_LINE: &str = "flight sql at ";
 
-/// Where a gateway listens, once it has said so.
+/// The addresses at which a gateway listens, as far as it has logged them.
 #[derive(Debug, Default)]
 struct Addresses {
     postgres: Option<SocketAddr>,
@@ -48,12 +48,12 @@
     addresses: Arc<Mutex<Addresses>>,
 }
 
-/// All gateways of a group. Those that still run are killed when it is dropped.
+/// All gateways of a group. Dropping the fleet kills the gateways that still run.
 pub struct GatewayFleet {
     config: FleetConfig,
     network: Option<Arc<FaultyNetwork>>,
     gateways: Mutex<Vec<Gateway>>,
-    /// The cluster's ports of gateways that have not started yet; each is freed just before its gateway binds it.
+    /// The cluster ports reserved for gateways that have not started yet; each is released just before its gateway binds it.
     reserved_ports: Mutex<Vec<Option<UdpSocket>>>,
 }
 
@@ -61,7 +61,7 @@
     /// Writes the gateways' files and starts them all.
     ///
     /// # Errors
-    /// Where a file can't be written, or a gateway does not start.
+    /// If a file can't be written, or a gateway does not start.
     pub fn start(config: FleetConfig) -> Result<Self, TestkitError> {
         let fleet = Self::prepare(config)?;
         if fleet.config.mode == FleetMode::Bootstrap {
@@ -72,10 +72,10 @@
         Ok(fleet)
     }
 
-    /// Writes the gateways' files, and starts none.
+    /// Writes the gateways' files without starting any gateway.
     ///
     /// # Errors
-    /// Where a file can't be written.
+    /// If a file can't be written.
     pub fn prepare(config: FleetConfig) -> Result<Self, TestkitError> {
         let folder_error = |e| TestkitError::file(&config.folder, e);
         let sockets: Vec<_> = (0..config.gateways)
@@ -104,22 +104,22 @@
         })
     }
 
-    /// How many there are.
+    /// The number of gateways.
     pub fn len(&self) -> usize {
         self.config.gateways
     }
 
-    /// Whether there are none.
+    /// Whether the fleet has no gateways.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The network between them, where it has relays.
+    /// The network between the gateways, if it has relays.
     pub fn network(&self) -> Option<&FaultyNetwork> {
         self.network.as_deref()
     }
 
-    /// Where clients connect, if it runs.
+    /// The address for clients of a gateway, if it is running.
     pub fn address(&self, index: usize) -> Option<SocketAddr> {
         let gateways = lock(&self.gateways);
         let addresses = &gateways.get(index)?.addresses;
@@ -127,7 +127,7 @@
         address
     }
 
-    /// Where Flight SQL clients connect, if it runs and speaks that.
+    /// The address for Flight SQL clients of a gateway, if it is running and serves Flight SQL.
     pub fn flight_address(&self, index: usize) -> Option<SocketAddr> {
         let gateways = lock(&self.gateways);
         let addresses = &gateways.get(index)?.addresses;
@@ -135,13 +135,13 @@
         address
     }
 
-    /// Its process id, while it runs.
+    /// A gateway's process id, while it is running.
     pub fn pid(&self, index: usize) -> Option<u32> {
         let gateways = lock(&self.gateways);
         gateways.get(index)?.process.as_ref().map(Child::id)
     }
 
-    /// Its local control socket.
+    /// The path of a gateway's local control socket.
     pub fn control_socket(&self, index: usize) -> PathBuf {
         self.files(index).control_socket()
     }
@@ -159,30 +159,30 @@
         }
     }
 
-    /// Stops a gateway's process, until it is resumed.
+    /// Stops a gateway's process (SIGSTOP) until it is resumed.
     pub fn pause(&self, index: usize) {
         self.signal(index, Signal::STOP);
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process (SIGCONT).
     pub fn resume(&self, index: usize) {
         self.signal(index, Signal::CONT);
     }
 
-    /// Has a gateway shut down gracefully.
+    /// Makes a gateway shut down gracefully (SIGTERM).
     pub fn terminate(&self, index: usize) {
         self.signal(index, Signal::TERM);
     }
 
-    /// Has a gateway read its configuration anew.
+    /// Makes a gateway reload its configuration (SIGHUP).
     pub fn reload(&self, index: usize) {
         self.signal(index, Signal::HUP);
     }
 
-    /// Whether a gateway's process has ended, or was never started.
+    /// Whether a gateway's process has exited, or was never started.
     ///
     /// # Errors
-    /// Where the system does not tell.
+    /// If the operating system can't report the process's state.
     pub fn has_ended(&self, index: usize) -> std::io::Result<bool> {
         let mut gateways = lock(&self.gateways);
         match gateways.get_mut(index).and_then(|g| g.process.as_mut()) {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Has a gateway log its counters; the line, or `None` where it does not come in time.
+    /// Makes a gateway log its counters (SIGUSR1); returns the log line, or `None` if it does not appear in time.
     pub fn counters(&self, index: usize) -> Option<String> {
         let log = self.files(index).log();
         let lines = || {
@@ -212,20 +212,20 @@
         None
     }
 
-    /// Has all of them write their counters into their logs.
+    /// Makes all gateways write their counters into their logs.
     pub fn log_counters(&self) {
         (0..self.len()).for_each(|index| self.signal(index, Signal::USR1));
     }
 
-    /// Deletes a gateway's store. It must not run.
+    /// Deletes a gateway's session store. The gateway must not be running.
     pub fn delete_disk(&self, index: usize) {
         let _ = std::fs::remove_file(self.files(index).session_store());
     }
 
-    /// Starts a gateway, anew where it ran, and waits until it listens.
+    /// Starts a gateway, after killing it if it is running, and waits until it listens.
     ///
     /// # Errors
-    /// Where it does not, after some attempts.
+    /// If it does not listen after several attempts.
     pub fn restart(&self, index: usize) -> Result<(), TestkitError> {
         let mut started = self.try_start(index);
         for _ in 0..START_RETRIES {
@@ -238,10 +238,10 @@
         started
     }
 
-    /// Starts these one after another, so far apart, anew where they ran, and waits until all listen.
+    /// Kills those of these gateways that are running, starts all of them at this interval, and waits until all listen.
     ///
     /// # Errors
-    /// Where one does not, after some attempts.
+    /// If one of them does not listen after several attempts.
     pub fn restart_all(
         &self,
         indices: impl Iterator<Item = usize> + Clone,
@@ -260,7 +260,7 @@
         Ok(())
     }
 
-    /// Kills all of them and removes their folder, at the end of a test; where it has failed their logs are printed.
+    /// Kills all gateways and removes their folder. Prints their logs first if the calling test is failing.
     pub fn clean_up(&self) {
         for index in (0..self.len()).filter(|_| std::thread::panicking()) {
             let log = std::fs::read_to_string(self.files(index).log());
@@ -354,7 +354,7 @@
     }
 }
 
-/// Copies what a gateway logs into a file, and notes where it listens.
+/// Copies a gateway's log into a file, and records the addresses at which it listens.
 fn copy_log(stderr: ChildStderr, mut log: File, addresses: &Mutex<Addresses>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         let _ = writeln!(log, "{line}");
--- a/crates/stackgw-testkit/src/lib.rs
+++ b/crates/stackgw-testkit/src/lib.rs
@@ -1,15 +1,15 @@
 //! Fakes and fault injection on loopback, for the command's demo, its measurements and its tests.
 //!
 //! - [`ReplicaGroup`]: the members of a replication group, a primary and replicas that lag, which speak PostgreSQL's protocol or
-//!   Arrow Flight SQL; their faults and their capacity are set by whoever runs them.
+//!   Arrow Flight SQL; the caller sets their faults and their capacity.
 //! - [`ListService`]: the service that lists the members, and its faults.
-//! - [`GatewayFleet`]: gateways as real processes, which are killed, paused and started anew, and [`FaultyNetwork`] between them.
+//! - [`GatewayFleet`]: gateways as real processes that can be killed, paused and restarted, and [`FaultyNetwork`] between them.
 //! - [`run_audit`]: clients that write and read through any gateway while faults are injected, and the verdict on what they saw.
-//! - [`ColdConnectLoad`]: the load of a fleet's first seconds.
-//! - [`measure`]: what parts of the gateway cost.
+//! - [`ColdConnectLoad`]: the client load during a fleet's first seconds.
+//! - [`measure`]: measurements of what parts of the gateway cost.
 //!
-//! Every execution is recorded ([`ExecutionLog`]), so that what a session saw is judged by what ran. The fakes know the gateway's
-//! wire, its files and its log lines, and nothing of its code beyond the codec.
+//! Members record every execution ([`ExecutionLog`]), so that what a session saw can be compared with what ran. The fakes
+//! depend on the gateway's wire protocol, its files and its log lines, but on none of its code except the codec.
 
 mod audit;
 mod audit_client;
--- a/crates/stackgw-testkit/src/member.rs
+++ b/crates/stackgw-testkit/src/member.rs
@@ -1,4 +1,5 @@
-//! One fake member: its role, its capacity, the faults that a test gives it, and what has come to it. It knows no protocol.
+//! One fake member: its role, its capacity, the faults that a test injects, and the load that it received. It is independent of
+//! the wire protocol.
 
 use crate::slow_start_model::{MemberLoad, ObservedLoad, SlowStartModel, WorkOutcome};
 use crate::sync::lock;
@@ -7,32 +8,32 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// One member; tests change its state while it runs.
+/// One member, whose state tests change while it runs.
 #[derive(Debug)]
 pub struct FakeMember {
-    /// How far a replica's log is behind, in milliseconds; the primary's never is.
+    /// A replica's replication lag, in milliseconds; ignored on the primary.
     pub lag_ms: AtomicU64,
-    /// Each answer takes this much longer, in milliseconds.
+    /// Extra delay of each answer, in milliseconds.
     pub delay_ms: AtomicU64,
-    /// It takes requests and answers none.
+    /// Whether the member accepts requests but never answers them.
     pub unresponsive: AtomicBool,
-    /// A write runs, and then its connection is broken in place of an answer.
+    /// Whether the member runs each write and then breaks its connection instead of answering.
     pub drops_write_replies: AtomicBool,
-    /// Its streams stall after this many batches; 0: they do not.
+    /// Streams stall after this many batches; 0: never.
     pub stall_after_batches: AtomicU64,
-    /// Its streams change their schema after this many batches; 0: they do not.
+    /// Streams change their schema after this many batches; 0: never.
     pub change_schema_after_batches: AtomicU64,
-    /// Requests and streams that it works on now.
+    /// Requests and streams in progress.
     pub in_flight: Arc<AtomicUsize>,
-    /// Cancellations that it got.
+    /// Cancellations received.
     pub cancellations: AtomicU64,
-    /// Requests that it got, health checks aside.
+    /// Requests received, without health checks.
     pub requests: AtomicU64,
     is_primary: AtomicBool,
-    /// Its last commit as the primary, in Unix milliseconds.
+    /// The member's last commit as the primary, in Unix milliseconds.
     committed_ms: AtomicU64,
     load: Mutex<Option<MemberLoad>>,
-    /// Since when the list has it draining or gone.
+    /// Since when the list shows the member as draining or gone.
     draining_since: Mutex<Option<Instant>>,
     is_dead: AtomicBool,
     connections: Mutex<Vec<TcpStream>>,
@@ -49,7 +50,7 @@
 }
 
 impl FakeMember {
-    /// A replica that is this far behind. Its load is recorded in time since the group's start.
+    /// A replica with this replication lag. The times of its load are relative to the group's start.
     pub(crate) fn new(lag_ms: u64, group_started: Instant) -> Self {
         FakeMember {
             lag_ms: lag_ms.into(),
@@ -79,7 +80,7 @@
         self.is_primary.store(is_primary, Ordering::SeqCst);
     }
 
-    /// The role as the wire names it.
+    /// The role's name on the wire.
     pub(crate) fn role(&self) -> &'static str {
         if self.is_primary() {
             "leader"
@@ -92,12 +93,12 @@
         self.committed_ms.load(Ordering::SeqCst)
     }
 
-    /// It has committed up to here as the primary, and does not forget that as a replica.
+    /// Records a commit as the primary. The member keeps what it committed when it becomes a replica.
     pub(crate) fn note_commit(&self, commit_ms: u64) {
         self.committed_ms.fetch_max(commit_ms, Ordering::SeqCst);
     }
 
-    /// How far its log is behind.
+    /// The present replication lag, in milliseconds.
     pub(crate) fn lag_in_ms(&self) -> u64 {
         if self.is_primary() {
             0
@@ -106,7 +107,7 @@
         }
     }
 
-    /// How much longer its answers take at present, if they do.
+    /// The extra delay of answers, if one is set.
     pub(crate) fn delay(&self) -> Option<Duration> {
         let delay_ms = self.delay_ms.load(Ordering::Relaxed);
         (delay_ms > 0).then(|| Duration::from_millis(delay_ms))
@@ -120,25 +121,25 @@
         self.drops_write_replies.load(Ordering::Relaxed)
     }
 
-    /// Counts a piece of work as in flight until the guard is dropped.
+    /// Counts a request or stream as in flight until the guard is dropped.
     pub(crate) fn begin_work(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlightGuard(self.in_flight.clone())
     }
 
-    /// Limits its capacity from now on; what it observed before is forgotten.
+    /// Limits the member's capacity from now on, and resets its observed load.
     pub(crate) fn set_capacity(&self, model: SlowStartModel) {
         *lock(&self.load) = Some(MemberLoad::new(model));
     }
 
-    /// The same for a member whose process has just started.
+    /// Limits the capacity as that of a member whose process has just started, and resets its observed load.
     pub(crate) fn set_cold_capacity(&self, model: SlowStartModel) {
         let mut load = MemberLoad::new(model);
         load.start(self.group_started.elapsed());
         *lock(&self.load) = Some(load);
     }
 
-    /// What has come to it since its capacity was limited.
+    /// The load since the capacity was limited.
     pub(crate) fn observed_load(&self) -> ObservedLoad {
         lock(&self.load)
             .as_ref()
@@ -146,7 +147,7 @@
             .unwrap_or_default()
     }
 
-    /// Admits a piece of work by its present capacity.
+    /// Admits or rejects work by the member's present capacity.
     pub(crate) fn admit(
         &self,
         work: impl FnOnce(&mut MemberLoad, Duration) -> WorkOutcome,
@@ -157,19 +158,19 @@
         }
     }
 
-    /// Notes since when the list has it draining or gone, if it has.
+    /// Sets since when the list shows the member as draining or gone; `None`: it does not.
     pub(crate) fn set_draining_since(&self, since: Option<Instant>) {
         *lock(&self.draining_since) = since;
     }
 
-    /// How long the list has had it draining or gone; zero where it has not.
+    /// How long the list has shown the member as draining or gone; zero if it does not.
     pub(crate) fn draining_for(&self) -> Duration {
         lock(&self.draining_since)
             .map(|since| since.elapsed())
             .unwrap_or_default()
     }
 
-    /// Takes a connection; a dead member closes it, and the answer is false.
+    /// Accepts a connection. Returns false if the member is dead; the connection is then closed.
     pub(crate) fn accept(&self, socket: &TcpStream) -> bool {
         let _ = socket.set_nodelay(true);
         if let Ok(clone) = socket.try_clone() {
@@ -182,13 +183,13 @@
         is_alive
     }
 
-    /// Forgets a connection that is over. Danger: without this the clones of thousands of closed connections use up all
+    /// Drops the clone of a closed connection's socket. Without this, the clones of thousands of closed connections use up all
     /// descriptors of a test with hundreds of gateways.
     pub(crate) fn forget_connection(&self, peer: Option<SocketAddr>) {
         lock(&self.connections).retain(|socket| socket.peer_addr().ok() != peer);
     }
 
-    /// Breaks all connections, and closes new ones at once.
+    /// Breaks all connections, and closes new ones immediately.
     pub(crate) fn kill(&self) {
         self.is_dead.store(true, Ordering::SeqCst);
         for socket in lock(&self.connections).drain(..) {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Takes connections again.
+    /// Accepts connections again.
     #[cfg(feature = "flight")]
     pub(crate) fn revive(&self) {
         self.is_dead.store(false, Ordering::SeqCst);
--- a/crates/stackgw-testkit/src/network.rs
+++ b/crates/stackgw-testkit/src/network.rs
@@ -1,4 +1,4 @@
-//! A faulty network between gateways: a relay before each gateway's datagrams, which can block and lose them.
+//! A faulty network between gateways: a relay in front of each gateway's cluster address, which can block and drop datagrams.
 
 use crate::sync::lock;
 use std::collections::{BTreeSet, HashMap};
@@ -8,12 +8,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often a relay looks whether it has to end.
+/// How often a relay checks whether it has to stop.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// The way of datagrams from one gateway to another.
+/// The direction from one gateway to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Route {
     from: usize,
@@ -24,23 +24,23 @@
 #[derive(Debug, Default)]
 pub struct FaultyNetwork {
     blocked: Mutex<BTreeSet<Route>>,
-    /// Of a thousand datagrams so many are lost.
+    /// The number of datagrams that are dropped, per thousand.
     pub loss_per_thousand: AtomicU32,
     has_ended: AtomicBool,
 }
 
-/// The relay before one gateway.
+/// The relay in front of one gateway.
 struct Relay {
     network: Arc<FaultyNetwork>,
     socket: UdpSocket,
     gateway: usize,
     gateway_address: SocketAddr,
-    /// The gateways by the addresses that they send from.
+    /// The gateways by the address from which they send.
     senders: HashMap<SocketAddr, usize>,
 }
 
 impl FaultyNetwork {
-    /// Starts a relay before each gateway that listens at one of these addresses; gives the relays' addresses too.
+    /// Starts a relay for each gateway address; returns the network and the relays' addresses, in the same order.
     pub(crate) fn start(gateways: &[SocketAddr]) -> io::Result<(Arc<Self>, Vec<SocketAddr>)> {
         let network = Arc::new(FaultyNetwork::default());
         let senders: HashMap<_, _> = gateways
@@ -65,17 +65,17 @@
         Ok((network, relay_addresses))
     }
 
-    /// Lets nothing through from one gateway to another any more; the other direction is not touched.
+    /// Blocks all datagrams from one gateway to another; the opposite direction is not affected.
     pub fn block(&self, from: usize, to: usize) {
         lock(&self.blocked).insert(Route { from, to });
     }
 
-    /// Lets everything through again that was blocked.
+    /// Removes all blocks.
     pub fn heal(&self) {
         lock(&self.blocked).clear();
     }
 
-    /// Ends the relays.
+    /// Stops the relays.
     pub(crate) fn end(&self) {
         self.has_ended.store(true, Ordering::Relaxed);
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Whether nothing gets through from this sender; from strangers nothing does.
+    /// Whether datagrams from this sender are blocked; those from unknown senders always are.
     fn is_blocked(&self, sender: SocketAddr) -> bool {
         let to = self.gateway;
         self.senders.get(&sender).is_none_or(|from| {
@@ -108,7 +108,7 @@
     }
 }
 
-/// A linear congruential generator's next state.
+/// The next state of a linear congruential generator.
 fn next_random(state: u32) -> u32 {
     state.wrapping_mul(1_664_525).wrapping_add(1_013_904_223)
 }
--- a/crates/stackgw-testkit/src/postgres_member.rs
+++ b/crates/stackgw-testkit/src/postgres_member.rs
@@ -1,4 +1,4 @@
-//! A member that speaks version 3 of PostgreSQL's protocol: one thread a connection.
+//! A member that speaks version 3 of PostgreSQL's protocol, with one thread for each connection.
 
 use crate::member::FakeMember;
 use crate::replicated_log::{ReplicatedLog, StatementOutcome};
@@ -13,10 +13,10 @@
 const MAX_STARTUP_BYTES: usize = 1 << 16;
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// How often a member that does not answer looks whether its client is still there.
+/// How often a member that does not answer checks whether its client is still connected.
 const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The protocol before one member.
+/// The protocol front end of one member.
 #[derive(Clone)]
 pub(crate) struct PostgresMember {
     pub(crate) index: usize,
@@ -24,15 +24,15 @@
     pub(crate) log: Arc<ReplicatedLog>,
 }
 
-/// What is written back for one message.
+/// The reply to one message.
 struct Reply {
     bytes: Vec<u8>,
-    /// A write ran for it.
+    /// Whether the message was a write, which ran.
     is_write: bool,
 }
 
 impl PostgresMember {
-    /// Serves a connection on a thread of its own.
+    /// Serves a connection on its own thread.
     pub(crate) fn spawn(&self, socket: TcpStream) {
         let server = self.clone();
         std::thread::spawn(move || {
@@ -42,7 +42,7 @@
         });
     }
 
-    /// Answers one message after another, until the connection ends.
+    /// Answers messages in order until the connection ends.
     fn serve(&self, mut socket: TcpStream) {
         let mut decoder = FrameDecoder::client(MAX_STARTUP_BYTES, MAX_MESSAGE_BYTES);
         let mut buffer = [0; 8192];
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Answers a message; `None` where the connection is over.
+    /// Answers a message; `None` if the connection has to end.
     fn answer(&self, socket: &mut TcpStream, frame: Frame) -> Option<()> {
         let member = &self.member;
         let is_startup = is_startup(&frame);
@@ -89,7 +89,7 @@
         socket.write_all(&reply.bytes).ok()
     }
 
-    /// What is written for a message; `None` where it is none that a member takes.
+    /// The reply to a message; `None` if a member does not accept messages of this kind.
     fn reply(&self, frame: Frame) -> Option<Reply> {
         let mut bytes = Vec::new();
         if is_startup(&frame) {
@@ -157,7 +157,7 @@
     }
 }
 
-/// What a member with a full queue says.
+/// The reply of a member with a full queue.
 fn rejection() -> Reply {
     let mut bytes = Vec::new();
     let message = "too many requests wait here";
@@ -169,8 +169,8 @@
     }
 }
 
-/// Waits for so long; false once the client has closed its connection. Bytes that it sends meanwhile stay unread, and hide the
-/// close behind them until the time is over.
+/// Waits for this time; returns false as soon as the client has closed its connection. Bytes that the client sends meanwhile
+/// stay unread, and a close that follows them is not noticed until the time is over.
 fn client_stays(socket: &TcpStream, time: Duration) -> bool {
     let started = Instant::now();
     let mut byte = [0];
--- a/crates/stackgw-testkit/src/process_stats.rs
+++ b/crates/stackgw-testkit/src/process_stats.rs
@@ -1,17 +1,17 @@
-//! What the system says of a process, from `/proc`.
+//! Statistics of a process from `/proc`.
 
 use std::time::Duration;
 
-/// The clock of `/proc/PID/stat` ticks a hundred times a second.
+/// The clock tick of `/proc/PID/stat`, at 100 ticks per second.
 const TICK: Duration = Duration::from_millis(10);
 
-/// The user's and the system's time in `/proc/PID/stat`, counted from behind the command's name.
+/// The indices of user and system time in `/proc/PID/stat`, counted after the command's name.
 const USER_TICKS_FIELD: usize = 11;
 const SYSTEM_TICKS_FIELD: usize = 12;
 
 const KIB_PER_MIB: f64 = 1_024.0;
 
-/// The processor time of a process so far, in microseconds; `None` where it does not run.
+/// The CPU time of a process so far, in microseconds; `None` if it is not running.
 pub fn cpu_time_us(pid: u32) -> Option<f64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let (_, rest) = text.rsplit_once(')')?;
@@ -21,12 +21,12 @@
     Some(ticks * TICK.as_micros() as f64)
 }
 
-/// The resident memory of a process, in MiB; `None` where it does not run.
+/// The resident memory of a process, in MiB; `None` if it is not running.
 pub fn memory_mib(pid: u32) -> Option<f64> {
     status_mib(pid, "VmRSS:")
 }
 
-/// The most resident memory that a process has had, in MiB; `None` where it does not run.
+/// The peak resident memory of a process, in MiB; `None` if it is not running.
 pub fn peak_memory_mib(pid: u32) -> Option<f64> {
     status_mib(pid, "VmHWM:")
 }
@@ -38,7 +38,7 @@
     kib.ok().map(|kib| kib / KIB_PER_MIB)
 }
 
-/// How many descriptors a process has open.
+/// The number of open file descriptors of a process.
 pub(crate) fn descriptors(pid: u32) -> Option<usize> {
     let entries = std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?;
     Some(entries.count())
--- a/crates/stackgw-testkit/src/replica_group.rs
+++ b/crates/stackgw-testkit/src/replica_group.rs
@@ -1,4 +1,4 @@
-//! A replication group on loopback: a primary, replicas that apply its log late, and the service that lists them.
+//! A replication group on loopback: a primary, replicas that apply its log with a lag, and the service that lists them.
 
 use crate::list_http;
 use crate::list_revisions::ListedPhase;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What members speak.
+/// The protocol that members speak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Protocol {
     /// Version 3 of PostgreSQL's protocol.
@@ -22,19 +22,19 @@
     FlightSql,
 }
 
-/// What a group is made of.
+/// The configuration of a group.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupConfig<'a> {
-    /// A replica for each, so many milliseconds behind.
+    /// The replication lag of each replica, in milliseconds; the length is the number of replicas.
     pub replica_lags_ms: &'a [u64],
-    /// What all members speak.
+    /// The protocol of all members.
     pub protocol: Protocol,
-    /// How many listeners the list service has.
+    /// The number of listeners of the list service.
     pub list_listeners: usize,
 }
 
 impl<'a> GroupConfig<'a> {
-    /// A primary and these replicas, which speak PostgreSQL's protocol; one listener of the list service.
+    /// A primary and replicas with these lags, all of which speak PostgreSQL's protocol, and a list service with one listener.
     pub fn new(replica_lags_ms: &'a [u64]) -> Self {
         GroupConfig {
             replica_lags_ms,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The whole group.
+/// A running replication group.
 pub struct ReplicaGroup {
     log: Arc<ReplicatedLog>,
     list_service: Arc<ListService>,
@@ -54,7 +54,7 @@
 }
 
 impl ReplicaGroup {
-    /// Starts a primary and replicas that are so far behind, all of which speak PostgreSQL's protocol.
+    /// Starts a primary and replicas with these lags, all of which speak PostgreSQL's protocol.
     pub fn start(replica_lags_ms: &[u64]) -> io::Result<Arc<Self>> {
         Self::start_with(GroupConfig::new(replica_lags_ms))
     }
@@ -92,7 +92,7 @@
         Ok(group)
     }
 
-    /// What serves the connections of a member.
+    /// Returns the function that serves a connection of this member.
     fn member_server(
         &self,
         index: usize,
@@ -114,22 +114,22 @@
         }
     }
 
-    /// What was executed so far.
+    /// The statements executed so far.
     pub fn executions(&self) -> ExecutionLog {
         self.log.executions()
     }
 
-    /// The ids of all writes so far, in the order in which they ran.
+    /// The ids of all writes so far, in execution order.
     pub(crate) fn write_order(&self) -> Vec<String> {
         self.log.write_order()
     }
 
-    /// Records what comes to members from now on.
+    /// Starts to record the statements that arrive at members.
     pub(crate) fn record_arrivals(&self) {
         self.log.record_arrivals();
     }
 
-    /// What has come to members since it is recorded.
+    /// The recorded arrivals of statements at members.
     pub(crate) fn arrivals(&self) -> Vec<LoggedArrival> {
         self.log.arrivals()
     }
@@ -139,64 +139,65 @@
         &self.list_service
     }
 
-    /// Where gateways find the list, where the service has one listener.
+    /// The address of the list service's first listener.
     pub fn list_address(&self) -> SocketAddr {
         self.list_service.address(0)
     }
 
-    /// Where the members listen.
+    /// The addresses at which the members listen.
     pub fn addresses(&self) -> &[SocketAddr] {
         self.list_service.member_addresses()
     }
 
-    /// How long the group has run.
+    /// The time since the group's start.
     pub fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Requests and streams that all members work on now.
+    /// Requests and streams in progress at all members.
     pub fn in_flight(&self) -> usize {
         let in_flight =
             |member: &Arc<FakeMember>| member.in_flight.load(std::sync::atomic::Ordering::Relaxed);
         self.members.iter().map(in_flight).sum()
     }
 
-    /// Limits a warm member's capacity from now on, and begins its observed load anew.
+    /// Limits the capacity of a member, as a warm one, from now on, and resets its observed load.
     pub fn set_capacity(&self, member: usize, model: SlowStartModel) {
         self.members[member].set_capacity(model);
     }
 
-    /// The same for a member whose process has just started. The list does not know of it by itself.
+    /// Limits the capacity of a member as one whose process has just started, and resets its observed load. The list does not
+    /// change; see [`ReplicaGroup::announce_start`].
     pub fn set_cold_capacity(&self, member: usize, model: SlowStartModel) {
         self.members[member].set_cold_capacity(model);
     }
 
-    /// What has come to a member since its capacity was set, in time since the group's start.
+    /// A member's load since its capacity was set; its times are relative to the group's start.
     pub fn observed_load(&self, member: usize) -> ObservedLoad {
         self.members[member].observed_load()
     }
 
-    /// Makes another member the primary. The list does not know of it by itself.
+    /// Makes a member the primary. The list does not change; see [`ListService::announce_primary`].
     pub fn promote(&self, member: usize) {
         for (index, other) in self.members.iter().enumerate() {
             other.set_primary(index == member);
         }
     }
 
-    /// Lists a member in this phase.
+    /// Lists a member with this phase.
     pub fn announce(&self, member: usize, phase: ListedPhase) {
         let is_ready = phase == ListedPhase::Ready;
         self.members[member].set_draining_since((!is_ready).then(Instant::now));
         self.list_service.announce(member, phase, 0);
     }
 
-    /// Lists a member as one whose process has just started.
+    /// Lists a member as ready, with its process just started.
     pub fn announce_start(&self, member: usize) {
         self.list_service
             .announce(member, ListedPhase::Ready, unix_ms());
     }
 
-    /// Kills a member: its connections break, and new ones are closed at once.
+    /// Kills a member: its connections break, and new ones are closed immediately.
     pub fn kill(&self, member: usize) {
         self.members[member].kill();
     }
--- a/crates/stackgw-testkit/src/replicated_log.rs
+++ b/crates/stackgw-testkit/src/replicated_log.rs
@@ -1,5 +1,5 @@
-//! The data of a replication group: one log, of which each member sees what its lag lets through, and the record of every
-//! execution, by which tests judge what sessions saw. It knows no protocol.
+//! The data of a replication group: one log, of which each member sees the part that its lag allows, and a record of every
+//! execution, with which tests compare what sessions saw. It is independent of the wire protocol.
 
 use crate::member::FakeMember;
 use crate::statements::{BOUNDED_READ_CLASS, HEALTH_CHECK, STALENESS_BOUND_MS};
@@ -11,7 +11,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since 1970.
+/// The present time in Unix milliseconds.
 pub(crate) fn unix_ms() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -19,13 +19,13 @@
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Reads by the role of the member that ran them. Serialized as a list: the primary's, then the replicas'.
+/// The number of reads by the role of the member that ran them. Serialized as a list: the primary's, then the replicas'.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "[u64; 2]")]
 pub struct ReadsByRole {
-    /// Those that the primary ran.
+    /// Reads that the primary ran.
     pub primary: u64,
-    /// Those that replicas ran.
+    /// Reads that replicas ran.
     pub replicas: u64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl ReadsByRole {
-    /// What has come to these reads since there were only `earlier` ones.
+    /// The reads that ran after `earlier` was counted.
     pub(crate) fn since(self, earlier: ReadsByRole) -> Self {
         ReadsByRole {
             primary: self.primary - earlier.primary,
@@ -44,31 +44,31 @@
         }
     }
 
-    /// The fraction that replicas ran, from 0 to 1.
+    /// The fraction of reads that replicas ran, from 0 to 1.
     pub fn replica_fraction(self) -> f64 {
         self.replicas as f64 / (self.primary + self.replicas).max(1) as f64
     }
 }
 
-/// Everything that members executed.
+/// All statements that members executed.
 #[derive(Debug, Default, Clone)]
 pub struct ExecutionLog {
-    /// Executions of each write, by its request's id.
+    /// Number of executions of each write, by request id.
     pub writes: HashMap<String, u32>,
-    /// Executions of each read, by its request's id.
+    /// Number of executions of each read, by request id.
     pub reads_by_id: HashMap<String, u32>,
-    /// Reads by the role of their member.
+    /// Reads by the role of the member that ran them.
     pub reads: ReadsByRole,
-    /// Reads with a bound on staleness that a replica further behind ran.
+    /// Reads with a bound on staleness that ran on a replica whose lag exceeded the bound.
     pub stale_reads: u64,
-    /// Writes that came to a member that was no primary.
+    /// Writes that arrived at a member that was not the primary.
     pub misrouted_writes: u64,
-    /// The longest time after which a member still got a request, once the list had it draining or gone.
+    /// The longest time between the listing of a member as draining or gone and a later request to it.
     pub latest_after_drain: Duration,
 }
 
 impl ExecutionLog {
-    /// How often a write ran.
+    /// The number of times that a write ran.
     pub(crate) fn runs_of_write(&self, id: &str) -> u32 {
         self.writes.get(id).copied().unwrap_or(0)
     }
@@ -79,13 +79,13 @@
     }
 }
 
-/// How a statement ended at a member.
+/// The outcome of a statement at a member.
 pub(crate) enum StatementOutcome {
-    /// A value, and the position up to which the member has applied the log, or the write's own.
+    /// A value, and the position up to which the member has applied the log; for a write, the position of its commit.
     Value { value: Vec<u8>, position_ms: u64 },
-    /// The member is no primary and can't write; it has come to this position.
+    /// The statement is a write, and the member is not the primary; it has applied the log up to this position.
     NotPrimary { position_ms: u64 },
-    /// It is no statement of a client.
+    /// The text is not a valid statement of a client.
     Malformed,
     /// The answer to a health check.
     LoadReport(String),
@@ -99,61 +99,61 @@
 
 #[derive(Default)]
 struct LogState {
-    /// The values of each key, in the order of their commits.
+    /// The values of each key, in commit order.
     values: HashMap<String, Vec<CommittedValue>>,
     last_commit_ms: u64,
-    /// The ids of all writes, in the order in which they ran.
+    /// The ids of all writes, in execution order.
     write_order: Vec<String>,
     executions: ExecutionLog,
 }
 
-/// A client's statement has come to a member, whatever became of it there.
+/// The arrival of a client's statement at a member, regardless of its outcome.
 #[derive(Debug, Clone)]
 pub(crate) struct LoggedArrival {
     /// The request's id.
     pub(crate) id: String,
-    /// The member.
+    /// The member's index.
     pub(crate) member: usize,
-    /// When its last byte came.
+    /// When the statement's last byte arrived.
     pub(crate) at: Instant,
-    /// The time that it was told to have, in milliseconds.
+    /// The statement's timeout, in milliseconds.
     pub(crate) timeout_ms: u64,
-    /// It is a write, and the member answers that it is no primary.
+    /// Whether the statement is a write to which the member answers that it is not the primary.
     pub(crate) is_refused_write: bool,
-    /// How far the member was behind, in milliseconds.
+    /// The member's replication lag, in milliseconds.
     pub(crate) staleness_ms: u64,
 }
 
-/// The log of a group.
+/// The replicated log of a group.
 #[derive(Default)]
 pub(crate) struct ReplicatedLog {
     state: Mutex<LogState>,
-    /// What has come to members, where that is recorded.
+    /// The arrivals of statements; `None` if they are not recorded.
     arrivals: Mutex<Option<Vec<LoggedArrival>>>,
 }
 
 impl ReplicatedLog {
-    /// What was executed so far.
+    /// The statements executed so far.
     pub(crate) fn executions(&self) -> ExecutionLog {
         lock(&self.state).executions.clone()
     }
 
-    /// The ids of all writes so far, in the order in which they ran.
+    /// The ids of all writes so far, in execution order.
     pub(crate) fn write_order(&self) -> Vec<String> {
         lock(&self.state).write_order.clone()
     }
 
-    /// Records what comes to members from now on.
+    /// Starts to record the statements that arrive at members.
     pub(crate) fn record_arrivals(&self) {
         lock(&self.arrivals).get_or_insert_default();
     }
 
-    /// What has come to members since it is recorded.
+    /// The recorded arrivals of statements at members.
     pub(crate) fn arrivals(&self) -> Vec<LoggedArrival> {
         lock(&self.arrivals).clone().unwrap_or_default()
     }
 
-    /// Notes that a message has come to a member, if it is a client's statement and arrivals are recorded.
+    /// Records the arrival of a message at a member, if it is a client's statement and arrivals are recorded.
     pub(crate) fn note_arrival(&self, index: usize, member: &FakeMember, frame: &Frame) {
         let at = Instant::now();
         let mut arrivals = lock(&self.arrivals);
@@ -176,7 +176,7 @@
 
     /// Runs a statement at a member.
     pub(crate) fn execute(&self, member: &FakeMember, text: &str) -> StatementOutcome {
-        // Every commit up to here is seen at this member, and what it has committed itself.
+        // The member sees every commit up to its lag, and everything that it committed itself.
         let replicated_ms = unix_ms().saturating_sub(member.lag_in_ms());
         let position_ms = replicated_ms.max(member.committed_ms());
         if text == HEALTH_CHECK {
@@ -214,7 +214,7 @@
         *runs.entry(statement.id.clone()).or_default() += 1;
         self.write_order.push(statement.id.clone());
         let value = written_value(text);
-        // Rounded up: a replica that has come this far has it.
+        // Rounded up, so that a replica whose position reaches this time has applied the commit.
         let commit_ms = (unix_ms() + 1).max(self.last_commit_ms);
         self.last_commit_ms = commit_ms;
         let committed = CommittedValue {
@@ -271,7 +271,7 @@
     }
 }
 
-/// The position in seconds and the role, as a health check is answered.
+/// The answer to a health check: the position in seconds and the role.
 fn load_report(member: &FakeMember, position_ms: u64) -> String {
     let is_primary = u8::from(member.is_primary());
     format!(
@@ -281,7 +281,7 @@
     )
 }
 
-/// The value of a write, in hexadecimal as its text has it.
+/// The hexadecimal value in the text of a write.
 fn written_value(text: &str) -> Vec<u8> {
     let value = text
         .split("'\\x")
