--- a/crates/stackgw-testkit/src/audit.rs
+++ b/crates/stackgw-testkit/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit of sessions: clients write and then read through whichever gateway, while faults are injected, and what they saw is
+//! The audit of sessions: clients write and then read through any gateway while faults are injected, and what they saw is
 //! compared with what members executed.
 
 use crate::audit_client::{AuditClient, SharedRecord};
@@ -16,7 +16,7 @@
 /// How often progress is reported.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs an audit; `on_progress` gets what clients saw so far, now and then.
+/// Runs an audit; `on_progress` is called every 50 ms with the outcomes so far.
 pub fn run_audit(
     plan: &AuditPlan,
     group: &ReplicaGroup,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Compares what clients saw with what was executed.
+/// Compares the outcomes that clients saw with what members executed.
 fn judge(record: &SharedRecord, executions: &ExecutionLog, reads_before: ReadsByRole) -> Verdict {
     let write_outcomes = lock(&record.write_outcomes);
     let count = |is_wrong: &dyn Fn(&RequestOutcome, u32) -> bool| {
--- a/crates/stackgw-testkit/src/audit_client.rs
+++ b/crates/stackgw-testkit/src/audit_client.rs
@@ -1,4 +1,5 @@
-//! One client of an audit: pairs of a write and a read, one session after another, and the record that all clients share.
+//! One client of an audit, which runs pairs of a write and a read in one session after another, and the record that all clients
+//! share.
 
 use crate::audit_plan::AuditPlan;
 use crate::audit_report::OutcomeCounts;
@@ -12,26 +13,26 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Of so many pairs one begins a new session.
+/// One in this many pairs, on average, begins a new session.
 const PAIRS_PER_SESSION: u32 = 20;
 
-/// How often the read that belongs to a pair is tried.
+/// The number of attempts at the read that belongs to a pair.
 const PAIR_READ_ATTEMPTS: u32 = 20;
 
-/// The pause after a request that was rejected or has failed.
+/// The pause after a request that was rejected or failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// The pause where a gateway is down.
+/// The pause after finding a gateway down.
 const GATEWAY_DOWN_PAUSE: Duration = Duration::from_millis(2);
 
-/// How many misses are described in words.
+/// The number of misses that are described in the verdict.
 const MAX_DESCRIBED_MISSES: usize = 5;
 
-/// What the clients of an audit write down together.
+/// The record that all clients of an audit share.
 pub(crate) struct SharedRecord {
     pub(crate) started: Instant,
     pub(crate) counts: Mutex<OutcomeCounts>,
-    /// How each write ended for its client, by its id.
+    /// The outcome of each write, by request id.
     pub(crate) write_outcomes: Mutex<HashMap<String, RequestOutcome>>,
     pub(crate) write_times_us: Mutex<Vec<u64>>,
     pub(crate) read_times_us: Mutex<Vec<u64>>,
@@ -58,7 +59,7 @@
     }
 }
 
-/// What a client asks for.
+/// The operation of a request.
 #[derive(Clone, Copy)]
 enum Operation {
     Write(u64),
@@ -79,10 +80,10 @@
     rng: SmallRng,
     /// Connections by gateway.
     connections: HashMap<usize, Client>,
-    /// Where requests go that do not roam.
+    /// The gateway of requests that do not roam.
     home: usize,
     session: u64,
-    /// The last value that the session wrote, or tried to.
+    /// The last value that the session wrote or tried to write.
     value: u64,
     requests: u64,
 }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Completes pairs until all clients together have enough, or the time is over.
+    /// Runs pairs until all clients together have completed enough of them, or the time limit has passed.
     pub(crate) fn run(mut self) {
         while lock(&self.record.counts).pairs < self.plan.pairs
             && self.record.started.elapsed() < self.plan.time_limit
@@ -124,7 +125,7 @@
             self.value = 0;
         }
         let key = format!("k{:x}x{}x{}", self.plan.seed, self.index, self.session);
-        // A write that was cut off or has failed may have run: a later value is never taken for it.
+        // A write that failed or was disconnected may have run, so its value is never used again.
         self.value += 1;
         let Some(write) = self.request(&key, Operation::Write(self.value)) else {
             return;
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Compares what a read showed with the last write.
+    /// Compares the value of a read with the session's last write.
     fn check_read(&self, key: &str, write_gateway: usize, read: &Served, is_of_pair: bool) {
         let shown = std::str::from_utf8(&read.value)
             .ok()
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Sends a request through one of the gateways, and notes how it ended; `None` where it was not served.
+    /// Sends a request through one of the gateways and records its outcome; `None` if it was not served.
     fn request(&mut self, key: &str, operation: Operation) -> Option<Served> {
         self.requests += 1;
         let id = format!("s{:x}c{:x}r{:x}", self.plan.seed, self.index, self.requests);
@@ -192,7 +193,7 @@
         }
     }
 
-    /// The gateway for the next request; `None` where that one is down.
+    /// The gateway for the next request; `None` if that gateway is down.
     fn choose_gateway(&mut self) -> Option<usize> {
         let gateways = self.gateways.len();
         let gateway = if self.plan.roam {
--- a/crates/stackgw-testkit/src/audit_plan.rs
+++ b/crates/stackgw-testkit/src/audit_plan.rs
@@ -1,25 +1,25 @@
-//! What an audit is to do.
+//! The parameters of an audit.
 
 use crate::fault_injection::Faults;
 use std::time::Duration;
 
-/// What an audit does.
+/// The parameters of an audit.
 #[derive(Debug, Clone)]
 pub struct AuditPlan {
-    /// Clients at once.
+    /// The number of concurrent clients.
     pub clients: usize,
-    /// Pairs of a write and a read to be completed in all.
+    /// Pairs of a write and a read to complete, over all clients.
     pub pairs: u64,
-    /// Further reads after each pair, through any gateway.
+    /// The number of further reads after each pair.
     pub later_reads: u32,
-    /// The pause before each of those.
+    /// The pause before each further read.
     pub read_pause: Duration,
-    /// Each request goes through a random gateway; else a session stays with one while that is up.
+    /// Whether each request goes through a random gateway; otherwise a client stays with one gateway while that is up.
     pub roam: bool,
     /// The seed of all random choices.
     pub seed: u64,
-    /// What is done to gateways and members meanwhile.
+    /// The faults to inject into gateways and members during the audit.
     pub faults: Option<Faults>,
-    /// It ends after this, whatever was completed.
+    /// The audit ends after this time, even if not all pairs are complete.
     pub time_limit: Duration,
 }
--- a/crates/stackgw-testkit/src/audit_report.rs
+++ b/crates/stackgw-testkit/src/audit_report.rs
@@ -1,21 +1,21 @@
-//! What clients of an audit saw, and the verdict on it. Field names in JSON are those of the command's output, which stays as it
-//! is.
+//! What clients of an audit saw, and the verdict on it. Field names in JSON are those of the command's output and must not
+//! change.
 
 use crate::replicated_log::ReadsByRole;
 use crate::statistics::Percentiles;
 use serde::Serialize;
 
-/// How requests of one kind ended. Serialized as a list, in this order.
+/// The outcomes of requests of one kind. Serialized as a list, in this order.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(into = "[u64; 4]")]
 pub struct RequestCounts {
     /// Served.
     pub served: u64,
-    /// Rejected: a retry is harmless.
+    /// Rejected: they did not run and can be retried safely.
     pub rejected: u64,
-    /// Failed: it may have run.
+    /// Failed: they may have run.
     pub failed: u64,
-    /// Cut off by the kill of a gateway.
+    /// Disconnected by the kill of a gateway.
     pub disconnected: u64,
 }
 
@@ -31,13 +31,13 @@
 }
 
 impl RequestCounts {
-    /// All of them.
+    /// The number of all requests.
     pub fn total(self) -> u64 {
         <[u64; 4]>::from(self).iter().sum()
     }
 }
 
-/// What clients saw.
+/// The outcomes that clients saw.
 #[derive(Debug, Default, Clone, Serialize)]
 pub struct OutcomeCounts {
     /// Pairs of a served write and a served read.
@@ -48,7 +48,7 @@
     pub writes: RequestCounts,
     /// Reads.
     pub reads: RequestCounts,
-    /// Requests that got no answer though their connection stayed open.
+    /// Requests that got no answer although their connection stayed open.
     #[serde(rename = "lost")]
     pub unanswered: u64,
     /// Requests that got more than one answer.
@@ -56,21 +56,21 @@
     pub duplicate_replies: u64,
 }
 
-/// How an audit came out.
+/// The result of an audit.
 #[derive(Debug, Default, Clone, Serialize)]
 pub struct Verdict {
-    /// The seed.
+    /// The audit's seed.
     pub seed: u64,
-    /// What clients saw.
+    /// The outcomes that clients saw.
     #[serde(flatten)]
     pub counts: OutcomeCounts,
     /// Writes that ran more than once.
     #[serde(rename = "doubled")]
     pub duplicate_writes: u64,
-    /// Writes that were rejected as harmless to retry, and ran all the same.
+    /// Writes that were rejected as not run, but ran.
     #[serde(rename = "refused_and_ran")]
     pub rejected_but_executed: u64,
-    /// Writes that were served and never ran.
+    /// Writes that were served, but never ran.
     #[serde(rename = "served_and_never_ran")]
     pub served_but_not_executed: u64,
     /// Kills of gateways.
@@ -78,18 +78,18 @@
     /// Reads by the role of the member that ran them.
     #[serde(rename = "reads_at")]
     pub reads_by_role: ReadsByRole,
-    /// Microseconds that served writes took.
+    /// The latency of served writes, in microseconds.
     pub write_us: Percentiles,
-    /// Microseconds that served reads took.
+    /// The latency of served reads, in microseconds.
     pub read_us: Percentiles,
-    /// Seconds that the audit took.
+    /// The duration of the audit, in seconds.
     pub seconds: f64,
-    /// The first misses, in words.
+    /// Descriptions of the first misses.
     pub first_misses: Vec<String>,
 }
 
 impl Verdict {
-    /// Whether nothing was missed, lost, duplicated or answered wrongly.
+    /// Whether no read missed a write and no request was unanswered, duplicated or answered wrongly.
     pub fn is_good(&self) -> bool {
         let faults = [
             self.counts.misses,
--- a/crates/stackgw-testkit/src/bulk_stream.rs
+++ b/crates/stackgw-testkit/src/bulk_stream.rs
@@ -1,5 +1,5 @@
-//! Bulk streams of a fake member that speaks Flight SQL: a read of the key `bulk-N-BYTES` is answered by N batches of that many
-//! bytes. The member's faults can stall a stream or change its schema.
+//! Bulk streams of a fake member that speaks Flight SQL: a read of the key `bulk-N-BYTES` is answered with N batches of that
+//! many bytes. The member's faults can stall a stream or change its schema.
 
 use crate::member::FakeMember;
 use arrow_array::{BinaryArray, RecordBatch};
@@ -14,13 +14,13 @@
 /// The column of values.
 pub(crate) const VALUE_COLUMN: &str = "val";
 
-/// The column that a stream goes on with once its schema changes.
+/// The column of values after a change of schema.
 const OTHER_COLUMN: &str = "other";
 
-/// What a client hears of a stream whose schema has changed: the new schema and a batch.
+/// The number of messages after a change of schema: the new schema and one batch.
 const MESSAGES_AFTER_CHANGE: usize = 2;
 
-/// A stream of this many batches.
+/// The parameters of a bulk stream.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BulkRequest {
     batches: u64,
@@ -28,7 +28,7 @@
 }
 
 impl BulkRequest {
-    /// The stream that a statement asks for, if it reads a `bulk-` key.
+    /// Parses the stream that a statement requests, if it reads a `bulk-` key.
     pub(crate) fn parse(statement: &str) -> Option<Self> {
         let key = statement.split("'bulk-").nth(1)?.split('\'').next()?;
         let (batches, batch_bytes) = key.split_once('-')?;
@@ -38,8 +38,8 @@
         })
     }
 
-    /// The messages of the stream, until the reader leaves or the member's faults say otherwise. The member counts it as in
-    /// flight for as long as it lives.
+    /// The messages of the stream, with the member's faults applied. The member counts the stream as in flight until it is
+    /// dropped.
     pub(crate) fn stream(
         self,
         member: &FakeMember,
@@ -60,7 +60,7 @@
         all.then(move |message| {
             let _ = &in_flight;
             sent += 1;
-            // The schema comes before the batches.
+            // The first message is the schema, which precedes the batches.
             let stalls = stall_after.is_some_and(|after| sent > after + 1);
             async move {
                 if stalls {
@@ -72,7 +72,7 @@
     }
 }
 
-/// A fault's setting, unless it is off.
+/// The value of a fault's setting; `None` if the fault is off.
 fn enabled(setting: &AtomicU64) -> Option<u64> {
     Some(setting.load(Ordering::Relaxed)).filter(|value| *value > 0)
 }
@@ -83,13 +83,13 @@
     Arc::new(Schema::new(vec![field]))
 }
 
-/// A batch of one value.
+/// A batch with one value.
 pub(crate) fn batch(column: &str, value: &[u8]) -> Result<RecordBatch, FlightError> {
     let values = Arc::new(BinaryArray::from(vec![value]));
     RecordBatch::try_new(schema(column), vec![values]).map_err(FlightError::from)
 }
 
-/// The schema and one batch, as messages.
+/// The messages of a schema and one batch.
 fn encode(
     column: &str,
     value: &[u8],
@@ -101,7 +101,8 @@
         .build(stream::once(async { batch }))
 }
 
-/// The schema once, and the batch again and again. It is encoded once: measurements are of the gateway, not of the encoder.
+/// The schema once, and the batch this many times. The batch is encoded only once, so that measurements show the cost of the
+/// gateway and not that of the encoder.
 fn repeat(
     messages: impl Stream<Item = Result<FlightData, FlightError>>,
     batches: u64,
--- a/crates/stackgw-testkit/src/client.rs
+++ b/crates/stackgw-testkit/src/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection to a gateway, by PostgreSQL's protocol.
+//! A client's connection to a gateway, with PostgreSQL's protocol.
 
 use crate::statements::{read_statement, write_statement, BOUNDED_READ_CLASS, SESSION_READ_CLASS};
 use stackgw_gateway::pg::{write, Frame, FrameDecoder};
@@ -6,32 +6,32 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Beyond any request's deadline; what is not answered by then is lost.
+/// Longer than any request's deadline; a request without an answer after this time is lost.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(6);
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// What comes before the value in a row of one column: the number of columns and the value's length.
+/// The size of what precedes the value in a row of one column: the number of columns and the value's length.
 const ROW_HEADER_BYTES: usize = 6;
 
-/// How a request ended for its client.
+/// The outcome of a request, as its client saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A value.
+    /// The request was served, with this value.
     Served(Vec<u8>),
-    /// It did not run: a retry is harmless.
+    /// The request did not run and can be retried safely.
     Rejected,
-    /// It may have run.
+    /// The request may have run.
     Failed,
-    /// The request itself is at fault.
+    /// The request itself is invalid.
     Malformed,
-    /// The connection ended first: the gateway was killed.
+    /// The connection closed before the answer: the gateway was killed.
     Disconnected,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// More came than was asked for.
+    /// More than one answer arrived.
     DuplicateReply,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Client {
-    /// Connects, and waits until the gateway has accepted the startup; `None` where it does not.
+    /// Connects, and waits until the gateway has accepted the startup message; `None` if it does not.
     pub fn connect(address: SocketAddr) -> Option<Self> {
         let socket = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         socket.set_read_timeout(Some(REPLY_TIMEOUT)).ok()?;
@@ -63,7 +63,7 @@
         self.query(&write_statement(id, key, value))
     }
 
-    /// Reads a key so that its session's own writes are seen.
+    /// Reads a key with its session's own writes visible.
     pub(crate) fn read_own_writes(&mut self, id: &str, key: &str) -> RequestOutcome {
         self.query(&read_statement(id, key, SESSION_READ_CLASS))
     }
@@ -73,7 +73,7 @@
         self.query(&read_statement(id, key, BOUNDED_READ_CLASS))
     }
 
-    /// Asks with an empty query, and waits until the gateway says that it is ready to serve.
+    /// Sends an empty query, and waits until the gateway answers that it is ready to serve.
     pub fn is_ready(&mut self) -> bool {
         let mut bytes = Vec::new();
         write::query(&mut bytes, "");
@@ -82,12 +82,12 @@
         sent.is_ok() && self.read_reply().is_ok_and(is_empty_answer)
     }
 
-    /// Waits no longer than this for replies from now on.
+    /// Sets the timeout for replies.
     pub fn set_reply_timeout(&self, timeout: Duration) {
         let _ = self.socket.set_read_timeout(Some(timeout));
     }
 
-    /// Sends a statement, and waits for the one reply.
+    /// Sends a statement and waits for its reply.
     pub fn query(&mut self, text: &str) -> RequestOutcome {
         if !self.send(text) {
             return RequestOutcome::Disconnected;
@@ -95,7 +95,7 @@
         self.receive()
     }
 
-    /// Sends a statement; false where the connection is over or takes no more.
+    /// Sends a statement; returns false if the connection is closed or does not accept all of it.
     pub(crate) fn send(&mut self, text: &str) -> bool {
         let mut bytes = Vec::new();
         write::query(&mut bytes, text);
@@ -109,22 +109,22 @@
         self.socket.write_all(&bytes[..bytes.len() / 2]).is_ok()
     }
 
-    /// Takes no more than the socket does at once from now on.
+    /// Makes the socket non-blocking: a send writes no more than the socket accepts immediately.
     pub(crate) fn set_nonblocking(&self) {
         let _ = self.socket.set_nonblocking(true);
     }
 
-    /// Ends this side of the connection.
+    /// Shuts down the sending side of the connection.
     pub(crate) fn half_close(&self) {
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 
-    /// Ends both sides of the connection.
+    /// Shuts down both sides of the connection.
     pub(crate) fn close(&self) {
         let _ = self.socket.shutdown(Shutdown::Both);
     }
 
-    /// Waits for the one reply to what was sent.
+    /// Waits for the reply to the last request.
     pub(crate) fn receive(&mut self) -> RequestOutcome {
         let reply = match self.read_reply() {
             Ok(reply) => reply,
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Everything up to ReadyForQuery, or how the request ended instead.
+    /// Reads all messages up to ReadyForQuery; the error is the outcome of a request without a complete reply.
     fn read_reply(&mut self) -> Result<Vec<Frame>, RequestOutcome> {
         let mut reply = Vec::new();
         let mut buffer = [0; 4096];
@@ -168,7 +168,7 @@
     }
 }
 
-/// What an error's SQLSTATE says of the request.
+/// The outcome of a request that corresponds to an error's SQLSTATE.
 fn outcome_of_error(error: &Frame) -> RequestOutcome {
     let fields = error.body().split(|byte| *byte == 0);
     let code = fields
--- a/crates/stackgw-testkit/src/fault_injection.rs
+++ b/crates/stackgw-testkit/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults that are injected into gateways and members while an audit runs.
+//! Fault injection into gateways and members while an audit runs.
 
 use crate::gateway_fleet::GatewayFleet;
 use crate::replica_group::ReplicaGroup;
@@ -7,46 +7,46 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Tells the random choices of faults from those of clients with the same seed.
+/// Separates the random choices of faults from those of clients with the same seed.
 const SEED_MASK: u64 = 0x5eed;
 
-/// The fault of each round is drawn by lot from so many.
+/// The number of equally likely draws from which the fault of each round is chosen.
 const LOTS: u32 = 10;
 
-/// A replica that is slowed down is so far behind ...
+/// The replication lag of a slow replica.
 const SLOW_REPLICA_LAG_MS: u64 = 3_000;
-/// ... answers so much later ...
+/// The extra delay of a slow replica's answers.
 const SLOW_REPLICA_DELAY_MS: u64 = 100;
-/// ... for so long.
+/// How long a replica stays slow.
 const SLOW_REPLICA_TIME: Duration = Duration::from_millis(500);
 
-/// Of so many killed gateways one loses its disk.
+/// One in this many killed gateways, on average, loses its disk.
 const KILLS_PER_LOST_DISK: u32 = 4;
 
-/// A killed gateway is started anew within this.
+/// A killed gateway is restarted in less than this time.
 const MAX_DOWN_MS: u64 = 300;
 
-/// How often a wait looks whether the audit is over.
+/// How often a wait checks whether the audit is over.
 const OVER_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What is done to gateways and members.
+/// The faults to inject into gateways and members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Faults {
-    /// A gateway is killed and started anew this often.
+    /// The interval at which a gateway is killed and restarted.
     pub kill_interval: Duration,
-    /// Now and then all are, at once.
+    /// Whether all gateways are occasionally killed at the same time.
     pub kill_all: bool,
-    /// Now and then a killed one loses its disk.
+    /// Whether a killed gateway occasionally loses its disk.
     pub delete_disks: bool,
-    /// Now and then one is paused for this long.
+    /// How long a gateway is occasionally paused.
     pub pause: Option<Duration>,
-    /// Now and then the replica that is least behind slows down.
+    /// Whether the replica with the least lag is occasionally slowed down.
     pub slow_replica: bool,
-    /// Now and then, where there are relays, a gateway is cut off from another for this long, in one direction or both.
+    /// How long a gateway is occasionally cut off from another one, in one or both directions. Needs relays.
     pub partition: Option<Duration>,
 }
 
-/// One round's fault.
+/// The fault of one round.
 enum Fault {
     KillAll,
     Pause(Duration),
@@ -56,7 +56,7 @@
 }
 
 impl Faults {
-    /// Draws a fault; one that is off becomes the kill of one gateway.
+    /// Draws a fault; the kill of one gateway replaces a fault that is off.
     fn draw(&self, rng: &mut SmallRng) -> Fault {
         let fault = match rng.random_range(0..LOTS) {
             0 => self.kill_all.then_some(Fault::KillAll),
@@ -90,7 +90,7 @@
     /// Injects one fault after another until it is stopped.
     pub(crate) fn run(&self, faults: Faults, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed ^ SEED_MASK);
-        // The first one is a kill: a short audit may be over before chance gives one.
+        // The first fault is always a kill, as a short audit may be over before one is drawn.
         let mut is_first = true;
         loop {
             self.wait(faults.kill_interval);
@@ -107,12 +107,12 @@
         }
     }
 
-    /// Ends the run, at its next wait.
+    /// Ends the run at its next wait.
     pub(crate) fn stop(&self) {
         self.is_over.store(true, Ordering::Relaxed);
     }
 
-    /// How many gateways it has killed.
+    /// The number of gateways killed so far.
     pub(crate) fn kills(&self) -> u64 {
         self.kills.load(Ordering::Relaxed)
     }
@@ -121,7 +121,7 @@
         self.is_over.load(Ordering::Relaxed)
     }
 
-    /// Waits for so long, or until the audit is over.
+    /// Waits for this time, or until the audit is over.
     fn wait(&self, time: Duration) {
         let started = Instant::now();
         while started.elapsed() < time && !self.is_over() {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Applies a fault other than the kill of one gateway; false where there is nothing to apply it to.
+    /// Applies a fault other than the kill of one gateway; returns false if it can't be applied.
     fn apply(&self, fault: &Fault, gateway: usize, rng: &mut SmallRng) -> bool {
         match fault {
             Fault::KillAll => self.kill_all(),
--- a/crates/stackgw-testkit/src/fleet_load.rs
+++ b/crates/stackgw-testkit/src/fleet_load.rs
@@ -49,8 +49,8 @@
 }
 
 impl FleetLoad {
-    /// Sums up the load on members since their capacities were set. Only connections at or after `since`, relative to the group's
-    /// start, are counted.
+    /// Sums up the load on members since their capacities were set. Of connections, only those at or after `since`, relative to
+    /// the group's start, are counted.
     pub fn of(group: &ReplicaGroup, since: Duration) -> Self {
         let mut total = FleetLoad::default();
         for member in 0..group.members.len() {
--- a/crates/stackgw-testkit/src/list_http.rs
+++ b/crates/stackgw-testkit/src/list_http.rs
@@ -1,5 +1,5 @@
-//! How the list service speaks HTTP: one request a connection, answered with the list, or by a watch that stays open and sends a
-//! line with each change, and an empty one now and then.
+//! The HTTP side of the list service, with one request per connection. The answer is the list, or a watch that stays open and
+//! sends a line with each change and an empty line at intervals.
 
 use crate::list_service::{ListService, PollOutcome, ServiceState, Watch};
 use std::io::{self, BufRead, BufReader, ErrorKind, Write};
@@ -11,7 +11,7 @@
 
 const LAST_CHUNK: &str = "0\r\n\r\n";
 
-/// Starts a service that lists members at these addresses, on so many listeners.
+/// Starts a service with this many listeners that lists members at these addresses.
 pub(crate) fn start(
     member_addresses: &[SocketAddr],
     listeners: usize,
@@ -31,7 +31,7 @@
     Ok(service)
 }
 
-/// Serves each connection of a listener on a thread of its own.
+/// Serves each connection of a listener on its own thread.
 fn accept(service: &Arc<ListService>, index: usize, listener: &TcpListener) {
     for socket in listener.incoming().flatten() {
         let service = service.clone();
@@ -39,7 +39,7 @@
     }
 }
 
-/// Serves one connection of a listener, to its end.
+/// Serves one connection of a listener until it ends.
 fn serve(service: &ListService, listener: usize, mut socket: TcpStream) {
     let admission = service.admit(listener);
     if admission.outcome == PollOutcome::Unreachable {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Sends a watch each change, until the listener is down or the client has gone.
+/// Sends each change to a watch until the listener is down or the client has disconnected.
 fn send_changes(service: &ListService, mut watch: Watch, socket: &mut TcpStream) {
     loop {
         let client = &*socket;
@@ -96,7 +96,7 @@
     }
 }
 
-/// What a request's first line asks for.
+/// A request for the list, parsed from its first line.
 struct ListRequest {
     is_watch: bool,
     /// The revision that the client has; 0: none.
@@ -120,7 +120,7 @@
     format!("{:x}\r\n{body}\r\n", body.len())
 }
 
-/// A line in a chunk of its own.
+/// A line as one chunk.
 fn line(text: &str) -> String {
     chunk(&format!("{text}\n"))
 }
@@ -132,7 +132,7 @@
     )
 }
 
-/// Whether the other side has closed a connection on which it says nothing more.
+/// Whether the client has closed the connection. It must not send anything after its request: bytes from it count as closed.
 fn is_closed(socket: &TcpStream) -> bool {
     let mut byte = [0];
     let peeked = socket
--- a/crates/stackgw-testkit/src/list_revisions.rs
+++ b/crates/stackgw-testkit/src/list_revisions.rs
@@ -1,4 +1,4 @@
-//! The endpoint list with all its revisions, and its JSON form. It knows nothing of time and connections.
+//! The endpoint list with all its revisions, and its JSON form. It is independent of time and connections.
 
 use crate::statements::GROUP;
 use std::net::SocketAddr;
@@ -6,11 +6,11 @@
 /// A member's phase in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedPhase {
-    /// It serves.
+    /// The member serves requests.
     Ready,
-    /// It gets nothing new, and finishes what it has.
+    /// The member gets no new requests and finishes those in flight.
     Draining,
-    /// It is no more.
+    /// The member no longer exists.
     Gone,
 }
 
@@ -24,29 +24,29 @@
     }
 }
 
-/// A member as one revision has it.
+/// A member in one revision of the list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct ListedMember {
     pub(crate) phase: ListedPhase,
-    /// When its process started, in Unix milliseconds; 0: long ago.
+    /// When the member's process started, in Unix milliseconds; 0: long ago.
     pub(crate) started_ms: u64,
     pub(crate) is_primary: bool,
 }
 
-/// A list, whole or the changes alone, in JSON.
+/// The complete list, or only its changes, in JSON.
 pub(crate) struct ListAnswer {
     pub(crate) revision: u64,
     pub(crate) json: String,
 }
 
-/// All revisions so far; the first one has number 1.
+/// All revisions so far, numbered from 1.
 pub(crate) struct ListRevisions {
     addresses: Vec<SocketAddr>,
     revisions: Vec<Vec<ListedMember>>,
 }
 
 impl ListRevisions {
-    /// Revision 1 lists members at these addresses, the first one as the primary.
+    /// Creates revision 1, which lists members at these addresses, the first one as the primary.
     pub(crate) fn new(addresses: &[SocketAddr]) -> Self {
         let member = |index| ListedMember {
             phase: ListedPhase::Ready,
@@ -63,7 +63,7 @@
         self.revisions.len() as u64
     }
 
-    /// Adds a revision: the newest one, changed.
+    /// Adds a revision: the newest one with this change.
     pub(crate) fn add(&mut self, change: impl FnOnce(&mut [ListedMember])) {
         let mut members = self.revisions.last().cloned().unwrap_or_default();
         change(&mut members);
@@ -75,7 +75,7 @@
         self.revisions.get(index).map(Vec::as_slice)
     }
 
-    /// The list at revision `newest`: what has changed since `after`, or all of it where there was no such revision by then.
+    /// The list at revision `newest`: the changes since `after`, or the complete list if `after` is 0 or newer than `newest`.
     pub(crate) fn answer(&self, newest: u64, after: u64) -> ListAnswer {
         let is_complete = after > newest || self.members(after).is_none();
         let listed = self.members(newest).into_iter().flatten().enumerate();
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether a member was ever different from what it is now, also where it has changed there and back.
+    /// Whether a member differed from its state in `newest` in any revision since `after`, even if it has changed back since.
     fn has_changed(&self, index: usize, member: &ListedMember, after: u64, newest: u64) -> bool {
         let mut revisions = (after..=newest).filter_map(|revision| self.members(revision));
         revisions.any(|members| members.get(index) != Some(member))
--- a/crates/stackgw-testkit/src/list_service.rs
+++ b/crates/stackgw-testkit/src/list_service.rs
@@ -1,7 +1,7 @@
-//! The service that lists the members: each change makes a new revision, and listeners on several addresses let tests treat
-//! gateways differently. Without a capacity it answers everybody at once, as an agent on the gateway's own machine does; with
-//! one it is a single service for a whole fleet, with a queue. It can fail in the ways that such services do. It knows no
-//! HTTP: `list_http.rs` serves its listeners.
+//! The service that lists the members. Each change creates a new revision, and listeners on several addresses let tests treat
+//! gateways differently. Without a capacity it answers every request immediately, like an agent on the gateway's own machine;
+//! with one it behaves like a single service for a whole fleet, with a queue. Its states simulate the failures of such
+//! services. `list_http.rs` serves its listeners by HTTP.
 
 use crate::list_revisions::{ListAnswer, ListRevisions, ListedMember, ListedPhase};
 use crate::sync::lock;
@@ -9,46 +9,46 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How the service, or one listener of it, behaves.
+/// The state of the service or of one of its listeners.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ServiceState {
-    /// It serves.
+    /// The service answers requests.
     #[default]
     Up,
-    /// It is down: connections break, new ones are closed unread.
+    /// The service is down: connections break, and new ones are closed without being read.
     Down,
-    /// It takes requests and says nothing; watches stay open and silent.
+    /// The service accepts requests but never answers; watches stay open, and nothing is sent on them.
     Silent,
-    /// It sends the first byte of an answer and no more.
+    /// The service sends only the first byte of an answer.
     FirstByteOnly,
-    /// It answers with half a list, then ends the connection.
+    /// The service sends half of a list and then closes the connection.
     Truncated,
-    /// It has fallen behind: its answers and watches end at this revision; its empty lines go on.
+    /// The service lags: its answers and watches end at this revision, but watches still get empty lines.
     Stale(u64),
 }
 
 impl ServiceState {
-    /// Whether connections stay open in this state, and nothing is sent on them.
+    /// Whether connections stay open in this state with nothing sent on them.
     pub(crate) fn is_hanging(self) -> bool {
         matches!(self, ServiceState::Silent | ServiceState::FirstByteOnly)
     }
 }
 
-/// What a bounded service can do.
+/// The capacity of a bounded service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceCapacity {
-    /// Requests a second; further ones are queued.
+    /// Requests per second; further ones are queued.
     pub rate: f64,
-    /// Whoever would wait longer than this gets a 503 at once, with a Retry-After.
+    /// A request that would wait longer than this is immediately answered with status 503 and a Retry-After header.
     pub max_queue_wait: Duration,
 }
 
-/// What became of a request for the list.
+/// The outcome of a request for the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// Answered, as far as the listener's state lets it.
+    /// Answered, as far as the listener's state allows.
     Answered,
-    /// Asked to come back later.
+    /// Rejected with a Retry-After header.
     Rejected,
     /// The service was down.
     Unreachable,
@@ -57,41 +57,41 @@
 /// One request for the list, as the service saw it.
 #[derive(Debug, Clone, Copy)]
 pub struct PollRecord {
-    /// When it came, since the service's start.
+    /// When the request arrived, since the service's start.
     pub at: Duration,
-    /// What became of it.
+    /// The outcome of the request.
     pub outcome: PollOutcome,
 }
 
-/// A request that has been admitted, or not, and its time in the queue.
+/// The decision on a request, and its time in the queue.
 pub(crate) struct Admission {
     pub(crate) outcome: PollOutcome,
     pub(crate) queue_wait: Duration,
 }
 
-/// A watch that stays open.
+/// An open watch.
 pub(crate) struct Watch {
     pub(crate) listener: usize,
-    /// The revision that its client has.
+    /// The revision that the client has.
     pub(crate) revision: u64,
-    /// Nothing is sent on it any more, whatever becomes of the listener.
+    /// Whether nothing is sent on the watch any more, even if the listener's state changes.
     pub(crate) is_hanging: bool,
 }
 
-/// Between the empty lines of a watch on which nothing changes.
+/// The interval between empty lines on a watch without changes.
 const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
 
 struct State {
     revisions: ListRevisions,
-    /// By listener.
+    /// The states of the listeners.
     states: Vec<ServiceState>,
     capacity: Option<ServiceCapacity>,
-    /// When the requests that are queued now will have been served.
+    /// When all queued requests will have been served.
     idle_at: Duration,
     polls: Vec<PollRecord>,
 }
 
-/// The service.
+/// The list service.
 pub struct ListService {
     member_addresses: Vec<SocketAddr>,
     listener_addresses: Vec<SocketAddr>,
@@ -101,7 +101,7 @@
 }
 
 impl ListService {
-    /// Lists members at these addresses, the first one as the primary. Whoever makes it serves the listeners.
+    /// Creates a service that lists members at these addresses, the first one as the primary. The caller serves the listeners.
     pub(crate) fn new(
         member_addresses: &[SocketAddr],
         listener_addresses: Vec<SocketAddr>,
@@ -121,17 +121,17 @@
         }
     }
 
-    /// Where a listener is; beyond the last one they begin again.
+    /// The address of a listener; the index wraps around after the last one.
     pub fn address(&self, listener: usize) -> SocketAddr {
         self.listener_addresses[listener % self.listener_addresses.len()]
     }
 
-    /// Where the members are.
+    /// The addresses of the members.
     pub fn member_addresses(&self) -> &[SocketAddr] {
         &self.member_addresses
     }
 
-    /// Limits what the service can do from now on.
+    /// Limits the service's capacity from now on.
     pub fn set_capacity(&self, capacity: ServiceCapacity) {
         lock(&self.state).capacity = Some(capacity);
     }
@@ -158,12 +158,12 @@
         lock(&self.state).polls.clone()
     }
 
-    /// How long the service has run.
+    /// The time since the service's start.
     pub fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Lists another member as the primary.
+    /// Lists a member as the primary.
     pub fn announce_primary(&self, member: usize) {
         self.change(|members| {
             for (index, listed) in members.iter_mut().enumerate() {
@@ -172,7 +172,7 @@
         });
     }
 
-    /// Lists a member in this phase, its process started at this time in Unix milliseconds (0: long ago).
+    /// Lists a member with this phase and this start time of its process in Unix milliseconds (0: long ago).
     pub(crate) fn announce(&self, member: usize, phase: ListedPhase, started_ms: u64) {
         self.change(|members| {
             if let Some(listed) = members.get_mut(member) {
@@ -199,15 +199,15 @@
         admission
     }
 
-    /// The present state of a listener, and what it answers to whoever has this revision (0: none).
+    /// The present state of a listener, and its answer to a client that has this revision (0: none).
     pub(crate) fn answer(&self, listener: usize, after: u64) -> (ServiceState, ListAnswer) {
         let state = lock(&self.state);
         (state.states[listener], state.answer(listener, after))
     }
 
-    /// Waits for what a watch has to be sent next: the changes after its revision, or, where there are none for some time, an
-    /// answer of that same revision, for which it gets an empty line. `None` once the listener is down, or where `is_closed`
-    /// says so while nothing may be sent.
+    /// Waits for the next answer to send on a watch: the changes after its revision or, if none occur within
+    /// `EMPTY_LINE_INTERVAL`, an answer at that same revision, for which an empty line is sent. Returns `None` once the
+    /// listener is down, or if nothing may be sent on the watch and `is_closed` returns true.
     pub(crate) fn wait_for_change(
         &self,
         watch: &Watch,
--- a/crates/stackgw-testkit/src/measure/cold_start.rs
+++ b/crates/stackgw-testkit/src/measure/cold_start.rs
@@ -1,6 +1,6 @@
-//! A fleet that starts all at once, loses its list service, starts without it, and starts before members that are all cold: what
-//! comes to the service and the members, and how soon clients are served. Field names in JSON are those of the command's output,
-//! which stays as it is.
+//! A fleet that starts all at once, loses its list service, starts without it, and starts with all members cold. Measures the
+//! load on the service and the members, and how soon clients are served. Field names in JSON are those of the command's output
+//! and must not change.
 
 use super::MeasureFolder;
 use crate::cold_connect::ColdConnectLoad;
@@ -17,72 +17,72 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// How long each phase lasts.
+/// The duration of each phase.
 const PHASE_TIME: Duration = Duration::from_secs(10);
 
-/// The first seconds of a phase, which are looked at apart.
+/// The number of seconds at the start of a phase that are also reported separately.
 const FIRST_SECONDS: usize = 5;
 
 /// How long the list service is down in its phase.
 const OUTAGE_TIME: Duration = Duration::from_secs(6);
 
-/// After this all gateways that were asked to come back after the outage have done so.
+/// After this time all gateways that were asked to retry after the outage have done so.
 const AFTER_OUTAGE_TIME: Duration = Duration::from_secs(4);
 
-/// How many replicas the group has, and how far they are behind.
+/// The replication lags of the group's replicas.
 const REPLICA_LAGS_MS: [u64; 2] = [10, 20];
 
-/// How many session replicas a fleet has: the cluster's seeds.
+/// The number of a fleet's session replicas, which are the cluster's seeds.
 const SEEDS: usize = 3;
 
 const WRITE_PERCENTAGE: u32 = 10;
 
-/// The list service needs so many seconds for one request of each gateway.
+/// The time that the list service needs to serve one request of each gateway.
 const SERVICE_SECONDS_PER_ROUND: f64 = 1.5;
 
-/// What each member can do, warm, over all that is sent.
+/// The capacity of each warm member, relative to the total load.
 const MEMBER_RATE_OVER_LOAD: f64 = 2.0 / 3.0;
 
 /// The fraction of a cold member's capacity that handshakes may take, by default.
 pub const DEFAULT_HANDSHAKE_FRACTION: f64 = 0.4;
 
-/// How a fleet comes to know the endpoint list, where not as the platform has it.
+/// How a fleet obtains the endpoint list, beyond the platform's configuration.
 #[derive(Debug, Clone, Copy)]
 pub struct BootstrapChoice {
-    /// Gateways talk to each other.
+    /// Whether gateways form a cluster.
     pub has_cluster: bool,
     /// Connections to members are paced so that handshakes take at most this fraction of a cold member's capacity; `None`: they
     /// are not paced.
     pub handshake_fraction: Option<f64>,
 }
 
-/// A measurement of one fleet.
+/// The parameters of a measurement of one fleet.
 #[derive(Debug, Clone)]
 pub struct ColdStartPlan {
-    /// The program.
+    /// The path of the gateway's program.
     pub program: PathBuf,
-    /// How many gateways.
+    /// The number of gateways.
     pub fleet: usize,
-    /// How they come to know the list; `None`: as the platform has it.
+    /// How gateways obtain the list; `None`: by the platform's configuration alone.
     pub bootstrap: Option<BootstrapChoice>,
-    /// Requests a second at all gateways together; the members can do twice as many, warm.
+    /// Requests per second at all gateways together; warm members can serve twice as many.
     pub load: f64,
     /// The seed of all random choices.
     pub seed: u64,
-    /// Where files and logs go and stay; `None`: into a folder that is removed afterwards.
+    /// The folder for files and logs, which is kept; `None`: a temporary folder.
     pub kept_folder: Option<PathBuf>,
 }
 
-/// Requests for the list.
+/// Counts of requests for the list.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct PollCounts {
     /// Requests that found the service up.
     #[serde(rename = "all")]
     pub total: usize,
-    /// In the worst 100 ms.
+    /// The most requests within 100 ms.
     #[serde(rename = "worst")]
     pub peak: usize,
-    /// Asked to come back later.
+    /// Requests rejected with a Retry-After header.
     #[serde(rename = "refused")]
     pub rejected: usize,
 }
@@ -104,7 +104,7 @@
     }
 }
 
-/// The fraction of what is sent that members could serve if they did nothing else. Serialized as a list, in this order.
+/// The fraction of sent requests that members could serve if they did no other work. Serialized as a list, in this order.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 #[serde(into = "[f64; 2]")]
 pub struct AttainableFraction {
@@ -120,57 +120,57 @@
     }
 }
 
-/// One phase.
+/// The results of one phase.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct PhaseReport {
     /// Requests for the list.
     #[serde(rename = "asks")]
     pub polls: PollCounts,
-    /// When 99 in 100 gateways were ready, in milliseconds.
+    /// When 99% of the gateways were ready, in milliseconds.
     pub ready_ms: Option<u64>,
-    /// The fraction served in time of what was sent.
+    /// The fraction of sent requests that were served in time.
     #[serde(rename = "worth")]
     pub served_fraction: f64,
-    /// The same of what was sent in the first five seconds.
+    /// The fraction of the requests sent in the first five seconds that were served in time.
     #[serde(rename = "worth_first")]
     pub served_fraction_first: f64,
-    /// The fraction that members could serve.
+    /// The fraction of sent requests that members could serve.
     #[serde(rename = "could")]
     pub attainable: AttainableFraction,
-    /// For each second.
+    /// Counts for each second.
     pub seconds: Vec<SecondCounts>,
-    /// The fraction served, in time or late, of what was sent.
+    /// The fraction of sent requests that were served, in time or late.
     #[serde(rename = "answered")]
     pub answered_fraction: f64,
-    /// What came to members.
+    /// The load on members.
     #[serde(rename = "burden")]
     pub member_load: FleetLoad,
-    /// Requests lost, duplicated, or served with what was too old.
+    /// Requests lost, duplicated, or served with data that was too old.
     #[serde(rename = "broken")]
     pub faults: u64,
 }
 
-/// All phases.
+/// The results of all phases.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ColdStartReport {
-    /// How many gateways.
+    /// The number of gateways.
     pub fleet: usize,
-    /// All start at once.
+    /// All gateways start at once.
     #[serde(rename = "boot")]
     pub start: PhaseReport,
-    /// The same load once all is warm.
+    /// The same load once all gateways and members are warm.
     pub warm: PhaseReport,
-    /// The list service is down for six seconds and comes back.
+    /// The list service is down for six seconds and recovers.
     pub outage: PhaseReport,
-    /// All are killed and started at once while it is down.
+    /// All gateways are killed and started at once while the list service is down.
     #[serde(rename = "dark")]
     pub start_without_list: PhaseReport,
-    /// All are killed and started at once, and so are all members.
+    /// All gateways are killed and started at once, and all members have just started.
     #[serde(rename = "cold")]
     pub start_with_cold_members: PhaseReport,
 }
 
-/// What happens in each phase, in their order.
+/// The names of the phases, in order.
 pub const PHASE_NAMES: [&str; 5] = [
     "all start at once",
     "warm",
@@ -180,7 +180,7 @@
 ];
 
 impl ColdStartReport {
-    /// The phases, in their order.
+    /// The phases, in order.
     pub fn phases(&self) -> [&PhaseReport; 5] {
         [
             &self.start,
@@ -193,10 +193,10 @@
 }
 
 impl ColdStartPlan {
-    /// Measures all phases; `on_phase` gets each one as it ends.
+    /// Measures all phases; `on_phase` is called with the results of each one as it ends.
     ///
     /// # Errors
-    /// Where the fixture can't be set up.
+    /// If the fixture can't be set up.
     pub fn run(
         &self,
         mut on_phase: impl FnMut(&'static str, &PhaseReport),
@@ -237,17 +237,17 @@
         Ok(report)
     }
 
-    /// Requests a second at each gateway.
+    /// Requests per second at each gateway.
     fn rate(&self) -> f64 {
         self.load / self.fleet as f64
     }
 
-    /// Requests for the list a second that the service can do.
+    /// Requests per second that the list service can serve.
     fn list_service_rate(&self) -> f64 {
         self.fleet as f64 / SERVICE_SECONDS_PER_ROUND
     }
 
-    /// What each member can do.
+    /// The capacity of each member.
     fn member_model(&self) -> SlowStartModel {
         SlowStartModel {
             warm_rate: self.load * MEMBER_RATE_OVER_LOAD,
@@ -262,7 +262,7 @@
         }
     }
 
-    /// New connections a second that a cold member can take with this fraction of its capacity.
+    /// New connections per second that a cold member can accept with this fraction of its capacity.
     fn connection_rate(&self, handshake_fraction: f64) -> u32 {
         let model = self.member_model();
         let cold_rate = model.warm_rate * model.cold_fraction;
@@ -285,7 +285,8 @@
         }
     }
 
-    /// The fraction of what is sent in the first `time` of a phase that so many members could serve if they did nothing else.
+    /// The fraction of the requests sent in the first `time` of a phase that this many members could serve if they did no other
+    /// work.
     fn attainable_fraction(&self, members: usize, are_cold: bool, time: Duration) -> f64 {
         const STEPS: u32 = 1_000;
         let model = self.member_model();
@@ -298,7 +299,7 @@
     }
 }
 
-/// A group and a fleet before it.
+/// A group, and a fleet that serves it.
 struct Rig<'a> {
     plan: &'a ColdStartPlan,
     group: std::sync::Arc<ReplicaGroup>,
@@ -336,14 +337,14 @@
         self.group.members.len()
     }
 
-    /// Plays a phase with warm members.
+    /// Runs a phase with warm members.
     fn play_warm(&self, meanwhile: &(dyn Fn() + Sync)) -> PhaseReport {
         let model = self.plan.member_model();
         (0..self.members()).for_each(|member| self.group.set_capacity(member, model));
         self.play(false, meanwhile)
     }
 
-    /// Plays a phase with members whose processes have just started.
+    /// Runs a phase with members whose processes have just started.
     fn play_cold(&self, meanwhile: &(dyn Fn() + Sync)) -> PhaseReport {
         let model = self.plan.member_model();
         for member in 0..self.members() {
--- a/crates/stackgw-testkit/src/measure/flight.rs
+++ b/crates/stackgw-testkit/src/measure/flight.rs
@@ -1,4 +1,4 @@
-//! What Flight SQL costs through a gateway, against a direct connection and against PostgreSQL's protocol.
+//! The cost of Flight SQL through a gateway, compared with a direct connection and with PostgreSQL's protocol.
 
 use super::MeasureFolder;
 use crate::client::Client;
@@ -21,10 +21,10 @@
 const LONG_STREAM_BATCHES: u64 = 1_000_000;
 const LONG_STREAM_BATCH_BYTES: u64 = 64 << 10;
 const WARM_UP_BATCHES: u64 = 4;
-/// How much of a stream is read before its client cancels it.
+/// The number of messages that a client reads before it cancels a stream.
 const MESSAGES_BEFORE_CANCEL: u32 = 50;
 
-/// After this a gateway that has just started is no longer cautious about sessions.
+/// After this time a gateway that has just started no longer treats session positions as uncertain.
 const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 const RETENTION_MS: u64 = 2_000;
 
@@ -32,29 +32,29 @@
 const BEGIN_RETRY_PAUSE: Duration = Duration::from_millis(10);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(10);
 const CANCEL_CHECK_INTERVAL: Duration = Duration::from_micros(100);
-/// For so long slow readers stand still before the gateway's memory is looked at.
+/// How long slow readers stop reading before the gateway's memory is measured.
 const SLOW_READER_TIME: Duration = Duration::from_millis(500);
 
-/// The least processor time that is divided by, in seconds.
+/// The lower bound of the CPU time in a rate, in seconds.
 const MIN_CPU_SECONDS: f64 = 0.01;
 
 const MIB: f64 = (1 << 20) as f64;
 
-/// A group and one gateway before it.
+/// A group, and one gateway that serves it.
 pub struct FlightRig {
     group: Arc<ReplicaGroup>,
     gateways: GatewayFleet,
     rng: SmallRng,
-    // Dropped last: the gateway's files are in it.
+    // Dropped last, as it contains the gateway's files.
     _folder: MeasureFolder,
 }
 
-/// How fast a bulk stream is read.
+/// The rates at which bulk streams are read.
 #[derive(Debug, Clone, Copy)]
 pub struct BulkRates {
-    /// MiB a second from the member itself.
+    /// MiB per second directly from a member.
     pub direct: f64,
-    /// MiB a second through the gateway.
+    /// MiB per second through the gateway.
     pub through_gateway: f64,
 }
 
@@ -62,7 +62,7 @@
     /// Starts the fixture with members that speak this protocol.
     ///
     /// # Errors
-    /// Where it can't be set up.
+    /// If it can't be set up.
     pub fn start(program: PathBuf, protocol: Protocol) -> Result<Self, TestkitError> {
         let folder = MeasureFolder::temporary(&format!("measure-{protocol:?}"))?;
         let group = ReplicaGroup::start_with(GroupConfig {
@@ -94,7 +94,7 @@
             .ok_or(TestkitError::NoFlightSql)
     }
 
-    /// The gateway's processor time so far, in seconds.
+    /// The gateway's CPU time so far, in seconds.
     fn cpu_seconds(&self) -> f64 {
         self.gateways
             .pid(0)
@@ -103,10 +103,10 @@
             / 1e6
     }
 
-    /// Reads bulk streams of this size from a replica and through the gateway, one after the other.
+    /// Reads bulk streams of this size, first from a replica and then through the gateway.
     ///
     /// # Errors
-    /// Where a call fails.
+    /// If a call fails.
     pub fn bulk_rates(
         &mut self,
         total_mib: u64,
@@ -141,10 +141,10 @@
         })
     }
 
-    /// The time from a client's cancel to the end of the members' work.
+    /// Measures the time from a client's cancellation to the end of the members' work.
     ///
     /// # Errors
-    /// Where a call fails, or the work does not end.
+    /// If a call fails, or the work does not end.
     pub fn cancel_time(&mut self) -> Result<Duration, TestkitError> {
         let address = self.flight_address()?;
         block_on(async {
@@ -165,10 +165,10 @@
         })
     }
 
-    /// The gateway's peak memory, in MiB, with so many readers that stand still.
+    /// Measures the gateway's peak memory, in MiB, with this many clients that stop reading.
     ///
     /// # Errors
-    /// Where a call fails.
+    /// If a call fails.
     pub fn peak_memory_mib(&mut self, slow_readers: usize) -> Result<f64, TestkitError> {
         let address = self.flight_address()?;
         block_on(async {
@@ -189,10 +189,10 @@
             .unwrap_or_default())
     }
 
-    /// Small reads by Flight SQL for each second of the gateway's processor time.
+    /// Measures small reads with Flight SQL per second of the gateway's CPU time.
     ///
     /// # Errors
-    /// Where a call fails.
+    /// If a call fails.
     pub fn flight_statement_rate(&mut self, statements: u64) -> Result<f64, TestkitError> {
         let address = self.flight_address()?;
         let cpu_before = self.cpu_seconds();
@@ -207,10 +207,10 @@
         Ok(self.statement_rate(statements, cpu_before))
     }
 
-    /// Small reads by PostgreSQL's protocol for each second of the gateway's processor time.
+    /// Measures small reads with PostgreSQL's protocol per second of the gateway's CPU time.
     ///
     /// # Errors
-    /// Where there is no connection.
+    /// If the gateway does not run or accepts no connection.
     pub fn postgres_statement_rate(&mut self, statements: u64) -> Result<f64, TestkitError> {
         let address = self.gateways.address(0);
         let address = address.ok_or(TestkitError::GatewayNotRunning)?;
@@ -243,7 +243,7 @@
             .await
     }
 
-    /// Begins a bulk stream, at a gateway or at a member; where it is rejected it is tried again for a while.
+    /// Begins a bulk stream at a gateway or a member, with retries for up to `BEGIN_TIMEOUT`.
     async fn begin_bulk(
         &mut self,
         client: &mut SqlClient,
@@ -266,7 +266,7 @@
     }
 }
 
-/// Runs one client's calls.
+/// Runs one client's calls on a new runtime.
 fn block_on<T>(calls: impl Future<Output = Result<T, TestkitError>>) -> Result<T, TestkitError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/stackgw-testkit/src/measure/mod.rs
+++ b/crates/stackgw-testkit/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements of the real program on loopback. Each one sets up its fixture, runs, and returns figures; printing them is the
-//! command's work.
+//! Measurements of the real program on loopback. Each one sets up its fixture, runs, and returns figures, which the command
+//! prints.
 
 pub mod cold_start;
 #[cfg(feature = "flight")]
@@ -9,14 +9,14 @@
 use crate::error::TestkitError;
 use std::path::{Path, PathBuf};
 
-/// A folder for one measurement's files, removed with it unless it is to be kept.
+/// A folder for one measurement's files, removed on drop unless it is kept.
 struct MeasureFolder {
     path: PathBuf,
     is_kept: bool,
 }
 
 impl MeasureFolder {
-    /// A folder in the system's place for temporary files; measurements of one process tell theirs apart by name.
+    /// Creates a folder in the system's temporary directory. Measurements of one process must use different names.
     fn temporary(name: &str) -> Result<Self, TestkitError> {
         let name = format!("stackgw-{name}-{}", std::process::id());
         let folder = MeasureFolder {
@@ -26,7 +26,7 @@
         folder.create()
     }
 
-    /// A folder that is kept.
+    /// Creates a folder that is kept.
     fn kept(path: &Path) -> Result<Self, TestkitError> {
         let folder = MeasureFolder {
             path: path.to_owned(),
--- a/crates/stackgw-testkit/src/measure/sessions.rs
+++ b/crates/stackgw-testkit/src/measure/sessions.rs
@@ -1,4 +1,4 @@
-//! What shared sessions cost: one fleet of gateways under a busy load and on a calm day.
+//! The cost of shared sessions, measured on one fleet of gateways under a busy and a calm load.
 
 use super::MeasureFolder;
 use crate::audit::run_audit;
@@ -12,10 +12,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// After this all session replicas have leases from each other.
+/// After this time all session replicas have leases from each other.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Away from the second for which a session stays with the primary, so that no chance decides.
+/// No multiple of this is close to the second for which a session stays with the primary, so that chance does not decide
+/// which member runs a read.
 const CALM_READ_PAUSE: Duration = Duration::from_millis(430);
 
 const TIME_LIMIT: Duration = Duration::from_secs(120);
@@ -25,32 +26,32 @@
 /// A measurement of one fleet.
 #[derive(Debug, Clone)]
 pub struct SessionCostPlan {
-    /// The program.
+    /// The path of the gateway's program.
     pub program: PathBuf,
-    /// How many gateways, all of them session replicas.
+    /// The number of gateways, all of them session replicas.
     pub gateways: usize,
-    /// What is turned on.
+    /// The feature that is turned on.
     pub mode: FleetMode,
-    /// Session replicas have stores on disk.
+    /// Whether session replicas have stores on disk.
     pub has_disks: bool,
     /// The sessions' retention, in milliseconds.
     pub retention_ms: u64,
-    /// Pairs of a write and a read in the busy part.
+    /// Pairs of a write and a read under the busy load.
     pub pairs: u64,
     /// The seed of all random choices.
     pub seed: u64,
 }
 
-/// What it cost.
+/// The result of the measurement.
 #[derive(Debug, Clone)]
 pub struct SessionCost {
-    /// Microseconds that writes took, under the busy load.
+    /// The latency of writes under the busy load, in microseconds.
     pub write_us: Percentiles,
-    /// Microseconds that reads took, under the busy load.
+    /// The latency of reads under the busy load, in microseconds.
     pub read_us: Percentiles,
-    /// The fraction of the session reads that replicas ran, on the calm day.
+    /// The fraction of session reads that replicas ran under the calm load.
     pub replica_fraction: f64,
-    /// Processor time of all gateways for each request, in microseconds, under the busy load.
+    /// CPU time of all gateways per request under the busy load, in microseconds.
     pub cpu_us_per_request: f64,
     /// Resident memory of one gateway, in MiB.
     pub memory_mib: f64,
@@ -62,7 +63,7 @@
     /// Measures one fleet.
     ///
     /// # Errors
-    /// Where the fixture can't be set up.
+    /// If the fixture can't be set up.
     pub fn run(&self) -> Result<SessionCost, TestkitError> {
         let folder = MeasureFolder::temporary("measure")?;
         let group = ReplicaGroup::start(&REPLICA_LAGS_MS)?;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// The processor time of all gateways so far.
+    /// The CPU time of all gateways so far, in microseconds.
     fn cpu_time_us(&self, gateways: &GatewayFleet) -> f64 {
         let pids = (0..self.gateways).filter_map(|index| gateways.pid(index));
         pids.filter_map(cpu_time_us).sum()
--- a/crates/stackgw-testkit/src/slow_start_model.rs
+++ b/crates/stackgw-testkit/src/slow_start_model.rs
@@ -1,36 +1,36 @@
-//! The capacity of a member: small after a start and growing, a bounded queue before it, the work that handshakes and health
-//! checks cost, and the overload at which a member that is warming up collapses. It keeps no clock: time is handed in, as the
-//! time since the group's start.
+//! A model of a member's capacity: it is low after a start and grows while the member warms up, requests wait in a bounded
+//! queue, handshakes and health checks cost work, and a member that is warming up collapses under overload. The model has no
+//! clock: callers pass the time since the group's start.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What a member can do. Work is counted in requests.
+/// The parameters of a member's capacity. Work is measured in requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartModel {
-    /// Requests a second of a warm member.
+    /// Requests per second that a warm member can serve.
     pub warm_rate: f64,
-    /// The fraction of the warm rate that a member has right after its start; from there it grows evenly ...
+    /// The fraction of the warm rate that a member has right after its start. The rate grows linearly from there.
     pub cold_fraction: f64,
-    /// ... to the whole within this time.
+    /// The time from a member's start until it has its full warm rate.
     pub warm_up_time: Duration,
-    /// A member that is warming up collapses where more than this multiple of its present capacity comes within
-    /// `overload_window`.
+    /// A member that is warming up collapses if the work that arrives within `overload_window` exceeds this multiple of its
+    /// present capacity.
     pub overload_multiple: f64,
-    /// The window over which overload is counted.
+    /// The window over which overload is measured.
     pub overload_window: Duration,
-    /// What a new connection costs.
+    /// The work of a new connection.
     pub handshake_cost: f64,
-    /// What a health check costs.
+    /// The work of a health check.
     pub health_check_cost: f64,
-    /// Whoever would wait longer than this is rejected.
+    /// Work that would wait longer than this is rejected.
     pub max_queue_wait: Duration,
-    /// A member that has collapsed answers nobody for this long; then it starts anew, cold.
+    /// A collapsed member answers nothing for this long, and then restarts cold.
     pub collapse_time: Duration,
 }
 
 impl SlowStartModel {
-    /// Requests a second that a member of this age can do; `None`: it has been up for long.
+    /// Requests per second that a member of this age can serve; `None`: a warm member.
     pub(crate) fn rate_at(&self, age: Option<Duration>) -> f64 {
         let warmth = age.map_or(1.0, |age| {
             age.as_secs_f64() / self.warm_up_time.as_secs_f64()
@@ -39,42 +39,43 @@
     }
 }
 
-/// What has come to one member.
+/// The load on one member.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ObservedLoad {
-    /// When connections were opened to it, since the group's start.
+    /// When connections to the member were opened, since the group's start.
     pub handshakes: Vec<Duration>,
     /// Health checks.
     pub health_checks: u64,
-    /// Requests that it accepted.
+    /// Requests accepted.
     pub accepted: u64,
-    /// Requests that it rejected, or that found it collapsed.
+    /// Requests rejected, or received while the member was collapsed.
     pub rejected: u64,
-    /// The most work within its overload window while it warmed up, over the work at which it collapses: at 1 it does.
+    /// The peak work within the overload window while the member warmed up, relative to the work at which it collapses: above 1
+    /// it does.
     pub peak_overload: f64,
-    /// How often it collapsed.
+    /// Collapses of the member.
     pub collapses: u64,
 }
 
-/// A member under load.
+/// The state of a member under load.
 #[derive(Debug, Clone)]
 pub(crate) struct MemberLoad {
     model: SlowStartModel,
-    /// When its process started; `None`: long ago.
+    /// When the member's process started; `None`: long ago.
     started_at: Option<Duration>,
-    /// When the work that is queued now will be done.
+    /// When all queued work will be done.
     idle_at: Duration,
     collapsed_until: Duration,
-    /// Recent work with its moments, and the sum of it.
+    /// The work within the overload window with its arrival times, and its sum.
     window: VecDeque<(Duration, f64)>,
     work_in_window: f64,
     observed: ObservedLoad,
 }
 
-/// What becomes of a piece of work.
+/// The outcome of a piece of work.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum WorkOutcome {
-    /// It is done after this time.
+    /// The work is done after this time.
     DoneAfter(Duration),
     /// The queue is full.
     Rejected,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Its process has just started.
+    /// Marks the member's process as just started.
     pub(crate) fn start(&mut self, now: Duration) {
         self.started_at = Some(now);
         self.window.clear();
@@ -104,24 +105,24 @@
         self.idle_at = now;
     }
 
-    /// What has come to it since it got its capacity.
+    /// The load since the member's capacity was set.
     pub(crate) fn observed(&self) -> ObservedLoad {
         self.observed.clone()
     }
 
-    /// Takes in a new connection.
+    /// Accounts for a new connection.
     pub(crate) fn handshake(&mut self, now: Duration) -> WorkOutcome {
         self.observed.handshakes.push(now);
         self.admit(now, self.model.handshake_cost)
     }
 
-    /// Takes in a health check.
+    /// Accounts for a health check.
     pub(crate) fn health_check(&mut self, now: Duration) -> WorkOutcome {
         self.observed.health_checks += 1;
         self.admit(now, self.model.health_check_cost)
     }
 
-    /// Takes in a request.
+    /// Accounts for a request.
     pub(crate) fn request(&mut self, now: Duration) -> WorkOutcome {
         let outcome = self.admit(now, 1.0);
         match outcome {
@@ -167,7 +168,7 @@
             .is_some_and(|at| now < at + self.model.warm_up_time)
     }
 
-    /// Whether the work of the window is more than a cold member can take at this rate; notes how near it is.
+    /// Whether the work of the window exceeds what a member that is warming up can bear at this rate; records the peak.
     fn is_overloaded(&mut self, rate: f64) -> bool {
         let limit = self.model.overload_multiple * rate * self.model.overload_window.as_secs_f64();
         let overload = self.work_in_window / limit;
--- a/crates/stackgw-testkit/src/soak/clients.rs
+++ b/crates/stackgw-testkit/src/soak/clients.rs
@@ -1,4 +1,5 @@
-//! The clients of a soak: they ask, rest, leave, stop inside messages and flood, each by its own random numbers.
+//! The clients of a soak: they send requests, pause, disconnect, stop inside messages and flood gateways. Each one has its own
+//! random numbers.
 
 use super::records::{ClientMisuse, RequestEnd, RequestKind, RequestRecord, SoakRecord};
 use crate::client::{Client, RequestOutcome};
@@ -16,18 +17,18 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Where no gateway takes a connection, its clients wait so long.
+/// The pause of a client to which no gateway is available.
 const NO_GATEWAY_PAUSE: Duration = Duration::from_millis(20);
-/// A client that stopped inside a message waits so long for its end.
+/// How long a client that stopped inside a message waits for the gateway to end the connection.
 const STALLED_WAIT: Duration = Duration::from_millis(4_500);
 const FLOOD_STATEMENT_BYTES: usize = 60 << 10;
 
-/// What all parts of a soak share.
+/// The state that all parts of a soak share.
 pub(super) struct SoakState<'a> {
     pub(super) gateways: &'a GatewayFleet,
     pub(super) started: Instant,
     pub(super) record: Mutex<SoakRecord>,
-    /// Whether new connections are dealt out to each gateway.
+    /// Whether clients may open new connections to each gateway.
     pub(super) takes_clients: Vec<AtomicBool>,
     pub(super) is_over: AtomicBool,
     next_id: AtomicU64,
@@ -57,7 +58,7 @@
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A gateway that is dealt new connections, from this one on.
+    /// The first gateway at or after this one, cyclically, that accepts new clients.
     fn open_gateway(&self, first: usize) -> Option<usize> {
         let count = self.gateways.len();
         let mut gateways = (0..count).map(|n| (first + n) % count);
@@ -65,17 +66,17 @@
     }
 }
 
-/// What a client does with one request.
+/// What a client does after it has sent a request.
 enum Conduct {
-    /// It waits for the answer.
+    /// The client waits for the answer.
     Waits,
-    /// It closes its connection this long after it has asked.
+    /// The client closes its connection this long after it has sent the request.
     Closes(Duration),
-    /// It ends its own side of the connection, and stays.
+    /// The client shuts down its sending side this long after it has sent the request, and keeps the connection for 200 ms.
     HalfCloses(Duration),
 }
 
-/// One client, which asks until the soak is over.
+/// One client, which sends requests until the soak is over.
 pub(super) struct SoakClient<'a> {
     state: &'a SoakState<'a>,
     rng: SmallRng,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Asks on a connection for as long as it stays open, or until the client leaves.
+    /// Sends requests on a connection until it closes or the client disconnects.
     fn use_connection(&mut self, gateway: usize, mut client: Client) {
         let mut last_own_write = None;
         while !self.state.is_over() {
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Mostly asks again soon; sometimes rests until the gateway may have closed the connection.
+    /// Pauses for up to 40 ms before the next request; one time in 40 for up to 1.5 s, in which the gateway may close the
+    /// connection.
     fn rest(&mut self) {
         let ms = match self.rng.random_range(0..40) {
             0 => self.rng.random_range(200..1_500),
@@ -202,7 +204,7 @@
     format!("k{value:x}")
 }
 
-/// Asks and waits for the answer; whether the connection is still open.
+/// Sends a request and waits for the answer; returns whether the connection is still open.
 fn ask(
     state: &SoakState<'_>,
     client: &mut Client,
@@ -243,13 +245,13 @@
     std::thread::sleep(wait);
 }
 
-/// A value as writes of a soak have it; `None` where nothing was written yet.
+/// Parses a value that a soak's write stored; `None` if nothing was written yet.
 fn parse_value(value: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(value).ok()?;
     u64::from_str_radix(text, 16).ok()
 }
 
-/// Sends part of a message, stays, and notes when the gateway ended that.
+/// Sends part of a message, keeps the connection open, and records when the gateway sent an error or closed it.
 pub(super) fn stall(state: &SoakState<'_>, gateway: usize) {
     let address = state.gateways.address(gateway);
     let Some(mut client) = address.and_then(Client::connect) else {
@@ -272,7 +274,7 @@
     });
 }
 
-/// Sends large statements without reading for so long.
+/// Sends large statements for this time, without reading the answers.
 pub(super) fn flood(state: &SoakState<'_>, gateway: usize, time: Duration) {
     let address = state.gateways.address(gateway);
     let Some(mut client) = address.and_then(Client::connect) else {
@@ -289,14 +291,14 @@
             BOUNDED_READ_CLASS,
             READ_TIMEOUT,
         );
-        // Once its socket takes no more in one go, half a message is the last that it sends.
+        // Once the socket does not accept a whole message, a partial message has been sent, so nothing may follow it.
         if !client.send(&statement) {
             std::thread::sleep(time.saturating_sub(started.elapsed()));
         }
     }
 }
 
-/// Connections that ask nothing.
+/// Connections on which no requests are sent.
 pub(super) struct IdleCrowd(Vec<TcpStream>);
 
 impl IdleCrowd {
@@ -306,7 +308,7 @@
         IdleCrowd((0..size).filter_map(connect).collect())
     }
 
-    /// Connects anew where the gateway has closed a connection.
+    /// Replaces connections that the gateway has closed.
     pub(super) fn refresh(&mut self, state: &SoakState<'_>, gateway: usize) {
         let Some(address) = state.gateways.address(gateway) else {
             return;
@@ -325,7 +327,7 @@
         }
     }
 
-    /// Half of them say something that is no message.
+    /// Sends an invalid message on half of the connections.
     pub(super) fn misbehave(&mut self) {
         for socket in self.0.iter_mut().step_by(2) {
             let _ = socket.write_all(b"?");
--- a/crates/stackgw-testkit/src/soak/judge.rs
+++ b/crates/stackgw-testkit/src/soak/judge.rs
@@ -1,4 +1,5 @@
-//! The verdict on a soak: which rules of the service were broken, by what clients, members and the list service wrote down.
+//! The verdict on a soak: the rules of the service that were violated, according to the record of clients, members and the list
+//! service.
 
 use super::clients::write_id;
 use super::records::{Arrival, RequestEnd, RequestKind, RequestRecord, SoakRecord};
@@ -7,54 +8,54 @@
 use std::fmt;
 use std::time::Duration;
 
-/// By how much every time limit grows, for what passes between processes.
+/// Tolerance that is added to time limits for delays between processes.
 const SLACK: Duration = Duration::from_millis(50);
-/// After its time a request's answer earns nothing; later than this it is lost.
+/// A request is lost if its answer is later than this after its timeout.
 const LATE_ANSWER: Duration = Duration::from_millis(500);
-/// Nothing begins for a client later than this after it has left.
+/// No attempt may start for a client later than this after it has disconnected.
 const AFTER_CLIENT_LEFT: Duration = Duration::from_millis(100);
-/// An attempt is told at most so much more than what is left of its client's time.
+/// The timeout of an attempt may exceed its client's remaining time by this.
 const TIMEOUT_SLACK: Duration = Duration::from_millis(150);
-/// Nothing new goes to a member later than this after word that it drains or is gone.
+/// A member may get no new requests later than this after the notification that it is draining or gone.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
-/// A change counts as notified this long after the service could be reached.
+/// Gateways must have received a change this long after the list service is reachable again.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 /// The bound on the staleness of bounded reads.
 const STALENESS_BOUND: Duration = Duration::from_secs(2);
-/// A client that stops inside a message gets its error or its close within this.
+/// A client that stops inside a message must get an error or a close within this time.
 const STALLED_CLIENT_WITHIN: Duration = Duration::from_secs(3);
-/// A gateway is ready within this.
+/// A gateway must be ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// A request that a closing connection crossed ends sooner than this, unread.
+/// A request that crossed the gateway's close of the connection ends within this time, without being read.
 const CROSSING: Duration = Duration::from_millis(50);
-/// What the platform grants a gateway: memory in MiB and descriptors.
+/// The platform's limits of a gateway: memory in MiB and descriptors.
 const MEMORY_MIB: f64 = 192.0;
 const DESCRIPTORS: usize = 256;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Violation {
-    /// A request got no final answer, or later than half a second after its time.
+    /// A request got no final answer, or got it later than half a second after its timeout.
     Lost(RequestRecord),
-    /// It got more than one.
+    /// A request got more than one answer.
     AnsweredTwice(RequestRecord),
-    /// A write came this often to members that may have run it.
+    /// A write arrived this many times at members that may have run it.
     RepeatedWrite(String, usize),
-    /// An attempt began this long after its client had left.
+    /// An attempt started this long after its client had disconnected.
     BegunAfterClientLeft(Arrival, Duration),
-    /// A member got a request this long after word that it drains or is gone.
+    /// A draining or gone member got a request this long after the end of the grace time.
     SentToDraining(Arrival, Duration),
-    /// A bounded read ran on data that was too old.
+    /// A bounded read ran on data older than its bound.
     Stale(Arrival),
-    /// A session did not see its own write. With where the read and that write ran.
+    /// A session did not see its own write. Includes the arrivals of the read and of that write.
     OwnWriteMissed(RequestRecord, Vec<Arrival>),
-    /// An attempt was told this much more time than its client had left.
+    /// The timeout of an attempt exceeded its client's remaining time by this.
     ToldTooMuchTime(Arrival, Duration),
-    /// A client that stopped inside a message was kept.
+    /// A gateway did not disconnect a client that stopped inside a message in time.
     StalledClientKept(usize),
     /// A gateway was not ready in time.
     NotReady(usize),
-    /// A gateway holds something although its clients have gone, or took more than it is granted.
+    /// A gateway holds a resource after its clients have disconnected, or exceeded the platform's limit.
     NotAtRest(usize, String),
 }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// Every rule that a record shows broken.
+/// All violations that a record shows.
 pub fn judge(record: &SoakRecord) -> Vec<Violation> {
     let judge = Judge::new(record);
     let mut violations = Vec::new();
@@ -82,7 +83,7 @@
     record: &'a SoakRecord,
     requests: HashMap<&'a str, &'a RequestRecord>,
     arrivals: HashMap<&'a str, usize>,
-    /// The place of each write in the order in which they ran.
+    /// The position of each write in execution order.
     write_ranks: HashMap<&'a str, usize>,
 }
 
@@ -127,8 +128,8 @@
         violations
     }
 
-    /// Whether the write of one value ran before that of another; no value is before all. A write whose client left, or whose
-    /// outcome is not known, may run after one that was answered later.
+    /// Whether the write of `value` ran before that of `other`; `None` precedes all values. Execution order decides, as a write
+    /// whose client disconnected, or whose outcome is unknown, may run after one that was sent and answered later.
     fn ran_before(&self, value: Option<u64>, other: Option<u64>) -> bool {
         let rank = |value: Option<u64>| {
             let id = value.map(write_id)?;
@@ -137,7 +138,7 @@
         rank(value) < rank(other)
     }
 
-    /// With the arrivals of the read and of the write that it should have shown.
+    /// The violation with the arrivals of the read and of the write that it should have shown.
     fn own_write_missed(&self, request: &RequestRecord) -> Violation {
         let write = request.last_own_write.map(write_id);
         let arrivals = self.record.arrivals.iter();
@@ -179,7 +180,7 @@
         violations
     }
 
-    /// How long after its grace a member that drains or is gone got a request; `None`: it did not.
+    /// How long after the end of the grace time the request arrived at a draining or gone member; `None`: it did not.
     fn after_drain(&self, arrival: &Arrival) -> Option<Duration> {
         let announcements = self.record.announcements.iter();
         let last = announcements
@@ -195,7 +196,8 @@
             .filter(|after| !after.is_zero())
     }
 
-    /// When a change that the service had at this time counts as notified: at once, or so long after the last outage.
+    /// By when gateways must have received a change that the list service had at this time: immediately, or `NOTIFIED_WITHIN`
+    /// after the last outage that delays it.
     fn notified_at(&self, changed_at: Duration) -> Duration {
         let mut at = changed_at;
         loop {
--- a/crates/stackgw-testkit/src/soak/mod.rs
+++ b/crates/stackgw-testkit/src/soak/mod.rs
@@ -1,7 +1,7 @@
-//! A soak: gateways as real processes, members, a list service and clients, with faults that one seed draws.
+//! A soak test: gateways as real processes, members, a list service and clients, with faults drawn from one seed.
 //!
-//! [`SoakPlan::draw`] draws the schedule, [`run_soak`] plays it, and [`judge`] reads what clients, members and the list service
-//! wrote down; the gateways' own word counts for nothing but what they hold at the end.
+//! [`SoakPlan::draw`] draws the schedule, [`run_soak`] runs it, and [`judge`] checks the record of clients, members and the
+//! list service. Of the gateways' own reports, only those about the resources that they hold at the end are used.
 
 mod clients;
 mod judge;
--- a/crates/stackgw-testkit/src/soak/plan.rs
+++ b/crates/stackgw-testkit/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! The schedule of a soak: which faults come when, drawn by one seed.
+//! The schedule of a soak: its faults and their times, drawn from one seed.
 
 use crate::list_revisions::ListedPhase;
 use crate::list_service::ServiceState;
@@ -6,50 +6,51 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Of so many seeds one has a crowd of idle clients that fills the descriptors.
+/// One in this many seeds has idle clients that use up the gateways' descriptors.
 const SEEDS_PER_CROWD: u64 = 4;
-/// More than the places that a gateway of the testkit has for clients.
+/// The number of idle clients; more than a gateway of the testkit can hold.
 const CROWD_SIZE: usize = 140;
-/// So many faults come a second, on average.
+/// The average rate of faults.
 const FAULTS_PER_SECOND: f64 = 1.2;
-/// A gateway may be held up for so long at any moment.
+/// How long a gateway's process may be paused at any time.
 const HOLD_UP: Duration = Duration::from_millis(150);
-/// No fault begins later than this before the end, so that what it did is judged.
+/// No fault begins within this time before the end, so that its effects are part of the record.
 const QUIET_END: Duration = Duration::from_secs(6);
-/// The first member is the primary at the start; it neither drains nor goes.
+/// The first member is the primary at the start; it is never listed as draining or gone.
 const FIRST_REPLICA: usize = 1;
 
-/// A fault and how long it lasts.
+/// A fault and its duration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SoakFault {
     /// The list service is in this state.
     ListService(ServiceState, Duration),
-    /// A member takes requests and answers none.
+    /// A member accepts requests but never answers.
     MemberHangs(usize, Duration),
-    /// A member answers this much later, in milliseconds.
+    /// A member's answers are delayed by this many milliseconds.
     MemberSlows(usize, u64, Duration),
-    /// A member's connections break in place of the answers to writes.
+    /// A member breaks connections instead of answering writes.
     MemberDropsWriteReplies(usize, Duration),
-    /// A replica falls this far behind, in milliseconds.
+    /// A replica's lag grows to this many milliseconds.
     ReplicaLags(usize, u64, Duration),
-    /// A member is in this phase of the list, and then ready again.
+    /// A member is listed with this phase, and then as ready again.
     MemberLeaves(usize, ListedPhase, Duration),
-    /// Another member becomes the primary; the list has it so much later.
+    /// A member becomes the primary; the list shows it after this delay.
     PrimaryMoves(usize, Duration),
-    /// A gateway's process is stopped.
+    /// A gateway's process is paused.
     GatewayHeldUp(usize, Duration),
-    /// A gateway reads its configuration anew, this often in a row.
+    /// A gateway reloads its configuration this many times in a row.
     GatewayReloads(usize, u32),
-    /// A gateway shuts down, with so many further signals while it does, is killed when the page says and started anew.
+    /// A gateway is terminated, gets this many further signals while it shuts down, is killed if it takes longer than the
+    /// platform's grace time, and restarted.
     GatewayRestarts(usize, u32),
     /// A client sends large statements and reads nothing.
     ClientFloods(usize, Duration),
-    /// A client stops inside a message and stays.
+    /// A client stops inside a message and keeps its connection open.
     ClientStalls(usize),
 }
 
 impl SoakFault {
-    /// The fault's kind, for tables.
+    /// The name of the fault's kind, for tables.
     pub fn name(&self) -> &'static str {
         match self {
             SoakFault::ListService(ServiceState::Down, _) => "list down",
@@ -70,36 +71,36 @@
     }
 }
 
-/// A fault and when it begins.
+/// A fault and its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
-    /// When, since the start.
+    /// The start of the fault, relative to the start of the soak.
     pub at: Duration,
-    /// What.
+    /// The fault.
     pub fault: SoakFault,
 }
 
 /// A soak's schedule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SoakPlan {
-    /// The seed that drew it.
+    /// The seed from which the schedule was drawn.
     pub seed: u64,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub duration: Duration,
-    /// How many gateways there are.
+    /// The number of gateways.
     pub gateways: usize,
-    /// How many replicas there are.
+    /// The number of replicas.
     pub replicas: usize,
-    /// How many clients ask at each gateway.
+    /// The number of clients that send requests to each gateway.
     pub clients_per_gateway: usize,
-    /// How many idle clients each gateway has besides.
+    /// The number of additional idle clients of each gateway.
     pub crowd: usize,
-    /// In the order of their times.
+    /// The faults, ordered by start.
     pub faults: Vec<PlannedFault>,
 }
 
 impl SoakPlan {
-    /// Draws the schedule of a seed.
+    /// Draws the schedule for a seed.
     pub fn draw(seed: u64, duration: Duration) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut plan = SoakPlan {
--- a/crates/stackgw-testkit/src/soak/records.rs
+++ b/crates/stackgw-testkit/src/soak/records.rs
@@ -1,148 +1,148 @@
-//! What is written down while a soak runs. All times are since its start.
+//! The record of a soak. All times are relative to its start.
 
 use crate::list_revisions::ListedPhase;
 use std::time::Duration;
 
-/// What a request does.
+/// The kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A write, which may not run twice.
+    /// A write, which must not run twice.
     Write,
-    /// A read that has to show its session's last write.
+    /// A read that must show its session's last write.
     SessionRead,
     /// A read with a bound on staleness.
     BoundedRead,
 }
 
-/// How a request ended for its client.
+/// The outcome of a request, as its client saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With this value; `None`: none was written yet.
+    /// Served with this value; `None`: no value was written yet.
     Served(Option<u64>),
-    /// It did not run.
+    /// The request did not run.
     Rejected,
-    /// It may have run.
+    /// The request may have run.
     Failed,
-    /// The connection ended, and no answer came.
+    /// The connection closed without an answer.
     Disconnected,
-    /// The client waited for long after its time, and no answer came.
+    /// No answer arrived, although the client waited far beyond its timeout.
     Unanswered,
-    /// More than one answer came.
+    /// More than one answer arrived.
     AnsweredTwice,
-    /// The client left and did not wait for the answer.
+    /// The client disconnected without waiting for the answer.
     Left,
 }
 
 /// A request, as its client saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestRecord {
-    /// Its id.
+    /// The request's id.
     pub id: String,
-    /// What it does.
+    /// The request's kind.
     pub kind: RequestKind,
-    /// The gateway that it was sent to.
+    /// The gateway to which the request was sent.
     pub gateway: usize,
-    /// When its last byte had been written.
+    /// When the request's last byte had been written.
     pub sent_at: Duration,
-    /// How long its client waits.
+    /// The request's timeout.
     pub timeout: Duration,
-    /// When the client had its answer, or had left.
+    /// When the client had received the answer, or had disconnected.
     pub ended_at: Duration,
-    /// How it ended.
+    /// The request's outcome.
     pub end: RequestEnd,
-    /// The last value that was served for a write of its session on the same connection, before it was sent.
+    /// The last value for which a write on the same connection was served before this request was sent.
     pub last_own_write: Option<u64>,
 }
 
-/// A request's last byte has come to a member.
+/// The arrival of a request at a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
     /// The request's id.
     pub id: String,
-    /// The member.
+    /// The member's index.
     pub member: usize,
-    /// When it came.
+    /// When the request's last byte arrived.
     pub at: Duration,
-    /// The time that it was told to have.
+    /// The timeout that the gateway sent with the request.
     pub timeout: Duration,
-    /// The member says that it is no primary, if the request is a write: it does not run there.
+    /// Whether the request is a write to which the member answers that it is not the primary: it does not run there.
     pub is_refused_write: bool,
-    /// How old the member's data was, for a bounded read of a replica.
+    /// The age of the member's data.
     pub staleness: Duration,
 }
 
 /// A span of time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Interval {
-    /// Its begin.
+    /// The start of the span.
     pub from: Duration,
-    /// Its end.
+    /// The end of the span.
     pub to: Duration,
 }
 
-/// The list has a member in another phase from now on.
+/// A change of a member's phase in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Announcement {
-    /// The member.
+    /// The member's index.
     pub member: usize,
-    /// Its phase.
+    /// The member's new phase.
     pub phase: ListedPhase,
-    /// When the service had it.
+    /// When the list service had the change.
     pub at: Duration,
 }
 
-/// A client that stopped inside a message and stayed.
+/// A client that stopped inside a message and kept its connection open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientMisuse {
-    /// The gateway.
+    /// The gateway's index.
     pub gateway: usize,
-    /// When it had sent its last byte.
+    /// When the client had sent its last byte.
     pub stopped_at: Duration,
-    /// When it got an error or a close; `None`: it got neither.
+    /// When the gateway sent an error or closed the connection; `None`: it did neither.
     pub ended_at: Option<Duration>,
 }
 
-/// A gateway was started.
+/// A start of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayStart {
-    /// The gateway.
+    /// The gateway's index.
     pub gateway: usize,
-    /// When it listened.
+    /// When the gateway listened.
     pub at: Duration,
-    /// When it said that it was ready; `None`: it did not.
+    /// When the gateway answered that it was ready; `None`: it did not.
     pub ready_at: Option<Duration>,
 }
 
-/// What a gateway holds once its clients have gone.
+/// The resources of a gateway after its clients have disconnected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewayRest {
-    /// The gateway.
+    /// The gateway's index.
     pub gateway: usize,
-    /// Counters of what is open or buffered that are not 0, as `name=value`.
+    /// The counters of open and buffered resources that are not 0, as `name=value`.
     pub not_at_rest: Vec<String>,
-    /// Its peak memory in MiB.
+    /// The gateway's peak memory, in MiB.
     pub peak_memory_mib: f64,
-    /// The most descriptors that it was seen with.
+    /// The number of open descriptors.
     pub descriptors: usize,
 }
 
-/// Everything that was written down.
+/// The complete record of a soak.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SoakRecord {
     /// Requests, as their clients saw them.
     pub requests: Vec<RequestRecord>,
-    /// What came to members.
+    /// Arrivals of requests at members.
     pub arrivals: Vec<Arrival>,
-    /// The ids of writes, in the order in which they ran.
+    /// The ids of writes, in execution order.
     pub write_order: Vec<String>,
-    /// Changes of the list.
+    /// Changes of members' phases in the list.
     pub announcements: Vec<Announcement>,
-    /// When the list service could not be reached or did not serve.
+    /// The times in which the list service was unreachable or did not serve.
     pub list_outages: Vec<Interval>,
     /// Clients that stopped inside a message.
     pub misuses: Vec<ClientMisuse>,
     /// Starts of gateways.
     pub starts: Vec<GatewayStart>,
-    /// What gateways hold at the end.
+    /// The resources of each gateway at the end.
     pub rests: Vec<GatewayRest>,
 }
--- a/crates/stackgw-testkit/src/soak/run.rs
+++ b/crates/stackgw-testkit/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! Plays the schedule of a soak.
+//! Runs the schedule of a soak.
 
 use super::clients::{flood, stall, IdleCrowd, SoakClient, SoakState};
 use super::plan::{SoakFault, SoakPlan};
@@ -17,27 +17,27 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// SIGKILL comes this long after SIGTERM at the earliest: the longest deadline and 0.7 s.
+/// The least time between SIGTERM and SIGKILL that the platform grants: the longest deadline plus 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(3_700);
-/// New connections still come for so long after SIGTERM.
+/// How long new connections still arrive after SIGTERM.
 const FRONT_NOTICES_AFTER: Duration = Duration::from_millis(300);
-/// Between the further signals of a shutdown, and between those of a series.
+/// The interval between the further signals of a shutdown, and between those of a series.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(60);
-/// How long a gateway may take to be ready before the soak goes on without it.
+/// How long the soak waits for a gateway to be ready before it continues without it.
 const READY_TIMEOUT: Duration = Duration::from_secs(12);
-/// How long gateways have to come to rest once their clients have gone.
+/// How long gateways may take to release all resources after their clients have disconnected.
 const REST_TIMEOUT: Duration = Duration::from_secs(8);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A lagging replica's position is moved this often.
+/// The interval at which a lagging replica's position is updated.
 const LAG_STEP: Duration = Duration::from_millis(5);
 const CROWD_INTERVAL: Duration = Duration::from_millis(250);
-/// Counters of what is open or buffered.
+/// The counters of open and buffered resources, which must be 0 without clients.
 const AT_REST_COUNTERS: [&str; 3] = ["clients_open", "buffered_bytes", "read_ahead_bytes"];
 
-/// Starts a group and gateways of this program in a folder of their own, plays the plan, and gives what was written down.
+/// Starts a group, and gateways of this program with their files in this folder, runs the plan, and returns the record.
 ///
 /// # Errors
-/// Where a gateway does not start.
+/// If a gateway does not start.
 pub fn run_soak(
     plan: &SoakPlan,
     program: PathBuf,
@@ -87,14 +87,14 @@
     plan: &'a SoakPlan,
     group: &'a ReplicaGroup,
     state: &'a SoakState<'a>,
-    /// Each held while its gateway is restarted.
+    /// By gateway; locked during its restart.
     restarting: Vec<Mutex<()>>,
-    /// Held while a replica lags.
+    /// Locked while a replica lags.
     lagging: Mutex<()>,
 }
 
 impl Soak<'_> {
-    /// Runs clients and faults, each on a thread of its own, to the plan's end.
+    /// Runs clients and faults, each on its own thread, until the plan's end.
     fn play(&self) {
         std::thread::scope(|scope| {
             for gateway in 0..self.plan.gateways {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Makes another member the primary. The one before it has all that was committed, and goes on without a lag.
+    /// Makes a member the primary. The former primary has all commits and continues as a replica without lag.
     fn move_primary(&self, member: usize) {
         let members = self.group.members.iter();
         for primary in members.filter(|member| member.is_primary()) {
@@ -192,11 +192,12 @@
         self.group.promote(member);
     }
 
-    /// A replica applies nothing until it is so far behind, stays so for the rest of the time, and catches up at once. One
-    /// that was the primary meanwhile does not fall back behind what it has committed.
+    /// Makes a replica apply nothing until it lags by `ms`, keep that lag for the rest of the time, and then catch up
+    /// immediately. If the replica has been the primary meanwhile, its lag is left as it is, so that it does not fall back
+    /// behind its own commits.
     fn lag(&self, member: usize, ms: u64, time: Duration) {
         let Ok(_one_at_a_time) = self.lagging.try_lock() else {
-            // A second one would set the position of the first one's replica back.
+            // A second concurrent fault would set back the position of the first one's replica.
             return;
         };
         let lag = &self.group.members[member].lag_ms;
@@ -235,7 +236,8 @@
             .push(Announcement { member, phase, at });
     }
 
-    /// Shuts a gateway down while its clients go on using their connections, kills it when the page says, and starts it anew.
+    /// Shuts a gateway down while its clients keep using their connections, kills it if it still runs after `KILL_AFTER`, and
+    /// restarts it.
     fn restart(&self, gateway: usize, signals: u32) {
         let Ok(_one_at_a_time) = self.restarting[gateway].try_lock() else {
             return;
@@ -283,7 +285,7 @@
         lock(&self.state.record).starts.push(start);
     }
 
-    /// Notes what gateways still hold once their clients have gone and there has been time.
+    /// Records the resources that gateways still hold some time after their clients have disconnected.
     fn note_rests(&self) {
         let deadline = Instant::now() + REST_TIMEOUT;
         for gateway in 0..self.plan.gateways {
@@ -302,7 +304,7 @@
         }
     }
 
-    /// The counters that are not 0 although nothing is open; one line where the gateway does not say.
+    /// The resource counters that are not 0; a single entry `no counters` if the gateway does not log them.
     fn open_counters(&self, gateway: usize) -> Vec<String> {
         let Some(line) = self.state.gateways.counters(gateway) else {
             return vec!["no counters".to_owned()];
--- a/crates/stackgw-testkit/src/statements.rs
+++ b/crates/stackgw-testkit/src/statements.rs
@@ -1,8 +1,8 @@
-//! The statements of the fakes: their group, their classes and their texts.
+//! The statements of the fakes: their group, classes and texts.
 
 use std::time::Duration;
 
-/// The number of the one replication group.
+/// The number of the only replication group.
 pub const GROUP: u32 = 2;
 
 /// The bound on staleness of the class [`BOUNDED_READ_CLASS`].
@@ -17,24 +17,24 @@
 /// The class of writes.
 pub(crate) const WRITE_CLASS: &str = "buy";
 
-/// How a write's text begins.
+/// The keyword at the start of a write.
 pub(crate) const WRITE_KEYWORD: &str = "INSERT";
 
 /// The statement of a health check.
 pub(crate) const HEALTH_CHECK: &str = "SHOW server_load";
 
-/// How long clients wait for reads.
+/// The default timeout of reads.
 pub(crate) const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long clients wait for writes.
+/// The default timeout of writes.
 pub(crate) const WRITE_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// A write of this value.
+/// A write of this value, with the default timeout.
 pub(crate) fn write_statement(id: &str, key: &str, value: u64) -> String {
     timed_write_statement(id, key, value, WRITE_TIMEOUT)
 }
 
-/// A write of this value with so much time for its answer.
+/// A write of this value, with this timeout.
 pub(crate) fn timed_write_statement(id: &str, key: &str, value: u64, timeout: Duration) -> String {
     let timeout_ms = timeout.as_millis();
     format!(
@@ -43,7 +43,7 @@
     )
 }
 
-/// A read of this class with so much time for its answer.
+/// A read of this class, with this timeout.
 pub(crate) fn timed_read_statement(id: &str, key: &str, class: &str, timeout: Duration) -> String {
     let timeout_ms = timeout.as_millis();
     format!(
@@ -51,7 +51,7 @@
     )
 }
 
-/// A read of this class.
+/// A read of this class, with the default timeout.
 pub(crate) fn read_statement(id: &str, key: &str, class: &str) -> String {
     timed_read_statement(id, key, class, READ_TIMEOUT)
 }
--- a/crates/stackgw-testkit/src/statistics.rs
+++ b/crates/stackgw-testkit/src/statistics.rs
@@ -1,9 +1,9 @@
-//! Figures about series of measurements.
+//! Statistics of series of measurements.
 
 use serde::Serialize;
 use std::time::Duration;
 
-/// The window in which peaks of requests and connections are taken.
+/// The window over which peaks of requests and connections are counted.
 pub(crate) const PEAK_WINDOW: Duration = Duration::from_millis(100);
 
 /// The 50th and the 99th percentile, in microseconds. Serialized as a list of the two.
@@ -12,7 +12,7 @@
 pub struct Percentiles {
     /// Half of the values are at most this.
     pub p50: u64,
-    /// Of a hundred values 99 are at most this.
+    /// 99% of the values are at most this.
     pub p99: u64,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl Percentiles {
-    /// The percentiles of these values, which get sorted; 0 where there are none.
+    /// The percentiles of these values, which are sorted in place; 0 if there are no values.
     pub(crate) fn of(values: &mut [u64]) -> Self {
         values.sort_unstable();
         let at = |fraction: f64| {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The most events that fall into any window of this length; the moments are in order.
+/// The most events within any window of this length. The times must be in ascending order.
 pub fn peak_in_window(moments: impl IntoIterator<Item = Duration>, window: Duration) -> usize {
     let moments: Vec<_> = moments.into_iter().collect();
     let mut first = 0;
--- a/crates/stackgw-testkit/tests/soak_judge.rs
+++ b/crates/stackgw-testkit/tests/soak_judge.rs
@@ -1,4 +1,5 @@
-//! The judge of a soak says each broken rule, and nothing of what is allowed: each test gives it a record with one break.
+//! `judge` reports each violation of a soak's rules and nothing that is allowed. Each test passes it records that break one
+//! rule, and records that are just within that rule.
 
 use stackgw_testkit::soak::{
     judge, Announcement, Arrival, ClientMisuse, GatewayRest, GatewayStart, Interval, RequestEnd,
@@ -11,7 +12,7 @@
     Duration::from_millis(ms)
 }
 
-/// A request sent after 20 s with a second for its answer, which came after 50 ms.
+/// A request sent at 20 s with a timeout of 1 s, answered after 50 ms.
 fn request(kind: RequestKind, end: RequestEnd) -> RequestRecord {
     RequestRecord {
         id: "k1".to_owned(),
@@ -29,7 +30,7 @@
     request(kind, RequestEnd::Served(Some(7)))
 }
 
-/// Its arrival at the second member, 10 ms after it was sent.
+/// The arrival of that request at the second member, 10 ms after it was sent.
 fn arrival() -> Arrival {
     Arrival {
         id: "k1".to_owned(),
@@ -77,7 +78,7 @@
     assert_eq!(names(&record(broken.clone(), vec![arrival()])), ["Lost"]);
     assert!(
         names(&record(broken.clone(), vec![])).is_empty(),
-        "it crossed a close"
+        "it crossed the gateway's close"
     );
     let read = RequestRecord {
         ended_at: ms(20_060),
@@ -86,7 +87,7 @@
     assert_eq!(
         names(&record(read, vec![])),
         ["Lost"],
-        "too late to have crossed it"
+        "too late to have crossed the close"
     );
 }
 
@@ -161,7 +162,7 @@
 
 #[test]
 fn a_session_that_misses_its_own_write_is_told() {
-    // The write of 5 was sent before that of 7 and ran after it, as its client had not waited.
+    // The write of 5 was sent before that of 7 but ran after it, as its client had not waited for the answer.
     let read = |value| SoakRecord {
         requests: vec![RequestRecord {
             last_own_write: Some(7),
@@ -176,7 +177,7 @@
     assert_eq!(names(&read(None)), ["OwnWriteMissed"]);
 }
 
-/// A member that has been in this phase since some time before its request.
+/// A record in which the member was listed with this phase `before` its request arrived.
 fn announced(phase: ListedPhase, before: Duration) -> SoakRecord {
     SoakRecord {
         announcements: vec![Announcement {
@@ -211,7 +212,7 @@
     assert_eq!(
         names(&during(8_000, [14_000, 16_000])),
         ["SentToDraining"],
-        "it came later"
+        "the outage came later"
     );
 }
 
@@ -273,7 +274,7 @@
     assert_eq!(draw(3), draw(3));
     assert_ne!(draw(3).faults, draw(5).faults);
     assert!(draw(4).crowd > 0 && draw(5).crowd == 0);
-    // Fifty seeds draw every fault.
+    // Fifty seeds together draw every fault.
     let faults = (1..=50).flat_map(|seed| draw(seed).faults);
     let drawn: std::collections::BTreeSet<_> = faults.map(|planned| planned.fault.name()).collect();
     assert_eq!(drawn.len(), 14, "{drawn:?}");
--- a/crates/stackgw-testkit/tests/unit/slow_start_model.rs
+++ b/crates/stackgw-testkit/tests/unit/slow_start_model.rs
@@ -1,4 +1,4 @@
-//! What of `slow_start_model.rs` is seen from inside only.
+//! Unit tests of `slow_start_model.rs` that need its private items.
 
 use super::*;
 
@@ -36,6 +36,6 @@
     assert!(cold.observed().peak_overload > 1.0 && cold.request(at(300)) == WorkOutcome::Collapsed);
     assert!(
         matches!(cold.handshake(at(900)), WorkOutcome::DoneAfter(_)),
-        "it is back"
+        "it has restarted"
     );
 }
