--- a/crates/stackgw-testkit/src/audit.rs
+++ b/crates/stackgw-testkit/src/audit.rs
@@ -43,12 +43,16 @@
     Verdict {
         seed: plan.seed,
         kills: injector.kills(),
-        ..judge(&record, &group.executions(), before.reads)
+        ..compute_verdict(&record, &group.executions(), before.reads)
     }
 }
 
 /// Compares the outcomes that clients saw with what members executed.
-fn judge(record: &SharedRecord, executions: &ExecutionLog, reads_before: ReadsByRole) -> Verdict {
+fn compute_verdict(
+    record: &SharedRecord,
+    executions: &ExecutionLog,
+    reads_before: ReadsByRole,
+) -> Verdict {
     let write_outcomes = lock(&record.write_outcomes);
     let count = |is_wrong: &dyn Fn(&RequestOutcome, u32) -> bool| {
         let writes = write_outcomes.iter();
--- a/crates/stackgw-testkit/src/audit_client.rs
+++ b/crates/stackgw-testkit/src/audit_client.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    fn note_miss(&self, text: String) {
+    fn record_miss(&self, text: String) {
         let mut misses = lock(&self.first_misses);
         if misses.len() < MAX_DESCRIBED_MISSES {
             misses.push(text);
@@ -67,7 +67,7 @@
 }
 
 /// A served request.
-struct Served {
+struct ServedRequest {
     value: Vec<u8>,
     gateway: usize,
 }
@@ -115,11 +115,11 @@
         while lock(&self.record.counts).pairs < self.plan.pairs
             && self.record.started.elapsed() < self.plan.time_limit
         {
-            self.play_pair();
+            self.run_pair();
         }
     }
 
-    fn play_pair(&mut self) {
+    fn run_pair(&mut self) {
         if self.rng.random_range(0..PAIRS_PER_SESSION) == 0 {
             self.session += 1;
             self.value = 0;
@@ -144,7 +144,7 @@
     }
 
     /// Compares the value of a read with the session's last write.
-    fn check_read(&self, key: &str, write_gateway: usize, read: &Served, is_of_pair: bool) {
+    fn check_read(&self, key: &str, write_gateway: usize, read: &ServedRequest, is_of_pair: bool) {
         let shown = std::str::from_utf8(&read.value)
             .ok()
             .and_then(|hex| u64::from_str_radix(hex, 16).ok());
@@ -152,7 +152,7 @@
         counts.pairs += u64::from(is_of_pair);
         if shown.unwrap_or(0) < self.value {
             counts.misses += 1;
-            self.record.note_miss(format!(
+            self.record.record_miss(format!(
                 "{key}: wrote {} through g{write_gateway}, g{} showed {shown:?}",
                 self.value, read.gateway
             ));
@@ -160,7 +160,7 @@
     }
 
     /// Sends a request through one of the gateways and records its outcome; `None` if it was not served.
-    fn request(&mut self, key: &str, operation: Operation) -> Option<Served> {
+    fn request(&mut self, key: &str, operation: Operation) -> Option<ServedRequest> {
         self.requests += 1;
         let id = format!("s{:x}c{:x}r{:x}", self.plan.seed, self.index, self.requests);
         let gateway = self.choose_gateway()?;
@@ -184,7 +184,7 @@
             lock(&self.record.write_outcomes).insert(id, outcome.clone());
         }
         match outcome {
-            RequestOutcome::Served(value) => Some(Served { value, gateway }),
+            RequestOutcome::Served(value) => Some(ServedRequest { value, gateway }),
             RequestOutcome::Rejected | RequestOutcome::Failed => {
                 std::thread::sleep(RETRY_PAUSE);
                 None
--- a/crates/stackgw-testkit/src/cold_connect.rs
+++ b/crates/stackgw-testkit/src/cold_connect.rs
@@ -24,7 +24,7 @@
 const KEYS: u64 = 50;
 
 /// The number of runs so far, which makes request ids unique across runs.
-static RUNS: AtomicU64 = AtomicU64::new(0);
+static NEXT_RUN_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 /// The load of all clients.
 #[derive(Debug, Clone)]
@@ -70,7 +70,7 @@
             load: self,
             gateways,
             started,
-            number: RUNS.fetch_add(1, Ordering::Relaxed),
+            number: NEXT_RUN_NUMBER.fetch_add(1, Ordering::Relaxed),
             report: Mutex::default(),
             writes: Mutex::default(),
             is_over: AtomicBool::new(false),
--- a/crates/stackgw-testkit/src/fault_injection.rs
+++ b/crates/stackgw-testkit/src/fault_injection.rs
@@ -11,7 +11,7 @@
 const SEED_MASK: u64 = 0x5eed;
 
 /// The number of equally likely draws from which the fault of each round is chosen.
-const LOTS: u32 = 10;
+const FAULT_DRAWS: u32 = 10;
 
 /// The replication lag of a slow replica.
 const SLOW_REPLICA_LAG_MS: u64 = 3_000;
@@ -58,7 +58,7 @@
 impl Faults {
     /// Draws a fault; the kill of one gateway replaces a fault that is off.
     fn draw(&self, rng: &mut SmallRng) -> Fault {
-        let fault = match rng.random_range(0..LOTS) {
+        let fault = match rng.random_range(0..FAULT_DRAWS) {
             0 => self.kill_all.then_some(Fault::KillAll),
             1 => self.pause.map(Fault::Pause),
             2 => self.slow_replica.then_some(Fault::SlowReplica),
--- a/crates/stackgw-testkit/src/flight_client.rs
+++ b/crates/stackgw-testkit/src/flight_client.rs
@@ -31,7 +31,7 @@
 }
 
 /// Gets a ticket for a statement, and opens the stream of its answer.
-pub(crate) async fn begin(
+pub(crate) async fn open_stream(
     client: &mut SqlClient,
     statement: String,
 ) -> Result<MessageStream, TestkitError> {
--- a/crates/stackgw-testkit/src/gateway_fleet.rs
+++ b/crates/stackgw-testkit/src/gateway_fleet.rs
@@ -28,12 +28,12 @@
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The text that precedes the counters in a gateway's log.
-const COUNTERS_LINE: &str = "counters ";
+const COUNTERS_PREFIX: &str = "counters ";
 
 /// The text that precedes the address of the PostgreSQL listener in a gateway's log.
-const LISTENING_LINE: &str = "listening on ";
+const LISTENING_PREFIX: &str = "listening on ";
 /// The text that precedes the address of the Flight SQL listener in a gateway's log.
-const FLIGHT_LINE: &str = "flight sql at ";
+const FLIGHT_PREFIX: &str = "flight sql at ";
 
 /// The addresses at which a gateway listens, as far as it has logged them.
 #[derive(Debug, Default)]
@@ -196,13 +196,13 @@
         let log = self.files(index).log();
         let lines = || {
             let text = std::fs::read_to_string(&log).unwrap_or_default();
-            let lines = text.lines().filter(|line| line.contains(COUNTERS_LINE));
+            let lines = text.lines().filter(|line| line.contains(COUNTERS_PREFIX));
             lines.map(str::to_owned).collect::<Vec<_>>()
         };
         let before = lines().len();
         self.signal(index, Signal::USR1);
-        let asked = Instant::now();
-        while asked.elapsed() < COUNTERS_TIMEOUT {
+        let requested_at = Instant::now();
+        while requested_at.elapsed() < COUNTERS_TIMEOUT {
             let now = lines();
             if now.len() > before {
                 return now.into_iter().last();
@@ -358,10 +358,10 @@
 fn copy_log(stderr: ChildStderr, mut log: File, addresses: &Mutex<Addresses>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         let _ = writeln!(log, "{line}");
-        if let Some(address) = address_after(&line, LISTENING_LINE) {
+        if let Some(address) = address_after(&line, LISTENING_PREFIX) {
             lock(addresses).postgres = Some(address);
         }
-        if let Some(address) = address_after(&line, FLIGHT_LINE) {
+        if let Some(address) = address_after(&line, FLIGHT_PREFIX) {
             lock(addresses).flight_sql = Some(address);
         }
     }
--- a/crates/stackgw-testkit/src/measure/cold_start.rs
+++ b/crates/stackgw-testkit/src/measure/cold_start.rs
@@ -213,13 +213,13 @@
             ..ColdStartReport::default()
         };
 
-        report.start = rig.play_warm(&start_all);
+        report.start = rig.run_warm_phase(&start_all);
         on_phase(PHASE_NAMES[0], &report.start);
 
-        report.warm = rig.play_warm(&|| {});
+        report.warm = rig.run_warm_phase(&|| {});
         on_phase(PHASE_NAMES[1], &report.warm);
 
-        report.outage = rig.play_warm(&|| {
+        report.outage = rig.run_warm_phase(&|| {
             lists.set_state(ServiceState::Down);
             std::thread::sleep(OUTAGE_TIME);
             lists.set_state(ServiceState::Up);
@@ -228,11 +228,11 @@
 
         std::thread::sleep(AFTER_OUTAGE_TIME);
         lists.set_state(ServiceState::Down);
-        report.start_without_list = rig.play_warm(&start_all);
+        report.start_without_list = rig.run_warm_phase(&start_all);
         on_phase(PHASE_NAMES[3], &report.start_without_list);
 
         lists.set_state(ServiceState::Up);
-        report.start_with_cold_members = rig.play_cold(&start_all);
+        report.start_with_cold_members = rig.run_cold_phase(&start_all);
         on_phase(PHASE_NAMES[4], &report.start_with_cold_members);
         Ok(report)
     }
@@ -338,23 +338,23 @@
     }
 
     /// Runs a phase with warm members.
-    fn play_warm(&self, meanwhile: &(dyn Fn() + Sync)) -> PhaseReport {
+    fn run_warm_phase(&self, meanwhile: &(dyn Fn() + Sync)) -> PhaseReport {
         let model = self.plan.member_model();
         (0..self.members()).for_each(|member| self.group.set_capacity(member, model));
-        self.play(false, meanwhile)
+        self.run_phase(false, meanwhile)
     }
 
     /// Runs a phase with members whose processes have just started.
-    fn play_cold(&self, meanwhile: &(dyn Fn() + Sync)) -> PhaseReport {
+    fn run_cold_phase(&self, meanwhile: &(dyn Fn() + Sync)) -> PhaseReport {
         let model = self.plan.member_model();
         for member in 0..self.members() {
             self.group.set_cold_capacity(member, model);
         }
         (0..self.members()).for_each(|member| self.group.announce_start(member));
-        self.play(true, meanwhile)
+        self.run_phase(true, meanwhile)
     }
 
-    fn play(&self, are_members_cold: bool, meanwhile: &(dyn Fn() + Sync)) -> PhaseReport {
+    fn run_phase(&self, are_members_cold: bool, meanwhile: &(dyn Fn() + Sync)) -> PhaseReport {
         let lists = self.group.list_service();
         let (lists_since, group_since) = (lists.elapsed(), self.group.elapsed());
         let stale_before = self.group.executions().stale_reads;
--- a/crates/stackgw-testkit/src/measure/flight.rs
+++ b/crates/stackgw-testkit/src/measure/flight.rs
@@ -4,7 +4,9 @@
 use crate::client::Client;
 use crate::error::TestkitError;
 use crate::fleet_config::FleetConfig;
-use crate::flight_client::{begin, connect, next_message, read_to_end, MessageStream, SqlClient};
+use crate::flight_client::{
+    connect, next_message, open_stream, read_to_end, MessageStream, SqlClient,
+};
 use crate::gateway_fleet::GatewayFleet;
 use crate::process_stats::{cpu_time_us, peak_memory_mib};
 use crate::replica_group::{GroupConfig, Protocol, ReplicaGroup};
@@ -199,7 +201,7 @@
         block_on(async {
             let mut client = connect(address).await?;
             for number in 0..statements {
-                let mut stream = begin(&mut client, self.small_statement(number)).await?;
+                let mut stream = open_stream(&mut client, self.small_statement(number)).await?;
                 read_to_end(&mut stream).await?;
             }
             Ok(())
@@ -257,7 +259,7 @@
         );
         let started = Instant::now();
         loop {
-            match begin(client, statement.clone()).await {
+            match open_stream(client, statement.clone()).await {
                 Ok(stream) => return Ok(stream),
                 Err(error) if started.elapsed() > BEGIN_TIMEOUT => return Err(error),
                 Err(_) => tokio::time::sleep(BEGIN_RETRY_PAUSE).await,
--- a/crates/stackgw-testkit/src/member.rs
+++ b/crates/stackgw-testkit/src/member.rs
@@ -94,12 +94,12 @@
     }
 
     /// Records a commit as the primary. The member keeps what it committed when it becomes a replica.
-    pub(crate) fn note_commit(&self, commit_ms: u64) {
+    pub(crate) fn record_commit(&self, commit_ms: u64) {
         self.committed_ms.fetch_max(commit_ms, Ordering::SeqCst);
     }
 
     /// The present replication lag, in milliseconds.
-    pub(crate) fn lag_in_ms(&self) -> u64 {
+    pub(crate) fn effective_lag_ms(&self) -> u64 {
         if self.is_primary() {
             0
         } else {
--- a/crates/stackgw-testkit/src/postgres_member.rs
+++ b/crates/stackgw-testkit/src/postgres_member.rs
@@ -14,7 +14,7 @@
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// How often a member that does not answer checks whether its client is still connected.
-const PRESENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The protocol front end of one member.
 #[derive(Clone)]
@@ -66,9 +66,9 @@
         let member = &self.member;
         let is_startup = is_startup(&frame);
         let _in_flight = (!is_startup).then(|| member.begin_work());
-        self.log.note_arrival(self.index, member, &frame);
+        self.log.record_arrival(self.index, member, &frame);
         if member.is_unresponsive() && !is_startup {
-            return client_stays(socket, Duration::MAX).then_some(());
+            return wait_while_connected(socket, Duration::MAX).then_some(());
         }
         let outcome = member.admit(|load, now| admit_frame(load, now, &frame));
         let reply = match outcome {
@@ -80,7 +80,7 @@
             std::thread::sleep(time);
         }
         if let Some(delay) = member.delay() {
-            client_stays(socket, delay).then_some(())?;
+            wait_while_connected(socket, delay).then_some(())?;
         }
         if reply.is_write && member.is_dropping_write_replies() {
             let _ = socket.shutdown(Shutdown::Both);
@@ -171,7 +171,7 @@
 
 /// Waits for this time; returns false as soon as the client has closed its connection. Bytes that the client sends meanwhile
 /// stay unread, and a close that follows them is not noticed until the time is over.
-fn client_stays(socket: &TcpStream, time: Duration) -> bool {
+fn wait_while_connected(socket: &TcpStream, time: Duration) -> bool {
     let started = Instant::now();
     let mut byte = [0];
     loop {
@@ -179,7 +179,7 @@
         if left.is_zero() {
             return socket.set_read_timeout(None).is_ok();
         }
-        let timeout = left.min(PRESENCE_CHECK_INTERVAL);
+        let timeout = left.min(CONNECTION_CHECK_INTERVAL);
         if socket.set_read_timeout(Some(timeout)).is_err() {
             return false;
         }
--- a/crates/stackgw-testkit/src/replica_group.rs
+++ b/crates/stackgw-testkit/src/replica_group.rs
@@ -125,8 +125,8 @@
     }
 
     /// Starts to record the statements that arrive at members.
-    pub(crate) fn record_arrivals(&self) {
-        self.log.record_arrivals();
+    pub(crate) fn start_recording_arrivals(&self) {
+        self.log.start_recording_arrivals();
     }
 
     /// The recorded arrivals of statements at members.
--- a/crates/stackgw-testkit/src/replicated_log.rs
+++ b/crates/stackgw-testkit/src/replicated_log.rs
@@ -119,7 +119,7 @@
     /// The statement's timeout, in milliseconds.
     pub(crate) timeout_ms: u64,
     /// Whether the statement is a write to which the member answers that it is not the primary.
-    pub(crate) is_refused_write: bool,
+    pub(crate) is_misrouted_write: bool,
     /// The member's replication lag, in milliseconds.
     pub(crate) staleness_ms: u64,
 }
@@ -144,7 +144,7 @@
     }
 
     /// Starts to record the statements that arrive at members.
-    pub(crate) fn record_arrivals(&self) {
+    pub(crate) fn start_recording_arrivals(&self) {
         lock(&self.arrivals).get_or_insert_default();
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// Records the arrival of a message at a member, if it is a client's statement and arrivals are recorded.
-    pub(crate) fn note_arrival(&self, index: usize, member: &FakeMember, frame: &Frame) {
+    pub(crate) fn record_arrival(&self, index: usize, member: &FakeMember, frame: &Frame) {
         let at = Instant::now();
         let mut arrivals = lock(&self.arrivals);
         let Some(arrivals) = arrivals.as_mut() else {
@@ -166,10 +166,10 @@
                 member: index,
                 at,
                 timeout_ms: statement.wait_ms,
-                is_refused_write: statement.write
+                is_misrouted_write: statement.write
                     && !member.is_primary()
                     && !member.is_unresponsive(),
-                staleness_ms: member.lag_in_ms(),
+                staleness_ms: member.effective_lag_ms(),
             });
         }
     }
@@ -177,7 +177,7 @@
     /// Runs a statement at a member.
     pub(crate) fn execute(&self, member: &FakeMember, text: &str) -> StatementOutcome {
         // The member sees every commit up to its lag, and everything that it committed itself.
-        let replicated_ms = unix_ms().saturating_sub(member.lag_in_ms());
+        let replicated_ms = unix_ms().saturating_sub(member.effective_lag_ms());
         let position_ms = replicated_ms.max(member.committed_ms());
         if text == HEALTH_CHECK {
             return StatementOutcome::LoadReport(load_report(member, position_ms));
@@ -200,7 +200,7 @@
         }
         if member.is_primary() {
             let outcome = state.write(&statement, text);
-            member.note_commit(state.last_commit_ms);
+            member.record_commit(state.last_commit_ms);
             return outcome;
         }
         state.executions.misrouted_writes += 1;
@@ -256,9 +256,9 @@
     }
 
     fn count_read(&mut self, member: &FakeMember, statement: &Statement, position_ms: u64) {
-        let is_behind = unix_ms().saturating_sub(position_ms) > STALENESS_BOUND_MS;
+        let exceeds_bound = unix_ms().saturating_sub(position_ms) > STALENESS_BOUND_MS;
         let executions = &mut self.executions;
-        executions.stale_reads += u64::from(is_behind && statement.class == BOUNDED_READ_CLASS);
+        executions.stale_reads += u64::from(exceeds_bound && statement.class == BOUNDED_READ_CLASS);
         if member.is_primary() {
             executions.reads.primary += 1;
         } else {
--- a/crates/stackgw-testkit/src/slow_start_model.rs
+++ b/crates/stackgw-testkit/src/slow_start_model.rs
@@ -32,10 +32,11 @@
 impl SlowStartModel {
     /// Requests per second that a member of this age can serve; `None`: a warm member.
     pub(crate) fn rate_at(&self, age: Option<Duration>) -> f64 {
-        let warmth = age.map_or(1.0, |age| {
+        let warm_up_progress = age.map_or(1.0, |age| {
             age.as_secs_f64() / self.warm_up_time.as_secs_f64()
         });
-        self.warm_rate * (self.cold_fraction + (1.0 - self.cold_fraction) * warmth.min(1.0))
+        self.warm_rate
+            * (self.cold_fraction + (1.0 - self.cold_fraction) * warm_up_progress.min(1.0))
     }
 }
 
--- a/crates/stackgw-testkit/src/soak/clients.rs
+++ b/crates/stackgw-testkit/src/soak/clients.rs
@@ -1,7 +1,7 @@
 //! The clients of a soak: they send requests, pause, disconnect, stop inside messages and flood gateways. Each one has its own
 //! random numbers.
 
-use super::records::{ClientMisuse, RequestEnd, RequestKind, RequestRecord, SoakRecord};
+use super::records::{RequestEnd, RequestKind, RequestRecord, SoakRecord, StalledClient};
 use crate::client::{Client, RequestOutcome};
 use crate::gateway_fleet::GatewayFleet;
 use crate::statements::{
@@ -29,7 +29,7 @@
     pub(super) started: Instant,
     pub(super) record: Mutex<SoakRecord>,
     /// Whether clients may open new connections to each gateway.
-    pub(super) takes_clients: Vec<AtomicBool>,
+    pub(super) accepts_clients: Vec<AtomicBool>,
     pub(super) is_over: AtomicBool,
     next_id: AtomicU64,
 }
@@ -40,7 +40,7 @@
             gateways,
             started: Instant::now(),
             record: Mutex::default(),
-            takes_clients: (0..gateways.len()).map(|_| AtomicBool::new(true)).collect(),
+            accepts_clients: (0..gateways.len()).map(|_| AtomicBool::new(true)).collect(),
             is_over: AtomicBool::new(false),
             next_id: AtomicU64::new(1),
         }
@@ -54,26 +54,26 @@
         self.is_over.load(Ordering::Relaxed)
     }
 
-    fn next(&self) -> u64 {
+    fn next_number(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
     /// The first gateway at or after this one, cyclically, that accepts new clients.
-    fn open_gateway(&self, first: usize) -> Option<usize> {
+    fn find_accepting_gateway(&self, first: usize) -> Option<usize> {
         let count = self.gateways.len();
         let mut gateways = (0..count).map(|n| (first + n) % count);
-        gateways.find(|gateway| self.takes_clients[*gateway].load(Ordering::Relaxed))
+        gateways.find(|gateway| self.accepts_clients[*gateway].load(Ordering::Relaxed))
     }
 }
 
 /// What a client does after it has sent a request.
-enum Conduct {
+enum ClientBehavior {
     /// The client waits for the answer.
-    Waits,
+    WaitForAnswer,
     /// The client closes its connection this long after it has sent the request.
-    Closes(Duration),
+    Close(Duration),
     /// The client shuts down its sending side this long after it has sent the request, and keeps the connection for 200 ms.
-    HalfCloses(Duration),
+    HalfClose(Duration),
 }
 
 /// One client, which sends requests until the soak is over.
@@ -86,10 +86,10 @@
 
 impl<'a> SoakClient<'a> {
     pub(super) fn new(state: &'a SoakState<'a>, gateway: usize, number: usize, seed: u64) -> Self {
-        let mix = seed.wrapping_mul(1_000).wrapping_add(number as u64);
+        let client_seed = seed.wrapping_mul(1_000).wrapping_add(number as u64);
         SoakClient {
             state,
-            rng: SmallRng::seed_from_u64(mix),
+            rng: SmallRng::seed_from_u64(client_seed),
             gateway,
             key: format!("s{seed:x}c{number}"),
         }
@@ -97,7 +97,7 @@
 
     pub(super) fn run(mut self) {
         while !self.state.is_over() {
-            let gateway = self.state.open_gateway(self.gateway);
+            let gateway = self.state.find_accepting_gateway(self.gateway);
             let address = gateway.and_then(|gateway| self.state.gateways.address(gateway));
             match (gateway, address.and_then(Client::connect)) {
                 (Some(gateway), Some(client)) => self.use_connection(gateway, client),
@@ -110,32 +110,34 @@
     fn use_connection(&mut self, gateway: usize, mut client: Client) {
         let mut last_own_write = None;
         while !self.state.is_over() {
-            self.rest();
-            let conduct = self.draw_conduct();
+            self.pause();
+            let behavior = self.draw_behavior();
             let (mut record, statement) = self.draw_request(gateway, last_own_write);
-            let is_on = match conduct {
-                Conduct::Waits => ask(self.state, &mut client, &mut record, &statement),
-                Conduct::Closes(after) => {
-                    send_and_wait(self.state, &mut client, &mut record, &statement, after);
+            let is_open = match behavior {
+                ClientBehavior::WaitForAnswer => {
+                    send_and_receive(self.state, &mut client, &mut record, &statement)
+                }
+                ClientBehavior::Close(after) => {
+                    send_and_sleep(self.state, &mut client, &mut record, &statement, after);
                     client.close();
                     false
                 }
-                Conduct::HalfCloses(after) => {
-                    send_and_wait(self.state, &mut client, &mut record, &statement, after);
+                ClientBehavior::HalfClose(after) => {
+                    send_and_sleep(self.state, &mut client, &mut record, &statement, after);
                     client.half_close();
                     record.ended_at = self.state.now();
                     std::thread::sleep(Duration::from_millis(200));
                     false
                 }
             };
-            if let Conduct::Closes(_) = conduct {
+            if let ClientBehavior::Close(_) = behavior {
                 record.ended_at = self.state.now();
             }
             if let (RequestKind::Write, RequestEnd::Served(value)) = (record.kind, &record.end) {
                 last_own_write = last_own_write.max(*value);
             }
             lock(&self.state.record).requests.push(record);
-            if !is_on {
+            if !is_open {
                 return;
             }
         }
@@ -143,7 +145,7 @@
 
     /// Pauses for up to 40 ms before the next request; one time in 40 for up to 1.5 s, in which the gateway may close the
     /// connection.
-    fn rest(&mut self) {
+    fn pause(&mut self) {
         let ms = match self.rng.random_range(0..40) {
             0 => self.rng.random_range(200..1_500),
             1..20 => self.rng.random_range(0..40),
@@ -152,12 +154,12 @@
         std::thread::sleep(Duration::from_millis(ms));
     }
 
-    fn draw_conduct(&mut self) -> Conduct {
+    fn draw_behavior(&mut self) -> ClientBehavior {
         let after = Duration::from_millis(self.rng.random_range(0..60));
         match self.rng.random_range(0..60) {
-            0 => Conduct::Closes(after),
-            1 => Conduct::HalfCloses(after),
-            _ => Conduct::Waits,
+            0 => ClientBehavior::Close(after),
+            1 => ClientBehavior::HalfClose(after),
+            _ => ClientBehavior::WaitForAnswer,
         }
     }
 
@@ -166,7 +168,7 @@
         gateway: usize,
         last_own_write: Option<u64>,
     ) -> (RequestRecord, String) {
-        let number = self.state.next();
+        let number = self.state.next_number();
         let id = write_id(number);
         let (kind, mut timeout) = match self.rng.random_range(0..10) {
             0..3 => (RequestKind::Write, WRITE_TIMEOUT),
@@ -205,7 +207,7 @@
 }
 
 /// Sends a request and waits for the answer; returns whether the connection is still open.
-fn ask(
+fn send_and_receive(
     state: &SoakState<'_>,
     client: &mut Client,
     record: &mut RequestRecord,
@@ -233,7 +235,7 @@
     )
 }
 
-fn send_and_wait(
+fn send_and_sleep(
     state: &SoakState<'_>,
     client: &mut Client,
     record: &mut RequestRecord,
@@ -252,7 +254,7 @@
 }
 
 /// Sends part of a message, keeps the connection open, and records when the gateway sent an error or closed it.
-pub(super) fn stall(state: &SoakState<'_>, gateway: usize) {
+pub(super) fn stall_inside_message(state: &SoakState<'_>, gateway: usize) {
     let address = state.gateways.address(gateway);
     let Some(mut client) = address.and_then(Client::connect) else {
         return;
@@ -263,14 +265,14 @@
     }
     let stopped_at = state.now();
     client.set_reply_timeout(STALLED_WAIT);
-    let ended = match client.receive() {
+    let ended_at = match client.receive() {
         RequestOutcome::TimedOut => None,
         _ => Some(state.now()),
     };
-    lock(&state.record).misuses.push(ClientMisuse {
+    lock(&state.record).stalled_clients.push(StalledClient {
         gateway,
         stopped_at,
-        ended_at: ended,
+        ended_at,
     });
 }
 
@@ -283,7 +285,7 @@
     client.set_nonblocking();
     let started = Instant::now();
     while started.elapsed() < time && !state.is_over() {
-        let number = state.next();
+        let number = state.next_number();
         let key = "k".repeat(FLOOD_STATEMENT_BYTES);
         let statement = timed_read_statement(
             &format!("f{number:x}"),
@@ -299,13 +301,13 @@
 }
 
 /// Connections on which no requests are sent.
-pub(super) struct IdleCrowd(Vec<TcpStream>);
+pub(super) struct IdleConnections(Vec<TcpStream>);
 
-impl IdleCrowd {
+impl IdleConnections {
     pub(super) fn connect(state: &SoakState<'_>, gateway: usize, size: usize) -> Self {
         let address = state.gateways.address(gateway);
         let connect = |_| address.and_then(|address| TcpStream::connect(address).ok());
-        IdleCrowd((0..size).filter_map(connect).collect())
+        IdleConnections((0..size).filter_map(connect).collect())
     }
 
     /// Replaces connections that the gateway has closed.
@@ -328,7 +330,7 @@
     }
 
     /// Sends an invalid message on half of the connections.
-    pub(super) fn misbehave(&mut self) {
+    pub(super) fn send_invalid_bytes(&mut self) {
         for socket in self.0.iter_mut().step_by(2) {
             let _ = socket.write_all(b"?");
         }
--- a/crates/stackgw-testkit/src/soak/judge.rs
+++ b/crates/stackgw-testkit/src/soak/judge.rs
@@ -27,7 +27,7 @@
 /// A gateway must be ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 /// A request that crossed the gateway's close of the connection ends within this time, without being read.
-const CROSSING: Duration = Duration::from_millis(50);
+const CLOSE_CROSSING_TIME: Duration = Duration::from_millis(50);
 /// The platform's limits of a gateway: memory in MiB and descriptors.
 const MEMORY_MIB: f64 = 192.0;
 const DESCRIPTORS: usize = 256;
@@ -42,7 +42,7 @@
     /// A write arrived this many times at members that may have run it.
     RepeatedWrite(String, usize),
     /// An attempt started this long after its client had disconnected.
-    BegunAfterClientLeft(Arrival, Duration),
+    AttemptAfterClientLeft(Arrival, Duration),
     /// A draining or gone member got a request this long after the end of the grace time.
     SentToDraining(Arrival, Duration),
     /// A bounded read ran on data older than its bound.
@@ -50,13 +50,13 @@
     /// A session did not see its own write. Includes the arrivals of the read and of that write.
     OwnWriteMissed(RequestRecord, Vec<Arrival>),
     /// The timeout of an attempt exceeded its client's remaining time by this.
-    ToldTooMuchTime(Arrival, Duration),
+    AttemptTimeoutTooLong(Arrival, Duration),
     /// A gateway did not disconnect a client that stopped inside a message in time.
-    StalledClientKept(usize),
+    StalledClientNotClosed(usize),
     /// A gateway was not ready in time.
     NotReady(usize),
     /// A gateway holds a resource after its clients have disconnected, or exceeded the platform's limit.
-    NotAtRest(usize, String),
+    ResourceUse(usize, String),
 }
 
 impl fmt::Display for Violation {
@@ -90,7 +90,7 @@
 impl<'a> Judge<'a> {
     fn new(record: &'a SoakRecord) -> Self {
         let mut arrivals = HashMap::new();
-        for arrival in record.arrivals.iter().filter(|a| !a.is_refused_write) {
+        for arrival in record.arrivals.iter().filter(|a| !a.is_misrouted_write) {
             *arrivals.entry(arrival.id.as_str()).or_default() += 1;
         }
         let requests = record.requests.iter();
@@ -142,8 +142,8 @@
     fn own_write_missed(&self, request: &RequestRecord) -> Violation {
         let write = request.last_own_write.map(write_id);
         let arrivals = self.record.arrivals.iter();
-        let concerned = arrivals.filter(|a| a.id == request.id || Some(&a.id) == write.as_ref());
-        Violation::OwnWriteMissed(request.clone(), concerned.cloned().collect())
+        let relevant = arrivals.filter(|a| a.id == request.id || Some(&a.id) == write.as_ref());
+        Violation::OwnWriteMissed(request.clone(), relevant.cloned().collect())
     }
 
     fn is_lost(&self, request: &RequestRecord) -> bool {
@@ -151,7 +151,9 @@
         match request.end {
             RequestEnd::Left => false,
             RequestEnd::Unanswered => true,
-            RequestEnd::Disconnected => waited > CROSSING || self.attempts_of(&request.id) > 0,
+            RequestEnd::Disconnected => {
+                waited > CLOSE_CROSSING_TIME || self.attempts_of(&request.id) > 0
+            }
             _ => waited > request.timeout + LATE_ANSWER + SLACK,
         }
     }
@@ -161,12 +163,12 @@
         if let Some(request) = self.requests.get(arrival.id.as_str()) {
             let after = arrival.at.saturating_sub(request.ended_at);
             if request.end == RequestEnd::Left && after > AFTER_CLIENT_LEFT + SLACK {
-                violations.push(Violation::BegunAfterClientLeft(arrival.clone(), after));
+                violations.push(Violation::AttemptAfterClientLeft(arrival.clone(), after));
             }
             let left = (request.sent_at + request.timeout).saturating_sub(arrival.at);
             let excess = arrival.timeout.saturating_sub(left);
             if excess > TIMEOUT_SLACK + SLACK {
-                violations.push(Violation::ToldTooMuchTime(arrival.clone(), excess));
+                violations.push(Violation::AttemptTimeoutTooLong(arrival.clone(), excess));
             }
             if request.kind == RequestKind::BoundedRead
                 && arrival.staleness > STALENESS_BOUND + SLACK
@@ -189,10 +191,10 @@
         if last.phase == ListedPhase::Ready {
             return None;
         }
-        let ends = self.notified_at(last.at) + DRAIN_GRACE + SLACK;
+        let grace_end = self.notified_at(last.at) + DRAIN_GRACE + SLACK;
         arrival
             .at
-            .checked_sub(ends)
+            .checked_sub(grace_end)
             .filter(|after| !after.is_zero())
     }
 
@@ -213,12 +215,12 @@
 
     fn gateways(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
-        for misuse in &self.record.misuses {
-            let waited = misuse
+        for client in &self.record.stalled_clients {
+            let waited = client
                 .ended_at
-                .map(|at| at.saturating_sub(misuse.stopped_at));
+                .map(|at| at.saturating_sub(client.stopped_at));
             if waited.is_none_or(|waited| waited > STALLED_CLIENT_WITHIN + SLACK) {
-                violations.push(Violation::StalledClientKept(misuse.gateway));
+                violations.push(Violation::StalledClientNotClosed(client.gateway));
             }
         }
         for start in &self.record.starts {
@@ -227,14 +229,14 @@
                 violations.push(Violation::NotReady(start.gateway));
             }
         }
-        for rest in &self.record.rests {
-            let not_at_rest = rest.not_at_rest.iter().cloned();
-            let memory = (rest.peak_memory_mib > MEMORY_MIB)
-                .then(|| format!("{} MiB", rest.peak_memory_mib));
-            let descriptors = (rest.descriptors > DESCRIPTORS)
-                .then(|| format!("{} descriptors", rest.descriptors));
-            for what in not_at_rest.chain(memory).chain(descriptors) {
-                violations.push(Violation::NotAtRest(rest.gateway, what));
+        for resources in &self.record.gateway_resources {
+            let unreleased = resources.unreleased.iter().cloned();
+            let memory = (resources.peak_memory_mib > MEMORY_MIB)
+                .then(|| format!("{} MiB", resources.peak_memory_mib));
+            let descriptors = (resources.descriptors > DESCRIPTORS)
+                .then(|| format!("{} descriptors", resources.descriptors));
+            for excess in unreleased.chain(memory).chain(descriptors) {
+                violations.push(Violation::ResourceUse(resources.gateway, excess));
             }
         }
         violations
--- a/crates/stackgw-testkit/src/soak/mod.rs
+++ b/crates/stackgw-testkit/src/soak/mod.rs
@@ -12,7 +12,7 @@
 pub use judge::{judge, Violation};
 pub use plan::{PlannedFault, SoakFault, SoakPlan};
 pub use records::{
-    Announcement, Arrival, ClientMisuse, GatewayRest, GatewayStart, Interval, RequestEnd,
-    RequestKind, RequestRecord, SoakRecord,
+    Announcement, Arrival, GatewayResources, GatewayStart, Interval, RequestEnd, RequestKind,
+    RequestRecord, SoakRecord, StalledClient,
 };
 pub use run::run_soak;
--- a/crates/stackgw-testkit/src/soak/plan.rs
+++ b/crates/stackgw-testkit/src/soak/plan.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 /// One in this many seeds has idle clients that use up the gateways' descriptors.
-const SEEDS_PER_CROWD: u64 = 4;
+const SEEDS_PER_IDLE_CLIENTS: u64 = 4;
 /// The number of idle clients; more than a gateway of the testkit can hold.
-const CROWD_SIZE: usize = 140;
+const IDLE_CLIENTS: usize = 140;
 /// The average rate of faults.
 const FAULTS_PER_SECOND: f64 = 1.2;
 /// How long a gateway's process may be paused at any time.
-const HOLD_UP: Duration = Duration::from_millis(150);
+const GATEWAY_PAUSE_TIME: Duration = Duration::from_millis(150);
 /// No fault begins within this time before the end, so that its effects are part of the record.
-const QUIET_END: Duration = Duration::from_secs(6);
+const FAULT_FREE_END: Duration = Duration::from_secs(6);
 /// The first member is the primary at the start; it is never listed as draining or gone.
 const FIRST_REPLICA: usize = 1;
 
@@ -37,7 +37,7 @@
     /// A member becomes the primary; the list shows it after this delay.
     PrimaryMoves(usize, Duration),
     /// A gateway's process is paused.
-    GatewayHeldUp(usize, Duration),
+    GatewayPauses(usize, Duration),
     /// A gateway reloads its configuration this many times in a row.
     GatewayReloads(usize, u32),
     /// A gateway is terminated, gets this many further signals while it shuts down, is killed if it takes longer than the
@@ -62,7 +62,7 @@
             SoakFault::ReplicaLags(..) => "replica lags",
             SoakFault::MemberLeaves(..) => "member drains or goes",
             SoakFault::PrimaryMoves(..) => "primary moves",
-            SoakFault::GatewayHeldUp(..) => "gateway held up",
+            SoakFault::GatewayPauses(..) => "gateway held up",
             SoakFault::GatewayReloads(..) => "SIGHUP series",
             SoakFault::GatewayRestarts(..) => "SIGTERM, restart",
             SoakFault::ClientFloods(..) => "client floods",
@@ -94,7 +94,7 @@
     /// The number of clients that send requests to each gateway.
     pub clients_per_gateway: usize,
     /// The number of additional idle clients of each gateway.
-    pub crowd: usize,
+    pub idle_clients: usize,
     /// The faults, ordered by start.
     pub faults: Vec<PlannedFault>,
 }
@@ -109,14 +109,14 @@
             gateways: rng.random_range(2..=3),
             replicas: rng.random_range(2..=3),
             clients_per_gateway: rng.random_range(3..=6),
-            crowd: if seed.is_multiple_of(SEEDS_PER_CROWD) {
-                CROWD_SIZE
+            idle_clients: if seed.is_multiple_of(SEEDS_PER_IDLE_CLIENTS) {
+                IDLE_CLIENTS
             } else {
                 0
             },
             faults: Vec::new(),
         };
-        let last = duration.saturating_sub(QUIET_END).as_secs_f64();
+        let last = duration.saturating_sub(FAULT_FREE_END).as_secs_f64();
         let count = (last * FAULTS_PER_SECOND) as usize;
         let mut faults: Vec<_> = (0..count)
             .map(|_| PlannedFault {
@@ -146,7 +146,7 @@
             7 => SoakFault::MemberLeaves(replica, ListedPhase::Draining, long),
             8 => SoakFault::MemberLeaves(replica, ListedPhase::Gone, long),
             9 => SoakFault::PrimaryMoves(member, short),
-            10 | 11 => SoakFault::GatewayHeldUp(gateway, HOLD_UP),
+            10 | 11 => SoakFault::GatewayPauses(gateway, GATEWAY_PAUSE_TIME),
             12 => SoakFault::GatewayReloads(gateway, rng.random_range(1..=8)),
             13 => SoakFault::GatewayRestarts(gateway, rng.random_range(0..=4)),
             14 => SoakFault::ClientFloods(gateway, short),
--- a/crates/stackgw-testkit/src/soak/records.rs
+++ b/crates/stackgw-testkit/src/soak/records.rs
@@ -66,7 +66,7 @@
     /// The timeout that the gateway sent with the request.
     pub timeout: Duration,
     /// Whether the request is a write to which the member answers that it is not the primary: it does not run there.
-    pub is_refused_write: bool,
+    pub is_misrouted_write: bool,
     /// The age of the member's data.
     pub staleness: Duration,
 }
@@ -93,7 +93,7 @@
 
 /// A client that stopped inside a message and kept its connection open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ClientMisuse {
+pub struct StalledClient {
     /// The gateway's index.
     pub gateway: usize,
     /// When the client had sent its last byte.
@@ -115,11 +115,11 @@
 
 /// The resources of a gateway after its clients have disconnected.
 #[derive(Debug, Clone, PartialEq)]
-pub struct GatewayRest {
+pub struct GatewayResources {
     /// The gateway's index.
     pub gateway: usize,
     /// The counters of open and buffered resources that are not 0, as `name=value`.
-    pub not_at_rest: Vec<String>,
+    pub unreleased: Vec<String>,
     /// The gateway's peak memory, in MiB.
     pub peak_memory_mib: f64,
     /// The number of open descriptors.
@@ -140,9 +140,9 @@
     /// The times in which the list service was unreachable or did not serve.
     pub list_outages: Vec<Interval>,
     /// Clients that stopped inside a message.
-    pub misuses: Vec<ClientMisuse>,
+    pub stalled_clients: Vec<StalledClient>,
     /// Starts of gateways.
     pub starts: Vec<GatewayStart>,
     /// The resources of each gateway at the end.
-    pub rests: Vec<GatewayRest>,
+    pub gateway_resources: Vec<GatewayResources>,
 }
--- a/crates/stackgw-testkit/src/soak/run.rs
+++ b/crates/stackgw-testkit/src/soak/run.rs
@@ -1,8 +1,8 @@
 //! Runs the schedule of a soak.
 
-use super::clients::{flood, stall, IdleCrowd, SoakClient, SoakState};
+use super::clients::{flood, stall_inside_message, IdleConnections, SoakClient, SoakState};
 use super::plan::{SoakFault, SoakPlan};
-use super::records::{Announcement, Arrival, GatewayRest, GatewayStart, Interval, SoakRecord};
+use super::records::{Announcement, Arrival, GatewayResources, GatewayStart, Interval, SoakRecord};
 use crate::client::Client;
 use crate::error::TestkitError;
 use crate::fleet_config::{FleetConfig, FleetMode};
@@ -20,19 +20,19 @@
 /// The least time between SIGTERM and SIGKILL that the platform grants: the longest deadline plus 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(3_700);
 /// How long new connections still arrive after SIGTERM.
-const FRONT_NOTICES_AFTER: Duration = Duration::from_millis(300);
+const NEW_CONNECTIONS_STOP_AFTER: Duration = Duration::from_millis(300);
 /// The interval between the further signals of a shutdown, and between those of a series.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(60);
 /// How long the soak waits for a gateway to be ready before it continues without it.
 const READY_TIMEOUT: Duration = Duration::from_secs(12);
 /// How long gateways may take to release all resources after their clients have disconnected.
-const REST_TIMEOUT: Duration = Duration::from_secs(8);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The interval at which a lagging replica's position is updated.
 const LAG_STEP: Duration = Duration::from_millis(5);
-const CROWD_INTERVAL: Duration = Duration::from_millis(250);
+const IDLE_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 /// The counters of open and buffered resources, which must be 0 without clients.
-const AT_REST_COUNTERS: [&str; 3] = ["clients_open", "buffered_bytes", "read_ahead_bytes"];
+const RESOURCE_COUNTERS: [&str; 3] = ["clients_open", "buffered_bytes", "read_ahead_bytes"];
 
 /// Starts a group, and gateways of this program with their files in this folder, runs the plan, and returns the record.
 ///
@@ -47,7 +47,7 @@
     let lags: Vec<u64> = (0..plan.replicas as u64).map(|n| 20 + 40 * n).collect();
     let group = ReplicaGroup::start_with(GroupConfig::new(&lags))
         .map_err(|error| TestkitError::file(&folder, error))?;
-    group.record_arrivals();
+    group.start_recording_arrivals();
     let lists = vec![group.list_service().address(0)];
     let gateways = GatewayFleet::start(FleetConfig {
         gateways: plan.gateways,
@@ -59,11 +59,11 @@
         plan,
         group: &group,
         state: &state,
-        restarting: (0..plan.gateways).map(|_| Mutex::default()).collect(),
-        lagging: Mutex::default(),
+        restart_locks: (0..plan.gateways).map(|_| Mutex::default()).collect(),
+        lag_lock: Mutex::default(),
     };
-    soak.play();
-    soak.note_rests();
+    soak.run();
+    soak.record_gateway_resources();
     let mut record = std::mem::take(&mut *lock(&state.record));
     record.arrivals = arrivals(&group, state.started);
     record.write_order = group.write_order();
@@ -77,7 +77,7 @@
         member: arrival.member,
         at: arrival.at.saturating_duration_since(started),
         timeout: Duration::from_millis(arrival.timeout_ms),
-        is_refused_write: arrival.is_refused_write,
+        is_misrouted_write: arrival.is_misrouted_write,
         staleness: Duration::from_millis(arrival.staleness_ms),
     });
     arrivals.collect()
@@ -88,14 +88,14 @@
     group: &'a ReplicaGroup,
     state: &'a SoakState<'a>,
     /// By gateway; locked during its restart.
-    restarting: Vec<Mutex<()>>,
+    restart_locks: Vec<Mutex<()>>,
     /// Locked while a replica lags.
-    lagging: Mutex<()>,
+    lag_lock: Mutex<()>,
 }
 
 impl Soak<'_> {
     /// Runs clients and faults, each on its own thread, until the plan's end.
-    fn play(&self) {
+    fn run(&self) {
         std::thread::scope(|scope| {
             for gateway in 0..self.plan.gateways {
                 self.wait_until_ready(gateway);
@@ -104,8 +104,8 @@
                     let client = SoakClient::new(self.state, gateway, number, self.plan.seed);
                     scope.spawn(move || client.run());
                 }
-                if self.plan.crowd > 0 {
-                    scope.spawn(move || self.keep_crowd(gateway));
+                if self.plan.idle_clients > 0 {
+                    scope.spawn(move || self.maintain_idle_connections(gateway));
                 }
             }
             for planned in &self.plan.faults {
@@ -123,12 +123,12 @@
         std::thread::sleep(at.saturating_sub(self.state.now()));
     }
 
-    fn keep_crowd(&self, gateway: usize) {
-        let mut crowd = IdleCrowd::connect(self.state, gateway, self.plan.crowd);
-        crowd.misbehave();
+    fn maintain_idle_connections(&self, gateway: usize) {
+        let mut connections = IdleConnections::connect(self.state, gateway, self.plan.idle_clients);
+        connections.send_invalid_bytes();
         while !self.state.is_over() {
-            crowd.refresh(self.state, gateway);
-            std::thread::sleep(CROWD_INTERVAL);
+            connections.refresh(self.state, gateway);
+            std::thread::sleep(IDLE_REFRESH_INTERVAL);
         }
     }
 
@@ -154,7 +154,7 @@
                 flag.store(false, Ordering::Relaxed);
             }
             SoakFault::ReplicaLags(member, ms, time) => {
-                self.lag(member, ms, time);
+                self.apply_lag(member, ms, time);
             }
             SoakFault::MemberLeaves(member, phase, time) => {
                 self.announce(member, phase);
@@ -166,7 +166,7 @@
                 std::thread::sleep(list_delay);
                 self.group.list_service().announce_primary(member);
             }
-            SoakFault::GatewayHeldUp(gateway, time) => {
+            SoakFault::GatewayPauses(gateway, time) => {
                 self.state.gateways.pause(gateway);
                 std::thread::sleep(time);
                 self.state.gateways.resume(gateway);
@@ -179,7 +179,7 @@
             }
             SoakFault::GatewayRestarts(gateway, signals) => self.restart(gateway, signals),
             SoakFault::ClientFloods(gateway, time) => flood(self.state, gateway, time),
-            SoakFault::ClientStalls(gateway) => stall(self.state, gateway),
+            SoakFault::ClientStalls(gateway) => stall_inside_message(self.state, gateway),
         }
     }
 
@@ -195,8 +195,8 @@
     /// Makes a replica apply nothing until it lags by `ms`, keep that lag for the rest of the time, and then catch up
     /// immediately. If the replica has been the primary meanwhile, its lag is left as it is, so that it does not fall back
     /// behind its own commits.
-    fn lag(&self, member: usize, ms: u64, time: Duration) {
-        let Ok(_one_at_a_time) = self.lagging.try_lock() else {
+    fn apply_lag(&self, member: usize, ms: u64, time: Duration) {
+        let Ok(_guard) = self.lag_lock.try_lock() else {
             // A second concurrent fault would set back the position of the first one's replica.
             return;
         };
@@ -205,8 +205,8 @@
         let mut current = before;
         let began = Instant::now();
         while began.elapsed() < time {
-            let behind = before + began.elapsed().as_millis() as u64;
-            let next = behind.min(ms.max(before));
+            let growing_lag = before + began.elapsed().as_millis() as u64;
+            let next = growing_lag.min(ms.max(before));
             let was_set = lag.compare_exchange(current, next, Ordering::Relaxed, Ordering::Relaxed);
             if was_set.is_err() {
                 return;
@@ -239,10 +239,10 @@
     /// Shuts a gateway down while its clients keep using their connections, kills it if it still runs after `KILL_AFTER`, and
     /// restarts it.
     fn restart(&self, gateway: usize, signals: u32) {
-        let Ok(_one_at_a_time) = self.restarting[gateway].try_lock() else {
+        let Ok(_guard) = self.restart_locks[gateway].try_lock() else {
             return;
         };
-        let takes_clients = &self.state.takes_clients[gateway];
+        let accepts_clients = &self.state.accepts_clients[gateway];
         let fleet = self.state.gateways;
         let began = Instant::now();
         fleet.terminate(gateway);
@@ -254,8 +254,8 @@
                 fleet.terminate(gateway);
             }
         }
-        std::thread::sleep(FRONT_NOTICES_AFTER.saturating_sub(began.elapsed()));
-        takes_clients.store(false, Ordering::SeqCst);
+        std::thread::sleep(NEW_CONNECTIONS_STOP_AFTER.saturating_sub(began.elapsed()));
+        accepts_clients.store(false, Ordering::SeqCst);
         while began.elapsed() < KILL_AFTER && !fleet.has_ended(gateway).unwrap_or(true) {
             std::thread::sleep(CHECK_INTERVAL);
         }
@@ -263,7 +263,7 @@
         if fleet.restart(gateway).is_ok() {
             self.wait_until_ready(gateway);
         }
-        takes_clients.store(true, Ordering::SeqCst);
+        accepts_clients.store(true, Ordering::SeqCst);
     }
 
     fn wait_until_ready(&self, gateway: usize) {
@@ -286,33 +286,35 @@
     }
 
     /// Records the resources that gateways still hold some time after their clients have disconnected.
-    fn note_rests(&self) {
-        let deadline = Instant::now() + REST_TIMEOUT;
+    fn record_gateway_resources(&self) {
+        let deadline = Instant::now() + RELEASE_TIMEOUT;
         for gateway in 0..self.plan.gateways {
-            let mut not_at_rest = self.open_counters(gateway);
-            while !not_at_rest.is_empty() && Instant::now() < deadline {
+            let mut unreleased = self.unreleased_counters(gateway);
+            while !unreleased.is_empty() && Instant::now() < deadline {
                 std::thread::sleep(CHECK_INTERVAL);
-                not_at_rest = self.open_counters(gateway);
+                unreleased = self.unreleased_counters(gateway);
             }
             let pid = self.state.gateways.pid(gateway);
-            lock(&self.state.record).rests.push(GatewayRest {
-                gateway,
-                not_at_rest,
-                peak_memory_mib: pid.and_then(peak_memory_mib).unwrap_or_default(),
-                descriptors: pid.and_then(descriptors).unwrap_or_default(),
-            });
+            lock(&self.state.record)
+                .gateway_resources
+                .push(GatewayResources {
+                    gateway,
+                    unreleased,
+                    peak_memory_mib: pid.and_then(peak_memory_mib).unwrap_or_default(),
+                    descriptors: pid.and_then(descriptors).unwrap_or_default(),
+                });
         }
     }
 
     /// The resource counters that are not 0; a single entry `no counters` if the gateway does not log them.
-    fn open_counters(&self, gateway: usize) -> Vec<String> {
+    fn unreleased_counters(&self, gateway: usize) -> Vec<String> {
         let Some(line) = self.state.gateways.counters(gateway) else {
             return vec!["no counters".to_owned()];
         };
         let words = line.split([' ', ',']);
         let open = words.filter(|word| {
             word.split_once('=')
-                .is_some_and(|(name, value)| AT_REST_COUNTERS.contains(&name) && value != "0")
+                .is_some_and(|(name, value)| RESOURCE_COUNTERS.contains(&name) && value != "0")
         });
         open.map(str::to_owned).collect()
     }
--- a/crates/stackgw-testkit/src/statistics.rs
+++ b/crates/stackgw-testkit/src/statistics.rs
@@ -38,12 +38,12 @@
 }
 
 /// The most events within any window of this length. The times must be in ascending order.
-pub fn peak_in_window(moments: impl IntoIterator<Item = Duration>, window: Duration) -> usize {
-    let moments: Vec<_> = moments.into_iter().collect();
+pub fn peak_in_window(times: impl IntoIterator<Item = Duration>, window: Duration) -> usize {
+    let times: Vec<_> = times.into_iter().collect();
     let mut first = 0;
     let mut peak = 0;
-    for (index, at) in moments.iter().enumerate() {
-        while *at - moments[first] >= window {
+    for (index, at) in times.iter().enumerate() {
+        while *at - times[first] >= window {
             first += 1;
         }
         peak = peak.max(index + 1 - first);
--- a/crates/stackgw-testkit/tests/soak_judge.rs
+++ b/crates/stackgw-testkit/tests/soak_judge.rs
@@ -2,8 +2,8 @@
 //! rule, and records that are just within that rule.
 
 use stackgw_testkit::soak::{
-    judge, Announcement, Arrival, ClientMisuse, GatewayRest, GatewayStart, Interval, RequestEnd,
-    RequestKind, RequestRecord, SoakFault, SoakPlan, SoakRecord, Violation,
+    judge, Announcement, Arrival, GatewayResources, GatewayStart, Interval, RequestEnd,
+    RequestKind, RequestRecord, SoakFault, SoakPlan, SoakRecord, StalledClient, Violation,
 };
 use stackgw_testkit::ListedPhase;
 use std::time::Duration;
@@ -37,7 +37,7 @@
         member: 1,
         at: ms(20_010),
         timeout: ms(980),
-        is_refused_write: false,
+        is_misrouted_write: false,
         staleness: ms(100),
     }
 }
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_record_without_a_break_has_no_violation() {
+fn a_record_of_allowed_behavior_has_no_violations() {
     for kind in [
         RequestKind::Write,
         RequestKind::SessionRead,
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_answer_half_a_second_after_its_time_is_lost() {
+fn an_answer_half_a_second_after_its_timeout_is_lost() {
     let answered_at = |at| RequestRecord {
         ended_at: ms(at),
         ..request(RequestKind::Write, RequestEnd::Rejected)
@@ -102,13 +102,13 @@
 }
 
 #[test]
-fn more_than_one_answer_is_told() {
+fn more_than_one_answer_is_a_violation() {
     let twice = request(RequestKind::BoundedRead, RequestEnd::AnsweredTwice);
     assert_eq!(names(&record(twice, vec![])), ["AnsweredTwice"]);
 }
 
 #[test]
-fn a_write_that_may_have_run_twice_is_told() {
+fn a_write_that_may_have_run_twice_is_a_violation() {
     let twice = vec![arrival(), arrival()];
     assert_eq!(
         names(&record(served(RequestKind::Write), twice.clone())),
@@ -116,7 +116,7 @@
     );
     assert!(names(&record(served(RequestKind::BoundedRead), twice)).is_empty());
     let refused = Arrival {
-        is_refused_write: true,
+        is_misrouted_write: true,
         ..arrival()
     };
     let moved = vec![refused, arrival()];
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn an_attempt_for_a_client_that_has_left_is_told() {
+fn an_attempt_for_a_disconnected_client_is_a_violation() {
     let left = request(RequestKind::BoundedRead, RequestEnd::Left);
     let begun_at = |at| Arrival {
         at: ms(at),
@@ -134,23 +134,26 @@
     assert!(names(&record(left.clone(), vec![begun_at(20_190)])).is_empty());
     assert_eq!(
         names(&record(left, vec![begun_at(20_210)])),
-        ["BegunAfterClientLeft"]
+        ["AttemptAfterClientLeft"]
     );
 }
 
 #[test]
-fn an_attempt_that_is_told_more_time_than_is_left_is_told() {
-    let told = |ms_told| Arrival {
-        timeout: ms(ms_told),
+fn an_attempt_timeout_beyond_the_remaining_time_is_a_violation() {
+    let with_timeout = |timeout_ms| Arrival {
+        timeout: ms(timeout_ms),
         ..arrival()
     };
     let read = served(RequestKind::BoundedRead);
-    assert!(names(&record(read.clone(), vec![told(1_190)])).is_empty());
-    assert_eq!(names(&record(read, vec![told(1_191)])), ["ToldTooMuchTime"]);
+    assert!(names(&record(read.clone(), vec![with_timeout(1_190)])).is_empty());
+    assert_eq!(
+        names(&record(read, vec![with_timeout(1_191)])),
+        ["AttemptTimeoutTooLong"]
+    );
 }
 
 #[test]
-fn a_bounded_read_of_old_data_is_told() {
+fn a_bounded_read_of_stale_data_is_a_violation() {
     let old = Arrival {
         staleness: ms(2_051),
         ..arrival()
@@ -161,7 +164,7 @@
 }
 
 #[test]
-fn a_session_that_misses_its_own_write_is_told() {
+fn a_session_that_misses_its_own_write_is_a_violation() {
     // The write of 5 was sent before that of 7 but ran after it, as its client had not waited for the answer.
     let read = |value| SoakRecord {
         requests: vec![RequestRecord {
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn a_request_to_a_member_that_drains_or_is_gone_is_told() {
+fn a_request_to_a_draining_or_gone_member_is_a_violation() {
     for phase in [ListedPhase::Draining, ListedPhase::Gone] {
         assert!(names(&announced(phase, ms(1_050))).is_empty());
         assert_eq!(names(&announced(phase, ms(1_051))), ["SentToDraining"]);
@@ -199,7 +202,7 @@
 }
 
 #[test]
-fn a_drain_counts_six_seconds_after_an_outage_of_the_list() {
+fn draining_takes_effect_six_seconds_after_a_list_outage() {
     let during = |before, outage: [u64; 2]| SoakRecord {
         list_outages: vec![Interval {
             from: ms(outage[0]),
@@ -217,22 +220,22 @@
 }
 
 #[test]
-fn a_stalled_client_that_is_kept_is_told() {
-    let misuse = |ended_at| SoakRecord {
-        misuses: vec![ClientMisuse {
+fn a_stalled_client_that_is_not_disconnected_is_a_violation() {
+    let stalled = |ended_at| SoakRecord {
+        stalled_clients: vec![StalledClient {
             gateway: 0,
             stopped_at: ms(1_000),
             ended_at,
         }],
         ..SoakRecord::default()
     };
-    assert!(names(&misuse(Some(ms(4_050)))).is_empty());
-    assert_eq!(names(&misuse(Some(ms(4_051)))), ["StalledClientKept"]);
-    assert_eq!(names(&misuse(None)), ["StalledClientKept"]);
+    assert!(names(&stalled(Some(ms(4_050)))).is_empty());
+    assert_eq!(names(&stalled(Some(ms(4_051)))), ["StalledClientNotClosed"]);
+    assert_eq!(names(&stalled(None)), ["StalledClientNotClosed"]);
 }
 
 #[test]
-fn a_gateway_that_is_not_ready_in_time_is_told() {
+fn a_gateway_that_is_not_ready_in_time_is_a_violation() {
     let start = |ready_at| SoakRecord {
         starts: vec![GatewayStart {
             gateway: 0,
@@ -247,25 +250,25 @@
 }
 
 #[test]
-fn what_a_gateway_holds_at_the_end_is_told() {
-    let at_rest = GatewayRest {
+fn resources_held_at_the_end_are_violations() {
+    let released = GatewayResources {
         gateway: 0,
-        not_at_rest: vec![],
+        unreleased: vec![],
         peak_memory_mib: 192.0,
         descriptors: 256,
     };
-    let rest = |rest: GatewayRest| SoakRecord {
-        rests: vec![rest],
+    let resources_record = |resources: GatewayResources| SoakRecord {
+        gateway_resources: vec![resources],
         ..SoakRecord::default()
     };
-    assert!(names(&rest(at_rest.clone())).is_empty());
-    let holds = GatewayRest {
-        not_at_rest: vec!["clients_open=1".to_owned()],
+    assert!(names(&resources_record(released.clone())).is_empty());
+    let holds = GatewayResources {
+        unreleased: vec!["clients_open=1".to_owned()],
         peak_memory_mib: 193.0,
         descriptors: 257,
-        ..at_rest
+        ..released
     };
-    assert_eq!(names(&rest(holds)), ["NotAtRest"; 3]);
+    assert_eq!(names(&resources_record(holds)), ["ResourceUse"; 3]);
 }
 
 #[test]
@@ -273,7 +276,7 @@
     let draw = |seed| SoakPlan::draw(seed, ms(30_000));
     assert_eq!(draw(3), draw(3));
     assert_ne!(draw(3).faults, draw(5).faults);
-    assert!(draw(4).crowd > 0 && draw(5).crowd == 0);
+    assert!(draw(4).idle_clients > 0 && draw(5).idle_clients == 0);
     // Fifty seeds together draw every fault.
     let faults = (1..=50).flat_map(|seed| draw(seed).faults);
     let drawn: std::collections::BTreeSet<_> = faults.map(|planned| planned.fault.name()).collect();
