--- a/crates/stackgw-testkit/src/measure/sessions.rs
+++ b/crates/stackgw-testkit/src/measure/sessions.rs
@@ -23,7 +23,7 @@
 
 const REPLICA_LAGS_MS: [u64; 2] = [10, 20];
 
-/// A measurement of one fleet.
+/// The parameters of a measurement of one fleet.
 #[derive(Debug, Clone)]
 pub struct SessionCostPlan {
     /// The path of the gateway's program.
