--- a/crates/stackgw-testkit/src/soak/clients.rs
+++ b/crates/stackgw-testkit/src/soak/clients.rs
@@ -1,6 +1,7 @@
-//! The clients of a soak: they ask, rest, leave, stop inside messages and flood, each by its own random numbers.
+//! The clients of a soak: they send requests, pause, disconnect, stop inside messages and flood gateways. Each one has its own
+//! random numbers.
 
-use super::records::{ClientMisuse, RequestEnd, RequestKind, RequestRecord, SoakRecord};
+use super::records::{RequestEnd, RequestKind, RequestRecord, SoakRecord, StalledClient};
 use crate::client::{Client, RequestOutcome};
 use crate::gateway_fleet::GatewayFleet;
 use crate::statements::{
@@ -16,19 +17,19 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Where no gateway takes a connection, its clients wait so long.
+/// The pause of a client to which no gateway is available.
 const NO_GATEWAY_PAUSE: Duration = Duration::from_millis(20);
-/// A client that stopped inside a message waits so long for its end.
+/// How long a client that stopped inside a message waits for the gateway to end the connection.
 const STALLED_WAIT: Duration = Duration::from_millis(4_500);
 const FLOOD_STATEMENT_BYTES: usize = 60 << 10;
 
-/// What all parts of a soak share.
+/// The state that all parts of a soak share.
 pub(super) struct SoakState<'a> {
     pub(super) gateways: &'a GatewayFleet,
     pub(super) started: Instant,
     pub(super) record: Mutex<SoakRecord>,
-    /// Whether new connections are dealt out to each gateway.
-    pub(super) takes_clients: Vec<AtomicBool>,
+    /// Whether clients may open new connections to each gateway.
+    pub(super) accepts_clients: Vec<AtomicBool>,
     pub(super) is_over: AtomicBool,
     next_id: AtomicU64,
 }
@@ -39,7 +40,7 @@
             gateways,
             started: Instant::now(),
             record: Mutex::default(),
-            takes_clients: (0..gateways.len()).map(|_| AtomicBool::new(true)).collect(),
+            accepts_clients: (0..gateways.len()).map(|_| AtomicBool::new(true)).collect(),
             is_over: AtomicBool::new(false),
             next_id: AtomicU64::new(1),
         }
@@ -53,29 +54,29 @@
         self.is_over.load(Ordering::Relaxed)
     }
 
-    fn next(&self) -> u64 {
+    fn next_number(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A gateway that is dealt new connections, from this one on.
-    fn open_gateway(&self, first: usize) -> Option<usize> {
+    /// The first gateway at or after this one, cyclically, that accepts new clients.
+    fn find_accepting_gateway(&self, first: usize) -> Option<usize> {
         let count = self.gateways.len();
         let mut gateways = (0..count).map(|n| (first + n) % count);
-        gateways.find(|gateway| self.takes_clients[*gateway].load(Ordering::Relaxed))
+        gateways.find(|gateway| self.accepts_clients[*gateway].load(Ordering::Relaxed))
     }
 }
 
-/// What a client does with one request.
-enum Conduct {
-    /// It waits for the answer.
-    Waits,
-    /// It closes its connection this long after it has asked.
-    Closes(Duration),
-    /// It ends its own side of the connection, and stays.
-    HalfCloses(Duration),
+/// What a client does after it has sent a request.
+enum ClientBehavior {
+    /// The client waits for the answer.
+    WaitForAnswer,
+    /// The client closes its connection this long after it has sent the request.
+    Close(Duration),
+    /// The client shuts down its sending side this long after it has sent the request, and keeps the connection for 200 ms.
+    HalfClose(Duration),
 }
 
-/// One client, which asks until the soak is over.
+/// One client, which sends requests until the soak is over.
 pub(super) struct SoakClient<'a> {
     state: &'a SoakState<'a>,
     rng: SmallRng,
@@ -85,10 +86,10 @@
 
 impl<'a> SoakClient<'a> {
     pub(super) fn new(state: &'a SoakState<'a>, gateway: usize, number: usize, seed: u64) -> Self {
-        let mix = seed.wrapping_mul(1_000).wrapping_add(number as u64);
+        let client_seed = seed.wrapping_mul(1_000).wrapping_add(number as u64);
         SoakClient {
             state,
-            rng: SmallRng::seed_from_u64(mix),
+            rng: SmallRng::seed_from_u64(client_seed),
             gateway,
             key: format!("s{seed:x}c{number}"),
         }
@@ -96,7 +97,7 @@
 
     pub(super) fn run(mut self) {
         while !self.state.is_over() {
-            let gateway = self.state.open_gateway(self.gateway);
+            let gateway = self.state.find_accepting_gateway(self.gateway);
             let address = gateway.and_then(|gateway| self.state.gateways.address(gateway));
             match (gateway, address.and_then(Client::connect)) {
                 (Some(gateway), Some(client)) => self.use_connection(gateway, client),
@@ -105,43 +106,46 @@
         }
     }
 
-    /// Asks on a connection for as long as it stays open, or until the client leaves.
+    /// Sends requests on a connection until it closes or the client disconnects.
     fn use_connection(&mut self, gateway: usize, mut client: Client) {
         let mut last_own_write = None;
         while !self.state.is_over() {
-            self.rest();
-            let conduct = self.draw_conduct();
+            self.pause();
+            let behavior = self.draw_behavior();
             let (mut record, statement) = self.draw_request(gateway, last_own_write);
-            let is_on = match conduct {
-                Conduct::Waits => ask(self.state, &mut client, &mut record, &statement),
-                Conduct::Closes(after) => {
-                    send_and_wait(self.state, &mut client, &mut record, &statement, after);
+            let is_open = match behavior {
+                ClientBehavior::WaitForAnswer => {
+                    send_and_receive(self.state, &mut client, &mut record, &statement)
+                }
+                ClientBehavior::Close(after) => {
+                    send_and_sleep(self.state, &mut client, &mut record, &statement, after);
                     client.close();
                     false
                 }
-                Conduct::HalfCloses(after) => {
-                    send_and_wait(self.state, &mut client, &mut record, &statement, after);
+                ClientBehavior::HalfClose(after) => {
+                    send_and_sleep(self.state, &mut client, &mut record, &statement, after);
                     client.half_close();
                     record.ended_at = self.state.now();
                     std::thread::sleep(Duration::from_millis(200));
                     false
                 }
             };
-            if let Conduct::Closes(_) = conduct {
+            if let ClientBehavior::Close(_) = behavior {
                 record.ended_at = self.state.now();
             }
             if let (RequestKind::Write, RequestEnd::Served(value)) = (record.kind, &record.end) {
                 last_own_write = last_own_write.max(*value);
             }
             lock(&self.state.record).requests.push(record);
-            if !is_on {
+            if !is_open {
                 return;
             }
         }
     }
 
-    /// Mostly asks again soon; sometimes rests until the gateway may have closed the connection.
-    fn rest(&mut self) {
+    /// Pauses for up to 40 ms before the next request; one time in 40 for up to 1.5 s, in which the gateway may close the
+    /// connection.
+    fn pause(&mut self) {
         let ms = match self.rng.random_range(0..40) {
             0 => self.rng.random_range(200..1_500),
             1..20 => self.rng.random_range(0..40),
@@ -150,12 +154,12 @@
         std::thread::sleep(Duration::from_millis(ms));
     }
 
-    fn draw_conduct(&mut self) -> Conduct {
+    fn draw_behavior(&mut self) -> ClientBehavior {
         let after = Duration::from_millis(self.rng.random_range(0..60));
         match self.rng.random_range(0..60) {
-            0 => Conduct::Closes(after),
-            1 => Conduct::HalfCloses(after),
-            _ => Conduct::Waits,
+            0 => ClientBehavior::Close(after),
+            1 => ClientBehavior::HalfClose(after),
+            _ => ClientBehavior::WaitForAnswer,
         }
     }
 
@@ -164,7 +168,7 @@
         gateway: usize,
         last_own_write: Option<u64>,
     ) -> (RequestRecord, String) {
-        let number = self.state.next();
+        let number = self.state.next_number();
         let id = write_id(number);
         let (kind, mut timeout) = match self.rng.random_range(0..10) {
             0..3 => (RequestKind::Write, WRITE_TIMEOUT),
@@ -202,8 +206,8 @@
     format!("k{value:x}")
 }
 
-/// Asks and waits for the answer; whether the connection is still open.
-fn ask(
+/// Sends a request and waits for the answer; returns whether the connection is still open.
+fn send_and_receive(
     state: &SoakState<'_>,
     client: &mut Client,
     record: &mut RequestRecord,
@@ -231,7 +235,7 @@
     )
 }
 
-fn send_and_wait(
+fn send_and_sleep(
     state: &SoakState<'_>,
     client: &mut Client,
     record: &mut RequestRecord,
@@ -243,14 +247,14 @@
     std::thread::sleep(wait);
 }
 
-/// A value as writes of a soak have it; `None` where nothing was written yet.
+/// Parses a value that a soak's write stored; `None` if nothing was written yet.
 fn parse_value(value: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(value).ok()?;
     u64::from_str_radix(text, 16).ok()
 }
 
-/// Sends part of a message, stays, and notes when the gateway ended that.
-pub(super) fn stall(state: &SoakState<'_>, gateway: usize) {
+/// Sends part of a message, keeps the connection open, and records when the gateway sent an error or closed it.
+pub(super) fn stall_inside_message(state: &SoakState<'_>, gateway: usize) {
     let address = state.gateways.address(gateway);
     let Some(mut client) = address.and_then(Client::connect) else {
         return;
@@ -261,18 +265,18 @@
     }
     let stopped_at = state.now();
     client.set_reply_timeout(STALLED_WAIT);
-    let ended = match client.receive() {
+    let ended_at = match client.receive() {
         RequestOutcome::TimedOut => None,
         _ => Some(state.now()),
     };
-    lock(&state.record).misuses.push(ClientMisuse {
+    lock(&state.record).stalled_clients.push(StalledClient {
         gateway,
         stopped_at,
-        ended_at: ended,
+        ended_at,
     });
 }
 
-/// Sends large statements without reading for so long.
+/// Sends large statements for this time, without reading the answers.
 pub(super) fn flood(state: &SoakState<'_>, gateway: usize, time: Duration) {
     let address = state.gateways.address(gateway);
     let Some(mut client) = address.and_then(Client::connect) else {
@@ -281,7 +285,7 @@
     client.set_nonblocking();
     let started = Instant::now();
     while started.elapsed() < time && !state.is_over() {
-        let number = state.next();
+        let number = state.next_number();
         let key = "k".repeat(FLOOD_STATEMENT_BYTES);
         let statement = timed_read_statement(
             &format!("f{number:x}"),
@@ -289,24 +293,24 @@
             BOUNDED_READ_CLASS,
             READ_TIMEOUT,
         );
-        // Once its socket takes no more in one go, half a message is the last that it sends.
+        // Once the socket does not accept a whole message, a partial message has been sent, so nothing may follow it.
         if !client.send(&statement) {
             std::thread::sleep(time.saturating_sub(started.elapsed()));
         }
     }
 }
 
-/// Connections that ask nothing.
-pub(super) struct IdleCrowd(Vec<TcpStream>);
+/// Connections on which no requests are sent.
+pub(super) struct IdleConnections(Vec<TcpStream>);
 
-impl IdleCrowd {
+impl IdleConnections {
     pub(super) fn connect(state: &SoakState<'_>, gateway: usize, size: usize) -> Self {
         let address = state.gateways.address(gateway);
         let connect = |_| address.and_then(|address| TcpStream::connect(address).ok());
-        IdleCrowd((0..size).filter_map(connect).collect())
+        IdleConnections((0..size).filter_map(connect).collect())
     }
 
-    /// Connects anew where the gateway has closed a connection.
+    /// Replaces connections that the gateway has closed.
     pub(super) fn refresh(&mut self, state: &SoakState<'_>, gateway: usize) {
         let Some(address) = state.gateways.address(gateway) else {
             return;
@@ -325,8 +329,8 @@
         }
     }
 
-    /// Half of them say something that is no message.
-    pub(super) fn misbehave(&mut self) {
+    /// Sends an invalid message on half of the connections.
+    pub(super) fn send_invalid_bytes(&mut self) {
         for socket in self.0.iter_mut().step_by(2) {
             let _ = socket.write_all(b"?");
         }
--- a/crates/stackgw-testkit/src/soak/judge.rs
+++ b/crates/stackgw-testkit/src/soak/judge.rs
@@ -1,4 +1,5 @@
-//! The verdict on a soak: which rules of the service were broken, by what clients, members and the list service wrote down.
+//! The verdict on a soak: the rules of the service that were violated, according to the record of clients, members and the list
+//! service.
 
 use super::clients::write_id;
 use super::records::{Arrival, RequestEnd, RequestKind, RequestRecord, SoakRecord};
@@ -7,55 +8,55 @@
 use std::fmt;
 use std::time::Duration;
 
-/// By how much every time limit grows, for what passes between processes.
+/// Tolerance that is added to time limits for delays between processes.
 const SLACK: Duration = Duration::from_millis(50);
-/// After its time a request's answer earns nothing; later than this it is lost.
+/// A request is lost if its answer is later than this after its timeout.
 const LATE_ANSWER: Duration = Duration::from_millis(500);
-/// Nothing begins for a client later than this after it has left.
+/// No attempt may start for a client later than this after it has disconnected.
 const AFTER_CLIENT_LEFT: Duration = Duration::from_millis(100);
-/// An attempt is told at most so much more than what is left of its client's time.
+/// The timeout of an attempt may exceed its client's remaining time by this.
 const TIMEOUT_SLACK: Duration = Duration::from_millis(150);
-/// Nothing new goes to a member later than this after word that it drains or is gone.
+/// A member may get no new requests later than this after the notification that it is draining or gone.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
-/// A change counts as notified this long after the service could be reached.
+/// Gateways must have received a change this long after the list service is reachable again.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 /// The bound on the staleness of bounded reads.
 const STALENESS_BOUND: Duration = Duration::from_secs(2);
-/// A client that stops inside a message gets its error or its close within this.
+/// A client that stops inside a message must get an error or a close within this time.
 const STALLED_CLIENT_WITHIN: Duration = Duration::from_secs(3);
-/// A gateway is ready within this.
+/// A gateway must be ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// A request that a closing connection crossed ends sooner than this, unread.
-const CROSSING: Duration = Duration::from_millis(50);
-/// What the platform grants a gateway: memory in MiB and descriptors.
+/// A request that crossed the gateway's close of the connection ends within this time, without being read.
+const CLOSE_CROSSING_TIME: Duration = Duration::from_millis(50);
+/// The platform's limits of a gateway: memory in MiB and descriptors.
 const MEMORY_MIB: f64 = 192.0;
 const DESCRIPTORS: usize = 256;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Violation {
-    /// A request got no final answer, or later than half a second after its time.
+    /// A request got no final answer, or got it later than half a second after its timeout.
     Lost(RequestRecord),
-    /// It got more than one.
+    /// A request got more than one answer.
     AnsweredTwice(RequestRecord),
-    /// A write came this often to members that may have run it.
+    /// A write arrived this many times at members that may have run it.
     RepeatedWrite(String, usize),
-    /// An attempt began this long after its client had left.
-    BegunAfterClientLeft(Arrival, Duration),
-    /// A member got a request this long after word that it drains or is gone.
+    /// An attempt started this long after its client had disconnected.
+    AttemptAfterClientLeft(Arrival, Duration),
+    /// A draining or gone member got a request this long after the end of the grace time.
     SentToDraining(Arrival, Duration),
-    /// A bounded read ran on data that was too old.
+    /// A bounded read ran on data older than its bound.
     Stale(Arrival),
-    /// A session did not see its own write. With where the read and that write ran.
+    /// A session did not see its own write. Includes the arrivals of the read and of that write.
     OwnWriteMissed(RequestRecord, Vec<Arrival>),
-    /// An attempt was told this much more time than its client had left.
-    ToldTooMuchTime(Arrival, Duration),
-    /// A client that stopped inside a message was kept.
-    StalledClientKept(usize),
+    /// The timeout of an attempt exceeded its client's remaining time by this.
+    AttemptTimeoutTooLong(Arrival, Duration),
+    /// A gateway did not disconnect a client that stopped inside a message in time.
+    StalledClientNotClosed(usize),
     /// A gateway was not ready in time.
     NotReady(usize),
-    /// A gateway holds something although its clients have gone, or took more than it is granted.
-    NotAtRest(usize, String),
+    /// A gateway holds a resource after its clients have disconnected, or exceeded the platform's limit.
+    ResourceUse(usize, String),
 }
 
 impl fmt::Display for Violation {
@@ -64,7 +65,7 @@
     }
 }
 
-/// Every rule that a record shows broken.
+/// All violations that a record shows.
 pub fn judge(record: &SoakRecord) -> Vec<Violation> {
     let judge = Judge::new(record);
     let mut violations = Vec::new();
@@ -82,14 +83,14 @@
     record: &'a SoakRecord,
     requests: HashMap<&'a str, &'a RequestRecord>,
     arrivals: HashMap<&'a str, usize>,
-    /// The place of each write in the order in which they ran.
+    /// The position of each write in execution order.
     write_ranks: HashMap<&'a str, usize>,
 }
 
 impl<'a> Judge<'a> {
     fn new(record: &'a SoakRecord) -> Self {
         let mut arrivals = HashMap::new();
-        for arrival in record.arrivals.iter().filter(|a| !a.is_refused_write) {
+        for arrival in record.arrivals.iter().filter(|a| !a.is_misrouted_write) {
             *arrivals.entry(arrival.id.as_str()).or_default() += 1;
         }
         let requests = record.requests.iter();
@@ -127,8 +128,8 @@
         violations
     }
 
-    /// Whether the write of one value ran before that of another; no value is before all. A write whose client left, or whose
-    /// outcome is not known, may run after one that was answered later.
+    /// Whether the write of `value` ran before that of `other`; `None` precedes all values. Execution order decides, as a write
+    /// whose client disconnected, or whose outcome is unknown, may run after one that was sent and answered later.
     fn ran_before(&self, value: Option<u64>, other: Option<u64>) -> bool {
         let rank = |value: Option<u64>| {
             let id = value.map(write_id)?;
@@ -137,12 +138,12 @@
         rank(value) < rank(other)
     }
 
-    /// With the arrivals of the read and of the write that it should have shown.
+    /// The violation with the arrivals of the read and of the write that it should have shown.
     fn own_write_missed(&self, request: &RequestRecord) -> Violation {
         let write = request.last_own_write.map(write_id);
         let arrivals = self.record.arrivals.iter();
-        let concerned = arrivals.filter(|a| a.id == request.id || Some(&a.id) == write.as_ref());
-        Violation::OwnWriteMissed(request.clone(), concerned.cloned().collect())
+        let relevant = arrivals.filter(|a| a.id == request.id || Some(&a.id) == write.as_ref());
+        Violation::OwnWriteMissed(request.clone(), relevant.cloned().collect())
     }
 
     fn is_lost(&self, request: &RequestRecord) -> bool {
@@ -150,7 +151,9 @@
         match request.end {
             RequestEnd::Left => false,
             RequestEnd::Unanswered => true,
-            RequestEnd::Disconnected => waited > CROSSING || self.attempts_of(&request.id) > 0,
+            RequestEnd::Disconnected => {
+                waited > CLOSE_CROSSING_TIME || self.attempts_of(&request.id) > 0
+            }
             _ => waited > request.timeout + LATE_ANSWER + SLACK,
         }
     }
@@ -160,12 +163,12 @@
         if let Some(request) = self.requests.get(arrival.id.as_str()) {
             let after = arrival.at.saturating_sub(request.ended_at);
             if request.end == RequestEnd::Left && after > AFTER_CLIENT_LEFT + SLACK {
-                violations.push(Violation::BegunAfterClientLeft(arrival.clone(), after));
+                violations.push(Violation::AttemptAfterClientLeft(arrival.clone(), after));
             }
             let left = (request.sent_at + request.timeout).saturating_sub(arrival.at);
             let excess = arrival.timeout.saturating_sub(left);
             if excess > TIMEOUT_SLACK + SLACK {
-                violations.push(Violation::ToldTooMuchTime(arrival.clone(), excess));
+                violations.push(Violation::AttemptTimeoutTooLong(arrival.clone(), excess));
             }
             if request.kind == RequestKind::BoundedRead
                 && arrival.staleness > STALENESS_BOUND + SLACK
@@ -179,7 +182,7 @@
         violations
     }
 
-    /// How long after its grace a member that drains or is gone got a request; `None`: it did not.
+    /// How long after the end of the grace time the request arrived at a draining or gone member; `None`: it did not.
     fn after_drain(&self, arrival: &Arrival) -> Option<Duration> {
         let announcements = self.record.announcements.iter();
         let last = announcements
@@ -188,14 +191,15 @@
         if last.phase == ListedPhase::Ready {
             return None;
         }
-        let ends = self.notified_at(last.at) + DRAIN_GRACE + SLACK;
+        let grace_end = self.notified_at(last.at) + DRAIN_GRACE + SLACK;
         arrival
             .at
-            .checked_sub(ends)
+            .checked_sub(grace_end)
             .filter(|after| !after.is_zero())
     }
 
-    /// When a change that the service had at this time counts as notified: at once, or so long after the last outage.
+    /// By when gateways must have received a change that the list service had at this time: immediately, or `NOTIFIED_WITHIN`
+    /// after the last outage that delays it.
     fn notified_at(&self, changed_at: Duration) -> Duration {
         let mut at = changed_at;
         loop {
@@ -211,12 +215,12 @@
 
     fn gateways(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
-        for misuse in &self.record.misuses {
-            let waited = misuse
+        for client in &self.record.stalled_clients {
+            let waited = client
                 .ended_at
-                .map(|at| at.saturating_sub(misuse.stopped_at));
+                .map(|at| at.saturating_sub(client.stopped_at));
             if waited.is_none_or(|waited| waited > STALLED_CLIENT_WITHIN + SLACK) {
-                violations.push(Violation::StalledClientKept(misuse.gateway));
+                violations.push(Violation::StalledClientNotClosed(client.gateway));
             }
         }
         for start in &self.record.starts {
@@ -225,14 +229,14 @@
                 violations.push(Violation::NotReady(start.gateway));
             }
         }
-        for rest in &self.record.rests {
-            let not_at_rest = rest.not_at_rest.iter().cloned();
-            let memory = (rest.peak_memory_mib > MEMORY_MIB)
-                .then(|| format!("{} MiB", rest.peak_memory_mib));
-            let descriptors = (rest.descriptors > DESCRIPTORS)
-                .then(|| format!("{} descriptors", rest.descriptors));
-            for what in not_at_rest.chain(memory).chain(descriptors) {
-                violations.push(Violation::NotAtRest(rest.gateway, what));
+        for resources in &self.record.gateway_resources {
+            let unreleased = resources.unreleased.iter().cloned();
+            let memory = (resources.peak_memory_mib > MEMORY_MIB)
+                .then(|| format!("{} MiB", resources.peak_memory_mib));
+            let descriptors = (resources.descriptors > DESCRIPTORS)
+                .then(|| format!("{} descriptors", resources.descriptors));
+            for excess in unreleased.chain(memory).chain(descriptors) {
+                violations.push(Violation::ResourceUse(resources.gateway, excess));
             }
         }
         violations
