--- a/crates/stackgw-cli/src/cmd/check.rs
+++ b/crates/stackgw-cli/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `stackgw check` and `stackgw schema`: the operator's file, checked and explained.
+//! `stackgw check` and `stackgw schema`: validate the operator's file and print its schema.
 
 use crate::error::CommandResult;
 use clap::Args;
@@ -7,18 +7,18 @@
 /// Check an operator's file.
 #[derive(Args)]
 pub struct Check {
-    /// The file.
+    /// The operator's file.
     file: PathBuf,
-    /// Print the outcome as JSON.
+    /// Print the result as JSON.
     #[arg(long)]
     json: bool,
 }
 
 impl Check {
-    /// Says whether the file can be used.
+    /// Reports whether the file is valid.
     ///
     /// # Errors
-    /// Where it can't; the message names the file, the line and the field.
+    /// If it isn't; the message names the file, the line and the field.
     pub fn run(self) -> CommandResult {
         let read = stackgw_config::read(&self.file);
         if self.json {
--- a/crates/stackgw-cli/src/cmd/demo.rs
+++ b/crates/stackgw-cli/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `stackgw demo`: gateways are killed between writes and reads on loopback, and the audit says what sessions saw.
+//! `stackgw demo`: runs a fleet on loopback, kills gateways between writes and reads, and audits session consistency.
 
 use crate::error::CommandResult;
 use clap::Args;
@@ -13,65 +13,65 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Fewer gateways than this are no fleet.
+/// The smallest fleet of the cold start demo.
 const MIN_FLEET: u16 = 3;
 
-/// Requests a second at all gateways of a fleet that starts together.
+/// Requests per second over all gateways of the cold start demo.
 const FLEET_LOAD: f64 = 300.0;
 
-/// Stand-ins, gateways and clients on loopback; gateways are killed.
+/// Run fake members, gateways and clients on loopback and kill gateways.
 #[derive(Args)]
 pub struct Demo {
-    /// Gateways.
+    /// Number of gateways.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=16))]
     gateways: u16,
-    /// So many of them keep marks; all, unless said otherwise.
+    /// Number of gateways that are session replicas; by default all.
     #[arg(long)]
     keepers: Option<u16>,
-    /// Write-read pairs to be completed.
+    /// Write-read pairs to complete.
     #[arg(long, default_value_t = 500)]
     pairs: u64,
-    /// Clients at once.
+    /// Number of concurrent clients.
     #[arg(long, default_value_t = 8)]
     clients: u16,
-    /// Further reads after each pair, at leisure.
+    /// Further reads after each pair.
     #[arg(long, default_value_t = 2)]
     reads: u32,
-    /// The pause before each of those, in milliseconds.
+    /// Pause before each further read, in milliseconds.
     #[arg(long, default_value_t = 40)]
     pause_ms: u64,
-    /// A gateway is killed and started anew this often, in milliseconds; 0: never.
+    /// Interval at which a gateway is killed and restarted, in milliseconds; 0 disables this.
     #[arg(long, default_value_t = 700)]
     kill_every_ms: u64,
-    /// How far the replicas are behind, in milliseconds.
+    /// Replication lag of each replica, in milliseconds.
     #[arg(long, value_delimiter = ',', default_values_t = [30, 400])]
     lag_ms: Vec<u64>,
-    /// The lease, in milliseconds.
+    /// Lease duration, in milliseconds.
     #[arg(long, default_value_t = 400)]
     lease_ms: u64,
-    /// The horizon, in milliseconds.
+    /// Retention of session positions (`horizon` in the operator's file), in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     horizon_ms: u64,
-    /// Keepers have no disks.
+    /// Run the session replicas without stores on disk.
     #[arg(long)]
     no_disks: bool,
-    /// Sessions are not shared: shows what is missed without.
+    /// Don't share sessions between gateways, to show which writes reads then miss.
     #[arg(long)]
     off: bool,
-    /// The members speak Arrow Flight SQL, and the gateways offer it beside the first protocol.
+    /// Members speak Arrow Flight SQL, and gateways offer it in addition to the PostgreSQL protocol.
     #[cfg(feature = "flight")]
     #[arg(long, conflicts_with = "off")]
     flight: bool,
-    /// Instead, a fleet that starts all at once, without its list service, and before cold members.
+    /// Run the cold start demo instead: a fleet that starts all at once, without its list service, and with cold members.
     #[arg(long, conflicts_with = "off")]
     start: bool,
-    /// Afterwards say where the gateways listen and go on until standard input ends.
+    /// Afterwards print the gateways' addresses and keep running until standard input is closed.
     #[arg(long)]
     hold: bool,
-    /// For the choices by chance.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Give up after so many seconds.
+    /// Time limit, in seconds.
     #[arg(long, default_value_t = 600)]
     most_s: u64,
     /// Print the verdict as JSON.
@@ -83,7 +83,7 @@
     /// Runs the demo and prints the verdict.
     ///
     /// # Errors
-    /// Where a read missed its write, or a request was lost or ran twice.
+    /// If a read missed a write of its session, or a request was lost or executed twice.
     pub fn run(self) -> CommandResult {
         if self.start {
             return self.show_cold_start();
@@ -92,11 +92,11 @@
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let verdict = self.audit(&folder);
-        // A bad verdict leaves the logs for whoever looks into it.
-        let leaves_logs = verdict
+        // The logs are kept for diagnosis if the audit found faults.
+        let keeps_logs = verdict
             .as_ref()
             .is_ok_and(|verdict| !verdict.is_good() && !self.off);
-        if !leaves_logs {
+        if !keeps_logs {
             let _ = std::fs::remove_dir_all(&folder);
         }
         let verdict = verdict?;
@@ -108,17 +108,20 @@
         if verdict.is_good() {
             Ok(())
         } else if self.off {
-            Err("sessions missed their writes, as they do where marks are not shared".into())
+            Err(
+                "reads missed writes of their sessions, as expected when sessions are not shared"
+                    .into(),
+            )
         } else {
             let folder = folder.display();
             Err(format!("the audit found faults; the logs are in {folder}").into())
         }
     }
 
-    /// Plays a fleet's cold start, and prints of each phase what it cost.
+    /// Runs a fleet's cold start and prints the load and availability of each phase.
     fn show_cold_start(&self) -> CommandResult {
         let fleet = usize::from(self.gateways.max(MIN_FLEET));
-        println!("{fleet} gateways, three members, one list service; each part lasts ten seconds");
+        println!("{fleet} gateways, three members, one list service; each phase lasts ten seconds");
         let plan = ColdStartPlan {
             program: std::env::current_exe()?,
             fleet,
@@ -137,11 +140,14 @@
         let faults_of = |phase: &&PhaseReport| phase.faults + phase.member_load.collapses;
         match report.phases().iter().map(faults_of).sum::<u64>() {
             0 => Ok(()),
-            faults => Err(format!("{faults} requests or members were broken").into()),
+            faults => Err(format!(
+                "{faults} faults (lost, duplicate or stale requests, member collapses)"
+            )
+            .into()),
         }
     }
 
-    /// Audits sessions while gateways are killed.
+    /// Runs the session audit while gateways are killed.
     fn audit(&self, folder: &Path) -> CommandResult<Verdict> {
         let group = ReplicaGroup::start_with(GroupConfig {
             protocol: self.member_protocol(),
@@ -149,7 +155,7 @@
         })?;
         let gateways = GatewayFleet::start(self.fleet_config(&group, folder)?)?;
         if self.kill_every_ms == 0 && !self.off {
-            // A calm run is to show what it is like once all are sure of each other.
+            // Without faults, show the steady state: wait until all session replicas are sure.
             let settle_ms = self.horizon_ms + 3 * self.lease_ms;
             std::thread::sleep(Duration::from_millis(settle_ms));
         }
@@ -245,8 +251,8 @@
         None => "never".to_owned(),
     };
     println!(
-        "{name}: {} list asks ({} in the worst 100 ms), ready {ready}, {:.1}% served in time, {} handshakes, \
-         cold members at {:.0}% of what they fall at",
+        "{name}: {} list polls ({} in the worst 100 ms), ready {ready}, {:.1}% served in time, {} handshakes, \
+         cold members at {:.0}% of the load at which they collapse",
         phase.polls.total,
         phase.polls.peak,
         phase.served_fraction * 100.0,
@@ -255,20 +261,20 @@
     );
 }
 
-/// Says where the gateways listen, and waits until standard input ends.
+/// Prints the gateways' addresses, and waits until standard input is closed.
 fn hold(gateways: &GatewayFleet) {
     for index in 0..gateways.len() {
         let address = match gateways.address(index) {
             Some(address) => address.to_string(),
-            None => "not there".to_owned(),
+            None => "no address (not running)".to_owned(),
         };
         let flight = match gateways.flight_address(index) {
-            Some(address) => format!(", flight sql at {address}"),
+            Some(address) => format!(", Flight SQL on {address}"),
             None => String::new(),
         };
-        println!("g{index}: listens at {address}{flight}");
+        println!("g{index}: listening on {address}{flight}");
     }
-    println!("classes look, mine and buy; group {GROUP}; the end of standard input ends it");
+    println!("classes look, mine and buy; group {GROUP}; close standard input to stop");
     let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
 }
 
@@ -291,9 +297,10 @@
         verdict.read_us.p99
     );
     let by_replicas = 100.0 * verdict.reads_by_role.replica_fraction();
-    println!("reads run by replicas: {by_replicas:.1}%");
+    println!("reads served by replicas: {by_replicas:.1}%");
     println!(
-        "missed own write {}, no answer {}, two answers {}, doubled writes {}, refused but run {}, served but never run {}",
+        "reads that missed a write of their session {}, unanswered {}, duplicate replies {}, duplicate writes {}, \
+         rejected but executed {}, served but not executed {}",
         counts.misses,
         counts.unanswered,
         counts.duplicate_replies,
@@ -317,5 +324,5 @@
         failed,
         disconnected,
     } = counts;
-    format!("{served} served, {rejected} refused, {failed} failed, {disconnected} cut by kills")
+    format!("{served} served, {rejected} rejected, {failed} failed, {disconnected} disconnected by kills")
 }
--- a/crates/stackgw-cli/src/cmd/list.rs
+++ b/crates/stackgw-cli/src/cmd/list.rs
@@ -1,29 +1,29 @@
-//! `stackgw list`: where a running gateway's list of members is from.
+//! `stackgw list`: shows the endpoint list of a running gateway and where it came from.
 
-use crate::control_socket::{ask, entries, plain_text};
+use crate::control_socket::{entries, plain_text, request};
 use crate::error::CommandResult;
 use clap::Args;
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
-/// Ask a running gateway where its list of members is from.
+/// Show the endpoint list of a running gateway and where it came from.
 #[derive(Args)]
 #[command(after_help = "Example:\n  stackgw list /run/stackgw/g0.sock")]
 pub struct ListQuery {
-    /// The socket that the gateway's file names as `control`.
+    /// The gateway's control socket (`control` in its operator's file).
     socket: PathBuf,
-    /// Print the answer as JSON.
+    /// Print the gateway's answer as JSON.
     #[arg(long)]
     json: bool,
 }
 
 impl ListQuery {
-    /// Asks and prints.
+    /// Queries the gateway and prints its answer.
     ///
     /// # Errors
-    /// Where the gateway can't be asked.
+    /// If the request to the gateway fails.
     pub fn run(self) -> CommandResult {
-        let answer = ask(&self.socket, &json!({"ask": "list"}))?;
+        let answer = request(&self.socket, &json!({"ask": "list"}))?;
         if self.json {
             println!("{answer}");
         } else {
@@ -40,26 +40,26 @@
         "not ready"
     };
     let watch = if answer["watch"] == true {
-        ", watches the service"
+        ", watching the list service"
     } else {
         ""
     };
     println!(
-        "{ready}: {} members, version {}{watch}",
+        "{ready}: {} members, revision {}{watch}",
         answer["members"], answer["revision"]
     );
     if answer["origin"].is_string() {
         println!(
-            "from {}, vouched for {} ms ago",
+            "from {}, last confirmed {} ms ago",
             plain_text(&answer["origin"]),
             answer["age_ms"]
         );
     }
     if answer["behind"] == true {
-        println!("the list service tells older lists than this one");
+        println!("the list service sends an older revision than this list");
     }
     for leader in entries(answer, "holders") {
-        println!("should hold the watch: {}", plain_text(leader));
+        println!("designated watch leader: {}", plain_text(leader));
     }
     if answer["counts"].is_object() {
         println!("counts {}", answer["counts"]);
--- a/crates/stackgw-cli/src/cmd/measure/flight.rs
+++ b/crates/stackgw-cli/src/cmd/measure/flight.rs
@@ -1,4 +1,5 @@
-//! `stackgw measure flight`: what Flight SQL costs through a gateway, against a direct connection and the first protocol.
+//! `stackgw measure flight`: the cost of Flight SQL through a gateway, compared with a direct connection and the PostgreSQL
+//! protocol.
 
 use super::table::median_and_range;
 use crate::error::CommandResult;
@@ -7,40 +8,40 @@
 use stackgw_testkit::measure::flight::FlightRig;
 use stackgw_testkit::Protocol;
 
-/// Flight SQL: bulk streams against a direct connection, cancels, slow readers, small statements.
+/// Flight SQL: bulk streams compared with a direct connection, cancellation, slow readers, small statements.
 #[derive(Args)]
 pub struct FlightCost {
-    /// Rounds; each plays every case once.
+    /// Number of rounds; each round runs every case once.
     #[arg(long, default_value_t = 3)]
     rounds: u64,
-    /// MiB of each bulk stream.
+    /// Size of each bulk stream, in MiB.
     #[arg(long, default_value_t = 512)]
     mib: u64,
-    /// Batches of so many KiB.
+    /// Batch sizes, in KiB.
     #[arg(long, value_delimiter = ',', default_values_t = [64u64, 256, 1_024])]
     batch_kib: Vec<u64>,
-    /// Small statements in each case.
+    /// Number of small statements per case.
     #[arg(long, default_value_t = 4_000)]
     statements: u64,
-    /// Readers that stand still, for the memory that they cost.
+    /// Number of stalled readers in the memory measurement.
     #[arg(long, default_value_t = 100)]
     slow: usize,
-    /// Print each case as a line of JSON.
+    /// Print each figure as a line of JSON.
     #[arg(long)]
     json: bool,
 }
 
-/// One figure of one round, as it is printed in JSON.
+/// One figure of one round: a line of the JSON output.
 #[derive(Serialize)]
 struct Line {
     round: u64,
     case: String,
-    /// What is measured, and its unit.
+    /// The unit of the value.
     figure: &'static str,
     value: f64,
 }
 
-/// The figures so far.
+/// The figures measured so far.
 struct Figures {
     round: u64,
     is_json: bool,
@@ -48,7 +49,7 @@
 }
 
 impl Figures {
-    /// Adds a figure of the present round; in JSON it is printed at once.
+    /// Adds a figure of the current round; with JSON output it is printed immediately.
     fn add(&mut self, case: String, figure: &'static str, value: f64) {
         let round = self.round;
         let line = Line {
@@ -82,7 +83,7 @@
         Ok(())
     }
 
-    /// Members that speak Flight SQL.
+    /// Measures streams, cancellation and memory, with members that speak Flight SQL.
     fn measure_streams(&self, figures: &mut Figures) -> CommandResult {
         let mut rig = FlightRig::start(std::env::current_exe()?, Protocol::FlightSql)?;
         for kib in &self.batch_kib {
@@ -103,7 +104,7 @@
         Ok(())
     }
 
-    /// Members that speak PostgreSQL's protocol.
+    /// Measures small statements, with members that speak the PostgreSQL protocol.
     fn measure_statements(&self, figures: &mut Figures) -> CommandResult {
         const FIGURE: &str = "per CPU second";
         let mut rig = FlightRig::start(std::env::current_exe()?, Protocol::Postgres)?;
@@ -119,7 +120,7 @@
     }
 }
 
-/// Prints the medians over the rounds, with the least and the most.
+/// Prints the median, minimum and maximum of each figure over the rounds.
 fn print_table(lines: &[Line]) {
     println!("| case | figure | median (least to most) |");
     println!("| --- | --- | --- |");
--- a/crates/stackgw-cli/src/cmd/measure/mod.rs
+++ b/crates/stackgw-cli/src/cmd/measure/mod.rs
@@ -1,4 +1,4 @@
-//! `stackgw measure`: what a subsystem costs, on against off in one run. The measurements themselves are the testkit's.
+//! `stackgw measure`: the cost of a subsystem, comparing runs with and without it. The testkit implements the measurements.
 
 #[cfg(feature = "flight")]
 mod flight;
@@ -9,21 +9,21 @@
 use crate::error::CommandResult;
 use clap::{Args, Subcommand};
 
-/// Measure what a subsystem costs.
+/// Measure the cost of a subsystem.
 #[derive(Args)]
 pub struct Measure {
     #[command(subcommand)]
-    subject: Subject,
+    subject: Measurement,
 }
 
 #[derive(Subcommand)]
-enum Subject {
-    /// Sessions across instances: off, always cautious, on without disks, on with disks.
+enum Measurement {
+    /// Shared sessions: off, always cautious, on without disks, on with disks.
     Sessions(sessions::SessionsCost),
-    /// Flight SQL: bulk streams against a direct connection, cancels, slow readers, small statements.
+    /// Flight SQL: bulk streams compared with a direct connection, cancellation, slow readers, small statements.
     #[cfg(feature = "flight")]
     Flight(flight::FlightCost),
-    /// Fleets that start at once: what list service and members bear, how soon clients are served.
+    /// Fleets that start all at once: the load on the list service and members, and the time until clients are served.
     Start(start::StartCost),
 }
 
@@ -31,10 +31,10 @@
     /// Runs the measurement and prints its figures.
     pub fn run(self) -> CommandResult {
         match self.subject {
-            Subject::Sessions(cost) => cost.run(),
+            Measurement::Sessions(cost) => cost.run(),
             #[cfg(feature = "flight")]
-            Subject::Flight(cost) => cost.run(),
-            Subject::Start(cost) => cost.run(),
+            Measurement::Flight(cost) => cost.run(),
+            Measurement::Start(cost) => cost.run(),
         }
     }
 }
--- a/crates/stackgw-cli/src/cmd/measure/sessions.rs
+++ b/crates/stackgw-cli/src/cmd/measure/sessions.rs
@@ -1,4 +1,4 @@
-//! `stackgw measure sessions`: what shared sessions cost.
+//! `stackgw measure sessions`: the cost of shared sessions.
 
 use super::table::{print_head, print_row, Column};
 use crate::error::CommandResult;
@@ -7,16 +7,16 @@
 use stackgw_testkit::measure::sessions::SessionCostPlan;
 use stackgw_testkit::{FleetMode, Percentiles};
 
-/// Sessions across instances: off, always cautious, on without disks, on with disks.
+/// Shared sessions: off, always cautious, on without disks, on with disks.
 #[derive(Args)]
 pub struct SessionsCost {
-    /// Fleets of so many gateways.
+    /// Fleet sizes, in gateways.
     #[arg(long, value_delimiter = ',', default_values_t = [2u16, 3, 5])]
     instances: Vec<u16>,
-    /// Rounds; each plays every case once.
+    /// Number of rounds; each round runs every case once.
     #[arg(long, default_value_t = 3)]
     rounds: u64,
-    /// Pairs in the busy part of each.
+    /// Write-read pairs in the busy phase of each case.
     #[arg(long, default_value_t = 2_000)]
     pairs: u64,
     /// Print each case as a line of JSON.
@@ -24,12 +24,12 @@
     json: bool,
 }
 
-/// A retention that no measurement outlasts: all reads stay cautious.
+/// A retention that is longer than any measurement, so that all reads stay cautious.
 const ENDLESS_RETENTION_MS: u64 = 3_000_000;
 
 const RETENTION_MS: u64 = 2_000;
 
-/// What is measured, each one in every round.
+/// A configuration that is measured once per round.
 struct Case {
     name: &'static str,
     mode: FleetMode,
@@ -64,7 +64,7 @@
     },
 ];
 
-/// One case in one round, as it is printed in JSON.
+/// One case in one round: a line of the JSON output.
 #[derive(Serialize)]
 struct Line {
     instances: u16,
@@ -72,9 +72,9 @@
     case: &'static str,
     write_us: Percentiles,
     read_us: Percentiles,
-    /// The fraction of the session reads that replicas ran, on a calm day.
+    /// The fraction of session reads that replicas served, in the calm phase.
     replicas: f64,
-    /// Processor time of all gateways for each request, in microseconds.
+    /// CPU time of all gateways per request, in microseconds.
     cpu_us: f64,
     /// Resident memory of one gateway, in MiB.
     memory_mb: f64,
@@ -171,7 +171,7 @@
     }
 }
 
-/// Prints the medians over the rounds, with the least and the most.
+/// Prints the median, minimum and maximum of each column over the rounds.
 fn print_table(instances: u16, lines: &[Line]) {
     println!("{instances} gateways: median (least to most) over the rounds");
     print_head(&["case"], &COLUMNS);
--- a/crates/stackgw-cli/src/cmd/measure/start.rs
+++ b/crates/stackgw-cli/src/cmd/measure/start.rs
@@ -1,4 +1,4 @@
-//! `stackgw measure start`: a fleet of real processes that starts at once, with and without its list service.
+//! `stackgw measure start`: a fleet of real processes that all start at once, with and without the list service.
 
 use super::table::{print_head, print_row, Column};
 use crate::error::CommandResult;
@@ -9,34 +9,34 @@
 };
 use std::path::PathBuf;
 
-/// Fleets that start at once: what list service and members bear, how soon clients are served.
+/// Fleets that start all at once: the load on the list service and members, and the time until clients are served.
 #[derive(Args)]
 pub struct StartCost {
-    /// Fleets of so many gateways.
+    /// Fleet sizes, in gateways.
     #[arg(long, value_delimiter = ',', default_values_t = [100u16, 200, 300])]
     gateways: Vec<u16>,
-    /// Which ways to come to know the list are measured.
+    /// Ways of getting the endpoint list to measure: off, alone, undealt, cluster.
     #[arg(long, value_delimiter = ',', default_values_t = ["off".to_owned(), "alone".to_owned(), "cluster".to_owned()])]
     cases: Vec<String>,
-    /// An earlier version of this program, measured as the case `before`.
+    /// An earlier build of this program, measured as the case `before`.
     #[arg(long)]
     before: Option<PathBuf>,
-    /// Requests a second at all gateways together; the members can do twice as many, warm.
+    /// Requests per second over all gateways; the members' warm capacity is twice this.
     #[arg(long, default_value_t = 600.0)]
     load: f64,
-    /// Rounds; each plays every case once.
+    /// Number of rounds; each round runs every case once.
     #[arg(long, default_value_t = 3)]
     rounds: u64,
-    /// Part of what a cold member can do that handshakes may take, where connections are dealt.
+    /// Fraction of a cold member's capacity that handshakes may use, in cases where connections are paced.
     #[arg(long, default_value_t = DEFAULT_HANDSHAKE_FRACTION)]
     opens: f64,
-    /// For the choices by chance; each round takes the next one.
+    /// Seed of all random choices; incremented for each round.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Print each case as a line of JSON.
     #[arg(long)]
     json: bool,
-    /// Keep the gateways' files and logs here, with their counters after each part.
+    /// Keep the gateways' files and logs in this directory, with their counters after each phase.
     #[arg(long)]
     logs: Option<PathBuf>,
 }
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// Measures all rounds of a fleet; in JSON each case is printed as it ends.
+    /// Measures all rounds of a fleet; with JSON output each case is printed when it ends.
     fn measure_rounds(&self, fleet: usize, cases: &[String]) -> CommandResult<Vec<Round>> {
         let mut rounds = Vec::new();
         for round in 0..self.rounds {
@@ -178,13 +178,13 @@
             "undealt" => choice(true, None),
             "cluster" => choice(true, paced),
             other => {
-                Err(format!("cases: '{other}' is none of off, alone, undealt, cluster").into())
+                Err(format!("cases: '{other}' is not one of off, alone, undealt, cluster").into())
             }
         }
     }
 }
 
-/// Prints the medians over the rounds, with the least and the most.
+/// Prints the median, minimum and maximum of each column over the rounds.
 fn print_table(fleet: u16, cases: &[String], rounds: &[Round]) {
     println!("{fleet} gateways: median (least to most) over the rounds");
     print_head(&["case", "part"], &COLUMNS);
--- a/crates/stackgw-cli/src/cmd/measure/table.rs
+++ b/crates/stackgw-cli/src/cmd/measure/table.rs
@@ -1,6 +1,6 @@
-//! Tables of figures over several rounds, in Markdown.
+//! Markdown tables of figures over several rounds.
 
-/// The median of some figures, with the least and the most; one that is not finite is printed as `never`.
+/// The median, minimum and maximum of the figures; a value that is not finite is printed as `never`.
 pub fn median_and_range(figures: impl Iterator<Item = f64>, digits: usize) -> String {
     let mut figures: Vec<_> = figures.collect();
     figures.sort_by(f64::total_cmp);
@@ -12,14 +12,14 @@
     format!("{} ({} to {})", at(last / 2), at(0), at(last))
 }
 
-/// A column: its heading, the figure of one round, and its digits behind the point.
+/// A column: its heading, the figure of one round, and its number of decimal places.
 pub struct Column<T> {
     pub heading: &'static str,
     pub figure: fn(&T) -> f64,
     pub digits: usize,
 }
 
-/// Prints a table's head: the headings of the rows, then those of the columns.
+/// Prints the table header: the headings of the row names, then those of the columns.
 pub fn print_head<T>(row_headings: &[&str], columns: &[Column<T>]) {
     let headings: Vec<_> = row_headings
         .iter()
@@ -30,7 +30,7 @@
     println!("|{}", " --- |".repeat(headings.len()));
 }
 
-/// Prints a row: its names, then each column's median over the rounds.
+/// Prints a row: its names, then the median and range of each column over the rounds.
 pub fn print_row<T>(names: &[&str], columns: &[Column<T>], rounds: &[&T]) {
     let cells: Vec<_> = columns
         .iter()
--- a/crates/stackgw-cli/src/cmd/mod.rs
+++ b/crates/stackgw-cli/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The sub-commands, a file each. A command parses its arguments, calls a library, and prints what comes of it.
+//! The sub-commands, one module each. A command parses its arguments, calls a library and prints the result.
 
 pub mod check;
 pub mod demo;
--- a/crates/stackgw-cli/src/cmd/query/mod.rs
+++ b/crates/stackgw-cli/src/cmd/query/mod.rs
@@ -1,4 +1,4 @@
-//! `stackgw query`: a small Flight SQL client for operators.
+//! `stackgw query`: a minimal Flight SQL client for operators.
 
 mod output;
 
@@ -19,13 +19,12 @@
 
 const WRITE_KEYWORD: &str = "insert";
 
-/// A Flight SQL client.
 type SqlClient = FlightSqlServiceClient<Channel>;
 
-/// Ask a gateway, or a member, by Arrow Flight SQL.
+/// Query a gateway or a member over Arrow Flight SQL.
 ///
-/// A statement that begins with INSERT goes by DoPut, all others by GetFlightInfo and DoGet. The session is the quoted key, as
-/// everywhere.
+/// Statements that begin with INSERT are sent with DoPut, all others with GetFlightInfo and DoGet. The key that the statement
+/// quotes identifies the session.
 #[derive(Args)]
 #[command(
     after_help = "Examples:\n  stackgw query 127.0.0.1:7300 --class stock-check --group 2 --key 7f3a9c21\n  \
@@ -33,45 +32,45 @@
     \"SELECT val FROM state WHERE uid = 'prices'\""
 )]
 pub struct Query {
-    /// Where it listens.
+    /// Address of the gateway or member.
     at: SocketAddr,
-    /// The statement.
+    /// The SQL statement.
     #[arg(required_unless_present = "key", conflicts_with = "key")]
     statement: Option<String>,
-    /// Read this key, which is the session, in place of a statement.
+    /// Read this key instead of running a statement; the key identifies the session.
     #[arg(long, visible_alias = "session")]
     key: Option<String>,
-    /// The class, as the settings name it.
+    /// Name of the class in the settings.
     #[arg(long)]
     class: Option<String>,
-    /// The group's number.
+    /// Number of the group.
     #[arg(long)]
     group: Option<u32>,
-    /// What is read has to show every commit up to here, in Unix milliseconds.
+    /// The read must reflect all commits up to this time, in Unix milliseconds.
     #[arg(long, value_name = "MS")]
     after: Option<u64>,
-    /// Give up after this.
+    /// Timeout of the request, in milliseconds.
     #[arg(long, value_name = "MS")]
     timeout: Option<u64>,
-    /// Show who asks: a file with one line `name:secret`.
+    /// Authenticate with the credentials in this file: one line `name:secret`.
     #[arg(long, value_name = "FILE")]
     user: Option<PathBuf>,
-    /// Show who asks: a file with a token.
+    /// Authenticate with the bearer token in this file.
     #[arg(long, value_name = "FILE", conflicts_with = "user")]
     token: Option<PathBuf>,
-    /// How the answer is written.
+    /// Output format.
     #[arg(long, value_enum, default_value_t = Format::Table)]
     format: Format,
-    /// Where to, in place of standard output.
+    /// Write to this file instead of standard output.
     #[arg(long, value_name = "FILE")]
     output: Option<PathBuf>,
 }
 
 impl Query {
-    /// Asks, and writes the answer.
+    /// Runs the query and writes the answer.
     ///
     /// # Errors
-    /// Where the call fails, or the answer can't be written.
+    /// If the call fails or the answer can't be written.
     pub fn run(self) -> CommandResult {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Shows who asks, where a file is given for that.
+    /// Authenticates the client if a token or user file is given.
     async fn authenticate(&self, client: &mut SqlClient) -> CommandResult {
         if let Some(file) = &self.token {
             client.set_token(read_secret(file)?);
@@ -114,7 +113,7 @@
         if let Some(file) = &self.user {
             let line = read_secret(file)?;
             let Some((name, secret)) = line.split_once(':') else {
-                return Err(format!("{}: is no name:secret", file.display()).into());
+                return Err(format!("{}: not in the form name:secret", file.display()).into());
             };
             client.handshake(name, secret).await.map_err(describe)?;
         }
@@ -127,11 +126,11 @@
             (None, Some(key)) if !key.contains('\'') => {
                 Ok(format!("SELECT val FROM state WHERE uid = '{key}'"))
             }
-            _ => Err("--key: holds a quote".into()),
+            _ => Err("--key: contains a quote".into()),
         }
     }
 
-    /// Reads the whole answer, and writes each batch as it comes.
+    /// Reads the whole answer, writing each batch as it arrives.
     async fn write_answer(&self, client: &mut SqlClient, statement: String) -> CommandResult {
         let info = client.execute(statement, None).await.map_err(describe)?;
         let mut writer = AnswerWriter::new(self.format, self.output.as_deref())?;
@@ -146,7 +145,7 @@
     }
 }
 
-/// Connects to whatever speaks Flight SQL.
+/// Connects to a Flight SQL server.
 async fn connect(address: SocketAddr) -> CommandResult<SqlClient> {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .map_err(|e| format!("{address}: {e}"))?
@@ -157,20 +156,20 @@
     Ok(FlightSqlServiceClient::new(channel))
 }
 
-/// The text of a file, without space around it.
+/// The content of a file, without leading and trailing white space.
 fn read_secret(file: &Path) -> CommandResult<String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     Ok(text.trim().to_owned())
 }
 
-/// An error in one line, with what the gateway says of when to retry.
+/// An error in one line, with the retry delay if the gateway sent one.
 fn describe(error: FlightError) -> String {
     let FlightError::Tonic(status) = error else {
         return error.to_string();
     };
     let retry_info = status.get_error_details().retry_info().cloned();
     let retry_after = match retry_info.and_then(|info| info.retry_delay) {
-        Some(delay) => format!("; come again in {} ms", delay.as_millis()),
+        Some(delay) => format!("; retry in {} ms", delay.as_millis()),
         None => String::new(),
     };
     format!("{}: {}{retry_after}", status.code(), status.message())
--- a/crates/stackgw-cli/src/cmd/query/output.rs
+++ b/crates/stackgw-cli/src/cmd/query/output.rs
@@ -1,4 +1,4 @@
-//! How the answers of `stackgw query` are written.
+//! Output formats of `stackgw query`.
 
 use crate::error::CommandResult;
 use arrow_array::cast::AsArray;
@@ -12,22 +12,22 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// How an answer is written.
+/// The format of the output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// For people; whole answers are held in memory.
+    /// Human-readable table; the whole answer is held in memory.
     Table,
-    /// With a line of names.
+    /// CSV with a header line.
     Csv,
-    /// An object a line.
+    /// JSON, one object per line.
     Json,
-    /// Columnar, for other tools.
+    /// Parquet, for other tools.
     Parquet,
 }
 
 type Sink = Box<dyn Write>;
 
-/// Writes the batches of an answer, one after another; only a table waits for all of them.
+/// Writes the batches of an answer as they arrive; only the table format buffers all of them.
 pub enum AnswerWriter {
     Table {
         batches: Vec<RecordBatch>,
@@ -35,7 +35,7 @@
     },
     Csv(Box<arrow_csv::Writer<Sink>>),
     Json(arrow_json::LineDelimitedWriter<Sink>),
-    /// Its schema is that of the first batch; until that comes there is only the file.
+    /// A Parquet file before the first batch, which determines the schema.
     ParquetFile(File),
     Parquet(Box<ArrowWriter<File>>),
 }
@@ -44,12 +44,12 @@
     /// Writes to a file, or to standard output.
     ///
     /// # Errors
-    /// Where the file can't be created, or the format needs one and there is none.
+    /// If the file can't be created, or the format requires one and none is given.
     pub fn new(format: Format, output: Option<&Path>) -> CommandResult<Self> {
         let create =
             |path: &Path| File::create(path).map_err(|e| format!("{}: {e}", path.display()));
         if format == Format::Parquet {
-            let path = output.ok_or("--format parquet wants --output FILE")?;
+            let path = output.ok_or("--format parquet requires --output FILE")?;
             return Ok(AnswerWriter::ParquetFile(create(path)?));
         }
         let sink: Sink = match output {
@@ -69,7 +69,7 @@
     /// Writes a batch.
     ///
     /// # Errors
-    /// Where it can't be written.
+    /// If it can't be written.
     pub fn write(&mut self, batch: RecordBatch) -> CommandResult {
         match self {
             AnswerWriter::Table { batches, .. } => batches.push(batch),
@@ -86,10 +86,10 @@
         Ok(())
     }
 
-    /// Writes what comes behind the last batch.
+    /// Completes the output after the last batch.
     ///
     /// # Errors
-    /// Where it can't be written, or a file would have no schema.
+    /// If it can't be written, or a Parquet file has no schema because there was no batch.
     pub fn finish(self) -> CommandResult {
         match self {
             AnswerWriter::Table { batches, mut sink } => {
@@ -100,14 +100,14 @@
             AnswerWriter::Json(mut json) => json.finish()?,
             AnswerWriter::Parquet(parquet) => drop(parquet.close()?),
             AnswerWriter::ParquetFile(_) => {
-                return Err("the answer has no batch, so no file was written".into());
+                return Err("the answer has no record batch; no Parquet data was written".into());
             }
         }
         Ok(())
     }
 }
 
-/// The same batch with binary columns as text: in hexadecimal, where the bytes are no text themselves. CSV has no bytes.
+/// Converts binary columns to text, because CSV has no binary type. Bytes that are not valid UTF-8 become hexadecimal.
 fn binary_as_text(batch: &RecordBatch) -> Result<RecordBatch, ArrowError> {
     let (mut fields, mut columns) = (Vec::new(), Vec::new());
     let schema = batch.schema();
--- a/crates/stackgw-cli/src/cmd/run.rs
+++ b/crates/stackgw-cli/src/cmd/run.rs
@@ -1,4 +1,4 @@
-//! `stackgw run`, and `stackgw` alone: a gateway in the foreground.
+//! `stackgw run`, and `stackgw` without a sub-command: runs a gateway in the foreground.
 
 use crate::error::CommandResult;
 #[cfg(feature = "flight")]
@@ -12,19 +12,19 @@
 /// Run a gateway in the foreground.
 #[derive(Args, Default)]
 pub struct Run {
-    /// The operator's file; without one everything in it is off.
+    /// The operator's file; without it, all features that it configures are off.
     #[arg(long, value_name = "FILE")]
     file: Option<PathBuf>,
-    /// The platform's JSON document, in place of the one that ROUTER_CONFIG names.
+    /// The platform's JSON configuration; overrides ROUTER_CONFIG.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
 }
 
 impl Run {
-    /// Serves until a signal ends it.
+    /// Serves until a signal stops the process.
     ///
     /// # Errors
-    /// Where the configuration can't be used, in one line that names file and field; or where the gateway can't serve.
+    /// If the configuration is invalid, with one line that names the file and the field, or if the gateway can't serve.
     pub fn run(self) -> CommandResult {
         let Run { file, config } = self;
         let config = Config::from_env(|name| match &config {
@@ -41,11 +41,11 @@
     }
 }
 
-/// A build without Flight SQL says so where the operator's file turns it on.
+/// Rejects an operator's file that enables Flight SQL, which this build doesn't include.
 #[cfg(not(feature = "flight"))]
 fn flight_frontend(config: &Config) -> CommandResult<Option<FrontendFactory>> {
     match config.operator.flight {
-        Some(_) => Err("flight: this build has no Arrow Flight SQL".into()),
+        Some(_) => Err("flight: this build does not include Arrow Flight SQL".into()),
         None => Ok(None),
     }
 }
--- a/crates/stackgw-cli/src/cmd/sessions.rs
+++ b/crates/stackgw-cli/src/cmd/sessions.rs
@@ -1,42 +1,42 @@
-//! `stackgw sessions`: what a running gateway holds of sessions.
+//! `stackgw sessions`: shows the session state of a running gateway.
 
-use crate::control_socket::{ask, entries, plain_text};
+use crate::control_socket::{entries, plain_text, request};
 use crate::error::CommandResult;
 use clap::Args;
 use serde_json::{json, Value};
 use std::path::PathBuf;
 
-/// Ask a running gateway what it holds of sessions.
+/// Show the session state of a running gateway.
 #[derive(Args)]
 #[command(after_help = "Examples:\n  stackgw sessions /run/stackgw/g0.sock\n  \
     stackgw sessions /run/stackgw/g0.sock --group 2 --session 7f3a9c21e0b4d655")]
 pub struct SessionsQuery {
-    /// The socket that the gateway's file names as `control`.
+    /// The gateway's control socket (`control` in its operator's file).
     socket: PathBuf,
-    /// Ask of one session: its key, as its statements quote it.
+    /// Show only this session, given by its key as quoted in its statements.
     #[arg(long, requires = "group")]
     session: Option<String>,
     /// The session's group.
     #[arg(long, requires = "session")]
     group: Option<u32>,
-    /// Print the answer as JSON.
+    /// Print the gateway's answer as JSON.
     #[arg(long)]
     json: bool,
 }
 
 impl SessionsQuery {
-    /// Asks and prints.
+    /// Queries the gateway and prints its answer.
     ///
     /// # Errors
-    /// Where the gateway can't be asked.
+    /// If the request to the gateway fails.
     pub fn run(self) -> CommandResult {
-        let question = match (&self.session, self.group) {
+        let query = match (&self.session, self.group) {
             (Some(session), Some(group)) => {
                 json!({"ask": "session", "group": group, "session": session})
             }
             _ => json!({"ask": "sessions"}),
         };
-        let answer = ask(&self.socket, &question)?;
+        let answer = request(&self.socket, &query)?;
         if self.json {
             println!("{answer}");
         } else if self.session.is_some() {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Whether reads are cautious, and why.
+/// `sure`, or `cautious` with the reason why reads are cautious.
 fn certainty(answer: &Value) -> String {
     match &answer["unsure_because"] {
         Value::Null => "sure".to_owned(),
@@ -64,7 +64,7 @@
         Value::Null => println!("mark: none"),
         mark => {
             let shared = if mark["pushed_out"] == true {
-                ", of a cell that others share"
+                ", evicted: shares a bucket with other sessions"
             } else {
                 ""
             };
--- a/crates/stackgw-cli/src/control_socket.rs
+++ b/crates/stackgw-cli/src/control_socket.rs
@@ -1,4 +1,5 @@
-//! Questions to a running gateway, at the local socket that its file names as `control`: one JSON object, one line of answer.
+//! A client of a running gateway's control socket, the Unix socket that the operator's file sets as `control`: each request is one
+//! JSON object, each answer one line of JSON.
 
 use crate::error::CommandResult;
 use serde_json::Value;
@@ -9,30 +10,30 @@
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks a gateway.
+/// Sends a request to a gateway and returns its answer.
 ///
 /// # Errors
-/// Where the socket can't be used, or the gateway answers with an error; the message names the socket.
-pub fn ask(socket: &Path, question: &Value) -> CommandResult<Value> {
-    let about_socket = |problem: &dyn std::fmt::Display| format!("{}: {problem}", socket.display());
-    let line = exchange(socket, question).map_err(|e| about_socket(&e))?;
-    let answer: Value = serde_json::from_str(&line).map_err(|e| about_socket(&e))?;
+/// If the socket can't be used, or the gateway answers with an error; the message names the socket.
+pub fn request(socket: &Path, request: &Value) -> CommandResult<Value> {
+    let with_socket = |error: &dyn std::fmt::Display| format!("{}: {error}", socket.display());
+    let line = exchange(socket, request).map_err(|e| with_socket(&e))?;
+    let answer: Value = serde_json::from_str(&line).map_err(|e| with_socket(&e))?;
     match answer.get("error").and_then(Value::as_str) {
-        Some(error) => Err(about_socket(&error).into()),
+        Some(error) => Err(with_socket(&error).into()),
         None => Ok(answer),
     }
 }
 
-fn exchange(socket: &Path, question: &Value) -> io::Result<String> {
+fn exchange(socket: &Path, request: &Value) -> io::Result<String> {
     let mut stream = UnixStream::connect(socket)?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-    stream.write_all(format!("{question}\n").as_bytes())?;
+    stream.write_all(format!("{request}\n").as_bytes())?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line)?;
     Ok(line)
 }
 
-/// A value of an answer as people write it: text without quotes.
+/// A JSON value as text for display; strings are not quoted.
 pub fn plain_text(value: &Value) -> String {
     match value.as_str() {
         Some(text) => text.to_owned(),
@@ -40,7 +41,7 @@
     }
 }
 
-/// The entries of a list in an answer; none where there is no list.
+/// The elements of an array field of an answer; empty if the field is not an array.
 pub fn entries<'a>(answer: &'a Value, field: &str) -> impl Iterator<Item = &'a Value> {
     answer[field].as_array().into_iter().flatten()
 }
--- a/crates/stackgw-cli/src/error.rs
+++ b/crates/stackgw-cli/src/error.rs
@@ -1,7 +1,6 @@
-//! How a command fails: with whatever error, which the user gets in one line.
+//! The result type of commands.
 
 use std::error::Error;
 
-/// The result of a command. This is the program's outermost edge, where errors are text for people; libraries have types of their
-/// own.
+/// The result of a command. Errors are boxed because the command line only prints them; the libraries have typed errors.
 pub type CommandResult<T = ()> = Result<T, Box<dyn Error>>;
--- a/crates/stackgw-cli/src/flight_frontend.rs
+++ b/crates/stackgw-cli/src/flight_frontend.rs
@@ -1,4 +1,4 @@
-//! Flight SQL before the gateway and behind it, as the operator's file configures it.
+//! Builds the Flight SQL server and back end settings from the operator's file.
 
 use crate::error::CommandResult;
 use stackgw_config::Auth;
@@ -10,30 +10,30 @@
 
 const KIB_BITS: u32 = 10;
 
-/// What starts the Flight SQL server, if the operator's file turns it on.
+/// The factory of the Flight SQL server; `None` if the operator's file doesn't enable it.
 ///
 /// # Errors
-/// Where the file of users can't be used.
+/// If the users file can't be read or is invalid.
 pub fn flight_frontend(config: &Config) -> CommandResult<Option<FrontendFactory>> {
     let Some(flight) = config.operator.flight.clone() else {
         return Ok(None);
     };
-    let (file, ring) = (flight.options, flight.keyring);
-    let bulk = &file.bulk;
-    let users = match &file.auth {
+    let (options, key_ring) = (flight.options, flight.keyring);
+    let bulk = &options.bulk;
+    let users = match &options.auth {
         None => None,
         Some(Auth::Basic(users)) => Some(Users::read(AuthScheme::Basic, users)?),
         Some(Auth::Bearer(users)) => Some(Users::read(AuthScheme::Bearer, users)?),
     };
     let limits = &config.limits;
     let settings = ServerConfig {
-        listen: file.listen,
-        key_ring: ring,
-        ticket_lifetime_ms: file.ticket.as_millis(),
-        request_timeout_ms: file.wait.as_millis(),
-        max_requests: file.requests,
-        max_streams_per_connection: file.streams,
-        worker_threads: file.threads,
+        listen: options.listen,
+        key_ring,
+        ticket_lifetime_ms: options.ticket.as_millis(),
+        request_timeout_ms: options.wait.as_millis(),
+        max_requests: options.requests,
+        max_streams_per_connection: options.streams,
+        worker_threads: options.threads,
         stream_limits: StreamLimits {
             max_streams: bulk.streams,
             bytes_per_stream: bulk.each_kib << KIB_BITS,
@@ -46,9 +46,9 @@
             requests_per_channel: bulk.per_channel,
             max_message_bytes: bulk.message_kib << KIB_BITS,
             max_value_bytes: limits.answer_bytes,
-            write_outcome_timeout_ms: file.wait.as_millis(),
+            write_outcome_timeout_ms: options.wait.as_millis(),
         },
-        flight_groups: file.groups.clone(),
+        flight_groups: options.groups.clone(),
         answer_slack_ms: whole_ms(config.settings.router.obligations.answer_slack),
         users,
     };
@@ -59,12 +59,12 @@
     })))
 }
 
-/// A duration of the operator's file as the router's span.
+/// Converts a duration of the operator's file to the router's time span.
 fn span(duration: stackgw_config::Duration) -> Span {
     i64::try_from(duration.as_millis()).unwrap_or(i64::MAX) * MS
 }
 
-/// A span in whole milliseconds; 0 where it is below 0.
+/// A span in whole milliseconds; 0 if it is negative.
 fn whole_ms(span: Span) -> u64 {
     u64::try_from(span / MS).unwrap_or(0)
 }
--- a/crates/stackgw-cli/src/main.rs
+++ b/crates/stackgw-cli/src/main.rs
@@ -1,7 +1,8 @@
-//! `stackgw`: one gateway, configured by its environment where no sub-command is named, and what operators need around it.
+//! The `stackgw` command: without a sub-command it runs a gateway that is configured by environment variables; the sub-commands
+//! are tools for operators.
 //!
-//! This package has arguments, calls and output. Every sub-command calls a library and prints what comes of it; its errors are
-//! one line on standard error, and an exit code that is not zero. It must not decide anything about requests, nor know a wire.
+//! This package parses arguments, calls libraries and prints results. An error is printed as one line on standard error, with a
+//! non-zero exit code. Decisions about requests and knowledge of wire formats belong to the libraries, not here.
 
 mod cmd;
 mod control_socket;
@@ -29,24 +30,24 @@
 enum Command {
     /// Run a gateway in the foreground.
     Run(cmd::run::Run),
-    /// Check an operator's file: one line if it cannot be used.
+    /// Check an operator's file and report the first problem in one line.
     Check(cmd::check::Check),
     /// Print the JSON Schema of the operator's file.
     Schema,
-    /// Ask a running gateway what it holds of sessions, and why one is read cautiously.
+    /// Show the session state of a running gateway, and why reads are cautious.
     Sessions(cmd::sessions::SessionsQuery),
-    /// Ask a running gateway where its list of members is from.
+    /// Show the endpoint list of a running gateway and where it came from.
     List(cmd::list::ListQuery),
-    /// Stand-ins, gateways and clients on loopback; gateways are killed, and the audit says what sessions saw.
+    /// Run fake members, gateways and clients on loopback, kill gateways, and audit session consistency.
     Demo(cmd::demo::Demo),
-    /// Ask a gateway, or a member, by Arrow Flight SQL.
+    /// Query a gateway or a member over Arrow Flight SQL.
     #[cfg(feature = "flight")]
     Query(Box<cmd::query::Query>),
-    /// Measure what a subsystem costs, on against off in one run.
+    /// Measure the cost of a subsystem by comparing runs with and without it.
     Measure(cmd::measure::Measure),
-    /// Print completions for a shell.
+    /// Print a shell completion script.
     Completions {
-        /// Which shell.
+        /// The shell.
         shell: clap_complete::Shell,
     },
 }
@@ -71,8 +72,8 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("stackgw: {problem}");
+        Err(error) => {
+            eprintln!("stackgw: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/stackgw-cli/tests/flight.rs
+++ b/crates/stackgw-cli/tests/flight.rs
@@ -393,7 +393,7 @@
     let no_file = [address, "--key", "k1", "--user", "/nowhere/at/all"];
     for (args, problem) in [
         (&no_class[..], "x-stackgw-class is missing"),
-        (&quote, "--key: holds a quote"),
+        (&quote, "--key: contains a quote"),
         (&nobody, "127.0.0.1:1: "),
         (&no_file, "/nowhere/at/all: No such file"),
     ] {
