--- a/crates/stackgw-cli/tests/common/gateway_process.rs
+++ b/crates/stackgw-cli/tests/common/gateway_process.rs
@@ -1,4 +1,5 @@
-//! The gateway's binary between sockets that a test drives by hand. Every wait is for an event and bounded.
+//! Runs the gateway binary between client, member and list service sockets that the test controls. Every wait is for an event and
+//! has a time limit.
 
 use super::gateway_common::{config_text, entry, list_text, query, startup};
 use super::pg_connection::{frame_kinds, PgConnection, Side, TIMEOUT};
@@ -11,7 +12,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::{Duration, Instant};
 
-/// The gateway's process, killed when it is dropped.
+/// A gateway process; killed on drop.
 pub struct GatewayProcess {
     pub child: Child,
     pub address: SocketAddr,
@@ -25,7 +26,7 @@
         Self::start_with_config(name, list_address, &config_text("null"))
     }
 
-    /// The same with this configuration.
+    /// As [`GatewayProcess::start`], with this configuration.
     pub fn start_with_config(name: &str, list_address: SocketAddr, text: &str) -> Self {
         let config =
             std::env::temp_dir().join(format!("stackgw-{}-{name}.json", std::process::id()));
@@ -38,7 +39,7 @@
             .spawn()
             .expect("the gateway");
         let (lines, log) = channel();
-        let stderr = child.stderr.take().expect("its log");
+        let stderr = child.stderr.take().expect("the piped stderr");
         std::thread::spawn(move || {
             BufReader::new(stderr)
                 .lines()
@@ -52,40 +53,40 @@
             config,
         };
         let line = gateway.wait_for_line("listening on ");
-        let word = line
+        let address = line
             .split("listening on ")
             .nth(1)
             .and_then(|rest| rest.split(',').next());
-        gateway.address = word
+        gateway.address = address
             .and_then(|a| a.trim().parse().ok())
-            .expect("its address");
+            .expect("the address that the gateway listens on");
         gateway
     }
 
-    /// Waits for a line of the log that has this text.
+    /// Waits for a log line that contains this text, and returns the line.
     pub fn wait_for_line(&self, text: &str) -> String {
         loop {
             let line = self
                 .log
                 .recv_timeout(TIMEOUT)
-                .unwrap_or_else(|_| panic!("no line with '{text}'"));
+                .unwrap_or_else(|_| panic!("no log line contains '{text}'"));
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Asks for the counters; gives the value of one.
+    /// Requests the counters and returns the value of one.
     pub fn counter(&self, counter: &str) -> u64 {
         self.signal("USR1");
         let line = self.wait_for_line("counters ");
         let value = line
             .split(' ')
-            .find_map(|word| word.strip_prefix(counter)?.strip_prefix('='));
+            .find_map(|field| field.strip_prefix(counter)?.strip_prefix('='));
         value.and_then(|v| v.parse().ok()).expect("the counter")
     }
 
-    /// Asks for the counters until one is as expected.
+    /// Requests the counters until one has an expected value.
     pub fn wait_for_counter(&self, counter: &str, is_expected: impl Fn(u64) -> bool) {
         let started = Instant::now();
         loop {
@@ -97,13 +98,13 @@
         }
     }
 
-    /// Writes the configuration anew, with this address for the list.
+    /// Rewrites the configuration file with this address of the list service.
     pub fn write_config(&self, list_address: SocketAddr) {
         let text = config_text("null").replace("127.0.0.1:8500", &list_address.to_string());
         std::fs::write(&self.config, text).expect("a file");
     }
 
-    /// Sends the process a signal by its name.
+    /// Sends the process the named signal.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("sh")
@@ -113,7 +114,7 @@
             .success());
     }
 
-    /// A connection without its startup.
+    /// Connects without sending a startup message.
     pub fn connect(&self) -> PgConnection {
         PgConnection::new(
             TcpStream::connect(self.address).expect("a connection"),
@@ -121,21 +122,21 @@
         )
     }
 
-    /// A client whose startup is done, at a gateway that is ready.
+    /// Connects a client, completes its startup and waits until the gateway is ready.
     pub fn ready_client(&self) -> PgConnection {
         let mut connection = self.connect();
         connection.write(&[startup()]);
         assert_eq!(connection.read_reply().last().map(|f| f.kind), Some(b'Z'));
-        // Answered only once the gateway can serve.
+        // An empty query is answered only once the gateway can serve.
         connection.write(&[query("")]);
         assert_eq!(frame_kinds(&connection.read_reply()), "IZ");
         connection
     }
 
-    /// How many descriptors the process has open.
+    /// Number of open file descriptors of the process.
     pub fn descriptors(&self) -> usize {
         let folder = format!("/proc/{}/fd", self.child.id());
-        let descriptors = std::fs::read_dir(folder).expect("its descriptors");
+        let descriptors = std::fs::read_dir(folder).expect("the descriptors of the process");
         descriptors.count()
     }
 
@@ -144,16 +145,16 @@
         self.status_kib("VmRSS:")
     }
 
-    /// The most resident memory that the process has had, in KiB.
+    /// The peak resident memory of the process, in KiB.
     pub fn peak_kib(&self) -> usize {
         self.status_kib("VmHWM:")
     }
 
     fn status_kib(&self, name: &str) -> usize {
         let file = format!("/proc/{}/status", self.child.id());
-        let status = std::fs::read_to_string(file).expect("its state");
+        let status = std::fs::read_to_string(file).expect("the process status");
         let field = status.lines().find_map(|l| l.strip_prefix(name));
-        let field = field.expect("its memory").trim();
+        let field = field.expect("the memory field").trim();
         let kib = field.trim_end_matches(" kB").trim().parse();
         kib.expect("a number")
     }
@@ -161,20 +162,20 @@
     /// Waits until the process ends.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         for _ in 0..2000 {
-            if let Some(status) = self.child.try_wait().expect("its state") {
+            if let Some(status) = self.child.try_wait().expect("the process status") {
                 return status;
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        panic!("the gateway does not end");
+        panic!("the gateway did not exit in time");
     }
 }
 
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            let ended = self.child.try_wait();
-            eprintln!("the gateway's end: {ended:?}; its log:");
+            let status = self.child.try_wait();
+            eprintln!("gateway exit status: {status:?}; its log:");
             self.log.try_iter().for_each(|line| eprintln!("  {line}"));
         }
         let _ = self.child.kill();
@@ -183,18 +184,18 @@
     }
 }
 
-/// A gateway before a primary and two replicas.
+/// A gateway in front of a primary and two replicas.
 pub struct GatewayFixture {
     pub gateway: GatewayProcess,
-    /// What members are asked.
+    /// The statements that members received.
     pub statements: Receiver<String>,
-    /// Releases an answer to `slow`, by member.
+    /// By member, releases its answer to a statement with the key `slow`.
     pub release: Vec<Sender<()>>,
-    /// The list's entries, the primary first.
+    /// The entries of the endpoint list, the primary first.
     pub entries: Vec<String>,
 }
 
-/// Starts members, and a gateway whose list service is made from their entries.
+/// Starts members and a gateway; `start_lists` starts the list service from the members' entries.
 pub fn start_fixture_with(
     name: &str,
     start_lists: impl FnOnce(&[String]) -> SocketAddr,
@@ -202,7 +203,7 @@
     start_fixture_with_config(name, &config_text("null"), start_lists)
 }
 
-/// The same with this configuration.
+/// As [`start_fixture_with`], with this configuration.
 pub fn start_fixture_with_config(
     name: &str,
     config: &str,
@@ -227,7 +228,7 @@
     }
 }
 
-/// The same with a list service that has them all.
+/// As [`start_fixture_with`], with a list service that lists all members.
 pub fn start_fixture(name: &str) -> GatewayFixture {
     start_fixture_with(name, |entries| {
         start_list_service(list_text(1, true, entries))
--- a/crates/stackgw-cli/tests/common/group_fixture.rs
+++ b/crates/stackgw-cli/tests/common/group_fixture.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A group behind two gateways.
+/// A replication group behind two gateways.
 pub struct GroupFixture {
     pub group: Arc<ReplicaGroup>,
     pub gateways: GatewayFleet,
@@ -17,12 +17,12 @@
 }
 
 impl GroupFixture {
-    /// Replicas that are so far behind; all members speak this protocol.
+    /// Starts a group with one replica for each replication lag; all members speak this protocol.
     pub fn new(name: &str, lags_ms: &[u64], protocol: Protocol) -> Self {
         Self::with_auth(name, lags_ms, protocol, None)
     }
 
-    /// The same where clients of Flight SQL show who they are.
+    /// As [`GroupFixture::new`]; with `flight_auth`, Flight SQL clients must authenticate.
     pub fn with_auth(
         name: &str,
         lags_ms: &[u64],
@@ -57,36 +57,36 @@
         }
     }
 
-    /// Where Flight SQL clients of a gateway connect.
+    /// The Flight SQL address of a gateway.
     pub fn flight_address(&self, gateway: usize) -> SocketAddr {
         let address = self.gateways.flight_address(gateway);
-        address.expect("it speaks Flight SQL")
+        address.expect("a Flight SQL address")
     }
 
-    /// A client of a gateway, by this protocol.
+    /// A client of a gateway over this protocol.
     pub fn client(&self, gateway: usize, protocol: Protocol) -> Box<dyn ProtocolClient> {
         match protocol {
             Protocol::Postgres => {
-                let address = self.gateways.address(gateway).expect("it runs");
+                let address = self.gateways.address(gateway).expect("the gateway runs");
                 Box::new(PostgresClient::new(address))
             }
             Protocol::FlightSql => Box::new(FlightClient::new(self.flight_address(gateway))),
         }
     }
 
-    /// The most memory that a gateway has had, in MiB.
+    /// The peak memory of a gateway, in MiB.
     pub fn peak_memory_mib(&self, gateway: usize) -> u64 {
-        let pid = self.gateways.pid(gateway).expect("it runs");
-        peak_memory_mib(pid).expect("its peak") as u64
+        let pid = self.gateways.pid(gateway).expect("the gateway runs");
+        peak_memory_mib(pid).expect("its peak memory") as u64
     }
 
-    /// Waits until no member works on anything; gives how long that took.
+    /// Waits until no member has a request in flight, and returns how long that took.
     pub fn wait_until_idle(&self, timeout: Duration) -> Duration {
         let started = Instant::now();
         while self.group.in_flight() > 0 {
             assert!(
                 started.elapsed() < timeout,
-                "{} requests still run after {timeout:?}",
+                "{} requests still in flight after {timeout:?}",
                 self.group.in_flight()
             );
             std::thread::sleep(Duration::from_millis(2));
--- a/crates/stackgw-cli/tests/common/mod.rs
+++ b/crates/stackgw-cli/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the process tests share: the gateway's binary between sockets that a test drives by hand ([`gateway_process`]), and
-//! behind the testkit's group, by either protocol ([`group_fixture`], [`protocol_client`]).
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Helpers of the process tests: the gateway binary between sockets that the test controls ([`gateway_process`]), and gateways in
+//! front of the testkit's replication group, with clients of either protocol ([`group_fixture`], [`protocol_client`]).
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 #[path = "../../../stackgw-gateway/tests/common/mod.rs"]
 pub mod gateway_common;
--- a/crates/stackgw-cli/tests/common/pg_connection.rs
+++ b/crates/stackgw-cli/tests/common/pg_connection.rs
@@ -1,4 +1,4 @@
-//! One end of a PostgreSQL connection, driven by hand, and the statements that tests send over it.
+//! One end of a PostgreSQL connection that the test controls, and the statements that tests send over it.
 
 use super::gateway_common::{new_id, query};
 use stackgw_gateway::pg::{Frame, FrameDecoder};
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Longer than anything takes on a busy machine.
+/// Longer than any step of a test takes on a busy machine.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 const MAX_STARTUP_BYTES: usize = 1 << 16;
@@ -36,7 +36,7 @@
         PgConnection { socket, decoder }
     }
 
-    /// The next message; `None` where the connection is over.
+    /// The next message; `None` if the connection has ended or the bytes are malformed.
     pub fn next(&mut self) -> Option<Frame> {
         let mut buffer = [0; 4096];
         loop {
@@ -45,7 +45,7 @@
             }
             match self.socket.read(&mut buffer) {
                 Ok(n) if n > 0 => self.decoder.feed(&buffer[..n]),
-                // Danger: taken for the end, it would fail a test now and then.
+                // Treating an interrupted read as the end of the connection would make tests flaky.
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Ok(_) | Err(_) => return None,
             }
@@ -57,7 +57,7 @@
         let _ = self.socket.write_all(&bytes);
     }
 
-    /// Everything up to ReadyForQuery, or what comes before the end of the connection.
+    /// All messages up to ReadyForQuery or the end of the connection.
     pub fn read_reply(&mut self) -> Vec<Frame> {
         let mut reply = Vec::new();
         while let Some(frame) = self.next() {
@@ -70,7 +70,7 @@
     }
 }
 
-/// A write of this key.
+/// An INSERT statement for this key.
 pub fn insert(key: &str) -> Frame {
     let comment = format!("/* id={},c=buy,d=20000,cluster=2 */", new_id());
     query(&format!(
@@ -78,7 +78,7 @@
     ))
 }
 
-/// A read of this key, with a bound on staleness.
+/// A SELECT statement for this key, in a class with a staleness bound.
 pub fn select(key: &str) -> Frame {
     let id = new_id();
     query(&format!(
@@ -86,7 +86,7 @@
     ))
 }
 
-/// The kinds of messages, a letter each.
+/// The types of the messages, one letter each.
 pub fn frame_kinds(reply: &[Frame]) -> String {
     reply.iter().map(|f| char::from(f.kind)).collect()
 }
--- a/crates/stackgw-cli/tests/common/protocol_client.rs
+++ b/crates/stackgw-cli/tests/common/protocol_client.rs
@@ -1,4 +1,4 @@
-//! Clients of a gateway by either protocol, which tell alike how a request ended: what the conformance suite is written over.
+//! Clients of a gateway over either protocol that report outcomes in the same terms, so that the conformance suite runs over both.
 
 use arrow_array::cast::AsArray;
 use arrow_array::RecordBatch;
@@ -13,27 +13,27 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::Code;
 
-/// How a request ended, in the words that both protocols have.
+/// The outcome of a request, in terms that both protocols share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientOutcome {
     Served(String),
     Rejected,
     Failed,
     Malformed,
-    /// The client gave up first.
+    /// The client left before it got an answer.
     ClientLeft,
 }
 
-/// A request, by whichever protocol.
+/// A request over either protocol.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
     pub class: &'static str,
     pub key: String,
-    /// The value of a write; `None`: it reads.
+    /// The value of a write; `None` for a read.
     pub value: Option<u32>,
     pub id: Option<String>,
     pub timeout_ms: u64,
-    /// Its client leaves after this.
+    /// The client leaves after this time without an answer.
     pub leave_after: Option<Duration>,
     pub group: u32,
 }
@@ -73,7 +73,7 @@
     }
 }
 
-/// How a read of this value ends.
+/// The outcome of a request that is served with this value.
 pub fn served(value: u32) -> ClientOutcome {
     ClientOutcome::Served(format!("{value:08x}"))
 }
@@ -82,7 +82,7 @@
 pub trait ProtocolClient: Send {
     fn send(&mut self, request: &ClientRequest) -> ClientOutcome;
 
-    /// Retries while it is rejected: a gateway that has just started may not know its members yet.
+    /// Retries while the request is rejected: a gateway that has just started may not know its members yet.
     fn send_with_retries(&mut self, request: &ClientRequest) -> ClientOutcome {
         let since = Instant::now();
         loop {
@@ -95,7 +95,7 @@
     }
 }
 
-/// PostgreSQL's protocol.
+/// A client that speaks the PostgreSQL protocol.
 pub struct PostgresClient {
     address: SocketAddr,
     /// Kept for the next request unless the client has left.
@@ -150,7 +150,7 @@
     }
 }
 
-/// Arrow Flight SQL, by the client of the `arrow-flight` package.
+/// A client that speaks Arrow Flight SQL, based on the client of the `arrow-flight` package.
 pub struct FlightClient {
     runtime: tokio::runtime::Runtime,
     address: SocketAddr,
@@ -190,7 +190,7 @@
             if let Some(id) = &request.id {
                 client.set_header("x-stackgw-id", id);
             }
-            // Its time goes in the statement: by `grpc-timeout` this client would give up in the same moment.
+            // The deadline is sent in the statement: with `grpc-timeout`, this client would time out at the same moment.
             let text = format!("{} /* d={} */", request.statement(), request.timeout_ms);
             match request.value {
                 Some(value) => match client.execute_update(text, None).await {
@@ -206,7 +206,7 @@
                 },
             }
         };
-        // Dropped, the call is cancelled.
+        // Dropping the future cancels the call.
         let leave_after = request.leave_after.unwrap_or(Duration::from_secs(20));
         let done = self
             .runtime
@@ -228,7 +228,7 @@
     fetch_values(client, info).await
 }
 
-/// All values of an answer.
+/// Reads all values of an answer.
 pub async fn fetch_values(
     client: &mut SqlClient,
     info: FlightInfo,
@@ -245,7 +245,7 @@
     Ok(batches.iter().flat_map(values).collect())
 }
 
-/// The messages of an answer as they come, undecoded.
+/// A stream of the undecoded messages of an answer.
 pub async fn fetch_messages(
     client: &mut SqlClient,
     text: &str,
@@ -276,7 +276,7 @@
     }
 }
 
-/// The gRPC code of an error, wherever it is in the chain of causes.
+/// The gRPC code of an error or of one of its sources.
 pub fn grpc_code(error: &(dyn Error + 'static)) -> Option<Code> {
     let mut next = Some(error);
     while let Some(error) = next {
--- a/crates/stackgw-cli/tests/common/scripted_list_service.rs
+++ b/crates/stackgw-cli/tests/common/scripted_list_service.rs
@@ -1,4 +1,4 @@
-//! List services whose watches send what a test tells them to.
+//! List services whose watches send what the test specifies.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -6,13 +6,14 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Starts a service whose watches send one list and then stay open.
+/// Starts a list service whose watches send one list and then stay open.
 pub fn start_list_service(list: String) -> SocketAddr {
     let (requests, _) = channel();
     start_recording_list_service(list, requests)
 }
 
-/// Starts a service whose one watch goes on with the updates that it gets, and ends with their sender.
+/// Starts a list service that accepts one watch. It sends the list, then each update, and closes the watch once the sender of
+/// `updates` is dropped.
 pub fn start_updating_list_service(list: String, updates: Receiver<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -28,7 +29,7 @@
     address
 }
 
-/// Starts a service that passes on the first line of each request that it gets.
+/// As [`start_list_service`], and sends the first line of each request to `requests`.
 pub fn start_recording_list_service(list: String, requests: Sender<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -46,7 +47,7 @@
     address
 }
 
-/// A list as a line in a chunk of its own.
+/// A list as one line in one HTTP chunk.
 fn list_chunk(list: &str) -> String {
     let body = format!("{list}\n");
     format!("{:x}\r\n{body}\r\n", body.len())
--- a/crates/stackgw-cli/tests/common/scripted_member.rs
+++ b/crates/stackgw-cli/tests/common/scripted_member.rs
@@ -1,5 +1,5 @@
-//! A member that answers each statement with its key, and does something else for keys of a certain form. It differs from the
-//! testkit's members: each answer is made for one test, and is under the control of that test.
+//! A member that answers each statement with its key; keys of certain forms select another behavior. In contrast to the testkit's
+//! members, the test controls each answer.
 
 use super::gateway_common::{error, message, ready, row, status};
 use super::pg_connection::{PgConnection, Side, TIMEOUT};
@@ -11,18 +11,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Keys whose answer has been corrupted once.
+/// Keys whose answer has already been corrupted once.
 pub static CORRUPTED_KEYS: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
 
-/// What a member does for a key, beyond answering with it.
+/// The behavior that a key selects.
 enum Script<'a> {
-    /// `slow`: it waits until the test releases it.
+    /// `slow`: the answer waits until the test releases it.
     Wait,
-    /// `twice-...`: a second copy comes right behind the answer.
+    /// `twice-...`: the answer is sent twice.
     DuplicateReply,
-    /// `big-SIZE`: a value of that size.
+    /// `big-SIZE`: the answer is a value of that many bytes.
     LargeValue(usize),
-    /// `corrupt-KIND`: the answer is corrupted the first time.
+    /// `corrupt-KIND`: the first answer is corrupted.
     Corrupt(&'a str),
     Plain,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Starts a member, whose statements are sent to the test; gives its port.
+/// Starts a member that sends the statements it receives to `statements`; returns its port.
 pub fn start_member(is_primary: bool, statements: Sender<String>, release: Receiver<()>) -> u16 {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let port = listener.local_addr().expect("an address").port();
@@ -70,12 +70,12 @@
         while let Some(frame) = self.connection.next() {
             if frame.kind == 0 {
                 assert_eq!(frame.code(), Some(code::VERSION_3));
-                let welcome = [
+                let startup_reply = [
                     message(b'R', &[0; 4]),
                     status("server_version", "16"),
                     ready(),
                 ];
-                self.connection.write(&welcome);
+                self.connection.write(&startup_reply);
                 continue;
             }
             let now_ms = unix_ms();
@@ -128,7 +128,7 @@
         }
     }
 
-    /// What follows the row: role, position and the end of the answer.
+    /// The messages after the row: role, replay position and ReadyForQuery.
     fn tail(&self, position_ms: u128) -> Vec<Frame> {
         let role = if self.is_primary {
             "leader"
@@ -151,7 +151,7 @@
     keys.insert(key.to_owned())
 }
 
-/// A row that is corrupted in this way.
+/// An answer row with the given kind of corruption.
 fn corrupted_row(key: &str, kind: &str) -> Vec<u8> {
     let frames = row(key.as_bytes()).into_iter();
     let mut bytes: Vec<u8> = frames.flat_map(|frame| frame.bytes).collect();
