--- a/crates/stackgw-cli/tests/common/protocol_client.rs
+++ b/crates/stackgw-cli/tests/common/protocol_client.rs
@@ -1,4 +1,5 @@
-//! Clients of a gateway over either protocol that report outcomes in the same terms, so that the conformance suite runs over both.
+//! Clients of a gateway over either protocol. They report outcomes in the same terms, so that the conformance suite runs over
+//! both.
 
 use arrow_array::cast::AsArray;
 use arrow_array::RecordBatch;
--- a/crates/stackgw-cli/tests/conformance.rs
+++ b/crates/stackgw-cli/tests/conformance.rs
@@ -1,5 +1,5 @@
-//! One suite over both protocols, before and behind the gateways: the same cases, the same outcomes. The list of cases stands
-//! in `docs/conformance.md`.
+//! Conformance suite: the same cases, with the same outcomes, over each combination of client and member protocols.
+//! `docs/conformance.md` lists the cases.
 #![cfg(feature = "flight")]
 
 mod common;
@@ -11,33 +11,37 @@
 use std::time::{Duration, Instant};
 use ClientOutcome::{ClientLeft, Failed, Malformed, Rejected};
 
-/// Runs a case for each protocol before and behind the gateways. Which one it is the case cannot tell.
+/// Runs a case for each combination of member and client protocols. The case does not know which protocols are in use.
 fn for_each_protocol(
     name: &str,
     lags_ms: &[u64],
     case: impl Fn(&GroupFixture, &dyn Fn(usize) -> Box<dyn ProtocolClient>),
 ) {
-    for back in [Protocol::Postgres, Protocol::FlightSql] {
-        for front in [Protocol::Postgres, Protocol::FlightSql] {
-            let fixture = GroupFixture::new(&format!("{name}-{front:?}"), lags_ms, back);
-            // Both gateways know the primary before the case begins.
+    for member_protocol in [Protocol::Postgres, Protocol::FlightSql] {
+        for client_protocol in [Protocol::Postgres, Protocol::FlightSql] {
+            let fixture = GroupFixture::new(
+                &format!("{name}-{client_protocol:?}"),
+                lags_ms,
+                member_protocol,
+            );
+            // Ensures that both gateways know the primary before the case begins.
             for n in 0..2 {
                 let key = format!("warm{n}");
                 assert_eq!(
                     fixture
-                        .client(n, front)
+                        .client(n, client_protocol)
                         .send_with_retries(&ClientRequest::write(&key, 1)),
                     served(1)
                 );
             }
-            eprintln!("{name}: before {front:?}, behind {back:?}");
-            case(&fixture, &|n| fixture.client(n, front));
+            eprintln!("{name}: clients {client_protocol:?}, members {member_protocol:?}");
+            case(&fixture, &|n| fixture.client(n, client_protocol));
         }
     }
 }
 
-/// Executions of a write by its id.
-fn runs_of_write(fixture: &GroupFixture, id: &str) -> u32 {
+/// How often the write with this id was executed.
+fn executions_of_write(fixture: &GroupFixture, id: &str) -> u32 {
     fixture
         .group
         .executions()
@@ -67,7 +71,7 @@
                     "gateway {n}"
                 );
             }
-            assert_eq!(runs_of_write(fixture, &id), 1);
+            assert_eq!(executions_of_write(fixture, &id), 1);
         }
         assert_eq!(
             client_of(0).send_with_retries(&ClientRequest::read("look", "nobody")),
@@ -77,10 +81,10 @@
 }
 
 #[test]
-fn a_malformed_request_runs_nowhere() {
-    for_each_protocol("wrong", &[20], |fixture, client_of| {
+fn a_malformed_request_is_not_executed() {
+    for_each_protocol("malformed", &[20], |fixture, client_of| {
         let before = fixture.group.executions();
-        for wrong in [
+        for request in [
             ClientRequest {
                 class: "nothing",
                 ..ClientRequest::read("look", "k")
@@ -98,7 +102,7 @@
                 ..ClientRequest::read("look", "k")
             },
         ] {
-            assert_eq!(client_of(0).send(&wrong), Malformed, "{wrong:?}");
+            assert_eq!(client_of(0).send(&request), Malformed, "{request:?}");
         }
         assert_eq!(fixture.group.executions().writes, before.writes);
     });
@@ -119,7 +123,7 @@
                 timeout_ms: 400,
                 ..request
             };
-            // The first one may be out on a connection that only now turns out to be broken.
+            // The first request may be sent on a connection that is not yet known to be broken.
             let outcomes: Vec<_> = (0..4).map(|_| client_of(0).send(&request)).collect();
             assert_eq!(outcomes[1..], [Rejected, Rejected, Rejected], "{request:?}");
             assert!(
@@ -128,7 +132,7 @@
                 since.elapsed()
             );
         }
-        assert_eq!(runs_of_write(fixture, "none"), 0);
+        assert_eq!(executions_of_write(fixture, "none"), 0);
     });
 }
 
@@ -143,7 +147,7 @@
             ..ClientRequest::write("k", 7)
         };
         assert_eq!(client_of(0).send(&write), Failed);
-        assert_eq!(runs_of_write(fixture, "cut"), 1);
+        assert_eq!(executions_of_write(fixture, "cut"), 1);
         fixture.group.members[0]
             .drops_write_replies
             .store(false, Ordering::Relaxed);
@@ -174,9 +178,9 @@
         );
         std::thread::sleep(Duration::from_millis(100));
         assert_eq!(
-            runs_of_write(fixture, "s"),
+            executions_of_write(fixture, "s"),
             0,
-            "a silent one runs nothing, and nobody else may"
+            "neither the unresponsive primary nor another member ran it"
         );
     });
 }
@@ -191,8 +195,8 @@
         let outcomes: Vec<_> = (0..12)
             .map(|_| client.send(&ClientRequest::read("look", "warm0")))
             .collect();
-        let good = outcomes.iter().filter(|v| **v == served(1)).count();
-        assert!(good >= 10, "{outcomes:?}");
+        let served_count = outcomes.iter().filter(|v| **v == served(1)).count();
+        assert!(served_count >= 10, "{outcomes:?}");
         assert!(
             outcomes
                 .iter()
@@ -232,24 +236,24 @@
             id: Some("twice".to_owned()),
             ..ClientRequest::write("k", 3)
         };
-        let (mut first, again) = (client_of(0), write.clone());
-        let first = std::thread::spawn(move || first.send(&again));
-        while runs_of_write(fixture, "twice") == 0 {
+        let (mut first, request) = (client_of(0), write.clone());
+        let first = std::thread::spawn(move || first.send(&request));
+        while executions_of_write(fixture, "twice") == 0 {
             std::thread::sleep(Duration::from_millis(2));
         }
         assert_eq!(client_of(0).send(&write), Malformed);
-        assert_eq!(first.join().expect("it ends"), served(3));
-        assert_eq!(runs_of_write(fixture, "twice"), 1);
+        assert_eq!(first.join().expect("the write ends"), served(3));
+        assert_eq!(executions_of_write(fixture, "twice"), 1);
     });
 }
 
 #[test]
 fn a_draining_member_gets_no_new_requests() {
     for_each_protocol("drains", &[20, 20], |fixture, client_of| {
-        let asked = || fixture.group.members[1].requests.load(Ordering::Relaxed);
+        let request_count = || fixture.group.members[1].requests.load(Ordering::Relaxed);
         fixture.group.announce(1, ListedPhase::Draining);
         std::thread::sleep(Duration::from_millis(1_200));
-        let before = asked();
+        let before = request_count();
         let mut client = client_of(0);
         for _ in 0..20 {
             assert_eq!(
@@ -257,17 +261,17 @@
                 served(1)
             );
         }
-        assert_eq!(asked(), before);
+        assert_eq!(request_count(), before);
     });
 }
 
 #[test]
 fn a_member_in_slow_start_gets_fewer_requests() {
     for_each_protocol("cold", &[20, 20], |fixture, client_of| {
-        let asked = |n: usize| fixture.group.members[n].requests.load(Ordering::Relaxed);
+        let request_count = |n: usize| fixture.group.members[n].requests.load(Ordering::Relaxed);
         fixture.group.announce_start(2);
         std::thread::sleep(Duration::from_millis(100));
-        let before = [asked(1), asked(2)];
+        let before = [request_count(1), request_count(2)];
         let readers: Vec<_> = (0..8)
             .map(|n| {
                 let mut client = client_of(n % 2);
@@ -283,8 +287,8 @@
             .collect();
         readers
             .into_iter()
-            .for_each(|reader| reader.join().expect("all are served"));
-        let [warm, cold] = [asked(1) - before[0], asked(2) - before[1]];
+            .for_each(|reader| reader.join().expect("all reads are served"));
+        let [warm, cold] = [request_count(1) - before[0], request_count(2) - before[1]];
         assert!(warm > 100 && cold * 2 < warm, "warm {warm}, cold {cold}");
     });
 }
@@ -303,7 +307,7 @@
         });
         std::thread::sleep(Duration::from_millis(60));
         fixture.group.kill(1);
-        let outcomes = reads.join().expect("they end");
+        let outcomes = reads.join().expect("the reader ends");
         assert_eq!(outcomes, vec![served(1); 6]);
         let mut client = client_of(1);
         let write = ClientRequest {
@@ -312,12 +316,12 @@
         };
         let request = write.clone();
         let write = std::thread::spawn(move || client.send(&request));
-        while runs_of_write(fixture, "dying") == 0 {
+        while executions_of_write(fixture, "dying") == 0 {
             std::thread::sleep(Duration::from_millis(2));
         }
         fixture.group.kill(0);
-        assert_eq!(write.join().expect("it ends"), Failed);
-        assert_eq!(runs_of_write(fixture, "dying"), 1);
+        assert_eq!(write.join().expect("the write ends"), Failed);
+        assert_eq!(executions_of_write(fixture, "dying"), 1);
     });
 }
 
@@ -357,7 +361,7 @@
             client_of(1).send_with_retries(&ClientRequest::read("mine", "k")),
             served(5)
         );
-        assert_eq!(runs_of_write(fixture, "gone"), 1);
+        assert_eq!(executions_of_write(fixture, "gone"), 1);
     });
 }
 
@@ -374,7 +378,7 @@
                 client_of(1).send_with_retries(&ClientRequest::read("mine", "k")),
                 served(round)
             );
-            fixture.gateways.restart(0).expect("it starts");
+            fixture.gateways.restart(0).expect("the gateway starts");
             assert_eq!(
                 client_of(0).send_with_retries(&ClientRequest::read("mine", "k")),
                 served(round)
--- a/crates/stackgw-cli/tests/discovery.rs
+++ b/crates/stackgw-cli/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery that fails in every way in which it can, and comes back at the worst moment; clients that fill the gateway up
-//! meanwhile. Sockets.
+//! Failures of discovery, which then recovers at the worst moment, and clients that fill the gateway in the meantime. Uses real
+//! sockets.
 
 mod common;
 
@@ -15,30 +15,30 @@
 /// How the list service fails.
 #[derive(Debug, Clone, Copy)]
 enum Failure {
-    /// It accepts no connection: the listener's backlog is full.
+    /// Accepts no connection: the listener's backlog is full.
     NeverAccepts,
-    /// It closes each connection at once.
+    /// Closes each connection at once.
     Closes,
-    /// It answers 503 with a Retry-After far in the future.
+    /// Answers 503 with a Retry-After far in the future.
     RetryLater,
-    /// It accepts, and sends nothing.
+    /// Accepts connections and sends nothing.
     Silent,
-    /// It stops within the head ...
+    /// Stops sending within the response head.
     StopsInHead,
-    /// ... within a chunk's size ...
+    /// Stops sending within a chunk size.
     StopsInSize,
-    /// ... within a chunk ...
+    /// Stops sending within a chunk.
     StopsInChunk,
-    /// ... within a line.
+    /// Stops sending within a line.
     StopsInLine,
-    /// It goes on with bytes that are no list and no line.
+    /// Keeps sending bytes that contain neither a list nor a line break.
     SendsNoLine,
 }
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 impl Failure {
-    /// What the service sends on a connection that it has accepted, before it fails it.
+    /// The bytes that the service sends on an accepted connection before it fails.
     fn text(self) -> String {
         match self {
             Failure::Silent | Failure::Closes | Failure::NeverAccepts => String::new(),
@@ -60,8 +60,8 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Starts a list service that sends its first list and ends that watch, then fails `failures` times more, sends the moment at
-/// which it can be reached again, and has the second list from then on.
+/// Starts a list service that sends its first list and ends that watch, then fails another `failures` times. It then sends the
+/// time at which it is reachable again to `recovered`, and serves the second list from then on.
 fn start_failing_list_service(
     failure: Failure,
     failures: usize,
@@ -77,11 +77,11 @@
         let mut open = Vec::new();
         if let Failure::NeverAccepts = failure {
             drop(first);
-            // Nothing is accepted any more: some are queued, the others never come up.
+            // Accepts no more connections: some are queued in the backlog, the others are never established.
             rustix::net::listen(&listener, 0).expect("a short backlog");
             let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
             let queued: Vec<_> = std::iter::from_fn(fill).collect();
-            // The gateway's dials meet the full backlog for longer than one of them lasts.
+            // The backlog stays full for longer than one connection attempt of the gateway lasts.
             std::thread::sleep(Duration::from_millis(1500));
             drop(queued);
             recovered.send(Instant::now()).expect("the test");
@@ -95,7 +95,7 @@
                 match failure {
                     Failure::Closes | Failure::RetryLater => drop(socket),
                     Failure::SendsNoLine => {
-                        let mut sender = socket.try_clone().expect("its other half");
+                        let mut sender = socket.try_clone().expect("a clone of the socket");
                         open.push(socket);
                         std::thread::spawn(move || {
                             while sender.write_all(chunk(" ").as_bytes()).is_ok() {
@@ -106,7 +106,7 @@
                     _ => open.push(socket),
                 }
             }
-            // The worst moment: it has just taken a watch and failed it, and serves whoever comes next.
+            // The worst moment to recover: it has just accepted and failed a watch, and serves the next one.
             recovered.send(Instant::now()).expect("the test");
         }
         loop {
@@ -119,9 +119,10 @@
     address
 }
 
-/// A change counts as notified six seconds after discovery had it and could be reached: by then a member that drains gets nothing new.
+/// A change counts as notified six seconds after discovery had it and was reachable: from then on, a draining member must get no
+/// new requests.
 #[test]
-fn a_drain_takes_effect_within_six_seconds_however_discovery_failed() {
+fn a_drain_takes_effect_within_six_seconds_after_any_discovery_failure() {
     let all = [
         (Failure::NeverAccepts, 0),
         (Failure::Closes, 6),
@@ -152,8 +153,8 @@
                 let mut client = gateway.ready_client();
                 client.write(&[insert("k1")]);
                 assert_eq!(frame_kinds(&client.read_reply()), "TDCZ", "{failure:?}");
-                let recovered = recovery.recv_timeout(TIMEOUT).expect("its return");
-                // The counters say when the second list has come.
+                let recovered = recovery.recv_timeout(TIMEOUT).expect("the recovery time");
+                // The counter shows when the second list has been received.
                 gateway.wait_for_counter("lists", |n| n == 2);
                 (failure, recovered.elapsed(), statements.try_iter().count())
             })
@@ -162,7 +163,7 @@
     for case in cases {
         let (failure, after, sent) = case.join().expect("no panic");
         eprintln!(
-            "{failure:?}: in force {} ms after the return",
+            "{failure:?}: in effect {} ms after the recovery",
             after.as_millis()
         );
         assert!(
@@ -174,8 +175,8 @@
     }
 }
 
-/// Connects hundreds of clients that ask whether the gateway is ready. Those with a place hear nothing until there is a list; the
-/// others are rejected at once. Gives the former, and the number of the latter.
+/// Connects hundreds of clients that query whether the gateway is ready. As many as `places` get no answer until there is a list;
+/// the others are rejected at once. Returns the waiting clients and the number of rejected ones.
 fn fill_with_waiting_clients(
     gateway: &GatewayProcess,
     places: usize,
@@ -186,21 +187,24 @@
         let mut client = gateway.connect();
         client.write(&[startup(), query("")]);
         let last = client.read_reply().last().map(|f| f.kind);
-        assert_eq!(last, Some(b'Z'), "each is let in");
+        assert_eq!(last, Some(b'Z'), "each connection is accepted");
         if waiting.len() < places {
             waiting.push(client);
             continue;
         }
         let error = client.next().and_then(|f| sqlstate(&f.bytes));
         assert_eq!(error.as_deref(), Some("53300"), "client {n}");
-        assert!(client.next().is_none(), "and it is over");
+        assert!(
+            client.next().is_none(),
+            "the connection is closed after the error"
+        );
         rejected += 1;
     }
     (waiting, rejected)
 }
 
-/// Hundreds of clients that connect, ask whether the gateway is ready, and stay, while discovery is down: the watch, the members and
-/// a refusal for whoever comes then still find descriptors.
+/// Hundreds of clients connect, query whether the gateway is ready and stay connected while discovery is down. Descriptors must be
+/// left for the watch, for members and for rejecting further clients.
 #[test]
 fn clients_that_wait_for_discovery_leave_descriptors_for_it_for_members_and_for_rejections() {
     let (sender, _statements) = channel();
@@ -208,7 +212,7 @@
     let port = start_member(true, sender, released);
     let listed = entry(1, "ready", "leader").replace(":7001\"", &format!(":{port}\""));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    // 54% of the 96 descriptors that are not the gateway's own.
+    // 54% of the 96 descriptors that the gateway does not need for itself.
     let places = 52;
     let gateway = GatewayProcess::start("full", listener.local_addr().expect("an address"));
     let (mut waiting, rejected) = fill_with_waiting_clients(&gateway, places);
@@ -222,7 +226,7 @@
     );
     let descriptors = gateway.descriptors();
     assert!(descriptors <= 128, "{descriptors} descriptors");
-    // Discovery is back.
+    // Discovery recovers.
     let mut watch = listener.accept().expect("the watch").0;
     let list = chunk(&format!("{}\n", list_text(1, true, &[listed])));
     watch
@@ -232,17 +236,17 @@
         assert_eq!(
             frame_kinds(&connection.read_reply()),
             "IZ",
-            "whoever waited is answered"
+            "each waiting client is answered"
         );
     }
     waiting[0].write(&[insert("k1")]);
     assert_eq!(
         frame_kinds(&waiting[0].read_reply()),
         "TDCZ",
-        "members are reached with all places taken"
+        "members are reachable while all client places are taken"
     );
     for connection in waiting {
-        // A process that another test is just starting may hold a copy of the socket, so that dropping it closes nothing yet.
+        // A process that another test is starting may hold a copy of the socket, so dropping it may not close it.
         let closed = connection.socket.shutdown(Shutdown::Both);
         closed.expect("closed");
     }
@@ -251,6 +255,6 @@
     assert_eq!(
         frame_kinds(&client.read_reply()),
         "TDCZ",
-        "members are reached"
+        "members are reachable"
     );
 }
--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The binary on loopback, between clients, members and a list service that each test drives by hand.
+//! The gateway binary on loopback, between clients, members and a list service that each test controls.
 
 mod common;
 
@@ -15,36 +15,36 @@
 use std::time::Instant;
 
 #[test]
-fn requests_go_to_members_and_their_rows_come_back() {
+fn requests_are_forwarded_to_members_and_their_rows_returned() {
     let GatewayFixture {
         gateway,
         statements,
         ..
     } = start_fixture("rows");
     let _client = gateway.ready_client();
-    // Startup and query in one piece; then two queries at once, answered in order.
+    // Sends startup and query in one write, then two queries at once, which are answered in order.
     let mut eager = gateway.connect();
     eager.write(&[startup(), insert("k1")]);
     assert_eq!(eager.read_reply().last().map(|f| f.kind), Some(b'Z'));
     let answer = eager.read_reply();
     assert_eq!(frame_kinds(&answer), "TDCZ");
-    assert_eq!(answer[..3], row(b"k1")[..], "as the member gave it");
+    assert_eq!(answer[..3], row(b"k1")[..], "the row as the member sent it");
     eager.write(&[select("k2"), insert("k3")]);
     assert_eq!(eager.read_reply()[1], row(b"k2")[1]);
     assert_eq!(eager.read_reply()[1], row(b"k3")[1]);
-    // Split at every byte.
+    // Sends each byte in a write of its own.
     let mut slow = gateway.connect();
     for byte in [startup().bytes, select("k4").bytes].concat() {
         slow.socket.write_all(&[byte]).expect("written");
     }
     slow.read_reply();
     assert_eq!(slow.read_reply()[1], row(b"k4")[1]);
-    // What members saw differs from what was asked in `d` alone.
+    // The statements that members receive differ from those of the clients only in the deadline `d`.
     let texts: Vec<_> = statements.try_iter().collect();
     assert!(texts.len() >= 4);
     for text in texts {
-        let (before, rest) = text.split_once(",d=").expect("its time");
-        let (wait, after) = rest.split_once(',').expect("more");
+        let (before, rest) = text.split_once(",d=").expect("a deadline");
+        let (wait, after) = rest.split_once(',').expect("further fields");
         assert!(wait.parse::<u64>().is_ok_and(|ms| ms <= 20_000));
         assert!(
             before.contains("/* id=a") && after == "cluster=2 */",
@@ -66,7 +66,11 @@
         .write_all(b"GET / HTTP/1.1\r\n\r\n")
         .expect("written");
     let last = std::iter::from_fn(|| bad.next()).last();
-    assert_eq!(last.map(|f| f.kind), Some(b'E'), "one error, then the end");
+    assert_eq!(
+        last.map(|f| f.kind),
+        Some(b'E'),
+        "one error, then the end of the connection"
+    );
     let mut out_of_place = gateway.ready_client();
     out_of_place.write(&[message(b'?', b"x")]);
     assert_eq!(
@@ -82,7 +86,7 @@
     assert_eq!(
         statements.try_iter().count(),
         1,
-        "nothing malformed was passed on"
+        "malformed bytes are not forwarded"
     );
     gateway.signal("USR1");
     let counters = gateway.wait_for_line("counters taken=2");
@@ -103,7 +107,7 @@
         ..
     } = start_fixture("large");
     let mut client = gateway.ready_client();
-    // The member answers with the key, so a long key makes a large row.
+    // The member answers with the key, so a long key results in a large row.
     let key = "k".repeat(64 << 10);
     client.write(&[select(&key)]);
     assert_eq!(client.read_reply()[1], row(key.as_bytes())[1]);
@@ -114,17 +118,17 @@
     ))]);
     assert_eq!(frame_kinds(&client.read_reply()), "TDCZ");
     assert!(statements.try_iter().any(|t| t.starts_with(&text)));
-    // Members may hold larger ones than clients write here.
+    // Members may hold larger values than clients may write through the gateway.
     let mut many: Vec<_> = (0..4).map(|_| gateway.ready_client()).collect();
     many.iter_mut()
         .for_each(|client| client.write(&[select("big-400000")]));
     for client in &mut many {
         assert_eq!(client.read_reply()[1], row(&vec![b'v'; 400_000])[1]);
     }
-    // One byte more than any statement needs ends the connection.
+    // A statement that is too long ends the connection.
     let mut greedy = gateway.ready_client();
     greedy.write(&[query(&"x".repeat(1 << 20))]);
-    // Its error may be lost with what was not read; nothing else comes.
+    // The error may be lost when the connection is closed with unread bytes; nothing else is received.
     assert!(std::iter::from_fn(|| greedy.next()).all(|f| f.kind == b'E'));
 }
 
@@ -132,7 +136,7 @@
 fn clients_beyond_capacity_are_served_within_the_descriptor_limit() {
     let GatewayFixture { gateway, .. } = start_fixture("many");
     let mut clients: Vec<_> = (0..200).map(|_| gateway.ready_client()).collect();
-    // One that is rejected retries, and displaces one that has been idle for longer.
+    // A rejected client retries and displaces a client that has been idle for longer.
     let served = (0..1000).any(|_| {
         let last = clients.last_mut().expect("a client");
         last.write(&[select("k1")]);
@@ -146,7 +150,7 @@
     assert!(served);
     assert!(
         clients[0].next().is_none(),
-        "the one idle longest made room"
+        "the client that was idle longest is evicted"
     );
     let descriptors = gateway.descriptors();
     assert!(descriptors <= 128, "{descriptors} descriptors");
@@ -162,7 +166,7 @@
         release: _unreleased,
         ..
     } = start_fixture("busy");
-    // 128 descriptors leave 52 places. Statements that no member answers yet hold them all.
+    // 128 descriptors leave room for 52 clients. All of them have statements that no member answers yet.
     let busy = (0..52).map(|_| {
         let mut client = gateway.ready_client();
         client.write(&[insert("slow")]);
@@ -175,17 +179,20 @@
         late.read_reply();
         let answer = late.next().expect("an answer");
         assert_eq!(sqlstate(&answer.bytes).as_deref(), Some("53300"));
-        assert!(late.next().is_none(), "closed after it");
+        assert!(
+            late.next().is_none(),
+            "the connection is closed after the error"
+        );
     }
 }
 
 #[test]
-fn clients_that_do_not_read_hold_nobody_up() {
+fn clients_that_do_not_read_do_not_delay_others() {
     let GatewayFixture { gateway, .. } = start_fixture("slow");
     let key = "k".repeat(60 << 10);
     let mut stuck: Vec<_> = (0..20).map(|_| gateway.ready_client()).collect();
     for client in &mut stuck {
-        // Each asks many times and reads nothing; what does not fit waits on its side.
+        // Each client sends many requests and reads nothing; what the socket does not accept stays unsent.
         client.socket.set_nonblocking(true).expect("non-blocking");
         for _ in 0..200 {
             if client.socket.write(&select(&key).bytes).is_err() {
@@ -198,12 +205,12 @@
         good.write(&[select("k1")]);
         assert_eq!(frame_kinds(&good.read_reply()), "TDCZ");
     }
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).expect("its state");
+    let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id()))
+        .expect("the process status");
     let peak = status
         .lines()
         .find_map(|l| l.strip_prefix("VmHWM:"))
-        .expect("its memory");
+        .expect("the memory field");
     let peak: usize = peak
         .trim()
         .trim_end_matches(" kB")
@@ -251,7 +258,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_one_line_of_error() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     let run = |name: &str, text: Option<&str>| {
         let path = std::env::temp_dir().join(format!("stackgw-{}-{name}.json", std::process::id()));
         let mut command = Command::new(env!("CARGO_BIN_EXE_stackgw"));
@@ -297,7 +304,7 @@
     }
 }
 
-/// A second copy behind an answer belongs to nobody; the next request is not served with it.
+/// A member that sends an answer twice: the second copy must not be the answer to the next request.
 #[test]
 fn a_duplicate_reply_is_never_the_next_requests_answer() {
     let GatewayFixture { gateway, .. } = start_fixture("copies");
@@ -313,7 +320,7 @@
     }
     gateway.signal("USR1");
     let counters = gateway.wait_for_line("counters ");
-    // Without this a counter of another name would pass the next check for ever.
+    // Without this, the next check would also pass if the counter were renamed.
     assert!(counters.contains(" members_unexpected_data="), "{counters}");
     assert!(
         !counters.contains(" members_unexpected_data=0 "),
@@ -321,7 +328,7 @@
     );
 }
 
-/// No malformed response reaches a client: a read is retried, a write that may have run fails at once.
+/// A malformed response never reaches a client: a read is retried, a write that may have been executed fails at once.
 #[test]
 fn malformed_responses_reach_no_client_and_no_write_is_sent_twice() {
     let GatewayFixture {
@@ -349,12 +356,13 @@
         assert_eq!(
             client.read_reply()[1],
             row(b"fine")[1],
-            "its member serves on"
+            "the member still serves requests"
         );
     }
 }
 
-/// SIGHUP under load, twice: the list comes from the new address, the old one's versions do not bind, none is lost.
+/// Reloads the configuration by SIGHUP under load, twice: the list is read from the new address, the revisions of the old service
+/// don't apply, and no request is lost.
 #[test]
 fn sighup_moves_to_the_new_list_service_and_loses_no_request() {
     let GatewayFixture {
@@ -369,9 +377,9 @@
         .recv_timeout(TIMEOUT)
         .expect("the statement")
         .contains("'slow'"));
-    // What cannot be used changes nothing: no file, half a file, a wrong field.
+    // An invalid configuration changes nothing: a missing file, a truncated file, an invalid field.
     let complete = std::fs::read_to_string(&gateway.config).expect("the file");
-    std::fs::remove_file(&gateway.config).expect("gone");
+    std::fs::remove_file(&gateway.config).expect("removed");
     gateway.signal("HUP");
     gateway.wait_for_line("the old configuration stays in force: ROUTER_CONFIG");
     for (text, expected) in [
@@ -384,7 +392,7 @@
         client.write(&[select("k1")]);
         assert_eq!(frame_kinds(&client.read_reply()), "TDCZ");
     }
-    // Two new ones: the first knows the primary and one replica, the second, in other versions, the other replica.
+    // Two new list services, with revisions 1 and 2: each lists the primary, the first one replica, the second the other one.
     let mut watched = Vec::new();
     for n in [1, 2] {
         let (sender, requests) = channel();
@@ -395,13 +403,13 @@
         let line = requests.recv_timeout(TIMEOUT).expect("a watch");
         assert!(
             line.contains("watch=1 "),
-            "the whole list is asked for: {line}"
+            "the complete list is requested: {line}"
         );
         watched.push(requests);
         client.write(&[insert("k2")]);
         assert_eq!(frame_kinds(&client.read_reply()), "TDCZ");
     }
-    // Beside SIGTERM too: what was taken is answered, and it ends in order.
+    // Also with a SIGTERM: accepted requests are answered, and the shutdown is orderly.
     gateway.signal("HUP");
     gateway.signal("TERM");
     gateway.signal("HUP");
@@ -416,8 +424,8 @@
     assert!(gateway.wait_for_exit().success());
 }
 
-/// A client's bytes after its startup, and whether that is done at all.
-fn bad_clients() -> Vec<(&'static str, bool, Vec<u8>)> {
+/// Names of malformed clients, whether each completes its startup first, and the bytes that it then sends.
+fn malformed_clients() -> Vec<(&'static str, bool, Vec<u8>)> {
     let text = |text: &str| query(text).bytes;
     let with_comment = |comment: &str| {
         text(&format!(
@@ -431,33 +439,33 @@
             false,
             (0..4000u32).map(|n| (n * 31 + 7) as u8).collect(),
         ),
-        ("a line without an end", false, vec![b'x'; 100_000]),
+        ("a line without a line break", false, vec![b'x'; 100_000]),
         (
             "a startup that is too long",
             false,
             [&70_000u32.to_be_bytes()[..], &[0, 3, 0, 0]].concat(),
         ),
         (
-            "a startup without an end",
+            "a startup without a terminator",
             false,
             [&12u32.to_be_bytes()[..], &[0, 3, 0, 0], b"user"].concat(),
         ),
         ("half a startup", false, startup().bytes[..9].to_vec()),
         ("nothing", false, Vec::new()),
         ("nothing more", true, Vec::new()),
-        ("a type that is none", true, b"\xffabc".to_vec()),
+        ("an unknown message type", true, b"\xffabc".to_vec()),
         ("a length of zero", true, with_length(0)),
         ("a negative length", true, with_length(u32::MAX - 3)),
         ("a huge length", true, with_length(60 << 20)),
         ("a length that is too short", true, with_length(9)),
         ("half a statement", true, select("k").bytes[..30].to_vec()),
         (
-            "no class like that",
+            "an unknown class",
             true,
             with_comment("id=b1,c=strange,d=400,cluster=2"),
         ),
         (
-            "a deadline that is no number",
+            "a deadline that is not a number",
             true,
             with_comment("id=b2,c=look,d=soon,cluster=2"),
         ),
@@ -484,54 +492,57 @@
         ..
     } = start_fixture("rude");
     let mut usual = gateway.ready_client();
-    let open = |done: bool, bytes: &[u8]| {
+    let open = |has_startup: bool, bytes: &[u8]| {
         let mut connection = gateway.connect();
-        if done {
+        if has_startup {
             connection.write(&[startup()]);
             connection.read_reply();
         }
         let _ = connection.socket.write_all(bytes);
         connection
     };
-    let all: Vec<_> = bad_clients()
+    let all: Vec<_> = malformed_clients()
         .into_iter()
-        .map(|(name, done, bytes)| (name, open(done, &bytes)))
+        .map(|(name, has_startup, bytes)| (name, open(has_startup, &bytes)))
         .collect();
     for (name, mut connection) in all {
-        // All were opened before, so that even the last wait is short; the limit itself is the reducer's to test.
+        // All connections were opened before, so that their time limits run in parallel. The reducer's tests check the limits.
         let first = connection.next();
         assert!(
             first.is_none_or(|f| f.kind == b'E'),
-            "{name}: an error or the end"
+            "{name}: an error or a close"
         );
         usual.write(&[select("k1")]);
         assert_eq!(frame_kinds(&usual.read_reply()), "TDCZ", "{name}");
     }
     assert!(
         statements.try_iter().all(|text| text.contains("'k1'")),
-        "nothing unusable was passed on"
+        "malformed statements are not forwarded"
     );
 }
 
-/// A close over unread bytes is a reset, which may overtake the error.
+/// Closing a socket with unread bytes resets the connection, and the client may never see the error that was sent before.
 #[test]
 fn an_error_reaches_a_client_that_is_still_sending() {
     let GatewayFixture { gateway, .. } = start_fixture("sending");
     for _ in 0..20 {
         let mut client = gateway.ready_client();
-        let mut out = client.socket.try_clone().expect("its other half");
+        let mut out = client.socket.try_clone().expect("a clone of the socket");
         let sender = std::thread::spawn(move || {
             let piece = vec![b'7'; 64 << 10];
             let _ = out.write_all(&[&b"Q"[..], &(60u32 << 20).to_be_bytes()].concat());
             (0..8).all(|_| out.write_all(&piece).is_ok())
         });
         assert_eq!(client.next().map(|f| f.kind), Some(b'E'));
-        assert!(client.next().is_none(), "and it is over");
+        assert!(
+            client.next().is_none(),
+            "the connection is closed after the error"
+        );
         let _ = sender.join().expect("no panic");
     }
 }
 
-/// Found with 256 descriptors: hundreds that connect and say nothing must not take the places of those that ask.
+/// Hundreds of connections that send no request must not displace clients that do. Found with 256 descriptors.
 #[test]
 fn idle_connections_without_request_do_not_displace_active_clients() {
     let GatewayFixture { gateway, .. } = start_fixture("silent");
@@ -544,7 +555,7 @@
             assert_eq!(
                 frame_kinds(&usual.read_reply()),
                 "TDCZ",
-                "one that has a place keeps it"
+                "a connected client is not displaced"
             );
             let mut new = gateway.connect();
             new.write(&[startup(), select("k2")]);
@@ -552,7 +563,7 @@
             assert_eq!(
                 frame_kinds(&new.read_reply()),
                 "TDCZ",
-                "a new one finds a place"
+                "a new client is accepted"
             );
         }
     }
@@ -560,18 +571,18 @@
         silent
             .iter_mut()
             .all(|connection| connection.next().is_none()),
-        "each is closed"
+        "each idle connection is closed"
     );
     let descriptors = gateway.descriptors();
     assert!(descriptors <= 128, "{descriptors} descriptors");
 }
 
-/// The long day in small: members replaced throughout under new ids, sessions and clients always new, some of them asking
-/// once and staying. Descriptors and memory in the second half are those of the first.
+/// A short version of a long operation: members are continuously replaced under new ids, sessions and clients are always new, and
+/// some clients send one request and stay connected. Descriptors and memory must not grow in the second half.
 #[test]
 fn descriptors_and_memory_stay_level_over_many_generations_of_members_and_clients() {
     let (sender, statements) = channel();
-    let (tell, updates) = channel();
+    let (list_updates, updates) = channel();
     let mut release = Vec::new();
     let mut new_entry = |n: u32, phase: &str, primary: bool| {
         let (send, receive) = channel();
@@ -585,16 +596,16 @@
         "long",
         start_updating_list_service(list_text(1, true, &[primary, old.clone()]), updates),
     );
-    // What a gateway holds that has served one; members in use may add a few connections each, and no more.
+    // The descriptors of a gateway that has served one client, plus a few connections for each member in use.
     drop(gateway.ready_client());
-    let most = gateway.descriptors() + 12;
-    let settled = |stay: &mut Vec<PgConnection>, when: &str| {
-        stay.clear();
+    let max_descriptors = gateway.descriptors() + 12;
+    let settled_memory_kib = |connected: &mut Vec<PgConnection>, when: &str| {
+        connected.clear();
         let (mut client, begun) = (gateway.ready_client(), Instant::now());
-        while gateway.descriptors() > most {
+        while gateway.descriptors() > max_descriptors {
             assert!(
                 begun.elapsed() < TIMEOUT,
-                "{when}: {} descriptors, {most} at most",
+                "{when}: {} descriptors, {max_descriptors} at most",
                 gateway.descriptors()
             );
             client.write(&[query("")]);
@@ -602,31 +613,35 @@
         }
         gateway.resident_kib()
     };
-    let (mut stay, mut half) = (Vec::new(), 0);
+    let (mut connected, mut half_kib) = (Vec::new(), 0);
     for n in 0..60u32 {
         let next = new_entry(3 + n, "ready", false);
         let gone = old.replace("\"ready\"", "\"gone\"");
-        tell.send(list_text(u64::from(n) + 2, false, &[next.clone(), gone]))
+        list_updates
+            .send(list_text(u64::from(n) + 2, false, &[next.clone(), gone]))
             .expect("the watch");
         old = next;
         for k in 0..8 {
             let mut client = gateway.ready_client();
             client.write(&[select(&format!("s{n}-{k}"))]);
             let answer = client.next().expect("an answer");
-            // Where all clients are busy a new one is rejected; nobody waits here for long.
+            // If all clients are busy, a new one is rejected; no client waits long for its answer.
             assert!(answer.kind == b'T' || sqlstate(&answer.bytes).as_deref() == Some("53300"));
             if k % 2 == 0 {
-                stay.push(client);
+                connected.push(client);
             }
         }
         while statements.try_recv().is_ok() {}
         assert!(gateway.descriptors() <= 128);
         if n == 29 {
-            half = settled(&mut stay, "half");
+            half_kib = settled_memory_kib(&mut connected, "half");
         }
     }
-    let end = settled(&mut stay, "end");
-    assert!(end <= half + 2048, "KiB {half} and {end}");
+    let end_kib = settled_memory_kib(&mut connected, "end");
+    assert!(
+        end_kib <= half_kib + 2048,
+        "{half_kib} KiB at half, {end_kib} KiB at the end"
+    );
     gateway.signal("USR1");
     let counters = gateway.wait_for_line("counters ");
     assert!(counters.contains(" lists=61 "), "{counters}");
--- a/crates/stackgw-cli/tests/ending.rs
+++ b/crates/stackgw-cli/tests/ending.rs
@@ -1,5 +1,4 @@
-//! The end of a gateway under load: whatever a connection's bytes were doing just then, each statement that was read gets its one
-//! answer.
+//! Shutdown of a gateway under load: each statement that the gateway has read gets exactly one answer.
 
 mod common;
 
@@ -11,13 +10,13 @@
 
 /// The longest deadline of the fixture's classes.
 const LONGEST_DEADLINE_MS: u64 = 2_000;
-/// The last answers are due so long after the longest deadline.
+/// How long after the longest deadline the last answers are due.
 const LAST_ANSWERS_AFTER_MS: u64 = 420;
-/// So long a gateway may be held up.
-const HELD_UP: Duration = Duration::from_millis(150);
+/// How long a gateway may be paused.
+const PAUSE: Duration = Duration::from_millis(150);
 
-/// Found by reading: the end answered what was in hand and ended in the same moment; statements that a client's task had read and
-/// could not hand over yet went with the process.
+/// Regression: the process exited as soon as the requests in flight were answered. Statements that a client's task had read but
+/// not yet passed on were lost.
 #[test]
 fn queued_statements_are_answered_before_shutdown() {
     let GatewayFixture {
@@ -25,22 +24,22 @@
         statements,
         release,
         ..
-    } = start_fixture("behind");
+    } = start_fixture("queued");
     let mut client = gateway.ready_client();
-    // One that its member never answers, and far more behind it than one client may have in hand.
+    // One statement that its member never answers, followed by far more than one client may have in flight.
     client.write(&[insert("slow")]);
     assert!(statements
         .recv_timeout(TIMEOUT)
         .expect("the statement")
         .contains("'slow'"));
-    let behind = 300;
-    client.write(&(0..behind).map(|_| insert("slow")).collect::<Vec<_>>());
+    let queued = 300;
+    client.write(&(0..queued).map(|_| insert("slow")).collect::<Vec<_>>());
     gateway.signal("TERM");
     let codes: Vec<_> =
         std::iter::from_fn(|| Some(client.read_reply()).filter(|answer| !answer.is_empty()))
             .map(|answer| sqlstate(&answer[0].bytes).expect("an error"))
             .collect();
-    assert_eq!(codes.len(), 1 + behind, "one answer each");
+    assert_eq!(codes.len(), 1 + queued, "one answer each");
     assert_eq!(codes[0], "58000", "it may have run");
     assert!(
         codes[1..].iter().all(|code| code == "57P03"),
@@ -48,13 +47,13 @@
     );
     assert!(
         statements.try_iter().next().is_none(),
-        "and nothing more was sent on"
+        "no other statement was forwarded"
     );
     assert!(gateway.wait_for_exit().success());
     drop(release);
 }
 
-/// Clients that write on without a pause, up to the end: what was in hand is answered, what comes behind it is refused, in order.
+/// Clients that continuously send statements until the end: requests in flight are answered, later ones are rejected, in order.
 #[test]
 fn requests_in_flight_are_answered_at_shutdown_under_a_flood() {
     let GatewayFixture {
@@ -77,7 +76,7 @@
     let threads: Vec<_> = clients
         .into_iter()
         .map(|mut client| {
-            let mut socket = client.socket.try_clone().expect("its other half");
+            let mut socket = client.socket.try_clone().expect("a clone of the socket");
             let writer =
                 std::thread::spawn(
                     move || while socket.write_all(&insert("slow").bytes).is_ok() {},
@@ -90,7 +89,7 @@
                     "it may have run"
                 );
                 let mut rest = 0;
-                // A close over what it still writes may cut the last one off.
+                // Closing the connection while the client still writes may truncate the last answer.
                 while let [error, .., _] = &client.read_reply()[..] {
                     assert_eq!(sqlstate(&error.bytes).as_deref(), Some("57P03"));
                     rest += 1;
@@ -106,47 +105,48 @@
         .collect();
     assert!(
         rest.iter().all(|rest| *rest >= 64),
-        "those in line too: {rest:?}"
+        "queued statements are answered too: {rest:?}"
     );
     assert!(gateway.wait_for_exit().success());
     assert!(
         statements.try_iter().next().is_none(),
-        "nothing more was sent on"
+        "no other statement was forwarded"
     );
     drop(release);
 }
 
-/// A gateway may be held up for 0.15 s at any moment, also around its last answers, which it owes before it is killed.
+/// A gateway may be paused for 0.15 s at any time, also around its last answers, which it must send before it is killed.
 #[test]
 fn queued_statements_are_answered_when_the_gateway_is_held_up_at_its_end() {
     let offsets = [-140, -100, -50, -10, 10, 60, 110];
-    let plays = offsets.map(|offset_ms| std::thread::spawn(move || hold_up_at_the_end(offset_ms)));
-    let answered = plays.map(|play| play.join().expect("no panic"));
+    let runs = offsets.map(|offset_ms| std::thread::spawn(move || pause_at_shutdown(offset_ms)));
+    let answered = runs.map(|run| run.join().expect("no panic"));
     assert_eq!(
         answered, [301; 7],
-        "held up from {offsets:?} ms after the last answers are due"
+        "paused from {offsets:?} ms after the last answers are due"
     );
 }
 
-/// Holds a gateway up from this long after the last answers are due; how many statements of 301 are answered.
-fn hold_up_at_the_end(offset_ms: i64) -> usize {
+/// Pauses a gateway at this offset from the time at which the last answers are due; returns how many of 301 statements are
+/// answered.
+fn pause_at_shutdown(offset_ms: i64) -> usize {
     let GatewayFixture {
         mut gateway,
         statements,
         release,
         ..
-    } = start_fixture(&format!("held-{offset_ms}"));
+    } = start_fixture(&format!("paused-{offset_ms}"));
     let mut client = gateway.ready_client();
     client.write(&[insert("slow")]);
     statements.recv_timeout(TIMEOUT).expect("the statement");
     client.write(&(0..300).map(|_| insert("slow")).collect::<Vec<_>>());
     gateway.signal("TERM");
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     let due_ms = LONGEST_DEADLINE_MS + LAST_ANSWERS_AFTER_MS;
-    let holds_at = Duration::from_millis(due_ms.saturating_add_signed(offset_ms));
-    std::thread::sleep(holds_at.saturating_sub(told.elapsed()));
+    let pause_after = Duration::from_millis(due_ms.saturating_add_signed(offset_ms));
+    std::thread::sleep(pause_after.saturating_sub(terminated_at.elapsed()));
     gateway.signal("STOP");
-    std::thread::sleep(HELD_UP);
+    std::thread::sleep(PAUSE);
     gateway.signal("CONT");
     let answers = std::iter::from_fn(|| Some(client.read_reply()).filter(|a| a.len() == 2));
     let answered = answers.count();
--- a/crates/stackgw-cli/tests/flight.rs
+++ b/crates/stackgw-cli/tests/flight.rs
@@ -1,5 +1,5 @@
-//! Flight SQL before real gateways on loopback, by the client of the `arrow-flight` package: served by members that speak our
-//! first protocol, under the same executions.
+//! Flight SQL clients of the `arrow-flight` package at real gateways on loopback, in front of members that speak the PostgreSQL
+//! protocol.
 #![cfg(feature = "flight")]
 
 mod common;
@@ -17,24 +17,24 @@
 use std::time::{Duration, Instant};
 use tonic::Code;
 
-/// Members of our first protocol, one replica.
+/// A group with one replica whose members speak the PostgreSQL protocol.
 fn fixture(name: &str, auth: Option<FlightAuth>) -> GroupFixture {
     GroupFixture::with_auth(name, &[20], Protocol::Postgres, auth)
 }
 
-fn run<T>(work: impl std::future::Future<Output = T>) -> T {
+fn run<T>(future: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     runtime.block_on(async {
-        tokio::time::timeout(Duration::from_secs(30), work)
+        tokio::time::timeout(Duration::from_secs(30), future)
             .await
-            .expect("in time")
+            .expect("completes within 30 s")
     })
 }
 
-/// Comes again while it is refused: a gateway that has just started may not know its members yet.
+/// Fetches the values, and retries while the request is rejected: a gateway that has just started may not know its members yet.
 async fn fetch_with_retries(client: &mut SqlClient, info: FlightInfo) -> Vec<Vec<u8>> {
     loop {
         match fetch_values(client, info.clone()).await {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn prepared_statements_take_their_parameters() {
+fn prepared_statements_run_with_bound_parameters() {
     let fixture = fixture("prepared", None);
     run(async {
         let mut writer = connect_sql(fixture.flight_address(0), "buy").await;
@@ -98,7 +98,7 @@
             .expect("prepared");
         let names: Vec<_> = insert
             .parameter_schema()
-            .expect("it")
+            .expect("a parameter schema")
             .fields()
             .iter()
             .map(|f| f.name().clone())
@@ -112,8 +112,8 @@
         let value: ArrayRef = Arc::new(BinaryArray::from(vec![&b"\x01\xff"[..]]));
         let row = RecordBatch::try_new(Arc::new(Schema::new(fields)), vec![key.clone(), value])
             .expect("a row");
-        insert.set_parameters(row).expect("they fit");
-        write_with_retries(&mut writer, INSERT).await; // So that the primary is known.
+        insert.set_parameters(row).expect("matching parameters");
+        write_with_retries(&mut writer, INSERT).await; // Ensures that the primary is known.
         assert_eq!(insert.execute_update().await.expect("served"), 1);
         let mut reader = connect_sql(fixture.flight_address(0), "mine").await;
         let mut select = reader
@@ -122,7 +122,7 @@
             .expect("prepared");
         let fields = vec![Field::new("uid", DataType::Utf8, false)];
         let row = RecordBatch::try_new(Arc::new(Schema::new(fields)), vec![key]).expect("a row");
-        select.set_parameters(row).expect("they fit");
+        select.set_parameters(row).expect("matching parameters");
         let info = select.execute().await.expect("a ticket");
         assert_eq!(
             fetch_with_retries(&mut reader, info).await,
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_ticket_is_good_at_another_instance_and_after_a_restart_but_not_for_ever_and_not_if_forged() {
+fn a_ticket_is_valid_at_another_instance_and_after_a_restart_until_it_expires_and_not_if_forged() {
     let fixture = fixture("ticket", None);
     run(async {
         let mut first = connect_sql(fixture.flight_address(0), "look").await;
@@ -141,8 +141,8 @@
             .execute(SELECT.to_owned(), None)
             .await
             .expect("a ticket");
-        fixture.gateways.restart(0).expect("it starts");
-        // It listens, and may not have the list yet.
+        fixture.gateways.restart(0).expect("the gateway starts");
+        // The gateway listens, but may not have the endpoint list yet.
         let mut waits = fixture
             .gateways
             .address(0)
@@ -181,7 +181,7 @@
                 Err(e) if grpc_code(&*e) == Some(Code::Unavailable) => {}
                 Ok(_) => assert!(
                     since.elapsed() < Duration::from_secs(20),
-                    "it never expires"
+                    "the ticket never expires"
                 ),
                 Err(e) => break assert_eq!(grpc_code(&*e), Some(Code::Unauthenticated), "{e:?}"),
             }
@@ -216,19 +216,22 @@
         let error = client
             .execute_update(SELECT.to_owned(), None)
             .await
-            .expect_err("it reads");
+            .expect_err("a read is not an update");
         assert_eq!(grpc_code(&error), Some(Code::InvalidArgument), "{error:?}");
-        let error = client.begin_transaction().await.expect_err("none");
+        let error = client
+            .begin_transaction()
+            .await
+            .expect_err("transactions are not supported");
         assert_eq!(grpc_code(&error), Some(Code::Unimplemented), "{error:?}");
     });
     assert!(fixture.group.executions().writes.is_empty());
 }
 
-/// All batches behind the first ticket of an answer.
+/// Reads all batches of the first endpoint's ticket.
 async fn fetch_batches(client: &mut SqlClient, info: &FlightInfo) -> Vec<RecordBatch> {
     let ticket = info.endpoint[0].ticket.clone().expect("a ticket");
     let stream = client.do_get(ticket).await.expect("a stream");
-    stream.try_collect().await.expect("whole")
+    stream.try_collect().await.expect("a complete stream")
 }
 
 #[test]
@@ -252,7 +255,7 @@
 fn a_write_fails_in_time_and_is_not_retried_when_the_primary_is_unresponsive() {
     let fixture = fixture("silent", None);
     run(async {
-        // First a write, so that the primary is known.
+        // The first write ensures that the primary is known.
         let mut writer = connect_sql(fixture.flight_address(0), "buy").await;
         write_with_retries(&mut writer, INSERT).await;
         fixture.group.members[0]
@@ -285,28 +288,28 @@
             let error = stranger
                 .execute(SELECT.to_owned(), None)
                 .await
-                .expect_err("nobody");
+                .expect_err("unauthenticated");
             assert_eq!(grpc_code(&error), Some(Code::Unauthenticated), "{error:?}");
             stranger.set_token("not a token".to_owned());
-            let error = stranger.get_catalogs().await.expect_err("nobody");
+            let error = stranger.get_catalogs().await.expect_err("unauthenticated");
             assert_eq!(grpc_code(&error), Some(Code::Unauthenticated), "{error:?}");
             let mut known = connect_sql(fixture.flight_address(0), "buy").await;
             if auth == FlightAuth::Basic {
                 let error = known
                     .handshake(FLIGHT_USER.name, "another secret")
                     .await
-                    .expect_err("a wrong one");
+                    .expect_err("a wrong secret");
                 assert_eq!(grpc_code(&error), Some(Code::Unauthenticated), "{error:?}");
                 known
                     .handshake(FLIGHT_USER.name, FLIGHT_USER.secret)
                     .await
-                    .expect("welcome");
+                    .expect("authenticated");
             } else {
                 known.set_token(FLIGHT_USER.secret.to_owned());
             }
             write_with_retries(&mut known, INSERT).await;
-            // What one gateway gave is good at the other, and after a restart.
-            fixture.gateways.restart(0).expect("it starts");
+            // A token of one gateway is valid at the other one, and after a restart.
+            fixture.gateways.restart(0).expect("the gateway starts");
             let token = known.token().cloned().expect("a token");
             for n in 0..2 {
                 let mut other = connect_sql(fixture.flight_address(n), "look").await;
@@ -321,7 +324,7 @@
     }
 }
 
-/// What `stackgw query` writes.
+/// The output of `stackgw query`.
 struct QueryOutput {
     stdout: String,
     stderr: String,
@@ -341,7 +344,7 @@
     }
 }
 
-/// Reads the key `k1`; retries for a while where that is rejected.
+/// Reads the key `k1` with `stackgw query`, and retries for up to 5 s while it is rejected.
 fn query_key(address: &str, further_args: &[&str]) -> QueryOutput {
     let args = [address, "--class", "mine", "--group", "2", "--key", "k1"];
     let since = Instant::now();
@@ -357,7 +360,7 @@
 }
 
 #[test]
-fn the_query_command_writes_answers_in_each_form_and_errors_in_a_line() {
+fn the_query_command_writes_answers_in_each_format_and_errors_in_one_line() {
     let fixture = fixture("query", None);
     run(async {
         let mut client = connect_sql(fixture.flight_address(0), "buy").await;
@@ -389,12 +392,12 @@
 fn check_query_errors(address: &str) {
     let no_class = [address, "--key", "k1"];
     let quote = [address, "--class", "look", "--group", "2", "--key", "k'1"];
-    let nobody = ["127.0.0.1:1", "--key", "k1"];
+    let no_server = ["127.0.0.1:1", "--key", "k1"];
     let no_file = [address, "--key", "k1", "--user", "/nowhere/at/all"];
     for (args, problem) in [
         (&no_class[..], "x-stackgw-class is missing"),
         (&quote, "--key: contains a quote"),
-        (&nobody, "127.0.0.1:1: "),
+        (&no_server, "127.0.0.1:1: "),
         (&no_file, "/nowhere/at/all: No such file"),
     ] {
         let QueryOutput { stdout, stderr } = query(args);
--- a/crates/stackgw-cli/tests/floods.rs
+++ b/crates/stackgw-cli/tests/floods.rs
@@ -1,5 +1,5 @@
-//! Bytes that no driver sends, at the front of Flight SQL: broken and oversized messages, floods of frames, header bombs. What
-//! they do to their own connection is theirs; all others are served, and memory stays within the limits.
+//! Malicious clients of the Flight SQL server: truncated and oversized messages, floods of frames, header bombs. They may lose
+//! their own connection; all other clients are served, and memory stays within the limits.
 #![cfg(feature = "flight")]
 
 mod common;
@@ -21,10 +21,10 @@
 const END_STREAM: u8 = 1;
 const END_HEADERS: u8 = 4;
 
-/// An HTTP/2 connection by hand.
+/// An HTTP/2 connection whose frames the test writes itself.
 struct RawConnection(TcpStream);
 
-/// A header as HPACK has it, without any table.
+/// An HPACK header field, a literal without indexing.
 fn header(name: &str, value: &str) -> Vec<u8> {
     let text = |out: &mut Vec<u8>, text: &str| {
         assert!(text.len() < 127);
@@ -37,7 +37,7 @@
     out
 }
 
-/// The headers of a call.
+/// The headers of a gRPC call.
 fn call(method: &str) -> Vec<u8> {
     let path = format!("/arrow.flight.protocol.FlightService/{method}");
     [
@@ -58,7 +58,7 @@
         let socket = TcpStream::connect(at).expect("a connection");
         socket
             .set_write_timeout(Some(Duration::from_secs(5)))
-            .expect("a limit");
+            .expect("a timeout");
         let mut raw = RawConnection(socket);
         raw.0
             .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
@@ -79,11 +79,11 @@
         self.0.write_all(&Self::frame(kind, flags, stream, body))
     }
 
-    /// What the other side says until it closes, falls silent, or says a frame of this kind; the kinds, in order.
+    /// Reads until the peer closes, sends nothing for 2 s, or sends a frame of this type; returns the types of all frames.
     fn read_frame_kinds(&mut self, until: u8) -> Vec<u8> {
         self.0
             .set_read_timeout(Some(Duration::from_secs(2)))
-            .expect("a limit");
+            .expect("a timeout");
         let (mut kinds, mut received, mut buffer) = (Vec::new(), Vec::new(), [0; 16 << 10]);
         loop {
             while received.len() >= 9 {
@@ -108,7 +108,8 @@
     }
 }
 
-/// Does something to a gateway; afterwards, and while that connection is still there, others are served and memory holds.
+/// Runs `flood` against a gateway, then checks, with the returned connection still open, that other clients are served and that
+/// memory stays within its limit.
 fn check_others_are_served(name: &str, flood: impl FnOnce(SocketAddr) -> Option<RawConnection>) {
     let fixture = GroupFixture::new(name, &[20], Protocol::Postgres);
     let mut client = fixture.client(0, Protocol::FlightSql);
@@ -146,9 +147,9 @@
     check_others_are_served("truncated", |at| {
         let mut raw = RawConnection::new(at);
         raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
-            .expect("taken");
+            .expect("written");
         raw.send(DATA, END_STREAM, 1, &[0, 0, 0, 0, 100, 1, 2, 3])
-            .expect("taken");
+            .expect("written");
         let kinds = raw.read_frame_kinds(HEADERS);
         assert!(
             kinds.contains(&HEADERS) && !kinds.contains(&GOAWAY),
@@ -163,9 +164,9 @@
     check_others_are_served("oversized", |at| {
         let mut raw = RawConnection::new(at);
         raw.send(HEADERS, END_HEADERS, 1, &call("GetFlightInfo"))
-            .expect("taken");
+            .expect("written");
         raw.send(DATA, 0, 1, &[&[0, 0x40, 0, 0, 0][..], &[7; 8_000]].concat())
-            .expect("taken");
+            .expect("written");
         let kinds = raw.read_frame_kinds(HEADERS);
         assert!(kinds.contains(&HEADERS), "{kinds:?}");
         Some(raw)
@@ -173,23 +174,23 @@
 }
 
 #[test]
-fn headers_without_end_end_their_connection_or_their_call() {
+fn endless_headers_end_their_connection_or_their_call() {
     check_others_are_served("bomb", |at| {
         let mut raw = RawConnection::new(at);
         raw.send(HEADERS, 0, 1, &call("GetFlightInfo"))
-            .expect("taken");
+            .expect("written");
         let more: Vec<u8> = (0..60)
             .flat_map(|n| header(&format!("x-{n}"), &"y".repeat(100)))
             .collect();
-        // A hundred megabytes, if it were let.
+        // About 100 MB, if the gateway accepted all of it.
         let ended = (0..16_000).any(|_| raw.send(CONTINUATION, 0, 1, &more).is_err());
-        assert!(ended, "it took them all");
+        assert!(ended, "the gateway accepted all headers");
         None
     });
 }
 
 #[test]
-fn rapidly_reset_streams_run_nothing() {
+fn rapidly_reset_streams_execute_nothing() {
     check_others_are_served("resets", |at| {
         let mut raw = RawConnection::new(at);
         let headers = call("DoGet");
@@ -206,17 +207,17 @@
 }
 
 #[test]
-fn floods_of_settings_and_pings_hold_up_nobody() {
+fn floods_of_settings_and_pings_do_not_delay_others() {
     for (name, kind, body) in [
         ("settings", SETTINGS, &[][..]),
         ("pings", PING, &[1; 8][..]),
     ] {
         check_others_are_served(name, |at| {
             let mut raw = RawConnection::new(at);
-            // Nobody reads the answers.
+            // The test does not read the answers.
             raw.0
                 .set_write_timeout(Some(Duration::from_millis(500)))
-                .expect("a limit");
+                .expect("a timeout");
             let many = RawConnection::frame(kind, 0, 0, body).repeat(1_000);
             let _ = (0..1_000).all(|_| raw.0.write_all(&many).is_ok());
             Some(raw)
@@ -230,7 +231,7 @@
         let mut noise = TcpStream::connect(at).expect("a connection");
         noise
             .write_all(&b"GET / HTTP/1.0\r\n\r\n".repeat(1_000))
-            .expect("taken");
+            .expect("written");
         let silent: Vec<_> = (0..50)
             .map(|_| TcpStream::connect(at).expect("a connection"))
             .collect();
--- a/crates/stackgw-cli/tests/leaving.rs
+++ b/crates/stackgw-cli/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, in every way in which they can, while what they asked for waits: nothing is sent on for them.
+//! Clients that leave in various ways while their requests wait for a member: none of their requests is forwarded.
 
 mod common;
 
@@ -14,31 +14,32 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Two replicas and no primary, so that writes wait, and what adds the primary to the list.
-fn without_primary(name: &str) -> (GatewayFixture, impl FnOnce() -> Sender<String>) {
-    let (tell, updates) = channel();
+/// Starts a gateway with two replicas and no primary, so that writes wait. Also returns a function that adds the primary to the
+/// list.
+fn start_without_primary(name: &str) -> (GatewayFixture, impl FnOnce() -> Sender<String>) {
+    let (list_updates, updates) = channel();
     let fixture = start_fixture_with(name, |entries| {
         start_updating_list_service(list_text(1, true, &entries[1..]), updates)
     });
     let primary = list_text(2, false, &fixture.entries[..1]);
-    // The agent ends with the last sender, and would take what it has just written along.
-    let comes = move || {
-        tell.send(primary).expect("the watch");
-        tell
+    // Returns the sender: the list service closes the watch once it is dropped, and the update may be lost.
+    let announce_primary = move || {
+        list_updates.send(primary).expect("the watch");
+        list_updates
     };
-    (fixture, comes)
+    (fixture, announce_primary)
 }
 
-/// A client that asks for a write that waits, and then leaves.
-struct Leaver {
-    way: &'static str,
-    sends: Vec<u8>,
-    /// Whether it reads its replies; a close over what is unread is a reset.
-    reads: bool,
-    leaves: fn(PgConnection),
+/// A client that sends a write that waits, and then leaves.
+struct LeavingClient {
+    name: &'static str,
+    bytes: Vec<u8>,
+    /// Whether it reads the startup reply. Closing a socket with unread data resets the connection.
+    reads_reply: bool,
+    leave: fn(PgConnection),
 }
 
-fn half_closes(connection: PgConnection) {
+fn half_close(connection: PgConnection) {
     connection
         .socket
         .shutdown(Shutdown::Write)
@@ -46,140 +47,142 @@
     std::mem::forget(connection);
 }
 
-fn leavers() -> Vec<Leaver> {
+fn leaving_clients() -> Vec<LeavingClient> {
     let gone = || insert("gone").bytes;
     let many = |n| -> Vec<u8> {
         (0..n)
             .flat_map(|_| insert(&format!("gone{}", "x".repeat(2000))).bytes)
             .collect()
     };
-    let leaver = |way, sends, leaves| Leaver {
-        way,
-        sends,
-        reads: true,
-        leaves,
+    let client = |name, bytes, leave| LeavingClient {
+        name,
+        bytes,
+        reads_reply: true,
+        leave,
     };
     vec![
-        leaver("closes", gone(), drop),
-        leaver("half-closes", gone(), half_closes),
-        leaver(
-            "closes behind more statements",
+        client("closes", gone(), drop),
+        client("half-closes", gone(), half_close),
+        client(
+            "closes after more statements",
             [gone(), gone(), gone()].concat(),
             drop,
         ),
-        leaver(
+        client(
             "closes inside a message",
             [&gone()[..], &gone()[..40]].concat(),
             drop,
         ),
-        // More than is taken, all of which is read ahead.
-        leaver("closes behind what is read ahead", many(300), drop),
-        leaver(
-            "half-closes behind what is read ahead",
+        // More statements than are accepted; all of their bytes are read ahead.
+        client("closes after bytes that are read ahead", many(300), drop),
+        client(
+            "half-closes after bytes that are read ahead",
             many(300),
-            half_closes,
+            half_close,
         ),
-        leaver("says that it ends", gone(), |mut connection| {
+        client("sends Terminate", gone(), |mut connection| {
             connection.write(&[message(b'X', b"")])
         }),
-        Leaver {
-            reads: false,
-            ..leaver("resets", gone(), drop)
+        LeavingClient {
+            reads_reply: false,
+            ..client("resets", gone(), drop)
         },
-        // Somewhat more than is read ahead, the rest waits in the kernel: nothing is read of it any more when it leaves.
-        Leaver {
-            reads: false,
-            ..leaver("resets behind more than is read", many(350), drop)
+        // Slightly more than is read ahead; the rest is in the kernel's buffer and still unread when the client leaves.
+        LeavingClient {
+            reads_reply: false,
+            ..client("resets after more than is read", many(350), drop)
         },
     ]
 }
 
-/// Clients that send what is no statement without a pause, and come again when they are let go.
+/// Starts clients that continuously send unsupported statements, and reconnect when they are disconnected.
 fn flood(gateway: &GatewayProcess, clients: usize) -> (Arc<AtomicBool>, Vec<JoinHandle<()>>) {
-    let over = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let (address, mut threads) = (gateway.address, Vec::new());
     for _ in 0..clients {
-        let over = over.clone();
+        let stop = stop.clone();
         threads.push(std::thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 let Ok(mut socket) = std::net::TcpStream::connect(address) else {
                     continue;
                 };
                 let _ = socket.write_all(&startup().bytes);
                 let bytes = query("SELECT 1").bytes.repeat(200);
-                while !over.load(Ordering::Relaxed) && socket.write_all(&bytes).is_ok() {}
+                while !stop.load(Ordering::Relaxed) && socket.write_all(&bytes).is_ok() {}
             }
         }));
     }
-    (over, threads)
+    (stop, threads)
 }
 
-fn nothing_begins_for_the_gone(name: &str, flooding: usize) {
+fn check_nothing_is_forwarded_after_leaving(name: &str, flooding: usize) {
     let (
         GatewayFixture {
             gateway,
             statements,
             ..
         },
-        primary_comes,
-    ) = without_primary(name);
-    let mut stays = gateway.ready_client();
-    let (over, threads) = flood(&gateway, flooding);
-    let mut here = Vec::new();
-    for Leaver {
-        way,
-        sends,
-        reads,
-        leaves,
-    } in leavers()
+        announce_primary,
+    ) = start_without_primary(name);
+    let mut remaining = gateway.ready_client();
+    let (stop, threads) = flood(&gateway, flooding);
+    let mut connected = Vec::new();
+    for LeavingClient {
+        name,
+        bytes,
+        reads_reply,
+        leave,
+    } in leaving_clients()
     {
         let mut connection = gateway.connect();
         connection.write(&[startup()]);
-        if reads {
+        if reads_reply {
             connection.read_reply();
         }
-        connection.socket.write_all(&sends).expect(way);
-        here.push((leaves, connection));
+        connection.socket.write_all(&bytes).expect(name);
+        connected.push((leave, connection));
     }
-    let all = here.len() as u64;
+    let all = connected.len() as u64;
     if flooding == 0 {
         gateway.wait_for_counter("taken", |n| n == all);
-        // Two have all that they sent read ahead, the third as much as is read of one.
+        // All bytes of two clients are read ahead, and of a third as many as the limit per client allows.
         gateway.wait_for_counter("read_ahead_bytes", |n| n > 2 * 498_000 + 4 * (136 << 10));
     }
-    here.into_iter()
-        .for_each(|(leaves, connection)| leaves(connection));
+    connected
+        .into_iter()
+        .for_each(|(leave, connection)| leave(connection));
     if flooding == 0 {
-        // Each is seen to leave, whatever of it has not been read.
+        // The gateway detects that each client has left, even if it has not read all of its bytes.
         gateway.wait_for_counter("abandoned", |n| n == all);
     } else {
-        // What they asked may not have been taken by now; none of them is here any more.
+        // Their requests may not have been accepted yet, but none of the clients is connected any more.
         gateway.wait_for_counter("clients_open", |n| n <= flooding as u64 + 1);
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     threads
         .into_iter()
         .for_each(|thread| thread.join().expect("no panic"));
-    let _agent = primary_comes();
-    stays.write(&[insert("here")]);
-    assert_eq!(frame_kinds(&stays.read_reply()), "TDCZ");
+    let _list_updates = announce_primary();
+    remaining.write(&[insert("here")]);
+    assert_eq!(frame_kinds(&remaining.read_reply()), "TDCZ");
     let sent: Vec<_> = statements.try_iter().collect();
     assert_eq!(sent.len(), 1, "{sent:?}");
     assert!(sent[0].contains("'here'"));
 }
 
-/// Found by reading: a client's end was read only behind its last byte, and those whose bytes waited were never seen to leave.
+/// Regression: the gateway detected the end of a connection only after reading its last byte, so that it never noticed that a
+/// client with unread bytes had left.
 #[test]
 fn no_request_is_forwarded_when_its_client_has_left() {
-    nothing_begins_for_the_gone("left", 0);
+    check_nothing_is_forwarded_after_leaving("left", 0);
 }
 
 #[test]
 fn no_request_is_forwarded_when_its_client_has_left_during_a_flood() {
-    nothing_begins_for_the_gone("left-flood", 12);
+    check_nothing_is_forwarded_after_leaving("left-flood", 12);
 }
 
-/// One that cancels and stays has given up that request, and no other.
+/// A client that cancels a request and stays connected gives up only that request.
 #[test]
 fn no_request_is_forwarded_when_it_was_cancelled() {
     let (
@@ -188,9 +191,9 @@
             statements,
             ..
         },
-        primary_comes,
-    ) = without_primary("cancelled");
-    // It has the list once it says so.
+        announce_primary,
+    ) = start_without_primary("cancelled");
+    // Waits until the gateway has the list.
     drop(gateway.ready_client());
     let mut client = gateway.connect();
     client.write(&[startup()]);
@@ -198,23 +201,23 @@
         .read_reply()
         .into_iter()
         .find(|f| f.kind == b'K')
-        .expect("the key");
+        .expect("the cancellation key");
     client.write(&[insert("gone"), insert("gone-too")]);
     gateway.wait_for_counter("taken", |n| n == 2);
-    let mut by = gateway.connect();
-    let _ = by
+    let mut canceller = gateway.connect();
+    let _ = canceller
         .socket
         .write_all(&[&[0, 0, 0, 16, 4, 210, 22, 46], key.body()].concat());
-    assert!(by.next().is_none(), "no reply to a cancel");
+    assert!(canceller.next().is_none(), "no reply to a cancel");
     assert_eq!(
         sqlstate(&client.read_reply()[0].bytes).as_deref(),
         Some("57014")
     );
-    let _agent = primary_comes();
+    let _list_updates = announce_primary();
     assert_eq!(
         frame_kinds(&client.read_reply()),
         "TDCZ",
-        "the other one is served"
+        "the other request is served"
     );
     let sent: Vec<_> = statements.try_iter().collect();
     assert!(
@@ -223,7 +226,8 @@
     );
 }
 
-/// One that sends more than is read of it and closes: its end stands behind bytes that the gateway does not read.
+/// A client that sends more than the gateway reads, and closes: the end of the connection follows bytes that the gateway does not
+/// read.
 #[test]
 fn no_request_is_forwarded_when_its_client_has_left_behind_more_than_is_read() {
     let (
@@ -232,31 +236,31 @@
             statements,
             ..
         },
-        primary_comes,
-    ) = without_primary("left-more");
-    let mut stays = gateway.ready_client();
-    let mut leaver = gateway.ready_client();
-    let nonblocking = leaver.socket.set_nonblocking(true);
+        announce_primary,
+    ) = start_without_primary("left-more");
+    let mut remaining = gateway.ready_client();
+    let mut leaving = gateway.ready_client();
+    let nonblocking = leaving.socket.set_nonblocking(true);
     nonblocking.expect("non-blocking");
     let bytes = insert(&format!("gone{}", "x".repeat(60 << 10))).bytes;
-    // All that the gateway and the kernel take of it.
+    // Sends as much as the gateway and the kernel accept.
     let mut read_ahead = None;
     loop {
-        let has_written = leaver.socket.write(&bytes).is_ok();
+        let has_written = leaving.socket.write(&bytes).is_ok();
         let before = read_ahead.replace(gateway.counter("read_ahead_bytes"));
         if !has_written && before == read_ahead {
             break;
         }
     }
-    leaver.socket.shutdown(Shutdown::Both).expect("closed");
-    drop(leaver);
+    leaving.socket.shutdown(Shutdown::Both).expect("closed");
+    drop(leaving);
     let left = Instant::now();
     while left.elapsed() < Duration::from_millis(150) {
         gateway.counter("abandoned");
     }
-    let _agent = primary_comes();
-    stays.write(&[insert("here")]);
-    assert_eq!(frame_kinds(&stays.read_reply()), "TDCZ");
+    let _list_updates = announce_primary();
+    remaining.write(&[insert("here")]);
+    assert_eq!(frame_kinds(&remaining.read_reply()), "TDCZ");
     let sent: Vec<_> = statements.try_iter().collect();
     let gone = sent.iter().filter(|text| text.contains("'gone")).count();
     assert_eq!(gone, 0, "statements of a client that had left");
--- a/crates/stackgw-cli/tests/list_outage.rs
+++ b/crates/stackgw-cli/tests/list_outage.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes with the platform's settings alone, whose list service goes down and comes back.
+//! A fleet of real processes without an operator's file, whose list service goes down and recovers.
 
 use stackgw_testkit::{
     peak_in_window, FleetConfig, FleetMode, GatewayFleet, GroupConfig, PollOutcome, ReplicaGroup,
@@ -8,20 +8,20 @@
 
 const GATEWAYS: usize = 50;
 const OUTAGE: Duration = Duration::from_secs(6);
-/// A change counts as notified this long after the service could be reached.
+/// A change counts as notified this long after the service became reachable.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 const WINDOW: Duration = Duration::from_millis(100);
 
-/// When the service answered polls, from this moment on.
+/// The times at which the service answered polls, from `since` on.
 fn answered_polls(group: &ReplicaGroup, since: Duration) -> Vec<Duration> {
     let polls = group.list_service().polls().into_iter();
     let answered = polls.filter(|poll| poll.outcome == PollOutcome::Answered && poll.at >= since);
     answered.map(|poll| poll.at).collect()
 }
 
-/// Fifty gateways asked a service that was back after 6 s in the same tenth of a second.
+/// Regression: when the service recovered after 6 s, all 50 gateways polled it within the same 0.1 s.
 #[test]
-fn a_fleet_does_not_come_back_in_step_after_an_outage_of_the_list_service() {
+fn polls_are_spread_when_the_list_service_recovers_after_an_outage() {
     let folder = std::env::temp_dir().join(format!("stackgw-outage-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let group = ReplicaGroup::start_with(GroupConfig::new(&[20])).expect("members");
@@ -39,13 +39,13 @@
 
     group.list_service().set_state(ServiceState::Down);
     std::thread::sleep(OUTAGE);
-    let back = group.list_service().elapsed();
+    let recovered_at = group.list_service().elapsed();
     group.list_service().set_state(ServiceState::Up);
-    wait_for_polls(&group, back);
+    wait_for_polls(&group, recovered_at);
 
-    let polls = answered_polls(&group, back);
+    let polls = answered_polls(&group, recovered_at);
     let peak = peak_in_window(polls.iter().copied(), WINDOW);
-    let last = polls[GATEWAYS - 1] - back;
+    let last = polls[GATEWAYS - 1] - recovered_at;
     eprintln!("{peak} of {GATEWAYS} polls in the worst {WINDOW:?}, the last after {last:?}");
     assert!(
         peak <= GATEWAYS / 4,
@@ -55,7 +55,7 @@
     gateways.clean_up();
 }
 
-/// Waits until as many polls as there are gateways have been answered since then.
+/// Waits until as many polls as there are gateways have been answered from `since` on.
 fn wait_for_polls(group: &ReplicaGroup, since: Duration) {
     let started = Instant::now();
     while answered_polls(group, since).len() < GATEWAYS {
--- a/crates/stackgw-cli/tests/read_ahead.rs
+++ b/crates/stackgw-cli/tests/read_ahead.rs
@@ -1,5 +1,5 @@
-//! Clients that send more than is accepted from them while there is no primary or members are silent, and what that costs
-//! others.
+//! Clients that send more than the gateway accepts while there is no primary or members are silent: other clients are still
+//! served.
 
 mod common;
 
@@ -15,12 +15,12 @@
 use std::time::{Duration, Instant};
 
 const STATEMENT_BYTES: usize = 60 << 10;
-/// What the fixture's configuration grants.
+/// The memory limit of the fixture's configuration.
 const MEMORY_KIB: usize = 64 << 10;
-/// Longer than an empty query takes on a busy machine, shorter than any statement of a flood waits.
+/// Longer than an empty query takes on a busy machine, shorter than the wait of any statement of a flood.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A gateway that grants so many descriptors and knows two replicas and no primary, so that writes wait.
+/// Starts a gateway with this descriptor limit, two replicas and no primary, so that writes wait.
 fn start_gateway(name: &str, descriptors: usize) -> GatewayProcess {
     let config =
         config_text("null").replace("\"sockets\":128", &format!("\"sockets\":{descriptors}"));
@@ -30,7 +30,7 @@
     fixture.gateway
 }
 
-/// A read of `STATEMENT_BYTES` with so much time for its answer.
+/// A read of `STATEMENT_BYTES` with this deadline.
 fn large_read(timeout_ms: u64) -> Frame {
     let (id, key) = (new_id(), "k".repeat(STATEMENT_BYTES));
     let comment = format!("/* id={id},c=look,d={timeout_ms},cluster=2 */");
@@ -39,7 +39,7 @@
     ))
 }
 
-/// A write of `STATEMENT_BYTES`, which waits for a primary for as long as a statement may.
+/// A write of `STATEMENT_BYTES` that waits for a primary for as long as a statement may wait.
 fn large_write() -> Frame {
     let (id, key) = (new_id(), "k".repeat(STATEMENT_BYTES));
     let comment = format!("/* id={id},c=buy,d=60000,cluster=2 */");
@@ -48,16 +48,16 @@
     ))
 }
 
-/// A client that writes statements for as long as its socket takes them, and reads nothing.
+/// A client that writes statements while its socket accepts them, and reads nothing.
 struct FloodingClient {
     connection: PgConnection,
-    /// What is left of a statement that the socket took in part.
+    /// The rest of a statement that the socket accepted in part.
     unwritten: Vec<u8>,
 }
 
 impl FloodingClient {
-    /// Writes on; whether the socket took anything.
-    fn write_on(&mut self) -> bool {
+    /// Continues writing until the socket is full. Returns whether the socket accepted any bytes.
+    fn write_more(&mut self) -> bool {
         let mut has_written = false;
         loop {
             if self.unwritten.is_empty() {
@@ -75,16 +75,16 @@
     }
 }
 
-/// Threads of clients that flood. They end with it or with the gateway.
-struct EndlessFlood(Arc<AtomicBool>);
+/// Stops the threads of the flooding clients on drop. They also end when the gateway does.
+struct ContinuousFlood(Arc<AtomicBool>);
 
-impl Drop for EndlessFlood {
+impl Drop for ContinuousFlood {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
-/// Clients that have sent all that the gateway and the kernel take of them, and wait for a primary.
+/// Connects clients that send as much as the gateway and the kernel accept; their statements wait for a primary.
 fn flood(gateway: &GatewayProcess, clients: usize) -> Vec<FloodingClient> {
     let connect = |_| {
         let connection = gateway.ready_client();
@@ -98,7 +98,7 @@
     let mut flooding: Vec<_> = (0..clients).map(connect).collect();
     let mut read_ahead = 0;
     loop {
-        let has_written = flooding.iter_mut().map(FloodingClient::write_on);
+        let has_written = flooding.iter_mut().map(FloodingClient::write_more);
         let has_written = has_written.filter(|written| *written).count() > 0;
         let before = std::mem::replace(&mut read_ahead, gateway.counter("read_ahead_bytes"));
         if !has_written && read_ahead == before {
@@ -107,8 +107,8 @@
     }
 }
 
-/// A newcomer's connection, which waits for answers no longer than `ANSWER_TIMEOUT`.
-fn newcomer(gateway: &GatewayProcess) -> PgConnection {
+/// Connects a new client, whose reads time out after `ANSWER_TIMEOUT`.
+fn connect_new_client(gateway: &GatewayProcess) -> PgConnection {
     let mut connection = gateway.connect();
     let timeout = connection.socket.set_read_timeout(Some(ANSWER_TIMEOUT));
     timeout.expect("a time-out");
@@ -117,41 +117,42 @@
     connection
 }
 
-/// The message in two writes, of which the first has certainly been read when the second is sent.
-fn ask_in_pieces(gateway: &GatewayProcess, connection: &mut PgConnection) {
+/// Sends an empty query in two writes. The answer to another client in between ensures that the gateway has read the first part.
+fn send_in_two_parts(gateway: &GatewayProcess, connection: &mut PgConnection) {
     let message = query("").bytes;
     connection.socket.write_all(&message[..3]).expect("written");
-    let mut beside = newcomer(gateway);
-    beside.write(&[query("")]);
-    assert_eq!(frame_kinds(&beside.read_reply()), "IZ", "beside it");
+    let mut other = connect_new_client(gateway);
+    other.write(&[query("")]);
+    assert_eq!(frame_kinds(&other.read_reply()), "IZ", "another client");
     connection.socket.write_all(&message[3..]).expect("written");
 }
 
-fn check_newcomers_are_served(gateway: &GatewayProcess) {
+fn check_new_clients_are_served(gateway: &GatewayProcess) {
     for n in 0..10 {
-        let mut complete = newcomer(gateway);
+        let mut complete = connect_new_client(gateway);
         complete.write(&[query("")]);
-        assert_eq!(frame_kinds(&complete.read_reply()), "IZ", "newcomer {n}");
-        let mut in_pieces = newcomer(gateway);
-        ask_in_pieces(gateway, &mut in_pieces);
-        let answer = frame_kinds(&in_pieces.read_reply());
-        assert_eq!(answer, "IZ", "newcomer {n}, in pieces");
+        assert_eq!(frame_kinds(&complete.read_reply()), "IZ", "new client {n}");
+        let mut in_parts = connect_new_client(gateway);
+        send_in_two_parts(gateway, &mut in_parts);
+        let answer = frame_kinds(&in_parts.read_reply());
+        assert_eq!(answer, "IZ", "new client {n}, query in two parts");
     }
 }
 
-/// Callers met this: with requests waiting for members and others flooding, an empty query got an error and a close, or no answer at all.
+/// Regression: while requests waited for members and other clients flooded the gateway, an empty query got an error and a close,
+/// or no answer at all.
 #[test]
-fn newcomers_are_answered_beside_a_flood_that_waits_for_a_primary() {
-    let gateway = start_gateway("newcomers", 128);
+fn new_clients_are_answered_during_a_flood_that_waits_for_a_primary() {
+    let gateway = start_gateway("new-clients", 128);
     let _flooding = flood(&gateway, 40);
-    check_newcomers_are_served(&gateway);
+    check_new_clients_are_served(&gateway);
     assert_eq!(gateway.counter("clients_over_buffer_limit"), 0);
     assert_eq!(gateway.counter("clients_without_request"), 0);
     let peak = gateway.peak_kib();
     assert!(peak < MEMORY_KIB, "{peak} KiB");
 }
 
-/// Members that accept connections and say nothing; gives the entries of their list.
+/// Starts members that accept connections and send nothing; returns their list entries.
 fn start_silent_members() -> Vec<String> {
     let start = |n| {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -163,8 +164,8 @@
     (1..=3).map(start).collect()
 }
 
-/// Clients that write reads without a pause, each with 0.9 s for its answer, until they are told to end.
-fn start_endless_flood(gateway: &GatewayProcess, clients: usize) -> EndlessFlood {
+/// Starts clients that continuously write reads, each with a deadline of 0.9 s, until the returned value is dropped.
+fn start_continuous_flood(gateway: &GatewayProcess, clients: usize) -> ContinuousFlood {
     let is_over = Arc::new(AtomicBool::new(false));
     for _ in 0..clients {
         let (mut client, is_over) = (gateway.ready_client(), is_over.clone());
@@ -177,39 +178,39 @@
             }
         });
     }
-    EndlessFlood(is_over)
+    ContinuousFlood(is_over)
 }
 
-/// The same where members accept connections and never answer, and the flood goes on.
+/// New clients are also answered while members accept connections but never answer, and the flood continues.
 #[test]
-fn newcomers_are_answered_beside_a_flood_while_members_are_silent() {
+fn new_clients_are_answered_during_a_flood_while_members_are_silent() {
     let entries = start_silent_members();
     let lists = start_list_service(list_text(1, true, &entries));
     let config = config_text("null").replace("\"memory_mb\":64", "\"memory_mb\":48");
     let gateway = GatewayProcess::start_with_config("silent-members", lists, &config);
-    let _flood = start_endless_flood(&gateway, 40);
+    let _flood = start_continuous_flood(&gateway, 40);
     gateway.wait_for_counter("read_ahead_bytes", |bytes| bytes > 4 << 20);
-    check_newcomers_are_served(&gateway);
+    check_new_clients_are_served(&gateway);
     assert_eq!(gateway.counter("clients_over_buffer_limit"), 0);
     assert_eq!(gateway.counter("clients_without_request"), 0);
 }
 
-/// A newcomer's read with a key as large as the flood's is served by the replicas.
+/// A new client's read with a key as large as those of the flood is served by the replicas.
 #[test]
-fn a_large_statement_of_a_newcomer_is_served_beside_a_flood() {
-    let gateway = start_gateway("large-newcomer", 128);
+fn a_large_statement_of_a_new_client_is_served_during_a_flood() {
+    let gateway = start_gateway("large-new-client", 128);
     let _flooding = flood(&gateway, 40);
-    let mut late = newcomer(&gateway);
-    late.write(&[large_read(20_000)]);
-    assert_eq!(frame_kinds(&late.read_reply()), "TDCZ");
+    let mut client = connect_new_client(&gateway);
+    client.write(&[large_read(20_000)]);
+    assert_eq!(frame_kinds(&client.read_reply()), "TDCZ");
 }
 
-/// A client that stands still inside a message is told so in time, however full the buffers are.
+/// A client that stalls inside a message gets an error in time, even if the buffers are full.
 #[test]
-fn a_client_that_stalls_inside_a_message_is_told_beside_a_flood() {
+fn a_client_that_stalls_inside_a_message_gets_an_error_during_a_flood() {
     let gateway = start_gateway("stalls", 128);
     let _flooding = flood(&gateway, 40);
-    let mut stalled = newcomer(&gateway);
+    let mut stalled = connect_new_client(&gateway);
     let since = Instant::now();
     let message = query("").bytes;
     stalled.socket.write_all(&message[..3]).expect("written");
@@ -218,12 +219,12 @@
     assert!(waited < Duration::from_secs(3), "{waited:?}");
 }
 
-/// Hundreds of clients that flood: newcomers are answered, and memory stays within what is granted.
+/// With hundreds of flooding clients, new clients are answered, and memory stays within its limit.
 #[test]
-fn newcomers_are_answered_beside_six_hundred_floods() {
+fn new_clients_are_answered_during_six_hundred_floods() {
     let gateway = start_gateway("six-hundred", 2600);
     let _flooding = flood(&gateway, 600);
-    check_newcomers_are_served(&gateway);
+    check_new_clients_are_served(&gateway);
     let peak = gateway.peak_kib();
     eprintln!("peak {peak} KiB under 600 floods");
     assert!(peak < MEMORY_KIB, "{peak} KiB");
--- a/crates/stackgw-cli/tests/sessions.rs
+++ b/crates/stackgw-cli/tests/sessions.rs
@@ -1,5 +1,6 @@
-//! Sessions across real processes on loopback: gateways are killed, paused, started anew with and without their disks, between
-//! paired writes and reads. The audit of what members executed is the judge. Every wait is for an event and bounded.
+//! Shared sessions across real gateway processes on loopback. Between paired writes and reads, gateways are killed, paused and
+//! restarted with and without their stores on disk. An audit checks what members executed. Every wait is for an event and has a
+//! time limit.
 
 use stackgw_testkit::{
     run_audit, AuditPlan, Faults, FleetConfig, FleetMode, GatewayFleet, ReplicaGroup, Verdict,
@@ -10,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longer than a busy machine keeps a process waiting.
+/// Longer than a busy machine delays a process.
 const LEASE_MS: u64 = 500;
 const RETENTION_MS: u64 = 4_000;
 
@@ -51,17 +52,17 @@
         }
     }
 
-    /// What a gateway reports of its sessions.
+    /// The session status that a gateway reports.
     fn session_status(&self, gateway: usize) -> serde_json::Value {
         let output = Command::new(env!("CARGO_BIN_EXE_stackgw"))
             .arg("sessions")
             .arg(self.gateways.control_socket(gateway))
             .arg("--json")
             .output();
-        serde_json::from_slice(&output.expect("it runs").stdout).unwrap_or_default()
+        serde_json::from_slice(&output.expect("the command runs").stdout).unwrap_or_default()
     }
 
-    /// Waits until all session replicas are sure of what they know; gives how long that took.
+    /// Waits until all session replicas are sure that they miss no write, and returns how long that took.
     fn wait_until_sure(&self, session_replicas: usize) -> Duration {
         let started = Instant::now();
         while !(0..session_replicas).all(|n| self.session_status(n)["sure"] == true) {
@@ -86,7 +87,7 @@
     }
 }
 
-/// Each run has other keys and ids than any before.
+/// An audit plan with a new seed, so that no two runs share keys or ids.
 fn audit_plan(pairs: u64) -> AuditPlan {
     static SEED: AtomicU64 = AtomicU64::new(11);
     AuditPlan {
@@ -154,9 +155,9 @@
     assert!(verdict.is_good(), "{verdict:?}");
     assert!(
         verdict.reads_by_role.replicas > verdict.reads_by_role.primary,
-        "past the window after a write: {verdict:?}"
+        "replicas serve most reads once they have the write: {verdict:?}"
     );
-    // A busy machine may keep a process waiting past a lease.
+    // A busy machine may delay a process beyond its lease.
     let cautious: u64 = (0..3)
         .filter_map(|n| fixture.session_status(n)["counts"]["cautious"].as_u64())
         .sum();
@@ -170,20 +171,20 @@
 fn gateways_with_disks_are_sure_soon_after_all_restart_at_once() {
     let fixture = Fixture::new("all", 2, 2, FleetMode::SharedSessions, true);
     fixture.wait_until_sure(2);
-    // Wait for the disk to have it that nothing is missing: that is written with the next questions.
+    // Wait until the stores record that no write is missing, which happens with the next lease requests.
     std::thread::sleep(Duration::from_millis(2 * LEASE_MS));
     assert!(fixture.run(&audit_plan(20)).is_good());
     for _ in 0..2 {
         (0..2).for_each(|n| fixture.gateways.kill(n));
-        (0..2).for_each(|n| fixture.gateways.restart(n).expect("it starts"));
+        (0..2).for_each(|n| fixture.gateways.restart(n).expect("the gateway starts"));
         let took = fixture.wait_until_sure(2);
         assert!(took < Duration::from_millis(RETENTION_MS), "{took:?}");
         assert!(fixture.run(&audit_plan(20)).is_good());
     }
-    // Without them, the retention time.
+    // Without stores on disk, it takes the retention time.
     (0..2).for_each(|n| fixture.gateways.kill(n));
     (0..2).for_each(|n| fixture.gateways.delete_disk(n));
-    (0..2).for_each(|n| fixture.gateways.restart(n).expect("it starts"));
+    (0..2).for_each(|n| fixture.gateways.restart(n).expect("the gateway starts"));
     assert!(fixture.wait_until_sure(2) > Duration::from_millis(RETENTION_MS / 2));
 }
 
@@ -228,7 +229,7 @@
     fixture.wait_until_sure(2);
     for n in 0..2 {
         fixture.gateways.pause(n);
-        // Meanwhile the other one lets writes out that the paused one was sure to hear of.
+        // Meanwhile the other gateway releases writes of which the paused one, still sure by its own state, knows nothing.
         let clients = std::thread::scope(|scope| {
             let run = scope.spawn(|| {
                 fixture.run(&AuditPlan {
@@ -248,7 +249,7 @@
 #[test]
 fn no_write_runs_twice_when_a_gateway_is_killed_between_commit_and_answer() {
     let fixture = Fixture::new("commit", 2, 2, FleetMode::SharedSessions, true);
-    // The primary commits at once and answers later: most kills fall between the two.
+    // The primary commits at once and answers 60 ms later, so that most kills fall between the two.
     fixture.group.members[0]
         .delay_ms
         .store(60, Ordering::Relaxed);
@@ -284,15 +285,15 @@
         );
         std::thread::sleep(Duration::from_millis(20));
     }
-    // A foreign file in place of its disk is set aside, and it starts all the same.
+    // A file that is not a store is moved aside, and the gateway starts without it.
     let store = fixture.folder.join("g1.redb");
     std::fs::copy(fixture.folder.join("cluster.key"), &store).expect("a file");
-    fixture.gateways.restart(1).expect("it starts");
-    let aside = std::fs::read_dir(&fixture.folder)
+    fixture.gateways.restart(1).expect("the gateway starts");
+    let entries = std::fs::read_dir(&fixture.folder)
         .expect("a folder")
         .flatten();
     assert!(
-        aside
+        entries
             .filter(|e| e.file_name().to_string_lossy().contains("redb.refused"))
             .count()
             == 1
@@ -305,12 +306,12 @@
     let fixture = Fixture::new("key", 2, 2, FleetMode::SharedSessions, true);
     fixture.gateways.kill(1);
     let other = fixture.folder.join("other.key");
-    std::fs::write(&other, "another key that nobody else has").expect("a file");
+    std::fs::write(&other, "a key that no other instance has").expect("a file");
     let file = fixture.folder.join("g1.yaml");
     let text = std::fs::read_to_string(&file).expect("a file");
     let key = fixture.folder.join("cluster.key").display().to_string();
     std::fs::write(&file, text.replace(&key, &other.display().to_string())).expect("a file");
-    fixture.gateways.restart(1).expect("it starts");
+    fixture.gateways.restart(1).expect("the gateway starts");
     let verdict = fixture.run(&audit_plan(60));
     assert!(verdict.is_good(), "{verdict:?}");
     assert_eq!(fixture.session_status(0)["sure"], false);
@@ -327,7 +328,7 @@
         let done = Command::new(env!("CARGO_BIN_EXE_stackgw"))
             .args(args)
             .output()
-            .expect("it runs");
+            .expect("the command runs");
         (
             done.status.success(),
             String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned(),
@@ -342,7 +343,7 @@
     let file = std::env::temp_dir().join(format!("stackgw-check-{}.yaml", std::process::id()));
     std::fs::write(&file, "sessions:\n  cluster: x\n  horizon: never\n").expect("a file");
     let (succeeds, output) = stackgw(&["check", &file.display().to_string()]);
-    std::fs::remove_file(&file).expect("it was there");
+    std::fs::remove_file(&file).expect("the file exists");
     assert!(
         !succeeds && output.contains(":3: horizon: ") && output.trim().lines().count() == 1,
         "{output}"
--- a/crates/stackgw-cli/tests/soak.rs
+++ b/crates/stackgw-cli/tests/soak.rs
@@ -1,20 +1,20 @@
-//! A seeded soak over real processes: each seed draws its own schedule of faults, and whatever clients, members and the list
-//! service wrote down is judged by the rules of the service.
+//! Seeded soak test with real processes: each seed determines a schedule of faults, and the records of clients, members and the
+//! list service are checked against the rules of the service.
 //!
-//! By hand, with any seeds: `SOAK_SEEDS=1-50 cargo test --release -p stackgw-cli --test soak -- --ignored --nocapture`
+//! To run it with other seeds: `SOAK_SEEDS=1-50 cargo test --release -p stackgw-cli --test soak -- --ignored --nocapture`
 
 use stackgw_testkit::soak::{judge, run_soak, RequestEnd, SoakPlan, SoakRecord, Violation};
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
-/// How long clients ask in a soak of CI, and in one by hand.
+/// How long clients send requests in a soak in CI, and in a manual one.
 const SHORT: Duration = Duration::from_secs(16);
 const LONG: Duration = Duration::from_secs(26);
-/// Soaks by hand that run at once.
-const AT_ONCE: usize = 5;
+/// Number of manual soaks that run concurrently.
+const CONCURRENT_SOAKS: usize = 5;
 
-fn play(seed: u64, duration: Duration) -> (SoakPlan, SoakRecord, Vec<Violation>) {
+fn run(seed: u64, duration: Duration) -> (SoakPlan, SoakRecord, Vec<Violation>) {
     let plan = SoakPlan::draw(seed, duration);
     let folder = std::env::temp_dir().join(format!("stackgw-soak-{}-{seed}", std::process::id()));
     let record = run_soak(&plan, env!("CARGO_BIN_EXE_stackgw").into(), folder);
@@ -23,7 +23,7 @@
     (plan, record, violations)
 }
 
-/// One line of the table, and the violations behind it.
+/// A summary line, followed by the first violations and, if there are any, the planned faults.
 fn report(plan: &SoakPlan, record: &SoakRecord, violations: &[Violation]) -> String {
     let count = |wanted: fn(&RequestEnd) -> bool| {
         let ends = record.requests.iter().map(|request| &request.end);
@@ -52,10 +52,10 @@
 }
 
 fn check(seed: u64) {
-    let (plan, record, violations) = play(seed, SHORT);
+    let (plan, record, violations) = run(seed, SHORT);
     let report = report(&plan, &record, &violations);
     eprintln!("{report}");
-    assert!(record.requests.len() > 1_000, "clients asked: {report}");
+    assert!(record.requests.len() > 1_000, "too few requests: {report}");
     assert!(violations.is_empty(), "{report}");
 }
 
@@ -64,17 +64,17 @@
     check(1);
 }
 
-/// This seed has a crowd of idle clients that fills the descriptors.
+/// With this seed, idle clients use up the descriptors.
 #[test]
 fn no_rule_is_broken_in_a_soak_with_seed_4() {
     check(4);
 }
 
-/// The seeds that `SOAK_SEEDS` names, as FIRST-LAST.
+/// The seeds of `SOAK_SEEDS`, in the form FIRST-LAST.
 fn seeds() -> RangeInclusive<u64> {
     let text = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1-50".to_owned());
     let (first, last) = text.split_once('-').unwrap_or((&text, &text));
-    let number = |text: &str| text.parse().expect("SOAK_SEEDS is FIRST-LAST");
+    let number = |text: &str| text.parse().expect("SOAK_SEEDS has the form FIRST-LAST");
     number(first)..=number(last)
 }
 
@@ -86,13 +86,13 @@
     let mut failed = Vec::new();
     let mut faults: BTreeMap<&str, usize> = BTreeMap::new();
     let mut requests = 0;
-    for batch in seeds.chunks(AT_ONCE) {
-        let plays = batch.iter().copied();
-        let plays: Vec<_> = plays
-            .map(|seed| std::thread::spawn(move || play(seed, LONG)))
+    for batch in seeds.chunks(CONCURRENT_SOAKS) {
+        let seeds = batch.iter().copied();
+        let runs: Vec<_> = seeds
+            .map(|seed| std::thread::spawn(move || run(seed, LONG)))
             .collect();
-        for played in plays {
-            let (plan, record, violations) = played.join().expect("a verdict");
+        for run in runs {
+            let (plan, record, violations) = run.join().expect("a verdict");
             eprintln!("{}", report(&plan, &record, &violations));
             requests += record.requests.len();
             for planned in &plan.faults {
--- a/crates/stackgw-cli/tests/start.rs
+++ b/crates/stackgw-cli/tests/start.rs
@@ -1,5 +1,5 @@
-//! Fleets of real processes that start at once, lose their list service, their leaders of the watch, half of each other or their
-//! members' warmth. The audit of what members executed is the judge. Every wait is for an event and bounded.
+//! Fleets of real processes that start all at once, that lose their list service or watch leaders, that are partitioned, or whose
+//! members are cold. An audit checks what members executed. Every wait is for an event and has a time limit.
 
 use serde_json::Value;
 use stackgw_testkit::{
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long after a drain was announced a member may still get requests.
+/// How long a member may still get requests after its drain was announced.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
-/// A leader of the watch that is gone is replaced within this.
-const LEADER_REPLACED_WITHIN: Duration = Duration::from_secs(4);
+/// The time limit for replacing a watch leader that has died.
+const LEADER_REPLACEMENT_LIMIT: Duration = Duration::from_secs(4);
 
 struct Fixture {
     group: Arc<ReplicaGroup>,
@@ -30,12 +30,12 @@
 }
 
 impl Fixture {
-    /// Gateways that are set up and do not run yet, every other one at the list service's second listener.
+    /// Prepares gateways without starting them. Every other one uses the list service's second listener.
     fn new(name: &str, gateways: usize, has_cluster: bool, list_service_rate: u32) -> Self {
         Self::with_lines(name, gateways, has_cluster, list_service_rate, &[])
     }
 
-    /// As [`Fixture::new`], with further lines in the operator's file.
+    /// As [`Fixture::new`], with additional lines in the operator's file.
     fn with_lines(
         name: &str,
         gateways: usize,
@@ -82,22 +82,22 @@
             .unwrap_or_else(|error| panic!("{error}"));
     }
 
-    /// What a gateway reports of its list; null where it does not answer.
+    /// The list status that a gateway reports; null if it does not answer.
     fn list_status(&self, gateway: usize) -> Value {
-        let ask = || -> std::io::Result<String> {
+        let request = || -> std::io::Result<String> {
             let mut stream = UnixStream::connect(self.gateways.control_socket(gateway))?;
             stream.write_all(b"{\"ask\":\"list\"}\n")?;
             let mut line = String::new();
             BufReader::new(stream).read_line(&mut line)?;
             Ok(line)
         };
-        ask()
+        request()
             .ok()
             .and_then(|line| serde_json::from_str(&line).ok())
             .unwrap_or_default()
     }
 
-    /// Waits until this holds of what each of these reports; gives how long that took.
+    /// Waits until the condition holds for the list status of each of these gateways, and returns how long that took.
     fn wait_until(
         &self,
         what: &str,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Waits until all these have the service's newest revision, and not from a disk.
+    /// Waits until all these gateways have the service's latest revision, not from their cache on disk.
     fn wait_until_current(
         &self,
         timeout: Duration,
@@ -130,7 +130,7 @@
         })
     }
 
-    /// The gateways that hold a watch.
+    /// The gateways that watch the list service.
     fn watch_leaders(&self) -> Vec<usize> {
         (0..self.gateways.len())
             .filter(|n| self.list_status(*n)["watch"] == true)
@@ -159,7 +159,7 @@
         load.run(&self.group, &self.gateways, Instant::now(), meanwhile)
     }
 
-    /// All members start anew, cold, and the list says so.
+    /// Marks all members as restarted and cold, also in the list.
     fn restart_members(&self) {
         for n in 0..3 {
             self.group.set_cold_capacity(n, member_model());
@@ -167,24 +167,24 @@
         }
     }
 
-    /// Requests that a member got.
+    /// The number of requests that a member received.
     fn requests_of(&self, member: usize) -> u64 {
         self.group.members[member].requests.load(Ordering::Relaxed)
     }
 
-    /// What has come to a member, which never collapsed.
-    fn load_of_standing_member(&self, member: usize) -> ObservedLoad {
+    /// The load of a member; checks that the member never collapsed.
+    fn load_without_collapse(&self, member: usize) -> ObservedLoad {
         let load = self.group.observed_load(member);
         assert!(
             load.collapses == 0 && load.peak_overload < 1.0,
-            "member {member}: {} of what it collapses at",
+            "member {member}: {} of the load at which it collapses",
             load.peak_overload
         );
         load
     }
 
-    /// Nothing was lost, ran twice or was too old.
-    fn check_soundness(&self, report: &ColdConnectReport) {
+    /// Checks that no request was lost, no write was executed twice and no read was stale.
+    fn check_consistency(&self, report: &ColdConnectReport) {
         assert_eq!((report.lost, report.duplicate_writes), (0, 0), "{report:?}");
         let executions = self.group.executions();
         assert_eq!(
@@ -206,12 +206,12 @@
     fixture.start(0..16);
     fixture.wait_until_current(ms(20_000), 0..16);
     let polls = fixture.group.list_service().polls();
-    // Sixteen asks over two seconds; in step all would fall into one moment.
+    // Sixteen polls are spread over two seconds; without spreading they would all arrive at once.
     assert!(
         peak_in_window(polls.iter().map(|poll| poll.at), ms(100)) <= 6,
         "{polls:?}"
     );
-    // Dead and back: again not all at once.
+    // The service goes down and comes back: the polls are spread again.
     let lists = fixture.group.list_service();
     lists.set_state(ServiceState::Down);
     fixture.wait_until("a lost watch", ms(5_000), 0..16, |status| {
@@ -249,22 +249,22 @@
     fixture.wait_until("a lost watch", ms(5_000), 0..1, |status| {
         status["counts"]["watches"].as_u64() >= Some(1)
     });
-    let address = fixture.gateways.address(0).expect("it runs");
+    let address = fixture.gateways.address(0).expect("the gateway runs");
     let mut client = Client::connect(address).expect("a connection");
     let since = Instant::now();
     let text = "SELECT val FROM state WHERE uid = 'k' /* id=n1,c=look,d=1000,cluster=2 */";
     assert_eq!(client.query(text), RequestOutcome::Rejected);
     assert!(since.elapsed() < ms(300), "{:?}", since.elapsed());
-    let mut waits = Client::connect(address).expect("a connection");
-    waits.set_reply_timeout(ms(200));
-    assert!(!waits.is_ready(), "half a list is none");
-    for mood in [ServiceState::FirstByteOnly, ServiceState::Silent] {
-        fixture.group.list_service().set_state(mood);
+    let mut waiting = Client::connect(address).expect("a connection");
+    waiting.set_reply_timeout(ms(200));
+    assert!(!waiting.is_ready(), "a truncated list is not used");
+    for state in [ServiceState::FirstByteOnly, ServiceState::Silent] {
+        fixture.group.list_service().set_state(state);
         std::thread::sleep(ms(300));
         assert_eq!(fixture.list_status(0)["ready"], false);
     }
     fixture.group.list_service().set_state(ServiceState::Up);
-    // A watch that hangs is given up after its silence.
+    // A watch that receives nothing is abandoned after a timeout.
     fixture.wait_until_current(ms(20_000), 0..1);
     let mut client = Client::connect(address).expect("a connection");
     assert_eq!(
@@ -274,32 +274,32 @@
 }
 
 #[test]
-fn few_lead_the_watch_and_lost_leaders_are_replaced() {
+fn few_gateways_lead_the_watch_and_lost_leaders_are_replaced() {
     let fixture = Fixture::new("leaders", 9, true, 50);
     fixture.start(0..9);
     fixture.wait_until_current(ms(10_000), 0..9);
     let before = fixture.polls();
-    assert!(before <= 6, "{before} asks for 9 gateways");
-    // All leaders are killed at once, and a drain is announced: the rest finds new ones and gets it.
+    assert!(before <= 6, "{before} polls of 9 gateways");
+    // All leaders are killed at once, and a drain is announced: the other gateways elect new leaders and get the drain.
     let lost = fixture.watch_leaders();
     assert!((1..=4).contains(&lost.len()), "{lost:?}");
     lost.iter().for_each(|n| fixture.gateways.kill(*n));
     fixture.group.announce(2, ListedPhase::Draining);
     let rest: Vec<_> = (0..9).filter(|n| !lost.contains(n)).collect();
-    let took = fixture.wait_until_current(LEADER_REPLACED_WITHIN, rest.iter().copied());
+    let took = fixture.wait_until_current(LEADER_REPLACEMENT_LIMIT, rest.iter().copied());
     assert!(fixture.polls() - before <= 8, "{took:?}");
-    // A leader that is stopped for five seconds is passed over, and gets what it missed once it goes on.
-    let stopped = fixture.watch_leaders()[0];
-    fixture.gateways.pause(stopped);
+    // A leader that is paused for five seconds is replaced, and gets the update that it missed once it resumes.
+    let paused = fixture.watch_leaders()[0];
+    fixture.gateways.pause(paused);
     fixture.group.announce(1, ListedPhase::Draining);
     fixture.wait_until_current(
-        LEADER_REPLACED_WITHIN,
-        rest.iter().copied().filter(|n| *n != stopped),
+        LEADER_REPLACEMENT_LIMIT,
+        rest.iter().copied().filter(|n| *n != paused),
     );
     std::thread::sleep(ms(5_000));
-    fixture.gateways.resume(stopped);
-    fixture.wait_until_current(ms(2_000), std::iter::once(stopped));
-    // Those that were killed come back and get the list.
+    fixture.gateways.resume(paused);
+    fixture.wait_until_current(ms(2_000), std::iter::once(paused));
+    // The killed gateways restart and get the list.
     fixture.start(lost.iter().copied());
     fixture.wait_until_current(ms(5_000), 0..9);
 }
@@ -315,7 +315,7 @@
         std::thread::sleep(ms(2_000));
         fixture.group.announce(2, ListedPhase::Draining);
     });
-    fixture.check_soundness(&report);
+    fixture.check_consistency(&report);
     let after = fixture.group.executions().latest_after_drain;
     assert!(
         after <= DRAIN_GRACE + ms(50),
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_stale_list_service_is_not_believed() {
+fn an_older_list_of_the_service_is_ignored() {
     let fixture = Fixture::new("behind", 6, true, 50);
     fixture.start(0..6);
     fixture.wait_until_current(ms(10_000), 0..6);
@@ -341,17 +341,20 @@
     fixture.start(0..1);
     let since = Instant::now();
     while !(0..6).any(|n| fixture.list_status(n)["behind"] == true) {
-        assert!(since.elapsed() < ms(20_000), "nobody noticed");
+        assert!(
+            since.elapsed() < ms(20_000),
+            "no gateway noticed the older list"
+        );
         std::thread::sleep(ms(20));
     }
-    // One that starts now has the list of its disk and of its peers; the service's older one undoes neither.
+    // A gateway that starts now has the list from its disk and its peers; the older one of the service replaces neither.
     fixture.wait_until("no older list", ms(5_000), 0..6, |status| {
         status["revision"] == 2
     });
     let before = fixture.requests_of(2);
     let report = fixture.run_load(10.0, ms(1_500), || {});
-    fixture.check_soundness(&report);
-    assert_eq!(fixture.requests_of(2), before, "the drain binds");
+    fixture.check_consistency(&report);
+    assert_eq!(fixture.requests_of(2), before, "the drain still applies");
     lists.set_state(ServiceState::Up);
     fixture.group.announce(2, ListedPhase::Ready);
     fixture.wait_until_current(ms(10_000), 0..6);
@@ -372,30 +375,30 @@
             std::thread::sleep(ms(10));
         }
     }
-    // An hour passes for the disks; the service dies, another member leads, all gateways are killed.
+    // The lists on disk are made an hour older, the service goes down, another member becomes primary, all gateways are killed.
     (0..8).for_each(|n| fixture.gateways.kill(n));
     fixture.group.list_service().set_state(ServiceState::Down);
     fixture.group.promote(1);
     for n in 0..8 {
         let file = fixture.folder.join(format!("g{n}.list"));
         let text = std::fs::read_to_string(&file).expect("a list");
-        let (head, list) = text.split_once('\n').expect("two lines");
-        let mut head: Value = serde_json::from_str(head).expect("a head");
-        head["said_ms"] = Value::from(head["said_ms"].as_i64().expect("a time") - 3_600_000);
-        std::fs::write(&file, format!("{head}\n{list}")).expect("it is written");
+        let (header, list) = text.split_once('\n').expect("two lines");
+        let mut header: Value = serde_json::from_str(header).expect("a header");
+        header["said_ms"] = Value::from(header["said_ms"].as_i64().expect("a time") - 3_600_000);
+        std::fs::write(&file, format!("{header}\n{list}")).expect("written");
     }
     let before = fixture.group.executions();
     let report = fixture.run_load(10.0, ms(6_000), || fixture.start(0..8));
     assert_eq!(report.ready_ms.len(), 8, "{report:?}");
-    fixture.check_soundness(&report);
+    fixture.check_consistency(&report);
     let executions = fixture.group.executions();
     assert_eq!(
         executions.misrouted_writes, before.misrouted_writes,
-        "a write went to the primary on the disk"
+        "a write was sent to the primary of the cached list"
     );
     assert!(
         executions.writes.len() > before.writes.len(),
-        "writes found the new one"
+        "writes reached the new primary"
     );
     (0..8).for_each(|n| assert_eq!(fixture.list_status(n)["origin"], "kept word"));
 }
@@ -418,7 +421,7 @@
         }
         lists.set_listener_state(1, ServiceState::Silent);
         std::thread::sleep(ms(500));
-        // Meanwhile another member leads, and one drains: only one half gets it.
+        // Meanwhile another member becomes primary, and one drains: only one half gets the update.
         fixture.group.promote(1);
         lists.announce_primary(1);
         fixture.group.announce(2, ListedPhase::Draining);
@@ -428,7 +431,7 @@
             (1..8)
                 .step_by(2)
                 .all(|n| fixture.list_status(n)["revision"] == 1),
-            "the other half cannot know"
+            "the other half cannot have the update"
         );
         network.heal();
         fixture.wait_until_current(ms(3_000), 0..8);
@@ -438,10 +441,10 @@
         assert_eq!(
             fixture.requests_of(2),
             before,
-            "new work after it got the drain"
+            "new requests after the gateways got the drain"
         );
     });
-    fixture.check_soundness(&report);
+    fixture.check_consistency(&report);
     lists.set_listener_state(1, ServiceState::Up);
 }
 
@@ -471,35 +474,35 @@
         std::thread::sleep(ms(100));
         fixture.start(0..7);
     });
-    fixture.check_soundness(&report);
+    fixture.check_consistency(&report);
     assert!(report.served_fraction() > 0.8, "{report:?}");
     fixture.restart_members();
     fixture.wait_until_current(ms(5_000), 0..10);
     let report = fixture.run_load(20.0, ms(5_000), || fixture.start(0..10));
-    fixture.check_soundness(&report);
-    (0..3).for_each(|n| drop(fixture.load_of_standing_member(n)));
+    fixture.check_consistency(&report);
+    (0..3).for_each(|n| drop(fixture.load_without_collapse(n)));
 }
 
 #[test]
 fn connections_to_cold_members_are_paced_over_the_fleet() {
-    // Six a second at each, growing to twenty-four.
+    // Six new connections per second at each member, growing to 24 as it warms up.
     let fixture = Fixture::with_lines("paced", 24, true, 50, &["opens: 6"]);
     (0..3).for_each(|n| fixture.group.set_capacity(n, member_model()));
     fixture.start(0..24);
     fixture.wait_until_current(ms(10_000), 0..24);
     fixture.run_load(8.0, ms(6_000), || {});
-    // All start anew, gateways and members.
+    // All gateways and members restart.
     fixture.restart_members();
     let from = fixture.group.elapsed();
     let report = fixture.run_load(8.0, ms(6_000), || fixture.start(0..24));
-    fixture.check_soundness(&report);
+    fixture.check_consistency(&report);
     assert!(
         report.served_in_time + report.served_late > report.requests / 3,
         "{report:?}"
     );
     for n in 0..3 {
-        let load = fixture.load_of_standing_member(n);
-        // In one second the turns that fall into it, and those that chance moves; without turns all 24 and more.
+        let load = fixture.load_without_collapse(n);
+        // The scheduled connections of one second, plus some that jitter moves into it; without pacing, all 24 and more.
         let in_a_second = peak_in_window(
             load.handshakes.into_iter().filter(|at| *at >= from),
             ms(1_000),
@@ -522,16 +525,20 @@
     fixture.wait_until("lost watches", ms(10_000), 0..5, |status| {
         status["watch"] == false
     });
-    // These never reach the service, and have no disk to go by.
+    // These gateways never reach the service, and have no list on disk.
     let before = fixture.requests_of(2);
     let report = fixture.run_load(10.0, ms(3_000), || fixture.start(5..10));
-    fixture.check_soundness(&report);
+    fixture.check_consistency(&report);
     assert_eq!(report.ready_ms.len(), 10, "{report:?}");
     fixture.wait_until("the list of the others", ms(2_000), 5..10, |status| {
         status["revision"] == 2
     });
-    assert_eq!(fixture.requests_of(2), before, "the drain binds them too");
-    // Back, it is believed by all, and the old half's list no longer counts as cached.
+    assert_eq!(
+        fixture.requests_of(2),
+        before,
+        "the drain applies to them too"
+    );
+    // Once the service is back, all gateways use its list, and the list of the first half no longer counts as cached.
     fixture.group.list_service().set_state(ServiceState::Up);
     fixture.group.announce(2, ListedPhase::Ready);
     fixture.wait_until_current(ms(20_000), 0..10);
@@ -546,11 +553,11 @@
     fixture.wait_until_current(ms(10_000), 0..24);
     assert!(
         fixture.polls() <= 14,
-        "{} asks for 24 gateways",
+        "{} polls of 24 gateways",
         fixture.polls()
     );
-    // Of the four that are left none led the watch.
+    // None of the four remaining gateways was a watch leader.
     (0..20).for_each(|n| fixture.gateways.kill(n));
     fixture.group.announce(2, ListedPhase::Draining);
-    fixture.wait_until_current(LEADER_REPLACED_WITHIN, 20..24);
+    fixture.wait_until_current(LEADER_REPLACEMENT_LIMIT, 20..24);
 }
--- a/crates/stackgw-cli/tests/stored_at_exit.rs
+++ b/crates/stackgw-cli/tests/stored_at_exit.rs
@@ -1,4 +1,4 @@
-//! What is queued for the disk when a gateway ends.
+//! Writes to disk that are queued when a gateway exits.
 
 use stackgw_testkit::{
     BootstrapConfig, FleetConfig, FleetMode, GatewayFleet, GroupConfig, ReplicaGroup,
@@ -11,12 +11,12 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A gateway that ended lost the endpoint list that its writer had not written yet.
+/// Regression: a gateway that exited lost the endpoint list that its writer thread had not written yet.
 #[test]
-fn a_gateway_that_ends_writes_the_list_that_is_queued_first() {
+fn a_gateway_writes_the_queued_list_before_it_exits() {
     let folder = std::env::temp_dir().join(format!("stackgw-stored-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    // The file that the writer makes is a pipe, which holds it up until the test reads.
+    // The file that the writer opens is a named pipe, which blocks it until the test reads.
     let pipe = folder.join("g0.new");
     let made = Command::new("mkfifo").arg(&pipe).status();
     assert!(made.is_ok_and(|status| status.success()));
@@ -38,7 +38,7 @@
     wait_until("the list", || !group.list_service().polls().is_empty());
     let log = gateways.control_socket(0).with_extension("log");
     gateways.terminate(0);
-    // Its counters are the last thing that it logs.
+    // The counters are the last line of the log.
     wait_until("the end of the service", || {
         std::fs::read_to_string(&log).is_ok_and(|text| text.contains("counters "))
     });
@@ -52,7 +52,7 @@
     let text = written.recv_timeout(TIMEOUT).expect("the list is written");
     assert!(text.contains("\"members\""), "{text}");
     wait_until("the end of the process", || {
-        gateways.has_ended(0).expect("its state")
+        gateways.has_ended(0).expect("the process status")
     });
     gateways.clean_up();
 }
--- a/crates/stackgw-cli/tests/streams.rs
+++ b/crates/stackgw-cli/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Bulk streams through real gateways, and what may happen to one halfway.
+//! Bulk streams through real gateways, and faults in the middle of a stream.
 #![cfg(feature = "flight")]
 
 mod common;
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tonic::{Code, Request, Status};
 
-/// A fixture that knows its primary, and a runtime for its clients.
+/// A fixture whose gateways know the primary, and a runtime for its clients.
 fn fixture(name: &str, lags_ms: &[u64]) -> (GroupFixture, tokio::runtime::Runtime) {
     let fixture = GroupFixture::new(name, lags_ms, Protocol::FlightSql);
     for n in 0..2 {
@@ -41,16 +41,16 @@
 
 type Messages = std::pin::Pin<Box<dyn Stream<Item = Result<FlightData, Status>>>>;
 
-/// Begins a stream; comes again for a while where it is refused.
-async fn begin(client: &mut SqlClient, text: &str) -> Messages {
+/// Begins a stream, and retries for up to 5 s while it is rejected.
+async fn begin_stream(client: &mut SqlClient, text: &str) -> Messages {
     let since = Instant::now();
     loop {
         match fetch_messages(client, text).await {
             Ok(stream) => return Box::pin(stream),
             Err(error) => {
-                let refused = grpc_code(&*error) == Some(Code::Unavailable);
+                let is_rejected = grpc_code(&*error) == Some(Code::Unavailable);
                 assert!(
-                    refused && since.elapsed() < Duration::from_secs(5),
+                    is_rejected && since.elapsed() < Duration::from_secs(5),
                     "{error:?}"
                 );
                 tokio::time::sleep(Duration::from_millis(10)).await;
@@ -59,14 +59,14 @@
     }
 }
 
-/// Reads to the end: messages, bytes, and the error that ended it, if one did.
-async fn drain(stream: &mut Messages) -> (u64, usize, Option<Status>) {
+/// Reads a stream to its end; returns the number of messages, their bytes, and the error that ended the stream, if any.
+async fn read_to_end(stream: &mut Messages) -> (u64, usize, Option<Status>) {
     let (mut count, mut bytes) = (0, 0);
     while let Some(next) = stream.next().await {
         match next {
             Ok(data) => (count, bytes) = (count + 1, bytes + data.data_body.len()),
             Err(status) => {
-                assert!(stream.next().await.is_none(), "one error ends it");
+                assert!(stream.next().await.is_none(), "an error ends the stream");
                 return (count, bytes, Some(status));
             }
         }
@@ -74,8 +74,8 @@
     (count, bytes, None)
 }
 
-/// Sets a fault of all members.
-fn all(
+/// Sets a fault at all members.
+fn set_at_all_members(
     fixture: &GroupFixture,
     fault: impl Fn(&stackgw_testkit::FakeMember) -> &AtomicU64,
     value: u64,
@@ -87,8 +87,8 @@
         .for_each(|m| fault(m).store(value, Ordering::Relaxed));
 }
 
-/// Reads that ran since the last look, and no id twice.
-fn none_twice(fixture: &GroupFixture) {
+/// Checks that no read was executed twice.
+fn check_no_read_ran_twice(fixture: &GroupFixture) {
     let executions = fixture.group.executions();
     assert!(
         executions.reads_by_id.values().all(|ran| *ran == 1),
@@ -103,8 +103,8 @@
     runtime.block_on(async {
         for (batches, bytes) in [(1, 10), (50, 64 << 10), (20, 1 << 20)] {
             let mut client = connect_sql(fixture.flight_address(0), "look").await;
-            let mut stream = begin(&mut client, &bulk(batches, bytes)).await;
-            let (messages, body, error) = drain(&mut stream).await;
+            let mut stream = begin_stream(&mut client, &bulk(batches, bytes)).await;
+            let (messages, body, error) = read_to_end(&mut stream).await;
             assert!(error.is_none(), "{error:?}");
             assert_eq!(messages, batches + 1, "the schema and its batches");
             assert!(
@@ -113,7 +113,7 @@
             );
         }
     });
-    none_twice(&fixture);
+    check_no_read_ran_twice(&fixture);
 }
 
 #[test]
@@ -121,9 +121,9 @@
     let (fixture, runtime) = fixture("cancel", &[20, 20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
-        let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
+        let mut stream = begin_stream(&mut client, &bulk(1_000_000, 64 << 10)).await;
         for _ in 0..20 {
-            stream.next().await.expect("more").expect("good");
+            stream.next().await.expect("a message").expect("no error");
         }
         assert_eq!(fixture.group.in_flight(), 1);
         drop(stream);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn cancel_flight_info_stops_what_runs_before_it_begins_and_halfway() {
+fn cancel_flight_info_stops_a_stream_before_it_begins_and_in_the_middle() {
     let (fixture, runtime) = fixture("action", &[20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
@@ -175,15 +175,15 @@
             .expect_err("nothing runs");
         assert!(format!("{error:?}").contains("NotFound"), "{error:?}");
         let ticket = || Request::new(info.endpoint[0].ticket.clone().expect("a ticket"));
-        // Halfway.
+        // In the middle of the stream.
         let mut stream: Messages = client
             .inner_mut()
             .do_get(ticket())
             .await
-            .expect("it begins")
+            .expect("the stream begins")
             .into_inner()
             .boxed();
-        stream.next().await.expect("more").expect("good");
+        stream.next().await.expect("a message").expect("no error");
         let mut answer = other
             .do_action(Request::new(stop()))
             .await
@@ -196,11 +196,11 @@
             1
         );
         assert_eq!(
-            drain(&mut stream).await.2.expect("an end").code(),
+            read_to_end(&mut stream).await.2.expect("an error").code(),
             Code::Cancelled
         );
-        // Before it begins.
-        all(&fixture, |m| &m.delay_ms, 5_000);
+        // Before the stream begins.
+        set_at_all_members(&fixture, |m| &m.delay_ms, 5_000);
         let mut caller = client.clone();
         let call = async { caller.inner_mut().do_get(ticket()).await.map(|_| ()) };
         let stops = async {
@@ -209,7 +209,10 @@
             }
         };
         let (call, ()) = tokio::join!(call, stops);
-        assert_eq!(call.expect_err("it was stopped").code(), Code::Cancelled);
+        assert_eq!(
+            call.expect_err("the call was cancelled").code(),
+            Code::Cancelled
+        );
     });
     fixture.wait_until_idle(Duration::from_secs(1));
 }
@@ -217,21 +220,21 @@
 #[test]
 fn a_stream_ends_once_and_in_time_when_its_member_stalls() {
     let (fixture, runtime) = fixture("stalls", &[20, 20]);
-    all(&fixture, |m| &m.stall_after_batches, 5);
+    set_at_all_members(&fixture, |m| &m.stall_after_batches, 5);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let since = Instant::now();
-        let mut stream = begin(&mut client, &bulk(1_000, 1_000)).await;
-        let (messages, _, error) = drain(&mut stream).await;
-        assert_eq!(error.expect("an end").code(), Code::Aborted);
-        assert_eq!(messages, 6, "what had come is its client's");
+        let mut stream = begin_stream(&mut client, &bulk(1_000, 1_000)).await;
+        let (messages, _, error) = read_to_end(&mut stream).await;
+        assert_eq!(error.expect("an error").code(), Code::Aborted);
+        assert_eq!(messages, 6, "the client gets what was received before");
         assert!(
             since.elapsed() < Duration::from_secs(3),
             "{:?}",
             since.elapsed()
         );
     });
-    none_twice(&fixture);
+    check_no_read_ran_twice(&fixture);
     fixture.wait_until_idle(Duration::from_secs(1));
 }
 
@@ -240,21 +243,21 @@
     let (fixture, runtime) = fixture("dies", &[20, 20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
-        let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
-        stream.next().await.expect("more").expect("good");
+        let mut stream = begin_stream(&mut client, &bulk(1_000_000, 64 << 10)).await;
+        stream.next().await.expect("a message").expect("no error");
         let n = (0..3)
             .find(|n| fixture.group.members[*n].in_flight.load(Ordering::Relaxed) > 0)
-            .expect("one runs");
+            .expect("a member with a request in flight");
         fixture.group.kill(n);
         assert_eq!(
-            drain(&mut stream).await.2.expect("an end").code(),
+            read_to_end(&mut stream).await.2.expect("an error").code(),
             Code::Aborted
         );
-        // Others go on at once.
-        let mut stream = begin(&mut client, &bulk(3, 1_000)).await;
-        assert!(drain(&mut stream).await.2.is_none());
+        // A new stream is served at once.
+        let mut stream = begin_stream(&mut client, &bulk(3, 1_000)).await;
+        assert!(read_to_end(&mut stream).await.2.is_none());
     });
-    none_twice(&fixture);
+    check_no_read_ran_twice(&fixture);
 }
 
 #[test]
@@ -262,13 +265,13 @@
     let (fixture, runtime) = fixture("drains", &[20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
-        let mut stream = begin(&mut client, &bulk(400, 64 << 10)).await;
-        stream.next().await.expect("more").expect("good");
+        let mut stream = begin_stream(&mut client, &bulk(400, 64 << 10)).await;
+        stream.next().await.expect("a message").expect("no error");
         for n in 0..2 {
             fixture.group.announce(n, ListedPhase::Draining);
         }
         tokio::time::sleep(Duration::from_millis(1_200)).await;
-        let (messages, _, error) = drain(&mut stream).await;
+        let (messages, _, error) = read_to_end(&mut stream).await;
         assert!(error.is_none(), "{error:?}");
         assert_eq!(messages, 400);
     });
@@ -277,12 +280,12 @@
 #[test]
 fn a_schema_that_changes_between_two_batches_ends_the_stream() {
     let (fixture, runtime) = fixture("schema", &[20]);
-    all(&fixture, |m| &m.change_schema_after_batches, 4);
+    set_at_all_members(&fixture, |m| &m.change_schema_after_batches, 4);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
-        let mut stream = begin(&mut client, &bulk(100, 1_000)).await;
-        let (messages, _, error) = drain(&mut stream).await;
-        assert_eq!(error.expect("an end").code(), Code::Aborted);
+        let mut stream = begin_stream(&mut client, &bulk(100, 1_000)).await;
+        let (messages, _, error) = read_to_end(&mut stream).await;
+        assert_eq!(error.expect("an error").code(), Code::Aborted);
         assert!(messages <= 5, "{messages}");
     });
     fixture.wait_until_idle(Duration::from_secs(1));
@@ -293,41 +296,41 @@
     let (fixture, runtime) = fixture("large", &[20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
-        let mut other = begin(&mut client, &bulk(100, 64 << 10)).await;
-        other.next().await.expect("more").expect("good");
-        let mut stream = begin(&mut client, &bulk(3, 3 << 20)).await;
-        let (messages, _, error) = drain(&mut stream).await;
+        let mut other = begin_stream(&mut client, &bulk(100, 64 << 10)).await;
+        other.next().await.expect("a message").expect("no error");
+        let mut stream = begin_stream(&mut client, &bulk(3, 3 << 20)).await;
+        let (messages, _, error) = read_to_end(&mut stream).await;
         assert_eq!(
-            (messages, error.expect("an end").code()),
+            (messages, error.expect("an error").code()),
             (1, Code::Aborted)
         );
-        assert!(drain(&mut other).await.2.is_none());
+        assert!(read_to_end(&mut other).await.2.is_none());
     });
 }
 
 #[test]
-fn a_hundred_slow_readers_stall_no_other_and_are_ended() {
+fn a_hundred_slow_readers_are_ended_and_stall_no_other_stream() {
     let (fixture, runtime) = fixture("slow", &[20, 20]);
     runtime.block_on(async {
-        // Each on a connection of its own: what one leaves unread takes the room of its own connection.
+        // Each reader has a connection of its own, because unread data fills the flow control window of the connection.
         let mut slow = Vec::new();
         for _ in 0..100 {
             let mut client = connect_sql(fixture.flight_address(0), "look").await;
-            let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
-            stream.next().await.expect("more").expect("good");
+            let mut stream = begin_stream(&mut client, &bulk(1_000_000, 64 << 10)).await;
+            stream.next().await.expect("a message").expect("no error");
             slow.push(stream);
         }
-        // Quick statements and a whole stream go by.
+        // Small statements and a complete stream are served meanwhile.
         let mut quick = connect_sql(fixture.flight_address(0), "look").await;
         for _ in 0..10 {
-            let mut stream = begin(&mut quick, &bulk(1, 10)).await;
-            assert!(drain(&mut stream).await.2.is_none());
+            let mut stream = begin_stream(&mut quick, &bulk(1, 10)).await;
+            assert!(read_to_end(&mut stream).await.2.is_none());
         }
-        let mut stream = begin(&mut quick, &bulk(100, 64 << 10)).await;
-        assert!(drain(&mut stream).await.2.is_none());
+        let mut stream = begin_stream(&mut quick, &bulk(100, 64 << 10)).await;
+        assert!(read_to_end(&mut stream).await.2.is_none());
         tokio::time::sleep(Duration::from_millis(1_700)).await;
         for stream in &mut slow {
-            let end = drain(stream).await.2.expect("it was ended").code();
+            let end = read_to_end(stream).await.2.expect("an error").code();
             assert_eq!(end, Code::ResourceExhausted);
         }
     });
@@ -343,9 +346,9 @@
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
         let text = format!("{} /* d=500 */", bulk(1_000_000, 64 << 10));
         let since = Instant::now();
-        let mut stream = begin(&mut client, &text).await;
+        let mut stream = begin_stream(&mut client, &text).await;
         assert_eq!(
-            drain(&mut stream).await.2.expect("an end").code(),
+            read_to_end(&mut stream).await.2.expect("an error").code(),
             Code::DeadlineExceeded
         );
         assert!(
@@ -358,7 +361,7 @@
 }
 
 #[test]
-fn a_ticket_of_a_stream_is_good_at_another_gateway() {
+fn a_stream_ticket_is_valid_at_another_gateway() {
     let (fixture, runtime) = fixture("ticket", &[20]);
     runtime.block_on(async {
         let info = connect_sql(fixture.flight_address(0), "look")
@@ -366,17 +369,20 @@
             .execute(bulk(3, 100), None)
             .await
             .expect("a ticket");
-        assert!(info.schema.is_empty(), "only the answer tells it");
-        fixture.gateways.restart(0).expect("it starts");
+        assert!(
+            info.schema.is_empty(),
+            "the schema is only known from the answer"
+        );
+        fixture.gateways.restart(0).expect("the gateway starts");
         let ticket: Ticket = info.endpoint[0].ticket.clone().expect("a ticket");
         let mut other = connect_sql(fixture.flight_address(1), "look").await;
         let answer = other
             .inner_mut()
             .do_get(Request::new(ticket))
             .await
-            .expect("it begins");
+            .expect("the stream begins");
         let mut stream: Messages = answer.into_inner().boxed();
-        assert_eq!(drain(&mut stream).await.0, 4);
+        assert_eq!(read_to_end(&mut stream).await.0, 4);
     });
 }
 
@@ -385,8 +391,8 @@
     let (fixture, runtime) = fixture("ends", &[20]);
     runtime.block_on(async {
         let mut client = connect_sql(fixture.flight_address(0), "look").await;
-        let mut stream = begin(&mut client, &bulk(1_000_000, 64 << 10)).await;
-        stream.next().await.expect("more").expect("good");
+        let mut stream = begin_stream(&mut client, &bulk(1_000_000, 64 << 10)).await;
+        stream.next().await.expect("a message").expect("no error");
         fixture.gateways.kill(0);
         let error = loop {
             match stream.next().await.expect("an error before the end") {
