--- a/crates/stackgw-cli/tests/flight.rs
+++ b/crates/stackgw-cli/tests/flight.rs
@@ -336,7 +336,7 @@
         .arg("query")
         .args(args)
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     QueryOutput {
         stdout: text(&done.stdout),
--- a/crates/stackgw-cli/tests/start.rs
+++ b/crates/stackgw-cli/tests/start.rs
@@ -280,7 +280,7 @@
     fixture.wait_until_current(ms(10_000), 0..9);
     let before = fixture.polls();
     assert!(before <= 6, "{before} polls of 9 gateways");
-    // All leaders are killed at once, and a drain is announced: the other gateways elect new leaders and get the drain.
+    // All leaders are killed at once, and a drain is announced: new leaders take over, and all others get the drain.
     let lost = fixture.watch_leaders();
     assert!((1..=4).contains(&lost.len()), "{lost:?}");
     lost.iter().for_each(|n| fixture.gateways.kill(*n));
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn partitioned_halves_go_on_and_agree_once_healed() {
+fn partitioned_halves_keep_serving_and_converge_after_healing() {
     let fixture = Fixture::new("halves", 8, true, 50);
     fixture.start(0..8);
     fixture.wait_until_current(ms(10_000), 0..8);
