--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -237,14 +237,14 @@
         .contains("'slow'"));
     gateway.signal("TERM");
     gateway.wait_for_line("ending, 1 requests in hand");
-    // New clients still come, and are served.
+    // New clients are still accepted and served.
     let mut late = gateway.connect();
     late.write(&[startup(), select("k1")]);
     late.read_reply();
     assert_eq!(frame_kinds(&late.read_reply()), "TDCZ");
     release[0].send(()).expect("the member waits");
     assert_eq!(frame_kinds(&busy.read_reply()), "TDCZ");
-    // Once none comes any more, those that are there are served on; then they are closed between requests.
+    // Once the gateway stops listening, connected clients are still served; then they are closed between requests.
     gateway.wait_for_line("no longer listening, ");
     idle.write(&[select("k2")]);
     assert_eq!(frame_kinds(&idle.read_reply()), "TDCZ");
