--- a/crates/stackgw-cli/src/cmd/sessions.rs
+++ b/crates/stackgw-cli/src/cmd/sessions.rs
@@ -59,7 +59,7 @@
 fn print_session(answer: &Value) {
     let owners: Vec<_> = entries(answer, "homes").map(plain_text).collect();
     println!("homes: {}", owners.join(", "));
-    println!("here: {}", certainty(answer));
+    println!("this instance: {}", certainty(answer));
     match &answer["mark"] {
         Value::Null => println!("mark: none"),
         mark => {
--- a/crates/stackgw-cli/tests/streams.rs
+++ b/crates/stackgw-cli/tests/streams.rs
@@ -188,7 +188,7 @@
             .do_action(Request::new(stop()))
             .await
             .expect("stopped");
-        let result = answer.next().await.expect("a result").expect("good");
+        let result = answer.next().await.expect("a result").expect("no error");
         assert_eq!(
             CancelFlightInfoResult::decode(result.body)
                 .expect("a result")
