--- a/crates/stackgw-cli/tests/end_to_end.rs
+++ b/crates/stackgw-cli/tests/end_to_end.rs
@@ -125,7 +125,7 @@
     for client in &mut many {
         assert_eq!(client.read_reply()[1], row(&vec![b'v'; 400_000])[1]);
     }
-    // A statement that is too long ends the connection.
+    // A message that is longer than any statement needs, even by one byte, ends the connection.
     let mut greedy = gateway.ready_client();
     greedy.write(&[query(&"x".repeat(1 << 20))]);
     // The error may be lost when the connection is closed with unread bytes; nothing else is received.
