--- a/crates/stackgw-settings/src/error.rs
+++ b/crates/stackgw-settings/src/error.rs
@@ -1,20 +1,20 @@
-//! What is wrong with a settings document.
+//! Errors of the settings document.
 
 use std::fmt;
 use thiserror::Error;
 
-/// A settings document that cannot be used. Each message is one line that names the key at fault.
+/// Why a settings document cannot be used. Each message is one line and names the key at fault.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is no JSON.
-    #[error("no JSON object: {0}")]
+    /// The text is not valid JSON.
+    #[error("not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// A value is missing or has another type.
-    #[error("{key} is {}", expected.negation())]
+    /// A value is missing or has the wrong type.
+    #[error("{key} is missing or {}", expected.negation())]
     WrongType {
         /// The key.
         key: &'static str,
-        /// What it should hold.
+        /// The type that the value must have.
         expected: ValueType,
     },
     /// A number is negative.
@@ -23,33 +23,33 @@
     /// A number is zero or negative.
     #[error("{0} is not above 0")]
     NotPositive(&'static str),
-    /// A number does not fit its type.
+    /// A number is out of the range of its type.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
-    /// A text is none of those that the key may hold.
-    #[error("{key} holds '{value}'")]
+    /// A string is not one of the values that the key accepts.
+    #[error("{key} has the unknown value '{value}'")]
     UnknownValue {
         /// The key.
         key: &'static str,
-        /// The text.
+        /// The unknown value.
         value: String,
     },
-    /// A list of names holds something else.
-    #[error("{0} holds a name that is no text")]
+    /// A name in a list is missing or not a string.
+    #[error("{0} contains a name that is not a string")]
     NameNotText(&'static str),
     /// The consistency of a class is missing or unknown.
-    #[error("NeedsByClass holds {value:?} for class {class}")]
+    #[error("NeedsByClass has a missing or unknown value for class {class}: {value:?}")]
     UnknownConsistency {
-        /// The class, by index.
+        /// Index of the class.
         class: usize,
-        /// The text, if there is one.
+        /// The unknown value, or `None` if it is missing or not a string.
         value: Option<String>,
     },
-    /// A class of bounded staleness has no bound.
-    #[error("StalenessBoundNs is too short")]
+    /// A class with bounded staleness has no bound, or one that is not an integer.
+    #[error("StalenessBoundNs has no integer for a class whose NeedsByClass is 'recent'")]
     NoStalenessBound,
-    /// A class of bounded staleness has a bound that is zero or negative.
-    #[error("StalenessBoundNs holds one that is not above 0")]
+    /// A class with bounded staleness has a bound that is zero or negative.
+    #[error("StalenessBoundNs contains a bound that is not above 0")]
     StalenessBoundNotPositive,
 }
 
@@ -64,21 +64,21 @@
     Integer,
     /// Any number.
     Number,
-    /// True or false.
+    /// A boolean.
     Flag,
-    /// A text.
+    /// A string.
     Text,
 }
 
 impl ValueType {
     fn negation(self) -> impl fmt::Display {
         match self {
-            ValueType::Object => "no object",
-            ValueType::List => "no list",
-            ValueType::Integer => "no whole number",
-            ValueType::Number => "no number",
+            ValueType::Object => "not an object",
+            ValueType::List => "not a list",
+            ValueType::Integer => "not an integer",
+            ValueType::Number => "not a number",
             ValueType::Flag => "neither true nor false",
-            ValueType::Text => "no text",
+            ValueType::Text => "not a string",
         }
     }
 }
--- a/crates/stackgw-settings/src/gossip.rs
+++ b/crates/stackgw-settings/src/gossip.rs
@@ -1,14 +1,15 @@
-//! The bytes of gossip between gateways: what one has learned of members, packed to keep messages
-//! cheap.
+//! Wire format of the gossip between gateways: what a gateway knows about members, packed into
+//! small messages.
 //!
-//! A message holds a byte that says whether it is to be relayed (0 or 1), the sender's clock in
-//! milliseconds (four bytes, little-endian), and six bytes for each member: three of the digest of
-//! its name, the age of its position, its role and latency ratio, the number of samples.
+//! A message consists of a byte that tells whether to relay it (0 or 1), the sender's clock in
+//! milliseconds (four bytes, little-endian), and six bytes for each member: three bytes of the
+//! digest of its name, then one byte each for the age of its position, for its role and latency
+//! ratio, and for the number of samples.
 
 use stackgw_router::api::{GossipUpdate, MemberId, Span, Time, MS};
 use std::collections::HashMap;
 
-/// Maximum length of a message.
+/// Maximum size of a message.
 pub const MAX_GOSSIP_BYTES: usize = 256;
 
 const HEADER_BYTES: usize = 5;
@@ -16,12 +17,12 @@
 const ENTRIES_PER_MESSAGE: usize = (MAX_GOSSIP_BYTES - HEADER_BYTES) / ENTRY_BYTES;
 /// Unit of the age of a position.
 const AGE_STEP: Span = 4 * MS;
-/// Added to each age, so that neither rounding nor the clock's milliseconds make a position newer
-/// than it is.
+/// Added to each age, so that rounding to steps and to the clock's milliseconds cannot make a
+/// position look newer than it is.
 const AGE_MARGIN_STEPS: Span = 2;
-/// The age of a position that is unknown or too old to be told.
+/// Encoded age of a position that is unknown or too old for one byte.
 const NO_POSITION: u8 = 255;
-/// Role and latency ratio share a byte: the ratio has the lower six bits.
+/// Role and latency ratio share a byte; the ratio is in the lower six bits.
 const ROLE_SHIFT: u32 = 6;
 const RATIO_MASK: u8 = 63;
 const RATIO_STEP: f64 = 0.05;
@@ -33,20 +34,19 @@
 /// A message from another gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GossipMessage {
-    /// When it was sent, by the common clock, in whole milliseconds.
+    /// When the message was sent, by the common clock, in whole milliseconds.
     pub sent_at: Time,
-    /// It is to be relayed to the other gateways.
+    /// Whether the receiver must relay the message to the other gateways.
     pub relay: bool,
-    /// What it says of members that are known here.
+    /// Updates of the members that the codec knows.
     pub updates: Vec<GossipUpdate>,
 }
 
-/// Encodes and decodes gossip. Members go by digests of their names, as each gateway numbers them
-/// on its own.
+/// Encodes and decodes gossip. Messages identify members by digests of their names, because each
+/// gateway assigns its own member ids.
 #[derive(Debug, Default)]
 pub struct GossipCodec {
-    /// `None` where two members share a digest: an update could be meant for either, so none is
-    /// taken.
+    /// `None` if several members share a digest; their updates are ambiguous and are dropped.
     members: HashMap<Digest, Option<MemberId>>,
     digests: HashMap<MemberId, Digest>,
 }
@@ -62,7 +62,8 @@
             .or_insert(Some(id));
     }
 
-    /// Removes a member. Where one other member has its digest, that one is known again.
+    /// Removes a member. If exactly one other member has the same digest, that member can be
+    /// decoded again.
     pub fn remove(&mut self, id: MemberId) {
         let Some(digest) = self.digests.remove(&id) else {
             return;
@@ -76,8 +77,7 @@
         }
     }
 
-    /// The messages that carry these updates; those of members that are not known here are left
-    /// out.
+    /// Encodes updates into as many messages as they need. Updates of unknown members are left out.
     pub fn encode(&self, now: Time, relay: bool, updates: &[GossipUpdate]) -> Vec<Vec<u8>> {
         let entries: Vec<_> = updates
             .iter()
@@ -108,8 +108,8 @@
         Some([a, b, c, age, role << ROLE_SHIFT | ratio, samples])
     }
 
-    /// Reads a message; updates of members that are not known here are left out. `None`: the bytes
-    /// are no such message.
+    /// Decodes a message. Updates of unknown members are left out. Returns `None` if the bytes are
+    /// not a gossip message.
     pub fn decode(&self, now: Time, bytes: &[u8]) -> Option<GossipMessage> {
         let (&[relay, a, b, c, d], entries) = bytes.split_first_chunk::<HEADER_BYTES>()?;
         if relay > 1 || entries.len() % ENTRY_BYTES != 0 {
@@ -147,18 +147,19 @@
     [a, b, c]
 }
 
-/// An age in steps; the age of a position from the future is nothing.
+/// Converts an age to steps and adds the margin. A position in the future has the age 0.
 fn encode_age(age: Span) -> u8 {
     let steps = age.max(0) / AGE_STEP + AGE_MARGIN_STEPS;
     u8::try_from(steps).unwrap_or(NO_POSITION)
 }
 
-/// The clock as messages carry it: the low 32 bits of its milliseconds.
+/// The clock value in a message: the low 32 bits of the time in milliseconds.
 fn clock_ms(now: Time) -> u32 {
     (now / MS) as u32
 }
 
-/// When a message was sent that carries this clock. One from the future was sent now.
+/// Converts the clock value of a message to the time it was sent. A value ahead of `now` counts as
+/// `now`.
 fn sent_at(now: Time, clock: u32) -> Time {
     let elapsed_ms = clock_ms(now).wrapping_sub(clock) as i32;
     (now / MS - i64::from(elapsed_ms.max(0))) * MS
--- a/crates/stackgw-settings/src/lib.rs
+++ b/crates/stackgw-settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! What all hosts of a stackgw router share: the platform's settings document
+//! Code shared by all hosts of a stackgw router: the platform's settings document
 //! ([`PlatformSettings`]) and the gossip that gateways exchange ([`GossipCodec`]).
 //!
-//! This package translates and decides nothing. The keys of the document and the bytes of gossip
-//! are fixed from outside; its types use the router's own terms. It opens no file and no socket.
+//! This package only translates between formats and makes no decisions. The keys of the document
+//! and the bytes of gossip are external interfaces; the types of this package use the router's
+//! terms. It opens no files and no sockets.
 
 mod error;
 mod gossip;
--- a/crates/stackgw-settings/src/platform_settings.rs
+++ b/crates/stackgw-settings/src/platform_settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings document: the router's part and what its host needs.
+//! The platform's settings document: the settings of the router and of its host.
 
 use crate::error::SettingsError;
 use crate::router_settings::router_settings;
@@ -6,8 +6,8 @@
 use serde_json::Value;
 use stackgw_router::api::{LoadReport, Settings, Span, Time};
 
-/// The names that the document gives to classes and zones. Requests and endpoint lists use them on
-/// some wires.
+/// The names that the document gives to classes and zones. Some wire protocols use them in requests
+/// and endpoint lists.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct NameTable {
     /// The classes, by index.
@@ -19,15 +19,16 @@
 /// The whole document.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct PlatformSettings {
-    /// What the router decides by.
+    /// The router's settings.
     pub router: Settings,
     /// The names of classes and zones.
     pub names: NameTable,
-    /// The time that positions are counted from, where a wire counts them from one.
+    /// The time that positions are counted from, in wire protocols that count them from a fixed
+    /// time.
     pub position_zero: Time,
-    /// A member closes a connection that has been idle for this long, in nanoseconds; 0: not known.
+    /// Time in nanoseconds after which a member closes an idle connection; 0 if unknown.
     pub member_idle_timeout: Span,
-    /// Requests that one router may have open.
+    /// Maximum number of open requests of one router.
     pub max_open_requests: usize,
 }
 
@@ -35,7 +36,8 @@
     /// Reads the document from its text.
     ///
     /// # Errors
-    /// The text is no JSON, or a key is missing or holds what it must not; the error names it.
+    /// If the text is not valid JSON, or a key is missing or has an invalid value; the error names
+    /// the key.
     pub fn from_text(text: &str) -> Result<Self, SettingsError> {
         Self::from_json(&serde_json::from_str(text)?)
     }
@@ -43,7 +45,7 @@
     /// Reads the document.
     ///
     /// # Errors
-    /// A key is missing or holds what it must not; the error names it.
+    /// If a key is missing or has an invalid value; the error names the key.
     pub fn from_json(document: &Value) -> Result<Self, SettingsError> {
         let document = Section::new(document);
         let limits = document.section("Limits")?;
@@ -81,8 +83,8 @@
         .ok_or(SettingsError::NameNotText(list))
 }
 
-/// Sets one field of a load report, by the document's name for it; unknown names are skipped. The
-/// position (`x0`) is not among them, as each wire has its own zero and precision for it.
+/// Sets a field of a load report by its name in the document; unknown names are ignored. The
+/// position (`x0`) is ignored too, because its origin and precision differ between wire protocols.
 pub fn record_load_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "x1" => report.is_primary = Some(value > 0.5),
--- a/crates/stackgw-settings/src/router_settings.rs
+++ b/crates/stackgw-settings/src/router_settings.rs
@@ -1,4 +1,4 @@
-//! The part of the document that the router decides by, translated section by section.
+//! Reads the router's part of the document, section by section.
 
 use crate::error::SettingsError;
 use crate::section::Section;
@@ -8,10 +8,11 @@
     Obligations, RoleListing, SessionTracking, Settings,
 };
 
-/// The document's name for a member's position among the fields of a load report.
+/// The document's name for the load report field with a member's position.
 const POSITION_FIELD: &str = "x0";
 
-/// Reads the router's settings. Errors come in the order of the code, the sections first.
+/// Reads the router's settings. If several keys are invalid, the error names the first one that is
+/// read; the sections themselves are checked first.
 pub(crate) fn router_settings(document: Section) -> Result<Settings, SettingsError> {
     let domain = document.section("Domain")?;
     let limits_section = document.section("Limits")?;
@@ -54,7 +55,7 @@
     clients.is_some_and(|clients| clients.flag("MarksRetry").unwrap_or(false))
 }
 
-/// Two lists of the domain that hold an entry for each class.
+/// The lists in the section `Domain` that have one entry for each class.
 struct ConsistencyLists<'a> {
     needs: &'a [Value],
     staleness_bounds: &'a [Value],
--- a/crates/stackgw-settings/src/section.rs
+++ b/crates/stackgw-settings/src/section.rs
@@ -1,9 +1,10 @@
-//! Typed access to one object of the document. Each error names the key.
+//! Typed access to one object of the document. Each error names the key at fault.
 
 use crate::error::{SettingsError, ValueType};
 use serde_json::Value;
 
-/// A year in nanoseconds. Longer times count as this, so that no sum of a time and some of them overflows.
+/// A year in nanoseconds. Longer times are reduced to this, so that adding several of them to a
+/// time cannot overflow.
 pub(crate) const MAX_SPAN: i64 = 365 * 86_400 * 1_000_000_000;
 
 /// An object of the document.
@@ -11,12 +12,12 @@
 pub(crate) struct Section<'a>(&'a Value);
 
 impl<'a> Section<'a> {
-    /// The object itself. Where it is none, all keys are missing.
+    /// Wraps a value. If it is not an object, all keys are missing.
     pub(crate) fn new(value: &'a Value) -> Self {
         Section(value)
     }
 
-    /// The value of a key, if there is one.
+    /// The value of a key, if present.
     pub(crate) fn get(self, key: &str) -> Option<&'a Value> {
         self.0.get(key)
     }
@@ -60,7 +61,7 @@
         self.typed(key, ValueType::Integer, Value::as_i64)
     }
 
-    /// At most [`MAX_SPAN`].
+    /// An integer of 0 or more, reduced to [`MAX_SPAN`] if it is larger.
     pub(crate) fn non_negative(self, key: &'static str) -> Result<i64, SettingsError> {
         let number = self.integer(key)?;
         if number >= 0 {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The same, or the default where the key is missing.
+    /// Like [`Self::non_negative`], but returns `default` if the key is missing.
     pub(crate) fn non_negative_or(
         self,
         key: &'static str,
@@ -82,7 +83,8 @@
         }
     }
 
-    /// At most [`MAX_SPAN`]. Danger: the router divides by these.
+    /// An integer above 0, reduced to [`MAX_SPAN`] if it is larger. The router divides by these
+    /// values, so 0 would be a division by zero.
     pub(crate) fn positive(self, key: &'static str) -> Result<i64, SettingsError> {
         let number = self.integer(key)?;
         if number > 0 {
