--- a/crates/stackgw-store/src/durable_store.rs
+++ b/crates/stackgw-store/src/durable_store.rs
@@ -1,19 +1,19 @@
-//! What the writer of records needs of a store.
+//! The interface between the record writer and a store.
 
 use crate::error::StoreError;
 use stackgw_sessions::Record;
 
 /// Durable storage of records.
 pub trait DurableStore: Send {
-    /// Stores these records; they are durable once this returns.
+    /// Stores these records; they are durable when this returns.
     ///
     /// # Errors
-    /// None of the records may be taken for stored, and the store takes no more.
+    /// If the commit fails. None of the records counts as stored, and the store accepts no more.
     fn commit(&mut self, records: &[Record]) -> Result<(), StoreError>;
 
-    /// Gives the store up: later incarnations must not read it.
+    /// Quarantines the store, so that later incarnations do not read it.
     ///
     /// # Errors
-    /// The store is still where it was.
+    /// If the store cannot be moved. It is still at its path.
     fn quarantine(&mut self) -> Result<(), StoreError>;
 }
--- a/crates/stackgw-store/src/endpoint_list.rs
+++ b/crates/stackgw-store/src/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The cached endpoint list: one file, replaced as a whole. A damaged one, or another service's, is
-//! not trusted.
+//! The cached endpoint list: one file, which is replaced as a whole. A file that is damaged or
+//! belongs to another list service is not used.
 
 use crate::error::StoreError;
-use crate::quarantine::{move_aside, unix_ms};
+use crate::quarantine::{quarantine_file, unix_ms};
 use crate::worker::Worker;
 use serde::{Deserialize, Serialize};
 use stackgw_bootstrap::{CachedEndpoints, EndpointUpdate};
@@ -13,10 +13,10 @@
 
 /// The version of the file's format.
 const FORMAT_VERSION: u32 = 1;
-/// Larger files are rejected unread.
+/// Larger files are rejected without being read.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// The file's first line; the list follows on the second.
+/// The first line of the file. The second line is the list.
 #[derive(Serialize, Deserialize)]
 struct Header {
     version: u32,
@@ -25,7 +25,7 @@
     /// When the service last confirmed the list, in Unix milliseconds.
     #[serde(rename = "said_ms")]
     confirmed_at_ms: i64,
-    /// Requests a second that a warm member answered this instance.
+    /// Requests per second that a warm member answered for this instance.
     #[serde(rename = "rate", default)]
     warm_throughput: f64,
     /// BLAKE3 of the second line, in hexadecimal digits.
@@ -33,10 +33,11 @@
     checksum: String,
 }
 
-/// Reads the cached list of this service. `None`: there is no file, or it is another service's.
+/// Reads the cached list of this list service. Returns `None` if there is no file, or if it belongs
+/// to another service.
 ///
 /// # Errors
-/// The file cannot be read, or is damaged; a damaged one has been quarantined.
+/// If the file cannot be read or is damaged. A damaged file has been quarantined.
 pub fn read(path: &Path, service: &str) -> Result<Option<CachedEndpoints>, StoreError> {
     let io_error = |source| StoreError::ListIo {
         path: path.to_owned(),
@@ -54,7 +55,7 @@
     }
     let bytes = std::fs::read(path).map_err(io_error)?;
     let Some((header, list)) = parse(&bytes) else {
-        let moved_to = move_aside(path).map_err(io_error)?;
+        let moved_to = quarantine_file(path).map_err(io_error)?;
         return Err(StoreError::ListDamaged {
             path: path.to_owned(),
             moved_to,
@@ -75,7 +76,7 @@
 }
 
 fn cached_endpoints(header: &Header, list: EndpointUpdate) -> CachedEndpoints {
-    // The clock may have been set back since the file was written.
+    // If the clock was set back after the file was written, the time would lie in the future.
     let now_ms = i64::try_from(unix_ms()).unwrap_or(i64::MAX);
     let confirmed_at_ms = header.confirmed_at_ms.clamp(0, now_ms);
     let confirmed_at: Time = confirmed_at_ms.saturating_mul(MS);
@@ -90,8 +91,7 @@
     blake3::hash(bytes).to_hex().to_string()
 }
 
-/// Writes the file beside its place and renames it, so that a reader finds the old one or the new
-/// one.
+/// Writes a temporary file and renames it, so that a reader finds either the old or the new list.
 fn write(path: &Path, service: &str, cached: &CachedEndpoints) -> std::io::Result<()> {
     let list = serde_json::to_vec(&cached.list)?;
     let header = Header {
@@ -111,16 +111,16 @@
     std::fs::rename(&temporary, path)
 }
 
-/// A thread that writes the newest list; lists that are superseded while it writes are skipped.
-/// Dropping the writer writes the newest one first.
+/// A thread that writes the newest list. Lists that are superseded while it writes are skipped.
+/// Dropping the writer waits until the newest list is written.
 #[derive(Debug)]
 pub struct EndpointListWriter(Worker<CachedEndpoints>);
 
 impl EndpointListWriter {
-    /// Starts the thread. It calls `on_error` at the first of each series of failures.
+    /// Starts the thread. It calls `on_error` for the first of consecutive failures.
     ///
     /// # Errors
-    /// The thread cannot be started.
+    /// If the thread cannot be started.
     pub fn start(
         path: &Path,
         service: &str,
@@ -131,7 +131,7 @@
         Worker::start("list", "start.list", run).map(EndpointListWriter)
     }
 
-    /// Writes this list from now on.
+    /// Queues a list; it replaces lists that are queued and not written yet.
     pub fn put(&self, cached: CachedEndpoints) {
         self.0.put(cached);
     }
--- a/crates/stackgw-store/src/error.rs
+++ b/crates/stackgw-store/src/error.rs
@@ -1,122 +1,122 @@
-//! What goes wrong with files and threads. Each message is one line that names the operator's field
-//! and the file.
+//! Errors of files and threads. Each message is one line that names the operator's field and the
+//! file.
 
 use crate::tables::FORMAT_VERSION;
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why something could not be read, stored or started.
+/// Why a file could not be read or written, or a thread could not be started.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// Another process has the store open.
     #[error("store: {}: another process has it open", path.display())]
     InUse {
-        /// The store.
+        /// The store's file.
         path: PathBuf,
     },
     /// The store's file can be neither read nor created.
     #[error("store: {}: {source}", path.display())]
     Io {
-        /// The store.
+        /// The store's file.
         path: PathBuf,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
     /// A transaction failed.
     #[error("store: {}: {source}", path.display())]
     Database {
-        /// The store.
+        /// The store's file.
         path: PathBuf,
-        /// What the database reported.
+        /// The database's error.
         source: Box<redb::Error>,
     },
-    /// A store that was only just created is rejected.
+    /// A newly created store is rejected.
     #[error("store: {}: {reason}", path.display())]
     Rejected {
-        /// The store.
+        /// The store's file.
         path: PathBuf,
-        /// Why.
+        /// Why the store is rejected.
         reason: RejectReason,
     },
-    /// A store that is not trusted could not be moved out of the way.
-    #[error("store: {}: {reason}; {source}", path.display())]
+    /// A rejected store could not be quarantined.
+    #[error("store: {}: {reason}; cannot move the file: {source}", path.display())]
     NotQuarantined {
-        /// The store.
+        /// The store's file.
         path: PathBuf,
-        /// Why it is not trusted.
+        /// Why the store is rejected.
         reason: RejectReason,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
-    /// The cached endpoint list can be neither read nor moved out of the way.
+    /// The cached endpoint list cannot be read, or is damaged and cannot be quarantined.
     #[error("start.list: {}: {source}", path.display())]
     ListIo {
         /// The list's file.
         path: PathBuf,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
-    /// The path of the cached endpoint list names no regular file, or one that is too large.
-    #[error("start.list: {}: no plain file, or too large a one", path.display())]
+    /// The path of the cached endpoint list is not a regular file, or the file is too large.
+    #[error("start.list: {}: is not a regular file, or is too large", path.display())]
     ListNotRegularFile {
         /// The list's file.
         path: PathBuf,
     },
     /// The cached endpoint list is damaged and has been quarantined.
-    #[error("start.list: {}: is damaged; set aside as {}", path.display(), moved_to.display())]
+    #[error("start.list: {}: is damaged; moved to {}", path.display(), moved_to.display())]
     ListDamaged {
         /// The list's file.
         path: PathBuf,
-        /// Where it is now.
+        /// Where the file is now.
         moved_to: PathBuf,
     },
     /// The endpoint list could not be written.
-    #[error("start.list: {}: {source}; the list is not kept", path.display())]
+    #[error("start.list: {}: {source}; the endpoint list is not cached", path.display())]
     ListNotWritten {
         /// The list's file.
         path: PathBuf,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
     /// A thread could not be started.
-    #[error("{field}: no thread: {source}")]
+    #[error("{field}: cannot start a thread: {source}")]
     Thread {
-        /// The operator's field that asked for it.
+        /// The operator's field that requires the thread.
         field: &'static str,
-        /// What the system reported.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-/// Why a store's file is not trusted.
+/// Why a store's file is rejected.
 #[derive(Debug, Error)]
 pub enum RejectReason {
-    /// The database cannot read it.
+    /// The database cannot read the file.
     #[error("{0}")]
     Unreadable(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The database gave up on an assertion.
-    #[error("the file is damaged beyond reading")]
+    /// The database panicked while reading the file.
+    #[error("the file is damaged and cannot be read")]
     Damaged,
-    /// A value that each store has is missing.
-    #[error("it has no {0}")]
+    /// A value that every store has is missing.
+    #[error("it has no value '{0}'")]
     Missing(&'static str),
-    /// It has another format version.
-    #[error("it is of version {0}, this is version {FORMAT_VERSION}")]
+    /// The file has another format version.
+    #[error("it has format version {0}, this build uses version {FORMAT_VERSION}")]
     Version(u64),
-    /// It belongs to another cluster than this one.
-    #[error("it is not of the cluster {0}")]
+    /// The file does not belong to the cluster with this name.
+    #[error("it does not belong to the cluster {0}")]
     OtherCluster(String),
-    /// It belongs to another instance.
-    #[error("it is another instance's")]
+    /// The file belongs to another instance.
+    #[error("it belongs to another instance")]
     OtherInstance,
-    /// Its incarnations contradict each other.
-    #[error("its lives are out of order")]
+    /// The incarnations in the file contradict each other.
+    #[error("its incarnations are out of order")]
     IncarnationOrder,
 }
 
 impl RejectReason {
-    /// The file cannot be read, for this reason.
+    /// Wraps an error of the database as [`RejectReason::Unreadable`].
     pub(crate) fn unreadable(error: impl std::error::Error + Send + Sync + 'static) -> Self {
         RejectReason::Unreadable(Box::new(error))
     }
--- a/crates/stackgw-store/src/lib.rs
+++ b/crates/stackgw-store/src/lib.rs
@@ -1,15 +1,15 @@
 //! Durable state of one instance: the incarnation and session records ([`StoreFile`]) and the
 //! cached endpoint list ([`EndpointListWriter`]). No other package writes files.
 //!
-//! - A file is verified before it is trusted. One that is damaged, or belongs to another cluster,
-//!   instance or format version, is quarantined: moved to another name, never overwritten. The
-//!   instance then starts without it.
-//! - Commits are atomic, and durable once they are reported ([`DurableStore::commit`]).
-//! - Writing blocks on the disk, so [`RecordWriter`] and [`EndpointListWriter`] do it on threads of
+//! - A file is verified before it is used. A file that is damaged, or belongs to another cluster,
+//!   instance or format version, is quarantined: it is renamed and never overwritten. The instance
+//!   then starts without it.
+//! - Commits are atomic, and durable when [`DurableStore::commit`] returns.
+//! - Writing blocks on the disk, so [`RecordWriter`] and [`EndpointListWriter`] write on threads of
 //!   their own.
 //!
-//! What records mean is the business of `stackgw-sessions`; this package does not know what is
-//! decided by them.
+//! `stackgw-sessions` defines what records mean and makes the decisions; this package only stores
+//! them.
 
 mod durable_store;
 mod endpoint_list;
--- a/crates/stackgw-store/src/owner.rs
+++ b/crates/stackgw-store/src/owner.rs
@@ -1,4 +1,4 @@
-//! Whose a store is.
+//! The owner of a store.
 
 use stackgw_sessions::NodeId;
 
@@ -7,8 +7,8 @@
 pub struct StoreOwner {
     /// The cluster's name.
     pub cluster: String,
-    /// The instance.
+    /// The instance's id.
     pub node: NodeId,
-    /// How long positions matter, in milliseconds.
+    /// How long positions are retained, in milliseconds.
     pub retention_ms: u64,
 }
--- a/crates/stackgw-store/src/quarantine.rs
+++ b/crates/stackgw-store/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Files that are not trusted are renamed, so that an operator can look into them and nothing reads
-//! them by accident.
+//! Quarantine: a rejected file is renamed, so that an operator can inspect it and no later
+//! incarnation reads it by accident.
 
 use crate::error::{RejectReason, StoreError};
 use std::fmt;
@@ -7,21 +7,21 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A store that was moved out of the way. Displayed as one line for the log.
+/// A store that has been quarantined. Displayed as one line for the log.
 #[derive(Debug)]
 pub struct Quarantined {
-    /// Where it was.
+    /// The original path of the file.
     pub path: PathBuf,
-    /// Where it is now.
+    /// Where the file is now.
     pub moved_to: PathBuf,
-    /// Why it is not trusted.
+    /// Why the store is rejected.
     pub reason: RejectReason,
 }
 
 impl fmt::Display for Quarantined {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (path, moved_to) = (self.path.display(), self.moved_to.display());
-        write!(f, "store: {path}: {}; set aside as {moved_to}", self.reason)
+        write!(f, "store: {path}: {}; moved to {moved_to}", self.reason)
     }
 }
 
@@ -29,7 +29,7 @@
     /// Quarantines a store for this reason.
     pub(crate) fn new(path: &Path, reason: RejectReason) -> Result<Self, StoreError> {
         let path = path.to_owned();
-        match move_aside(&path) {
+        match quarantine_file(&path) {
             Ok(moved_to) => Ok(Quarantined {
                 path,
                 moved_to,
@@ -44,8 +44,8 @@
     }
 }
 
-/// Renames a file to a name that nothing has yet, and gives that.
-pub(crate) fn move_aside(path: &Path) -> io::Result<PathBuf> {
+/// Renames a file to an unused name and returns that name.
+pub(crate) fn quarantine_file(path: &Path) -> io::Result<PathBuf> {
     let moved_to = unused_name(path);
     std::fs::rename(path, &moved_to)?;
     Ok(moved_to)
--- a/crates/stackgw-store/src/record_writer.rs
+++ b/crates/stackgw-store/src/record_writer.rs
@@ -1,5 +1,5 @@
-//! A thread that commits records in batches: all that arrive during one commit go into the next
-//! one.
+//! A thread that commits records in batches: the records that arrive during a commit form the next
+//! batch.
 
 use crate::durable_store::DurableStore;
 use crate::error::StoreError;
@@ -11,32 +11,32 @@
 /// Maximum number of records in one commit.
 const MAX_BATCH: usize = 4_096;
 
-/// What became of records.
+/// The outcome of a commit.
 #[derive(Debug)]
 pub enum CommitOutcome {
-    /// So many records in all are durable.
+    /// The commit succeeded. The value is the total number of records that this writer has made
+    /// durable.
     Stored(u64),
-    /// The store takes no more.
+    /// The commit failed, and the store accepts no more records.
     Failed {
-        /// Why.
+        /// Why the commit failed.
         error: StoreError,
-        /// What was there has been quarantined: no later incarnation reads it. `false`: it could
-        /// not be.
+        /// Whether the store has been quarantined, so that no later incarnation reads it.
         quarantined: bool,
     },
 }
 
-/// Queues records for the thread that commits them; `stackgw-sessions` bounds what it lets wait.
-/// Dropping the writer commits what is queued.
+/// Queues records for the thread that commits them. The queue is unbounded; `stackgw-sessions`
+/// limits the number of waiting records. Dropping the writer commits the queued records.
 #[derive(Debug)]
 pub struct RecordWriter(Worker<Record>);
 
 impl RecordWriter {
-    /// Starts the thread. It calls `on_outcome` after each commit, and ends with the first one that
-    /// fails.
+    /// Starts the thread. It calls `on_outcome` after each commit, and ends after the first commit
+    /// that fails.
     ///
     /// # Errors
-    /// The thread cannot be started.
+    /// If the thread cannot be started.
     pub fn start(
         store: impl DurableStore + 'static,
         on_outcome: impl Fn(CommitOutcome) + Send + 'static,
@@ -47,7 +47,7 @@
         .map(RecordWriter)
     }
 
-    /// Queues a record. After a commit that failed it is dropped.
+    /// Queues a record. After a failed commit, records are dropped.
     pub fn put(&self, record: Record) {
         self.0.put(record);
     }
--- a/crates/stackgw-store/src/recovery.rs
+++ b/crates/stackgw-store/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What earlier incarnations left in a store's file.
+//! Reads the state that earlier incarnations left in a store's file.
 
 use crate::error::RejectReason;
 use crate::owner::StoreOwner;
@@ -9,8 +9,8 @@
 use stackgw_router::api::Time;
 use stackgw_sessions::{NodeId, Peer, Recovered, SessionKey, StoreVersion};
 
-/// Reads the file. The last incarnation that wrote to it is `store_version.last_incarnation` of the
-/// result.
+/// Reads and checks the file. `store_version.last_incarnation` of the result is the last
+/// incarnation that wrote to it.
 pub(crate) fn recover(database: &Database, owner: &StoreOwner) -> Result<Recovered, RejectReason> {
     let transaction = database.begin_read().map_err(RejectReason::unreadable)?;
     let values = MetaValues::read(&transaction)?;
@@ -21,14 +21,15 @@
     recovered.complete_peers = read_complete_peers(&transaction)?;
     recovered.peer_stores = read_peer_stores(&transaction)?;
     let last = recovered.store_version.last_incarnation;
-    // No incarnation comes after the last number, and none that wrote is unbroken from after itself.
+    // No incarnation can follow `u64::MAX`, and the unbroken history cannot begin later than the
+    // incarnation after the last one.
     if last == u64::MAX || recovered.unbroken_since > last + 1 {
         return Err(RejectReason::IncarnationOrder);
     }
     Ok(recovered)
 }
 
-/// The table of single values.
+/// The table [`META`], which has single values by name.
 struct MetaValues(redb::ReadOnlyTable<&'static str, u64>);
 
 impl MetaValues {
@@ -62,7 +63,7 @@
         Ok(())
     }
 
-    /// What the single values say, without the tables.
+    /// The recovered state as far as the single values give it; the lists are empty.
     fn recovered(&self) -> Result<Recovered, RejectReason> {
         Ok(Recovered {
             unbroken_since: self.get(meta::UNBROKEN_SINCE)?,
--- a/crates/stackgw-store/src/store_file.rs
+++ b/crates/stackgw-store/src/store_file.rs
@@ -3,7 +3,7 @@
 use crate::durable_store::DurableStore;
 use crate::error::{RejectReason, StoreError};
 use crate::owner::StoreOwner;
-use crate::quarantine::{move_aside, unix_ms, Quarantined};
+use crate::quarantine::{quarantine_file, unix_ms, Quarantined};
 use crate::recovery::recover;
 use crate::tables::{meta, Tables, FORMAT_VERSION};
 use redb::{Database, DatabaseError, StorageError};
@@ -12,26 +12,26 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-/// Bytes of the file that the database keeps in memory.
+/// Size of the database's page cache in bytes.
 const CACHE_BYTES: usize = 4 << 20;
-/// Positions are removed this many retentions after they were written. More than one, as the wall
-/// clock may be set.
+/// Positions are removed this many retention times after they were written. It is more than one,
+/// because the wall clock may be adjusted.
 const RETENTIONS_ON_DISK: u64 = 3;
 
 /// A file that is ready for a new incarnation of its instance.
 #[derive(Debug)]
 pub struct OpenedStore {
-    /// Where records go.
+    /// The open file, to which records are committed.
     pub store: StoreFile,
-    /// The new incarnation, which is durable already.
+    /// The number of the new incarnation, which is already durable.
     pub incarnation: u64,
-    /// What earlier incarnations left.
+    /// The state that earlier incarnations left.
     pub recovered: Recovered,
-    /// A file that was there before and is not trusted, if there was one.
+    /// The previous file, if it was rejected.
     pub quarantined: Option<Quarantined>,
 }
 
-/// An open file.
+/// An open store file.
 #[derive(Debug)]
 pub struct StoreFile {
     path: PathBuf,
@@ -40,12 +40,12 @@
     pruned_at_ms: u64,
 }
 
-/// What keeps a file from being opened.
+/// Why a file cannot be opened.
 enum OpenFailure {
-    /// It is not trusted, and is to be quarantined.
+    /// The file is rejected and must be quarantined.
     Rejected(RejectReason),
-    /// Nothing can be done about it here: another process has it open, or the folder takes no
-    /// files.
+    /// The file is unavailable: another process has it open, or the system reports an error such as
+    /// a missing directory.
     Failed(StoreError),
 }
 
@@ -68,11 +68,11 @@
 }
 
 impl StoreFile {
-    /// Opens an instance's file, or creates one, and begins a new incarnation in it. A file that is
-    /// not trusted is quarantined and replaced by a new one.
+    /// Opens an instance's file, or creates one, and begins a new incarnation in it. A rejected
+    /// file is quarantined and replaced by a new one.
     ///
     /// # Errors
-    /// The file is in use, or cannot be read, created or moved. It is where it was.
+    /// If the file is in use, or cannot be read, created or moved. It is still at its path.
     pub fn open(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, StoreError> {
         match Self::open_or_create(path, owner) {
             Ok(opened) => Ok(opened),
@@ -91,8 +91,8 @@
 
     fn open_or_create(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, OpenFailure> {
         let exists = path.exists();
-        // Danger: the database asserts what a damaged file may violate; such a panic must not end
-        // the gateway.
+        // The database has assertions that fail for a damaged file. Without `catch_unwind`, such a
+        // panic would end the gateway.
         let opened = catch_unwind(AssertUnwindSafe(|| {
             if exists {
                 Self::open_existing(path, owner)
@@ -106,8 +106,8 @@
     fn open_existing(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, OpenFailure> {
         let database = builder().open(path);
         let mut database = database.map_err(|error| classify(path, error))?;
-        // A repair goes back to the last commit that was completed; an incomplete one had not been
-        // reported as durable.
+        // A repair rolls back to the last completed commit. An incomplete commit was never reported
+        // as durable.
         database
             .check_integrity()
             .map_err(RejectReason::unreadable)?;
@@ -181,7 +181,7 @@
     fn commit(&mut self, records: &[Record]) -> Result<(), StoreError> {
         let written = catch_unwind(AssertUnwindSafe(|| self.write(records)));
         let written = written
-            .unwrap_or_else(|_| Err(redb::Error::Corrupted("the library gave up".to_owned())));
+            .unwrap_or_else(|_| Err(redb::Error::Corrupted("the database panicked".to_owned())));
         written.map_err(|source| StoreError::Database {
             path: self.path.clone(),
             source: Box::new(source),
@@ -189,7 +189,7 @@
     }
 
     fn quarantine(&mut self) -> Result<(), StoreError> {
-        match move_aside(&self.path) {
+        match quarantine_file(&self.path) {
             Ok(_) => Ok(()),
             Err(source) => Err(StoreError::Io {
                 path: self.path.clone(),
@@ -205,7 +205,7 @@
     builder
 }
 
-/// Whether a database that cannot be opened is damaged, or out of reach for now.
+/// Tells whether a database that cannot be opened is damaged or only unavailable.
 fn classify(path: &Path, error: DatabaseError) -> OpenFailure {
     let path = path.to_owned();
     match error {
@@ -221,7 +221,7 @@
     matches!(kind, ErrorKind::InvalidData | ErrorKind::UnexpectedEof)
 }
 
-/// Makes the new incarnation durable, with what identifies the file and all tables.
+/// Creates missing tables, and makes the new incarnation and the identity of the file durable.
 fn write_header(
     database: &Database,
     owner: &StoreOwner,
--- a/crates/stackgw-store/src/tables.rs
+++ b/crates/stackgw-store/src/tables.rs
@@ -1,22 +1,23 @@
-//! The tables of a store's file and what a record changes in them. Their names and types are the
-//! stored format.
+//! The tables of a store's file, and how records change them. The names and types of the tables are
+//! the stored format.
 
 use redb::{Error, ReadableTable, Table, TableDefinition, WriteTransaction};
 use stackgw_sessions::Record;
 
-/// The version of the format below.
+/// The version of the stored format.
 pub(crate) const FORMAT_VERSION: u64 = 1;
 
 /// Single values by name.
 pub(crate) const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// Positions replicated for others: session key to position and time of writing in Unix
+/// Positions replicated for other instances: session key to position and time of writing in Unix
 /// milliseconds.
 pub(crate) const POSITIONS: TableDefinition<u64, (i64, u64)> = TableDefinition::new("held");
-/// Own writes that some replica has not acknowledged, in the same form.
+/// Writes of this instance that some replica has not acknowledged, with the keys and values of
+/// [`POSITIONS`].
 pub(crate) const UNACKNOWLEDGED: TableDefinition<u64, (i64, u64)> = TableDefinition::new("owed");
-/// Peers of which no write is missing: node to incarnation.
+/// Peers whose writes are all known: node to incarnation.
 pub(crate) const COMPLETE_PEERS: TableDefinition<u64, u64> = TableDefinition::new("whole");
-/// Versions of peers' stores: node to incarnation, store id and number of records.
+/// Versions of the stores of peers: node to incarnation, store id and number of records.
 pub(crate) const PEER_STORES: TableDefinition<u64, (u64, u64, u64)> = TableDefinition::new("seen");
 
 /// Names of the values in [`META`].
@@ -41,7 +42,7 @@
 }
 
 impl<'txn> Tables<'txn> {
-    /// Opens the tables, or creates those that are not there.
+    /// Opens the tables, and creates those that do not exist.
     pub(crate) fn open(transaction: &'txn WriteTransaction) -> Result<Self, Error> {
         Ok(Tables {
             meta: transaction.open_table(META)?,
@@ -52,7 +53,7 @@
         })
     }
 
-    /// Applies records that were written at this moment, and counts them.
+    /// Applies records with `now_ms` as their time of writing, and updates the number of records.
     pub(crate) fn apply_all(&mut self, records: &[Record], now_ms: u64) -> Result<(), Error> {
         let mut count = self
             .meta
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Which peers are complete holds under one replica set alone.
+    /// Stores the replica set. If it differs from the known one, the complete peers are forgotten,
+    /// because completeness holds only within one replica set.
     fn set_replica_set(&mut self, digest: u64) -> Result<(), Error> {
         let unchanged = self
             .meta
@@ -109,17 +111,17 @@
         Ok(())
     }
 
-    /// Removes positions that were written before this moment.
-    pub(crate) fn prune(&mut self, written_since_ms: impl Fn(u64) -> bool) -> Result<(), Error> {
-        let is_retained = |_: u64, (_, written_ms): (i64, u64)| written_since_ms(written_ms);
+    /// Removes positions whose time of writing, in Unix milliseconds, is not recent.
+    pub(crate) fn prune(&mut self, is_recent: impl Fn(u64) -> bool) -> Result<(), Error> {
+        let is_retained = |_: u64, (_, written_ms): (i64, u64)| is_recent(written_ms);
         self.positions.retain(is_retained)?;
         self.unacknowledged.retain(is_retained)?;
         Ok(())
     }
 }
 
-/// Stores a position unless a higher one is there; the time of writing is this one's in either
-/// case.
+/// Stores a position unless a higher one is stored already. The time of writing becomes `now_ms` in
+/// either case.
 fn insert_max(
     table: &mut Table<'_, u64, (i64, u64)>,
     key: u64,
--- a/crates/stackgw-store/src/worker.rs
+++ b/crates/stackgw-store/src/worker.rs
@@ -1,11 +1,11 @@
-//! A thread with a queue of work.
+//! A worker thread with a queue.
 
 use crate::error::StoreError;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread::JoinHandle;
 
-/// A thread and the queue before it. The queue is unbounded: its senders bound what they put in.
-/// Dropping the worker waits until the queue is worked off.
+/// A thread and its queue. The queue is unbounded; its senders limit how much they add. Dropping
+/// the worker waits until the queue has been processed.
 #[derive(Debug)]
 pub(crate) struct Worker<T> {
     queue: Option<Sender<T>>,
@@ -13,8 +13,8 @@
 }
 
 impl<T: Send + 'static> Worker<T> {
-    /// Starts a thread of this name, which takes from the queue until that is closed. `field` is
-    /// the operator's field that asked for it.
+    /// Starts a thread with this name, which receives from the queue until it is closed. `field` is
+    /// the operator's field that requires the thread.
     pub(crate) fn start(
         name: &str,
         field: &'static str,
@@ -31,7 +31,7 @@
         })
     }
 
-    /// Adds to the queue. Where the thread has ended, the work is dropped.
+    /// Adds to the queue. If the thread has ended, the work is dropped.
     pub(crate) fn put(&self, work: T) {
         if let Some(queue) = &self.queue {
             let _ = queue.send(work);
--- a/crates/stackgw-store/tests/common/mod.rs
+++ b/crates/stackgw-store/tests/common/mod.rs
@@ -1,31 +1,31 @@
-//! A folder of its own for each test, and one owner of stores.
+//! A temporary directory for each test, and the owner of its stores.
 
 use stackgw_sessions::{NodeId, Peer};
 use stackgw_store::StoreOwner;
 use std::path::{Path, PathBuf};
 
-/// A temporary folder, removed when it is dropped.
-pub struct Folder(PathBuf);
+/// A temporary directory that is removed when it is dropped.
+pub struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     pub fn new(name: &str) -> Self {
         let name = format!("stackgw-store-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("the directory can be created");
+        TempDir(path)
     }
 
     pub fn path(&self) -> &Path {
         &self.0
     }
 
-    /// Where the store is.
+    /// The path of the store.
     pub fn store(&self) -> PathBuf {
         self.0.join("g0.redb")
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
--- a/crates/stackgw-store/tests/fixtures.rs
+++ b/crates/stackgw-store/tests/fixtures.rs
@@ -1,8 +1,8 @@
-//! Stored data stays readable: a store file and a list file as an earlier build wrote them.
+//! Stored data stays readable: a store file and a list file that an earlier build wrote.
 
 mod common;
 
-use common::{owner, peer, Folder};
+use common::{owner, peer, TempDir};
 use redb::{ReadableDatabase, ReadableTable, TableDefinition, TableHandle, Value};
 use stackgw_bootstrap::{CachedEndpoints, Endpoint, EndpointUpdate};
 use stackgw_router::api::{Lifecycle, MS};
@@ -23,8 +23,8 @@
         .join(name)
 }
 
-/// Records of every kind. What stands before `Invalidated` shows in the file only where that leaves
-/// it.
+/// Records of every kind. Of those before `Invalidated`, the file has only what the invalidation
+/// does not remove.
 fn records() -> Vec<Record> {
     vec![
         Record::ReplicaSet(77),
@@ -64,14 +64,14 @@
     ]
 }
 
-/// What the records come to, after this incarnation.
-fn recovered(last: u64) -> Recovered {
+/// The state that the records leave, written by this incarnation.
+fn recovered(last_incarnation: u64) -> Recovered {
     Recovered {
         unbroken_since: 1_200,
         store_version: StoreVersion {
             store_id: 1_234,
             records: 110,
-            last_incarnation: last,
+            last_incarnation,
         },
         peer_stores: vec![
             (
@@ -98,17 +98,18 @@
     }
 }
 
-/// Writes the records to a new file; gives the incarnation that did.
+/// Writes the records to a new file and returns the incarnation that wrote them.
 fn write_store(path: &Path) -> u64 {
     let mut opened = StoreFile::open(path, &owner()).expect("a new store");
     for record in records() {
-        opened.store.commit(&[record]).expect("room");
+        opened.store.commit(&[record]).expect("the commit succeeds");
     }
     opened.incarnation
 }
 
-fn put_back_store(path: &Path) {
-    std::fs::write(path, STORE).expect("a copy of the fixture");
+/// Copies the store fixture to a path.
+fn restore_store(path: &Path) {
+    std::fs::write(path, STORE).expect("the fixture can be copied");
 }
 
 fn cached() -> CachedEndpoints {
@@ -139,29 +140,29 @@
 }
 
 fn write_list(path: &Path) {
-    let writer = EndpointListWriter::start(path, "nottingham-1", |failed| panic!("{failed}"))
-        .expect("a thread");
+    let writer = EndpointListWriter::start(path, "nottingham-1", |error| panic!("{error}"))
+        .expect("the thread starts");
     writer.put(cached());
 }
 
-/// Writes the store and the list. `cargo test -p stackgw-store --test fixtures -- --ignored
-/// --nocapture`; the incarnation that it prints is `FIXTURE_INCARNATION`.
+/// Writes the store and list fixtures: `cargo test -p stackgw-store --test fixtures -- --ignored
+/// --nocapture`. The incarnation that it prints is the new value of [`FIXTURE_INCARNATION`].
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_the_files() {
-    let folder = Folder::new("fixtures");
-    println!("FIXTURE_INCARNATION {}", write_store(&folder.store()));
-    std::fs::copy(folder.store(), fixture("store.redb")).expect("the fixture is written");
-    write_list(&folder.path().join("members.list"));
-    std::fs::copy(folder.path().join("members.list"), fixture("members.list"))
-        .expect("the fixture is written");
+    let directory = TempDir::new("fixtures");
+    println!("FIXTURE_INCARNATION {}", write_store(&directory.store()));
+    std::fs::copy(directory.store(), fixture("store.redb")).expect("the fixture is written");
+    let list = directory.path().join("members.list");
+    write_list(&list);
+    std::fs::copy(list, fixture("members.list")).expect("the fixture is written");
 }
 
 #[test]
 fn a_store_of_an_earlier_build_is_opened_with_the_same_records() {
-    let folder = Folder::new("earlier");
-    put_back_store(&folder.store());
-    let opened = StoreFile::open(&folder.store(), &owner()).expect("a good file");
+    let directory = TempDir::new("earlier");
+    restore_store(&directory.store());
+    let opened = StoreFile::open(&directory.store(), &owner()).expect("a valid store");
     assert!(opened.quarantined.is_none());
     assert_eq!(opened.recovered, recovered(FIXTURE_INCARNATION));
     assert!(opened.incarnation > FIXTURE_INCARNATION);
@@ -169,21 +170,21 @@
 
 type Rows = BTreeMap<String, Vec<String>>;
 
-/// The rows of one table, with the clock's part of them left out.
+/// Adds the rows of one table to `found`; `show` leaves out values from the wall clock.
 fn rows<K: redb::Key + 'static, V: Value + 'static>(
     database: &redb::Database,
     name: &str,
     show: impl Fn(K::SelfType<'_>, V::SelfType<'_>) -> String,
     found: &mut Rows,
 ) {
-    let read = database.begin_read().expect("a transaction");
-    let table = read
+    let transaction = database.begin_read().expect("a transaction");
+    let table = transaction
         .open_table(TableDefinition::<K, V>::new(name))
         .expect("the table has these types");
     let entries = table
         .iter()
-        .expect("it can be read")
-        .map(|entry| entry.expect("it can be read"));
+        .expect("the table can be read")
+        .map(|entry| entry.expect("the entry can be read"));
     found.insert(
         name.to_owned(),
         entries
@@ -192,8 +193,8 @@
     );
 }
 
-/// Everything that a file holds, by the names and types of its tables; times that its host's clock
-/// gave are left out.
+/// The contents of a file by the names and types of its tables. Times from the wall clock are left
+/// out.
 fn tables(path: &Path) -> Rows {
     let database = redb::Database::open(path).expect("a database");
     let mut found = Rows::new();
@@ -219,8 +220,8 @@
     );
     rows::<u64, u64>(&database, "whole", pair, &mut found);
     rows::<u64, (u64, u64, u64)>(&database, "seen", pair, &mut found);
-    let read = database.begin_read().expect("a transaction");
-    let names = read.list_tables().expect("names");
+    let transaction = database.begin_read().expect("a transaction");
+    let names = transaction.list_tables().expect("the tables are listed");
     let names: Vec<_> = names.map(|table| table.name().to_owned()).collect();
     assert!(
         names.iter().all(|name| found.contains_key(name)),
@@ -231,12 +232,12 @@
 
 #[test]
 fn the_same_records_give_the_same_tables() {
-    let folder = Folder::new("tables");
-    put_back_store(&folder.path().join("earlier.redb"));
-    write_store(&folder.path().join("today.redb"));
+    let directory = TempDir::new("tables");
+    restore_store(&directory.path().join("earlier.redb"));
+    write_store(&directory.path().join("today.redb"));
     let (earlier, today) = (
-        tables(&folder.path().join("earlier.redb")),
-        tables(&folder.path().join("today.redb")),
+        tables(&directory.path().join("earlier.redb")),
+        tables(&directory.path().join("today.redb")),
     );
     assert_eq!(earlier, today);
     assert_eq!(earlier["meta"].len(), 8);
@@ -245,42 +246,45 @@
 
 #[test]
 fn a_list_file_of_an_earlier_build_is_read_as_the_same_list() {
-    let folder = Folder::new("list-earlier");
-    let path = folder.path().join("members.list");
-    std::fs::write(&path, LIST).expect("a copy of the fixture");
+    let directory = TempDir::new("list-earlier");
+    let path = directory.path().join("members.list");
+    std::fs::write(&path, LIST).expect("the fixture can be copied");
     assert_eq!(
-        read_endpoint_list(&path, "nottingham-1").expect("no fault"),
+        read_endpoint_list(&path, "nottingham-1").expect("a valid file"),
         Some(cached())
     );
     assert_eq!(
-        read_endpoint_list(&path, "nottingham-2").expect("no fault"),
+        read_endpoint_list(&path, "nottingham-2").expect("a valid file"),
         None,
         "another service's list"
     );
     assert_eq!(
-        std::fs::read_to_string(&path).expect("it is still there"),
+        std::fs::read_to_string(&path).expect("the file is still there"),
         LIST
     );
 }
 
 #[test]
 fn the_same_list_gives_the_same_bytes() {
-    let folder = Folder::new("list-today");
-    let path = folder.path().join("members.list");
+    let directory = TempDir::new("list-today");
+    let path = directory.path().join("members.list");
     write_list(&path);
-    assert_eq!(std::fs::read_to_string(&path).expect("a file"), LIST);
+    assert_eq!(
+        std::fs::read_to_string(&path).expect("the file exists"),
+        LIST
+    );
 }
 
 #[test]
-fn a_damaged_list_file_is_set_aside_with_the_same_words() {
-    let folder = Folder::new("list-damaged");
-    let path = folder.path().join("members.list");
-    std::fs::write(&path, LIST.replace("hall", "wall")).expect("a copy of the fixture");
+fn a_damaged_list_file_is_quarantined_and_reported() {
+    let directory = TempDir::new("list-damaged");
+    let path = directory.path().join("members.list");
+    std::fs::write(&path, LIST.replace("hall", "wall")).expect("the fixture can be copied");
     let error = read_endpoint_list(&path, "nottingham-1")
-        .expect_err("its sum differs")
+        .expect_err("its checksum differs")
         .to_string();
     let start = format!(
-        "start.list: {0}: is damaged; set aside as {0}.refused-",
+        "start.list: {0}: is damaged; moved to {0}.refused-",
         path.display()
     );
     let number = error
@@ -288,78 +292,78 @@
         .unwrap_or_else(|| panic!("{error}"));
     assert!(number.parse::<u64>().is_ok(), "{error}");
     assert_eq!(
-        read_endpoint_list(&path, "nottingham-1").expect("no fault"),
+        read_endpoint_list(&path, "nottingham-1").expect("a missing file is no error"),
         None,
-        "it is no longer there"
+        "the file has been moved"
     );
-    std::fs::create_dir_all(&path).expect("a folder in its place");
+    std::fs::create_dir_all(&path).expect("the directory can be created");
     let error = read_endpoint_list(&path, "nottingham-1")
-        .expect_err("it is a folder")
+        .expect_err("it is a directory")
         .to_string();
     assert_eq!(
         error,
         format!(
-            "start.list: {}: no plain file, or too large a one",
+            "start.list: {}: is not a regular file, or is too large",
             path.display()
         )
     );
 }
 
 #[test]
-fn a_store_that_cannot_be_used_is_refused_with_the_same_words() {
-    let folder = Folder::new("words");
-    let path = folder.store();
-    put_back_store(&path);
+fn a_store_that_cannot_be_used_is_rejected_with_the_reason() {
+    let directory = TempDir::new("words");
+    let path = directory.store();
+    restore_store(&path);
     let others = [
         (
             StoreOwner {
                 cluster: "other".to_owned(),
                 ..owner()
             },
-            "it is not of the cluster other",
+            "it does not belong to the cluster other",
         ),
         (
             StoreOwner {
                 node: NodeId::of("g1"),
                 ..owner()
             },
-            "it is another instance's",
+            "it belongs to another instance",
         ),
     ];
-    for (other, why) in others {
-        put_back_store(&path);
-        let notice = StoreFile::open(&path, &other)
+    for (other, reason) in others {
+        restore_store(&path);
+        let message = StoreFile::open(&path, &other)
             .expect("a new store")
             .quarantined
-            .expect("it says so")
+            .expect("the old store is quarantined")
             .to_string();
         let start = format!(
-            "store: {0}: {why}; set aside as {0}.refused-",
+            "store: {0}: {reason}; moved to {0}.refused-",
             path.display()
         );
-        let number = notice
+        let number = message
             .strip_prefix(&start)
-            .unwrap_or_else(|| panic!("{notice}"));
-        assert!(number.parse::<u64>().is_ok(), "{notice}");
+            .unwrap_or_else(|| panic!("{message}"));
+        assert!(number.parse::<u64>().is_ok(), "{message}");
     }
-    put_back_store(&path);
-    let _first = StoreFile::open(&path, &owner()).expect("a good file");
+    restore_store(&path);
+    let _first = StoreFile::open(&path, &owner()).expect("a valid store");
     let error = StoreFile::open(&path, &owner())
-        .expect_err("it is in use")
+        .expect_err("the store is in use")
         .to_string();
     assert_eq!(
         error,
         format!("store: {}: another process has it open", path.display())
     );
-    let error = StoreFile::open(&folder.path().join("none/g0.redb"), &owner())
-        .expect_err("no folder")
+    let path = directory.path().join("none/g0.redb");
+    let error = StoreFile::open(&path, &owner())
+        .expect_err("the directory is missing")
         .to_string();
-    let place = folder.path().join("none/g0.redb");
     assert_eq!(
         error,
         format!(
             "store: {}: No such file or directory (os error 2)",
-            place.display()
+            path.display()
         )
     );
 }
--- a/crates/stackgw-store/tests/store.rs
+++ b/crates/stackgw-store/tests/store.rs
@@ -1,16 +1,16 @@
-//! What is recovered, what is rejected, and what a torn write leaves.
+//! Recovery of a store, rejection of damaged and foreign files, and torn writes.
 
 mod common;
 
-use common::{owner, peer, Folder};
+use common::{owner, peer, TempDir};
 use stackgw_sessions::{NodeId, Record, SessionKey, StoreVersion};
 use stackgw_store::*;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::channel;
 
-fn quarantined_files(folder: &Folder) -> usize {
-    let entries = std::fs::read_dir(folder.path())
-        .expect("a folder")
+fn quarantined_files(directory: &TempDir) -> usize {
+    let entries = std::fs::read_dir(directory.path())
+        .expect("the directory exists")
         .flatten();
     entries
         .filter(|e| e.file_name().to_string_lossy().contains("refused"))
@@ -18,7 +18,7 @@
 }
 
 fn open(path: &Path) -> OpenedStore {
-    StoreFile::open(path, &owner()).expect("a store")
+    StoreFile::open(path, &owner()).expect("the store opens")
 }
 
 fn position(n: u64) -> Record {
@@ -27,8 +27,8 @@
 
 #[test]
 fn committed_records_are_recovered_by_the_next_incarnation() {
-    let folder = Folder::new("lasts");
-    let mut first = open(&folder.store());
+    let directory = TempDir::new("lasts");
+    let mut first = open(&directory.store());
     let peer = peer(7, 3);
     let version = StoreVersion {
         store_id: 9,
@@ -43,39 +43,39 @@
         Record::CompletePeer(peer),
         Record::PeerStore(peer, version),
     ];
-    first.store.commit(&records).expect("room");
+    first.store.commit(&records).expect("the commit succeeds");
     first
         .store
         .commit(&[Record::Position(SessionKey(2), 1)])
-        .expect("room");
+        .expect("the commit succeeds");
     assert_eq!(first.recovered.unbroken_since, first.incarnation);
     drop(first.store);
-    let second = open(&folder.store());
+    let second = open(&directory.store());
     assert!(second.incarnation > first.incarnation);
-    let found = second.recovered;
-    assert_eq!(found.unbroken_since, first.incarnation);
+    let recovered = second.recovered;
+    assert_eq!(recovered.unbroken_since, first.incarnation);
     assert_eq!(
-        found.positions,
+        recovered.positions,
         [(SessionKey(1), 1_000), (SessionKey(2), 2_000)],
         "positions never go back"
     );
     assert_eq!(
         (
-            found.unacknowledged,
-            found.complete_peers,
-            found.peer_stores
+            recovered.unacknowledged,
+            recovered.complete_peers,
+            recovered.peer_stores
         ),
         (vec![(SessionKey(3), 30)], vec![peer], vec![(peer, version)])
     );
     assert_eq!(
-        (found.replica_set, found.store_version.records),
+        (recovered.replica_set, recovered.store_version.records),
         (Some(5), 7)
     );
     assert!(second.quarantined.is_none());
 }
 
 #[test]
-fn another_replica_set_or_an_invalidated_store_forgets_complete_peers() {
+fn a_changed_replica_set_or_an_invalidation_clears_complete_peers() {
     for record in [
         Record::ReplicaSet(6),
         Record::Invalidated(
@@ -87,28 +87,28 @@
             2,
         ),
     ] {
-        let folder = Folder::new(
+        let directory = TempDir::new(
             &format!("complete-{record:?}").replace(|c: char| !c.is_alphanumeric(), ""),
         );
-        let mut first = open(&folder.store());
+        let mut first = open(&directory.store());
         let complete = Record::CompletePeer(peer(7, 3));
         first
             .store
             .commit(&[Record::ReplicaSet(5), complete])
-            .expect("room");
+            .expect("the commit succeeds");
         first
             .store
             .commit(std::slice::from_ref(&record))
-            .expect("room");
+            .expect("the commit succeeds");
         drop(first);
-        let found = open(&folder.store()).recovered;
-        assert!(found.complete_peers.is_empty());
+        let recovered = open(&directory.store()).recovered;
+        assert!(recovered.complete_peers.is_empty());
         if let Record::Invalidated(version, since) = record {
             assert_eq!(
                 (
-                    found.store_version.store_id,
-                    found.store_version.records,
-                    found.unbroken_since
+                    recovered.store_version.store_id,
+                    recovered.store_version.records,
+                    recovered.unbroken_since
                 ),
                 (version.store_id, 0, since)
             );
@@ -118,10 +118,10 @@
 
 #[test]
 fn the_file_recovers_the_same_state_as_applying_the_records() {
-    let folder = Folder::new("same");
-    let mut first = open(&folder.store());
-    let mut wanted = first.recovered.clone();
-    wanted.store_version.last_incarnation = first.incarnation;
+    let directory = TempDir::new("same");
+    let mut first = open(&directory.store());
+    let mut expected = first.recovered.clone();
+    expected.store_version.last_incarnation = first.incarnation;
     let peer = |incarnation| peer(7, incarnation);
     let version = |records| StoreVersion {
         store_id: 9,
@@ -144,20 +144,23 @@
         first
             .store
             .commit(std::slice::from_ref(&record))
-            .expect("room");
-        wanted.apply(record);
+            .expect("the commit succeeds");
+        expected.apply(record);
     }
     drop(first.store);
-    assert_eq!(open(&folder.store()).recovered, wanted);
+    assert_eq!(open(&directory.store()).recovered, expected);
 }
 
 #[test]
 fn a_file_of_another_owner_is_quarantined_and_not_overwritten() {
-    let folder = Folder::new("foreign");
-    let mut first = open(&folder.store());
-    first.store.commit(&[position(1)]).expect("room");
+    let directory = TempDir::new("foreign");
+    let mut first = open(&directory.store());
+    first
+        .store
+        .commit(&[position(1)])
+        .expect("the commit succeeds");
     drop(first);
-    let bytes = std::fs::read(folder.store()).expect("a file");
+    let bytes = std::fs::read(directory.store()).expect("the file can be read");
     let foreign = [
         StoreOwner {
             cluster: "other".to_owned(),
@@ -169,127 +172,135 @@
         },
     ];
     for (n, other) in foreign.iter().enumerate() {
-        std::fs::write(folder.store(), &bytes).expect("a file");
-        let opened = StoreFile::open(&folder.store(), other).expect("a new store");
-        let said = opened.quarantined.expect("it says so").to_string();
-        assert!(!said.contains('\n') && said.contains("g0.redb"), "{said}");
+        std::fs::write(directory.store(), &bytes).expect("the file can be written");
+        let opened = StoreFile::open(&directory.store(), other).expect("a new store");
+        let quarantined = opened.quarantined.expect("the file is quarantined");
+        let message = quarantined.to_string();
+        assert!(
+            !message.contains('\n') && message.contains("g0.redb"),
+            "{message}"
+        );
         assert_eq!(
-            (opened.recovered.positions.len(), quarantined_files(&folder)),
+            (
+                opened.recovered.positions.len(),
+                quarantined_files(&directory)
+            ),
             (0, n + 1)
         );
     }
-    std::fs::write(folder.store(), b"no store at all").expect("a file");
-    assert!(open(&folder.store()).quarantined.is_some());
-    assert_eq!(quarantined_files(&folder), 3);
+    std::fs::write(directory.store(), b"no store at all").expect("the file can be written");
+    assert!(open(&directory.store()).quarantined.is_some());
+    assert_eq!(quarantined_files(&directory), 3);
 }
 
 #[test]
 fn a_store_that_is_open_cannot_be_opened_again() {
-    let folder = Folder::new("twice");
-    let _first = open(&folder.store());
-    let second = StoreFile::open(&folder.store(), &owner()).expect_err("it is in use");
+    let directory = TempDir::new("twice");
+    let _first = open(&directory.store());
+    let second = StoreFile::open(&directory.store(), &owner()).expect_err("the store is in use");
     assert!(second.to_string().contains("another process"), "{second}");
-    assert_eq!(quarantined_files(&folder), 0);
+    assert_eq!(quarantined_files(&directory), 0);
 }
 
-/// A commit that was under way when the power failed: any part of its bytes may be there. When it
-/// is opened, the file has the records from before that commit or those from after it, or it is
-/// quarantined; and nothing else.
+/// If the power fails during a commit, any part of its bytes may be on the disk. The file must then
+/// have the records from before the commit or those from after it, or be quarantined.
 #[test]
 fn a_commit_torn_at_any_byte_is_complete_or_absent_or_quarantined() {
-    let folder = Folder::new("torn");
-    let mut opened = open(&folder.store());
+    let directory = TempDir::new("torn");
+    let mut opened = open(&directory.store());
     opened
         .store
         .commit(&(0..50).map(position).collect::<Vec<_>>())
-        .expect("room");
-    let before = std::fs::read(folder.store()).expect("a file");
+        .expect("the commit succeeds");
+    let before = std::fs::read(directory.store()).expect("the file can be read");
     opened
         .store
         .commit(&(50..60).map(position).collect::<Vec<_>>())
-        .expect("room");
-    let after = std::fs::read(folder.store()).expect("a file");
+        .expect("the commit succeeds");
+    let after = std::fs::read(directory.store()).expect("the file can be read");
     drop(opened);
     assert_eq!(before.len(), after.len(), "the file did not grow");
-    let differ: Vec<_> = (0..after.len())
+    let changed_offsets: Vec<_> = (0..after.len())
         .filter(|at| before[*at] != after[*at])
         .collect();
-    assert!(differ.len() > 20, "{}", differ.len());
-    // Each opening waits for the disk: all offsets take minutes, so CI takes some; STACKGW_EVERY=1
-    // takes all.
+    assert!(changed_offsets.len() > 20, "{}", changed_offsets.len());
+    // Opening the file waits for the disk, so testing all offsets takes minutes. CI tests only some
+    // of them; STACKGW_EVERY=1 tests all.
     let stride = std::env::var("STACKGW_EVERY")
         .ok()
         .and_then(|n| n.parse().ok())
-        .unwrap_or(differ.len() / 40);
-    let (mut old, mut new, mut refused) = (0, 0, 0);
+        .unwrap_or(changed_offsets.len() / 40);
+    let (mut old, mut new, mut quarantined) = (0, 0, 0);
     for forwards in [true, false] {
-        for cut in differ.iter().step_by(stride) {
+        for cut in changed_offsets.iter().step_by(stride) {
             let mut torn = before.clone();
             let written = if forwards { 0..*cut } else { *cut..after.len() };
             torn[written.clone()].copy_from_slice(&after[written]);
-            std::fs::write(folder.store(), &torn).expect("a file");
-            let found = open(&folder.store());
-            match (found.quarantined, found.recovered.positions.len()) {
+            std::fs::write(directory.store(), &torn).expect("the file can be written");
+            let opened = open(&directory.store());
+            match (opened.quarantined, opened.recovered.positions.len()) {
                 (None, 50) => old += 1,
                 (None, 60) => new += 1,
-                (Some(_), 0) => refused += 1,
-                (quarantined, count) => panic!("torn at {cut}: {count} positions, {quarantined:?}"),
+                (Some(_), 0) => quarantined += 1,
+                (file, count) => panic!("torn at {cut}: {count} positions, {file:?}"),
             }
-            if quarantined_files(&folder) > 0 {
-                std::fs::remove_dir_all(folder.path()).expect("a folder");
-                std::fs::create_dir_all(folder.path()).expect("a folder");
+            if quarantined_files(&directory) > 0 {
+                std::fs::remove_dir_all(directory.path()).expect("the directory can be removed");
+                std::fs::create_dir_all(directory.path()).expect("the directory can be created");
             }
         }
     }
     println!(
-        "{} offsets of which every {stride}. both ways: {old} before, {new} after, {refused} refused",
-        differ.len()
+        "{} changed offsets, every {stride}th tested in both directions: {old} before, {new} \
+         after, {quarantined} quarantined",
+        changed_offsets.len()
     );
-    assert!(old > 0, "{old} {new} {refused}");
+    assert!(old > 0, "{old} {new} {quarantined}");
 }
 
 #[test]
 fn a_file_damaged_anywhere_never_yields_other_positions() {
-    let folder = Folder::new("damaged");
-    let mut opened = open(&folder.store());
+    let directory = TempDir::new("damaged");
+    let mut opened = open(&directory.store());
     opened
         .store
         .commit(&(0..50).map(position).collect::<Vec<_>>())
-        .expect("room");
+        .expect("the commit succeeds");
     drop(opened);
-    let whole = std::fs::read(folder.store()).expect("a file");
+    let undamaged = std::fs::read(directory.store()).expect("the file exists");
     let mut state = 1u64;
     for _ in 0..150 {
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
-        let at = (state >> 20) as usize % whole.len();
-        let mut bytes = whole.clone();
+        let at = (state >> 20) as usize % undamaged.len();
+        let mut bytes = undamaged.clone();
         bytes[at] ^= (state >> 8) as u8 | 1;
         bytes.truncate(if state.is_multiple_of(5) {
             at
         } else {
-            whole.len()
+            undamaged.len()
         });
-        std::fs::write(folder.store(), &bytes).expect("a file");
-        let found = open(&folder.store());
-        let wrong = found
+        std::fs::write(directory.store(), &bytes).expect("the file can be written");
+        let opened = open(&directory.store());
+        let is_wrong = opened
             .recovered
             .positions
             .iter()
             .any(|(key, position)| *position != key.0 as i64 * 1_000);
-        let part = found.quarantined.is_none() && found.recovered.positions.len() != 50;
+        let is_partial = opened.quarantined.is_none() && opened.recovered.positions.len() != 50;
         assert!(
-            !wrong && !part,
+            !is_wrong && !is_partial,
             "byte {at}: {} positions",
-            found.recovered.positions.len()
+            opened.recovered.positions.len()
         );
     }
 }
 
-/// A store that has room for so many commits.
+/// A store on a disk that has space for a limited number of commits.
 struct FullStore {
     commits_left: usize,
+    /// Whether quarantining the store succeeds.
     movable: bool,
 }
 
@@ -315,7 +326,7 @@
 }
 
 #[test]
-fn a_full_disk_is_reported_once_and_nothing_counts_as_stored_after() {
+fn a_full_disk_is_reported_once_and_later_records_are_not_stored() {
     for movable in [true, false] {
         let (sender, outcomes) = channel();
         let store = FullStore {
@@ -323,7 +334,7 @@
             movable,
         };
         let writer = RecordWriter::start(store, move |outcome| drop(sender.send(outcome)))
-            .expect("a thread");
+            .expect("the thread starts");
         let mut stored = 0;
         let (error, quarantined) = loop {
             writer.put(position(1));
@@ -336,17 +347,17 @@
         assert_eq!(error.to_string(), "store: g0.redb: no space left");
         writer.put(position(2));
         drop(writer);
-        assert!(outcomes.recv().is_err(), "it is over");
+        assert!(outcomes.recv().is_err(), "no further outcome");
     }
 }
 
 #[test]
-fn a_dropped_writer_commits_all_that_is_queued() {
-    let folder = Folder::new("writer");
+fn a_dropped_writer_commits_all_queued_records() {
+    let directory = TempDir::new("writer");
     let (sender, outcomes) = channel();
-    let store = open(&folder.store()).store;
-    let writer =
-        RecordWriter::start(store, move |outcome| drop(sender.send(outcome))).expect("a thread");
+    let store = open(&directory.store()).store;
+    let writer = RecordWriter::start(store, move |outcome| drop(sender.send(outcome)))
+        .expect("the thread starts");
     (0..5_000).for_each(|n| writer.put(position(n)));
     drop(writer);
     let last = outcomes.iter().last();
@@ -354,27 +365,30 @@
         matches!(last, Some(CommitOutcome::Stored(5_000))),
         "{last:?}"
     );
-    assert_eq!(open(&folder.store()).recovered.positions.len(), 5_000);
+    assert_eq!(open(&directory.store()).recovered.positions.len(), 5_000);
 }
 
-/// After the last number there is no other: the next incarnation's wrapped to the past, and peers took it for an earlier one.
+/// No incarnation can follow `u64::MAX`: its number would wrap to a past one, and peers would take
+/// it for an earlier incarnation.
 #[test]
-fn a_store_of_the_last_incarnation_that_there_can_be_is_rejected() {
-    let folder = Folder::new("last");
-    drop(open(&folder.store()).store);
-    let database = redb::Database::open(folder.store()).expect("the store");
+fn a_store_of_the_highest_incarnation_is_rejected() {
+    let directory = TempDir::new("last");
+    drop(open(&directory.store()).store);
+    let database = redb::Database::open(directory.store()).expect("the database opens");
     let transaction = database.begin_write().expect("a transaction");
     let meta = redb::TableDefinition::<&str, u64>::new("meta");
     let mut table = transaction.open_table(meta).expect("the table");
-    table.insert("incarnation", u64::MAX).expect("room");
+    table
+        .insert("incarnation", u64::MAX)
+        .expect("the insert succeeds");
     drop(table);
-    transaction.commit().expect("room");
+    transaction.commit().expect("the commit succeeds");
     drop(database);
-    let opened = open(&folder.store());
+    let opened = open(&directory.store());
     let reason = opened.quarantined.map(|quarantined| quarantined.reason);
     assert_eq!(
         reason.map(|r| r.to_string()).as_deref(),
-        Some("its lives are out of order")
+        Some("its incarnations are out of order")
     );
-    assert_eq!(quarantined_files(&folder), 1);
+    assert_eq!(quarantined_files(&directory), 1);
 }
