--- a/crates/stackgw-adapter/src/host.rs
+++ b/crates/stackgw-adapter/src/host.rs
@@ -1,5 +1,5 @@
-//! The host of all instances of a process: takes lines, keeps track of batches, and hands each event to its instance. Decides
-//! nothing.
+//! The host of all instances of a process: reads lines, keeps track of batches, and passes each event to its instance. It makes
+//! no decisions.
 
 use crate::instance::Instance;
 use crate::line::{InputError, Line};
@@ -8,19 +8,19 @@
 use std::collections::HashMap;
 use std::fmt::Write;
 
-/// Where a line leaves its batch.
+/// The state of a batch after a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchState {
-    /// More lines are to come.
+    /// The batch has more lines.
     Open,
-    /// The line was the last one: the reply is due.
+    /// The line was the last one of its batch; the reply must be sent.
     Complete,
 }
 
-/// A batch whose lines are coming.
+/// A batch that is being received.
 struct Batch {
     now: Time,
-    /// Its number, as the wire has it.
+    /// The batch number, as received.
     number: String,
 }
 
@@ -33,10 +33,10 @@
 }
 
 impl Host {
-    /// Takes a line, and writes what comes of it to `reply`.
+    /// Handles a line, and appends the resulting lines to `reply`.
     ///
     /// # Errors
-    /// Where the line is malformed, or not due now.
+    /// If the line is malformed, or not allowed at this point of the input.
     pub fn handle_line(
         &mut self,
         number: u64,
@@ -52,7 +52,7 @@
             return Ok(BatchState::Open);
         }
         let Some(batch) = &self.batch else {
-            let problem = "outside a batch: no 'clock' came before it";
+            let problem = "outside a batch: no 'clock' line precedes it";
             return Err(line.error(line.name, problem));
         };
         let now = batch.now;
@@ -63,7 +63,7 @@
                 return Ok(BatchState::Complete);
             }
             "page" => self.pages.begin_page(&line)?,
-            "item" => return Err(line.error("item", "belongs to no 'page'")),
+            "item" => return Err(line.error("item", "does not belong to a 'page' line")),
             "power_on" => {
                 let name = line.text("GatewayId")?.to_owned();
                 self.instances.insert(name, Instance::start(&line)?);
@@ -76,10 +76,10 @@
         Ok(BatchState::Open)
     }
 
-    /// Takes the end of the input.
+    /// Handles the end of the input.
     ///
     /// # Errors
-    /// Where that was inside a batch.
+    /// If the input ends inside a batch.
     pub fn end(&self, number: u64) -> Result<(), InputError> {
         match &self.batch {
             None => Ok(()),
@@ -93,7 +93,7 @@
 
     fn begin_batch(&mut self, line: &Line) -> Result<(), InputError> {
         if self.batch.is_some() {
-            return Err(line.error("clock", "the batch before has no 'go'"));
+            return Err(line.error("clock", "the previous batch has no 'go' line"));
         }
         let now = line.integer("NowNs")?;
         let number = line.text("seq")?.to_owned();
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Hands an event to its instance.
+    /// Passes an event to its instance.
     fn handle_event(
         &mut self,
         line: &Line,
--- a/crates/stackgw-adapter/src/instance.rs
+++ b/crates/stackgw-adapter/src/instance.rs
@@ -1,5 +1,5 @@
-//! One instance: a router, and the names behind its numbers. Turns lines into the router's events; its actions become lines in
-//! `reply.rs`.
+//! One instance: a router, and the names that belong to its member and request ids. Converts lines to the router's events;
+//! `reply.rs` converts its actions to lines.
 
 use crate::line::{InputError, Line};
 use crate::member_pages::{ListedMember, MemberPages};
@@ -14,47 +14,47 @@
 use stackgw_settings::{record_load_field, GossipCodec, PlatformSettings};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The bit of `StateBits` by which a client says that it retries an earlier request.
+/// The bit of `StateBits` that marks a retry of an earlier request by the client.
 const RETRY_BIT: i64 = 2;
 
-/// `Note` has the member's role in its last two bits, and its position in milliseconds above them.
+/// `Note` has the member's role in its lowest two bits, and the member's position in milliseconds in the bits above them.
 const NOTE_ROLES: i64 = 4;
 const NOTE_PRIMARY: i64 = 1;
 const NOTE_REPLICA: i64 = 2;
 
-/// The field of a load report that has the member's position, in seconds.
+/// The field of a load report with the member's position in seconds.
 const POSITION_FIELD: &str = "x0";
 
 const SECOND_IN_NS: f64 = 1e9;
 const MS_IN_NS: f64 = 1e6;
 
-/// What a gossip message without a body has in its place.
+/// Stands for an empty body of a gossip message.
 const EMPTY_BODY: &str = "-";
 
-/// One router with the names behind its numbers.
+/// One router with the names that belong to its ids.
 pub struct Instance {
     router: Router,
-    /// The moment that positions on the wire are counted from.
+    /// The time that positions on the wire are counted from.
     position_zero: Time,
     classes: usize,
     members: MemberNames,
     requests: RequestNames,
     gossip_codec: GossipCodec,
-    /// Emptied after each event; kept for its allocation.
+    /// The router's actions for the current event; empty between events.
     actions: Vec<Action>,
 }
 
 impl Instance {
-    /// Starts an instance, with the settings of a `power_on` line.
+    /// Starts an instance with the settings of a `power_on` line.
     ///
     /// # Errors
-    /// Where the seed or the settings are malformed.
+    /// If the seed or the settings are malformed.
     pub fn start(line: &Line) -> Result<Self, InputError> {
         let text = line.text("Seed")?;
         let seed = text
             .parse::<u64>()
             .or_else(|_| text.parse::<i64>().map(|seed| seed as u64))
-            .map_err(|_| line.error("Seed", format!("'{text}' is no whole number")))?;
+            .map_err(|_| line.error("Seed", format!("'{text}' is not an integer")))?;
         let settings = PlatformSettings::from_text(line.text("Conf")?)
             .map_err(|problem| line.error("Conf", problem.to_string()))?;
         Ok(Instance {
@@ -68,10 +68,11 @@
         })
     }
 
-    /// The event behind a line; `None` where it is about something that this instance never knew or has forgotten.
+    /// Parses a line as an event. Returns `None` if the line names a request or member that this instance doesn't know or has
+    /// already forgotten, or has a gossip message that cannot be decoded.
     ///
     /// # Errors
-    /// Where the line is malformed.
+    /// If the line is malformed.
     pub fn parse_event(
         &mut self,
         line: &Line,
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Hands an event to the router, and writes its actions to `reply`. A panic of the router is reported there, and the
-    /// instance goes on.
+    /// Passes an event to the router, and writes the router's actions to `reply`. If the router panics, the panic is written to
+    /// `reply` and the instance keeps running.
     pub fn handle(&mut self, name: &str, now: Time, event: Event, reply: &mut String) {
         let (router, actions) = (&mut self.router, &mut self.actions);
         let handled = catch_unwind(AssertUnwindSafe(|| router.handle(now, event, actions)));
@@ -108,12 +109,12 @@
         }
         for action in std::mem::take(&mut self.actions) {
             writer.write_action(&action, &self.members, &self.requests, &self.gossip_codec);
-            self.note_action(&action);
+            self.update_names(&action);
         }
     }
 
-    /// Keeps the names in step with what the router has done.
-    fn note_action(&mut self, action: &Action) {
+    /// Updates the names of members and requests after an action.
+    fn update_names(&mut self, action: &Action) {
         match action {
             Action::Send { request, .. } => self.requests.begin_attempt(*request),
             Action::Reject { request, .. } | Action::Fail(request) => {
@@ -140,15 +141,18 @@
         if scope != ListScope::Failed {
             let page = line.index("Buffer")?;
             let Some(entries) = pages.get(page) else {
-                return Err(line.error("Buffer", format!("no page {page} came before")));
+                return Err(line.error(
+                    "Buffer",
+                    format!("no 'page' line with number {page} precedes it"),
+                ));
             };
-            members = entries.iter().map(|entry| self.number(entry)).collect();
+            members = entries.iter().map(|entry| self.assign_id(entry)).collect();
         }
         Ok(Event::EndpointList { scope, members })
     }
 
-    /// A list entry with this instance's number of its member.
-    fn number(&mut self, entry: &ListedMember) -> Member {
+    /// A list entry with this instance's id of the member, which is assigned if the member is new.
+    fn assign_id(&mut self, entry: &ListedMember) -> Member {
         let id = self.members.id(&entry.name).unwrap_or_else(|| {
             let id = self.members.add(&entry.name);
             self.gossip_codec.add(id, &entry.name);
@@ -167,7 +171,7 @@
             return Err(line.error("Service", format!("there is no class {class}")));
         }
         if self.requests.id(name).is_some() {
-            return Err(line.error("RequestId", "is open already"));
+            return Err(line.error("RequestId", "is the id of an open request"));
         }
         let write_age_ms = line.optional_number("TokenAgeMs")?.filter(|age| *age > 0.0);
         let group = GroupId(line.index("Cluster")?);
@@ -260,10 +264,10 @@
             EMPTY_BODY => Vec::new(),
             text => STANDARD
                 .decode(text)
-                .map_err(|e| line.error("Body", format!("no base64: {e}")))?,
+                .map_err(|e| line.error("Body", format!("not valid base64: {e}")))?,
         };
         line.index("From")?;
-        // Another version's message is no fault of the input.
+        // A message that cannot be decoded may come from another version, so it is not an input error.
         let Some(message) = self.gossip_codec.decode(now, &body) else {
             return Ok(None);
         };
@@ -274,7 +278,7 @@
         }))
     }
 
-    /// The member that a line names; `None` where it is not known.
+    /// The member that a line names, or `None` if it is unknown.
     fn parse_member(&self, line: &Line) -> Result<Option<MemberId>, InputError> {
         Ok(self.members.id(line.text("Server")?))
     }
@@ -296,7 +300,8 @@
 fn parse_timer(line: &Line) -> Result<Event, InputError> {
     let text = line.text("Cookie")?;
     let token = text.parse();
-    let token = token.map_err(|_| line.error("Cookie", format!("'{text}' is no token")))?;
+    let token =
+        token.map_err(|_| line.error("Cookie", format!("'{text}' is not a timer token")))?;
     Ok(Event::Timer(token))
 }
 
--- a/crates/stackgw-adapter/src/line.rs
+++ b/crates/stackgw-adapter/src/line.rs
@@ -1,20 +1,21 @@
-//! Lines of the wire: a message name and `name=value` fields, parsed without guessing. What the fields mean is not known here.
+//! Lines of the wire protocol: a message name and `name=value` fields, parsed strictly. This module doesn't know what the fields
+//! mean.
 
 use thiserror::Error;
 
-/// What is wrong with the input, and where.
+/// An error in the input and its place.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("line {line}, {field}: {problem}")]
 pub struct InputError {
-    /// The line's number, from 1.
+    /// The line's number, counted from 1.
     pub line: u64,
-    /// The field at fault, or the message where no field is.
+    /// The field at fault, or the message if no single field is.
     pub field: String,
     /// What is wrong with it.
     pub problem: String,
 }
 
-/// Fields whose text runs to the end of the line.
+/// Fields whose text extends to the end of the line.
 const TEXT_FIELDS: [&str; 2] = ["Conf", "NoteText"];
 
 /// One line, split into its fields.
@@ -34,7 +35,10 @@
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line without its line end.
+    /// Splits a line, given without its line end, into fields.
+    ///
+    /// # Errors
+    /// If the line has no message name, or a field is malformed or appears twice.
     pub fn parse(number: u64, text: &'a str) -> Result<Self, InputError> {
         let error = |field: &str, problem: &str| InputError {
             line: number,
@@ -43,7 +47,7 @@
         };
         let (name, mut rest) = split_at_space(text);
         if name.is_empty() {
-            return Err(error("message", "no name"));
+            return Err(error("message", "the name is missing"));
         }
         let mut fields: Vec<Field> = Vec::new();
         while let Some(part) = rest {
@@ -51,10 +55,10 @@
                 return Err(error(name, &format!("'{part}' is not name=value")));
             };
             if key.is_empty() || key.contains(' ') {
-                return Err(error(name, &format!("'{key}' is no field name")));
+                return Err(error(name, &format!("'{key}' is not a valid field name")));
             }
             if fields.iter().any(|field| field.name == key) {
-                return Err(error(key, "given twice"));
+                return Err(error(key, "appears twice"));
             }
             let (text, next) = if TEXT_FIELDS.contains(&key) {
                 (after, None)
@@ -80,13 +84,13 @@
         }
     }
 
-    /// A field's text, if the line has it.
+    /// The text of an optional field.
     pub fn optional_text(&self, field: &str) -> Option<&'a str> {
         let mut fields = self.fields.iter();
         fields.find(|f| f.name == field).map(|f| f.text)
     }
 
-    /// A field's text; absent or empty is an error.
+    /// The text of a required field; an empty text is an error.
     pub fn text(&self, field: &str) -> Result<&'a str, InputError> {
         match self.optional_text(field) {
             None => Err(self.error(field, format!("missing in '{}'", self.name))),
@@ -95,36 +99,36 @@
         }
     }
 
-    /// A whole number, if the line has it.
+    /// The integer in an optional field.
     pub fn optional_integer(&self, field: &str) -> Result<Option<i64>, InputError> {
         let parse = |v: &str| {
             v.parse()
-                .map_err(|_| self.error(field, format!("'{v}' is no whole number")))
+                .map_err(|_| self.error(field, format!("'{v}' is not an integer")))
         };
         self.optional_text(field).map(parse).transpose()
     }
 
-    /// A whole number that must be there.
+    /// The integer in a required field.
     pub fn integer(&self, field: &str) -> Result<i64, InputError> {
         self.text(field)?;
         self.optional_integer(field)?
             .ok_or_else(|| self.error(field, "missing"))
     }
 
-    /// A whole number from 0 to 2^32 - 1 that must be there.
+    /// The integer from 0 to 2^32 - 1 in a required field.
     pub fn index(&self, field: &str) -> Result<u32, InputError> {
         let value = self.integer(field)?;
         u32::try_from(value).map_err(|_| self.error(field, format!("{value} is out of range")))
     }
 
-    /// A finite number, if the line has it.
+    /// The finite number in an optional field.
     pub fn optional_number(&self, field: &str) -> Result<Option<f64>, InputError> {
         self.optional_text(field)
             .map(|v| self.parse_number(field, v))
             .transpose()
     }
 
-    /// A truth value; absent is false.
+    /// The boolean in an optional field; false if the field is absent.
     pub fn flag(&self, field: &str) -> Result<bool, InputError> {
         match self.optional_text(field) {
             None | Some("0") => Ok(false),
@@ -149,11 +153,11 @@
 
     fn parse_number(&self, field: &str, text: &str) -> Result<f64, InputError> {
         let number = text.parse::<f64>().ok().filter(|n| n.is_finite());
-        number.ok_or_else(|| self.error(field, format!("'{text}' is no number")))
+        number.ok_or_else(|| self.error(field, format!("'{text}' is not a finite number")))
     }
 }
 
-/// What comes before the first space, and what comes after it, if there is one.
+/// Splits at the first space. The second part is `None` if there is no space.
 fn split_at_space(text: &str) -> (&str, Option<&str>) {
     match text.split_once(' ') {
         Some((before, after)) => (before, Some(after)),
--- a/crates/stackgw-adapter/src/main.rs
+++ b/crates/stackgw-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! `stackgw-adapter`: routers on standard input and output, one reply for each batch of events.
+//! `stackgw-adapter`: hosts routers behind standard input and output, with one reply for each batch of events.
 //!
-//! It is the simulator's host: it turns lines into the router's events and its actions into lines, and decides nothing. It has no
-//! clock and no sockets; time comes with each batch. Input that is malformed ends it with one line that names line and field.
+//! It is the router's host in the simulator: it converts lines to the router's events and the router's actions to lines, and
+//! makes no decisions. It has no clock and no sockets; each batch carries the time. Malformed input ends the process with one
+//! line on standard error that names the line and the field.
 
 mod host;
 mod instance;
@@ -40,7 +41,7 @@
     Ok(())
 }
 
-/// A line without its end, which may be that of another system.
+/// Decodes a line and strips its line end, which is LF or CRLF.
 fn line_text(number: u64, bytes: &[u8]) -> Result<&str, InputError> {
     let error = |problem: &str| InputError {
         line: number,
@@ -50,12 +51,12 @@
     let text = std::str::from_utf8(bytes).map_err(|_| error("not UTF-8"))?;
     let text = text
         .strip_suffix('\n')
-        .ok_or_else(|| error("the line is cut off"))?;
+        .ok_or_else(|| error("the line has no line end"))?;
     Ok(text.strip_suffix('\r').unwrap_or(text))
 }
 
 fn main() -> ExitCode {
-    // A panic is reported on the wire; the default hook would only repeat it.
+    // A panic of the router is reported in the reply; the default hook would report it a second time on standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/stackgw-adapter/src/member_pages.rs
+++ b/crates/stackgw-adapter/src/member_pages.rs
@@ -1,4 +1,4 @@
-//! Numbered pages of list entries, which later lines refer to: a `page` line announces how many `item` lines follow.
+//! Numbered pages of list entries, which later lines refer to. A `page` line announces the number of `item` lines that follow.
 
 use crate::line::{InputError, Line};
 use stackgw_router::api::{GroupId, Lifecycle, Member, MemberId};
@@ -7,12 +7,12 @@
 /// The highest number of a page.
 const MAX_PAGE: u32 = 15;
 
-/// A list entry, as yet without an instance's own number.
+/// A list entry before an instance has assigned an id to its member.
 #[derive(Debug, Clone)]
 pub struct ListedMember {
-    /// Its name on the wire.
+    /// The member's name on the wire.
     pub name: String,
-    /// The entry; its id has no meaning.
+    /// The entry. Its id is a placeholder.
     pub member: Member,
 }
 
@@ -20,7 +20,7 @@
     fn parse(line: &Line) -> Result<Self, InputError> {
         let weight = line.optional_number("Weight")?.unwrap_or(1.0);
         if weight < 0.0 {
-            return Err(line.error("Weight", "below 0"));
+            return Err(line.error("Weight", "is below 0"));
         }
         let lifecycle = match line.text("Readiness")? {
             "in_service" => Lifecycle::Serving,
@@ -49,15 +49,15 @@
     }
 }
 
-/// A page whose entries are still coming.
+/// A page that is being received.
 #[derive(Debug)]
 struct PageInProgress {
     page: u32,
-    /// How many entries are missing; above 0.
+    /// The number of missing entries; above 0.
     missing: u32,
 }
 
-/// The pages of a process; a page that is announced again replaces the one before.
+/// The pages of a process. A page that is announced again replaces the previous one with its number.
 #[derive(Debug, Default)]
 pub struct MemberPages {
     pages: HashMap<u32, Vec<ListedMember>>,
@@ -65,16 +65,16 @@
 }
 
 impl MemberPages {
-    /// The entries of a page that was announced before.
+    /// The entries of a page, if it has been announced.
     pub fn get(&self, page: u32) -> Option<&[ListedMember]> {
         self.pages.get(&page).map(Vec::as_slice)
     }
 
-    /// Takes a `page` line.
+    /// Handles a `page` line.
     pub fn begin_page(&mut self, line: &Line) -> Result<(), InputError> {
         let page = line.index("Buffer")?;
         if page > MAX_PAGE {
-            return Err(line.error("Buffer", "must lie between 0 and 15"));
+            return Err(line.error("Buffer", "must be from 0 to 15"));
         }
         let missing = line.index("MembersList")?;
         self.pages.insert(page, Vec::new());
@@ -82,14 +82,14 @@
         Ok(())
     }
 
-    /// Takes the next entry of the page whose entries are coming. False where there is no such page: the line is no entry.
+    /// Adds a line as the next entry of the page that is being received. Returns false, and ignores the line, if no page is.
     pub fn add_entry(&mut self, line: &Line) -> Result<bool, InputError> {
         let Some(progress) = &mut self.in_progress else {
             return Ok(false);
         };
         if line.name != "item" {
             let missing = progress.missing;
-            let problem = format!("{missing} more item lines were announced");
+            let problem = format!("{missing} more 'item' lines were announced");
             return Err(line.error("MembersList", problem));
         }
         let entry = ListedMember::parse(line)?;
--- a/crates/stackgw-adapter/src/names.rs
+++ b/crates/stackgw-adapter/src/names.rs
@@ -1,9 +1,9 @@
-//! The names of one instance's members and requests on the wire, and the numbers that its router has for them.
+//! The names of one instance's members and requests on the wire, and their ids in its router.
 
 use stackgw_router::api::{MemberId, RequestId};
 use std::collections::HashMap;
 
-/// The members, numbered in order of first mention.
+/// Names and ids of members. Ids are assigned in order of first mention.
 #[derive(Debug, Default)]
 pub struct MemberNames {
     names: HashMap<MemberId, String>,
@@ -12,17 +12,17 @@
 }
 
 impl MemberNames {
-    /// The number of a name that was mentioned before.
+    /// The id of a name, if it is known.
     pub fn id(&self, name: &str) -> Option<MemberId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a number; empty where it has been removed.
+    /// The name of a member; empty if the member has been removed.
     pub fn name(&self, id: MemberId) -> &str {
         self.names.get(&id).map_or("", String::as_str)
     }
 
-    /// Numbers a name that was not mentioned before.
+    /// Assigns an id to a new name.
     pub fn add(&mut self, name: &str) -> MemberId {
         let id = MemberId(self.next);
         self.next += 1;
@@ -31,7 +31,7 @@
         id
     }
 
-    /// Removes a member that the router has forgotten; its number is not used again.
+    /// Removes a member that the router has forgotten. Its id is not used again.
     pub fn remove(&mut self, id: MemberId) {
         if let Some(name) = self.names.remove(&id) {
             self.ids.remove(&name);
@@ -47,7 +47,8 @@
     has_ended: bool,
 }
 
-/// The requests, numbered in order of arrival. A name is known until its request has ended and the last attempt has come back.
+/// Names and ids of requests. Ids are assigned in order of arrival. A name is known until its request and the request's last
+/// attempt have ended.
 #[derive(Debug, Default)]
 pub struct RequestNames {
     requests: HashMap<RequestId, NamedRequest>,
@@ -56,18 +57,18 @@
 }
 
 impl RequestNames {
-    /// The number of a request that is known.
+    /// The id of a request, if it is known.
     pub fn id(&self, name: &str) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a number; empty where it is no longer known.
+    /// The name of a request; empty if it is no longer known.
     pub fn name(&self, id: RequestId) -> &str {
         let request = self.requests.get(&id);
         request.map_or("", |request| request.name.as_str())
     }
 
-    /// Numbers a request that has come in; its name must not be known yet.
+    /// Assigns an id to a new request, whose name must not be known yet.
     pub fn add(&mut self, name: &str) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
@@ -81,14 +82,14 @@
         id
     }
 
-    /// Notes an attempt that was sent.
+    /// Records that an attempt was sent.
     pub fn begin_attempt(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight += 1;
         }
     }
 
-    /// Notes an attempt that has come back.
+    /// Records that an attempt has ended.
     pub fn end_attempt(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
@@ -96,7 +97,7 @@
         self.forget_if_done(id);
     }
 
-    /// Notes that a request has its final answer, or that its client has left.
+    /// Records that a request has its final answer, or that its client has disconnected.
     pub fn end_request(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.has_ended = true;
--- a/crates/stackgw-adapter/src/reply.rs
+++ b/crates/stackgw-adapter/src/reply.rs
@@ -1,4 +1,4 @@
-//! The router's actions as lines of a reply.
+//! Converts the router's actions to lines of a reply.
 
 use crate::names::{MemberNames, RequestNames};
 use base64::{engine::general_purpose::STANDARD, Engine};
@@ -7,7 +7,7 @@
 use std::any::Any;
 use std::fmt::Write;
 
-/// The target of gossip that goes to all other instances.
+/// The target of gossip to all other instances.
 const ALL_INSTANCES: &str = "all";
 
 /// Writes the reply lines of one instance.
@@ -16,12 +16,12 @@
     pub instance: &'a str,
     /// The batch's time.
     pub now: Time,
-    /// Where the lines go.
+    /// The reply that lines are appended to.
     pub reply: &'a mut String,
 }
 
 impl ReplyWriter<'_> {
-    /// Writes an action; names that are no longer known are empty.
+    /// Writes an action. Names that are no longer known are written as empty fields.
     pub fn write_action(
         &mut self,
         action: &Action,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Writes that the router has panicked, in one line.
+    /// Reports a panic of the router in one line.
     pub fn write_panic(&mut self, panic: &(dyn Any + Send)) {
         let text = panic.downcast_ref::<String>().map(String::as_str);
         let text = text.or(panic.downcast_ref::<&str>().copied());
@@ -93,7 +93,7 @@
     }
 }
 
-/// A field with a space before it, where it has a value.
+/// A field with a leading space, or nothing if it has no value.
 fn optional_field(name: &str, value: Option<i64>) -> String {
     value.map_or(String::new(), |value| format!(" {name}={value}"))
 }
--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! The binary on transcripts written for it: good ones, malformed ones, and one split over processes.
+//! The adapter's binary, run on valid and malformed transcripts and on one that is split over processes.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -16,7 +16,7 @@
     let text = input.to_owned();
     let writer = std::thread::spawn(move || drop(stdin.write_all(text.as_bytes())));
     let output = child.wait_with_output().expect("the adapter ends");
-    writer.join().expect("input written");
+    writer.join().expect("the input is written");
     output
 }
 
@@ -80,7 +80,7 @@
     assert_eq!(
         after.matches("RequestId=r1").count(),
         1,
-        "sent once, before the kill: {after}"
+        "sent only once, before the instance was stopped: {after}"
     );
 }
 
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_empty_batch_and_an_empty_input_are_answered() {
+fn an_empty_batch_gets_a_reply_and_an_empty_input_gets_none() {
     assert_eq!(stdout(&run("clock NowNs=5 seq=8\ngo\n")), "done seq=8\n");
     assert_eq!(stdout(&run("")), "");
 }
@@ -129,7 +129,7 @@
 
 #[test]
 fn instances_split_over_processes_act_as_in_one() {
-    let day = |names: &[&str]| {
+    let replies_for = |names: &[&str]| {
         let mut input = "clock NowNs=9000000000 seq=1\n".to_owned();
         names.iter().for_each(|n| input += &power_on_lines(n));
         input += "go\n";
@@ -155,9 +155,9 @@
             .map(str::to_owned)
             .collect()
     };
-    let together = day(&["gateway_0", "gateway_1"]);
+    let together = replies_for(&["gateway_0", "gateway_1"]);
     for name in ["gateway_0", "gateway_1"] {
-        let alone = lines_of(&day(&[name]), name);
+        let alone = lines_of(&replies_for(&[name]), name);
         assert!(alone.len() > 200);
         assert_eq!(lines_of(&together, name), alone);
     }
@@ -206,20 +206,20 @@
     ];
     for (input, place) in cases {
         let output = run(&input);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success(), "{place} was taken");
-        assert!(said.contains(place), "wanted '{place}', got: {said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success(), "{place} was accepted");
+        assert!(stderr.contains(place), "expected '{place}', got: {stderr}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
     }
 }
 
-/// Two instances, members that fail, drain, leave and hand over the primary's role, messages between the instances, and a kill:
-/// recorded, with every reply.
+/// A recorded conversation and its replies: two instances that exchange gossip, members that fail, drain, leave and change the
+/// primary, and an instance that is killed.
 const CONVERSATION: &str = include_str!("fixtures/conversation.in");
 const REPLIES: &str = include_str!("fixtures/conversation.out");
 
 #[test]
-fn a_recorded_conversation_gets_the_same_replies_to_the_byte() {
+fn a_recorded_conversation_gets_byte_identical_replies() {
     let replies = stdout(&run(CONVERSATION));
     for (number, (line, recorded)) in replies.lines().zip(REPLIES.lines()).enumerate() {
         assert_eq!(line, recorded, "line {} of the replies", number + 1);
