--- a/crates/stackgw-gateway/tests/abandoned_requests.rs
+++ b/crates/stackgw-gateway/tests/abandoned_requests.rs
@@ -1,4 +1,4 @@
-//! Nothing begins for a client that has left, or whose time is over, whatever its attempt was waiting for.
+//! No work begins for a client that has disconnected or whose deadline has passed, whatever its attempt waited for.
 
 mod common;
 
@@ -8,44 +8,45 @@
 use stackgw_gateway::reducer::{ClientId, CloseReason, ConnectionId, Effect, Input};
 use stackgw_router::api::MS;
 
-/// A gateway that may call no attempt off, whose one request waits for a connection.
-fn request_awaiting_connection(frame: Frame) -> (Rig, ClientId, ConnectionId) {
-    let text = config_text(&three()).replace("\"Cancel\":true", "\"Cancel\":false");
-    let mut rig = Rig::with(Config::from_text(&text, |_| None).expect("a configuration"));
-    rig.connects = false;
-    let client = rig.client(1);
-    let (conn, _) = opened(&rig.ask(client, frame))[0];
-    rig.input(Input::MemberConnected(conn));
-    (rig, client, conn)
+/// A gateway that may not cancel attempts, with one request that waits for a connection.
+fn request_awaiting_connection(frame: Frame) -> (ReducerHarness, ClientId, ConnectionId) {
+    let text = config_text(&three_members()).replace("\"Cancel\":true", "\"Cancel\":false");
+    let mut harness =
+        ReducerHarness::with(Config::from_text(&text, |_| None).expect("a configuration"));
+    harness.auto_connect = false;
+    let client = harness.client(1);
+    let (conn, _) = opened(&harness.send(client, frame))[0];
+    harness.input(Input::MemberConnected(conn));
+    (harness, client, conn)
 }
 
 fn greeting() -> Vec<Frame> {
     vec![message(b'R', &[0; 4]), ready()]
 }
 
-/// Found by reading: without cancels the attempt went on after its client, and was written once its connection was up.
+/// Without cancels the attempt outlived its client, and its statement was sent once the connection was established.
 #[test]
-fn an_attempt_that_waits_for_its_connection_does_not_begin_once_its_client_has_left() {
-    let (mut rig, client, conn) = request_awaiting_connection(buy(900));
-    rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
-    let effects = rig.reply(conn, greeting());
+fn an_attempt_that_waits_for_its_connection_is_not_sent_after_its_client_disconnects() {
+    let (mut harness, client, conn) = request_awaiting_connection(write_query(900));
+    harness.input(Input::ClientClosed(client, CloseReason::Disconnected));
+    let effects = harness.reply(conn, greeting());
     assert!(
         statements(&effects).is_empty() && closed(&effects).is_empty(),
         "{effects:?}"
     );
-    let other = rig.client(2);
+    let other = harness.client(2);
     assert_eq!(
-        statements(&rig.ask(other, buy(900)))[0].0,
+        statements(&harness.send(other, write_query(900)))[0].0,
         conn,
-        "the connection serves whoever asks next"
+        "the connection serves the next request"
     );
 }
 
-/// The same for one that has cancelled its request and stays.
+/// The same if the client has cancelled its request and stays connected.
 #[test]
-fn a_cancelled_request_does_not_begin() {
-    let (mut rig, client, conn) = request_awaiting_connection(buy(900));
-    let key = rig.effects.iter().find_map(|e| match e {
+fn a_cancelled_request_is_not_sent() {
+    let (mut harness, client, conn) = request_awaiting_connection(write_query(900));
+    let key = harness.effects.iter().find_map(|e| match e {
         Effect::ClientWrite { bytes, .. } => {
             let at = bytes.windows(5).position(|w| w == [b'K', 0, 0, 0, 12])?;
             Some(bytes[at + 5..at + 13].to_vec())
@@ -53,50 +54,56 @@
         _ => None,
     });
     let mut cancel = vec![0, 0, 0, 16, 4, 210, 22, 46];
-    cancel.extend(key.expect("the key"));
-    let by = ClientId(2);
-    rig.input(Input::ClientConnected(by));
-    let effects = rig.input(Input::ClientFrame(
-        by,
+    cancel.extend(key.expect("the client got a cancel key"));
+    let canceller = ClientId(2);
+    harness.input(Input::ClientConnected(canceller));
+    let effects = harness.input(Input::ClientFrame(
+        canceller,
         Frame {
             kind: 0,
             bytes: cancel,
         },
     ));
-    assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("57014"));
-    assert!(statements(&rig.reply(conn, greeting())).is_empty());
-    assert!(rig.reducer.accepts_frame(client), "it may ask again");
+    assert_eq!(
+        sqlstate(&client_replies(&effects)[0]).as_deref(),
+        Some("57014")
+    );
+    assert!(statements(&harness.reply(conn, greeting())).is_empty());
+    assert!(
+        harness.reducer.accepts_frame(client),
+        "it may send another request"
+    );
 }
 
-/// After a pause of this process the connection's greeting may be read before the timers are looked at.
+/// After a pause of the process the member's greeting may be handled before the timers that are due.
 #[test]
-fn an_attempt_does_not_begin_after_its_clients_time() {
-    let (mut rig, _, conn) = request_awaiting_connection(buy(200));
-    rig.now += 201 * MS;
-    let mut effects = rig.reply(conn, greeting());
-    effects.extend(rig.input(Input::TimerDue));
+fn an_attempt_is_not_sent_after_its_clients_deadline() {
+    let (mut harness, _, conn) = request_awaiting_connection(write_query(200));
+    harness.now += 201 * MS;
+    let mut effects = harness.reply(conn, greeting());
+    effects.extend(harness.input(Input::TimerDue));
     assert!(statements(&effects).is_empty());
     assert_eq!(
-        sqlstate(&answers(&effects)[0]).as_deref(),
+        sqlstate(&client_replies(&effects)[0]).as_deref(),
         Some("53300"),
-        "it never ran"
+        "it has not run"
     );
 }
 
-/// Danger: a cancel that waited for the room that requests take, its own among them, would come when it no longer matters.
+/// A cancel that waited for the capacity that requests use, including the one to be cancelled, would arrive too late.
 #[test]
-fn a_cancel_is_taken_though_the_room_for_statements_is_used_up() {
+fn a_cancel_is_accepted_when_the_capacity_for_statements_is_used_up() {
     // No primary is known, so that writes wait.
     let followers = [entry(2, "ready", "follower"), entry(3, "ready", "follower")];
-    let mut rig = Rig::new(&list_text(1, true, &followers));
+    let mut harness = ReducerHarness::new(&list_text(1, true, &followers));
     let value = "9f".repeat(64 << 10);
-    let clients = [1, 2, 3, 4].map(|n| rig.client(n));
+    let clients = [1, 2, 3, 4].map(|n| harness.client(n));
     for n in 0..200 {
         let client = clients[n % 4];
-        if rig.reducer.accepts_frame(client) {
+        if harness.reducer.accepts_frame(client) {
             let text =
                 format!("INSERT INTO state (uid, val) VALUES ('k{n}', '\\x{value}') RETURNING val");
-            rig.ask(
+            harness.send(
                 client,
                 query(&format!(
                     "{text} /* id={},c=buy,d=20000,cluster=2 */",
@@ -108,12 +115,12 @@
     assert!(
         clients
             .iter()
-            .all(|client| !rig.reducer.accepts_frame(*client)),
-        "the room is used up"
+            .all(|client| !harness.reducer.accepts_frame(*client)),
+        "the capacity is used up"
     );
-    rig.input(Input::ClientConnected(ClientId(2000)));
+    harness.input(Input::ClientConnected(ClientId(2000)));
     assert!(
-        rig.reducer.accepts_frame(ClientId(2000)),
-        "its startup, or a cancel in its place"
+        harness.reducer.accepts_frame(ClientId(2000)),
+        "its startup message, or a cancel instead"
     );
 }
--- a/crates/stackgw-gateway/tests/clock.rs
+++ b/crates/stackgw-gateway/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The router's clock, and pauses of the process.
+//! The router's clock, and pauses of the gateway process.
 
 mod common;
 
@@ -7,52 +7,54 @@
 use stackgw_router::api::{MS, SECOND};
 
 #[test]
-fn events_closer_than_a_tick_are_of_one_moment_for_the_router() {
-    let mut moments = TickClock::new(5 * MS);
-    assert_eq!(moments.tick_of(START), START);
-    assert_eq!(moments.tick_of(START + 4 * MS), START);
+fn events_within_one_tick_have_the_same_time_for_the_router() {
+    let mut clock = TickClock::new(5 * MS);
+    assert_eq!(clock.tick_of(START), START);
+    assert_eq!(clock.tick_of(START + 4 * MS), START);
     let late = START + 300 * MS;
     assert_eq!(
         [
-            moments.tick_of(late),
-            moments.tick_of(late + 1),
-            moments.tick_of(late + 5 * MS - 1)
+            clock.tick_of(late),
+            clock.tick_of(late + 1),
+            clock.tick_of(late + 5 * MS - 1)
         ],
         [late; 3]
     );
-    assert_eq!(moments.tick_of(late + 5 * MS), late + 5 * MS);
+    assert_eq!(clock.tick_of(late + 5 * MS), late + 5 * MS);
 }
 
-/// Danger: a process that stood still finds all answers late. Its members must not pay for that.
+/// After a pause of the process all responses look late. Members must not lose capacity for that.
 #[test]
-fn a_pause_of_the_gateway_takes_no_room_from_its_members() {
-    let room_after = |pause: i64| {
-        let mut rig = Rig::new(&three());
-        let clients: Vec<_> = (0..20).map(|n| rig.client(n)).collect();
-        let leads = || vec![status("node_role", "leader"), ready()];
+fn a_pause_of_the_gateway_does_not_reduce_the_capacity_of_members() {
+    let sent_after_pauses = |pause: i64| {
+        let mut harness = ReducerHarness::new(&three_members());
+        let clients: Vec<_> = (0..20).map(|n| harness.client(n)).collect();
+        let primary_status = || vec![status("node_role", "leader"), ready()];
         for _ in 0..8 {
-            let mut out = Vec::new();
+            let mut pending = Vec::new();
             for client in &clients {
-                out.extend(statements(&rig.ask(*client, buy(1900))));
+                pending.extend(statements(&harness.send(*client, write_query(1900))));
             }
-            rig.pass(30 * MS);
-            rig.now += pause;
-            // What was held meanwhile follows the answers and is answered at once.
-            while let Some((conn, _)) = out.pop() {
-                rig.now += MS / 50;
-                out.extend(statements(&rig.reply(conn, [row(b"x"), leads()].concat())));
+            harness.advance(30 * MS);
+            harness.now += pause;
+            // Requests that were queued meanwhile are sent when responses arrive, and are answered at once.
+            while let Some((conn, _)) = pending.pop() {
+                harness.now += MS / 50;
+                pending.extend(statements(
+                    &harness.reply(conn, [row(b"x"), primary_status()].concat()),
+                ));
             }
-            rig.pass(2 * SECOND);
+            harness.advance(2 * SECOND);
         }
         let sent = clients
             .iter()
-            .map(|client| statements(&rig.ask(*client, buy(1900))).len());
+            .map(|client| statements(&harness.send(*client, write_query(1900))).len());
         sent.sum::<usize>()
     };
-    let (paused, calm) = (room_after(700 * MS), room_after(0));
-    assert!(calm >= 6, "{calm} at once");
+    let (with_pauses, without_pauses) = (sent_after_pauses(700 * MS), sent_after_pauses(0));
+    assert!(without_pauses >= 6, "{without_pauses} at once");
     assert!(
-        paused >= calm - 1,
-        "{paused} at once after pauses, {calm} without"
+        with_pauses >= without_pauses - 1,
+        "{with_pauses} at once after pauses, {without_pauses} without"
     );
 }
--- a/crates/stackgw-gateway/tests/common/fixtures.rs
+++ b/crates/stackgw-gateway/tests/common/fixtures.rs
@@ -1,11 +1,11 @@
-//! Fixtures: files of lines that were written by commit 1451fac and are not to change.
+//! Comparison with fixtures: files of lines that commit 1451fac wrote and that must not change.
 
 use stackgw_gateway::discovery::ListUpdate;
 use stackgw_router::api::Lifecycle;
 use std::fmt::{Display, Write};
 use std::path::Path;
 
-/// Messages of the fixtures that have been reworded since: the full text in the fixture, and the full text now.
+/// Messages reworded since the fixtures were written: the full text in the fixture, and the current full text.
 const REWORDED_MESSAGES: [(&str, &str); 50] = [
     (
         "ROUTER_CONFIG: no JSON: EOF while parsing a list at line 18 column 58",
@@ -176,7 +176,7 @@
     ),
 ];
 
-/// A line of a fixture with the texts that its messages have now.
+/// A line of a fixture with its messages in their current wording.
 fn with_reworded_messages(expected: &str) -> String {
     REWORDED_MESSAGES
         .iter()
@@ -185,12 +185,12 @@
         })
 }
 
-/// Compares lines with a fixture.
+/// Compares the lines of a text with a fixture.
 pub fn compare(name: &str, actual: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures/wire_texts")
         .join(name);
-    let expected = std::fs::read_to_string(&path).expect("the fixture is there");
+    let expected = std::fs::read_to_string(&path).expect("the fixture is readable");
     for (number, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
         let expected = with_reworded_messages(expected);
         assert_eq!(expected, actual, "{name}, line {}", number + 1);
@@ -202,11 +202,12 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// One line of a fixture.
+/// Appends one line in the format of the fixtures.
 pub fn line(out: &mut String, label: &str, text: impl Display) {
-    writeln!(out, "{label}: {text}").expect("a string takes all");
+    writeln!(out, "{label}: {text}").expect("writing to a string cannot fail");
 }
 
+/// An endpoint list as one line of text.
 pub fn list_text_of(list: &ListUpdate) -> String {
     let mut text = format!("{} {}", list.revision, list.complete);
     for entry in &list.members {
@@ -226,7 +227,7 @@
             entry.up_since_ms,
             entry.leader
         )
-        .expect("a string takes all");
+        .expect("writing to a string cannot fail");
     }
     text
 }
--- a/crates/stackgw-gateway/tests/common/mod.rs
+++ b/crates/stackgw-gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the gateway's tests share: a configuration, client messages, and a reducer driven by hand.
+//! Helpers of the gateway's tests: a configuration, client messages, and a harness that drives the reducer without I/O.
 #![allow(dead_code, reason = "each test file uses a part of the helpers")]
 
 pub mod fixtures;
@@ -13,7 +13,7 @@
 
 pub const START: Time = 1_800_000_000 * SECOND;
 
-/// One entry of a list; the member's number makes its name and address.
+/// One entry of an endpoint list. The member's id and port are derived from its number.
 pub fn entry(n: u32, phase: &str, role: &str) -> String {
     format!(
         r#"{{"id":"m{n}","host_port":"127.0.0.1:{}","locality":"room","flavor":"f","cell":2,
@@ -28,10 +28,11 @@
 }
 
 pub fn list(revision: u64, complete: bool, entries: &[String]) -> ListUpdate {
-    parse_endpoint_list(list_text(revision, complete, entries).as_bytes()).expect("a list")
+    parse_endpoint_list(list_text(revision, complete, entries).as_bytes()).expect("a valid list")
 }
 
-/// A configuration with two reading classes, `look` (bounded) and `mine` (session), and one writing, `buy`.
+/// A configuration with two classes of reads, `look` (bounded staleness) and `mine` (session consistency), and one of writes,
+/// `buy`.
 pub fn config_text(known: &str) -> String {
     let class = |name: &str, effect: &str, deadline: Span| {
         format!(
@@ -70,11 +71,11 @@
 }
 
 pub fn config(known: &str) -> Config {
-    Config::from_text(&config_text(known), |_| None).expect("a configuration")
+    Config::from_text(&config_text(known), |_| None).expect("a valid configuration")
 }
 
-/// A primary and two replicas, as a gateway is told them.
-pub fn three() -> String {
+/// The endpoint list of a primary and two replicas.
+pub fn three_members() -> String {
     list_text(
         1,
         true,
@@ -99,20 +100,20 @@
     frame(bytes)
 }
 
-/// An id that no other request has.
+/// A request id that is unique in this process.
 pub fn new_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     format!("a{:x}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-pub fn read(wait_ms: u64) -> Frame {
+pub fn read_query(wait_ms: u64) -> Frame {
     let id = new_id();
     query(&format!(
         "SELECT val FROM state WHERE uid = 'k1' /* id={id},c=look,d={wait_ms},cluster=2 */"
     ))
 }
 
-pub fn buy(wait_ms: u64) -> Frame {
+pub fn write_query(wait_ms: u64) -> Frame {
     let id = new_id();
     query(&format!(
         "INSERT INTO state (uid, val) VALUES ('k1', '\\x9f03') RETURNING val /* id={id},c=buy,d={wait_ms},cluster=2 */"
@@ -136,7 +137,7 @@
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
-/// A row's three messages.
+/// The three messages of a row: its description, its data and the command completion.
 pub fn row(value: &[u8]) -> Vec<Frame> {
     let mut description = vec![0, 1];
     description.extend(b"val\0");
@@ -159,52 +160,53 @@
     message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
-/// The SQLSTATE of an error that was written to a client.
+/// The SQLSTATE of an error reply, or `None` if the reply is not an error.
 pub fn sqlstate(bytes: &[u8]) -> Option<String> {
     (bytes.first() == Some(&b'E')).then(|| {
         let field = bytes[5..]
             .split(|b| *b == 0)
             .find(|f| f.first() == Some(&b'C'))
-            .expect("a code");
+            .expect("an error has a code");
         String::from_utf8_lossy(&field[1..]).into_owned()
     })
 }
 
-/// A reducer with a clock that only the test moves; writes are carried out at once.
-pub struct Rig {
+/// A reducer with a clock that only the test advances. By default writes complete at once.
+pub struct ReducerHarness {
     pub reducer: Reducer,
     pub now: Time,
     pub effects: Vec<Effect>,
-    /// Writes stay unfinished.
-    pub clients_stuck: bool,
-    pub members_stuck: bool,
-    /// Connections to members come up by themselves.
-    pub connects: bool,
-    /// Probes are answered by themselves, with a position of this moment.
-    pub probes: bool,
+    /// Writes to clients do not complete.
+    pub client_writes_blocked: bool,
+    /// Writes to members do not complete.
+    pub member_writes_blocked: bool,
+    /// Connections to members are established at once.
+    pub auto_connect: bool,
+    /// Health checks are answered at once, with the current time as position.
+    pub answer_health_checks: bool,
 }
 
-impl Rig {
+impl ReducerHarness {
     pub fn new(known: &str) -> Self {
         Self::with(config(known))
     }
 
     pub fn with(config: Config) -> Self {
-        let mut rig = Rig {
+        let mut harness = ReducerHarness {
             reducer: Reducer::new(config),
             now: START,
             effects: Vec::new(),
-            clients_stuck: false,
-            members_stuck: false,
-            connects: true,
-            probes: true,
+            client_writes_blocked: false,
+            member_writes_blocked: false,
+            auto_connect: true,
+            answer_health_checks: true,
         };
-        rig.input(Input::Start);
-        rig
+        harness.input(Input::Start);
+        harness
     }
 
-    /// What a member says of itself when it is probed.
-    pub fn report(&self) -> Vec<Frame> {
+    /// A member's response to a health check, with the current time as position.
+    pub fn health_check_response(&self) -> Vec<Frame> {
         let text = format!(
             "x0={}.{:03},x1=0",
             self.now / SECOND,
@@ -213,29 +215,31 @@
         [row(text.as_bytes()), vec![ready()]].concat()
     }
 
-    /// Hands over an input and what follows from it at once; gives the effects.
+    /// Passes an input, and the inputs that follow from its effects at once, to the reducer. Returns all effects.
     pub fn input(&mut self, input: Input) -> Vec<Effect> {
         let mut inputs = VecDeque::from([input]);
-        let from = self.effects.len();
+        let first_effect = self.effects.len();
         while let Some(input) = inputs.pop_front() {
             let mut effects = Vec::new();
             self.reducer.handle(self.now, input, &mut effects);
             for effect in &effects {
                 match effect {
-                    Effect::ClientWrite { client, .. } if !self.clients_stuck => {
+                    Effect::ClientWrite { client, .. } if !self.client_writes_blocked => {
                         inputs.push_back(Input::ClientFlushed(*client))
                     }
-                    Effect::MemberConnect(conn, _) if self.connects => {
+                    Effect::MemberConnect(conn, _) if self.auto_connect => {
                         inputs.push_back(Input::MemberConnected(*conn));
                         inputs.push_back(Input::MemberFlushed(*conn));
                         inputs.push_back(Input::MemberFrame(*conn, message(b'R', &[0; 4])));
                         inputs.push_back(Input::MemberFrame(*conn, ready()));
                     }
-                    Effect::MemberWrite(conn, bytes) if !self.members_stuck && bytes[0] == b'Q' => {
+                    Effect::MemberWrite(conn, bytes)
+                        if !self.member_writes_blocked && bytes[0] == b'Q' =>
+                    {
                         inputs.push_back(Input::MemberFlushed(*conn));
-                        if self.probes && bytes[5..].starts_with(b"SHOW") {
+                        if self.answer_health_checks && bytes[5..].starts_with(b"SHOW") {
                             inputs.extend(
-                                self.report()
+                                self.health_check_response()
                                     .into_iter()
                                     .map(|f| Input::MemberFrame(*conn, f)),
                             );
@@ -246,11 +250,11 @@
             }
             self.effects.append(&mut effects);
         }
-        self.effects[from..].to_vec()
+        self.effects[first_effect..].to_vec()
     }
 
-    /// Moves the clock on, timer by timer.
-    pub fn pass(&mut self, span: Span) -> Vec<Effect> {
+    /// Advances the clock and reports each timer when it is due.
+    pub fn advance(&mut self, span: Span) -> Vec<Effect> {
         let (until, mut effects) = (self.now + span, Vec::new());
         while let Some(due) = self.reducer.next_due().filter(|due| *due <= until) {
             self.now = due.max(self.now);
@@ -260,6 +264,7 @@
         effects
     }
 
+    /// Connects a client and sends its startup message.
     pub fn client(&mut self, n: u64) -> ClientId {
         let id = ClientId(n);
         self.input(Input::ClientConnected(id));
@@ -267,10 +272,11 @@
         id
     }
 
-    pub fn ask(&mut self, client: ClientId, frame: Frame) -> Vec<Effect> {
+    /// Sends a client's message, which the reducer must accept.
+    pub fn send(&mut self, client: ClientId, frame: Frame) -> Vec<Effect> {
         assert!(
             self.reducer.accepts_frame(client),
-            "the client's message is not taken"
+            "the client's message is not accepted"
         );
         self.input(Input::ClientFrame(client, frame))
     }
@@ -283,7 +289,7 @@
         effects
     }
 
-    /// A member's whole answer, with its role and position.
+    /// Sends a replica's complete response, with its role and position.
     pub fn serve(&mut self, conn: ConnectionId, value: &[u8]) -> Vec<Effect> {
         let mut frames = row(value);
         let position = (self.now / MS).to_string();
@@ -295,8 +301,8 @@
         self.reply(conn, frames)
     }
 
-    /// The statement that a connection carries, now or once it is up.
-    pub fn written(&mut self, conn: ConnectionId, mut effects: Vec<Effect>) -> String {
+    /// The statement sent on a connection, at once or when the connection is established.
+    pub fn sent_statement(&mut self, conn: ConnectionId, mut effects: Vec<Effect>) -> String {
         if statements(&effects).is_empty() {
             effects = self.reply(conn, vec![message(b'R', &[0; 4]), ready()]);
         }
@@ -306,13 +312,13 @@
             .collect()
     }
 
-    pub fn lose(&mut self, conn: ConnectionId) -> Vec<Effect> {
+    pub fn disconnect(&mut self, conn: ConnectionId) -> Vec<Effect> {
         self.input(Input::MemberClosed(conn, CloseReason::Disconnected))
     }
 }
 
-/// What was written to a client.
-pub fn answers(effects: &[Effect]) -> Vec<Vec<u8>> {
+/// The bytes of each write to a client.
+pub fn client_replies(effects: &[Effect]) -> Vec<Vec<u8>> {
     let written = effects.iter().filter_map(|e| match e {
         Effect::ClientWrite { bytes, .. } => Some(bytes.clone()),
         _ => None,
@@ -332,7 +338,7 @@
     written.collect()
 }
 
-/// Connections opened to members.
+/// Connections opened to members, each with the member's number.
 pub fn opened(effects: &[Effect]) -> Vec<(ConnectionId, u32)> {
     let opened = effects.iter().filter_map(|e| match e {
         Effect::MemberConnect(conn, address) => Some((*conn, u32::from(address.port()) - 7000)),
@@ -341,7 +347,7 @@
     opened.collect()
 }
 
-/// Connections closed to members.
+/// Connections to members that were closed.
 pub fn closed(effects: &[Effect]) -> Vec<ConnectionId> {
     let closed = effects.iter().filter_map(|e| match e {
         Effect::MemberClose(conn) => Some(*conn),
@@ -350,17 +356,17 @@
     closed.collect()
 }
 
-/// A rig with one client whose request is out on the connection that is returned.
-pub fn request_in_flight(frame: Frame) -> (Rig, ClientId, ConnectionId) {
-    let mut rig = Rig::new(&three());
-    let client = rig.client(1);
-    let effects = rig.ask(client, frame);
+/// A harness with one client, whose request is in flight on the returned connection.
+pub fn request_in_flight(frame: Frame) -> (ReducerHarness, ClientId, ConnectionId) {
+    let mut harness = ReducerHarness::new(&three_members());
+    let client = harness.client(1);
+    let effects = harness.send(client, frame);
     let sent = statements(&effects);
     let conn = sent.first().map(|(conn, _)| *conn);
     let conn = conn.or_else(|| {
-        statements(&rig.pass(400 * MS))
+        statements(&harness.advance(400 * MS))
             .first()
             .map(|(conn, _)| *conn)
     });
-    (rig, client, conn.expect("an attempt"))
+    (harness, client, conn.expect("an attempt was sent"))
 }
--- a/crates/stackgw-gateway/tests/config.rs
+++ b/crates/stackgw-gateway/tests/config.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn the_document_is_read_and_variables_override_it() {
-    let config = config(&three());
+    let config = config(&three_members());
     assert_eq!((config.name.as_str(), config.seed), ("g0", 0x8c1f));
     assert_eq!(config.settings.names.classes, ["look", "mine", "buy"]);
     assert_eq!(config.settings.names.zones, ["room"]);
@@ -32,7 +32,7 @@
 
 #[test]
 fn each_malformed_field_is_named() {
-    let whole = config_text(&three());
+    let whole = config_text(&three_members());
     for (from, to, says) in [
         ("\"g0\"", "7", "name"),
         ("\"127.0.0.1:8500\"", "\"agent\"", "discovery: 'agent'"),
--- a/crates/stackgw-gateway/tests/config_texts.rs
+++ b/crates/stackgw-gateway/tests/config_texts.rs
@@ -89,7 +89,7 @@
 #[test]
 fn the_configuration_is_read_with_the_same_errors() {
     let mut out = String::new();
-    let whole = config_text(&three());
+    let whole = config_text(&three_members());
     line(
         &mut out,
         "whole",
--- a/crates/stackgw-gateway/tests/discovery_texts.rs
+++ b/crates/stackgw-gateway/tests/discovery_texts.rs
@@ -137,10 +137,10 @@
         Ok(list) => list_text_of(&list),
         Err(malformed) => format!("error: {malformed}"),
     };
-    line(&mut out, "list", read(&three()));
+    line(&mut out, "list", read(&three_members()));
     for (from, to) in LIST_CHANGES {
-        assert!(three().contains(from), "{from}");
-        line(&mut out, to, read(&three().replacen(from, to, 1)));
+        assert!(three_members().contains(from), "{from}");
+        line(&mut out, to, read(&three_members().replacen(from, to, 1)));
     }
     compare("lists.txt", &out);
 }
--- a/crates/stackgw-gateway/tests/endpoint_list.rs
+++ b/crates/stackgw-gateway/tests/endpoint_list.rs
@@ -14,8 +14,8 @@
 
 #[test]
 fn the_watch_starts_after_the_known_version_and_is_opened_anew_with_pauses() {
-    let mut rig = Rig::new(&three());
-    assert!(rig.effects.contains(&Effect::OpenWatch(
+    let mut harness = ReducerHarness::new(&three_members());
+    assert!(harness.effects.contains(&Effect::OpenWatch(
         "127.0.0.1:8500".parse().expect("an address"),
         Some(1)
     )));
@@ -25,29 +25,33 @@
             .filter(|e| matches!(e, Effect::OpenWatch(..)))
             .count()
     };
-    let effects = rig.input(Input::WatchLost("ended".into()));
+    let effects = harness.input(Input::WatchLost("ended".into()));
     assert_eq!(count(&effects), 0, "not at once");
-    assert_eq!(count(&rig.pass(150 * MS)), 1);
-    rig.input(Input::WatchLost("refused".into()));
-    assert_eq!(count(&rig.pass(150 * MS)), 0, "the second pause is longer");
-    assert_eq!(count(&rig.pass(SECOND)), 1);
+    assert_eq!(count(&harness.advance(150 * MS)), 1);
+    harness.input(Input::WatchLost("refused".into()));
+    assert_eq!(
+        count(&harness.advance(150 * MS)),
+        0,
+        "the second pause is longer"
+    );
+    assert_eq!(count(&harness.advance(SECOND)), 1);
     // Blank lines keep it; silence does not, for longer than two of them.
-    rig.input(Input::WatchConnected);
+    harness.input(Input::WatchConnected);
     for _ in 0..5 {
-        rig.pass(2 * SECOND);
-        rig.input(Input::WatchKeepalive);
+        harness.advance(2 * SECOND);
+        harness.input(Input::WatchKeepalive);
     }
-    let lost = rig.reducer.counters().watches_lost;
+    let lost = harness.reducer.counters().watches_lost;
     assert_eq!(lost, 2);
-    let effects = rig.pass(4500 * MS);
+    let effects = harness.advance(4500 * MS);
     assert!(effects.contains(&Effect::CloseWatch) && count(&effects) == 1);
 }
 
 #[test]
 fn a_drain_reaches_the_router_at_once() {
-    let mut rig = Rig::new(&three());
-    let client = rig.client(1);
-    rig.input(Input::EndpointList(list(
+    let mut harness = ReducerHarness::new(&three_members());
+    let client = harness.client(1);
+    harness.input(Input::EndpointList(list(
         2,
         false,
         &[
@@ -55,19 +59,19 @@
             entry(2, "draining", "follower"),
         ],
     )));
-    rig.pass(2 * SECOND);
+    harness.advance(2 * SECOND);
     for _ in 0..4 {
-        let mut effects = rig.ask(client, read(400));
-        effects.extend(rig.pass(500 * MS));
+        let mut effects = harness.send(client, read_query(400));
+        effects.extend(harness.advance(500 * MS));
         assert!(
             opened(&effects).iter().all(|(_, member)| *member == 3),
             "a draining member was sent to"
         );
     }
     let text = list(1, false, &[entry(1, "ready", "leader")]);
-    rig.input(Input::EndpointList(text));
+    harness.input(Input::EndpointList(text));
     assert_eq!(
-        rig.reducer.counters().lists,
+        harness.reducer.counters().lists,
         1,
         "older word undoes no newer"
     );
@@ -75,46 +79,46 @@
 
 #[test]
 fn a_new_address_is_used_and_idle_connections_to_the_old_one_are_closed() {
-    let (mut rig, client, conn) = request_in_flight(buy(900));
-    rig.reply(
+    let (mut harness, client, conn) = request_in_flight(write_query(900));
+    harness.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
     );
     let moved = entry(1, "ready", "leader").replace(":7001", ":7041");
-    let effects = rig.input(Input::EndpointList(list(2, false, &[moved])));
+    let effects = harness.input(Input::EndpointList(list(2, false, &[moved])));
     assert_eq!(closed(&effects), [conn]);
-    let effects = rig.ask(client, buy(900));
+    let effects = harness.send(client, write_query(900));
     assert_eq!(opened(&effects)[0].1, 41);
 }
 
 #[test]
 fn gossip_is_accepted_only_from_gateways_of_the_tier() {
-    let mut rig = Rig::new(&three());
-    rig.input(Input::GossipDatagram(
+    let mut harness = ReducerHarness::new(&three_members());
+    harness.input(Input::GossipDatagram(
         "127.0.0.1:7901".parse().expect("an address"),
         vec![0, 0, 0, 0, 0],
     ));
-    rig.input(Input::GossipDatagram(
+    harness.input(Input::GossipDatagram(
         "127.0.0.1:7902".parse().expect("an address"),
         vec![0, 0, 0, 0, 0],
     ));
-    rig.input(Input::GossipDatagram(
+    harness.input(Input::GossipDatagram(
         "127.0.0.1:7901".parse().expect("an address"),
         vec![9; 11],
     ));
-    rig.input(Input::GossipDatagram(
+    harness.input(Input::GossipDatagram(
         "127.0.0.1:7901".parse().expect("an address"),
         vec![0; 257],
     ));
-    let counters = rig.reducer.counters();
+    let counters = harness.reducer.counters();
     assert_eq!((counters.gossip_received, counters.gossip_dropped), (1, 3));
 }
 
 #[test]
 fn what_responses_say_of_members_is_gossiped_in_small_datagrams() {
-    let (mut rig, _, conn) = request_in_flight(read(900));
-    rig.serve(conn, b"x");
-    let effects = rig.pass(3 * SECOND);
+    let (mut harness, _, conn) = request_in_flight(read_query(900));
+    harness.serve(conn, b"x");
+    let effects = harness.advance(3 * SECOND);
     let sent: Vec<_> = effects
         .iter()
         .filter_map(|e| match e {
@@ -140,20 +144,20 @@
         true,
         &[entry(1, "ready", "leader"), entry(2, "ready", "follower")],
     );
-    let mut rig = Rig::new(&known);
-    let client = rig.client(1);
+    let mut harness = ReducerHarness::new(&known);
+    let client = harness.client(1);
     let config = |text: String| {
         Box::new(stackgw_gateway::config::Config::from_text(&text, |_| None).expect("one"))
     };
     let moved = || config_text("null").replace("127.0.0.1:8500", "127.0.0.1:8600");
-    let effects = rig.input(Input::Reload(Ok(config(moved()))));
+    let effects = harness.input(Input::Reload(Ok(config(moved()))));
     let new = "127.0.0.1:8600".parse().expect("an address");
     assert!(
         effects.contains(&Effect::CloseWatch) && effects.contains(&Effect::OpenWatch(new, None)),
         "{effects:?}"
     );
     // Its versions are lower, and count all the same.
-    rig.input(Input::EndpointList(list(
+    harness.input(Input::EndpointList(list(
         3,
         true,
         &[
@@ -161,27 +165,29 @@
             entry(3, "ready", "leader"),
         ],
     )));
-    rig.input(Input::EndpointList(list(
+    harness.input(Input::EndpointList(list(
         4,
         false,
         &[entry(2, "gone", "follower")],
     )));
-    assert_eq!(rig.reducer.counters().lists, 2);
-    rig.pass(2 * SECOND);
-    let effects = rig.ask(client, read(400));
+    assert_eq!(harness.reducer.counters().lists, 2);
+    harness.advance(2 * SECOND);
+    let effects = harness.send(client, read_query(400));
     assert!(
         opened(&effects).iter().all(|(_, member)| *member == 3),
         "what it tells binds"
     );
     // Lost, it is asked for at the new address after the new versions.
-    rig.input(Input::WatchLost("ended".into()));
-    assert!(rig.pass(SECOND).contains(&Effect::OpenWatch(new, Some(4))));
+    harness.input(Input::WatchLost("ended".into()));
+    assert!(harness
+        .advance(SECOND)
+        .contains(&Effect::OpenWatch(new, Some(4))));
     // The same once more changes nothing; one that cannot be used neither, and is one line.
-    let effects = rig.input(Input::Reload(Ok(config(moved()))));
+    let effects = harness.input(Input::Reload(Ok(config(moved()))));
     assert!(!effects
         .iter()
         .any(|e| matches!(e, Effect::OpenWatch(..) | Effect::CloseWatch)));
-    let effects = rig.input(Input::Reload(Err(unusable_config())));
+    let effects = harness.input(Input::Reload(Err(unusable_config())));
     assert!(
         matches!(&effects[..], [Effect::Log(line)] if line.contains("not valid JSON")),
         "{effects:?}"
@@ -190,13 +196,13 @@
     let other = moved()
         .replace("\"sockets\":128", "\"sockets\":256")
         .replace("\"g0\"", "\"g7\"");
-    let effects = rig.input(Input::Reload(Ok(config(other))));
+    let effects = harness.input(Input::Reload(Ok(config(other))));
     let said = |e: &Effect| matches!(e, Effect::Log(line) if line.contains("until a restart: name, limits"));
     assert!(effects.iter().any(said), "{effects:?}");
     assert_eq!(
         (
-            rig.reducer.counters().reloads,
-            rig.reducer.counters().reloads_failed
+            harness.reducer.counters().reloads,
+            harness.reducer.counters().reloads_failed
         ),
         (4, 1)
     );
@@ -206,24 +212,24 @@
 /// them is what is there now and a little of what has just gone.
 #[test]
 fn nothing_grows_over_many_generations() {
-    let mut rig = Rig::new(&list_text(1, true, &[entry(1, "ready", "leader")]));
+    let mut harness = ReducerHarness::new(&list_text(1, true, &[entry(1, "ready", "leader")]));
     let mut most = [0; 2];
     for n in 0..400u32 {
         let (old, new) = (1 + n, 2 + n);
         let ready = |m| entry(m, "ready", if m == new { "leader" } else { "follower" });
-        rig.input(Input::EndpointList(list(
+        harness.input(Input::EndpointList(list(
             u64::from(n) * 2 + 2,
             false,
             &[ready(new), entry(old, "gone", "follower")],
         )));
-        let client = rig.client(u64::from(n));
+        let client = harness.client(u64::from(n));
         let text = format!(
             "SELECT val FROM state WHERE uid = 's{n}' /* id=g{n},c=mine,d=400,cluster=2 */"
         );
-        let effects = rig.ask(client, query(&text));
+        let effects = harness.send(client, query(&text));
         let sent = statements(&effects);
         for (conn, _) in &sent {
-            rig.reply(
+            harness.reply(
                 *conn,
                 [
                     row(b"x"),
@@ -232,9 +238,9 @@
                 .concat(),
             );
         }
-        rig.pass(SECOND);
-        rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
-        let counters = rig.reducer.counters();
+        harness.advance(SECOND);
+        harness.input(Input::ClientClosed(client, CloseReason::Disconnected));
+        let counters = harness.reducer.counters();
         let kept = counters.members_known;
         let half = usize::from(n >= 200);
         most[half] = most[half].max(kept + counters.members_open + counters.buffered_bytes);
@@ -245,27 +251,27 @@
             counters.members_open
         );
     }
-    let counters = rig.reducer.counters();
+    let counters = harness.reducer.counters();
     assert!(counters.members_forgotten > 300, "{counters}");
     assert!(most[1] <= most[0], "{most:?}");
     // One that comes back is a member like any other.
-    rig.input(Input::EndpointList(list(
+    harness.input(Input::EndpointList(list(
         9000,
         false,
         &[entry(3, "ready", "follower")],
     )));
-    assert!(rig.reducer.counters().members_known < 60);
+    assert!(harness.reducer.counters().members_known < 60);
 }
 
 /// Entries from peers and from the disk are not checked as the list service's are: a start time beyond all times overflowed.
 #[test]
 fn a_member_with_an_impossible_start_time_counts_as_just_started() {
-    let mut rig = Rig::new("null");
+    let mut harness = ReducerHarness::new("null");
     let mut update = list(1, true, &[entry(1, "ready", "leader")]);
     update.members[0].up_since_ms = i64::MAX;
-    rig.input(Input::EndpointList(update));
-    assert_eq!(rig.reducer.counters().members_known, 1);
-    let client = rig.client(1);
-    rig.ask(client, read(900));
-    rig.pass(stackgw_router::api::SECOND);
+    harness.input(Input::EndpointList(update));
+    assert_eq!(harness.reducer.counters().members_known, 1);
+    let client = harness.client(1);
+    harness.send(client, read_query(900));
+    harness.advance(stackgw_router::api::SECOND);
 }
--- a/crates/stackgw-gateway/tests/extreme_numbers.rs
+++ b/crates/stackgw-gateway/tests/extreme_numbers.rs
@@ -43,15 +43,15 @@
 
 /// Starts a gateway of this configuration, and lets some time pass with requests in flight.
 fn run_for_a_while(config: Config) {
-    let mut rig = Rig::with(config);
-    let client = rig.client(1);
-    for frame in [read(900), buy(1_900)] {
-        if rig.reducer.accepts_frame(client) {
-            rig.ask(client, frame);
+    let mut harness = ReducerHarness::with(config);
+    let client = harness.client(1);
+    for frame in [read_query(900), write_query(1_900)] {
+        if harness.reducer.accepts_frame(client) {
+            harness.send(client, frame);
         }
     }
-    rig.pass(50 * MS);
-    rig.pass(3 * SECOND);
+    harness.advance(50 * MS);
+    harness.advance(3 * SECOND);
 }
 
 /// Sets each number of a document to each extreme; the ones with which this panics.
@@ -75,7 +75,7 @@
 /// A number that is accepted and overflows later panics in a debug build, and wraps around in a release.
 #[test]
 fn a_configuration_with_an_extreme_number_is_refused_or_runs() {
-    let document: Value = serde_json::from_str(&config_text(&three())).expect("a document");
+    let document: Value = serde_json::from_str(&config_text(&three_members())).expect("a document");
     let panicked = panics_with_extremes(&document, |changed| {
         if let Ok(config) = Config::from_text(&changed.to_string(), |_| None) {
             run_for_a_while(config);
@@ -86,18 +86,18 @@
 
 #[test]
 fn a_list_with_an_extreme_number_is_refused_or_serves() {
-    let document: Value = serde_json::from_str(&three()).expect("a list");
+    let document: Value = serde_json::from_str(&three_members()).expect("a list");
     let panicked = panics_with_extremes(&document, |changed| {
         let Ok(update) = parse_endpoint_list(changed.to_string().as_bytes()) else {
             return;
         };
-        let mut rig = Rig::new("null");
-        rig.input(Input::EndpointList(update));
-        let client = rig.client(1);
-        if rig.reducer.accepts_frame(client) {
-            rig.ask(client, read(900));
+        let mut harness = ReducerHarness::new("null");
+        harness.input(Input::EndpointList(update));
+        let client = harness.client(1);
+        if harness.reducer.accepts_frame(client) {
+            harness.send(client, read_query(900));
         }
-        rig.pass(3 * SECOND);
+        harness.advance(3 * SECOND);
     });
     assert!(panicked.is_empty(), "{panicked:#?}");
 }
--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -133,47 +133,47 @@
     }
 }
 
-fn connect(rig: &mut Rig, world: &mut World) {
+fn connect(harness: &mut ReducerHarness, world: &mut World) {
     let id = ClientId(world.next_client);
     world.next_client += 1;
     world.clients.insert(id);
-    world.see(&rig.input(Input::ClientConnected(id)));
+    world.see(&harness.input(Input::ClientConnected(id)));
     // The welcome is no answer to a statement.
-    rig.input(Input::ClientFrame(id, startup()));
+    harness.input(Input::ClientFrame(id, startup()));
 }
 
-fn leave(rig: &mut Rig, world: &mut World, n: usize) {
+fn leave(harness: &mut ReducerHarness, world: &mut World, n: usize) {
     if let Some(id) = World::nth(world.clients.iter().copied(), n) {
         world.clients.remove(&id);
         world.owed.remove(&id);
-        world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
+        world.see(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
     }
 }
 
-fn break_protocol(rig: &mut Rig, world: &mut World, n: usize) {
+fn break_protocol(harness: &mut ReducerHarness, world: &mut World, n: usize) {
     if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-        world.see(&rig.input(Input::ClientClosed(id, CloseReason::ProtocolError)));
+        world.see(&harness.input(Input::ClientClosed(id, CloseReason::ProtocolError)));
         world.clients.remove(&id);
         world.owed.remove(&id);
-        world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
+        world.see(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
     }
 }
 
-fn ask(rig: &mut Rig, world: &mut World, n: usize, d: u64, kind: u8) {
-    let id =
-        World::nth(world.clients.iter().copied(), n).filter(|id| rig.reducer.accepts_frame(*id));
+fn ask(harness: &mut ReducerHarness, world: &mut World, n: usize, d: u64, kind: u8) {
+    let id = World::nth(world.clients.iter().copied(), n)
+        .filter(|id| harness.reducer.accepts_frame(*id));
     if let Some(id) = id {
         *world.owed.entry(id).or_insert(0) += 1;
         let frame = match kind % 5 {
             0 => query("SELECT 1"),
-            1 | 2 => buy(d),
-            _ => read(d),
+            1 | 2 => write_query(d),
+            _ => read_query(d),
         };
-        world.see(&rig.input(Input::ClientFrame(id, frame)));
+        world.see(&harness.input(Input::ClientFrame(id, frame)));
     }
 }
 
-fn reply(rig: &mut Rig, world: &mut World, n: usize, kind: u8) {
+fn reply(harness: &mut ReducerHarness, world: &mut World, n: usize, kind: u8) {
     let busy: Vec<_> = world
         .conns
         .iter()
@@ -187,7 +187,7 @@
             if frame.kind == b'Z' && over {
                 world.conns.insert(id, false);
             }
-            world.see(&rig.input(Input::MemberFrame(id, frame)));
+            world.see(&harness.input(Input::MemberFrame(id, frame)));
             if !world.conns.contains_key(&id) {
                 break;
             }
@@ -195,7 +195,7 @@
     }
 }
 
-fn lose(rig: &mut Rig, world: &mut World, n: usize, bad: bool) {
+fn lose(harness: &mut ReducerHarness, world: &mut World, n: usize, bad: bool) {
     if let Some(id) = World::nth(world.conns.keys().copied(), n) {
         world.conns.remove(&id);
         let why = if bad {
@@ -203,18 +203,18 @@
         } else {
             CloseReason::Disconnected
         };
-        world.see(&rig.input(Input::MemberClosed(id, why)));
+        world.see(&harness.input(Input::MemberClosed(id, why)));
     }
 }
 
-fn deliver_list(rig: &mut Rig, world: &mut World, bits: u8, full: bool) {
+fn deliver_list(harness: &mut ReducerHarness, world: &mut World, bits: u8, full: bool) {
     world.revision += 1;
     let phase = |n: u32| ["ready", "ready", "draining", "gone"][usize::from(bits >> (2 * n)) & 3];
     let entries: Vec<_> = (0..3).map(|n| entry(n + 1, phase(n), "follower")).collect();
-    world.see(&rig.input(Input::EndpointList(list(world.revision, full, &entries))));
+    world.see(&harness.input(Input::EndpointList(list(world.revision, full, &entries))));
 }
 
-fn reload(rig: &mut Rig, world: &mut World, good: bool, port: u16) {
+fn reload(harness: &mut ReducerHarness, world: &mut World, good: bool, port: u16) {
     let text = config_text("null").replace(":8500", &format!(":{port}"));
     let config = stackgw_gateway::config::Config::from_text(&text, |_| None).map(Box::new);
     let config = if good {
@@ -222,54 +222,54 @@
     } else {
         Err(stackgw_gateway::config::ConfigError::NoFile)
     };
-    world.see(&rig.input(Input::Reload(config)));
+    world.see(&harness.input(Input::Reload(config)));
 }
 
-fn stick(rig: &mut Rig, world: &mut World, clients: bool, members: bool) {
+fn stick(harness: &mut ReducerHarness, world: &mut World, clients: bool, members: bool) {
     // What was stuck moves on before anything else is.
-    (rig.clients_stuck, rig.members_stuck) = (false, false);
+    (harness.client_writes_blocked, harness.member_writes_blocked) = (false, false);
     for id in world.clients.clone() {
-        world.see(&rig.input(Input::ClientFlushed(id)));
+        world.see(&harness.input(Input::ClientFlushed(id)));
     }
     for id in world.conns.keys().copied().collect::<Vec<_>>() {
-        world.see(&rig.input(Input::MemberFlushed(id)));
+        world.see(&harness.input(Input::MemberFlushed(id)));
     }
-    (rig.clients_stuck, rig.members_stuck) = (clients, members);
+    (harness.client_writes_blocked, harness.member_writes_blocked) = (clients, members);
 }
 
-fn take(rig: &mut Rig, world: &mut World, step: Step) {
+fn take(harness: &mut ReducerHarness, world: &mut World, step: Step) {
     match step {
-        Step::Open => connect(rig, world),
-        Step::Leave(n) => leave(rig, world, n),
-        Step::BadClient(n) => break_protocol(rig, world, n),
-        Step::Ask(n, d, kind) => ask(rig, world, n, d, kind),
-        Step::Reply(n, kind) => reply(rig, world, n, kind),
-        Step::Lose(n, bad) => lose(rig, world, n, bad),
-        Step::Pass(ms) => world.see(&rig.pass(ms * MS)),
-        Step::List(bits, full) => deliver_list(rig, world, bits, full),
-        Step::WatchLost => world.see(&rig.input(Input::WatchLost("ended".into()))),
+        Step::Open => connect(harness, world),
+        Step::Leave(n) => leave(harness, world, n),
+        Step::BadClient(n) => break_protocol(harness, world, n),
+        Step::Ask(n, d, kind) => ask(harness, world, n, d, kind),
+        Step::Reply(n, kind) => reply(harness, world, n, kind),
+        Step::Lose(n, bad) => lose(harness, world, n, bad),
+        Step::Pass(ms) => world.see(&harness.advance(ms * MS)),
+        Step::List(bits, full) => deliver_list(harness, world, bits, full),
+        Step::WatchLost => world.see(&harness.input(Input::WatchLost("ended".into()))),
         Step::Datagram(bytes) => {
             let from = "127.0.0.1:7901".parse().expect("an address");
-            world.see(&rig.input(Input::GossipDatagram(from, bytes)));
+            world.see(&harness.input(Input::GossipDatagram(from, bytes)));
         }
         Step::Holds(n, bytes) => {
             if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-                world.see(&rig.input(Input::ClientReadAhead(id, ReadAhead::partial(bytes))));
+                world.see(&harness.input(Input::ClientReadAhead(id, ReadAhead::partial(bytes))));
             }
         }
         Step::Partial(n) => {
             if let Some(id) = World::nth(world.conns.keys().copied(), n) {
-                world.see(&rig.input(Input::MemberPartialFrame(id)));
+                world.see(&harness.input(Input::MemberPartialFrame(id)));
             }
         }
-        Step::Reload(good, port) => reload(rig, world, good, port),
-        Step::Stick(clients, members) => stick(rig, world, clients, members),
-        Step::Terminate => world.see(&rig.input(Input::Terminate)),
+        Step::Reload(good, port) => reload(harness, world, good, port),
+        Step::Stick(clients, members) => stick(harness, world, clients, members),
+        Step::Terminate => world.see(&harness.input(Input::Terminate)),
     }
 }
 
 /// Closes the clients that were to be closed unless they had sent something.
-fn close_retired(rig: &mut Rig, world: &mut World) {
+fn close_retired(harness: &mut ReducerHarness, world: &mut World) {
     while let Some(id) = world.retired.pop() {
         if world.clients.remove(&id) {
             assert_eq!(
@@ -277,59 +277,59 @@
                 0,
                 "closed inside a request"
             );
-            world.see(&rig.input(Input::ClientClosed(id, CloseReason::Disconnected)));
+            world.see(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
         }
     }
 }
 
 /// What holds after each step.
-fn check(rig: &Rig, world: &World) {
-    let counters = rig.reducer.counters();
+fn check(harness: &ReducerHarness, world: &World) {
+    let counters = harness.reducer.counters();
     assert_eq!(counters.clients_open, world.clients.len() as u64);
     assert_eq!(counters.members_open, world.conns.len() as u64);
     assert!(counters.members_open <= 4);
     // What the router believes to be in flight is what is out on connections.
-    for seen in rig.reducer.member_statuses() {
+    for seen in harness.reducer.member_statuses() {
         assert_eq!(seen.snapshot.in_flight, seen.attempts, "{seen:?}");
     }
 }
 
 fn play(steps: Vec<Step>) {
-    let mut config = config(&three());
+    let mut config = config(&three_members());
     (
         config.limits.clients,
         config.limits.client_reserve,
         config.limits.member_connections,
     ) = (4, 2, 4);
-    let mut rig = Rig::with(config);
-    rig.probes = false;
+    let mut harness = ReducerHarness::with(config);
+    harness.answer_health_checks = false;
     let mut world = World {
         revision: 1,
         ..World::default()
     };
-    world.see(&rig.effects.drain(..).collect::<Vec<_>>());
+    world.see(&harness.effects.drain(..).collect::<Vec<_>>());
     // The probes of the start have been answered.
     world.conns.values_mut().for_each(|busy| *busy = false);
     for step in steps {
         if world.ended {
             break;
         }
-        let before = rig.effects.len();
-        take(&mut rig, &mut world, step);
-        close_retired(&mut rig, &mut world);
-        rig.effects.truncate(before);
-        check(&rig, &world);
+        let before = harness.effects.len();
+        take(&mut harness, &mut world, step);
+        close_retired(&mut harness, &mut world);
+        harness.effects.truncate(before);
+        check(&harness, &world);
     }
     // In the end nothing is owed and nothing is kept.
     if !world.ended {
-        world.see(&rig.pass(3 * SECOND));
+        world.see(&harness.advance(3 * SECOND));
     }
     assert!(
         world.owed.values().all(|owed| *owed == 0),
         "no answer: {:?}",
         world.owed
     );
-    let c = rig.reducer.counters();
+    let c = harness.reducer.counters();
     let answered = c.answered_served + c.answered_rejected + c.answered_failed + c.abandoned;
     assert_eq!(c.taken, c.malformed + c.rejected_early + answered, "{c}");
     if world.ended {
--- a/crates/stackgw-gateway/tests/member_connections.rs
+++ b/crates/stackgw-gateway/tests/member_connections.rs
@@ -7,173 +7,182 @@
 use stackgw_router::api::{MS, SECOND};
 
 #[test]
-fn a_connection_that_never_comes_up_ends_by_the_limit_of_the_settings() {
-    let mut rig = Rig::new(&three());
-    rig.connects = false;
-    let client = rig.client(1);
-    let effects = rig.ask(client, buy(900));
+fn a_connect_times_out_after_the_time_in_the_settings() {
+    let mut harness = ReducerHarness::new(&three_members());
+    harness.auto_connect = false;
+    let client = harness.client(1);
+    let effects = harness.send(client, write_query(900));
     let (conn, member) = opened(&effects)[0];
     assert_eq!(member, 1, "the listed primary");
-    assert!(!closed(&rig.pass(249 * MS)).contains(&conn));
-    assert!(closed(&rig.pass(2 * MS)).contains(&conn));
-    assert_eq!(rig.reducer.counters().ended_no_connection, 1);
-    assert_eq!(rig.reducer.counters().written, 0);
+    assert!(!closed(&harness.advance(249 * MS)).contains(&conn));
+    assert!(closed(&harness.advance(2 * MS)).contains(&conn));
+    assert_eq!(harness.reducer.counters().ended_no_connection, 1);
+    assert_eq!(harness.reducer.counters().written, 0);
 }
 
 #[test]
-fn an_attempt_is_overloaded_when_its_member_has_no_connection_to_spare() {
-    let mut rig = Rig::new(&three());
-    rig.connects = false;
-    let client = rig.client(1);
-    let (conn, _) = opened(&rig.ask(client, buy(900)))[0];
-    rig.input(Input::MemberConnected(conn));
-    rig.input(Input::MemberFrame(conn, error("53300")));
-    rig.lose(conn);
-    assert_eq!(rig.reducer.counters().ended_overloaded, 1);
+fn an_attempt_ends_as_overloaded_if_its_member_rejects_the_connection() {
+    let mut harness = ReducerHarness::new(&three_members());
+    harness.auto_connect = false;
+    let client = harness.client(1);
+    let (conn, _) = opened(&harness.send(client, write_query(900)))[0];
+    harness.input(Input::MemberConnected(conn));
+    harness.input(Input::MemberFrame(conn, error("53300")));
+    harness.disconnect(conn);
+    assert_eq!(harness.reducer.counters().ended_overloaded, 1);
 }
 
 #[test]
-fn an_idle_connection_found_closed_costs_the_attempt_nothing() {
-    let (mut rig, client, conn) = request_in_flight(buy(900));
-    rig.reply(
+fn an_attempt_on_an_idle_connection_found_closed_moves_to_a_new_connection() {
+    let (mut harness, client, conn) = request_in_flight(write_query(900));
+    harness.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
     );
-    rig.members_stuck = true;
-    let effects = rig.ask(client, buy(900));
+    harness.member_writes_blocked = true;
+    let effects = harness.send(client, write_query(900));
     assert_eq!(
         statements(&effects)[0].0,
         conn,
-        "the idle connection is handed out"
+        "the idle connection is reused"
     );
-    let effects = rig.lose(conn);
-    let (fresh, _) = statements(&effects)[0].clone();
-    assert_ne!(fresh, conn);
-    assert_eq!(rig.reducer.counters().members_reopened, 1);
-    rig.input(Input::MemberFlushed(fresh));
-    assert_eq!(answers(&rig.serve(fresh, b"y")).len(), 1);
+    let effects = harness.disconnect(conn);
+    let (new_conn, _) = statements(&effects)[0].clone();
+    assert_ne!(new_conn, conn);
+    assert_eq!(harness.reducer.counters().members_reopened, 1);
+    harness.input(Input::MemberFlushed(new_conn));
+    assert_eq!(client_replies(&harness.serve(new_conn, b"y")).len(), 1);
     assert_eq!(
-        rig.reducer.counters().attempts,
+        harness.reducer.counters().attempts,
         2,
-        "it was one attempt all along"
+        "the reopened connection is part of the same attempt"
     );
 }
 
 #[test]
-fn idle_connections_are_retired_ahead_of_the_members_limit() {
-    let (mut rig, _, conn) = request_in_flight(buy(900));
-    rig.reply(
+fn idle_connections_are_closed_before_the_members_idle_limit() {
+    let (mut harness, _, conn) = request_in_flight(write_query(900));
+    harness.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
     );
-    let early = closed(&rig.pass(15 * SECOND));
+    let early = closed(&harness.advance(15 * SECOND));
     assert!(!early.contains(&conn));
     assert!(
-        closed(&rig.pass(4 * SECOND)).contains(&conn),
-        "20 s are the members' limit"
+        closed(&harness.advance(4 * SECOND)).contains(&conn),
+        "members close idle connections after 20 s"
     );
 }
 
 #[test]
-fn an_idle_connection_that_ends_is_forgotten() {
-    let (mut rig, client, conn) = request_in_flight(buy(900));
-    rig.reply(
+fn an_idle_connection_that_ends_is_not_reused() {
+    let (mut harness, client, conn) = request_in_flight(write_query(900));
+    harness.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
     );
-    rig.lose(conn);
-    let effects = rig.ask(client, buy(900));
+    harness.disconnect(conn);
+    let effects = harness.send(client, write_query(900));
     assert_ne!(statements(&effects)[0].0, conn);
 }
 
 #[test]
-fn a_member_may_say_why_it_closes_an_idle_connection() {
-    let (mut rig, _, conn) = request_in_flight(buy(900));
-    rig.reply(
+fn a_member_may_send_an_error_before_it_closes_an_idle_connection() {
+    let (mut harness, _, conn) = request_in_flight(write_query(900));
+    harness.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
     );
-    let effects = rig.reply(conn, vec![error("57P05")]);
+    let effects = harness.reply(conn, vec![error("57P05")]);
     assert_eq!(closed(&effects), [conn]);
-    let counters = rig.reducer.counters();
+    let counters = harness.reducer.counters();
     assert_eq!((counters.members_bad, counters.members_closed), (0, 1));
 }
 
 #[test]
-fn past_the_budget_of_connections_an_attempt_is_never_sent() {
-    let mut config = config(&three());
+fn beyond_the_limit_of_connections_an_attempt_is_not_sent() {
+    let mut config = config(&three_members());
     config.limits.member_connections = 1;
-    let mut rig = Rig::with(config);
-    let (one, two) = (rig.client(1), rig.client(2));
-    let mut effects = rig.ask(one, buy(900));
-    effects.extend(rig.ask(two, buy(900)));
+    let mut harness = ReducerHarness::with(config);
+    let (one, two) = (harness.client(1), harness.client(2));
+    let mut effects = harness.send(one, write_query(900));
+    effects.extend(harness.send(two, write_query(900)));
     assert_eq!(statements(&effects).len(), 1);
     let conn = statements(&effects)[0].0;
-    assert!(rig.reducer.counters().ended_not_sent > 0);
-    assert!(rig.reducer.counters().members_peak <= 1);
-    rig.reply(
+    assert!(harness.reducer.counters().ended_not_sent > 0);
+    assert!(harness.reducer.counters().members_peak <= 1);
+    harness.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
     );
-    // An idle connection to one member makes room for one to another.
-    let effects = rig.ask(one, read(900));
-    let late = rig.pass(300 * MS);
-    assert!(closed(&effects).contains(&conn) || closed(&late).contains(&conn));
-    assert!(rig.reducer.counters().members_peak <= 1);
+    // An idle connection to one member is closed to open one to another.
+    let effects = harness.send(one, read_query(900));
+    let later_effects = harness.advance(300 * MS);
+    assert!(closed(&effects).contains(&conn) || closed(&later_effects).contains(&conn));
+    assert!(harness.reducer.counters().members_peak <= 1);
 }
 
 #[test]
-fn a_slow_connect_carries_nothing_past_a_drains_grace() {
-    for (late, sent) in [(940, 1), (1010, 0)] {
-        let mut rig = Rig::new(&three());
-        let client = rig.client(1);
-        let drains = entry(1, "draining", "leader");
-        rig.input(Input::EndpointList(list(2, false, &[drains])));
-        rig.connects = false;
-        rig.pass(790 * MS);
-        let (conn, member) = opened(&rig.ask(client, buy(900)))[0];
+fn nothing_is_sent_on_a_slow_connect_after_the_drain_grace() {
+    for (established_ms, sent) in [(940, 1), (1010, 0)] {
+        let mut harness = ReducerHarness::new(&three_members());
+        let client = harness.client(1);
+        let draining = entry(1, "draining", "leader");
+        harness.input(Input::EndpointList(list(2, false, &[draining])));
+        harness.auto_connect = false;
+        harness.advance(790 * MS);
+        let (conn, member) = opened(&harness.send(client, write_query(900)))[0];
         assert_eq!(member, 1, "no other primary is known yet");
-        rig.input(Input::MemberConnected(conn));
-        rig.pass((late - 790) * MS);
-        let effects = rig.reply(conn, vec![message(b'R', &[0; 4]), ready()]);
-        assert_eq!(statements(&effects).len(), sent, "{late} ms after the word");
-        assert_eq!(rig.reducer.counters().ended_not_sent, 1 - sent as u64);
+        harness.input(Input::MemberConnected(conn));
+        harness.advance((established_ms - 790) * MS);
+        let effects = harness.reply(conn, vec![message(b'R', &[0; 4]), ready()]);
+        assert_eq!(
+            statements(&effects).len(),
+            sent,
+            "{established_ms} ms after the drain notice"
+        );
+        assert_eq!(harness.reducer.counters().ended_not_sent, 1 - sent as u64);
         assert_eq!(closed(&effects).contains(&conn), sent == 0);
     }
 }
 
-/// Where members are replaced throughout, connections to the old ones would hold places for as long as idle ones may.
+/// Where members are replaced all the time, idle connections to the old ones would otherwise occupy the limit of connections
+/// until their idle timeout.
 #[test]
-fn idle_connections_to_a_member_that_is_gone_are_closed_after_its_grace() {
-    let (mut rig, _, conn) = request_in_flight(buy(900));
-    rig.reply(
+fn idle_connections_to_a_draining_member_are_closed_after_the_drain_grace() {
+    let (mut harness, _, conn) = request_in_flight(write_query(900));
+    harness.reply(
         conn,
         [row(b"x"), vec![status("node_role", "leader"), ready()]].concat(),
     );
-    rig.input(Input::EndpointList(list(
+    harness.input(Input::EndpointList(list(
         2,
         false,
         &[entry(1, "draining", "leader")],
     )));
-    let early = closed(&rig.pass(900 * MS));
-    assert!(!early.contains(&conn), "it may still be asked");
-    assert!(closed(&rig.pass(SECOND)).contains(&conn));
+    let early = closed(&harness.advance(900 * MS));
+    assert!(!early.contains(&conn), "it may still get requests");
+    assert!(closed(&harness.advance(SECOND)).contains(&conn));
 }
 
-/// A connection that came up and broke before the statement was sent proves nobody dead, and costs the request nothing.
+/// A connection that breaks during its startup, before the statement was sent, does not show that the member is down and does not
+/// fail the attempt.
 #[test]
-fn a_connection_that_breaks_in_its_startup_is_opened_once_more() {
-    let mut rig = Rig::new(&three());
-    rig.connects = false;
-    let client = rig.client(1);
-    let (conn, _) = opened(&rig.ask(client, buy(900)))[0];
-    rig.input(Input::MemberConnected(conn));
-    let (next, member) = opened(&rig.lose(conn))[0];
-    assert_eq!((member, rig.reducer.counters().ended_no_connection), (1, 0));
-    // Once: a member that breaks them all is one without a connection.
-    rig.input(Input::MemberConnected(next));
-    rig.lose(next);
-    let counters = rig.reducer.counters();
+fn a_connection_that_breaks_during_startup_is_reopened_once() {
+    let mut harness = ReducerHarness::new(&three_members());
+    harness.auto_connect = false;
+    let client = harness.client(1);
+    let (conn, _) = opened(&harness.send(client, write_query(900)))[0];
+    harness.input(Input::MemberConnected(conn));
+    let (next, member) = opened(&harness.disconnect(conn))[0];
+    assert_eq!(
+        (member, harness.reducer.counters().ended_no_connection),
+        (1, 0)
+    );
+    // Only once: if the second connection breaks too, the attempt ends without a connection.
+    harness.input(Input::MemberConnected(next));
+    harness.disconnect(next);
+    let counters = harness.reducer.counters();
     assert_eq!(
         (
             counters.ended_no_connection,
@@ -185,16 +194,16 @@
 }
 
 #[test]
-fn a_handshake_that_a_member_has_begun_is_kept_for_whoever_asks_next() {
-    let mut rig = Rig::new(&three());
-    rig.connects = false;
-    let client = rig.client(1);
-    let (conn, member) = opened(&rig.ask(client, buy(900)))[0];
-    rig.input(Input::MemberConnected(conn));
-    // It is too late for the attempt, which was never sent ...
-    let effects = rig.pass(251 * MS);
+fn a_late_handshake_that_a_member_has_begun_serves_the_next_request() {
+    let mut harness = ReducerHarness::new(&three_members());
+    harness.auto_connect = false;
+    let client = harness.client(1);
+    let (conn, member) = opened(&harness.send(client, write_query(900)))[0];
+    harness.input(Input::MemberConnected(conn));
+    // The connect times out for the attempt, which was not sent.
+    let effects = harness.advance(251 * MS);
     assert!(!closed(&effects).contains(&conn));
-    let counters = rig.reducer.counters();
+    let counters = harness.reducer.counters();
     assert_eq!(
         (
             counters.ended_no_connection,
@@ -203,15 +212,19 @@
         ),
         (1, 1, 0)
     );
-    // ... and carries the next one to that member, which opens none of its own.
-    let effects = [rig.pass(400 * MS), rig.ask(client, buy(900))].concat();
+    // The connection serves the next attempt at that member, which opens no connection of its own.
+    let effects = [
+        harness.advance(400 * MS),
+        harness.send(client, write_query(900)),
+    ]
+    .concat();
     assert!(
         opened(&effects).iter().all(|(_, to)| *to != member),
         "{effects:?}"
     );
-    let asked = rig.input(Input::MemberFrame(conn, ready()));
+    let effects = harness.input(Input::MemberFrame(conn, ready()));
     assert_eq!(
-        statements(&asked)
+        statements(&effects)
             .iter()
             .map(|(on, _)| *on)
             .collect::<Vec<_>>(),
@@ -221,35 +234,35 @@
 
 #[test]
 fn a_late_handshake_leaves_an_idle_connection_or_is_closed_by_its_timeout() {
-    let late = |rig: &mut Rig, n: u64| {
-        rig.connects = false;
-        let client = rig.client(n);
-        let (conn, _) = opened(&rig.ask(client, buy(300)))[0];
-        rig.input(Input::MemberConnected(conn));
+    let begin_handshake = |harness: &mut ReducerHarness, n: u64| {
+        harness.auto_connect = false;
+        let client = harness.client(n);
+        let (conn, _) = opened(&harness.send(client, write_query(300)))[0];
+        harness.input(Input::MemberConnected(conn));
         (client, conn)
     };
-    let mut rig = Rig::new(&three());
-    let (client, conn) = late(&mut rig, 1);
-    rig.pass(310 * MS);
-    assert!(answers(&rig.input(Input::MemberFrame(conn, ready()))).is_empty());
+    let mut harness = ReducerHarness::new(&three_members());
+    let (client, conn) = begin_handshake(&mut harness, 1);
+    harness.advance(310 * MS);
+    assert!(client_replies(&harness.input(Input::MemberFrame(conn, ready()))).is_empty());
     assert_eq!(
-        statements(&rig.ask(client, buy(900)))
+        statements(&harness.send(client, write_query(900)))
             .first()
             .map(|(on, _)| *on),
         Some(conn),
-        "it is used"
+        "the connection is used"
     );
-    let mut rig = Rig::new(&three());
-    let (_, conn) = late(&mut rig, 1);
-    let effects = rig.pass(310 * MS + 4 * 250 * MS);
+    let mut harness = ReducerHarness::new(&three_members());
+    let (_, conn) = begin_handshake(&mut harness, 1);
+    let effects = harness.advance(310 * MS + 4 * 250 * MS);
     assert!(closed(&effects).contains(&conn));
-    // A member that drains is not waited for.
-    let mut rig = Rig::new(&three());
-    let (_, conn) = late(&mut rig, 1);
-    rig.input(Input::EndpointList(list(
+    // The handshake of a draining member is not awaited.
+    let mut harness = ReducerHarness::new(&three_members());
+    let (_, conn) = begin_handshake(&mut harness, 1);
+    harness.input(Input::EndpointList(list(
         2,
         false,
         &[entry(1, "draining", "leader")],
     )));
-    assert!(closed(&rig.pass(251 * MS)).contains(&conn));
+    assert!(closed(&harness.advance(251 * MS)).contains(&conn));
 }
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -166,7 +166,7 @@
 
     #[test]
     fn a_mutated_list_is_an_error_or_a_list(at in 0usize..600, byte in any::<u8>()) {
-        let mut bytes = three().into_bytes();
+        let mut bytes = three_members().into_bytes();
         let at = at % bytes.len();
         bytes[at] = byte;
         if let Ok(list) = parse_endpoint_list(&bytes) {
@@ -293,7 +293,7 @@
 
 #[test]
 fn a_list_is_malformed_when_a_start_is_later_than_any_clock() {
-    let text = three().replacen("\"up_since_ms\":0", "\"up_since_ms\":1e14", 1);
+    let text = three_members().replacen("\"up_since_ms\":0", "\"up_since_ms\":1e14", 1);
     assert!(parse_endpoint_list(text.as_bytes()).is_err());
 }
 
--- a/crates/stackgw-gateway/tests/pipelining.rs
+++ b/crates/stackgw-gateway/tests/pipelining.rs
@@ -6,85 +6,101 @@
 use stackgw_gateway::reducer::{CloseReason, Effect, Input};
 use stackgw_router::api::{MS, SECOND};
 
-/// Statements written together run together and are answered in their order; where one of two writes, those of one key
-/// run one after the other. The time of each counts from when it came.
+/// Pipelined statements run concurrently and are answered in their order. Two statements of one key run one after the other if
+/// one of them is a write. The deadline of each counts from its arrival.
 #[test]
-fn statements_written_together_are_answered_in_their_order_and_keep_it_within_a_key() {
-    let mut rig = Rig::new(&three());
-    let client = rig.client(1);
-    let place = |effects: &[Effect]| match statements(effects).first() {
+fn pipelined_statements_are_answered_in_order_and_run_in_order_within_a_key() {
+    let mut harness = ReducerHarness::new(&three_members());
+    let client = harness.client(1);
+    let connection_used = |effects: &[Effect]| match statements(effects).first() {
         Some((conn, _)) => *conn,
         None => opened(effects)[0].0,
     };
-    let first = place(&rig.ask(client, read(900)));
-    let second = place(&rig.ask(client, read(900)));
-    assert_ne!(first, second, "both are on their way");
-    assert!(rig.reducer.accepts_frame(client));
-    let effects = rig.ask(client, buy(900));
+    let first = connection_used(&harness.send(client, read_query(900)));
+    let second = connection_used(&harness.send(client, read_query(900)));
+    assert_ne!(first, second, "both are in flight");
+    assert!(harness.reducer.accepts_frame(client));
+    let effects = harness.send(client, write_query(900));
     assert!(
         statements(&effects).is_empty() && opened(&effects).is_empty(),
         "a write waits for reads of its key"
     );
     assert!(
-        answers(&rig.ask(client, query(""))).is_empty(),
-        "and all behind it"
+        client_replies(&harness.send(client, query(""))).is_empty(),
+        "and all statements after it wait"
     );
-    rig.pass(50 * MS);
+    harness.advance(50 * MS);
     assert!(
-        answers(&rig.serve(second, b"two")).is_empty(),
-        "its turn is after the first's"
+        client_replies(&harness.serve(second, b"two")).is_empty(),
+        "its reply follows the first one"
     );
-    let effects = rig.serve(first, b"one");
-    let told = answers(&effects);
-    assert_eq!(told.len(), 2);
-    assert!(told[0].windows(3).any(|w| w == b"one") && told[1].windows(3).any(|w| w == b"two"));
-    let write = place(&effects);
-    let sent = rig.written(write, effects);
+    let effects = harness.serve(first, b"one");
+    let replies = client_replies(&effects);
+    assert_eq!(replies.len(), 2);
+    assert!(
+        replies[0].windows(3).any(|w| w == b"one") && replies[1].windows(3).any(|w| w == b"two")
+    );
+    let write = connection_used(&effects);
+    let sent = harness.sent_statement(write, effects);
     assert!(sent.contains("d=850"), "{sent}");
-    let leads = || vec![status("node_role", "leader"), ready()];
-    let told = answers(&rig.reply(write, [row(b"three"), leads()].concat()));
-    assert_eq!((told.len(), told[0][0], told[1][0]), (2, b'T', b'I'));
-    // Of another key a read passes a write that waits, and its answer does not.
-    let write = place(&rig.ask(client, buy(900)));
-    let other = read(900).bytes;
+    let primary_status = || vec![status("node_role", "leader"), ready()];
+    let replies = client_replies(&harness.reply(write, [row(b"three"), primary_status()].concat()));
+    assert_eq!(
+        (replies.len(), replies[0][0], replies[1][0]),
+        (2, b'T', b'I')
+    );
+    // A read of another key is sent before a write that waits, but its reply is not.
+    let write = connection_used(&harness.send(client, write_query(900)));
+    let other = read_query(900).bytes;
     let other =
         String::from_utf8_lossy(&other[5..other.len() - 1]).replacen("uid = '", "uid = 'other-", 1);
-    let passes = place(&rig.ask(client, query(&other)));
-    assert!(answers(&rig.serve(passes, b"five")).is_empty());
+    let overtaking = connection_used(&harness.send(client, query(&other)));
+    assert!(client_replies(&harness.serve(overtaking, b"five")).is_empty());
     assert_eq!(
-        answers(&rig.reply(write, [row(b"four"), leads()].concat())).len(),
+        client_replies(&harness.reply(write, [row(b"four"), primary_status()].concat())).len(),
         2
     );
-    // Bytes that are no protocol end the connection behind the answers that are owed.
-    let third = place(&rig.ask(client, read(900)));
-    assert!(
-        answers(&rig.input(Input::ClientClosed(client, CloseReason::ProtocolError))).is_empty()
+    // Malformed bytes close the connection after the outstanding replies.
+    let third = connection_used(&harness.send(client, read_query(900)));
+    assert!(client_replies(
+        &harness.input(Input::ClientClosed(client, CloseReason::ProtocolError))
+    )
+    .is_empty());
+    assert!(!harness.reducer.accepts_frame(client));
+    let replies = client_replies(&harness.serve(third, b"four"));
+    assert_eq!(
+        (replies.len(), replies[0][0], replies[1][0]),
+        (2, b'T', b'E')
     );
-    assert!(!rig.reducer.accepts_frame(client));
-    let told = answers(&rig.serve(third, b"four"));
-    assert_eq!((told.len(), told[0][0], told[1][0]), (2, b'T', b'E'));
-    // A client that goes takes all of its line with it.
-    let client = rig.client(2);
-    rig.ask(client, read(900));
-    rig.ask(client, read(900));
-    rig.ask(client, buy(900));
-    rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
-    rig.pass(SECOND);
-    assert_eq!(rig.reducer.counters().buffered_bytes, 0);
+    // When a client disconnects, all of its pipelined statements are dropped.
+    let client = harness.client(2);
+    harness.send(client, read_query(900));
+    harness.send(client, read_query(900));
+    harness.send(client, write_query(900));
+    harness.input(Input::ClientClosed(client, CloseReason::Disconnected));
+    harness.advance(SECOND);
+    assert_eq!(harness.reducer.counters().buffered_bytes, 0);
 }
 
 #[test]
 fn a_clients_pipeline_is_limited() {
-    let mut config = config(&three());
+    let mut config = config(&three_members());
     config.limits.max_pipelined_statements = 3;
-    let mut rig = Rig::with(config);
-    let client = rig.client(1);
+    let mut harness = ReducerHarness::with(config);
+    let client = harness.client(1);
     for n in 0..3 {
-        assert!(rig.reducer.accepts_frame(client), "{n}");
-        // The write waits for the reads before it, and counts as well.
-        rig.ask(client, if n < 2 { read(900) } else { buy(900) });
+        assert!(harness.reducer.accepts_frame(client), "{n}");
+        // The write waits for the reads before it and counts too.
+        harness.send(
+            client,
+            if n < 2 {
+                read_query(900)
+            } else {
+                write_query(900)
+            },
+        );
     }
-    assert!(!rig.reducer.accepts_frame(client));
-    rig.pass(2 * SECOND);
-    assert!(rig.reducer.accepts_frame(client), "all have their answers");
+    assert!(!harness.reducer.accepts_frame(client));
+    harness.advance(2 * SECOND);
+    assert!(harness.reducer.accepts_frame(client), "all are answered");
 }
--- a/crates/stackgw-gateway/tests/read_ahead.rs
+++ b/crates/stackgw-gateway/tests/read_ahead.rs
@@ -1,4 +1,5 @@
-//! What clients have sent and is not delivered yet, beside clients that send without end: by hand, at the reducer.
+//! Bytes that clients have sent and that are not delivered yet, while other clients flood the gateway. Tests of the reducer
+//! without I/O.
 
 mod common;
 
@@ -8,10 +9,10 @@
 
 const FLOODING: u64 = 20;
 const CLIENT_BYTES: usize = 100_000;
-/// Less than `CLIENT_BYTES / 4 / (clients + client_reserve)` of the configuration, which grants 52 and 6.
+/// Less than `CLIENT_BYTES / 4 / (clients + client_reserve)`, where the configuration results in 52 and 6.
 const SMALL_MESSAGE: usize = 400;
 
-/// A read whose text takes this many bytes and some more.
+/// A read whose statement is somewhat longer than this many bytes.
 fn large_read(bytes: usize) -> stackgw_gateway::pg::Frame {
     let (id, key) = (new_id(), "k".repeat(bytes));
     query(&format!(
@@ -19,105 +20,108 @@
     ))
 }
 
-/// Clients with requests in flight that take all statement bytes they may, and with as much read ahead as I/O reads of them.
-fn flooded_rig() -> Rig {
-    let mut config = config(&three());
+/// Clients whose requests in flight use all the statement bytes they may, and that have sent as much ahead as the I/O side
+/// reads.
+fn flooded_harness() -> ReducerHarness {
+    let mut config = config(&three_members());
     config.limits.client_bytes = CLIENT_BYTES;
-    let mut rig = Rig::with(config);
-    rig.members_stuck = true;
+    let mut harness = ReducerHarness::with(config);
+    harness.member_writes_blocked = true;
     for n in 0..FLOODING {
-        let id = rig.client(n);
+        let id = harness.client(n);
         for _ in 0..64 {
-            if rig.reducer.accepts_frame(id) {
-                rig.ask(id, large_read(2000));
+            if harness.reducer.accepts_frame(id) {
+                harness.send(id, large_read(2000));
             }
         }
         let read_ahead = ReadAhead::waiting(CLIENT_BYTES * 9 / 10 / FLOODING as usize);
-        rig.input(Input::ClientReadAhead(id, read_ahead));
+        harness.input(Input::ClientReadAhead(id, read_ahead));
     }
-    rig
+    harness
 }
 
 fn is_closed_with_error(effects: &[Effect], id: ClientId) -> bool {
-    let closes =
+    let closes_client =
         |e: &Effect| matches!(e, Effect::ClientWrite { client, close: true, .. } if *client == id);
-    effects.iter().any(closes)
+    effects.iter().any(closes_client)
 }
 
-/// Whoever has sent most pays: a newcomer's few bytes cost it nothing beside floods with requests in flight.
+/// The clients that have sent the most are closed: a new client with a few bytes is not closed for flooding clients with
+/// requests in flight.
 #[test]
-fn a_newcomer_is_not_closed_for_what_floods_have_sent() {
-    let mut rig = flooded_rig();
-    let newcomer = rig.client(FLOODING);
-    let effects = rig.input(Input::ClientReadAhead(newcomer, ReadAhead::partial(10)));
-    assert!(!is_closed_with_error(&effects, newcomer));
-    assert_eq!(rig.reducer.counters().clients_over_buffer_limit, 0);
+fn a_new_client_is_not_closed_for_bytes_of_flooding_clients() {
+    let mut harness = flooded_harness();
+    let new_client = harness.client(FLOODING);
+    let effects = harness.input(Input::ClientReadAhead(new_client, ReadAhead::partial(10)));
+    assert!(!is_closed_with_error(&effects, new_client));
+    assert_eq!(harness.reducer.counters().clients_over_buffer_limit, 0);
 }
 
-/// Statements of floods leave room for a small message of each other client.
+/// Statements of flooding clients leave capacity for a small message of each other client.
 #[test]
-fn a_small_message_is_accepted_beside_floods() {
-    let mut rig = flooded_rig();
+fn a_small_message_is_accepted_while_other_clients_flood() {
+    let mut harness = flooded_harness();
     for n in 0..10 {
-        let newcomer = rig.client(FLOODING + n);
-        assert!(rig.reducer.accepts_frame_of(newcomer, SMALL_MESSAGE));
-        let answer = answers(&rig.input(Input::ClientFrame(newcomer, query(""))));
-        assert_eq!(answer[0][0], b'I');
+        let new_client = harness.client(FLOODING + n);
+        assert!(harness.reducer.accepts_frame_of(new_client, SMALL_MESSAGE));
+        let replies = client_replies(&harness.input(Input::ClientFrame(new_client, query(""))));
+        assert_eq!(replies[0][0], b'I');
     }
 }
 
-/// One client alone leaves most of what all share to others.
+/// A single client cannot use most of the shared capacity.
 #[test]
 fn the_statements_of_one_client_leave_capacity_for_large_ones_of_others() {
-    let mut config = config(&three());
+    let mut config = config(&three_members());
     config.limits.client_bytes = CLIENT_BYTES;
-    let mut rig = Rig::with(config);
-    let (flooding, other) = (rig.client(1), rig.client(2));
-    while rig.reducer.accepts_frame(flooding) {
-        rig.ask(flooding, large_read(2000));
+    let mut harness = ReducerHarness::with(config);
+    let (flooding, other) = (harness.client(1), harness.client(2));
+    while harness.reducer.accepts_frame(flooding) {
+        harness.send(flooding, large_read(2000));
     }
-    let buffered = rig.reducer.counters().buffered_bytes as usize;
+    let buffered = harness.reducer.counters().buffered_bytes as usize;
     let expected = CLIENT_BYTES / 8..CLIENT_BYTES / 4;
     assert!(expected.contains(&buffered), "{buffered}");
-    assert!(rig.reducer.accepts_frame(other));
+    assert!(harness.reducer.accepts_frame(other));
 }
 
-/// Of clients that do not finish a message, one with less than an equal part is spared, though it has asked nothing yet.
+/// Of clients with an incomplete message, one that holds less than an equal share is not closed, even if it has sent no request
+/// yet.
 #[test]
 fn the_client_with_the_largest_part_of_a_message_is_closed() {
-    let mut config = config(&three());
+    let mut config = config(&three_members());
     config.limits.client_bytes = 1000;
-    let mut rig = Rig::with(config);
-    let [small, used, stranger, newcomer] = [1, 2, 3, 4].map(|n| rig.client(n));
-    rig.ask(used, query(""));
-    rig.input(Input::ClientReadAhead(small, ReadAhead::partial(30)));
-    rig.input(Input::ClientReadAhead(used, ReadAhead::partial(360)));
-    rig.input(Input::ClientReadAhead(stranger, ReadAhead::partial(340)));
-    let effects = rig.input(Input::ClientReadAhead(newcomer, ReadAhead::partial(40)));
-    let closed = [small, used, stranger, newcomer].map(|id| is_closed_with_error(&effects, id));
+    let mut harness = ReducerHarness::with(config);
+    let [small, used, unused, new_client] = [1, 2, 3, 4].map(|n| harness.client(n));
+    harness.send(used, query(""));
+    harness.input(Input::ClientReadAhead(small, ReadAhead::partial(30)));
+    harness.input(Input::ClientReadAhead(used, ReadAhead::partial(360)));
+    harness.input(Input::ClientReadAhead(unused, ReadAhead::partial(340)));
+    let effects = harness.input(Input::ClientReadAhead(new_client, ReadAhead::partial(40)));
+    let closed = [small, used, unused, new_client].map(|id| is_closed_with_error(&effects, id));
     assert_eq!(closed, [false, false, true, false]);
 }
 
-/// A client whose complete statement waits for capacity has sent something: it is not closed as one that sends nothing.
+/// A client whose complete statement waits for capacity is not closed as one that has sent no request.
 #[test]
 fn a_client_whose_statement_waits_for_capacity_is_not_closed_as_unused() {
-    let mut rig = flooded_rig();
-    let waiting = rig.client(FLOODING);
-    rig.input(Input::ClientReadAhead(waiting, ReadAhead::waiting(60_000)));
-    let effects = rig.pass(3 * SECOND);
+    let mut harness = flooded_harness();
+    let waiting = harness.client(FLOODING);
+    harness.input(Input::ClientReadAhead(waiting, ReadAhead::waiting(60_000)));
+    let effects = harness.advance(3 * SECOND);
     assert!(!effects.contains(&Effect::ClientCloseIfIdle(waiting)));
     assert!(!is_closed_with_error(&effects, waiting));
-    assert_eq!(rig.reducer.counters().clients_without_request, 0);
+    assert_eq!(harness.reducer.counters().clients_without_request, 0);
 }
 
-/// A message that became complete and waits for capacity has no time to keep any more.
+/// Once a message is complete and waits for capacity, the timeout for completing it no longer applies.
 #[test]
-fn a_completed_message_that_waits_is_not_taken_for_a_stalled_one() {
-    let mut rig = flooded_rig();
-    let client = rig.client(FLOODING);
-    rig.input(Input::ClientReadAhead(client, ReadAhead::partial(3)));
-    rig.pass(500 * MS);
-    rig.input(Input::ClientReadAhead(client, ReadAhead::waiting(60_000)));
-    let effects = rig.pass(3 * SECOND);
+fn a_complete_message_that_waits_for_capacity_does_not_count_as_stalled() {
+    let mut harness = flooded_harness();
+    let client = harness.client(FLOODING);
+    harness.input(Input::ClientReadAhead(client, ReadAhead::partial(3)));
+    harness.advance(500 * MS);
+    harness.input(Input::ClientReadAhead(client, ReadAhead::waiting(60_000)));
+    let effects = harness.advance(3 * SECOND);
     assert!(!is_closed_with_error(&effects, client));
 }
--- a/crates/stackgw-gateway/tests/shutdown.rs
+++ b/crates/stackgw-gateway/tests/shutdown.rs
@@ -7,117 +7,130 @@
 use stackgw_router::api::{MS, SECOND};
 
 #[test]
-fn sigterm_takes_new_clients_for_a_while_finishes_what_was_taken_and_ends() {
-    let (mut rig, busy, conn) = request_in_flight(buy(9000));
-    let idle = rig.client(2);
-    let effects = rig.input(Input::Terminate);
+fn after_sigterm_new_clients_are_accepted_for_a_while_and_open_requests_are_finished() {
+    let (mut harness, busy, conn) = request_in_flight(write_query(9000));
+    let idle = harness.client(2);
+    let effects = harness.input(Input::Terminate);
     assert!(!effects
         .iter()
         .any(|e| matches!(e, Effect::StopListening | Effect::ClientCloseIfIdle(_))));
-    let late = rig.client(3);
-    let effects = rig.pass(450 * MS);
+    let late = harness.client(3);
+    let effects = harness.advance(450 * MS);
     assert!(
         !effects.contains(&Effect::StopListening),
-        "new clients come for 0.4 s"
+        "new clients may connect for 0.4 s"
     );
-    let other = rig.client(4);
-    rig.ask(other, query(""));
-    let effects = rig.pass(100 * MS);
+    let other = harness.client(4);
+    harness.send(other, query(""));
+    let effects = harness.advance(100 * MS);
     assert!(effects.contains(&Effect::StopListening));
-    let mut effects = rig.input(Input::ListenerClosed);
-    effects.extend(rig.pass(SECOND));
-    // Found on sockets: closed then, they would have nobody to go to where this gateway is the only one.
+    let mut effects = harness.input(Input::ListenerClosed);
+    effects.extend(harness.advance(SECOND));
+    // If they were closed now, clients would have no gateway to connect to where this is the only one.
     assert!(
         !effects
             .iter()
             .any(|e| matches!(e, Effect::ClientCloseIfIdle(_))),
-        "connections are kept and served"
+        "connections stay open and are served"
     );
-    assert_eq!(answers(&rig.ask(idle, query("")))[0][0], b'I');
-    effects.extend(rig.pass(700 * MS));
+    assert_eq!(client_replies(&harness.send(idle, query("")))[0][0], b'I');
+    effects.extend(harness.advance(700 * MS));
     for client in [idle, late, other] {
         assert!(
             effects.contains(&Effect::ClientCloseIfIdle(client)),
             "{client:?}"
         );
-        rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
+        harness.input(Input::ClientClosed(client, CloseReason::Disconnected));
     }
     assert!(
         !effects.contains(&Effect::ClientCloseIfIdle(busy)),
-        "its request is in hand"
+        "its request is open"
     );
     assert!(!effects.contains(&Effect::Exit));
-    let effects = rig.serve(conn, b"x");
-    assert_eq!(answers(&effects)[0][0], b'T');
+    let effects = harness.serve(conn, b"x");
+    assert_eq!(client_replies(&effects)[0][0], b'T');
     assert!(effects.contains(&Effect::ClientCloseIfIdle(busy)));
-    let effects = rig.input(Input::ClientClosed(busy, CloseReason::Disconnected));
+    let effects = harness.input(Input::ClientClosed(busy, CloseReason::Disconnected));
     assert!(effects.contains(&Effect::Exit));
     assert!(effects.iter().any(|e| matches!(e, Effect::Report(_))));
 }
 
 #[test]
-fn sigterm_ends_the_gateway_before_it_would_be_killed_and_answers_what_is_left() {
-    // The client waits far longer than a SIGKILL would.
-    let (mut rig, _, _) = request_in_flight(buy(9000));
-    rig.input(Input::Terminate);
-    rig.input(Input::ListenerClosed);
-    let effects = rig.pass(2 * SECOND + 600 * MS);
+fn after_sigterm_the_gateway_answers_open_requests_and_exits_before_the_sigkill() {
+    // The client's deadline is far later than the SIGKILL.
+    let (mut harness, _, _) = request_in_flight(write_query(9000));
+    harness.input(Input::Terminate);
+    harness.input(Input::ListenerClosed);
+    let effects = harness.advance(2 * SECOND + 600 * MS);
     assert_eq!(effects.iter().filter(|e| **e == Effect::Exit).count(), 1);
-    let answers = answers(&effects);
-    assert_eq!(answers.len(), 1);
+    let replies = client_replies(&effects);
+    assert_eq!(replies.len(), 1);
     assert_eq!(
-        sqlstate(&answers[0]).as_deref(),
+        sqlstate(&replies[0]).as_deref(),
         Some("58000"),
         "it may have run"
     );
-    let at = |wanted: fn(&Effect) -> bool| effects.iter().position(wanted);
-    assert!(at(|e| matches!(e, Effect::ClientWrite { .. })) < at(|e| *e == Effect::Exit));
+    let position = |matches: fn(&Effect) -> bool| effects.iter().position(matches);
+    assert!(
+        position(|e| matches!(e, Effect::ClientWrite { .. })) < position(|e| *e == Effect::Exit)
+    );
 }
 
-/// What waits behind another of its key has been taken too; that its turn comes with the end is no reason for silence.
+/// A statement that waits for another one of its key has been accepted, so it must be answered even if the gateway shuts down
+/// before it is sent.
 #[test]
-fn the_end_answers_statements_that_wait_for_others_of_their_key() {
-    let (mut rig, client, _) = request_in_flight(buy(9000));
+fn statements_that_wait_for_others_of_their_key_are_answered_at_shutdown() {
+    let (mut harness, client, _) = request_in_flight(write_query(9000));
     for _ in 0..2 {
-        rig.ask(client, buy(9000));
+        harness.send(client, write_query(9000));
     }
-    rig.input(Input::Terminate);
-    rig.input(Input::ListenerClosed);
-    let effects = rig.pass(2 * SECOND + 600 * MS);
-    let codes: Vec<_> = answers(&effects)
+    harness.input(Input::Terminate);
+    harness.input(Input::ListenerClosed);
+    let effects = harness.advance(2 * SECOND + 600 * MS);
+    let codes: Vec<_> = client_replies(&effects)
         .iter()
         .filter_map(|bytes| sqlstate(bytes))
         .collect();
     assert_eq!(
         codes,
         ["58000", "57P03", "57P03"],
-        "the first may have run, the others never did"
+        "the first may have run, the others have not"
     );
 }
 
-/// Between the last answers and the end statements still come: from tasks that held them, or from clients that were not told yet.
+/// Statements can still arrive between the last responses and the exit: from tasks that held them, or from clients that do not
+/// know of the shutdown yet.
 #[test]
-fn what_is_asked_after_the_last_answers_is_refused_and_the_end_comes_with_the_last_client() {
-    let (mut rig, client, _) = request_in_flight(buy(9000));
-    rig.input(Input::Terminate);
-    rig.input(Input::ListenerClosed);
-    let effects = rig.pass(2 * SECOND + 430 * MS);
-    assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("58000"));
+fn requests_after_the_last_responses_are_rejected_and_the_gateway_exits_with_its_last_client() {
+    let (mut harness, client, _) = request_in_flight(write_query(9000));
+    harness.input(Input::Terminate);
+    harness.input(Input::ListenerClosed);
+    let effects = harness.advance(2 * SECOND + 430 * MS);
+    assert_eq!(
+        sqlstate(&client_replies(&effects)[0]).as_deref(),
+        Some("58000")
+    );
     assert!(
         !effects.contains(&Effect::Exit),
-        "what was written leaves first"
+        "responses are written before the exit"
+    );
+    let effects = harness.send(client, read_query(900));
+    assert_eq!(
+        sqlstate(&client_replies(&effects)[0]).as_deref(),
+        Some("57P03")
     );
-    let effects = rig.ask(client, read(900));
-    assert_eq!(sqlstate(&answers(&effects)[0]).as_deref(), Some("57P03"));
     assert!(
         statements(&effects).is_empty() && opened(&effects).is_empty(),
-        "nothing is sent on"
+        "nothing is forwarded"
     );
     assert!(
         effects.contains(&Effect::ClientCloseIfIdle(client)),
-        "it is closed between requests, as before"
+        "it is closed between requests"
     );
-    let effects = rig.input(Input::ClientClosed(client, CloseReason::Disconnected));
+    let effects = harness.input(Input::ClientClosed(client, CloseReason::Disconnected));
     assert!(effects.contains(&Effect::Exit));
-    assert!(!rig.pass(SECOND).contains(&Effect::Exit), "once");
+    assert!(
+        !harness.advance(SECOND).contains(&Effect::Exit),
+        "it exits once"
+    );
 }
--- a/crates/stackgw-gateway/tests/streams.rs
+++ b/crates/stackgw-gateway/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Members behind another front's protocol, and answers that come as streams, against the reducer alone.
+//! Members that speak another frontend's protocol, and responses that are streams. Tests of the reducer without I/O.
 
 mod common;
 
@@ -11,78 +11,84 @@
 };
 use stackgw_router::api::{Outcome, MS, SECOND};
 
-/// A reducer whose members all speak another front's protocol, with connections that come up at once.
-fn rig() -> Rig {
-    Rig::with(configured("127.0.0.1:0"))
+/// A reducer whose members all speak another frontend's protocol.
+fn backend_harness() -> ReducerHarness {
+    ReducerHarness::with(flight_config("127.0.0.1:0"))
 }
 
-fn configured(listen: &str) -> Config {
-    let mut config = config(&three());
+fn flight_config(listen: &str) -> Config {
+    let mut config = config(&three_members());
     let file = format!(r#"{{"listen": "{listen}", "keys": ["k"], "groups": [2]}}"#);
-    let ring = Keyring::new(vec![
+    let keyring = Keyring::new(vec![
         Key::new("flight", b"a secret of this test").expect("a key")
     ])
     .expect("keys");
     config.operator.flight = Some(FlightConfig {
-        options: serde_json::from_str(&file).expect("a part"),
-        keyring: ring,
+        options: serde_json::from_str(&file).expect("a valid section"),
+        keyring,
     });
     config
 }
 
 #[test]
-fn what_another_front_runs_by_holds_until_a_restart_and_that_is_said() {
-    let mut rig = rig();
-    for (listen, named) in [("127.0.0.1:0", false), ("127.0.0.1:1", true)] {
-        let effects = rig.input(Input::Reload(Ok(Box::new(configured(listen)))));
-        let said =
+fn a_changed_frontend_configuration_is_logged_as_effective_after_a_restart() {
+    let mut harness = backend_harness();
+    for (listen, is_changed) in [("127.0.0.1:0", false), ("127.0.0.1:1", true)] {
+        let effects = harness.input(Input::Reload(Ok(Box::new(flight_config(listen)))));
+        let logged =
             |e: &Effect| matches!(e, Effect::Log(line) if line.contains("until a restart: flight"));
-        assert_eq!(effects.iter().any(said), named, "{effects:?}");
+        assert_eq!(effects.iter().any(logged), is_changed, "{effects:?}");
     }
 }
 
-/// Brings connections up and answers probes until a statement is asked; gives it.
-fn asked(rig: &mut Rig, mut effects: Vec<Effect>) -> (ConnectionId, BackendRequest) {
+/// Establishes connections and answers health checks until a request is sent. Returns its connection and the request.
+fn next_request(
+    harness: &mut ReducerHarness,
+    mut effects: Vec<Effect>,
+) -> (ConnectionId, BackendRequest) {
     for _ in 0..200 {
         let mut next = Vec::new();
         for effect in effects {
             match effect {
                 Effect::BackendConnect(conn, _) => {
-                    next.extend(rig.input(Input::MemberConnected(conn)))
+                    next.extend(harness.input(Input::MemberConnected(conn)))
                 }
-                Effect::BackendSend(conn, asked) if asked.statement.starts_with("SHOW") => {
-                    rig.input(Input::MemberFlushed(conn));
-                    let text = format!("x0={}.0", rig.now / SECOND);
-                    next.extend(rig.reply(conn, [row(text.as_bytes()), vec![ready()]].concat()));
+                Effect::BackendSend(conn, request) if request.statement.starts_with("SHOW") => {
+                    harness.input(Input::MemberFlushed(conn));
+                    let text = format!("x0={}.0", harness.now / SECOND);
+                    next.extend(
+                        harness.reply(conn, [row(text.as_bytes()), vec![ready()]].concat()),
+                    );
                 }
-                Effect::BackendSend(conn, asked) => {
-                    rig.input(Input::MemberFlushed(conn));
-                    return (conn, asked);
+                Effect::BackendSend(conn, request) => {
+                    harness.input(Input::MemberFlushed(conn));
+                    return (conn, request);
                 }
                 Effect::MemberConnect(..) | Effect::MemberWrite(..) => {
-                    panic!("they do not speak that")
+                    panic!("the members do not speak the PostgreSQL protocol")
                 }
                 _ => {}
             }
         }
         effects = if next.is_empty() {
-            rig.pass(20 * MS)
+            harness.advance(20 * MS)
         } else {
             next
         };
     }
-    panic!("nothing was asked");
+    panic!("no request was sent");
 }
 
-fn begin(rig: &mut Rig, call: u64) -> ConnectionId {
-    let effects = rig.input(Input::Call(CallId(call), read(900), true));
-    let (conn, asked) = asked(rig, effects);
+/// Starts a call whose response is a stream, and returns the stream's connection.
+fn begin_stream(harness: &mut ReducerHarness, call: u64) -> ConnectionId {
+    let effects = harness.input(Input::Call(CallId(call), read_query(900), true));
+    let (conn, request) = next_request(harness, effects);
     assert!(
-        asked.may_stream && !asked.is_write && asked.timeout_ms <= 900,
-        "{asked:?}"
+        request.may_stream && !request.is_write && request.timeout_ms <= 900,
+        "{request:?}"
     );
-    let position = Some(rig.now - 10 * MS);
-    let effects = rig.input(Input::StreamStarted(
+    let position = Some(harness.now - 10 * MS);
+    let effects = harness.input(Input::StreamStarted(
         conn,
         StreamHeader {
             position,
@@ -96,89 +102,102 @@
     conn
 }
 
-/// Requests that the router takes members to hold.
-fn in_flight(rig: &Rig) -> u32 {
-    rig.reducer
+/// The number of requests that the router counts as in flight at all members.
+fn in_flight(harness: &ReducerHarness) -> u32 {
+    harness
+        .reducer
         .member_statuses()
-        .map(|seen| seen.snapshot.in_flight)
+        .map(|member| member.snapshot.in_flight)
         .sum()
 }
 
-fn asks(effects: &[Effect]) -> usize {
-    let asks = |e: &&Effect| matches!(e, Effect::BackendSend(_, asked) if !asked.statement.starts_with("SHOW"));
-    effects.iter().filter(asks).count()
+/// The number of requests sent to members, without health checks.
+fn requests_sent(effects: &[Effect]) -> usize {
+    let is_request = |e: &&Effect| matches!(e, Effect::BackendSend(_, request) if !request.statement.starts_with("SHOW"));
+    effects.iter().filter(is_request).count()
 }
 
 #[test]
-fn a_stream_is_load_until_it_is_over_and_its_connection_serves_again() {
-    let mut rig = rig();
-    let conn = begin(&mut rig, 1);
-    rig.pass(3 * SECOND);
-    assert_eq!(in_flight(&rig), 1, "long after its time to begin");
-    let effects = rig.input(Input::StreamEnded(conn, Outcome::Served));
+fn a_stream_counts_as_load_until_it_ends_and_its_connection_is_reused() {
+    let mut harness = backend_harness();
+    let conn = begin_stream(&mut harness, 1);
+    harness.advance(3 * SECOND);
+    assert_eq!(
+        in_flight(&harness),
+        1,
+        "long after the deadline for its start"
+    );
+    let effects = harness.input(Input::StreamEnded(conn, Outcome::Served));
     assert!(!closed(&effects).contains(&conn));
     assert_eq!(
-        (in_flight(&rig), rig.reducer.counters().streams_begun),
+        (
+            in_flight(&harness),
+            harness.reducer.counters().streams_begun
+        ),
         (0, 1)
     );
     assert!(
-        rig.reducer
+        harness
+            .reducer
             .member_statuses()
-            .all(|seen| seen.snapshot.latency_ratio < 1.0),
-        "its length is no strain"
+            .all(|member| member.snapshot.latency_ratio < 1.0),
+        "its duration does not count as latency"
     );
 }
 
 #[test]
-fn a_stream_that_waits_for_its_reader_is_no_load() {
-    let mut rig = rig();
-    let conn = begin(&mut rig, 1);
-    rig.input(Input::StreamPaused(conn));
-    rig.input(Input::StreamPaused(conn));
-    assert_eq!(in_flight(&rig), 0);
-    rig.input(Input::StreamEnded(conn, Outcome::Cancelled));
+fn a_paused_stream_does_not_count_as_load() {
+    let mut harness = backend_harness();
+    let conn = begin_stream(&mut harness, 1);
+    harness.input(Input::StreamPaused(conn));
+    harness.input(Input::StreamPaused(conn));
+    assert_eq!(in_flight(&harness), 0);
+    harness.input(Input::StreamEnded(conn, Outcome::Cancelled));
     assert_eq!(
-        (in_flight(&rig), rig.reducer.counters().streams_broken),
+        (
+            in_flight(&harness),
+            harness.reducer.counters().streams_broken
+        ),
         (0, 1)
     );
 }
 
 #[test]
-fn a_stream_that_breaks_is_not_begun_again() {
-    let mut rig = rig();
-    let conn = begin(&mut rig, 1);
-    let mut effects = rig.input(Input::MemberClosed(conn, CloseReason::Disconnected));
-    effects.extend(rig.pass(2 * SECOND));
-    assert_eq!(asks(&effects), 0, "{effects:?}");
-    assert_eq!(in_flight(&rig), 0);
+fn a_broken_stream_is_not_retried() {
+    let mut harness = backend_harness();
+    let conn = begin_stream(&mut harness, 1);
+    let mut effects = harness.input(Input::MemberClosed(conn, CloseReason::Disconnected));
+    effects.extend(harness.advance(2 * SECOND));
+    assert_eq!(requests_sent(&effects), 0, "{effects:?}");
+    assert_eq!(in_flight(&harness), 0);
 }
 
 #[test]
-fn a_client_that_leaves_halfway_ends_its_stream_and_leaves_nothing() {
-    let mut rig = rig();
-    let conn = begin(&mut rig, 1);
-    let effects = rig.input(Input::CallCancelled(CallId(1)));
+fn a_stream_of_a_cancelled_call_is_closed_and_leaves_no_state() {
+    let mut harness = backend_harness();
+    let conn = begin_stream(&mut harness, 1);
+    let effects = harness.input(Input::CallCancelled(CallId(1)));
     assert_eq!(closed(&effects), [conn]);
-    rig.input(Input::StreamEnded(conn, Outcome::Cancelled));
-    rig.input(Input::CallCancelled(CallId(1)));
-    let counters = rig.reducer.counters();
+    harness.input(Input::StreamEnded(conn, Outcome::Cancelled));
+    harness.input(Input::CallCancelled(CallId(1)));
+    let counters = harness.reducer.counters();
     assert_eq!(
         (
             counters.buffered_bytes,
             counters.ended_cancelled,
-            in_flight(&rig)
+            in_flight(&harness)
         ),
         (0, 1, 0)
     );
 }
 
 #[test]
-fn one_that_begins_after_its_client_left_is_closed() {
-    let mut rig = rig();
-    let effects = rig.input(Input::Call(CallId(1), read(900), true));
-    let (conn, _) = asked(&mut rig, effects);
-    let mut effects = rig.input(Input::CallCancelled(CallId(1)));
-    effects.extend(rig.input(Input::StreamStarted(conn, StreamHeader::default())));
+fn a_stream_that_begins_after_its_call_was_cancelled_is_closed() {
+    let mut harness = backend_harness();
+    let effects = harness.input(Input::Call(CallId(1), read_query(900), true));
+    let (conn, _) = next_request(&mut harness, effects);
+    let mut effects = harness.input(Input::CallCancelled(CallId(1)));
+    effects.extend(harness.input(Input::StreamStarted(conn, StreamHeader::default())));
     assert!(closed(&effects).contains(&conn));
     assert!(!effects
         .iter()
@@ -186,38 +205,38 @@
 }
 
 #[test]
-fn a_write_is_no_stream_and_never_asked_again_once_it_may_have_run() {
-    for (why, harmless) in [
+fn a_write_is_not_streamed_and_not_retried_once_it_may_have_run() {
+    for (reason, is_retryable) in [
         (CloseReason::Disconnected, false),
         (CloseReason::NotSent, true),
     ] {
-        let mut rig = rig();
-        let effects = rig.input(Input::Call(CallId(1), buy(900), true));
-        let (conn, first) = asked(&mut rig, effects);
+        let mut harness = backend_harness();
+        let effects = harness.input(Input::Call(CallId(1), write_query(900), true));
+        let (conn, first) = next_request(&mut harness, effects);
         assert!(first.is_write && !first.may_stream, "{first:?}");
-        let mut effects = rig.input(Input::MemberClosed(conn, why));
-        effects.extend(rig.pass(2 * SECOND));
-        assert!(harmless || asks(&effects) == 0, "{effects:?}");
-        let ended = effects.iter().find_map(|e| match e {
-            Effect::CallCompleted(_, ended) => Some(ended.clone()),
+        let mut effects = harness.input(Input::MemberClosed(conn, reason));
+        effects.extend(harness.advance(2 * SECOND));
+        assert!(is_retryable || requests_sent(&effects) == 0, "{effects:?}");
+        let response = effects.iter().find_map(|e| match e {
+            Effect::CallCompleted(_, response) => Some(response.clone()),
             _ => None,
         });
         assert_eq!(
-            matches!(ended, Some(FinalResponse::Rejected(..))),
-            harmless,
-            "{ended:?}"
+            matches!(response, Some(FinalResponse::Rejected(..))),
+            is_retryable,
+            "{response:?}"
         );
         assert_eq!(
-            matches!(ended, Some(FinalResponse::Failed(_))),
-            !harmless,
-            "{ended:?}"
+            matches!(response, Some(FinalResponse::Failed(_))),
+            !is_retryable,
+            "{response:?}"
         );
     }
 }
 
 #[test]
-fn a_probe_is_never_answered_by_a_stream() {
-    let mut rig = rig();
+fn a_stream_is_not_accepted_as_a_health_check_response() {
+    let mut harness = backend_harness();
     let opened = |effects: Vec<Effect>| {
         effects.into_iter().find_map(|e| {
             if let Effect::BackendConnect(conn, _) = e {
@@ -228,23 +247,23 @@
         })
     };
     let conn = (0..200)
-        .find_map(|_| opened(rig.pass(10 * MS)))
-        .expect("a probe");
-    let effects = rig.input(Input::MemberConnected(conn));
+        .find_map(|_| opened(harness.advance(10 * MS)))
+        .expect("a connection for a health check");
+    let effects = harness.input(Input::MemberConnected(conn));
     assert!(
-        matches!(&effects[..], [Effect::BackendSend(_, asked), ..] if asked.statement.starts_with("SHOW"))
+        matches!(&effects[..], [Effect::BackendSend(_, request), ..] if request.statement.starts_with("SHOW"))
     );
-    rig.input(Input::MemberFlushed(conn));
-    let effects = rig.input(Input::StreamStarted(conn, StreamHeader::default()));
+    harness.input(Input::MemberFlushed(conn));
+    let effects = harness.input(Input::StreamStarted(conn, StreamHeader::default()));
     assert!(closed(&effects).contains(&conn));
-    assert!(rig.reducer.counters().health_checks_failed > 0);
+    assert!(harness.reducer.counters().health_checks_failed > 0);
 }
 
-/// A gateway that may open one connection a second or so to members that have just started.
-fn paced_rig() -> Rig {
-    let mut config = configured("127.0.0.1:0");
+/// A gateway that may open about one connection per second to members that have just started.
+fn paced_harness() -> ReducerHarness {
+    let mut config = flight_config("127.0.0.1:0");
     config.initial_endpoints = None;
-    // Its budget for members that warm up is no limit here.
+    // Keeps the gateway's budget for cold members from limiting the test.
     config.settings.router.fleet_size = 1;
     let options = Bootstrap {
         bears: 100,
@@ -255,31 +274,32 @@
         reset_after: Duration::from_millis(60_000),
     };
     config.bootstrap = Some(options.clone());
-    let mut rig = Rig::with(config);
+    let mut harness = ReducerHarness::with(config);
     let mut effects = Vec::new();
-    rig.reducer
-        .enable_bootstrap(rig.now, &options, None, None, &mut effects);
-    rig.pass(100 * MS);
+    harness
+        .reducer
+        .enable_bootstrap(harness.now, &options, None, None, &mut effects);
+    harness.advance(100 * MS);
     let since = format!("\"up_since_ms\":{}", START / MS);
     let entries = [entry(1, "ready", "leader")].map(|e| e.replace("\"up_since_ms\":0", &since));
-    rig.input(Input::EndpointList(list(1, true, &entries)));
-    rig
+    harness.input(Input::EndpointList(list(1, true, &entries)));
+    harness
 }
 
-/// The connection of a stream that had ended was not used for what waited, until the pacer looked at all members again.
+/// When a stream ended, its connection was not used for waiting requests until the pacer next checked all members.
 #[test]
-fn what_waits_for_a_paced_connection_is_sent_when_a_stream_ends() {
-    let mut rig = paced_rig();
-    let effects = rig.input(Input::Call(CallId(1), read(1_900), true));
-    let (conn, _) = asked(&mut rig, effects);
-    rig.input(Input::StreamStarted(conn, StreamHeader::default()));
-    let effects = rig.input(Input::Call(CallId(2), read(1_900), true));
-    let sends = |effects: &[Effect]| {
+fn a_request_that_waits_for_a_paced_connection_is_sent_when_a_stream_ends() {
+    let mut harness = paced_harness();
+    let effects = harness.input(Input::Call(CallId(1), read_query(1_900), true));
+    let (conn, _) = next_request(&mut harness, effects);
+    harness.input(Input::StreamStarted(conn, StreamHeader::default()));
+    let effects = harness.input(Input::Call(CallId(2), read_query(1_900), true));
+    let sent_count = |effects: &[Effect]| {
         let sent = effects.iter();
         sent.filter(|e| matches!(e, Effect::BackendSend(..)))
             .count()
     };
-    assert_eq!(sends(&effects), 0, "the one connection is taken");
-    let effects = rig.input(Input::StreamEnded(conn, Outcome::Served));
-    assert_eq!(sends(&effects), 1, "{effects:?}");
+    assert_eq!(sent_count(&effects), 0, "the only connection is in use");
+    let effects = harness.input(Input::StreamEnded(conn, Outcome::Served));
+    assert_eq!(sent_count(&effects), 1, "{effects:?}");
 }
--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -41,13 +41,13 @@
 }
 
 impl Agent {
-    fn opened(&mut self, now: Time, rig: &mut Rig) {
+    fn opened(&mut self, now: Time, harness: &mut ReducerHarness) {
         self.next = None;
         if now < self.from {
-            rig.input(Input::WatchConnected);
+            harness.input(Input::WatchConnected);
             self.next = Some((now + 2 * SECOND, Input::WatchKeepalive));
         } else if now >= self.back {
-            rig.input(Input::WatchConnected);
+            harness.input(Input::WatchConnected);
             let drains = list(2, false, &[entry(2, "draining", "follower")]);
             self.next = Some((now + MS, Input::EndpointList(drains)));
         } else {
@@ -56,9 +56,9 @@
                     self.next = Some((now, Input::WatchLost("refused".into())))
                 }
                 AgentFailure::Swallows => {}
-                AgentFailure::Stalls => drop(rig.input(Input::WatchConnected)),
+                AgentFailure::Stalls => drop(harness.input(Input::WatchConnected)),
                 AgentFailure::Cuts(after) => {
-                    rig.input(Input::WatchConnected);
+                    harness.input(Input::WatchConnected);
                     self.next = Some((now + after, Input::WatchLost("cut off".into())));
                 }
             }
@@ -66,22 +66,22 @@
     }
 }
 
-/// How many instances the fleet of [`rig_of_instance`] has.
+/// How many instances the fleet of [`harness_of_instance`] has.
 const FLEET_SIZE: u32 = 1000;
 
 /// An instance that knows nothing yet, so that only the watch is at work.
-fn rig_of_instance(index: u32) -> Rig {
+fn harness_of_instance(index: u32) -> ReducerHarness {
     let mut config = config("null");
     config.seed = index.into();
     let settings = &mut config.settings.router;
     (settings.instance_index, settings.fleet_size) = (index, FLEET_SIZE);
-    Rig::with(config)
+    ReducerHarness::with(config)
 }
 
 /// How long after its return the agent's word of a drain is taken.
 fn delay_until_applied(instance: u32, open: LastSign, down: AgentFailure, lasts: Span) -> Span {
-    let mut rig = rig_of_instance(instance);
-    let from = rig.now + 6 * SECOND;
+    let mut harness = harness_of_instance(instance);
+    let from = harness.now + 6 * SECOND;
     let mut agent = Agent {
         down,
         open,
@@ -93,25 +93,35 @@
     let mut gone = false;
     loop {
         for _ in 0..std::mem::take(&mut opens) {
-            agent.opened(rig.now, &mut rig);
+            agent.opened(harness.now, &mut harness);
         }
-        if !gone && rig.now >= from {
+        if !gone && harness.now >= from {
             gone = true;
             match agent.open {
-                LastSign::Ends => agent.next = Some((rig.now, Input::WatchLost("ended".into()))),
+                LastSign::Ends => {
+                    agent.next = Some((harness.now, Input::WatchLost("ended".into())))
+                }
                 // Its last line came that long ago.
                 LastSign::FellSilent(_) => agent.next = None,
             }
         }
         let next = agent.next.as_ref().map(|(at, _)| *at);
-        let moments = [next, rig.reducer.next_due(), Some(from).filter(|_| !gone)];
+        let moments = [
+            next,
+            harness.reducer.next_due(),
+            Some(from).filter(|_| !gone),
+        ];
         let until = moments
             .into_iter()
             .flatten()
             .min()
             .expect("the look at what stands still");
-        let mut effects = rig.pass((until - rig.now).max(0));
-        if agent.next.as_ref().is_some_and(|(at, _)| *at <= rig.now) {
+        let mut effects = harness.advance((until - harness.now).max(0));
+        if agent
+            .next
+            .as_ref()
+            .is_some_and(|(at, _)| *at <= harness.now)
+        {
             let (at, input) = agent.next.take().expect("a word");
             if matches!(input, Input::WatchKeepalive) {
                 let before = match agent.open {
@@ -122,12 +132,12 @@
                 let last = next > from - before;
                 agent.next = (!last).then_some((next, Input::WatchKeepalive));
             }
-            effects.extend(rig.input(input));
+            effects.extend(harness.input(input));
         }
-        if rig.reducer.counters().lists > 0 {
-            return rig.now - agent.back.max(from);
+        if harness.reducer.counters().lists > 0 {
+            return harness.now - agent.back.max(from);
         }
-        assert!(rig.now < agent.back + 20 * SECOND, "never told");
+        assert!(harness.now < agent.back + 20 * SECOND, "never told");
         opens = effects
             .iter()
             .filter(|e| matches!(e, Effect::OpenWatch(..)))
@@ -175,10 +185,10 @@
 /// The rule's six seconds begin when the watch falls silent, as an agent that is there sends blank lines.
 #[test]
 fn a_silent_watch_is_opened_anew_at_once_and_only_whole_lines_count() {
-    let mut rig = Rig::new(&three());
-    rig.input(Input::WatchConnected);
-    rig.pass(2 * SECOND);
-    rig.input(Input::WatchKeepalive);
+    let mut harness = ReducerHarness::new(&three_members());
+    harness.input(Input::WatchConnected);
+    harness.advance(2 * SECOND);
+    harness.input(Input::WatchKeepalive);
     let opened = |effects: &[Effect]| {
         effects
             .iter()
@@ -186,11 +196,11 @@
             .count()
     };
     assert_eq!(
-        opened(&rig.pass(3990 * MS)),
+        opened(&harness.advance(3990 * MS)),
         0,
         "two blank lines may be late"
     );
-    let effects = rig.pass(150 * MS);
+    let effects = harness.advance(150 * MS);
     assert!(effects.contains(&Effect::CloseWatch) && opened(&effects) == 1);
 }
 
@@ -198,15 +208,15 @@
 #[test]
 fn a_moved_list_is_told_within_four_seconds_of_the_signal() {
     for up in [false, true] {
-        let mut rig = Rig::new(&three());
+        let mut harness = ReducerHarness::new(&three_members());
         let text = config_text("null").replace("127.0.0.1:8500", "127.0.0.1:8600");
         let config =
             stackgw_gateway::config::Config::from_text(&text, |_| None).expect("a configuration");
-        rig.input(Input::Reload(Ok(Box::new(config))));
+        harness.input(Input::Reload(Ok(Box::new(config))));
         if up {
-            rig.input(Input::WatchConnected);
+            harness.input(Input::WatchConnected);
         }
-        let effects = rig.pass(3500 * MS);
+        let effects = harness.advance(3500 * MS);
         assert!(
             effects.iter().any(|e| matches!(e, Effect::OpenWatch(..))),
             "up: {up}"
@@ -270,18 +280,18 @@
 }
 
 /// How long after an outage of this length an instance polls the agent.
-fn first_poll_after_outage(mut rig: Rig, lasts: Span) -> Span {
-    let ends = rig.now + lasts;
-    let mut effects = rig.input(Input::WatchLost("ended".into()));
+fn first_poll_after_outage(mut harness: ReducerHarness, lasts: Span) -> Span {
+    let ends = harness.now + lasts;
+    let mut effects = harness.input(Input::WatchLost("ended".into()));
     loop {
         if effects.iter().any(|e| matches!(e, Effect::OpenWatch(..))) {
-            if rig.now >= ends {
-                return rig.now - ends;
+            if harness.now >= ends {
+                return harness.now - ends;
             }
-            effects = rig.input(Input::WatchLost("refused".into()));
+            effects = harness.input(Input::WatchLost("refused".into()));
         } else {
-            let due = rig.reducer.next_due().expect("the backoff's end");
-            effects = rig.pass(due - rig.now);
+            let due = harness.reducer.next_due().expect("the backoff's end");
+            effects = harness.advance(due - harness.now);
         }
     }
 }
@@ -300,8 +310,10 @@
 #[test]
 fn gateways_poll_evenly_spread_after_an_outage() {
     for seconds in [6, 20, 60] {
-        let rigs = (0..FLEET_SIZE).map(rig_of_instance);
-        let peak = peak_of_polls(rigs.map(|rig| first_poll_after_outage(rig, seconds * SECOND)));
+        let harnesses = (0..FLEET_SIZE).map(harness_of_instance);
+        let peak = peak_of_polls(
+            harnesses.map(|harness| first_poll_after_outage(harness, seconds * SECOND)),
+        );
         assert!(peak <= FLEET_SIZE * 11 / 100, "{seconds} s: {peak}");
     }
 }
@@ -309,22 +321,22 @@
 /// After a short outage their pauses have not grown to the longest; jitter spreads them.
 #[test]
 fn gateways_poll_spread_after_a_short_outage() {
-    let rigs = (0..FLEET_SIZE).map(rig_of_instance);
-    let peak = peak_of_polls(rigs.map(|rig| first_poll_after_outage(rig, SECOND)));
+    let harnesses = (0..FLEET_SIZE).map(harness_of_instance);
+    let peak = peak_of_polls(harnesses.map(|harness| first_poll_after_outage(harness, SECOND)));
     assert!(peak <= FLEET_SIZE * 3 / 10, "{peak}");
 }
 
 /// Instances that share number and seed but not a name differ too.
 #[test]
 fn gateways_with_one_seed_and_other_names_do_not_poll_in_step() {
-    let rig_of_name = |n: u32| {
+    let harness_of_name = |n: u32| {
         let mut config = config("null");
         config.name = format!("g{n}");
         // It has no number of its own.
         config.settings.router.instance_index = config.settings.router.fleet_size;
-        Rig::with(config)
+        ReducerHarness::with(config)
     };
-    let rigs = (0..FLEET_SIZE).map(rig_of_name);
-    let peak = peak_of_polls(rigs.map(|rig| first_poll_after_outage(rig, 6 * SECOND)));
+    let harnesses = (0..FLEET_SIZE).map(harness_of_name);
+    let peak = peak_of_polls(harnesses.map(|harness| first_poll_after_outage(harness, 6 * SECOND)));
     assert!(peak <= FLEET_SIZE * 15 / 100, "{peak}");
 }
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -197,9 +197,9 @@
 #[test]
 fn clients_are_answered_with_the_same_bytes() {
     let mut out = String::new();
-    let mut rig = Rig::new(&three());
-    rig.input(Input::ClientConnected(ClientId(1)));
-    let welcome = client_writes(&rig.input(Input::ClientFrame(ClientId(1), startup())));
+    let mut harness = ReducerHarness::new(&three_members());
+    harness.input(Input::ClientConnected(ClientId(1)));
+    let welcome = client_writes(&harness.input(Input::ClientFrame(ClientId(1), startup())));
     // What follows is a key for cancelling, drawn at random.
     line(
         &mut out,
@@ -207,9 +207,9 @@
         &welcome[..welcome.len().saturating_sub(2 * (8 + 6))],
     );
     for (number, text) in STATEMENTS.iter().enumerate().skip(5) {
-        let mut rig = Rig::new(&three());
-        let client = rig.client(1);
-        let effects = rig.input(Input::ClientFrame(client, query(text)));
+        let mut harness = ReducerHarness::new(&three_members());
+        let client = harness.client(1);
+        let effects = harness.input(Input::ClientFrame(client, query(text)));
         line(
             &mut out,
             &format!("statement {number}"),
@@ -217,9 +217,9 @@
         );
     }
     for kind in *b"PBDECHSFdcfpX" {
-        let mut rig = Rig::new(&three());
-        let client = rig.client(1);
-        let effects = rig.input(Input::ClientFrame(client, message(kind, b"")));
+        let mut harness = ReducerHarness::new(&three_members());
+        let client = harness.client(1);
+        let effects = harness.input(Input::ClientFrame(client, message(kind, b"")));
         line(
             &mut out,
             &format!("message {}", char::from(kind)),
@@ -234,12 +234,12 @@
         (3 << 16) + 2,
         code::VERSION_3,
     ] {
-        let mut rig = Rig::new(&three());
+        let mut harness = ReducerHarness::new(&three_members());
         let mut bytes = 9u32.to_be_bytes().to_vec();
         bytes.extend(startup_code.to_be_bytes());
         bytes.push(7);
-        rig.input(Input::ClientConnected(ClientId(1)));
-        let effects = rig.input(Input::ClientFrame(ClientId(1), Frame { kind: 0, bytes }));
+        harness.input(Input::ClientConnected(ClientId(1)));
+        let effects = harness.input(Input::ClientFrame(ClientId(1), Frame { kind: 0, bytes }));
         line(
             &mut out,
             &format!("startup {startup_code}"),
