--- a/crates/stackgw-gateway/tests/extreme_numbers.rs
+++ b/crates/stackgw-gateway/tests/extreme_numbers.rs
@@ -1,4 +1,4 @@
-//! Every number of the configuration, and of the endpoint list, at its extremes: it is refused, or the gateway runs with it.
+//! Every number of the configuration and of the endpoint list, at extreme values: it is rejected, or the gateway runs with it.
 
 mod common;
 
@@ -9,25 +9,25 @@
 use stackgw_gateway::reducer::Input;
 use stackgw_router::api::{MS, SECOND};
 
-/// JSON pointers to all numbers of a document.
-fn numbers(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Collects the JSON pointers to all numbers of a document.
+fn collect_number_pointers(value: &Value, pointer: &str, found: &mut Vec<String>) {
     match value {
-        Value::Number(_) => found.push(at.to_owned()),
+        Value::Number(_) => found.push(pointer.to_owned()),
         Value::Array(values) => {
             for (index, value) in values.iter().enumerate() {
-                numbers(value, &format!("{at}/{index}"), found);
+                collect_number_pointers(value, &format!("{pointer}/{index}"), found);
             }
         }
         Value::Object(fields) => {
             for (name, value) in fields {
-                numbers(value, &format!("{at}/{name}"), found);
+                collect_number_pointers(value, &format!("{pointer}/{name}"), found);
             }
         }
         _ => {}
     }
 }
 
-fn extremes() -> Vec<Value> {
+fn extreme_values() -> Vec<Value> {
     vec![
         json!(0),
         json!(1),
@@ -41,7 +41,7 @@
     ]
 }
 
-/// Starts a gateway of this configuration, and lets some time pass with requests in flight.
+/// Starts a gateway with this configuration and lets some time pass with requests in flight.
 fn run_for_a_while(config: Config) {
     let mut harness = ReducerHarness::with(config);
     let client = harness.client(1);
@@ -54,16 +54,16 @@
     harness.advance(3 * SECOND);
 }
 
-/// Sets each number of a document to each extreme; the ones with which this panics.
-fn panics_with_extremes(document: &Value, run: fn(&Value)) -> Vec<String> {
+/// Sets each number of a document to each extreme value, and returns the ones with which `run` panics.
+fn panicking_values(document: &Value, run: fn(&Value)) -> Vec<String> {
     let mut pointers = Vec::new();
-    numbers(document, "", &mut pointers);
+    collect_number_pointers(document, "", &mut pointers);
     assert!(!pointers.is_empty());
     let mut panicked = Vec::new();
     for pointer in &pointers {
-        for extreme in extremes() {
+        for extreme in extreme_values() {
             let mut changed = document.clone();
-            *changed.pointer_mut(pointer).expect("it is there") = extreme.clone();
+            *changed.pointer_mut(pointer).expect("the pointer is valid") = extreme.clone();
             if std::panic::catch_unwind(|| run(&changed)).is_err() {
                 panicked.push(format!("{pointer} = {extreme}"));
             }
@@ -72,11 +72,11 @@
     panicked
 }
 
-/// A number that is accepted and overflows later panics in a debug build, and wraps around in a release.
+/// A number that is accepted and overflows later panics in a debug build and wraps around in a release build.
 #[test]
-fn a_configuration_with_an_extreme_number_is_refused_or_runs() {
-    let document: Value = serde_json::from_str(&config_text(&three_members())).expect("a document");
-    let panicked = panics_with_extremes(&document, |changed| {
+fn a_configuration_with_an_extreme_number_is_rejected_or_runs() {
+    let document: Value = serde_json::from_str(&config_text(&three_members())).expect("valid JSON");
+    let panicked = panicking_values(&document, |changed| {
         if let Ok(config) = Config::from_text(&changed.to_string(), |_| None) {
             run_for_a_while(config);
         }
@@ -85,9 +85,9 @@
 }
 
 #[test]
-fn a_list_with_an_extreme_number_is_refused_or_serves() {
-    let document: Value = serde_json::from_str(&three_members()).expect("a list");
-    let panicked = panics_with_extremes(&document, |changed| {
+fn a_list_with_an_extreme_number_is_rejected_or_serves() {
+    let document: Value = serde_json::from_str(&three_members()).expect("valid JSON");
+    let panicked = panicking_values(&document, |changed| {
         let Ok(update) = parse_endpoint_list(changed.to_string().as_bytes()) else {
             return;
         };
--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -1,5 +1,5 @@
-//! The watch of the list: however an agent fails, and at whatever moment it comes back, what it then has is told here within
-//! six seconds.
+//! The watch of the endpoint list: however and whenever the agent of the list service fails and recovers, its current list is
+//! applied within 6 s.
 
 mod common;
 
@@ -8,68 +8,70 @@
 use stackgw_gateway::reducer::{Effect, Input};
 use stackgw_router::api::{Span, Time, MS, SECOND};
 
-/// How a watch that is opened while the agent is down goes on.
+/// The outcome of opening a watch while the agent is down.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum AgentFailure {
     /// The connection is refused.
-    Refuses,
-    /// It never comes up.
-    Swallows,
-    /// It comes up and nothing follows: no head, half of one, half a chunk, half a line, or bytes that are no whole line.
+    RefusesConnect,
+    /// The connect gets no answer.
+    IgnoresConnect,
+    /// The connection is established, but no complete line follows: no head, part of one, part of a chunk, or part of a line.
     Stalls,
-    /// It comes up and ends after this long.
-    Cuts(Span),
+    /// The connection is established and ends after this long.
+    DisconnectsAfter(Span),
 }
 
-/// What the watch that was open did when the agent went down.
+/// How the open watch ends when the agent fails.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum LastSign {
-    /// It ended.
-    Ends,
-    /// It fell silent after a last blank line so long before.
-    FellSilent(Span),
+enum OpenWatchFailure {
+    /// The connection ends.
+    Disconnected,
+    /// No more data arrives; the last blank line arrived this long before the failure.
+    Silent(Span),
 }
 
-/// An agent that goes down at one moment and can be reached again from another on.
+/// An agent that is unreachable for some time.
 struct Agent {
-    down: AgentFailure,
-    open: LastSign,
-    from: Time,
-    back: Time,
-    /// The open watch's next word.
-    next: Option<(Time, Input)>,
+    /// The outcome of opening a watch while the agent is down.
+    connect_failure: AgentFailure,
+    /// How the watch that is open at the start of the outage ends.
+    open_watch_failure: OpenWatchFailure,
+    outage_start: Time,
+    outage_end: Time,
+    /// The next input from the open watch.
+    next_input: Option<(Time, Input)>,
 }
 
 impl Agent {
-    fn opened(&mut self, now: Time, harness: &mut ReducerHarness) {
-        self.next = None;
-        if now < self.from {
+    fn open_watch(&mut self, now: Time, harness: &mut ReducerHarness) {
+        self.next_input = None;
+        if now < self.outage_start {
             harness.input(Input::WatchConnected);
-            self.next = Some((now + 2 * SECOND, Input::WatchKeepalive));
-        } else if now >= self.back {
+            self.next_input = Some((now + 2 * SECOND, Input::WatchKeepalive));
+        } else if now >= self.outage_end {
             harness.input(Input::WatchConnected);
-            let drains = list(2, false, &[entry(2, "draining", "follower")]);
-            self.next = Some((now + MS, Input::EndpointList(drains)));
+            let drain_notice = list(2, false, &[entry(2, "draining", "follower")]);
+            self.next_input = Some((now + MS, Input::EndpointList(drain_notice)));
         } else {
-            match self.down {
-                AgentFailure::Refuses => {
-                    self.next = Some((now, Input::WatchLost("refused".into())))
+            match self.connect_failure {
+                AgentFailure::RefusesConnect => {
+                    self.next_input = Some((now, Input::WatchLost("refused".into())))
                 }
-                AgentFailure::Swallows => {}
+                AgentFailure::IgnoresConnect => {}
                 AgentFailure::Stalls => drop(harness.input(Input::WatchConnected)),
-                AgentFailure::Cuts(after) => {
+                AgentFailure::DisconnectsAfter(after) => {
                     harness.input(Input::WatchConnected);
-                    self.next = Some((now + after, Input::WatchLost("cut off".into())));
+                    self.next_input = Some((now + after, Input::WatchLost("cut off".into())));
                 }
             }
         }
     }
 }
 
-/// How many instances the fleet of [`harness_of_instance`] has.
+/// The number of instances in the fleet of [`harness_of_instance`].
 const FLEET_SIZE: u32 = 1000;
 
-/// An instance that knows nothing yet, so that only the watch is at work.
+/// An instance without an endpoint list, so that only the watch is active.
 fn harness_of_instance(index: u32) -> ReducerHarness {
     let mut config = config("null");
     config.seed = index.into();
@@ -78,103 +80,115 @@
     ReducerHarness::with(config)
 }
 
-/// How long after its return the agent's word of a drain is taken.
-fn delay_until_applied(instance: u32, open: LastSign, down: AgentFailure, lasts: Span) -> Span {
+/// How long after the end of the outage the agent's drain notice is applied.
+fn delay_until_applied(
+    instance: u32,
+    open_watch_failure: OpenWatchFailure,
+    connect_failure: AgentFailure,
+    outage: Span,
+) -> Span {
     let mut harness = harness_of_instance(instance);
-    let from = harness.now + 6 * SECOND;
+    let outage_start = harness.now + 6 * SECOND;
     let mut agent = Agent {
-        down,
-        open,
-        from,
-        back: from + lasts,
-        next: None,
+        connect_failure,
+        open_watch_failure,
+        outage_start,
+        outage_end: outage_start + outage,
+        next_input: None,
     };
-    let mut opens = 1;
-    let mut gone = false;
+    let mut watches_to_open = 1;
+    let mut has_failed = false;
     loop {
-        for _ in 0..std::mem::take(&mut opens) {
-            agent.opened(harness.now, &mut harness);
+        for _ in 0..std::mem::take(&mut watches_to_open) {
+            agent.open_watch(harness.now, &mut harness);
         }
-        if !gone && harness.now >= from {
-            gone = true;
-            match agent.open {
-                LastSign::Ends => {
-                    agent.next = Some((harness.now, Input::WatchLost("ended".into())))
+        if !has_failed && harness.now >= outage_start {
+            has_failed = true;
+            match agent.open_watch_failure {
+                OpenWatchFailure::Disconnected => {
+                    agent.next_input = Some((harness.now, Input::WatchLost("ended".into())))
                 }
-                // Its last line came that long ago.
-                LastSign::FellSilent(_) => agent.next = None,
+                // The last line has arrived already.
+                OpenWatchFailure::Silent(_) => agent.next_input = None,
             }
         }
-        let next = agent.next.as_ref().map(|(at, _)| *at);
-        let moments = [
-            next,
+        let next_input_at = agent.next_input.as_ref().map(|(at, _)| *at);
+        let next_times = [
+            next_input_at,
             harness.reducer.next_due(),
-            Some(from).filter(|_| !gone),
+            Some(outage_start).filter(|_| !has_failed),
         ];
-        let until = moments
+        let until = next_times
             .into_iter()
             .flatten()
             .min()
-            .expect("the look at what stands still");
+            .expect("the sweep timer is always set");
         let mut effects = harness.advance((until - harness.now).max(0));
         if agent
-            .next
+            .next_input
             .as_ref()
             .is_some_and(|(at, _)| *at <= harness.now)
         {
-            let (at, input) = agent.next.take().expect("a word");
+            let (at, input) = agent.next_input.take().expect("an input is due");
             if matches!(input, Input::WatchKeepalive) {
-                let before = match agent.open {
-                    LastSign::FellSilent(before) => before,
-                    LastSign::Ends => 0,
+                let silent_before = match agent.open_watch_failure {
+                    OpenWatchFailure::Silent(silent_before) => silent_before,
+                    OpenWatchFailure::Disconnected => 0,
                 };
                 let next = at + 2 * SECOND;
-                let last = next > from - before;
-                agent.next = (!last).then_some((next, Input::WatchKeepalive));
+                let is_last = next > outage_start - silent_before;
+                agent.next_input = (!is_last).then_some((next, Input::WatchKeepalive));
             }
             effects.extend(harness.input(input));
         }
         if harness.reducer.counters().lists > 0 {
-            return harness.now - agent.back.max(from);
+            return harness.now - agent.outage_end.max(outage_start);
         }
-        assert!(harness.now < agent.back + 20 * SECOND, "never told");
-        opens = effects
+        assert!(
+            harness.now < agent.outage_end + 20 * SECOND,
+            "the list was not applied"
+        );
+        watches_to_open = effects
             .iter()
             .filter(|e| matches!(e, Effect::OpenWatch(..)))
             .count();
     }
 }
 
-/// Found by reading: a dial swallowed just before the agent's return had 5 s and up to half a second from a clock of silence that
-/// the dial itself had set anew, and a pause of a second came behind that.
+/// A connect that got no answer just before the agent recovered restarted the idle timeout: the watch was given up only after
+/// 5 s and up to half a second more, and a backoff of 1 s followed.
 #[test]
-fn a_change_is_told_six_seconds_after_the_agent_can_be_reached_however_it_was_down() {
-    let opens = [
-        LastSign::Ends,
-        LastSign::FellSilent(0),
-        LastSign::FellSilent(SECOND),
-        LastSign::FellSilent(1990 * MS),
+fn a_change_is_applied_within_six_seconds_after_any_outage_of_the_agent() {
+    let open_watch_failures = [
+        OpenWatchFailure::Disconnected,
+        OpenWatchFailure::Silent(0),
+        OpenWatchFailure::Silent(SECOND),
+        OpenWatchFailure::Silent(1990 * MS),
     ];
-    let downs = [
-        AgentFailure::Refuses,
-        AgentFailure::Swallows,
+    let connect_failures = [
+        AgentFailure::RefusesConnect,
+        AgentFailure::IgnoresConnect,
         AgentFailure::Stalls,
-        AgentFailure::Cuts(0),
-        AgentFailure::Cuts(400 * MS),
-        AgentFailure::Cuts(2500 * MS),
+        AgentFailure::DisconnectsAfter(0),
+        AgentFailure::DisconnectsAfter(400 * MS),
+        AgentFailure::DisconnectsAfter(2500 * MS),
     ];
     let mut worst = (0, String::new());
-    for open in opens {
-        for down in downs {
-            // Every phase of the pauses and clocks, also where these have grown to their longest.
+    for open_watch_failure in open_watch_failures {
+        for connect_failure in connect_failures {
+            // Covers every phase of the backoffs and timers, including the longest backoff.
             for phase in 0..240 {
-                let lasts = phase * 50 * MS;
-                // Other draws and another slot for each.
+                let outage = phase * 50 * MS;
+                // Each outage gets other random numbers and another slot.
                 let instance = phase as u32 * 619 % FLEET_SIZE;
-                let told = delay_until_applied(instance, open, down, lasts);
+                let delay =
+                    delay_until_applied(instance, open_watch_failure, connect_failure, outage);
                 worst = worst.max((
-                    told,
-                    format!("{open:?}, {down:?}, down for {} ms", lasts / MS),
+                    delay,
+                    format!(
+                        "{open_watch_failure:?}, {connect_failure:?}, down for {} ms",
+                        outage / MS
+                    ),
                 ));
             }
         }
@@ -182,9 +196,9 @@
     assert!(worst.0 <= 5500 * MS, "{} ms: {}", worst.0 / MS, worst.1);
 }
 
-/// The rule's six seconds begin when the watch falls silent, as an agent that is there sends blank lines.
+/// The limit of 6 s counts from the last line of the watch, since a reachable agent sends blank lines.
 #[test]
-fn a_silent_watch_is_opened_anew_at_once_and_only_whole_lines_count() {
+fn a_silent_watch_is_reopened_after_its_idle_timeout() {
     let mut harness = ReducerHarness::new(&three_members());
     harness.input(Input::WatchConnected);
     harness.advance(2 * SECOND);
@@ -198,106 +212,107 @@
     assert_eq!(
         opened(&harness.advance(3990 * MS)),
         0,
-        "two blank lines may be late"
+        "two blank lines may be missing"
     );
     let effects = harness.advance(150 * MS);
     assert!(effects.contains(&Effect::CloseWatch) && opened(&effects) == 1);
 }
 
-/// Where the list is at a new address it counts four seconds after the signal, whatever the first try there meets.
+/// After a reload with a new address of the list service, changes there count 4 s after the signal, even if the first connect
+/// fails.
 #[test]
-fn a_moved_list_is_told_within_four_seconds_of_the_signal() {
-    for up in [false, true] {
+fn a_list_at_a_new_address_is_applied_within_four_seconds_of_the_signal() {
+    for connects in [false, true] {
         let mut harness = ReducerHarness::new(&three_members());
         let text = config_text("null").replace("127.0.0.1:8500", "127.0.0.1:8600");
         let config =
             stackgw_gateway::config::Config::from_text(&text, |_| None).expect("a configuration");
         harness.input(Input::Reload(Ok(Box::new(config))));
-        if up {
+        if connects {
             harness.input(Input::WatchConnected);
         }
         let effects = harness.advance(3500 * MS);
         assert!(
             effects.iter().any(|e| matches!(e, Effect::OpenWatch(..))),
-            "up: {up}"
+            "connects: {connects}"
         );
     }
 }
 
 #[test]
-fn a_list_may_come_over_many_lines_and_one_that_is_cut_off_swallows_none_behind_it() {
+fn a_list_may_span_lines_and_an_incomplete_one_does_not_hide_the_next() {
     let one = list_text(3, true, &[entry(1, "ready", "leader")]);
     let value: serde_json::Value = serde_json::from_str(&one).expect("a list");
-    let wanted = list(3, true, &[entry(1, "ready", "leader")]);
+    let expected = list(3, true, &[entry(1, "ready", "leader")]);
     let indented = serde_json::to_string_pretty(&value).expect("text");
-    let mut objects = WatchParser::new(1 << 20);
-    let mut words: Vec<_> = indented
+    let mut parser = WatchParser::new(1 << 20);
+    let mut events: Vec<_> = indented
         .lines()
-        .map(|line| objects.push_line(line.as_bytes().to_vec()).expect("a line"))
+        .map(|line| parser.push_line(line.as_bytes().to_vec()).expect("a line"))
         .collect();
-    assert_eq!(words.pop(), Some(WatchEvent::List(wanted.clone())));
-    assert!(words.iter().all(|word| *word == WatchEvent::Incomplete));
-    assert_eq!(objects.push_line(b"  ".to_vec()), Ok(WatchEvent::Heartbeat));
+    assert_eq!(events.pop(), Some(WatchEvent::List(expected.clone())));
+    assert!(events.iter().all(|event| *event == WatchEvent::Incomplete));
+    assert_eq!(parser.push_line(b"  ".to_vec()), Ok(WatchEvent::Heartbeat));
     assert_eq!(
-        objects.push_line(one.clone().into_bytes()),
-        Ok(WatchEvent::List(wanted))
+        parser.push_line(one.clone().into_bytes()),
+        Ok(WatchEvent::List(expected))
     );
-    // Brackets and quotes inside a text are text.
+    // Brackets and quotes within a string do not count as structure.
     let odd = one.replace("\"room\"", r#""a }]\"{""#);
     assert!(matches!(
-        objects.push_line(odd.into_bytes()),
+        parser.push_line(odd.into_bytes()),
         Ok(WatchEvent::List(_))
     ));
-    // Nor does it matter how far the lines are indented.
+    // The indentation of the lines does not matter.
     let flat: Vec<_> = indented
         .lines()
-        .map(|line| objects.push_line(line.trim().into()).expect("a line"))
+        .map(|line| parser.push_line(line.trim().into()).expect("a line"))
         .collect();
     assert!(matches!(flat.last(), Some(WatchEvent::List(_))));
     assert!(matches!(
-        objects.push_line(format!("  {one}").into_bytes()),
+        parser.push_line(format!("  {one}").into_bytes()),
         Ok(WatchEvent::List(_))
     ));
-    for behind in ["", &one, "x"] {
-        let mut objects = WatchParser::new(1 << 20);
+    for next in ["", &one, "x"] {
+        let mut parser = WatchParser::new(1 << 20);
         assert_eq!(
-            objects.push_line(one.as_bytes()[..40].to_vec()),
+            parser.push_line(one.as_bytes()[..40].to_vec()),
             Ok(WatchEvent::Incomplete)
         );
         assert_eq!(
-            objects.push_line(behind.into()).is_err(),
-            behind != "x",
-            "'{behind}'"
+            parser.push_line(next.into()).is_err(),
+            next != "x",
+            "'{next}'"
         );
     }
     assert!(
         WatchParser::new(20).push_line(one.into_bytes()).is_err(),
-        "a list has its bound"
+        "a list over the size limit"
     );
     assert!(WatchParser::new(1 << 20)
         .push_line(b"nonsense".to_vec())
         .is_err());
 }
 
-/// How long after an outage of this length an instance polls the agent.
-fn first_poll_after_outage(mut harness: ReducerHarness, lasts: Span) -> Span {
-    let ends = harness.now + lasts;
+/// How long after an outage of this length an instance first polls the agent.
+fn first_poll_after_outage(mut harness: ReducerHarness, outage: Span) -> Span {
+    let outage_end = harness.now + outage;
     let mut effects = harness.input(Input::WatchLost("ended".into()));
     loop {
         if effects.iter().any(|e| matches!(e, Effect::OpenWatch(..))) {
-            if harness.now >= ends {
-                return harness.now - ends;
+            if harness.now >= outage_end {
+                return harness.now - outage_end;
             }
             effects = harness.input(Input::WatchLost("refused".into()));
         } else {
-            let due = harness.reducer.next_due().expect("the backoff's end");
+            let due = harness.reducer.next_due().expect("the backoff has a timer");
             effects = harness.advance(due - harness.now);
         }
     }
 }
 
-/// The most of these polls, each at most a second after an outage, in any of its tenths.
-fn peak_of_polls(polls: impl Iterator<Item = Span>) -> u32 {
+/// The largest number of polls within any 100 ms. Each poll must be at most 1 s after the outage.
+fn peak_polls(polls: impl Iterator<Item = Span>) -> u32 {
     let mut counts = [0; 10];
     for after in polls {
         assert!((0..=SECOND).contains(&after), "{} ms", after / MS);
@@ -306,37 +321,36 @@
     counts.into_iter().max().unwrap_or(0)
 }
 
-/// Gateways that lost the list service in the same moment came back in the same tenth of a second.
+/// Gateways that lost the list service at the same time polled it again within the same 100 ms.
 #[test]
 fn gateways_poll_evenly_spread_after_an_outage() {
     for seconds in [6, 20, 60] {
         let harnesses = (0..FLEET_SIZE).map(harness_of_instance);
-        let peak = peak_of_polls(
-            harnesses.map(|harness| first_poll_after_outage(harness, seconds * SECOND)),
-        );
+        let peak =
+            peak_polls(harnesses.map(|harness| first_poll_after_outage(harness, seconds * SECOND)));
         assert!(peak <= FLEET_SIZE * 11 / 100, "{seconds} s: {peak}");
     }
 }
 
-/// After a short outage their pauses have not grown to the longest; jitter spreads them.
+/// After a short outage the backoffs have not reached their maximum, and only jitter spreads the polls.
 #[test]
 fn gateways_poll_spread_after_a_short_outage() {
     let harnesses = (0..FLEET_SIZE).map(harness_of_instance);
-    let peak = peak_of_polls(harnesses.map(|harness| first_poll_after_outage(harness, SECOND)));
+    let peak = peak_polls(harnesses.map(|harness| first_poll_after_outage(harness, SECOND)));
     assert!(peak <= FLEET_SIZE * 3 / 10, "{peak}");
 }
 
-/// Instances that share number and seed but not a name differ too.
+/// Instances that have the same index and seed but different names poll at different times too.
 #[test]
-fn gateways_with_one_seed_and_other_names_do_not_poll_in_step() {
+fn gateways_with_the_same_seed_and_different_names_do_not_poll_in_step() {
     let harness_of_name = |n: u32| {
         let mut config = config("null");
         config.name = format!("g{n}");
-        // It has no number of its own.
+        // No instance has an index of its own.
         config.settings.router.instance_index = config.settings.router.fleet_size;
         ReducerHarness::with(config)
     };
     let harnesses = (0..FLEET_SIZE).map(harness_of_name);
-    let peak = peak_of_polls(harnesses.map(|harness| first_poll_after_outage(harness, 6 * SECOND)));
+    let peak = peak_polls(harnesses.map(|harness| first_poll_after_outage(harness, 6 * SECOND)));
     assert!(peak <= FLEET_SIZE * 15 / 100, "{peak}");
 }
