--- a/crates/stackgw-gateway/tests/config.rs
+++ b/crates/stackgw-gateway/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration and the limits that come of it.
+//! The configuration and the limits computed from it.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use stackgw_router::api::{MS, SECOND};
 
 #[test]
-fn the_document_is_read_and_variables_override_it() {
+fn the_document_is_parsed_and_environment_variables_override_it() {
     let config = config(&three_members());
     assert_eq!((config.name.as_str(), config.seed), ("g0", 0x8c1f));
     assert_eq!(config.settings.names.classes, ["look", "mine", "buy"]);
@@ -23,7 +23,7 @@
     );
     assert_eq!(config.limits.connect_timeout, 250 * MS);
     let var = |name: &str| (name == "ROUTER_NAME").then(|| "other".to_owned());
-    let config = Config::from_text(&config_text("null"), var).expect("a configuration");
+    let config = Config::from_text(&config_text("null"), var).expect("a valid configuration");
     assert_eq!(
         (config.name.as_str(), config.initial_endpoints),
         ("other", None)
@@ -33,7 +33,7 @@
 #[test]
 fn each_malformed_field_is_named() {
     let whole = config_text(&three_members());
-    for (from, to, says) in [
+    for (from, to, expected) in [
         ("\"g0\"", "7", "name"),
         ("\"127.0.0.1:8500\"", "\"agent\"", "discovery: 'agent'"),
         (
@@ -62,14 +62,14 @@
             .expect_err(from)
             .to_string();
         assert!(
-            problem.contains(says) && !problem.contains('\n'),
+            problem.contains(expected) && !problem.contains('\n'),
             "{from}: {problem}"
         );
     }
 }
 
 #[test]
-fn budgets_stay_within_what_the_platform_gives() {
+fn limits_stay_within_the_resources_of_the_platform() {
     let settings = config("null").settings;
     for sockets in [64, 128, 1024, 65_536] {
         for memory_mb in [32, 192, 2048] {
@@ -78,9 +78,9 @@
                 limits.clients + limits.client_reserve + limits.member_connections + 32 <= sockets
             );
             assert!(limits.clients > 0 && limits.member_connections > 0);
-            // Statements in hand, bytes not yet handed over, and partial answers.
+            // Accepted statements, bytes that are not delivered yet, and partial responses.
             assert!(2 * limits.client_bytes + limits.member_bytes <= (memory_mb << 20) / 2);
-            // What clients leave unread comes on top.
+            // Bytes that clients have not read come in addition.
             assert!(
                 limits.pending_write_bytes <= (memory_mb << 20) / 4
                     && limits.answer_bytes > 64 << 10
@@ -96,26 +96,26 @@
         &settings,
     );
     assert!(limits.member_idle_timeout < 20 * SECOND && limits.shutdown_accept > 400 * MS);
-    // Killed no sooner than the longest deadline (2 s here) and 0.7 s after SIGTERM.
+    // The SIGKILL follows the SIGTERM after the longest deadline (2 s here) and 0.7 s at the earliest.
     assert!(
         limits.shutdown_deadline > 2 * SECOND + 500 * MS
             && limits.shutdown_deadline < 2 * SECOND + 700 * MS
     );
 }
 
-/// Found by reading: figures that no gateway can honour were taken as they came; a bound of nothing ended the process where gateways
-/// talk to each other, as the router divides by it.
+/// Settings that no gateway can satisfy were accepted. A staleness bound of 0 crashed gateways that gossip, because the router
+/// divides by it.
 #[test]
-fn settings_that_cannot_be_honoured_are_refused_by_name() {
-    let with = |from: &str, to: &str| {
+fn impossible_settings_are_rejected_by_name() {
+    let parse_with = |from: &str, to: &str| {
         let text = config_text("null");
         assert!(text.contains(from), "{from}");
         Config::from_text(&text.replacen(from, to, 1), |_| None)
             .map(|_| ())
             .map_err(|e| e.to_string())
     };
-    assert_eq!(with("\"Me\":0", "\"Me\":0"), Ok(()));
-    for (from, to, names) in [
+    assert_eq!(parse_with("\"Me\":0", "\"Me\":0"), Ok(()));
+    for (from, to, name) in [
         (
             "\"StalenessBoundNs\":[1000000000,",
             "\"StalenessBoundNs\":[0,",
@@ -154,17 +154,17 @@
         ("\"MaxOpen\":1000", "\"MaxOpen\":-1", "MaxOpen"),
         ("\"Behind\":\"silent\"", "\"Behind\":\"odd\"", "Behind"),
     ] {
-        let said = with(from, to).expect_err(names);
-        assert!(said.contains(names) && !said.contains('\n'), "{said}");
+        let error = parse_with(from, to).expect_err(name);
+        assert!(error.contains(name) && !error.contains('\n'), "{error}");
     }
-    let keyed = config_text("null").replacen("\"retryable\"", "\"dedup\"", 1);
-    let said = Config::from_text(
-        &keyed.replacen("\"DedupWindowNs\":0", "\"DedupWindowNs\":-1", 1),
+    let with_key = config_text("null").replacen("\"retryable\"", "\"dedup\"", 1);
+    let result = Config::from_text(
+        &with_key.replacen("\"DedupWindowNs\":0", "\"DedupWindowNs\":-1", 1),
         |_| None,
     );
-    assert!(said
+    assert!(result
         .map(|_| ())
-        .expect_err("a window")
+        .expect_err("the window is negative")
         .to_string()
         .contains("DedupWindowNs"));
 }
--- a/crates/stackgw-gateway/tests/config_texts.rs
+++ b/crates/stackgw-gateway/tests/config_texts.rs
@@ -1,4 +1,4 @@
-//! How the gateway reads its configuration, what it says where it cannot, and the limits that come of it, compared with
+//! The parsed configuration, the errors of invalid ones, and the limits computed from the configuration, compared with
 //! fixtures.
 
 mod common;
@@ -10,7 +10,7 @@
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
 
-/// What is replaced in the configuration by what.
+/// Replacements in the configuration: the original text and the new one.
 const CONFIG_CHANGES: [(&str, &str); 40] = [
     ("{\"name\"", "[{\"name\""),
     ("\"g0\"", "7"),
@@ -60,7 +60,7 @@
 fn config_line(config: Result<Config, impl Display>) -> String {
     let config = match config {
         Ok(config) => config,
-        Err(problem) => return format!("error: {problem}"),
+        Err(error) => return format!("error: {error}"),
     };
     let peers = config
         .peers
@@ -87,20 +87,20 @@
 }
 
 #[test]
-fn the_configuration_is_read_with_the_same_errors() {
+fn the_configuration_is_parsed_with_the_same_errors() {
     let mut out = String::new();
-    let whole = config_text(&three_members());
+    let valid = config_text(&three_members());
     line(
         &mut out,
         "whole",
-        config_line(Config::from_text(&whole, |_| None)),
+        config_line(Config::from_text(&valid, |_| None)),
     );
     for (from, to) in CONFIG_CHANGES {
-        assert!(whole.contains(from), "{from}");
+        assert!(valid.contains(from), "{from}");
         line(
             &mut out,
             to,
-            config_line(Config::from_text(&whole.replacen(from, to, 1), |_| None)),
+            config_line(Config::from_text(&valid.replacen(from, to, 1), |_| None)),
         );
     }
     for name in [
@@ -109,38 +109,38 @@
         "ROUTER_DISCOVERY",
         "ROUTER_SEED",
     ] {
-        let var = |asked: &str| (asked == name).then(|| "10.0.0.1:99".to_owned());
-        line(&mut out, name, config_line(Config::from_text(&whole, var)));
-        let var = |asked: &str| (asked == name).then(|| "nowhere".to_owned());
-        line(&mut out, name, config_line(Config::from_text(&whole, var)));
+        let var = |requested: &str| (requested == name).then(|| "10.0.0.1:99".to_owned());
+        line(&mut out, name, config_line(Config::from_text(&valid, var)));
+        let var = |requested: &str| (requested == name).then(|| "nowhere".to_owned());
+        line(&mut out, name, config_line(Config::from_text(&valid, var)));
     }
     compare("config.txt", &out);
 }
 
-/// A folder of its own, removed when dropped.
-struct Folder(PathBuf);
+/// A temporary directory, removed when dropped.
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("stackgw-wire-texts-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        std::fs::create_dir_all(&path).expect("a new directory");
+        TempDir(path)
     }
 
-    fn file(&self, name: &str, text: &str) -> PathBuf {
+    fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
-        std::fs::write(&path, text).expect("a file");
+        std::fs::write(&path, text).expect("a writable file");
         path
     }
 
-    /// The text with this folder's path replaced by a fixed one.
-    fn fixed(&self, text: &str) -> String {
+    /// Replaces this directory's path in the text by a fixed one.
+    fn replace_path(&self, text: &str) -> String {
         text.replace(&self.0.display().to_string(), "/folder")
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -148,67 +148,70 @@
 
 #[test]
 fn files_are_read_with_the_same_errors() {
-    let folder = Folder::new("files");
+    let directory = TempDir::new("files");
     let mut out = String::new();
-    let mut say = |label: &str, config: Result<Config, String>| {
-        let text = config.map_or_else(|problem| format!("error: {problem}"), |config| config.name);
-        line(&mut out, label, folder.fixed(&text));
+    let mut add_line = |label: &str, config: Result<Config, String>| {
+        let text = config.map_or_else(|error| format!("error: {error}"), |config| config.name);
+        line(&mut out, label, directory.replace_path(&text));
     };
     let from_env = |path: Option<&Path>| {
         let path = path.map(|path| path.display().to_string());
         Config::from_env(|name| path.clone().filter(|_| name == "ROUTER_CONFIG"))
             .map_err(|e| e.to_string())
     };
-    say("no variable", from_env(None));
-    say("no file", from_env(Some(&folder.0.join("none.json"))));
-    say("folder", from_env(Some(&folder.0)));
-    say("no JSON", from_env(Some(&folder.file("no.json", "{"))));
-    let path = folder.file("good.json", &config_text("null"));
-    say("good", from_env(Some(&path)));
-    let good = from_env(Some(&path)).expect("a configuration");
-    // What runs already: the file wins.
-    let again = good.reloader();
-    let read = || again.reload().map_err(|e| e.to_string());
-    say("read again", read());
-    folder.file(
+    add_line("no variable", from_env(None));
+    add_line("no file", from_env(Some(&directory.0.join("none.json"))));
+    add_line("folder", from_env(Some(&directory.0)));
+    add_line(
+        "no JSON",
+        from_env(Some(&directory.write_file("no.json", "{"))),
+    );
+    let path = directory.write_file("good.json", &config_text("null"));
+    add_line("good", from_env(Some(&path)));
+    let good = from_env(Some(&path)).expect("a valid configuration");
+    // On a reload the file takes precedence over the running configuration.
+    let reloader = good.reloader();
+    let reload = || reloader.reload().map_err(|e| e.to_string());
+    add_line("read again", reload());
+    directory.write_file(
         "good.json",
         &config_text("null").replacen("\"name\":\"g0\",", "", 1),
     );
-    say("read again without a name", read());
-    folder.file(
+    add_line("read again without a name", reload());
+    directory.write_file(
         "good.json",
         &config_text("null").replacen("\"g0\"", "\"g9\"", 1),
     );
-    say("read again with another name", read());
-    folder.file("good.json", "{}");
-    say("read again without limits", read());
-    std::fs::remove_file(&path).expect("it is there");
-    say("read again without a file", read());
-    let unnamed = Config::from_text(&config_text("null"), |_| None).expect("a configuration");
-    say(
+    add_line("read again with another name", reload());
+    directory.write_file("good.json", "{}");
+    add_line("read again without limits", reload());
+    std::fs::remove_file(&path).expect("the file exists");
+    add_line("read again without a file", reload());
+    let unnamed = Config::from_text(&config_text("null"), |_| None).expect("a valid configuration");
+    add_line(
         "read again where none was named",
         unnamed.reloader().reload().map_err(|e| e.to_string()),
     );
     compare("files.txt", &out);
 }
 
-/// Operator's files, with keys of every kind, good and bad.
-fn operator_texts(folder: &Folder) -> Vec<String> {
-    let good = folder
-        .file("key", "0123456789abcdef0123\n")
+/// Texts of operator files with valid and invalid keys of every kind.
+fn operator_texts(directory: &TempDir) -> Vec<String> {
+    let good = directory
+        .write_file("key", "0123456789abcdef0123\n")
         .display()
         .to_string();
-    let short = folder
-        .file("short", "0123456789abcde\n")
+    let short = directory
+        .write_file("short", "0123456789abcde\n")
         .display()
         .to_string();
-    let large = folder
-        .file("large", &"x".repeat(5_000))
+    let large = directory
+        .write_file("large", &"x".repeat(5_000))
         .display()
         .to_string();
-    let none = folder.0.join("none").display().to_string();
-    let directory = folder.0.display().to_string();
-    let keys = [good.as_str(), &short, &large, &none, &directory];
+    let missing = directory.0.join("none").display().to_string();
+    let not_a_file = directory.0.display().to_string();
+    let keys = [good.as_str(), &short, &large, &missing, &not_a_file];
     let sessions = |key: &str| {
         format!("sessions:\n  cluster: c\n  listen: 127.0.0.1:1\n  keepers: [g0, g1]\n  keys: [{key}]\n")
     };
@@ -226,10 +229,10 @@
     texts
 }
 
-fn operator_line(read: Result<Config, impl Display>) -> String {
-    let config = match read {
+fn operator_line(config: Result<Config, impl Display>) -> String {
+    let config = match config {
         Ok(config) => config,
-        Err(problem) => return format!("error: {problem}"),
+        Err(error) => return format!("error: {error}"),
     };
     let sessions = config
         .session_sharing
@@ -259,23 +262,27 @@
 }
 
 #[test]
-fn the_operators_file_is_read_with_the_same_errors() {
-    let folder = Folder::new("operator");
+fn the_operators_file_is_parsed_with_the_same_errors() {
+    let directory = TempDir::new("operator");
     let mut out = String::new();
-    for (number, text) in operator_texts(&folder).iter().enumerate() {
-        let path = folder.file("operator.yaml", text);
-        let read = operator_line(config("null").with_operator(&path));
-        line(&mut out, &format!("file {number}"), folder.fixed(&read));
+    for (number, text) in operator_texts(&directory).iter().enumerate() {
+        let path = directory.write_file("operator.yaml", text);
+        let text = operator_line(config("null").with_operator(&path));
+        line(
+            &mut out,
+            &format!("file {number}"),
+            directory.replace_path(&text),
+        );
     }
-    let missing = config("null").with_operator(&folder.0.join("none.yaml"));
-    let problem = missing
+    let missing = config("null").with_operator(&directory.0.join("none.yaml"));
+    let error = missing
         .err()
-        .map_or(String::new(), |problem| problem.to_string());
-    line(&mut out, "no file", folder.fixed(&problem));
+        .map_or(String::new(), |error| error.to_string());
+    line(&mut out, "no file", directory.replace_path(&error));
     compare("operator.txt", &out);
 }
 
-/// Each count and size under a name of its own that stays.
+/// Each count and size under the name in the fixture, which does not follow renamed fields.
 fn count_texts(limits: &Limits) -> Vec<String> {
     let counts = [
         ("clients", limits.clients),
@@ -311,7 +318,7 @@
         .to_vec()
 }
 
-/// Each time, in nanoseconds, under a name of its own that stays.
+/// Each time in nanoseconds under the name in the fixture, which does not follow renamed fields.
 fn span_texts(limits: &Limits) -> Vec<String> {
     let spans = [
         ("linger_idle", limits.soft_limit_idle),
@@ -363,9 +370,9 @@
             limits_text(&limits),
         );
     }
-    let mut none = settings.clone();
-    none.router.classes.clear();
-    none.member_idle_timeout = 0;
+    let mut no_classes = settings.clone();
+    no_classes.router.classes.clear();
+    no_classes.member_idle_timeout = 0;
     line(
         &mut out,
         "no classes",
@@ -374,7 +381,7 @@
                 memory_mb: 64,
                 sockets: 128,
             },
-            &none,
+            &no_classes,
         )),
     );
     compare("limits.txt", &out);
--- a/crates/stackgw-gateway/tests/discovery_texts.rs
+++ b/crates/stackgw-gateway/tests/discovery_texts.rs
@@ -1,4 +1,4 @@
-//! What the gateway sends to the list service, and how it reads the answers, compared with fixtures.
+//! The requests to the list service and the parsed responses, compared with fixtures.
 
 mod common;
 
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn the_list_service_is_asked_with_the_same_bytes() {
+fn requests_to_the_list_service_have_the_same_bytes() {
     let mut out = String::new();
     for host in ["127.0.0.1:8500", "[::1]:80"] {
         let host = host.parse().expect("an address");
@@ -26,40 +26,40 @@
     compare("list_requests.txt", &out);
 }
 
-fn http_text(answer: &[u8], size: usize) -> String {
+fn http_text(response: &[u8], chunk_size: usize) -> String {
     let mut parser = HttpLineReader::new(100, 40);
-    let mut all = Vec::new();
-    let name = |piece: &HttpEvent| match piece {
+    let mut texts = Vec::new();
+    let event_text = |event: &HttpEvent| match event {
         HttpEvent::Line(line) => format!("line {}", String::from_utf8_lossy(line)),
         HttpEvent::End => "end".to_owned(),
     };
-    for bytes in answer.chunks(size) {
+    for bytes in response.chunks(chunk_size) {
         match parser.feed(bytes) {
-            Ok(pieces) => all.extend(pieces.iter().map(name)),
-            Err(malformed) => {
+            Ok(events) => texts.extend(events.iter().map(event_text)),
+            Err(error) => {
                 return format!(
-                    "{} error: {malformed}, off {}",
-                    all.join(", "),
+                    "{} error: {error}, off {}",
+                    texts.join(", "),
                     parser.retry_after().unwrap_or(-1)
                 );
             }
         }
     }
-    let ended = match parser.finish() {
-        Ok(pieces) => pieces.iter().map(name).collect::<Vec<_>>().join(", "),
-        Err(malformed) => format!("error: {malformed}"),
+    let end_text = match parser.finish() {
+        Ok(events) => events.iter().map(event_text).collect::<Vec<_>>().join(", "),
+        Err(error) => format!("error: {error}"),
     };
     format!(
-        "{} then {ended}, off {}",
-        all.join(", "),
+        "{} then {end_text}, off {}",
+        texts.join(", "),
         parser.retry_after().unwrap_or(-1)
     )
 }
 
 #[test]
-fn answers_of_the_list_service_are_read_the_same() {
-    let long = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "x".repeat(100));
-    let endless = "x".repeat(101);
+fn responses_of_the_list_service_are_parsed_the_same() {
+    let long_header = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "x".repeat(100));
+    let unterminated = "x".repeat(101);
     let long_line = format!("HTTP/1.1 200 OK\r\n\r\n{}", "y".repeat(41));
     let long_lines = format!("HTTP/1.1 200 OK\r\n\r\n{}\n", "y".repeat(41));
     let chunked =
@@ -84,27 +84,27 @@
         format!("HTTP/1.1 {}\r\n\r\n", "5".repeat(80)),
         "\r\n\r\n".to_owned(),
         "HTTP/1.1 200 OK\r\n".to_owned(),
-        long,
-        endless,
+        long_header,
+        unterminated,
         long_line,
         long_lines,
     ];
     let mut out = String::new();
-    for (number, answer) in cases.iter().enumerate() {
-        for size in [1, 7, 4096] {
+    for (number, response) in cases.iter().enumerate() {
+        for chunk_size in [1, 7, 4096] {
             line(
                 &mut out,
-                &format!("answer {number} by {size}"),
-                http_text(answer.as_bytes(), size),
+                &format!("answer {number} by {chunk_size}"),
+                http_text(response.as_bytes(), chunk_size),
             );
         }
     }
-    let no_text = [b"HTTP/1.1 200 OK\r\nX: ", &b"\xff"[..], b"\r\n\r\n"].concat();
-    line(&mut out, "no text", http_text(&no_text, 4096));
+    let invalid_utf8 = [b"HTTP/1.1 200 OK\r\nX: ", &b"\xff"[..], b"\r\n\r\n"].concat();
+    line(&mut out, "no text", http_text(&invalid_utf8, 4096));
     compare("http.txt", &out);
 }
 
-/// A good list, and what is replaced in it by what.
+/// Replacements in a valid list: the original text and the new one.
 const LIST_CHANGES: [(&str, &str); 22] = [
     ("\"revision\":1", "\"revision\":18446744073709551615"),
     ("\"revision\":1", "\"revision\":-1"),
@@ -131,35 +131,35 @@
 ];
 
 #[test]
-fn lists_are_read_the_same() {
+fn lists_are_parsed_the_same() {
     let mut out = String::new();
-    let read = |text: &str| match parse_endpoint_list(text.as_bytes()) {
+    let parsed = |text: &str| match parse_endpoint_list(text.as_bytes()) {
         Ok(list) => list_text_of(&list),
-        Err(malformed) => format!("error: {malformed}"),
+        Err(error) => format!("error: {error}"),
     };
-    line(&mut out, "list", read(&three_members()));
+    line(&mut out, "list", parsed(&three_members()));
     for (from, to) in LIST_CHANGES {
         assert!(three_members().contains(from), "{from}");
-        line(&mut out, to, read(&three_members().replacen(from, to, 1)));
+        line(&mut out, to, parsed(&three_members().replacen(from, to, 1)));
     }
     compare("lists.txt", &out);
 }
 
-fn watch_text(lines: &[&str], most: usize) -> String {
-    let mut objects = WatchParser::new(most);
-    let read = lines
+fn watch_text(lines: &[&str], max_bytes: usize) -> String {
+    let mut parser = WatchParser::new(max_bytes);
+    let texts = lines
         .iter()
-        .map(|line| match objects.push_line(line.as_bytes().to_vec()) {
+        .map(|line| match parser.push_line(line.as_bytes().to_vec()) {
             Ok(WatchEvent::Heartbeat) => "alive".to_owned(),
             Ok(WatchEvent::List(list)) => format!("list {}", list_text_of(&list)),
             Ok(WatchEvent::Incomplete) => "more".to_owned(),
-            Err(malformed) => format!("error: {malformed}"),
+            Err(error) => format!("error: {error}"),
         });
-    read.collect::<Vec<_>>().join("; ")
+    texts.collect::<Vec<_>>().join("; ")
 }
 
 #[test]
-fn lines_of_a_watch_are_read_the_same() {
+fn lines_of_a_watch_are_parsed_the_same() {
     let one = list_text(7, false, &[entry(1, "ready", "leader")]);
     let odd = one.replace("\"room\"", "\"a } ] \\\" { \"");
     let many = one.replace(',', ",\n");
--- a/crates/stackgw-gateway/tests/endpoint_list.rs
+++ b/crates/stackgw-gateway/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, its watch, a reload, and gossip about members.
+//! The endpoint list, its watch, reloads, and gossip about members.
 
 mod common;
 
@@ -7,48 +7,48 @@
 use stackgw_gateway::reducer::{CloseReason, Effect, Input};
 use stackgw_router::api::{MS, SECOND};
 
-/// Why a document that is no JSON cannot be used.
+/// The error for a document that is not valid JSON.
 fn unusable_config() -> ConfigError {
-    Config::from_text("{", |_| None).expect_err("no JSON")
+    Config::from_text("{", |_| None).expect_err("the document is not valid JSON")
 }
 
 #[test]
-fn the_watch_starts_after_the_known_version_and_is_opened_anew_with_pauses() {
+fn the_watch_starts_after_the_known_revision_and_is_reopened_with_backoff() {
     let mut harness = ReducerHarness::new(&three_members());
     assert!(harness.effects.contains(&Effect::OpenWatch(
         "127.0.0.1:8500".parse().expect("an address"),
         Some(1)
     )));
-    let count = |effects: &[Effect]| {
+    let watches_opened = |effects: &[Effect]| {
         effects
             .iter()
             .filter(|e| matches!(e, Effect::OpenWatch(..)))
             .count()
     };
     let effects = harness.input(Input::WatchLost("ended".into()));
-    assert_eq!(count(&effects), 0, "not at once");
-    assert_eq!(count(&harness.advance(150 * MS)), 1);
+    assert_eq!(watches_opened(&effects), 0, "not at once");
+    assert_eq!(watches_opened(&harness.advance(150 * MS)), 1);
     harness.input(Input::WatchLost("refused".into()));
     assert_eq!(
-        count(&harness.advance(150 * MS)),
+        watches_opened(&harness.advance(150 * MS)),
         0,
-        "the second pause is longer"
+        "the second backoff is longer"
     );
-    assert_eq!(count(&harness.advance(SECOND)), 1);
-    // Blank lines keep it; silence does not, for longer than two of them.
+    assert_eq!(watches_opened(&harness.advance(SECOND)), 1);
+    // Blank lines keep the watch open. It is reopened after a silence longer than two intervals of blank lines.
     harness.input(Input::WatchConnected);
     for _ in 0..5 {
         harness.advance(2 * SECOND);
         harness.input(Input::WatchKeepalive);
     }
-    let lost = harness.reducer.counters().watches_lost;
-    assert_eq!(lost, 2);
+    let watches_lost = harness.reducer.counters().watches_lost;
+    assert_eq!(watches_lost, 2);
     let effects = harness.advance(4500 * MS);
-    assert!(effects.contains(&Effect::CloseWatch) && count(&effects) == 1);
+    assert!(effects.contains(&Effect::CloseWatch) && watches_opened(&effects) == 1);
 }
 
 #[test]
-fn a_drain_reaches_the_router_at_once() {
+fn a_drain_notice_takes_effect_at_once() {
     let mut harness = ReducerHarness::new(&three_members());
     let client = harness.client(1);
     harness.input(Input::EndpointList(list(
@@ -65,15 +65,15 @@
         effects.extend(harness.advance(500 * MS));
         assert!(
             opened(&effects).iter().all(|(_, member)| *member == 3),
-            "a draining member was sent to"
+            "a request was sent to a draining member"
         );
     }
-    let text = list(1, false, &[entry(1, "ready", "leader")]);
-    harness.input(Input::EndpointList(text));
+    let older = list(1, false, &[entry(1, "ready", "leader")]);
+    harness.input(Input::EndpointList(older));
     assert_eq!(
         harness.reducer.counters().lists,
         1,
-        "older word undoes no newer"
+        "an older list does not replace a newer one"
     );
 }
 
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn gossip_is_accepted_only_from_gateways_of_the_tier() {
+fn gossip_is_accepted_only_from_known_gateways() {
     let mut harness = ReducerHarness::new(&three_members());
     harness.input(Input::GossipDatagram(
         "127.0.0.1:7901".parse().expect("an address"),
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_responses_say_of_members_is_gossiped_in_small_datagrams() {
+fn member_states_from_responses_are_gossiped_in_small_datagrams() {
     let (mut harness, _, conn) = request_in_flight(read_query(900));
     harness.serve(conn, b"x");
     let effects = harness.advance(3 * SECOND);
@@ -135,10 +135,10 @@
     );
 }
 
-/// What SIGHUP brings: the list comes from the new address at once and whole, whatever versions the old one had.
+/// After a reload (SIGHUP) the complete list is requested at the new address at once, regardless of the revisions of the old one.
 #[test]
-#[expect(clippy::too_many_lines, reason = "one history, step by step")]
-fn a_new_configuration_moves_the_watch_and_old_versions_do_not_bind() {
+#[expect(clippy::too_many_lines, reason = "one sequence of steps")]
+fn a_reload_moves_the_watch_and_old_revisions_do_not_count() {
     let known = list_text(
         41,
         true,
@@ -147,7 +147,10 @@
     let mut harness = ReducerHarness::new(&known);
     let client = harness.client(1);
     let config = |text: String| {
-        Box::new(stackgw_gateway::config::Config::from_text(&text, |_| None).expect("one"))
+        Box::new(
+            stackgw_gateway::config::Config::from_text(&text, |_| None)
+                .expect("a valid configuration"),
+        )
     };
     let moved = || config_text("null").replace("127.0.0.1:8500", "127.0.0.1:8600");
     let effects = harness.input(Input::Reload(Ok(config(moved()))));
@@ -156,7 +159,7 @@
         effects.contains(&Effect::CloseWatch) && effects.contains(&Effect::OpenWatch(new, None)),
         "{effects:?}"
     );
-    // Its versions are lower, and count all the same.
+    // The revisions there are lower and still count.
     harness.input(Input::EndpointList(list(
         3,
         true,
@@ -175,14 +178,14 @@
     let effects = harness.send(client, read_query(400));
     assert!(
         opened(&effects).iter().all(|(_, member)| *member == 3),
-        "what it tells binds"
+        "the list from the new address is applied"
     );
-    // Lost, it is asked for at the new address after the new versions.
+    // A lost watch is reopened at the new address after the new revision.
     harness.input(Input::WatchLost("ended".into()));
     assert!(harness
         .advance(SECOND)
         .contains(&Effect::OpenWatch(new, Some(4))));
-    // The same once more changes nothing; one that cannot be used neither, and is one line.
+    // A reload of the same configuration changes nothing, and neither does an invalid one, which is logged in one line.
     let effects = harness.input(Input::Reload(Ok(config(moved()))));
     assert!(!effects
         .iter()
@@ -192,13 +195,13 @@
         matches!(&effects[..], [Effect::Log(line)] if line.contains("not valid JSON")),
         "{effects:?}"
     );
-    // What cannot change while running is said.
+    // Settings that cannot change without a restart are logged.
     let other = moved()
         .replace("\"sockets\":128", "\"sockets\":256")
         .replace("\"g0\"", "\"g7\"");
     let effects = harness.input(Input::Reload(Ok(config(other))));
-    let said = |e: &Effect| matches!(e, Effect::Log(line) if line.contains("until a restart: name, limits"));
-    assert!(effects.iter().any(said), "{effects:?}");
+    let logged = |e: &Effect| matches!(e, Effect::Log(line) if line.contains("until a restart: name, limits"));
+    assert!(effects.iter().any(logged), "{effects:?}");
     assert_eq!(
         (
             harness.reducer.counters().reloads,
@@ -208,12 +211,12 @@
     );
 }
 
-/// The long day: members are replaced throughout under new ids, clients and sessions are always new. What is kept of
-/// them is what is there now and a little of what has just gone.
+/// Members are replaced all the time under new ids, and clients and sessions are always new. Only the current ones and a few
+/// recent ones may be kept in memory.
 #[test]
-fn nothing_grows_over_many_generations() {
+fn memory_does_not_grow_over_many_generations_of_members() {
     let mut harness = ReducerHarness::new(&list_text(1, true, &[entry(1, "ready", "leader")]));
-    let mut most = [0; 2];
+    let mut peaks = [0; 2];
     for n in 0..400u32 {
         let (old, new) = (1 + n, 2 + n);
         let ready = |m| entry(m, "ready", if m == new { "leader" } else { "follower" });
@@ -241,10 +244,14 @@
         harness.advance(SECOND);
         harness.input(Input::ClientClosed(client, CloseReason::Disconnected));
         let counters = harness.reducer.counters();
-        let kept = counters.members_known;
+        let members_known = counters.members_known;
         let half = usize::from(n >= 200);
-        most[half] = most[half].max(kept + counters.members_open + counters.buffered_bytes);
-        assert!(kept < 60, "{kept} members after {n} generations");
+        peaks[half] =
+            peaks[half].max(members_known + counters.members_open + counters.buffered_bytes);
+        assert!(
+            members_known < 60,
+            "{members_known} members after {n} generations"
+        );
         assert!(
             counters.members_open < 30,
             "{} connections",
@@ -253,8 +260,8 @@
     }
     let counters = harness.reducer.counters();
     assert!(counters.members_forgotten > 300, "{counters}");
-    assert!(most[1] <= most[0], "{most:?}");
-    // One that comes back is a member like any other.
+    assert!(peaks[1] <= peaks[0], "{peaks:?}");
+    // A member that returns is treated like any other.
     harness.input(Input::EndpointList(list(
         9000,
         false,
@@ -263,7 +270,7 @@
     assert!(harness.reducer.counters().members_known < 60);
 }
 
-/// Entries from peers and from the disk are not checked as the list service's are: a start time beyond all times overflowed.
+/// Entries from peers and from the disk are not validated like those from the list service: a start time out of range overflowed.
 #[test]
 fn a_member_with_an_impossible_start_time_counts_as_just_started() {
     let mut harness = ReducerHarness::new("null");
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers over whole, split and mutated input.
+//! The parsers with complete, split and mutated input.
 
 mod common;
 
@@ -11,40 +11,40 @@
 };
 use stackgw_router::api::{MS, SECOND};
 
-const MOST: usize = 4096;
+const MAX_BYTES: usize = 4096;
 
-/// Feeds bytes in pieces that end at the given places, and takes what comes out after each.
-fn pieces<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
+/// Splits bytes at the given positions.
+fn split_at_cuts<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
     let mut ends: Vec<_> = cuts.iter().map(|c| c % (bytes.len() + 1)).collect();
     ends.push(bytes.len());
     ends.sort_unstable();
-    let mut from = 0;
+    let mut start = 0;
     ends.into_iter()
-        .map(|end| &bytes[std::mem::replace(&mut from, end)..end])
+        .map(|end| &bytes[std::mem::replace(&mut start, end)..end])
         .collect()
 }
 
-fn frames(mut parser: FrameDecoder, bytes: &[u8], cuts: &[usize]) -> (Vec<Frame>, bool) {
-    let (mut all, mut bad) = (Vec::new(), false);
-    for piece in pieces(bytes, cuts) {
+fn decode_frames(mut parser: FrameDecoder, bytes: &[u8], cuts: &[usize]) -> (Vec<Frame>, bool) {
+    let (mut frames, mut is_malformed) = (Vec::new(), false);
+    for piece in split_at_cuts(bytes, cuts) {
         parser.feed(piece);
-        while let Some(next) = parser.next_frame().filter(|_| !bad) {
+        while let Some(next) = parser.next_frame().filter(|_| !is_malformed) {
             match next {
-                Ok(frame) => all.push(frame),
-                Err(_) => bad = true,
+                Ok(frame) => frames.push(frame),
+                Err(_) => is_malformed = true,
             }
         }
     }
-    (all, bad)
+    (frames, is_malformed)
 }
 
-fn http(bytes: &[u8], cuts: &[usize]) -> Result<Vec<HttpEvent>, String> {
-    let mut parser = HttpLineReader::new(512, MOST);
-    let mut all = Vec::new();
-    for piece in pieces(bytes, cuts) {
-        all.extend(parser.feed(piece).map_err(|e| e.to_string())?);
+fn parse_http(bytes: &[u8], cuts: &[usize]) -> Result<Vec<HttpEvent>, String> {
+    let mut parser = HttpLineReader::new(512, MAX_BYTES);
+    let mut events = Vec::new();
+    for piece in split_at_cuts(bytes, cuts) {
+        events.extend(parser.feed(piece).map_err(|e| e.to_string())?);
     }
-    Ok(all)
+    Ok(events)
 }
 
 fn statement(key: &str, value: Option<&[u8]>, d: u64, extra: &str) -> String {
@@ -60,7 +60,7 @@
     }
 }
 
-fn a_body() -> impl Strategy<Value = Vec<u8>> {
+fn body() -> impl Strategy<Value = Vec<u8>> {
     proptest::collection::vec(any::<u8>(), 0..200)
 }
 
@@ -72,44 +72,44 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn frames_come_out_whole_however_they_are_split(
-        bodies in proptest::collection::vec((any::<usize>(), a_body()), 0..8), cuts in cuts()
+    fn frames_are_complete_however_they_are_split(
+        bodies in proptest::collection::vec((any::<usize>(), body()), 0..8), cuts in cuts()
     ) {
-        // Of the types that each side may send, those whose bodies differ in length.
-        let of = |kinds: &[u8]| -> Vec<Frame> {
+        // The message types with bodies of variable length that each side may send.
+        let frames_of = |kinds: &[u8]| -> Vec<Frame> {
             bodies.iter().map(|(n, body)| message(kinds[n % kinds.len()], body)).collect()
         };
         let joined = |frames: &[Frame]| -> Vec<u8> { frames.iter().flat_map(|f| f.bytes.clone()).collect() };
-        let wanted = of(b"RSKTCENAv");
-        prop_assert_eq!(&frames(FrameDecoder::server(MOST), &joined(&wanted), &cuts).0, &wanted);
-        let wanted = of(b"QPBDECFdfp");
-        let bytes = [startup().bytes, joined(&wanted)].concat();
-        let (got, bad) = frames(FrameDecoder::client(MOST, MOST), &bytes, &cuts);
-        prop_assert!(!bad);
-        prop_assert_eq!(&got[0], &startup());
-        prop_assert_eq!(&got[1..], &wanted[..]);
+        let expected = frames_of(b"RSKTCENAv");
+        prop_assert_eq!(&decode_frames(FrameDecoder::server(MAX_BYTES), &joined(&expected), &cuts).0, &expected);
+        let expected = frames_of(b"QPBDECFdfp");
+        let bytes = [startup().bytes, joined(&expected)].concat();
+        let (decoded, is_malformed) = decode_frames(FrameDecoder::client(MAX_BYTES, MAX_BYTES), &bytes, &cuts);
+        prop_assert!(!is_malformed);
+        prop_assert_eq!(&decoded[0], &startup());
+        prop_assert_eq!(&decoded[1..], &expected[..]);
     }
 
     #[test]
-    fn any_bytes_give_the_same_frames_however_they_are_split(bytes in a_body(), cuts in cuts()) {
-        let whole = frames(FrameDecoder::client(64, 100), &bytes, &[]);
-        prop_assert_eq!(&frames(FrameDecoder::client(64, 100), &bytes, &cuts), &whole);
+    fn any_bytes_give_the_same_frames_however_they_are_split(bytes in body(), cuts in cuts()) {
+        let whole = decode_frames(FrameDecoder::client(64, 100), &bytes, &[]);
+        prop_assert_eq!(&decode_frames(FrameDecoder::client(64, 100), &bytes, &cuts), &whole);
         prop_assert!(whole.0.iter().all(|f| f.bytes.len() <= 101));
     }
 
     #[test]
     fn a_forwarded_statement_differs_in_its_timeout_alone(
-        key in "[0-9a-f]{1,32}", value in proptest::option::of(a_body()), d in 0u64..100_000, left in 1u64..100_000,
+        key in "[0-9a-f]{1,32}", value in proptest::option::of(body()), d in 0u64..100_000, timeout_ms in 1u64..100_000,
         after in proptest::option::of(1i64..1 << 42), repeat in any::<bool>()
     ) {
         let mut extra = after.map_or(String::new(), |ms| format!(",after={ms}"));
         extra += if repeat { ",r=1,other=7" } else { "" };
         let text = statement(&key, value.as_deref(), d, &extra);
-        let read = Statement::parse(query(&text)).expect("well formed");
-        prop_assert_eq!((&read.key, read.wait_ms, read.cluster), (&key, d, 2));
-        prop_assert_eq!((read.after_ms, read.repeat, read.write), (after, repeat, value.is_some()));
-        let wanted = query(&statement(&key, value.as_deref(), left, &extra));
-        prop_assert_eq!(read.with_timeout(left), wanted.bytes);
+        let parsed = Statement::parse(query(&text)).expect("well formed");
+        prop_assert_eq!((&parsed.key, parsed.wait_ms, parsed.cluster), (&key, d, 2));
+        prop_assert_eq!((parsed.after_ms, parsed.repeat, parsed.write), (after, repeat, value.is_some()));
+        let expected = query(&statement(&key, value.as_deref(), timeout_ms, &extra));
+        prop_assert_eq!(parsed.with_timeout(timeout_ms), expected.bytes);
     }
 
     #[test]
@@ -117,27 +117,27 @@
         let mut bytes = query(&statement("7f3a", Some(b"\x01"), 480, "")).bytes;
         let at = 5 + at % (bytes.len() - 5);
         bytes[at] = byte;
-        if let Ok(read) = Statement::parse(frame(bytes.clone())) {
-            let passed = Statement::parse(frame(read.with_timeout(7))).expect("what is passed on is well formed");
-            prop_assert_eq!(passed.wait_ms, 7);
-            prop_assert_eq!(passed.key, read.key);
+        if let Ok(parsed) = Statement::parse(frame(bytes.clone())) {
+            let forwarded = Statement::parse(frame(parsed.with_timeout(7))).expect("the forwarded statement is well formed");
+            prop_assert_eq!(forwarded.wait_ms, 7);
+            prop_assert_eq!(forwarded.key, parsed.key);
         }
     }
 
     #[test]
-    fn a_reply_keeps_within_its_limit_whatever_its_bytes(kinds in proptest::collection::vec((any::<u8>(), a_body()), 0..10)) {
+    fn a_reply_keeps_within_its_limit_whatever_its_bytes(kinds in proptest::collection::vec((any::<u8>(), body()), 0..10)) {
         let mut reply = Reply::default();
         for (kind, body) in kinds {
-            if reply.take(&message(kind, &body), MOST).is_err() {
+            if reply.take(&message(kind, &body), MAX_BYTES).is_err() {
                 break;
             }
         }
         let _ = (reply.outcome(), reply.column());
-        prop_assert!(reply.row.len() <= MOST + 300);
+        prop_assert!(reply.row.len() <= MAX_BYTES + 300);
     }
 
     #[test]
-    fn lines_of_a_watch_come_out_whole_however_they_are_split(
+    fn lines_of_a_watch_are_complete_however_they_are_split(
         lines in proptest::collection::vec("[a-z{}:,\"]{0,80}", 0..8), cuts in cuts(), size in 1usize..40
     ) {
         let body: String = lines.iter().map(|l| format!("{l}\n")).collect();
@@ -148,16 +148,16 @@
             bytes.extend(b"\r\n");
         }
         bytes.extend(b"0\r\n\r\n");
-        let mut wanted: Vec<_> = lines.iter().map(|l| HttpEvent::Line(l.as_bytes().to_vec())).collect();
-        wanted.push(HttpEvent::End);
-        prop_assert_eq!(http(&bytes, &cuts), Ok(wanted));
+        let mut expected: Vec<_> = lines.iter().map(|l| HttpEvent::Line(l.as_bytes().to_vec())).collect();
+        expected.push(HttpEvent::End);
+        prop_assert_eq!(parse_http(&bytes, &cuts), Ok(expected));
     }
 
     #[test]
-    fn any_http_bytes_are_read_the_same_however_they_are_split(bytes in a_body(), cuts in cuts(), good in any::<bool>()) {
-        let mut all = if good { b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec() } else { Vec::new() };
-        all.extend(bytes);
-        let (whole, split) = (http(&all, &[]), http(&all, &cuts));
+    fn any_http_bytes_are_parsed_the_same_however_they_are_split(bytes in body(), cuts in cuts(), has_valid_head in any::<bool>()) {
+        let mut response = if has_valid_head { b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec() } else { Vec::new() };
+        response.extend(bytes);
+        let (whole, split) = (parse_http(&response, &[]), parse_http(&response, &cuts));
         prop_assert_eq!(whole.is_ok(), split.is_ok());
         if whole.is_ok() {
             prop_assert_eq!(whole, split);
@@ -176,18 +176,35 @@
 }
 
 #[test]
-fn a_length_out_of_range_is_an_error_before_its_bytes_have_come() {
+fn a_length_out_of_range_is_an_error_before_its_bytes_arrive() {
     let mut bytes = vec![b'Q'];
-    bytes.extend(((MOST + 1) as u32).to_be_bytes());
-    assert!(frames(FrameDecoder::server(MOST), &bytes, &[]).1);
-    assert!(frames(FrameDecoder::server(MOST), b"Q\0\0\0\x03", &[]).1);
-    assert!(frames(FrameDecoder::client(MOST, MOST), &[0, 0, 0, 7], &[]).1);
-    assert!(frames(FrameDecoder::client(MOST, MOST), &[0xff, 0, 0, 7], &[]).1);
+    bytes.extend(((MAX_BYTES + 1) as u32).to_be_bytes());
+    assert!(decode_frames(FrameDecoder::server(MAX_BYTES), &bytes, &[]).1);
+    assert!(decode_frames(FrameDecoder::server(MAX_BYTES), b"Q\0\0\0\x03", &[]).1);
+    assert!(
+        decode_frames(
+            FrameDecoder::client(MAX_BYTES, MAX_BYTES),
+            &[0, 0, 0, 7],
+            &[]
+        )
+        .1
+    );
+    assert!(
+        decode_frames(
+            FrameDecoder::client(MAX_BYTES, MAX_BYTES),
+            &[0xff, 0, 0, 7],
+            &[]
+        )
+        .1
+    );
 }
 
 #[test]
 fn a_buffer_does_not_grow_when_it_is_never_empty() {
-    let (mut parser, bytes) = (FrameDecoder::server(MOST), message(b'C', &[7; 100]).bytes);
+    let (mut parser, bytes) = (
+        FrameDecoder::server(MAX_BYTES),
+        message(b'C', &[7; 100]).bytes,
+    );
     parser.feed(&bytes[..50]);
     for _ in 0..1000 {
         parser.feed(&bytes[50..]);
@@ -199,24 +216,27 @@
 
 #[test]
 fn a_body_with_a_length_is_one_document() {
-    let wanted = vec![HttpEvent::Line(b"{}".to_vec()), HttpEvent::End];
+    let expected = vec![HttpEvent::Line(b"{}".to_vec()), HttpEvent::End];
     assert_eq!(
-        http(
+        parse_http(
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
             &[5, 20, 41]
         ),
-        Ok(wanted)
+        Ok(expected)
     );
-    assert!(http(b"HTTP/1.1 503 Busy\r\n\r\n", &[]).is_err());
-    assert!(http(
+    assert!(parse_http(b"HTTP/1.1 503 Busy\r\n\r\n", &[]).is_err());
+    assert!(parse_http(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         &[]
     )
     .is_err());
-    assert!(http(&[b'x'; 600], &[]).is_err(), "a head without an end");
+    assert!(
+        parse_http(&[b'x'; 600], &[]).is_err(),
+        "a head without an end"
+    );
     let mut long = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
-    long.extend(vec![b'x'; MOST + 1]);
-    assert!(http(&long, &[]).is_err(), "a line without an end");
+    long.extend(vec![b'x'; MAX_BYTES + 1]);
+    assert!(parse_http(&long, &[]).is_err(), "a line without an end");
 }
 
 #[test]
@@ -232,8 +252,8 @@
         ),
         status("other", "thing"),
     ]);
-    assert!(all.iter().all(|f| reply.take(f, MOST) == Ok(false)));
-    assert_eq!(reply.take(&ready(), MOST), Ok(true));
+    assert!(all.iter().all(|f| reply.take(f, MAX_BYTES) == Ok(false)));
+    assert_eq!(reply.take(&ready(), MAX_BYTES), Ok(true));
     assert_eq!(
         (reply.outcome(), reply.primary),
         (Some(ReplyOutcome::Row), Some(true))
@@ -247,8 +267,8 @@
         (reply.report.is_primary, reply.report.in_flight),
         (Some(true), Some(7.0))
     );
-    let wanted: Vec<u8> = row(b"v").into_iter().flat_map(|f| f.bytes).collect();
-    assert_eq!(reply.row, wanted);
+    let expected: Vec<u8> = row(b"v").into_iter().flat_map(|f| f.bytes).collect();
+    assert_eq!(reply.row, expected);
     assert_eq!(reply.column(), Some("v"));
 }
 
@@ -264,27 +284,27 @@
     assert_eq!(
         position("x0=9999999999.9"),
         None,
-        "later than a clock can tell"
+        "later than any valid time"
     );
     assert_eq!(position("x0=1e300"), None);
     assert_eq!(parse_load_report("x0=1,x1"), None);
 }
 
 #[test]
-fn a_row_is_taken_when_a_parameter_beside_it_is_unreadable() {
+fn a_row_is_accepted_when_a_parameter_status_is_malformed() {
     let mut reply = Reply::default();
-    let spoilt = [
+    let malformed = [
         status("node_role", "?"),
         status("replay_position", "-"),
         status("server_load", "x0=,x1"),
     ];
     let all = [
         row(b"v"),
-        spoilt.to_vec(),
+        malformed.to_vec(),
         vec![message(b'S', &[0xff, 0, 0xfe])],
     ]
     .concat();
-    assert!(all.iter().all(|f| reply.take(f, MOST) == Ok(false)));
+    assert!(all.iter().all(|f| reply.take(f, MAX_BYTES) == Ok(false)));
     assert_eq!(
         (reply.outcome(), reply.primary, reply.position),
         (Some(ReplyOutcome::Row), None, None)
@@ -292,91 +312,97 @@
 }
 
 #[test]
-fn a_list_is_malformed_when_a_start_is_later_than_any_clock() {
+fn a_list_is_malformed_when_a_start_time_is_out_of_range() {
     let text = three_members().replacen("\"up_since_ms\":0", "\"up_since_ms\":1e14", 1);
     assert!(parse_endpoint_list(text.as_bytes()).is_err());
 }
 
 #[test]
 fn a_row_is_accepted_only_when_it_is_one_complete_column() {
-    let take = |frames: &[Frame]| {
+    let parse_reply = |frames: &[Frame]| {
         frames
             .iter()
             .try_fold(Reply::default(), |mut reply, frame| {
-                reply.take(frame, MOST).map(|_| reply)
+                reply.take(frame, MAX_BYTES).map(|_| reply)
             })
     };
     let good = row(b"abc");
     assert_eq!(
-        take(&good).expect("a row").outcome(),
+        parse_reply(&good).expect("a row").outcome(),
         Some(ReplyOutcome::Row)
     );
     assert_eq!(
-        take(&good[..2]).expect("so far").outcome(),
+        parse_reply(&good[..2]).expect("valid so far").outcome(),
         None,
         "not complete"
     );
     assert!(
-        take(&[good[0].clone(), good[1].clone(), good[1].clone()]).is_err(),
+        parse_reply(&[good[0].clone(), good[1].clone(), good[1].clone()]).is_err(),
         "two rows"
     );
-    assert!(take(&good[1..]).is_err(), "no description");
+    assert!(parse_reply(&good[1..]).is_err(), "no description");
     let short = message(b'D', &[0, 1, 0, 0, 0, 9, b'a']);
     assert!(
-        take(&[good[0].clone(), short]).is_err(),
-        "shorter than it says"
+        parse_reply(&[good[0].clone(), short]).is_err(),
+        "shorter than its length field"
     );
     assert_eq!(
-        take(&[good[0].clone(), good[2].clone()])
+        parse_reply(&[good[0].clone(), good[2].clone()])
             .expect("no row")
             .outcome(),
         Some(ReplyOutcome::NoRow)
     );
     assert_eq!(
-        take(&[error("25006")]).expect("an error").outcome(),
+        parse_reply(&[error("25006")]).expect("an error").outcome(),
         Some(ReplyOutcome::Error(*b"25006"))
     );
     let long = Frame {
         kind: b'D',
-        bytes: row(&[7; MOST]).remove(1).bytes,
+        bytes: row(&[7; MAX_BYTES]).remove(1).bytes,
     };
-    assert!(take(&[good[0].clone(), long]).is_err(), "over the limit");
+    assert!(
+        parse_reply(&[good[0].clone(), long]).is_err(),
+        "over the limit"
+    );
 }
 
 #[test]
-fn an_empty_query_is_no_statement() {
+fn an_empty_query_is_not_a_statement() {
     assert!(Statement::is_empty(&query("")) && Statement::is_empty(&query(" ;\n")));
     assert!(!Statement::is_empty(&query("SELECT 1")));
-    let mut refusal = Vec::new();
-    write::error(&mut refusal, false, "53300", "no\0w", Some("25"));
-    assert_eq!(&refusal[5..], b"SERROR\0VERROR\0C53300\0Mnow\0D25\0\0");
+    let mut rejection = Vec::new();
+    write::error(&mut rejection, false, "53300", "no\0w", Some("25"));
+    assert_eq!(&rejection[5..], b"SERROR\0VERROR\0C53300\0Mnow\0D25\0\0");
 }
 
-/// Judged before its bytes have come: one that waits for them waits for as long as the other side likes.
+/// A message is checked before its body arrives. Otherwise the other side could make the gateway wait for the body indefinitely.
 #[test]
 fn a_message_is_checked_by_its_type_and_length_before_it_is_complete() {
-    let bad = |mut parser: FrameDecoder, bytes: &[u8]| {
+    let is_malformed = |mut parser: FrameDecoder, bytes: &[u8]| {
         parser.feed(bytes);
         parser.next_frame().is_some_and(|frame| frame.is_err())
     };
     let server = || FrameDecoder::server(1 << 16);
-    assert!(bad(server(), b"?"), "a type that no server sends");
-    assert!(bad(server(), b"Q"), "a client's message");
-    assert!(bad(server(), b"Z\0\0\0\x09"));
-    assert!(bad(server(), b"I\0\0\0\x05"));
-    assert!(bad(server(), b"D\xb2\xd0\x5e\x04"), "3 GB");
+    assert!(is_malformed(server(), b"?"), "a type that no server sends");
+    assert!(is_malformed(server(), b"Q"), "a client's message");
+    assert!(is_malformed(server(), b"Z\0\0\0\x09"));
+    assert!(is_malformed(server(), b"I\0\0\0\x05"));
+    assert!(is_malformed(server(), b"D\xb2\xd0\x5e\x04"), "3 GB");
     assert!(
-        bad(server(), b"D\0\0\0\x0c\0\x01\0\0\0\x09"),
+        is_malformed(server(), b"D\0\0\0\x0c\0\x01\0\0\0\x09"),
         "a column longer than its row"
     );
-    assert!(bad(server(), b"D\0\0\0\x0c\0\x02\0\0\0\x02"), "two columns");
     assert!(
-        bad(server(), b"D\0\0\0\x0c\0\x01\xff\xff\xff\xfe"),
+        is_malformed(server(), b"D\0\0\0\x0c\0\x02\0\0\0\x02"),
+        "two columns"
+    );
+    assert!(
+        is_malformed(server(), b"D\0\0\0\x0c\0\x01\xff\xff\xff\xfe"),
         "a negative length"
     );
-    assert!(!bad(server(), b"D\0\0\0\x0c\0\x01\0\0\0\x02"));
+    assert!(!is_malformed(server(), b"D\0\0\0\x0c\0\x01\0\0\0\x02"));
     assert!(
-        !bad(server(), b"D\0\0\0\x0a\0\x01\xff\xff\xff\xff"),
+        !is_malformed(server(), b"D\0\0\0\x0a\0\x01\xff\xff\xff\xff"),
         "no value"
     );
     let client = || {
@@ -385,15 +411,15 @@
         assert!(parser.next_frame().is_some_and(|frame| frame.is_ok()));
         parser
     };
-    assert!(bad(client(), b"\xff"));
-    assert!(bad(client(), b"Z"), "a server's message");
-    assert!(bad(client(), b"X\0\0\0\x05"));
-    assert!(bad(client(), b"Q\xff\xff\xff\xff"));
-    assert!(!bad(client(), b"Q\0\0\xff\xff"));
+    assert!(is_malformed(client(), b"\xff"));
+    assert!(is_malformed(client(), b"Z"), "a server's message");
+    assert!(is_malformed(client(), b"X\0\0\0\x05"));
+    assert!(is_malformed(client(), b"Q\xff\xff\xff\xff"));
+    assert!(!is_malformed(client(), b"Q\0\0\xff\xff"));
 }
 
 #[test]
-fn a_load_report_is_unreadable_when_one_value_is_impossible() {
+fn a_load_report_is_malformed_when_one_value_is_invalid() {
     for text in [
         "x0=1,x0=2",
         "x1=7",
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -1,4 +1,4 @@
-//! What the gateway writes in PostgreSQL's protocol, and how it reads that, compared with fixtures.
+//! Messages of the PostgreSQL protocol that the gateway writes and parses, compared with fixtures.
 
 mod common;
 
@@ -16,7 +16,7 @@
     hex(&bytes)
 }
 
-/// Every error reply that the gateway gives: whether it ends the connection, its code, text and detail.
+/// Every error reply of the gateway: whether it closes the connection, its code, text and detail.
 const ERRORS: [(bool, &str, &str, Option<&str>); 18] = [
     (false, "53300", "no\0zero", Some("25")),
     (false, "53300", "too busy", None),
@@ -49,7 +49,7 @@
 ];
 
 #[test]
-fn messages_are_the_same_bytes() {
+fn messages_have_the_same_bytes() {
     let mut out = String::new();
     line(&mut out, "row null", written(|out| write::row(out, None)));
     line(
@@ -103,7 +103,7 @@
     compare("messages.txt", &out);
 }
 
-/// Query texts, good and bad.
+/// Valid and invalid query texts.
 const STATEMENTS: [&str; 34] = [
     "SELECT val FROM state WHERE uid = '7f3a' /* id=9b1f,c=look,d=480,cluster=2 */",
     "select val from state where uid='7f3a'/*id=9b1f,c=look,d=480,cluster=2*/",
@@ -141,49 +141,53 @@
     " ; ",
 ];
 
-fn parsed(frame: Frame) -> String {
-    let begins =
+fn statement_text(frame: Frame) -> String {
+    let target_text =
         Statement::target(&frame).map(|target| format!("{},{}", target.key, target.writes));
-    let empty = Statement::is_empty(&frame);
-    let read = match Statement::parse(frame) {
-        Ok(read) => {
+    let is_empty = Statement::is_empty(&frame);
+    let statement = match Statement::parse(frame) {
+        Ok(parsed) => {
             let (id, key, class, after) = (
-                &read.id,
-                &read.key,
-                &read.class,
-                read.after_ms.unwrap_or(-1),
+                &parsed.id,
+                &parsed.key,
+                &parsed.class,
+                parsed.after_ms.unwrap_or(-1),
             );
             format!(
                 "{id}|{key}|{class}|{}|{}|{after}|{}|{}|{}|{}",
-                read.wait_ms,
-                read.cluster,
-                read.repeat,
-                read.write,
-                read.size_bytes(),
-                hex(&read.with_timeout(12_345))
+                parsed.wait_ms,
+                parsed.cluster,
+                parsed.repeat,
+                parsed.write,
+                parsed.size_bytes(),
+                hex(&parsed.with_timeout(12_345))
             )
         }
-        Err(malformed) => format!("error: {malformed}"),
+        Err(error) => format!("error: {error}"),
     };
-    format!("{}|{empty}|{read}", begins.unwrap_or_default())
+    format!("{}|{is_empty}|{statement}", target_text.unwrap_or_default())
 }
 
 #[test]
-fn statements_are_read_and_passed_on_the_same() {
+fn statements_are_parsed_and_forwarded_the_same() {
     let mut out = String::new();
     for (number, text) in STATEMENTS.iter().enumerate() {
         line(
             &mut out,
             &format!("statement {number}"),
-            parsed(query(text)),
+            statement_text(query(text)),
         );
     }
-    line(&mut out, "no end", parsed(message(b'Q', b"SELECT")));
-    line(&mut out, "no text", parsed(message(b'Q', b"\xff\xfe\0")));
+    line(&mut out, "no end", statement_text(message(b'Q', b"SELECT")));
+    line(
+        &mut out,
+        "no text",
+        statement_text(message(b'Q', b"\xff\xfe\0")),
+    );
     compare("statements.txt", &out);
 }
 
-/// What a client is answered, hexadecimal; a write that closes the connection ends with `close`.
+/// All writes to a client in hexadecimal. A write that closes the connection ends with `close`.
 fn client_writes(effects: &[Effect]) -> String {
     let written = effects.iter().filter_map(|effect| match effect {
         Effect::ClientWrite { bytes, close, .. } => {
@@ -200,7 +204,7 @@
     let mut harness = ReducerHarness::new(&three_members());
     harness.input(Input::ClientConnected(ClientId(1)));
     let welcome = client_writes(&harness.input(Input::ClientFrame(ClientId(1), startup())));
-    // What follows is a key for cancelling, drawn at random.
+    // The rest is the random cancel key.
     line(
         &mut out,
         "startup",
@@ -260,53 +264,56 @@
     )
 }
 
-/// All frames that come out when the bytes are fed three at a time, and what is left.
+/// All frames decoded when the bytes are fed three at a time, and the number of remaining bytes.
 fn frames_text(mut parser: FrameDecoder, bytes: &[u8]) -> String {
-    let mut all = Vec::new();
+    let mut texts = Vec::new();
     for piece in bytes.chunks(3) {
         parser.feed(piece);
         while let Some(next) = parser.next_frame() {
             match next {
-                Ok(frame) => all.push(frame_text(&frame)),
-                Err(bad) => {
+                Ok(frame) => texts.push(frame_text(&frame)),
+                Err(error) => {
                     return format!(
-                        "{} error: {bad} left {}",
-                        all.join(" "),
+                        "{} error: {error} left {}",
+                        texts.join(" "),
                         parser.pending_bytes()
                     )
                 }
             }
         }
     }
-    let left = format!(
+    let text = format!(
         "{} left {}/{}",
-        all.join(" "),
+        texts.join(" "),
         parser.pending_bytes(),
         parser.buffered_bytes()
     );
     parser.clear();
     assert_eq!((parser.pending_bytes(), parser.buffered_bytes()), (0, 0));
-    left
+    text
 }
 
-/// A server's whole answer and what each side may send first.
+/// A member's complete response, a client's first messages, and short inputs that are valid or malformed.
 fn frame_inputs() -> Vec<Vec<u8>> {
-    let whole = [row(b"abc"), vec![status("node_role", "leader"), ready()]].concat();
-    let answer: Vec<u8> = whole.iter().flat_map(|frame| frame.bytes.clone()).collect();
+    let frames = [row(b"abc"), vec![status("node_role", "leader"), ready()]].concat();
+    let response: Vec<u8> = frames
+        .iter()
+        .flat_map(|frame| frame.bytes.clone())
+        .collect();
     let client = [
         startup().bytes,
         query("SELECT 1").bytes,
         b"X\0\0\0\x04".to_vec(),
     ]
     .concat();
-    let mut many = vec![
-        answer.clone(),
+    let mut inputs = vec![
+        response.clone(),
         client.clone(),
-        answer[..answer.len() - 3].to_vec(),
+        response[..response.len() - 3].to_vec(),
     ];
-    many.extend([
+    inputs.extend([
         client[..20].to_vec(),
-        [client.clone(), answer.clone()].concat(),
+        [client.clone(), response.clone()].concat(),
     ]);
     let short: [&[u8]; 20] = [
         b"?",
@@ -330,8 +337,8 @@
         b"\0\0\0\x09\0\x03\0\0\0Z",
         b"\0\0\0\x65\0\x03\0\0",
     ];
-    many.extend(short.iter().map(|bytes| bytes.to_vec()));
-    many
+    inputs.extend(short.iter().map(|bytes| bytes.to_vec()));
+    inputs
 }
 
 #[test]
@@ -352,8 +359,8 @@
     compare("frames.txt", &out);
 }
 
-fn ended_text(ended: Option<ReplyOutcome>) -> String {
-    match ended {
+fn outcome_text(outcome: Option<ReplyOutcome>) -> String {
+    match outcome {
         None => "open".to_owned(),
         Some(ReplyOutcome::Row) => "row".to_owned(),
         Some(ReplyOutcome::Error(code)) => format!("error {}", String::from_utf8_lossy(&code)),
@@ -363,12 +370,12 @@
 
 fn reply_text(frames: &[Frame]) -> String {
     let mut reply = Reply::default();
-    let mut taken = Vec::new();
+    let mut results = Vec::new();
     for frame in frames {
         match reply.take(frame, 64) {
-            Ok(over) => taken.push(over.to_string()),
-            Err(out_of_place) => {
-                taken.push(out_of_place.to_string());
+            Ok(is_complete) => results.push(is_complete.to_string()),
+            Err(error) => {
+                results.push(error.to_string());
                 break;
             }
         }
@@ -379,8 +386,8 @@
     let report = &reply.report;
     format!(
         "{} | {} whole={} {primary} {} {} {} | {} {} {} {} {}",
-        taken.join(","),
-        ended_text(reply.outcome()),
+        results.join(","),
+        outcome_text(reply.outcome()),
         reply.is_complete(),
         reply.position.unwrap_or(-1),
         reply.column().unwrap_or("-"),
@@ -397,17 +404,17 @@
 
 const LOAD_REPORT: &str = "inflight=7,queue=2,util=0.61,x0=1767225600.1239,x1=1,news=4";
 
-/// Replies, complete and malformed.
+/// Complete, incomplete and malformed replies.
 fn reply_inputs() -> Vec<Vec<Frame>> {
     let good = row(b"abc");
-    let signs = [
+    let role_and_position = [
         status("node_role", "leader"),
         status("replay_position", "1767225600123"),
     ];
     vec![
         [
             good.clone(),
-            signs.to_vec(),
+            role_and_position.to_vec(),
             vec![status("server_load", LOAD_REPORT), ready()],
         ]
         .concat(),
@@ -448,7 +455,7 @@
 }
 
 #[test]
-fn replies_are_gathered_the_same() {
+fn replies_are_parsed_the_same() {
     let mut out = String::new();
     for (number, frames) in reply_inputs().iter().enumerate() {
         line(&mut out, &format!("reply {number}"), reply_text(frames));
