--- a/crates/stackgw-gateway/tests/digest/clients.rs
+++ b/crates/stackgw-gateway/tests/digest/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that pipeline, flood, cancel, stall, leave and send malformed messages.
+//! Clients that pipeline, flood, cancel, stall, disconnect and send malformed messages.
 
 use super::simulation::{Client, Scheduled, Simulation};
 use crate::common::*;
@@ -12,43 +12,45 @@
             return;
         };
         if let Some(at) = bytes.windows(5).position(|w| w == [b'K', 0, 0, 0, 12]) {
-            client.key = bytes.get(at + 5..at + 13).map(<[u8]>::to_vec);
+            client.cancel_key = bytes.get(at + 5..at + 13).map(<[u8]>::to_vec);
         }
         let reads = client.reads;
         if reads {
             let after = self.random.span(0, MS / 2);
-            self.schedule(index, after, Scheduled::Flushed(id));
+            self.schedule(index, after, Scheduled::ClientFlushed(id));
         }
         if close && (reads || self.random.chance(50)) {
             let after = self.random.span(0, 40 * MS);
-            self.schedule(index, after, Scheduled::Left(id));
+            self.schedule(index, after, Scheduled::ClientClosed(id));
         }
     }
 
-    /// Hands over what clients have sent as far as it is taken.
+    /// Delivers the messages that clients have sent, as far as they are accepted.
     pub(crate) fn send_pending_frames(&mut self, index: usize) {
         let ids: Vec<_> = self.gateways[index].clients.keys().copied().collect();
         for id in ids {
-            let mut fed = false;
+            let mut has_delivered = false;
             while self.gateways[index].reducer.accepts_frame(id) {
                 let client = self.gateways[index].clients.get_mut(&id);
                 let Some(frame) = client.and_then(|client| client.pending.pop_front()) else {
                     break;
                 };
-                fed = true;
+                has_delivered = true;
                 self.input(index, Input::ClientFrame(id, frame));
             }
             let Some(client) = self.gateways[index].clients.get(&id) else {
                 continue;
             };
-            let ahead = client.half + client.pending.iter().map(|f| f.bytes.len()).sum::<usize>();
-            if fed || ahead > 0 {
+            let ahead =
+                client.partial_bytes + client.pending.iter().map(|f| f.bytes.len()).sum::<usize>();
+            if has_delivered || ahead > 0 {
                 self.input(index, Input::ClientReadAhead(id, ReadAhead::partial(ahead)));
             }
         }
     }
 
-    pub(crate) fn id(&mut self) -> String {
+    /// Creates a request id. A few ids are used twice.
+    pub(crate) fn request_id(&mut self) -> String {
         if !self.random.chance(4) {
             self.next_id += 1;
         }
@@ -56,7 +58,7 @@
     }
 
     pub(crate) fn statement(&mut self) -> Frame {
-        let (id, key) = (self.id(), self.random.below(4));
+        let (id, key) = (self.request_id(), self.random.below(4));
         let wait = [5, 40, 200, 900, 3000][self.random.below(5) as usize];
         let after = match self.random.below(6) {
             0 => format!(",after={}", self.now / MS - 50),
@@ -85,13 +87,13 @@
         }
     }
 
-    pub(crate) fn client(&mut self, index: usize) -> Option<ClientId> {
+    pub(crate) fn any_client(&mut self, index: usize) -> Option<ClientId> {
         let ids: Vec<_> = self.gateways[index].clients.keys().copied().collect();
-        self.random.one(&ids)
+        self.random.choose(&ids)
     }
 
     pub(crate) fn open_client(&mut self, index: usize) {
-        if !self.gateways[index].accepts {
+        if !self.gateways[index].accepts_clients {
             return;
         }
         self.next_client += 1;
@@ -99,11 +101,11 @@
         let reads = !self.random.chance(8);
         let mut client = Client {
             reads,
-            greeted: true,
+            sends_statements: true,
             ..Client::default()
         };
         match self.random.below(14) {
-            0 if self.agent_up => client.greeted = false,
+            0 if self.agent_up => client.sends_statements = false,
             1 => client.pending.push_back(Frame {
                 kind: 0,
                 bytes: vec![0, 0, 0, 8, 4, 210, 22, 47],
@@ -114,8 +116,8 @@
             }),
             _ => client.pending.push_back(startup()),
         }
-        let greets_first = if self.agent_up { 40 } else { 95 };
-        if self.random.chance(greets_first) {
+        let empty_query_percent = if self.agent_up { 40 } else { 95 };
+        if self.random.chance(empty_query_percent) {
             client.pending.push_back(query(""));
         }
         self.gateways[index].clients.insert(id, client);
@@ -123,13 +125,13 @@
         self.send_pending_frames(index);
     }
 
-    pub(crate) fn cancel(&mut self, index: usize) {
+    pub(crate) fn send_cancel(&mut self, index: usize) {
         let keys: Vec<_> = self.gateways[index]
             .clients
             .values()
-            .filter_map(|c| c.key.clone())
+            .filter_map(|c| c.cancel_key.clone())
             .collect();
-        if keys.is_empty() || !self.gateways[index].accepts {
+        if keys.is_empty() || !self.gateways[index].accepts_clients {
             return;
         }
         let key = &keys[self.random.below(keys.len() as u64) as usize];
@@ -147,28 +149,30 @@
         self.send_pending_frames(index);
     }
 
-    pub(crate) fn ask(&mut self, index: usize) {
-        let many = if self.random.chance(15) {
+    pub(crate) fn send_statements(&mut self, index: usize) {
+        let count = if self.random.chance(15) {
             12
         } else {
             1 + self.random.below(3)
         };
-        let Some(id) = self.client(index) else { return };
-        for _ in 0..many {
+        let Some(id) = self.any_client(index) else {
+            return;
+        };
+        for _ in 0..count {
             let frame = self.statement();
             if let Some(client) = self.gateways[index]
                 .clients
                 .get_mut(&id)
-                .filter(|c| c.greeted)
+                .filter(|c| c.sends_statements)
             {
                 client.pending.push_back(frame);
-                client.half = 0;
+                client.partial_bytes = 0;
             }
         }
         self.send_pending_frames(index);
     }
 
-    pub(crate) fn call(&mut self, index: usize) {
+    pub(crate) fn start_call(&mut self, index: usize) {
         self.next_call += 1;
         let call = CallId(self.next_call);
         let frame = self.statement();
@@ -176,36 +180,37 @@
             return;
         }
         self.gateways[index].calls.insert(call);
-        let streams = self.random.chance(60);
-        self.input(index, Input::Call(call, frame, streams));
+        let may_stream = self.random.chance(60);
+        self.input(index, Input::Call(call, frame, may_stream));
     }
 
-    pub(crate) fn leave_call(&mut self, index: usize) {
+    pub(crate) fn cancel_call(&mut self, index: usize) {
         let calls: Vec<_> = self.gateways[index].calls.iter().copied().collect();
-        if let Some(call) = self.random.one(&calls) {
+        if let Some(call) = self.random.choose(&calls) {
             self.gateways[index].calls.remove(&call);
             self.input(index, Input::CallCancelled(call));
         }
     }
 
-    pub(crate) fn half_message(&mut self, index: usize) {
+    pub(crate) fn send_partial_message(&mut self, index: usize) {
         let bytes = self.random.below(1500) as usize;
-        if let Some(id) = self.client(index) {
+        if let Some(id) = self.any_client(index) {
             if let Some(client) = self.gateways[index].clients.get_mut(&id) {
-                client.half = bytes;
+                client.partial_bytes = bytes;
             }
             self.send_pending_frames(index);
         }
     }
 
-    pub(crate) fn read_on(&mut self, index: usize) {
-        let slow = self.gateways[index]
+    /// Has clients that did not read read everything.
+    pub(crate) fn resume_reading(&mut self, index: usize) {
+        let stalled = self.gateways[index]
             .clients
             .iter_mut()
             .filter(|(_, c)| !c.reads);
-        let slow: Vec<_> = slow.map(|(id, c)| (c.reads = true, *id).1).collect();
-        for id in slow {
-            self.schedule(index, 0, Scheduled::Flushed(id));
+        let stalled: Vec<_> = stalled.map(|(id, c)| (c.reads = true, *id).1).collect();
+        for id in stalled {
+            self.schedule(index, 0, Scheduled::ClientFlushed(id));
         }
     }
 }
--- a/crates/stackgw-gateway/tests/digest/config.rs
+++ b/crates/stackgw-gateway/tests/digest/config.rs
@@ -10,8 +10,8 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Options {
     pub(crate) sessions: bool,
-    pub(crate) others: bool,
-    pub(crate) start: bool,
+    pub(crate) cluster: bool,
+    pub(crate) bootstrap: bool,
     pub(crate) paced: bool,
     pub(crate) flight: bool,
     pub(crate) subscribe: bool,
@@ -23,8 +23,8 @@
         let kind = seed % 12;
         Options {
             sessions: matches!(kind, 6 | 7 | 8 | 11),
-            others: matches!(kind, 5 | 9),
-            start: matches!(kind, 4 | 5 | 8 | 9 | 11),
+            cluster: matches!(kind, 5 | 9),
+            bootstrap: matches!(kind, 4 | 5 | 8 | 9 | 11),
             paced: matches!(kind, 4 | 8 | 9),
             flight: matches!(kind, 2 | 3 | 9 | 10 | 11),
             subscribe: matches!(kind, 1 | 10),
@@ -33,7 +33,7 @@
     }
 }
 
-fn ring() -> Keyring {
+fn keyring() -> Keyring {
     Keyring::new(vec![
         Key::new("test", b"a secret of this test alone").expect("a secret")
     ])
@@ -48,7 +48,7 @@
     SocketAddr::from(([127, 0, 0, 1], 7900 + index as u16))
 }
 
-/// The list that the platform's configuration carries.
+/// The endpoint list in the platform's configuration.
 fn initial_list(random: &mut Random) -> String {
     match random.below(4) {
         0 => "null".to_owned(),
@@ -68,8 +68,8 @@
     options: Options,
     random: &mut Random,
 ) -> (Config, String) {
-    let known = initial_list(random);
-    let mut text = config_text(&known);
+    let initial_endpoints = initial_list(random);
+    let mut text = config_text(&initial_endpoints);
     let mut change = |from: &str, to: &str| text = text.replace(from, to);
     if random.chance(25) {
         change("\"Cancel\":true", "\"Cancel\":false");
@@ -110,7 +110,7 @@
         "\"seed\":\"8c1f\"",
         &format!("\"seed\":\"{:x}\"", 0x8c1f + seed * 2 + index as u64),
     );
-    let mut config = Config::from_text(&text, |_| None).expect("a configuration");
+    let mut config = Config::from_text(&text, |_| None).expect("a valid configuration");
     restrict_limits(&mut config.limits, random);
     (config, text)
 }
@@ -157,8 +157,8 @@
         };
         let file = format!(r#"{{"listen": "127.0.0.1:0", "keys": ["k"], {members}}}"#);
         config.operator.flight = Some(FlightConfig {
-            options: serde_json::from_str(&file).expect("a part"),
-            keyring: ring(),
+            options: serde_json::from_str(&file).expect("a valid section"),
+            keyring: keyring(),
         });
     }
     if options.sessions {
@@ -174,14 +174,14 @@
             seeds[0],
             seeds[1]
         );
-        let together = SessionSharingConfig {
-            options: serde_json::from_str(&file).expect("a part"),
-            keyring: ring(),
+        let session_sharing = SessionSharingConfig {
+            options: serde_json::from_str(&file).expect("a valid section"),
+            keyring: keyring(),
         };
-        config.cluster = Some(ClusterConfig::from(&together));
-        config.session_sharing = Some(together);
+        config.cluster = Some(ClusterConfig::from(&session_sharing));
+        config.session_sharing = Some(session_sharing);
     }
-    if options.others {
+    if options.cluster {
         let file = format!(
             r#"{{"name": "test", "listen": "{}", "seeds": ["{}", "{}"], "keys": ["k"], "expected": 2}}"#,
             cluster_address(index),
@@ -189,15 +189,15 @@
             seeds[1]
         );
         config.cluster = Some(ClusterConfig {
-            options: serde_json::from_str(&file).expect("a part"),
-            keyring: ring(),
+            options: serde_json::from_str(&file).expect("a valid section"),
+            keyring: keyring(),
         });
     }
-    if options.start {
+    if options.bootstrap {
         let opens = if options.paced { r#""opens": 2, "# } else { "" };
         let file = format!(
             r#"{{"bears": 100, {opens}"service": "s", "kept_wait": "100ms", "reset_after": "2s"}}"#
         );
-        config.bootstrap = Some(serde_json::from_str(&file).expect("a part"));
+        config.bootstrap = Some(serde_json::from_str(&file).expect("a valid section"));
     }
 }
--- a/crates/stackgw-gateway/tests/digest/discovery.rs
+++ b/crates/stackgw-gateway/tests/digest/discovery.rs
@@ -1,4 +1,4 @@
-//! The list service and what it lists.
+//! The list service and its endpoint list.
 
 use super::simulation::{Scheduled, Simulation};
 use super::MEMBERS;
@@ -8,28 +8,28 @@
 use stackgw_router::api::{MS, SECOND};
 
 impl Simulation {
-    /// The list as the agent has it; all of it, or a few entries.
-    pub(crate) fn list(&mut self, complete: bool) -> ListUpdate {
+    /// The agent's current list: all entries, or some of them.
+    pub(crate) fn endpoint_list(&mut self, complete: bool) -> ListUpdate {
         let mut entries = Vec::new();
         for n in 1..=MEMBERS {
-            let at = (n - 1) as usize;
-            if self.phases[at] == 3 || (!complete && self.random.chance(50)) {
+            let index = (n - 1) as usize;
+            if self.phases[index] == 3 || (!complete && self.random.chance(50)) {
                 continue;
             }
-            let phase = ["ready", "draining", "gone"][usize::from(self.phases[at])];
+            let phase = ["ready", "draining", "gone"][usize::from(self.phases[index])];
             let role = if n == self.leader {
                 "leader"
             } else {
                 "follower"
             };
             let mut text = entry(n, phase, role);
-            if self.moved[at] {
+            if self.has_new_address[index] {
                 text = text.replace("127.0.0.1:70", "127.0.0.1:71");
             }
-            if self.since[at] != 0 {
+            if self.up_since_ms[index] != 0 {
                 text = text.replace(
                     "\"up_since_ms\":0",
-                    &format!("\"up_since_ms\":{}", self.since[at]),
+                    &format!("\"up_since_ms\":{}", self.up_since_ms[index]),
                 );
             }
             entries.push(text);
@@ -37,31 +37,35 @@
         list(self.revision, complete, &entries)
     }
 
-    pub(crate) fn watch(&mut self, index: usize, _after: Option<u64>) {
+    pub(crate) fn open_watch(&mut self, index: usize, _after: Option<u64>) {
         let gateway = &mut self.gateways[index];
-        gateway.watches += 1;
-        gateway.watch = Some(gateway.watches);
-        let number = gateway.watches;
+        gateway.watches_opened += 1;
+        gateway.watch = Some(gateway.watches_opened);
+        let number = gateway.watches_opened;
         if !self.agent_up {
             if self.random.chance(60) {
-                let put_off = self.random.chance(30).then_some(200 * MS);
-                let lost = WatchError {
+                let retry_after = self.random.chance(30).then_some(200 * MS);
+                let error = WatchError {
                     reason: "refused".to_owned(),
-                    retry_after: put_off,
+                    retry_after,
                 };
                 let after = self.random.span(0, 3 * MS);
                 self.schedule(
                     index,
                     after,
-                    Scheduled::Watch(number, Input::WatchLost(lost)),
+                    Scheduled::Watch(number, Input::WatchLost(error)),
                 );
             }
             return;
         }
-        let up = self.random.span(0, 10 * MS);
-        self.schedule(index, up, Scheduled::Watch(number, Input::WatchConnected));
-        let list = self.list(true);
-        let after = up + self.random.span(0, 10 * MS);
+        let connect_delay = self.random.span(0, 10 * MS);
+        self.schedule(
+            index,
+            connect_delay,
+            Scheduled::Watch(number, Input::WatchConnected),
+        );
+        let list = self.endpoint_list(true);
+        let after = connect_delay + self.random.span(0, 10 * MS);
         self.schedule(
             index,
             after,
@@ -77,13 +81,13 @@
     }
 
     pub(crate) fn change_list(&mut self) {
-        let at = self.random.below(MEMBERS.into()) as usize;
+        let member = self.random.below(MEMBERS.into()) as usize;
         match self.random.below(8) {
-            0..=3 => self.phases[at] = [0, 0, 0, 1, 2, 3][self.random.below(6) as usize],
-            4 => self.moved[at] = !self.moved[at],
-            5 => self.since[at] = self.now / MS - self.random.span(0, 20_000),
+            0..=3 => self.phases[member] = [0, 0, 0, 1, 2, 3][self.random.below(6) as usize],
+            4 => self.has_new_address[member] = !self.has_new_address[member],
+            5 => self.up_since_ms[member] = self.now / MS - self.random.span(0, 20_000),
             6 => self.leader = 1 + self.random.below(MEMBERS.into()) as u32,
-            _ => self.since[at] = 0,
+            _ => self.up_since_ms[member] = 0,
         }
         self.revision += 1;
         if self.random.chance(5) {
@@ -91,7 +95,7 @@
         }
         let complete = self.random.chance(40);
         for index in 0..self.gateways.len() {
-            let list = self.list(complete);
+            let list = self.endpoint_list(complete);
             if let Some(number) = self.gateways[index].watch.filter(|_| self.agent_up) {
                 let after = self.random.span(0, 20 * MS);
                 self.schedule(
--- a/crates/stackgw-gateway/tests/digest/hash.rs
+++ b/crates/stackgw-gateway/tests/digest/hash.rs
@@ -1,4 +1,4 @@
-//! The hash of what the reducer does: FNV-1a, 64 bits, over numbers and fixed names.
+//! The hash of the reducer's effects: FNV-1a, 64 bits, over numbers and fixed names.
 
 use stackgw_bootstrap::CachedEndpoints;
 use stackgw_gateway::reducer::{Effect, FinalResponse};
@@ -40,12 +40,12 @@
         self.bytes(address.to_string().as_bytes());
     }
 
-    pub(crate) fn list(&mut self, kept: &CachedEndpoints) {
-        self.number(kept.list.revision);
-        self.byte(u8::from(kept.list.complete));
-        self.number(kept.confirmed_at as u64);
-        self.number(kept.warm_throughput.to_bits());
-        for entry in &kept.list.members {
+    pub(crate) fn cached_endpoints(&mut self, cached: &CachedEndpoints) {
+        self.number(cached.list.revision);
+        self.byte(u8::from(cached.list.complete));
+        self.number(cached.confirmed_at as u64);
+        self.number(cached.warm_throughput.to_bits());
+        for entry in &cached.list.members {
             self.bytes(entry.id.as_bytes());
             self.address(entry.address);
             self.number(entry.up_since_ms as u64);
@@ -55,38 +55,38 @@
 
     pub(crate) fn record(&mut self, record: &Record) {
         match record {
-            Record::ReplicaSet(roster) => self.pair(0, *roster),
-            Record::Position(_, at) => self.pair(1, *at as u64),
-            Record::Unacknowledged(_, at) => self.pair(2, *at as u64),
+            Record::ReplicaSet(replica_set) => self.pair(0, *replica_set),
+            Record::Position(_, position) => self.pair(1, *position as u64),
+            Record::Unacknowledged(_, position) => self.pair(2, *position as u64),
             Record::CompletePeer(peer) => self.pair(3, peer.incarnation),
             Record::PeerStore(peer, _) => self.pair(4, peer.incarnation),
             Record::Invalidated(_, since) => self.pair(5, *since),
         }
     }
 
-    pub(crate) fn pair(&mut self, what: u64, number: u64) {
-        self.number(what);
-        self.number(number);
+    pub(crate) fn pair(&mut self, first: u64, second: u64) {
+        self.number(first);
+        self.number(second);
     }
 
-    /// Numbers and flags of an answer, whatever their names and order.
-    pub(crate) fn answer(&mut self, value: &serde_json::Value) {
+    /// Hashes the numbers and flags of a status reply, regardless of their names and order.
+    pub(crate) fn status_reply(&mut self, value: &serde_json::Value) {
         let mut leaves = Vec::new();
         collect_leaves(value, &mut leaves);
         leaves.sort();
         leaves.iter().for_each(|leaf| self.bytes(leaf.as_bytes()));
     }
 
-    pub(crate) fn ended(&mut self, ended: &FinalResponse) {
-        match ended {
+    pub(crate) fn final_response(&mut self, response: &FinalResponse) {
+        match response {
             FinalResponse::Served(row) => {
                 self.byte(0);
                 self.bytes(row);
             }
-            FinalResponse::Rejected(text, wait) => {
+            FinalResponse::Rejected(text, retry_after_ms) => {
                 self.byte(1);
                 self.bytes(text.as_bytes());
-                self.optional(wait.map(|wait| wait as u64));
+                self.optional(retry_after_ms.map(|ms| ms as u64));
             }
             FinalResponse::Unavailable(text) => {
                 self.byte(2);
@@ -126,12 +126,12 @@
                 self.pair(5, conn.0);
                 self.address(*address);
             }
-            Effect::BackendSend(conn, asked) => {
+            Effect::BackendSend(conn, request) => {
                 self.pair(6, conn.0);
-                self.bytes(asked.statement.as_bytes());
+                self.bytes(request.statement.as_bytes());
                 self.pair(
-                    asked.timeout_ms,
-                    u64::from(asked.is_write) * 2 + u64::from(asked.may_stream),
+                    request.timeout_ms,
+                    u64::from(request.is_write) * 2 + u64::from(request.may_stream),
                 );
             }
             Effect::MemberWrite(conn, bytes) => {
@@ -159,9 +159,9 @@
                 self.address(*address);
                 self.bytes(bytes);
             }
-            Effect::CallCompleted(call, ended) => {
+            Effect::CallCompleted(call, response) => {
                 self.pair(14, call.0);
-                self.ended(ended);
+                self.final_response(response);
             }
             Effect::CallStreaming(call, conn) => {
                 self.pair(15, call.0);
@@ -171,13 +171,13 @@
                 self.number(16);
                 self.record(record);
             }
-            Effect::StoreEndpoints(kept) => {
+            Effect::StoreEndpoints(cached) => {
                 self.number(17);
-                self.list(kept);
+                self.cached_endpoints(cached);
             }
-            Effect::StatusReply(asker, value) => {
-                self.pair(18, *asker);
-                self.answer(value);
+            Effect::StatusReply(id, value) => {
+                self.pair(18, *id);
+                self.status_reply(value);
             }
             Effect::StopListening => self.number(19),
             Effect::Log(_) => self.number(20),
@@ -194,16 +194,18 @@
 
 fn collect_leaves(value: &serde_json::Value, leaves: &mut Vec<String>) {
     match value {
-        serde_json::Value::Array(all) => all.iter().for_each(|value| collect_leaves(value, leaves)),
-        serde_json::Value::Object(all) => {
-            all.values().for_each(|value| collect_leaves(value, leaves))
-        }
+        serde_json::Value::Array(values) => values
+            .iter()
+            .for_each(|value| collect_leaves(value, leaves)),
+        serde_json::Value::Object(fields) => fields
+            .values()
+            .for_each(|value| collect_leaves(value, leaves)),
         serde_json::Value::String(_) => {}
         leaf => leaves.push(leaf.to_string()),
     }
 }
 
-/// The counters as they are printed.
+/// Parses the counters from their printed form.
 pub(crate) fn parse_counters(line: &str) -> Vec<(String, u64)> {
     let pairs = line.split(' ').filter_map(|word| word.split_once('='));
     pairs
--- a/crates/stackgw-gateway/tests/digest/main.rs
+++ b/crates/stackgw-gateway/tests/digest/main.rs
@@ -1,5 +1,5 @@
-//! Plays random histories against the reducer and prints one digest of everything that it asked for. A change that must
-//! not alter behaviour prints the same digest before and after. Log texts are left out; names are mapped to numbers.
+//! Runs random histories against the reducer and prints one digest of all its effects. A change that must not alter behavior
+//! prints the same digest before and after. Log texts are left out, and names are mapped to numbers.
 //!
 //! `cargo test -p stackgw-gateway --test digest -- --ignored --nocapture`
 
@@ -24,7 +24,7 @@
 const STEPS: u32 = 220;
 const MEMBERS: u32 = 5;
 
-fn play(seed: u64, total: &mut BTreeMap<usize, (String, u64)>) -> u64 {
+fn run_history(seed: u64, totals: &mut BTreeMap<usize, (String, u64)>) -> u64 {
     let mut simulation = Simulation::new(seed);
     for _ in 0..STEPS {
         simulation.step();
@@ -32,13 +32,13 @@
     if seed % 2 == 1 {
         (0..simulation.gateways.len()).for_each(|index| simulation.input(index, Input::Terminate));
     }
-    simulation.pass(5 * SECOND);
+    simulation.advance(5 * SECOND);
     for index in 0..simulation.gateways.len() {
         simulation.input(index, Input::Report);
         let counters = parse_counters(&simulation.gateways[index].reducer.counters().to_string());
-        for (at, (name, count)) in counters.into_iter().enumerate() {
+        for (position, (name, count)) in counters.into_iter().enumerate() {
             simulation.digest.number(count);
-            total.entry(at).or_insert((name, 0)).1 += count;
+            totals.entry(position).or_insert((name, 0)).1 += count;
         }
     }
     simulation.digest.0
@@ -48,19 +48,19 @@
 #[test]
 #[ignore = "prints a digest, to be compared between versions"]
 fn digest_of_random_histories() {
-    let mut all = Digest::new();
-    let mut total = BTreeMap::new();
+    let mut digest_of_all = Digest::new();
+    let mut totals = BTreeMap::new();
     for seed in 0..HISTORIES {
-        let digest = play(seed, &mut total);
+        let digest = run_history(seed, &mut totals);
         if std::env::var_os("DIGEST_EACH").is_some() {
             println!("history {seed} {digest:016x}");
         }
-        all.number(digest);
+        digest_of_all.number(digest);
     }
-    let total: Vec<_> = total
+    let totals: Vec<_> = totals
         .values()
         .map(|(name, count)| format!("{name}={count}"))
         .collect();
-    println!("counters {}", total.join(" "));
-    println!("digest reducer = {:016x}", all.0);
+    println!("counters {}", totals.join(" "));
+    println!("digest reducer = {:016x}", digest_of_all.0);
 }
--- a/crates/stackgw-gateway/tests/digest/members.rs
+++ b/crates/stackgw-gateway/tests/digest/members.rs
@@ -1,4 +1,4 @@
-//! Members that answer, lag, fail, stall, break and send what nobody requested.
+//! Members that answer, lag, fail, stall, disconnect and send unexpected data.
 
 use super::simulation::{Scheduled, Simulation};
 use crate::common::*;
@@ -6,84 +6,94 @@
 use stackgw_gateway::reducer::{CloseReason, ConnectionId, Input, StreamHeader};
 use stackgw_router::api::{LoadReport, Outcome, Span, MS, SECOND};
 
-/// How a member behaves for a while.
+/// How a member behaves until its next change.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum MemberBehavior {
     Answers,
     Lags,
-    Errs,
-    Sheds,
+    Fails,
+    RejectsOverload,
     WrongRole,
-    Spoils,
-    StandsStill,
-    StandsInside,
-    Breaks,
-    BreaksInStartup,
-    ClosesAfter,
-    Refuses,
-    ComesUpLate,
-    SaysTooMuch,
+    SendsMalformed,
+    Hangs,
+    HangsWithinResponse,
+    Disconnects,
+    DisconnectsInStartup,
+    ClosesAfterResponse,
+    RefusesConnect,
+    ConnectsSlowly,
+    SendsUnexpectedData,
     FutureClock,
 }
 
 pub(crate) const BEHAVIORS: [MemberBehavior; 15] = [
     MemberBehavior::Answers,
     MemberBehavior::Lags,
-    MemberBehavior::Errs,
-    MemberBehavior::Sheds,
+    MemberBehavior::Fails,
+    MemberBehavior::RejectsOverload,
     MemberBehavior::WrongRole,
-    MemberBehavior::Spoils,
-    MemberBehavior::StandsStill,
-    MemberBehavior::StandsInside,
-    MemberBehavior::Breaks,
-    MemberBehavior::BreaksInStartup,
-    MemberBehavior::ClosesAfter,
-    MemberBehavior::Refuses,
-    MemberBehavior::ComesUpLate,
-    MemberBehavior::SaysTooMuch,
+    MemberBehavior::SendsMalformed,
+    MemberBehavior::Hangs,
+    MemberBehavior::HangsWithinResponse,
+    MemberBehavior::Disconnects,
+    MemberBehavior::DisconnectsInStartup,
+    MemberBehavior::ClosesAfterResponse,
+    MemberBehavior::RefusesConnect,
+    MemberBehavior::ConnectsSlowly,
+    MemberBehavior::SendsUnexpectedData,
     MemberBehavior::FutureClock,
 ];
 
 impl Simulation {
-    pub(crate) fn open(&mut self, index: usize, conn: ConnectionId, member: u32, back: bool) {
+    pub(crate) fn connect_member(
+        &mut self,
+        index: usize,
+        conn: ConnectionId,
+        member: u32,
+        is_backend: bool,
+    ) {
         self.gateways[index].conns.insert(conn, member);
         let behavior = self.behaviors[member as usize];
-        let (up, greets) = match behavior {
-            MemberBehavior::Refuses => {
+        let (connect_delay, greeting_delay) = match behavior {
+            MemberBehavior::RefusesConnect => {
                 let after = self.random.span(0, 2 * MS);
                 return self.schedule(
                     index,
                     after,
-                    Scheduled::Lost(conn, CloseReason::Disconnected),
+                    Scheduled::MemberClosed(conn, CloseReason::Disconnected),
                 );
             }
-            MemberBehavior::ComesUpLate => (
+            MemberBehavior::ConnectsSlowly => (
                 self.random.span(10 * MS, 500 * MS),
                 self.random.span(10 * MS, 600 * MS),
             ),
-            MemberBehavior::StandsStill if self.random.chance(30) => return,
+            MemberBehavior::Hangs if self.random.chance(30) => return,
             _ => (self.random.span(0, 2 * MS), self.random.span(0, 5 * MS)),
         };
         self.schedule(
             index,
-            up,
+            connect_delay,
             Scheduled::Member(conn, Input::MemberConnected(conn)),
         );
-        if back {
+        if is_backend {
             return;
         }
         self.schedule(
             index,
-            up,
+            connect_delay,
             Scheduled::Member(conn, Input::MemberFlushed(conn)),
         );
-        if behavior == MemberBehavior::BreaksInStartup {
-            let why = if self.random.chance(80) {
+        if behavior == MemberBehavior::DisconnectsInStartup {
+            let reason = if self.random.chance(80) {
                 CloseReason::Disconnected
             } else {
                 CloseReason::ProtocolError
             };
-            return self.schedule(index, up + greets, Scheduled::Lost(conn, why));
+            return self.schedule(
+                index,
+                connect_delay + greeting_delay,
+                Scheduled::MemberClosed(conn, reason),
+            );
         }
         let greeting = match self.random.below(40) {
             0 => vec![error("53300"), ready()],
@@ -94,66 +104,72 @@
         for frame in greeting {
             self.schedule(
                 index,
-                up + greets,
+                connect_delay + greeting_delay,
                 Scheduled::Member(conn, Input::MemberFrame(conn, frame)),
             );
         }
     }
 
-    /// What a member says of itself beside an answer.
-    pub(crate) fn role_and_position(&mut self, member: u32, behind: Span) -> Vec<Frame> {
+    /// The parameter messages with a member's role and position.
+    pub(crate) fn role_and_position(&mut self, member: u32, lag: Span) -> Vec<Frame> {
         let position = match self.behaviors[member as usize] {
             MemberBehavior::FutureClock => self.now + 9 * SECOND,
-            _ => self.now - behind,
+            _ => self.now - lag,
         };
-        let leads = (member + 1 == self.leader)
+        let claims_primary = (member + 1 == self.leader)
             != (self.behaviors[member as usize] == MemberBehavior::WrongRole);
-        let role = if leads { "leader" } else { "follower" };
+        let role = if claims_primary { "leader" } else { "follower" };
         vec![
             status("node_role", role),
             status("replay_position", &(position / MS).to_string()),
         ]
     }
 
-    pub(crate) fn answer(&mut self, index: usize, conn: ConnectionId, probe: bool, back: bool) {
+    pub(crate) fn respond(
+        &mut self,
+        index: usize,
+        conn: ConnectionId,
+        is_health_check: bool,
+        is_backend: bool,
+    ) {
         let Some(member) = self.gateways[index].conns.get(&conn).copied() else {
             return;
         };
         let behavior = self.behaviors[member as usize];
-        let behind = if behavior == MemberBehavior::Lags {
+        let lag = if behavior == MemberBehavior::Lags {
             3 * SECOND
         } else {
             self.random.span(0, 30 * MS)
         };
-        let took = match behavior {
+        let latency = match behavior {
             MemberBehavior::Lags => self.random.span(50 * MS, 400 * MS),
             _ => self.random.span(MS / 2, 20 * MS),
         };
-        let row = self.response_row(member, probe, behind);
+        let row = self.response_row(member, is_health_check, lag);
         let status_frames = if self.random.chance(85) {
-            self.role_and_position(member, behind)
+            self.role_and_position(member, lag)
         } else {
             Vec::new()
         };
         match behavior {
-            MemberBehavior::StandsStill => return,
-            MemberBehavior::Breaks => {
-                let why = if back && self.random.chance(40) {
+            MemberBehavior::Hangs => return,
+            MemberBehavior::Disconnects => {
+                let reason = if is_backend && self.random.chance(40) {
                     CloseReason::NotSent
                 } else {
                     CloseReason::Disconnected
                 };
-                return self.schedule(index, took, Scheduled::Lost(conn, why));
+                return self.schedule(index, latency, Scheduled::MemberClosed(conn, reason));
             }
-            MemberBehavior::StandsInside => {
+            MemberBehavior::HangsWithinResponse => {
                 self.schedule(
                     index,
-                    took,
+                    latency,
                     Scheduled::Member(conn, Input::MemberFrame(conn, row[0].clone())),
                 );
                 return self.schedule(
                     index,
-                    took,
+                    latency,
                     Scheduled::Member(conn, Input::MemberPartialFrame(conn)),
                 );
             }
@@ -163,23 +179,23 @@
         for frame in frames {
             self.schedule(
                 index,
-                took,
+                latency,
                 Scheduled::Member(conn, Input::MemberFrame(conn, frame)),
             );
         }
-        if behavior == MemberBehavior::ClosesAfter {
-            self.close_after(index, conn, took);
+        if behavior == MemberBehavior::ClosesAfterResponse {
+            self.close_after(index, conn, latency);
         }
     }
 
-    /// The row of a response, or of a health check.
-    fn response_row(&mut self, member: u32, probe: bool, behind: Span) -> Vec<Frame> {
-        if probe {
-            let at = self.now - behind;
+    /// The row of a response to a request or to a health check.
+    fn response_row(&mut self, member: u32, is_health_check: bool, lag: Span) -> Vec<Frame> {
+        if is_health_check {
+            let position = self.now - lag;
             let text = format!(
                 "x0={}.{:03},x1={}",
-                at / SECOND,
-                at % SECOND / MS,
+                position / SECOND,
+                position % SECOND / MS,
                 u8::from(member + 1 == self.leader)
             );
             row(text.as_bytes())
@@ -196,8 +212,10 @@
         status_frames: Vec<Frame>,
     ) -> Vec<Frame> {
         match behavior {
-            MemberBehavior::Errs => [vec![error("XX000")], status_frames, vec![ready()]].concat(),
-            MemberBehavior::Sheds => [vec![error("53300")], status_frames, vec![ready()]].concat(),
+            MemberBehavior::Fails => [vec![error("XX000")], status_frames, vec![ready()]].concat(),
+            MemberBehavior::RejectsOverload => {
+                [vec![error("53300")], status_frames, vec![ready()]].concat()
+            }
             MemberBehavior::WrongRole => {
                 let code = if self.random.chance(50) {
                     "25006"
@@ -206,21 +224,21 @@
                 };
                 [vec![error(code)], status_frames, vec![ready()]].concat()
             }
-            MemberBehavior::Spoils => match self.random.below(3) {
+            MemberBehavior::SendsMalformed => match self.random.below(3) {
                 0 => vec![message(b'I', b""), ready()],
                 1 => vec![row[1].clone()],
                 _ => [row, vec![message(b'x', b"")]].concat(),
             },
-            MemberBehavior::SaysTooMuch => {
+            MemberBehavior::SendsUnexpectedData => {
                 [row.clone(), status_frames, vec![ready()], row].concat()
             }
             _ => [row, status_frames, vec![ready()]].concat(),
         }
     }
 
-    /// Closes a connection after a response, perhaps with a message that says why.
-    fn close_after(&mut self, index: usize, conn: ConnectionId, took: Span) {
-        let after = took + self.random.span(0, 10 * MS);
+    /// Closes a connection after a response, sometimes with an error message first.
+    fn close_after(&mut self, index: usize, conn: ConnectionId, latency: Span) {
+        let after = latency + self.random.span(0, 10 * MS);
         if self.random.chance(30) {
             self.schedule(
                 index,
@@ -231,15 +249,15 @@
         self.schedule(
             index,
             after,
-            Scheduled::Lost(conn, CloseReason::Disconnected),
+            Scheduled::MemberClosed(conn, CloseReason::Disconnected),
         );
     }
 
-    pub(crate) fn stream(&mut self, index: usize, conn: ConnectionId) {
+    pub(crate) fn respond_with_stream(&mut self, index: usize, conn: ConnectionId) {
         let Some(member) = self.gateways[index].conns.get(&conn).copied() else {
             return;
         };
-        let said = StreamHeader {
+        let header = StreamHeader {
             primary: self.random.chance(80).then_some(member + 1 == self.leader),
             position: self.random.chance(80).then_some(self.now),
             report: LoadReport {
@@ -247,63 +265,63 @@
                 ..LoadReport::default()
             },
         };
-        let begins = self.random.span(MS, 30 * MS);
+        let start_delay = self.random.span(MS, 30 * MS);
         self.schedule(
             index,
-            begins,
-            Scheduled::Member(conn, Input::StreamStarted(conn, said)),
+            start_delay,
+            Scheduled::Member(conn, Input::StreamStarted(conn, header)),
         );
-        let waits = begins + self.random.span(0, 50 * MS);
+        let pause_delay = start_delay + self.random.span(0, 50 * MS);
         if self.random.chance(50) {
             self.schedule(
                 index,
-                waits,
+                pause_delay,
                 Scheduled::Member(conn, Input::StreamPaused(conn)),
             );
         }
-        let over = waits + self.random.span(0, 300 * MS);
+        let end_delay = pause_delay + self.random.span(0, 300 * MS);
         match self.random.below(5) {
             0 => self.schedule(
                 index,
-                over,
-                Scheduled::Lost(conn, CloseReason::Disconnected),
+                end_delay,
+                Scheduled::MemberClosed(conn, CloseReason::Disconnected),
             ),
             1 => self.schedule(
                 index,
-                over,
+                end_delay,
                 Scheduled::Member(conn, Input::StreamEnded(conn, Outcome::ConnectionReset)),
             ),
             2 => self.schedule(
                 index,
-                over,
+                end_delay,
                 Scheduled::Member(conn, Input::StreamEnded(conn, Outcome::Cancelled)),
             ),
             _ => self.schedule(
                 index,
-                over,
+                end_delay,
                 Scheduled::Member(conn, Input::StreamEnded(conn, Outcome::Served)),
             ),
         }
     }
 
-    pub(crate) fn any_conn(&mut self, index: usize) -> Option<ConnectionId> {
+    pub(crate) fn any_connection(&mut self, index: usize) -> Option<ConnectionId> {
         let conns: Vec<_> = self.gateways[index].conns.keys().copied().collect();
-        self.random.one(&conns)
+        self.random.choose(&conns)
     }
 
-    pub(crate) fn lose_conn(&mut self, index: usize) {
-        let why = if self.random.chance(70) {
+    pub(crate) fn close_any_connection(&mut self, index: usize) {
+        let reason = if self.random.chance(70) {
             CloseReason::Disconnected
         } else {
             CloseReason::ProtocolError
         };
-        if let Some(conn) = self.any_conn(index) {
-            self.deliver(index, Scheduled::Lost(conn, why));
+        if let Some(conn) = self.any_connection(index) {
+            self.deliver(index, Scheduled::MemberClosed(conn, reason));
         }
     }
 
-    pub(crate) fn partial(&mut self, index: usize) {
-        if let Some(conn) = self.any_conn(index) {
+    pub(crate) fn send_partial_frame(&mut self, index: usize) {
+        if let Some(conn) = self.any_connection(index) {
             self.input(index, Input::MemberPartialFrame(conn));
         }
     }
--- a/crates/stackgw-gateway/tests/digest/random.rs
+++ b/crates/stackgw-gateway/tests/digest/random.rs
@@ -22,11 +22,11 @@
         self.below(100) < percent
     }
 
-    pub(crate) fn span(&mut self, least: Span, most: Span) -> Span {
-        least + self.below((most - least).max(1) as u64) as Span
+    pub(crate) fn span(&mut self, min: Span, max: Span) -> Span {
+        min + self.below((max - min).max(1) as u64) as Span
     }
 
-    pub(crate) fn one<T: Copy>(&mut self, all: &[T]) -> Option<T> {
-        all.get(self.below(all.len() as u64) as usize).copied()
+    pub(crate) fn choose<T: Copy>(&mut self, items: &[T]) -> Option<T> {
+        items.get(self.below(items.len() as u64) as usize).copied()
     }
 }
--- a/crates/stackgw-gateway/tests/digest/simulation.rs
+++ b/crates/stackgw-gateway/tests/digest/simulation.rs
@@ -1,4 +1,4 @@
-//! Gateways and what surrounds them, as a simulation of discrete events.
+//! A discrete-event simulation of gateways with their clients, members and list service.
 
 use super::config::{add_operator_file, base_config, cluster_address, peer_address, Options};
 use super::hash::Digest;
@@ -18,44 +18,45 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// What happens scheduled at one gateway.
+/// A scheduled event at one gateway.
 pub(crate) enum Scheduled {
     Member(ConnectionId, Input),
-    /// The member's end of the connection is gone.
-    Lost(ConnectionId, CloseReason),
-    Flushed(ClientId),
-    Left(ClientId),
+    /// The member has closed the connection.
+    MemberClosed(ConnectionId, CloseReason),
+    ClientFlushed(ClientId),
+    ClientClosed(ClientId),
     Watch(u64, Input),
-    Plain(Input),
+    Other(Input),
 }
 
-/// A client as it is outside.
+/// A simulated client.
 #[derive(Default)]
 pub(crate) struct Client {
     pub(crate) pending: VecDeque<Frame>,
-    pub(crate) key: Option<Vec<u8>>,
+    pub(crate) cancel_key: Option<Vec<u8>>,
     pub(crate) reads: bool,
-    /// Bytes of half a message.
-    pub(crate) half: usize,
-    pub(crate) greeted: bool,
+    /// Bytes of an incomplete message.
+    pub(crate) partial_bytes: usize,
+    /// The client may send statements.
+    pub(crate) sends_statements: bool,
 }
 
-/// One gateway with everything around it.
+/// One gateway with its clients and connections.
 pub(crate) struct Gateway {
     pub(crate) reducer: Reducer,
     pub(crate) clients: BTreeMap<ClientId, Client>,
     pub(crate) conns: BTreeMap<ConnectionId, u32>,
     pub(crate) calls: BTreeSet<CallId>,
     pub(crate) streams: BTreeSet<ConnectionId>,
-    /// The watch that is open, by number.
+    /// The number of the open watch.
     pub(crate) watch: Option<u64>,
-    pub(crate) watches: u64,
-    pub(crate) accepts: bool,
-    pub(crate) stored: u64,
-    pub(crate) ended: bool,
+    pub(crate) watches_opened: u64,
+    pub(crate) accepts_clients: bool,
+    pub(crate) records_stored: u64,
+    pub(crate) has_exited: bool,
     pub(crate) terminated: bool,
     pub(crate) address: SocketAddr,
-    pub(crate) cluster: SocketAddr,
+    pub(crate) cluster_address: SocketAddr,
 }
 
 pub(crate) struct Simulation {
@@ -64,20 +65,20 @@
     pub(crate) now: Time,
     pub(crate) gateways: Vec<Gateway>,
     pub(crate) scheduled: BTreeMap<(Time, u64), (usize, Scheduled)>,
-    pub(crate) number: u64,
+    pub(crate) last_event_number: u64,
     pub(crate) behaviors: [MemberBehavior; MEMBERS as usize],
     pub(crate) phases: [u8; MEMBERS as usize],
-    pub(crate) moved: [bool; MEMBERS as usize],
-    pub(crate) since: [i64; MEMBERS as usize],
+    pub(crate) has_new_address: [bool; MEMBERS as usize],
+    pub(crate) up_since_ms: [i64; MEMBERS as usize],
     pub(crate) leader: u32,
     pub(crate) revision: u64,
     pub(crate) agent_up: bool,
     pub(crate) next_client: u64,
     pub(crate) next_call: u64,
     pub(crate) next_id: u64,
-    /// Datagrams that were sent, to be sent again.
-    pub(crate) sent: Vec<Vec<u8>>,
-    pub(crate) text: String,
+    /// Some of the datagrams sent so far, to be replayed.
+    pub(crate) sent_datagrams: Vec<Vec<u8>>,
+    pub(crate) config_text: String,
     pub(crate) options: Options,
 }
 
@@ -90,33 +91,33 @@
             now: START,
             gateways: Vec::new(),
             scheduled: BTreeMap::new(),
-            number: 0,
+            last_event_number: 0,
             behaviors: [MemberBehavior::Answers; MEMBERS as usize],
             phases: [0; MEMBERS as usize],
-            moved: [false; MEMBERS as usize],
-            since: [0; MEMBERS as usize],
+            has_new_address: [false; MEMBERS as usize],
+            up_since_ms: [0; MEMBERS as usize],
             leader: 1,
             revision: 1,
             agent_up: !seed.is_multiple_of(5),
             next_client: 0,
             next_call: 0,
             next_id: 0,
-            sent: Vec::new(),
-            text: String::new(),
+            sent_datagrams: Vec::new(),
+            config_text: String::new(),
             options,
             random: Random(seed ^ 0x5eed),
         };
         for index in 0..options.instances {
             let (mut config, text) = base_config(seed, index, options, &mut random);
             add_operator_file(&mut config, index, options, &mut random);
-            simulation.text = text;
-            simulation.boot(index, config);
+            simulation.config_text = text;
+            simulation.start_gateway(index, config);
         }
         simulation
     }
 
-    pub(crate) fn boot(&mut self, index: usize, config: Config) {
-        let (together, others, start) = (
+    pub(crate) fn start_gateway(&mut self, index: usize, config: Config) {
+        let (session_sharing, cluster, bootstrap) = (
             config.session_sharing.clone(),
             config.cluster.clone(),
             config.bootstrap.clone(),
@@ -129,23 +130,25 @@
                 ..Recovered::default()
             }),
         };
-        let life = Incarnation {
+        let incarnation = Incarnation {
             number: 5,
             recovered,
         };
         let mut reducer = Reducer::new(config);
         let mut effects = Vec::new();
-        match (&together, &others) {
-            (Some(together), _) => {
-                reducer.enable_session_sharing(self.now, together, life, &mut effects)
+        match (&session_sharing, &cluster) {
+            (Some(session_sharing), _) => {
+                reducer.enable_session_sharing(self.now, session_sharing, incarnation, &mut effects)
+            }
+            (None, Some(cluster)) => {
+                reducer.join_cluster(self.now, cluster, incarnation.peer(&name))
             }
-            (None, Some(others)) => reducer.join_cluster(self.now, others, life.peer(&name)),
             _ => {}
         }
-        if let Some(start) = &start {
-            let kept = self.random.chance(40).then(cached_endpoints);
-            let others = others.as_ref().map(|others| &others.options);
-            reducer.enable_bootstrap(self.now, start, others, kept, &mut effects);
+        if let Some(bootstrap) = &bootstrap {
+            let cached = self.random.chance(40).then(cached_endpoints);
+            let cluster = cluster.as_ref().map(|cluster| &cluster.options);
+            reducer.enable_bootstrap(self.now, bootstrap, cluster, cached, &mut effects);
         }
         self.gateways.push(Gateway {
             reducer,
@@ -154,13 +157,13 @@
             calls: BTreeSet::new(),
             streams: BTreeSet::new(),
             watch: None,
-            watches: 0,
-            accepts: false,
-            stored: 0,
-            ended: false,
+            watches_opened: 0,
+            accepts_clients: false,
+            records_stored: 0,
+            has_exited: false,
             terminated: false,
             address: peer_address(index),
-            cluster: cluster_address(index),
+            cluster_address: cluster_address(index),
         });
         for effect in effects {
             self.apply_effect(index, effect);
@@ -169,21 +172,23 @@
     }
 
     pub(crate) fn schedule(&mut self, index: usize, after: Span, scheduled: Scheduled) {
-        self.number += 1;
-        self.scheduled
-            .insert((self.now + after, self.number), (index, scheduled));
+        self.last_event_number += 1;
+        self.scheduled.insert(
+            (self.now + after, self.last_event_number),
+            (index, scheduled),
+        );
     }
 
     pub(crate) fn input(&mut self, index: usize, input: Input) {
-        if self.gateways[index].ended {
+        if self.gateways[index].has_exited {
             return;
         }
         let mut effects = Vec::new();
         let gateway = &mut self.gateways[index];
         gateway.reducer.handle(self.now, input, &mut effects);
-        let due = gateway.reducer.next_due();
+        let next_due = gateway.reducer.next_due();
         self.digest.pair(index as u64, effects.len() as u64);
-        self.digest.optional(due.map(|due| due as u64));
+        self.digest.optional(next_due.map(|due| due as u64));
         for effect in effects {
             self.apply_effect(index, effect);
         }
@@ -193,7 +198,7 @@
     pub(crate) fn apply_effect(&mut self, index: usize, effect: Effect) {
         self.digest.effect(&effect);
         match effect {
-            Effect::AcceptClients(on) => self.gateways[index].accepts = on,
+            Effect::AcceptClients(on) => self.gateways[index].accepts_clients = on,
             Effect::ClientWrite {
                 client,
                 bytes,
@@ -201,26 +206,30 @@
             } => self.client_written(index, client, &bytes, close),
             Effect::ClientClose(client) => drop(self.gateways[index].clients.remove(&client)),
             Effect::ClientCloseIfIdle(client) => {
-                let quiet = |c: &Client| c.pending.is_empty() && c.half == 0;
-                if self.gateways[index].clients.get(&client).is_some_and(quiet) {
+                let is_idle = |c: &Client| c.pending.is_empty() && c.partial_bytes == 0;
+                if self.gateways[index]
+                    .clients
+                    .get(&client)
+                    .is_some_and(is_idle)
+                {
                     self.gateways[index].clients.remove(&client);
-                    self.schedule(index, 0, Scheduled::Left(client));
+                    self.schedule(index, 0, Scheduled::ClientClosed(client));
                 }
             }
             Effect::MemberConnect(conn, address) | Effect::BackendConnect(conn, address) => {
-                let back = matches!(effect, Effect::BackendConnect(..));
-                self.open(index, conn, u32::from(address.port()) % 100 - 1, back);
+                let is_backend = matches!(effect, Effect::BackendConnect(..));
+                self.connect_member(index, conn, u32::from(address.port()) % 100 - 1, is_backend);
             }
-            Effect::BackendSend(conn, asked) => {
+            Effect::BackendSend(conn, request) => {
                 self.schedule(
                     index,
                     0,
                     Scheduled::Member(conn, Input::MemberFlushed(conn)),
                 );
-                if asked.may_stream && self.random.chance(70) {
-                    self.stream(index, conn);
+                if request.may_stream && self.random.chance(70) {
+                    self.respond_with_stream(index, conn);
                 } else {
-                    self.answer(index, conn, asked.statement.starts_with("SHOW"), true);
+                    self.respond(index, conn, request.statement.starts_with("SHOW"), true);
                 }
             }
             Effect::MemberWrite(conn, bytes) => {
@@ -233,34 +242,38 @@
                             Scheduled::Member(conn, Input::MemberFlushed(conn)),
                         );
                     }
-                    self.answer(index, conn, bytes[5..].starts_with(b"SHOW"), false);
+                    self.respond(index, conn, bytes[5..].starts_with(b"SHOW"), false);
                 }
             }
             Effect::MemberClose(conn) => {
                 self.gateways[index].conns.remove(&conn);
                 self.gateways[index].streams.remove(&conn);
             }
-            Effect::OpenWatch(_, after) => self.watch(index, after),
+            Effect::OpenWatch(_, after) => self.open_watch(index, after),
             Effect::CloseWatch => self.gateways[index].watch = None,
             Effect::FetchEndpoints(_) => {
-                let up = self.agent_up && self.random.chance(80);
-                let input = if up {
-                    Input::EndpointList(self.list(true))
+                let succeeds = self.agent_up && self.random.chance(80);
+                let input = if succeeds {
+                    Input::EndpointList(self.endpoint_list(true))
                 } else {
                     Input::FetchFailed
                 };
                 let after = self.random.span(MS, 60 * MS);
-                self.schedule(index, after, Scheduled::Plain(input));
+                self.schedule(index, after, Scheduled::Other(input));
             }
-            Effect::GossipDatagram(to, bytes) => self.send_datagram(index, to, bytes),
+            Effect::GossipDatagram(to, bytes) => self.send_gossip(index, to, bytes),
             Effect::ClusterDatagram(to, bytes) => {
-                let at = self
+                let recipient = self
                     .gateways
                     .iter()
-                    .position(|gateway| gateway.cluster == to);
-                if let Some(at) = at.filter(|_| self.random.chance(92)) {
+                    .position(|gateway| gateway.cluster_address == to);
+                if let Some(recipient) = recipient.filter(|_| self.random.chance(92)) {
                     let after = self.random.span(MS / 10, 3 * MS);
-                    self.schedule(at, after, Scheduled::Plain(Input::ClusterDatagram(bytes)));
+                    self.schedule(
+                        recipient,
+                        after,
+                        Scheduled::Other(Input::ClusterDatagram(bytes)),
+                    );
                 }
             }
             Effect::CallCompleted(call, _) => {
@@ -270,20 +283,20 @@
                 self.gateways[index].streams.insert(conn);
             }
             Effect::StoreRecord(_) => {
-                self.gateways[index].stored += 1;
-                let stored = self.gateways[index].stored;
+                self.gateways[index].records_stored += 1;
+                let stored = self.gateways[index].records_stored;
                 let after = self.random.span(MS / 5, 4 * MS);
                 self.schedule(
                     index,
                     after,
-                    Scheduled::Plain(Input::StoreEvent(CommitOutcome::Stored(stored))),
+                    Scheduled::Other(Input::StoreEvent(CommitOutcome::Stored(stored))),
                 );
             }
             Effect::StopListening => {
-                self.gateways[index].accepts = false;
-                self.schedule(index, 2 * MS, Scheduled::Plain(Input::ListenerClosed));
+                self.gateways[index].accepts_clients = false;
+                self.schedule(index, 2 * MS, Scheduled::Other(Input::ListenerClosed));
             }
-            Effect::Exit => self.gateways[index].ended = true,
+            Effect::Exit => self.gateways[index].has_exited = true,
             Effect::StoreEndpoints(_)
             | Effect::StatusReply(..)
             | Effect::Log(_)
@@ -291,18 +304,18 @@
         }
     }
 
-    pub(crate) fn send_datagram(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        if self.sent.len() < 64 {
-            self.sent.push(bytes.clone());
+    pub(crate) fn send_gossip(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
+        if self.sent_datagrams.len() < 64 {
+            self.sent_datagrams.push(bytes.clone());
         }
         let sender = self.gateways[from].address;
-        for at in (0..self.gateways.len()).filter(|at| *at != from) {
-            if to.port() == 7999 || self.gateways[at].address == to {
+        for recipient in (0..self.gateways.len()).filter(|index| *index != from) {
+            if to.port() == 7999 || self.gateways[recipient].address == to {
                 let after = self.random.span(MS / 10, 2 * MS);
                 self.schedule(
-                    at,
+                    recipient,
                     after,
-                    Scheduled::Plain(Input::GossipDatagram(sender, bytes.clone())),
+                    Scheduled::Other(Input::GossipDatagram(sender, bytes.clone())),
                 );
             }
         }
@@ -315,18 +328,18 @@
                     self.input(index, input);
                 }
             }
-            Scheduled::Lost(conn, why) => {
+            Scheduled::MemberClosed(conn, reason) => {
                 if self.gateways[index].conns.remove(&conn).is_some() {
                     self.gateways[index].streams.remove(&conn);
-                    self.input(index, Input::MemberClosed(conn, why));
+                    self.input(index, Input::MemberClosed(conn, reason));
                 }
             }
-            Scheduled::Flushed(id) => {
+            Scheduled::ClientFlushed(id) => {
                 if self.gateways[index].clients.contains_key(&id) {
                     self.input(index, Input::ClientFlushed(id));
                 }
             }
-            Scheduled::Left(id) => {
+            Scheduled::ClientClosed(id) => {
                 self.gateways[index].clients.remove(&id);
                 self.input(index, Input::ClientClosed(id, CloseReason::Disconnected));
             }
@@ -338,24 +351,24 @@
                     self.input(index, input);
                 }
             }
-            Scheduled::Plain(input) => self.input(index, input),
+            Scheduled::Other(input) => self.input(index, input),
         }
         self.send_pending_frames(index);
     }
 
-    /// Moves the clock on through all that is due by then.
-    pub(crate) fn pass(&mut self, span: Span) {
+    /// Advances the clock and handles everything that is due meanwhile.
+    pub(crate) fn advance(&mut self, span: Span) {
         let until = self.now + span;
         loop {
-            let due = |g: &Gateway| g.reducer.next_due().filter(|_| !g.ended);
-            let first = self
+            let timer_due = |g: &Gateway| g.reducer.next_due().filter(|_| !g.has_exited);
+            let next_timer = self
                 .gateways
                 .iter()
                 .enumerate()
-                .filter_map(|(n, g)| Some((due(g)?, n)))
+                .filter_map(|(n, g)| Some((timer_due(g)?, n)))
                 .min();
             let next_scheduled = self.scheduled.first_key_value().map(|((at, _), _)| *at);
-            match (first, next_scheduled) {
+            match (next_timer, next_scheduled) {
                 (Some((at, index)), next_scheduled)
                     if at <= until
                         && next_scheduled.is_none_or(|next_scheduled| at < next_scheduled) =>
@@ -376,7 +389,7 @@
         self.now = until;
     }
 
-    /// What the reducer shows of itself.
+    /// Adds the visible state of all reducers to the digest.
     pub(crate) fn digest_visible_state(&mut self) {
         for gateway in &self.gateways {
             let clients = gateway.clients.keys();
@@ -384,20 +397,20 @@
                 self.digest
                     .pair(id.0, u64::from(gateway.reducer.accepts_frame(*id)))
             });
-            for seen in gateway.reducer.member_statuses() {
-                self.digest.bytes(seen.name.as_bytes());
+            for member in gateway.reducer.member_statuses() {
+                self.digest.bytes(member.name.as_bytes());
                 self.digest
-                    .pair(seen.attempts.into(), seen.snapshot.in_flight.into());
-                self.digest.number(seen.snapshot.latency_ratio.to_bits());
+                    .pair(member.attempts.into(), member.snapshot.in_flight.into());
+                self.digest.number(member.snapshot.latency_ratio.to_bits());
             }
-            self.digest.answer(&serde_json::Value::from(
+            self.digest.status_reply(&serde_json::Value::from(
                 gateway.reducer.counters().buffered_bytes,
             ));
         }
     }
 }
 
-/// What a disk kept of the list.
+/// An endpoint list cached on disk.
 fn cached_endpoints() -> CachedEndpoints {
     let entries = [
         entry(1, "ready", "leader"),
--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Random inputs: whatever happens outside, each statement gets one answer, no connection carries two requests, budgets
-//! hold, and all is forgotten in the end.
+//! Random inputs. In every sequence each statement gets one response, no connection carries two requests at once, limits hold,
+//! and no state of requests is left at the end.
 
 mod common;
 
@@ -11,77 +11,77 @@
 use stackgw_router::api::{MS, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What may happen next; numbers choose among what is there.
+/// A random event. The numbers select among the existing clients or connections.
 #[derive(Debug, Clone)]
 enum Step {
-    Open,
-    Leave(usize),
-    BadClient(usize),
-    Ask(usize, u64, u8),
+    ConnectClient,
+    DisconnectClient(usize),
+    ClientProtocolError(usize),
+    SendStatement(usize, u64, u8),
     Reply(usize, u8),
-    Lose(usize, bool),
-    Pass(i64),
-    List(u8, bool),
+    DisconnectMember(usize, bool),
+    Advance(i64),
+    EndpointList(u8, bool),
     WatchLost,
     Datagram(Vec<u8>),
-    Holds(usize, usize),
-    Partial(usize),
+    ClientReadAhead(usize, usize),
+    MemberPartialFrame(usize),
     Reload(bool, u16),
-    Stick(bool, bool),
+    BlockWrites(bool, bool),
     Terminate,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let at = 0usize..1000;
     prop_oneof![
-        3 => Just(Step::Open),
-        1 => at.clone().prop_map(Step::Leave),
-        1 => at.clone().prop_map(Step::BadClient),
-        12 => (at.clone(), 0u64..2000, any::<u8>()).prop_map(|(n, d, kind)| Step::Ask(n, d, kind)),
+        3 => Just(Step::ConnectClient),
+        1 => at.clone().prop_map(Step::DisconnectClient),
+        1 => at.clone().prop_map(Step::ClientProtocolError),
+        12 => (at.clone(), 0u64..2000, any::<u8>()).prop_map(|(n, d, kind)| Step::SendStatement(n, d, kind)),
         12 => (at.clone(), any::<u8>()).prop_map(|(n, kind)| Step::Reply(n, kind)),
-        3 => (at, any::<bool>()).prop_map(|(n, bad)| Step::Lose(n, bad)),
-        6 => (0i64..400).prop_map(Step::Pass),
-        2 => (any::<u8>(), any::<bool>()).prop_map(|(bits, full)| Step::List(bits, full)),
+        3 => (at, any::<bool>()).prop_map(|(n, is_malformed)| Step::DisconnectMember(n, is_malformed)),
+        6 => (0i64..400).prop_map(Step::Advance),
+        2 => (any::<u8>(), any::<bool>()).prop_map(|(phases, is_complete)| Step::EndpointList(phases, is_complete)),
         1 => Just(Step::WatchLost),
         1 => proptest::collection::vec(any::<u8>(), 0..40).prop_map(Step::Datagram),
-        1 => (0usize..1000, 0usize..400_000).prop_map(|(n, bytes)| Step::Holds(n, bytes)),
-        1 => (0usize..1000).prop_map(Step::Partial),
-        1 => (any::<bool>(), 8500u16..8503).prop_map(|(good, port)| Step::Reload(good, port)),
-        1 => (any::<bool>(), any::<bool>()).prop_map(|(clients, members)| Step::Stick(clients, members)),
+        1 => (0usize..1000, 0usize..400_000).prop_map(|(n, bytes)| Step::ClientReadAhead(n, bytes)),
+        1 => (0usize..1000).prop_map(Step::MemberPartialFrame),
+        1 => (any::<bool>(), 8500u16..8503).prop_map(|(is_valid, port)| Step::Reload(is_valid, port)),
+        1 => (any::<bool>(), any::<bool>()).prop_map(|(clients, members)| Step::BlockWrites(clients, members)),
     ]
 }
 
-/// The outside as the effects leave it.
+/// The clients and connections outside the reducer, as its effects have changed them.
 #[derive(Default)]
-struct World {
+struct Environment {
     clients: BTreeSet<ClientId>,
     next_client: u64,
-    /// Connections to members, with whether a request is on them.
+    /// Connections to members, each with whether a request is in flight on it.
     conns: BTreeMap<ConnectionId, bool>,
-    /// Statements of each client that have no answer yet.
-    owed: BTreeMap<ClientId, u32>,
+    /// The number of unanswered statements of each client.
+    unanswered: BTreeMap<ClientId, u32>,
     revision: u64,
-    ended: bool,
+    has_exited: bool,
     /// Clients to be closed unless they have sent something.
-    retired: Vec<ClientId>,
+    closing_if_idle: Vec<ClientId>,
 }
 
-impl World {
-    fn see(&mut self, effects: &[Effect]) {
+impl Environment {
+    fn apply(&mut self, effects: &[Effect]) {
         for effect in effects {
             match effect {
                 Effect::ClientWrite { client, close, .. } => {
-                    if let Some(owed) = self.owed.get_mut(client).filter(|_| !close) {
-                        assert!(*owed > 0, "an answer that nobody asked for");
-                        *owed -= 1;
+                    if let Some(count) = self.unanswered.get_mut(client).filter(|_| !close) {
+                        assert!(*count > 0, "a response without a request");
+                        *count -= 1;
                     }
                     if *close {
-                        self.owed.remove(client);
+                        self.unanswered.remove(client);
                     }
                 }
                 Effect::ClientClose(client) => {
                     assert!(self.clients.remove(client), "a client closed twice");
-                    self.owed.remove(client);
+                    self.unanswered.remove(client);
                 }
                 Effect::MemberConnect(conn, _) => {
                     assert!(self.conns.insert(*conn, false).is_none())
@@ -96,21 +96,21 @@
                         "two requests on one connection"
                     );
                 }
-                Effect::ClientCloseIfIdle(client) => self.retired.push(*client),
-                Effect::Exit => self.ended = true,
+                Effect::ClientCloseIfIdle(client) => self.closing_if_idle.push(*client),
+                Effect::Exit => self.has_exited = true,
                 _ => {}
             }
         }
     }
 
-    fn nth<T: Copy>(all: impl ExactSizeIterator<Item = T>, n: usize) -> Option<T> {
-        let count = all.len().max(1);
-        let mut all = all;
-        all.nth(n % count)
+    fn nth<T: Copy>(items: impl ExactSizeIterator<Item = T>, n: usize) -> Option<T> {
+        let count = items.len().max(1);
+        let mut items = items;
+        items.nth(n % count)
     }
 }
 
-fn frames(kind: u8) -> Vec<Frame> {
+fn response_frames(kind: u8) -> Vec<Frame> {
     match kind % 8 {
         0 => vec![error("25006"), ready()],
         1 => vec![error("72000"), ready()],
@@ -133,168 +133,198 @@
     }
 }
 
-fn connect(harness: &mut ReducerHarness, world: &mut World) {
-    let id = ClientId(world.next_client);
-    world.next_client += 1;
-    world.clients.insert(id);
-    world.see(&harness.input(Input::ClientConnected(id)));
-    // The welcome is no answer to a statement.
+fn connect(harness: &mut ReducerHarness, environment: &mut Environment) {
+    let id = ClientId(environment.next_client);
+    environment.next_client += 1;
+    environment.clients.insert(id);
+    environment.apply(&harness.input(Input::ClientConnected(id)));
+    // The startup response does not answer a statement.
     harness.input(Input::ClientFrame(id, startup()));
 }
 
-fn leave(harness: &mut ReducerHarness, world: &mut World, n: usize) {
-    if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-        world.clients.remove(&id);
-        world.owed.remove(&id);
-        world.see(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
+fn disconnect_client(harness: &mut ReducerHarness, environment: &mut Environment, n: usize) {
+    if let Some(id) = Environment::nth(environment.clients.iter().copied(), n) {
+        environment.clients.remove(&id);
+        environment.unanswered.remove(&id);
+        environment.apply(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
     }
 }
 
-fn break_protocol(harness: &mut ReducerHarness, world: &mut World, n: usize) {
-    if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-        world.see(&harness.input(Input::ClientClosed(id, CloseReason::ProtocolError)));
-        world.clients.remove(&id);
-        world.owed.remove(&id);
-        world.see(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
+fn client_protocol_error(harness: &mut ReducerHarness, environment: &mut Environment, n: usize) {
+    if let Some(id) = Environment::nth(environment.clients.iter().copied(), n) {
+        environment.apply(&harness.input(Input::ClientClosed(id, CloseReason::ProtocolError)));
+        environment.clients.remove(&id);
+        environment.unanswered.remove(&id);
+        environment.apply(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
     }
 }
 
-fn ask(harness: &mut ReducerHarness, world: &mut World, n: usize, d: u64, kind: u8) {
-    let id = World::nth(world.clients.iter().copied(), n)
+fn send_statement(
+    harness: &mut ReducerHarness,
+    environment: &mut Environment,
+    n: usize,
+    d: u64,
+    kind: u8,
+) {
+    let id = Environment::nth(environment.clients.iter().copied(), n)
         .filter(|id| harness.reducer.accepts_frame(*id));
     if let Some(id) = id {
-        *world.owed.entry(id).or_insert(0) += 1;
+        *environment.unanswered.entry(id).or_insert(0) += 1;
         let frame = match kind % 5 {
             0 => query("SELECT 1"),
             1 | 2 => write_query(d),
             _ => read_query(d),
         };
-        world.see(&harness.input(Input::ClientFrame(id, frame)));
+        environment.apply(&harness.input(Input::ClientFrame(id, frame)));
     }
 }
 
-fn reply(harness: &mut ReducerHarness, world: &mut World, n: usize, kind: u8) {
-    let busy: Vec<_> = world
+fn reply(harness: &mut ReducerHarness, environment: &mut Environment, n: usize, kind: u8) {
+    let busy_conns: Vec<_> = environment
         .conns
         .iter()
         .filter(|(_, busy)| **busy)
         .map(|(id, _)| *id)
         .collect();
-    if let Some(id) = World::nth(busy.iter().copied(), n) {
-        let whole = frames(kind);
-        let over = whole.last().is_some_and(|f| f.kind == b'Z');
-        for frame in whole {
-            if frame.kind == b'Z' && over {
-                world.conns.insert(id, false);
+    if let Some(id) = Environment::nth(busy_conns.iter().copied(), n) {
+        let frames = response_frames(kind);
+        let is_complete = frames.last().is_some_and(|f| f.kind == b'Z');
+        for frame in frames {
+            if frame.kind == b'Z' && is_complete {
+                environment.conns.insert(id, false);
             }
-            world.see(&harness.input(Input::MemberFrame(id, frame)));
-            if !world.conns.contains_key(&id) {
+            environment.apply(&harness.input(Input::MemberFrame(id, frame)));
+            if !environment.conns.contains_key(&id) {
                 break;
             }
         }
     }
 }
 
-fn lose(harness: &mut ReducerHarness, world: &mut World, n: usize, bad: bool) {
-    if let Some(id) = World::nth(world.conns.keys().copied(), n) {
-        world.conns.remove(&id);
-        let why = if bad {
+fn disconnect_member(
+    harness: &mut ReducerHarness,
+    environment: &mut Environment,
+    n: usize,
+    is_malformed: bool,
+) {
+    if let Some(id) = Environment::nth(environment.conns.keys().copied(), n) {
+        environment.conns.remove(&id);
+        let reason = if is_malformed {
             CloseReason::ProtocolError
         } else {
             CloseReason::Disconnected
         };
-        world.see(&harness.input(Input::MemberClosed(id, why)));
+        environment.apply(&harness.input(Input::MemberClosed(id, reason)));
     }
 }
 
-fn deliver_list(harness: &mut ReducerHarness, world: &mut World, bits: u8, full: bool) {
-    world.revision += 1;
-    let phase = |n: u32| ["ready", "ready", "draining", "gone"][usize::from(bits >> (2 * n)) & 3];
+fn deliver_list(
+    harness: &mut ReducerHarness,
+    environment: &mut Environment,
+    phases: u8,
+    is_complete: bool,
+) {
+    environment.revision += 1;
+    let phase = |n: u32| ["ready", "ready", "draining", "gone"][usize::from(phases >> (2 * n)) & 3];
     let entries: Vec<_> = (0..3).map(|n| entry(n + 1, phase(n), "follower")).collect();
-    world.see(&harness.input(Input::EndpointList(list(world.revision, full, &entries))));
+    environment.apply(&harness.input(Input::EndpointList(list(
+        environment.revision,
+        is_complete,
+        &entries,
+    ))));
 }
 
-fn reload(harness: &mut ReducerHarness, world: &mut World, good: bool, port: u16) {
+fn reload(harness: &mut ReducerHarness, environment: &mut Environment, is_valid: bool, port: u16) {
     let text = config_text("null").replace(":8500", &format!(":{port}"));
     let config = stackgw_gateway::config::Config::from_text(&text, |_| None).map(Box::new);
-    let config = if good {
+    let config = if is_valid {
         config
     } else {
         Err(stackgw_gateway::config::ConfigError::NoFile)
     };
-    world.see(&harness.input(Input::Reload(config)));
+    environment.apply(&harness.input(Input::Reload(config)));
 }
 
-fn stick(harness: &mut ReducerHarness, world: &mut World, clients: bool, members: bool) {
-    // What was stuck moves on before anything else is.
+fn block_writes(
+    harness: &mut ReducerHarness,
+    environment: &mut Environment,
+    clients: bool,
+    members: bool,
+) {
+    // Blocked writes complete before other writes are blocked.
     (harness.client_writes_blocked, harness.member_writes_blocked) = (false, false);
-    for id in world.clients.clone() {
-        world.see(&harness.input(Input::ClientFlushed(id)));
+    for id in environment.clients.clone() {
+        environment.apply(&harness.input(Input::ClientFlushed(id)));
     }
-    for id in world.conns.keys().copied().collect::<Vec<_>>() {
-        world.see(&harness.input(Input::MemberFlushed(id)));
+    for id in environment.conns.keys().copied().collect::<Vec<_>>() {
+        environment.apply(&harness.input(Input::MemberFlushed(id)));
     }
     (harness.client_writes_blocked, harness.member_writes_blocked) = (clients, members);
 }
 
-fn take(harness: &mut ReducerHarness, world: &mut World, step: Step) {
+fn perform(harness: &mut ReducerHarness, environment: &mut Environment, step: Step) {
     match step {
-        Step::Open => connect(harness, world),
-        Step::Leave(n) => leave(harness, world, n),
-        Step::BadClient(n) => break_protocol(harness, world, n),
-        Step::Ask(n, d, kind) => ask(harness, world, n, d, kind),
-        Step::Reply(n, kind) => reply(harness, world, n, kind),
-        Step::Lose(n, bad) => lose(harness, world, n, bad),
-        Step::Pass(ms) => world.see(&harness.advance(ms * MS)),
-        Step::List(bits, full) => deliver_list(harness, world, bits, full),
-        Step::WatchLost => world.see(&harness.input(Input::WatchLost("ended".into()))),
+        Step::ConnectClient => connect(harness, environment),
+        Step::DisconnectClient(n) => disconnect_client(harness, environment, n),
+        Step::ClientProtocolError(n) => client_protocol_error(harness, environment, n),
+        Step::SendStatement(n, d, kind) => send_statement(harness, environment, n, d, kind),
+        Step::Reply(n, kind) => reply(harness, environment, n, kind),
+        Step::DisconnectMember(n, is_malformed) => {
+            disconnect_member(harness, environment, n, is_malformed)
+        }
+        Step::Advance(ms) => environment.apply(&harness.advance(ms * MS)),
+        Step::EndpointList(phases, is_complete) => {
+            deliver_list(harness, environment, phases, is_complete)
+        }
+        Step::WatchLost => environment.apply(&harness.input(Input::WatchLost("ended".into()))),
         Step::Datagram(bytes) => {
             let from = "127.0.0.1:7901".parse().expect("an address");
-            world.see(&harness.input(Input::GossipDatagram(from, bytes)));
+            environment.apply(&harness.input(Input::GossipDatagram(from, bytes)));
         }
-        Step::Holds(n, bytes) => {
-            if let Some(id) = World::nth(world.clients.iter().copied(), n) {
-                world.see(&harness.input(Input::ClientReadAhead(id, ReadAhead::partial(bytes))));
+        Step::ClientReadAhead(n, bytes) => {
+            if let Some(id) = Environment::nth(environment.clients.iter().copied(), n) {
+                environment
+                    .apply(&harness.input(Input::ClientReadAhead(id, ReadAhead::partial(bytes))));
             }
         }
-        Step::Partial(n) => {
-            if let Some(id) = World::nth(world.conns.keys().copied(), n) {
-                world.see(&harness.input(Input::MemberPartialFrame(id)));
+        Step::MemberPartialFrame(n) => {
+            if let Some(id) = Environment::nth(environment.conns.keys().copied(), n) {
+                environment.apply(&harness.input(Input::MemberPartialFrame(id)));
             }
         }
-        Step::Reload(good, port) => reload(harness, world, good, port),
-        Step::Stick(clients, members) => stick(harness, world, clients, members),
-        Step::Terminate => world.see(&harness.input(Input::Terminate)),
+        Step::Reload(is_valid, port) => reload(harness, environment, is_valid, port),
+        Step::BlockWrites(clients, members) => block_writes(harness, environment, clients, members),
+        Step::Terminate => environment.apply(&harness.input(Input::Terminate)),
     }
 }
 
-/// Closes the clients that were to be closed unless they had sent something.
-fn close_retired(harness: &mut ReducerHarness, world: &mut World) {
-    while let Some(id) = world.retired.pop() {
-        if world.clients.remove(&id) {
+/// Closes the clients that are to be closed if they are idle.
+fn close_idle_clients(harness: &mut ReducerHarness, environment: &mut Environment) {
+    while let Some(id) = environment.closing_if_idle.pop() {
+        if environment.clients.remove(&id) {
             assert_eq!(
-                world.owed.remove(&id).unwrap_or(0),
+                environment.unanswered.remove(&id).unwrap_or(0),
                 0,
-                "closed inside a request"
+                "closed within a request"
             );
-            world.see(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
+            environment.apply(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
         }
     }
 }
 
-/// What holds after each step.
-fn check(harness: &ReducerHarness, world: &World) {
+/// Checks the invariants that hold after each step.
+fn check_invariants(harness: &ReducerHarness, environment: &Environment) {
     let counters = harness.reducer.counters();
-    assert_eq!(counters.clients_open, world.clients.len() as u64);
-    assert_eq!(counters.members_open, world.conns.len() as u64);
+    assert_eq!(counters.clients_open, environment.clients.len() as u64);
+    assert_eq!(counters.members_open, environment.conns.len() as u64);
     assert!(counters.members_open <= 4);
-    // What the router believes to be in flight is what is out on connections.
-    for seen in harness.reducer.member_statuses() {
-        assert_eq!(seen.snapshot.in_flight, seen.attempts, "{seen:?}");
+    // The router counts the same requests as in flight as the connections carry.
+    for member in harness.reducer.member_statuses() {
+        assert_eq!(member.snapshot.in_flight, member.attempts, "{member:?}");
     }
 }
 
-fn play(steps: Vec<Step>) {
+fn run(steps: Vec<Step>) {
     let mut config = config(&three_members());
     (
         config.limits.clients,
@@ -303,37 +333,40 @@
     ) = (4, 2, 4);
     let mut harness = ReducerHarness::with(config);
     harness.answer_health_checks = false;
-    let mut world = World {
+    let mut environment = Environment {
         revision: 1,
-        ..World::default()
+        ..Environment::default()
     };
-    world.see(&harness.effects.drain(..).collect::<Vec<_>>());
-    // The probes of the start have been answered.
-    world.conns.values_mut().for_each(|busy| *busy = false);
+    environment.apply(&harness.effects.drain(..).collect::<Vec<_>>());
+    // The health checks sent at start count as answered.
+    environment
+        .conns
+        .values_mut()
+        .for_each(|busy| *busy = false);
     for step in steps {
-        if world.ended {
+        if environment.has_exited {
             break;
         }
-        let before = harness.effects.len();
-        take(&mut harness, &mut world, step);
-        close_retired(&mut harness, &mut world);
-        harness.effects.truncate(before);
-        check(&harness, &world);
+        let effect_count = harness.effects.len();
+        perform(&mut harness, &mut environment, step);
+        close_idle_clients(&mut harness, &mut environment);
+        harness.effects.truncate(effect_count);
+        check_invariants(&harness, &environment);
     }
-    // In the end nothing is owed and nothing is kept.
-    if !world.ended {
-        world.see(&harness.advance(3 * SECOND));
+    // At the end every statement is answered and no bytes are buffered.
+    if !environment.has_exited {
+        environment.apply(&harness.advance(3 * SECOND));
     }
     assert!(
-        world.owed.values().all(|owed| *owed == 0),
-        "no answer: {:?}",
-        world.owed
+        environment.unanswered.values().all(|count| *count == 0),
+        "unanswered: {:?}",
+        environment.unanswered
     );
     let c = harness.reducer.counters();
     let answered = c.answered_served + c.answered_rejected + c.answered_failed + c.abandoned;
     assert_eq!(c.taken, c.malformed + c.rejected_early + answered, "{c}");
-    if world.ended {
-        return; // What was out then is nobody's any more.
+    if environment.has_exited {
+        return; // Attempts that were in flight at the exit have no end.
     }
     let ended =
         c.ended_served + c.ended_error + c.ended_overloaded + c.ended_misrouted + c.ended_timed_out;
@@ -350,13 +383,13 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn each_statement_gets_one_answer_whatever_happens(
-        steps in proptest::collection::vec(step(), 1..120), end in any::<bool>()
+    fn each_statement_gets_one_response_for_any_inputs(
+        steps in proptest::collection::vec(step(), 1..120), terminates in any::<bool>()
     ) {
         let mut steps = steps;
-        if end {
+        if terminates {
             steps.insert(steps.len() / 2, Step::Terminate);
         }
-        play(steps);
+        run(steps);
     }
 }
