--- a/crates/stackgw-gateway/tests/abandoned_requests.rs
+++ b/crates/stackgw-gateway/tests/abandoned_requests.rs
@@ -1,4 +1,4 @@
-//! No work begins for a client that has disconnected or whose deadline has passed, whatever its attempt waited for.
+//! No work begins for a client that has disconnected or whose deadline has passed, regardless of what its attempt waited for.
 
 mod common;
 
@@ -12,7 +12,7 @@
 fn request_awaiting_connection(frame: Frame) -> (ReducerHarness, ClientId, ConnectionId) {
     let text = config_text(&three_members()).replace("\"Cancel\":true", "\"Cancel\":false");
     let mut harness =
-        ReducerHarness::with(Config::from_text(&text, |_| None).expect("a configuration"));
+        ReducerHarness::with(Config::from_text(&text, |_| None).expect("a valid configuration"));
     harness.auto_connect = false;
     let client = harness.client(1);
     let (conn, _) = opened(&harness.send(client, frame))[0];
--- a/crates/stackgw-gateway/tests/client_connections.rs
+++ b/crates/stackgw-gateway/tests/client_connections.rs
@@ -294,8 +294,8 @@
     });
     let sent = sent.count();
     assert!((3..30).contains(&sent), "{sent} in a row");
-    let fatal = |e: &Effect| matches!(e, Effect::ClientWrite { close: true, .. });
-    assert!(harness.effects.iter().any(fatal));
+    let closes_connection = |e: &Effect| matches!(e, Effect::ClientWrite { close: true, .. });
+    assert!(harness.effects.iter().any(closes_connection));
     // The connection is closed after a timeout even if the client does not read the error.
     assert!(harness
         .advance(2 * SECOND)
--- a/crates/stackgw-gateway/tests/config.rs
+++ b/crates/stackgw-gateway/tests/config.rs
@@ -32,7 +32,7 @@
 
 #[test]
 fn each_malformed_field_is_named() {
-    let whole = config_text(&three_members());
+    let valid = config_text(&three_members());
     for (from, to, expected) in [
         ("\"g0\"", "7", "name"),
         ("\"127.0.0.1:8500\"", "\"agent\"", "discovery: 'agent'"),
@@ -57,13 +57,13 @@
             "known: members: host_port 'here' is not an address and port",
         ),
     ] {
-        assert!(whole.contains(from), "{from}");
-        let problem = Config::from_text(&whole.replace(from, to), |_| None)
+        assert!(valid.contains(from), "{from}");
+        let error = Config::from_text(&valid.replace(from, to), |_| None)
             .expect_err(from)
             .to_string();
         assert!(
-            problem.contains(expected) && !problem.contains('\n'),
-            "{from}: {problem}"
+            error.contains(expected) && !error.contains('\n'),
+            "{from}: {error}"
         );
     }
 }
--- a/crates/stackgw-gateway/tests/connection_pacing.rs
+++ b/crates/stackgw-gateway/tests/connection_pacing.rs
@@ -116,9 +116,9 @@
         }
     }
     let counters = harness.reducer.counters();
-    let ended = counters.answered_served + counters.answered_rejected;
+    let answered = counters.answered_served + counters.answered_rejected;
     assert_eq!(
-        (ended, counters.answered_failed),
+        (answered, counters.answered_failed),
         (6, 0),
         "each has one response"
     );
--- a/crates/stackgw-gateway/tests/digest/clients.rs
+++ b/crates/stackgw-gateway/tests/digest/clients.rs
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Has clients that did not read read everything.
+    /// Lets clients that have not read their replies read them.
     pub(crate) fn resume_reading(&mut self, index: usize) {
         let stalled = self.gateways[index]
             .clients
--- a/crates/stackgw-gateway/tests/discovery_texts.rs
+++ b/crates/stackgw-gateway/tests/discovery_texts.rs
@@ -160,28 +160,32 @@
 
 #[test]
 fn lines_of_a_watch_are_parsed_the_same() {
-    let one = list_text(7, false, &[entry(1, "ready", "leader")]);
-    let odd = one.replace("\"room\"", "\"a } ] \\\" { \"");
-    let many = one.replace(',', ",\n");
-    let many: Vec<&str> = many.split('\n').collect();
+    let single_line = list_text(7, false, &[entry(1, "ready", "leader")]);
+    let with_brackets = single_line.replace("\"room\"", "\"a } ] \\\" { \"");
+    let multi_line = single_line.replace(',', ",\n");
+    let lines: Vec<&str> = multi_line.split('\n').collect();
     let mut out = String::new();
-    line(&mut out, "one", watch_text(&["", &one, " ", &odd], 1 << 20));
-    line(&mut out, "many", watch_text(&many, 1 << 20));
+    line(
+        &mut out,
+        "one",
+        watch_text(&["", &single_line, " ", &with_brackets], 1 << 20),
+    );
+    line(&mut out, "many", watch_text(&lines, 1 << 20));
     line(
         &mut out,
         "blank inside",
-        watch_text(&[many[0], ""], 1 << 20),
+        watch_text(&[lines[0], ""], 1 << 20),
     );
     line(
         &mut out,
         "list inside",
-        watch_text(&[many[0], &one], 1 << 20),
+        watch_text(&[lines[0], &single_line], 1 << 20),
     );
     line(&mut out, "no list", watch_text(&["nonsense"], 1 << 20));
     line(&mut out, "no JSON", watch_text(&["{]"], 1 << 20));
     line(&mut out, "wrong list", watch_text(&["{}"], 1 << 20));
-    line(&mut out, "too long", watch_text(&[&one], 20));
-    let lost = [
+    line(&mut out, "too long", watch_text(&[&single_line], 20));
+    let errors = [
         WatchError::from("ended"),
         WatchError::from("reset".to_owned()),
         WatchError {
@@ -189,11 +193,11 @@
             retry_after: Some(7),
         },
     ];
-    for lost in lost {
+    for error in errors {
         line(
             &mut out,
             "lost",
-            format!("{} {}", lost.reason, lost.retry_after.unwrap_or(-1)),
+            format!("{} {}", error.reason, error.retry_after.unwrap_or(-1)),
         );
     }
     compare("watch.txt", &out);
--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -32,14 +32,14 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let at = 0usize..1000;
+    let index = 0usize..1000;
     prop_oneof![
         3 => Just(Step::ConnectClient),
-        1 => at.clone().prop_map(Step::DisconnectClient),
-        1 => at.clone().prop_map(Step::ClientProtocolError),
-        12 => (at.clone(), 0u64..2000, any::<u8>()).prop_map(|(n, d, kind)| Step::SendStatement(n, d, kind)),
-        12 => (at.clone(), any::<u8>()).prop_map(|(n, kind)| Step::Reply(n, kind)),
-        3 => (at, any::<bool>()).prop_map(|(n, is_malformed)| Step::DisconnectMember(n, is_malformed)),
+        1 => index.clone().prop_map(Step::DisconnectClient),
+        1 => index.clone().prop_map(Step::ClientProtocolError),
+        12 => (index.clone(), 0u64..2000, any::<u8>()).prop_map(|(n, d, kind)| Step::SendStatement(n, d, kind)),
+        12 => (index.clone(), any::<u8>()).prop_map(|(n, kind)| Step::Reply(n, kind)),
+        3 => (index, any::<bool>()).prop_map(|(n, is_malformed)| Step::DisconnectMember(n, is_malformed)),
         6 => (0i64..400).prop_map(Step::Advance),
         2 => (any::<u8>(), any::<bool>()).prop_map(|(phases, is_complete)| Step::EndpointList(phases, is_complete)),
         1 => Just(Step::WatchLost),
@@ -80,14 +80,17 @@
                     }
                 }
                 Effect::ClientClose(client) => {
-                    assert!(self.clients.remove(client), "a client closed twice");
+                    assert!(self.clients.remove(client), "a client was closed twice");
                     self.unanswered.remove(client);
                 }
                 Effect::MemberConnect(conn, _) => {
                     assert!(self.conns.insert(*conn, false).is_none())
                 }
                 Effect::MemberClose(conn) => {
-                    assert!(self.conns.remove(conn).is_some(), "closed twice")
+                    assert!(
+                        self.conns.remove(conn).is_some(),
+                        "a connection was closed twice"
+                    )
                 }
                 Effect::MemberWrite(conn, bytes) if bytes[0] == b'Q' => {
                     let busy = self.conns.get_mut(conn).expect("an open connection");
@@ -368,15 +371,15 @@
     if environment.has_exited {
         return; // Attempts that were in flight at the exit have no end.
     }
-    let ended =
+    let ended_attempts =
         c.ended_served + c.ended_error + c.ended_overloaded + c.ended_misrouted + c.ended_timed_out;
-    let ended = ended
+    let ended_attempts = ended_attempts
         + c.ended_no_connection
         + c.ended_reset
         + c.ended_malformed
         + c.ended_cancelled
         + c.ended_not_sent;
-    assert_eq!((c.attempts, c.buffered_bytes), (ended, 0), "{c}");
+    assert_eq!((c.attempts, c.buffered_bytes), (ended_attempts, 0), "{c}");
 }
 
 proptest! {
--- a/crates/stackgw-gateway/tests/member_responses.rs
+++ b/crates/stackgw-gateway/tests/member_responses.rs
@@ -155,7 +155,7 @@
 
 /// All members can send malformed responses, so no number of them ejects a member.
 #[test]
-fn malformed_responses_are_no_evidence_against_a_member() {
+fn malformed_responses_do_not_eject_a_member() {
     let mut harness = ReducerHarness::new(&three_members());
     let client = harness.client(1);
     for _ in 0..20 {
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn a_forwarded_statement_differs_in_its_timeout_alone(
+    fn a_forwarded_statement_differs_only_in_its_timeout(
         key in "[0-9a-f]{1,32}", value in proptest::option::of(body()), d in 0u64..100_000, timeout_ms in 1u64..100_000,
         after in proptest::option::of(1i64..1 << 42), repeat in any::<bool>()
     ) {
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn a_reply_keeps_within_its_limit_whatever_its_bytes(kinds in proptest::collection::vec((any::<u8>(), body()), 0..10)) {
+    fn a_reply_stays_within_its_limit_for_any_bytes(kinds in proptest::collection::vec((any::<u8>(), body()), 0..10)) {
         let mut reply = Reply::default();
         for (kind, body) in kinds {
             if reply.take(&message(kind, &body), MAX_BYTES).is_err() {
@@ -242,8 +242,8 @@
 #[test]
 fn a_reply_gives_role_position_and_load_report() {
     let mut reply = Reply::default();
-    let mut all = row(b"v");
-    all.extend([
+    let mut frames = row(b"v");
+    frames.extend([
         status("node_role", "leader"),
         status("replay_position", "1767225600123"),
         status(
@@ -252,7 +252,7 @@
         ),
         status("other", "thing"),
     ]);
-    assert!(all.iter().all(|f| reply.take(f, MAX_BYTES) == Ok(false)));
+    assert!(frames.iter().all(|f| reply.take(f, MAX_BYTES) == Ok(false)));
     assert_eq!(reply.take(&ready(), MAX_BYTES), Ok(true));
     assert_eq!(
         (reply.outcome(), reply.primary),
@@ -298,13 +298,13 @@
         status("replay_position", "-"),
         status("server_load", "x0=,x1"),
     ];
-    let all = [
+    let frames = [
         row(b"v"),
         malformed.to_vec(),
         vec![message(b'S', &[0xff, 0, 0xfe])],
     ]
     .concat();
-    assert!(all.iter().all(|f| reply.take(f, MAX_BYTES) == Ok(false)));
+    assert!(frames.iter().all(|f| reply.take(f, MAX_BYTES) == Ok(false)));
     assert_eq!(
         (reply.outcome(), reply.primary, reply.position),
         (Some(ReplyOutcome::Row), None, None)
--- a/crates/stackgw-gateway/tests/requests.rs
+++ b/crates/stackgw-gateway/tests/requests.rs
@@ -16,9 +16,9 @@
     effects.extend(harness.advance(60 * MS));
     let (_, text) = &statements(&effects)[0];
     let (before, rest) = text.split_once(",d=").expect("a timeout");
-    let (wait, after) = rest.split_once(',').expect("further fields");
-    let wait: u64 = wait.parse().expect("a number");
-    assert!((600..=700).contains(&wait), "{wait}");
+    let (timeout, after) = rest.split_once(',').expect("further fields");
+    let timeout: u64 = timeout.parse().expect("a number");
+    assert!((600..=700).contains(&timeout), "{timeout}");
     let original = String::from_utf8(original.body().to_vec()).expect("text");
     assert!(
         original.starts_with(&format!("{before},d=700,")),
@@ -63,7 +63,7 @@
         let (next, _) = statements(&effects)
             .first()
             .cloned()
-            .expect("another attempt");
+            .expect("another attempt was sent");
         assert_ne!(next, conn);
         assert_eq!(client_replies(&harness.serve(next, b"x"))[0][0], b'T');
     }
--- a/crates/stackgw-gateway/tests/session_sharing.rs
+++ b/crates/stackgw-gateway/tests/session_sharing.rs
@@ -14,7 +14,7 @@
 /// A lease and the margin that its grantor adds. An earlier incarnation may have granted a lease for this long.
 const BOUND: Span = LEASE + LEASE / 8;
 
-/// The settings of an instance in a group with these replicas; the others do not exist.
+/// Session sharing with these replicas, of which only `g0`, the instance under test, runs.
 fn session_sharing(keepers: &[&str]) -> SessionSharingConfig {
     let file = Sessions {
         cluster: "test".to_owned(),
@@ -34,10 +34,10 @@
         store: None,
         expected: 2,
     };
-    let key = Key::new("test", b"a secret of this test alone").expect("a secret");
+    let key = Key::new("test", b"a secret of this test alone").expect("a valid secret");
     SessionSharingConfig {
         options: file,
-        keyring: Keyring::new(vec![key]).expect("keys"),
+        keyring: Keyring::new(vec![key]).expect("a valid keyring"),
     }
 }
 
--- a/crates/stackgw-gateway/tests/shutdown.rs
+++ b/crates/stackgw-gateway/tests/shutdown.rs
@@ -14,7 +14,7 @@
     assert!(!effects
         .iter()
         .any(|e| matches!(e, Effect::StopListening | Effect::ClientCloseIfIdle(_))));
-    let late = harness.client(3);
+    let connected_after_sigterm = harness.client(3);
     let effects = harness.advance(450 * MS);
     assert!(
         !effects.contains(&Effect::StopListening),
@@ -35,7 +35,7 @@
     );
     assert_eq!(client_replies(&harness.send(idle, query("")))[0][0], b'I');
     effects.extend(harness.advance(700 * MS));
-    for client in [idle, late, other] {
+    for client in [idle, connected_after_sigterm, other] {
         assert!(
             effects.contains(&Effect::ClientCloseIfIdle(client)),
             "{client:?}"
--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -218,15 +218,15 @@
     assert!(effects.contains(&Effect::CloseWatch) && opened(&effects) == 1);
 }
 
-/// After a reload with a new address of the list service, changes there count 4 s after the signal, even if the first connect
-/// fails.
+/// After a reload with a new address of the list service, the list there must be applied within 4 s of the signal, even if the
+/// first connect fails.
 #[test]
 fn a_list_at_a_new_address_is_applied_within_four_seconds_of_the_signal() {
     for connects in [false, true] {
         let mut harness = ReducerHarness::new(&three_members());
         let text = config_text("null").replace("127.0.0.1:8500", "127.0.0.1:8600");
-        let config =
-            stackgw_gateway::config::Config::from_text(&text, |_| None).expect("a configuration");
+        let config = stackgw_gateway::config::Config::from_text(&text, |_| None)
+            .expect("a valid configuration");
         harness.input(Input::Reload(Ok(Box::new(config))));
         if connects {
             harness.input(Input::WatchConnected);
@@ -241,8 +241,8 @@
 
 #[test]
 fn a_list_may_span_lines_and_an_incomplete_one_does_not_hide_the_next() {
-    let one = list_text(3, true, &[entry(1, "ready", "leader")]);
-    let value: serde_json::Value = serde_json::from_str(&one).expect("a list");
+    let single_line = list_text(3, true, &[entry(1, "ready", "leader")]);
+    let value: serde_json::Value = serde_json::from_str(&single_line).expect("valid JSON");
     let expected = list(3, true, &[entry(1, "ready", "leader")]);
     let indented = serde_json::to_string_pretty(&value).expect("text");
     let mut parser = WatchParser::new(1 << 20);
@@ -254,29 +254,29 @@
     assert!(events.iter().all(|event| *event == WatchEvent::Incomplete));
     assert_eq!(parser.push_line(b"  ".to_vec()), Ok(WatchEvent::Heartbeat));
     assert_eq!(
-        parser.push_line(one.clone().into_bytes()),
+        parser.push_line(single_line.clone().into_bytes()),
         Ok(WatchEvent::List(expected))
     );
     // Brackets and quotes within a string do not count as structure.
-    let odd = one.replace("\"room\"", r#""a }]\"{""#);
+    let with_brackets = single_line.replace("\"room\"", r#""a }]\"{""#);
     assert!(matches!(
-        parser.push_line(odd.into_bytes()),
+        parser.push_line(with_brackets.into_bytes()),
         Ok(WatchEvent::List(_))
     ));
     // The indentation of the lines does not matter.
-    let flat: Vec<_> = indented
+    let unindented: Vec<_> = indented
         .lines()
         .map(|line| parser.push_line(line.trim().into()).expect("a line"))
         .collect();
-    assert!(matches!(flat.last(), Some(WatchEvent::List(_))));
+    assert!(matches!(unindented.last(), Some(WatchEvent::List(_))));
     assert!(matches!(
-        parser.push_line(format!("  {one}").into_bytes()),
+        parser.push_line(format!("  {single_line}").into_bytes()),
         Ok(WatchEvent::List(_))
     ));
-    for next in ["", &one, "x"] {
+    for next in ["", &single_line, "x"] {
         let mut parser = WatchParser::new(1 << 20);
         assert_eq!(
-            parser.push_line(one.as_bytes()[..40].to_vec()),
+            parser.push_line(single_line.as_bytes()[..40].to_vec()),
             Ok(WatchEvent::Incomplete)
         );
         assert_eq!(
@@ -286,7 +286,9 @@
         );
     }
     assert!(
-        WatchParser::new(20).push_line(one.into_bytes()).is_err(),
+        WatchParser::new(20)
+            .push_line(single_line.into_bytes())
+            .is_err(),
         "a list over the size limit"
     );
     assert!(WatchParser::new(1 << 20)
@@ -313,12 +315,12 @@
 
 /// The largest number of polls within any 100 ms. Each poll must be at most 1 s after the outage.
 fn peak_polls(polls: impl Iterator<Item = Span>) -> u32 {
-    let mut counts = [0; 10];
-    for after in polls {
-        assert!((0..=SECOND).contains(&after), "{} ms", after / MS);
-        counts[(after / (100 * MS)).min(9) as usize] += 1;
+    let mut polls_by_tenth = [0; 10];
+    for delay in polls {
+        assert!((0..=SECOND).contains(&delay), "{} ms", delay / MS);
+        polls_by_tenth[(delay / (100 * MS)).min(9) as usize] += 1;
     }
-    counts.into_iter().max().unwrap_or(0)
+    polls_by_tenth.into_iter().max().unwrap_or(0)
 }
 
 /// Gateways that lost the list service at the same time polled it again within the same 100 ms.
