--- a/crates/stackgw-gateway/tests/pipelining.rs
+++ b/crates/stackgw-gateway/tests/pipelining.rs
@@ -35,20 +35,15 @@
         "its reply follows the first one"
     );
     let effects = harness.serve(first, b"one");
-    let replies = client_replies(&effects);
-    assert_eq!(replies.len(), 2);
-    assert!(
-        replies[0].windows(3).any(|w| w == b"one") && replies[1].windows(3).any(|w| w == b"two")
-    );
+    let writes = client_replies(&effects);
+    assert_eq!(writes.len(), 2);
+    assert!(writes[0].windows(3).any(|w| w == b"one") && writes[1].windows(3).any(|w| w == b"two"));
     let write = connection_used(&effects);
     let sent = harness.sent_statement(write, effects);
     assert!(sent.contains("d=850"), "{sent}");
     let primary_status = || vec![status("node_role", "leader"), ready()];
-    let replies = client_replies(&harness.reply(write, [row(b"three"), primary_status()].concat()));
-    assert_eq!(
-        (replies.len(), replies[0][0], replies[1][0]),
-        (2, b'T', b'I')
-    );
+    let writes = client_replies(&harness.reply(write, [row(b"three"), primary_status()].concat()));
+    assert_eq!((writes.len(), writes[0][0], writes[1][0]), (2, b'T', b'I'));
     // A read of another key is sent before a write that waits, but its reply is not.
     let write = connection_used(&harness.send(client, write_query(900)));
     let other = read_query(900).bytes;
@@ -67,11 +62,8 @@
     )
     .is_empty());
     assert!(!harness.reducer.accepts_frame(client));
-    let replies = client_replies(&harness.serve(third, b"four"));
-    assert_eq!(
-        (replies.len(), replies[0][0], replies[1][0]),
-        (2, b'T', b'E')
-    );
+    let writes = client_replies(&harness.serve(third, b"four"));
+    assert_eq!((writes.len(), writes[0][0], writes[1][0]), (2, b'T', b'E'));
     // When a client disconnects, all of its pipelined statements are dropped.
     let client = harness.client(2);
     harness.send(client, read_query(900));
--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -39,29 +39,29 @@
     outage_start: Time,
     outage_end: Time,
     /// The next input from the open watch.
-    next_input: Option<(Time, Input)>,
+    next: Option<(Time, Input)>,
 }
 
 impl Agent {
     fn open_watch(&mut self, now: Time, harness: &mut ReducerHarness) {
-        self.next_input = None;
+        self.next = None;
         if now < self.outage_start {
             harness.input(Input::WatchConnected);
-            self.next_input = Some((now + 2 * SECOND, Input::WatchKeepalive));
+            self.next = Some((now + 2 * SECOND, Input::WatchKeepalive));
         } else if now >= self.outage_end {
             harness.input(Input::WatchConnected);
             let drain_notice = list(2, false, &[entry(2, "draining", "follower")]);
-            self.next_input = Some((now + MS, Input::EndpointList(drain_notice)));
+            self.next = Some((now + MS, Input::EndpointList(drain_notice)));
         } else {
             match self.connect_failure {
                 AgentFailure::RefusesConnect => {
-                    self.next_input = Some((now, Input::WatchLost("refused".into())))
+                    self.next = Some((now, Input::WatchLost("refused".into())))
                 }
                 AgentFailure::IgnoresConnect => {}
                 AgentFailure::Stalls => drop(harness.input(Input::WatchConnected)),
                 AgentFailure::DisconnectsAfter(after) => {
                     harness.input(Input::WatchConnected);
-                    self.next_input = Some((now + after, Input::WatchLost("cut off".into())));
+                    self.next = Some((now + after, Input::WatchLost("cut off".into())));
                 }
             }
         }
@@ -94,7 +94,7 @@
         open_watch_failure,
         outage_start,
         outage_end: outage_start + outage,
-        next_input: None,
+        next: None,
     };
     let mut watches_to_open = 1;
     let mut has_failed = false;
@@ -106,13 +106,13 @@
             has_failed = true;
             match agent.open_watch_failure {
                 OpenWatchFailure::Disconnected => {
-                    agent.next_input = Some((harness.now, Input::WatchLost("ended".into())))
+                    agent.next = Some((harness.now, Input::WatchLost("ended".into())))
                 }
                 // The last line has arrived already.
-                OpenWatchFailure::Silent(_) => agent.next_input = None,
+                OpenWatchFailure::Silent(_) => agent.next = None,
             }
         }
-        let next_input_at = agent.next_input.as_ref().map(|(at, _)| *at);
+        let next_input_at = agent.next.as_ref().map(|(at, _)| *at);
         let next_times = [
             next_input_at,
             harness.reducer.next_due(),
@@ -124,12 +124,8 @@
             .min()
             .expect("the sweep timer is always set");
         let mut effects = harness.advance((until - harness.now).max(0));
-        if agent
-            .next_input
-            .as_ref()
-            .is_some_and(|(at, _)| *at <= harness.now)
-        {
-            let (at, input) = agent.next_input.take().expect("an input is due");
+        if agent.next.as_ref().is_some_and(|(t, _)| *t <= harness.now) {
+            let (at, input) = agent.next.take().expect("an input is due");
             if matches!(input, Input::WatchKeepalive) {
                 let silent_before = match agent.open_watch_failure {
                     OpenWatchFailure::Silent(silent_before) => silent_before,
@@ -137,17 +133,14 @@
                 };
                 let next = at + 2 * SECOND;
                 let is_last = next > outage_start - silent_before;
-                agent.next_input = (!is_last).then_some((next, Input::WatchKeepalive));
+                agent.next = (!is_last).then_some((next, Input::WatchKeepalive));
             }
             effects.extend(harness.input(input));
         }
         if harness.reducer.counters().lists > 0 {
             return harness.now - agent.outage_end.max(outage_start);
         }
-        assert!(
-            harness.now < agent.outage_end + 20 * SECOND,
-            "the list was not applied"
-        );
+        assert!(harness.now < agent.outage_end + 20 * SECOND, "not applied");
         watches_to_open = effects
             .iter()
             .filter(|e| matches!(e, Effect::OpenWatch(..)))
