--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -321,7 +321,7 @@
     assert_eq!(counters.clients_open, environment.clients.len() as u64);
     assert_eq!(counters.members_open, environment.conns.len() as u64);
     assert!(counters.members_open <= 4);
-    // The router counts the same requests as in flight as the connections carry.
+    // The router's number of requests in flight is the number of attempts on connections.
     for member in harness.reducer.member_statuses() {
         assert_eq!(member.snapshot.in_flight, member.attempts, "{member:?}");
     }
