--- a/crates/stackgw-gateway/tests/common/fixtures.rs
+++ b/crates/stackgw-gateway/tests/common/fixtures.rs
@@ -5,7 +5,7 @@
 use std::fmt::{Display, Write};
 use std::path::Path;
 
-/// Messages reworded since the fixtures were written: the full text in the fixture, and the current full text.
+/// Messages of the fixtures that have been reworded since: the full text in the fixture, and the full text now.
 const REWORDED_MESSAGES: [(&str, &str); 50] = [
     (
         "ROUTER_CONFIG: no JSON: EOF while parsing a list at line 18 column 58",
