--- a/crates/stackgw-gateway/tests/common/fixtures.rs
+++ b/crates/stackgw-gateway/tests/common/fixtures.rs
@@ -1,4 +1,4 @@
-//! Fixtures: files of lines that were written by commit 1451fac and are not to change.
+//! Comparison with fixtures: files of lines that commit 1451fac wrote and that must not change.
 
 use stackgw_gateway::discovery::ListUpdate;
 use stackgw_router::api::Lifecycle;
@@ -200,7 +200,7 @@
     ),
 ];
 
-/// A line of a fixture with the texts that its messages have now.
+/// A line of a fixture with its messages in their current wording.
 fn with_reworded_messages(expected: &str) -> String {
     REWORDED_MESSAGES
         .iter()
@@ -209,12 +209,12 @@
         })
 }
 
-/// Compares lines with a fixture.
+/// Compares the lines of a text with a fixture.
 pub fn compare(name: &str, actual: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures/wire_texts")
         .join(name);
-    let expected = std::fs::read_to_string(&path).expect("the fixture is there");
+    let expected = std::fs::read_to_string(&path).expect("the fixture is readable");
     for (number, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
         let expected = with_reworded_messages(expected);
         assert_eq!(expected, actual, "{name}, line {}", number + 1);
@@ -226,11 +226,12 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// One line of a fixture.
+/// Appends one line in the format of the fixtures.
 pub fn line(out: &mut String, label: &str, text: impl Display) {
-    writeln!(out, "{label}: {text}").expect("a string takes all");
+    writeln!(out, "{label}: {text}").expect("writing to a string cannot fail");
 }
 
+/// An endpoint list as one line of text.
 pub fn list_text_of(list: &ListUpdate) -> String {
     let mut text = format!("{} {}", list.revision, list.complete);
     for entry in &list.members {
@@ -250,7 +251,7 @@
             entry.up_since_ms,
             entry.leader
         )
-        .expect("a string takes all");
+        .expect("writing to a string cannot fail");
     }
     text
 }
--- a/crates/stackgw-gateway/tests/discovery_texts.rs
+++ b/crates/stackgw-gateway/tests/discovery_texts.rs
@@ -1,4 +1,4 @@
-//! What the gateway sends to the list service, and how it reads the answers, compared with fixtures.
+//! The requests to the list service and the parsed responses, compared with fixtures.
 
 mod common;
 
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn the_list_service_is_asked_with_the_same_bytes() {
+fn requests_to_the_list_service_have_the_same_bytes() {
     let mut out = String::new();
     for host in ["127.0.0.1:8500", "[::1]:80"] {
         let host = host.parse().expect("an address");
@@ -26,40 +26,40 @@
     compare("list_requests.txt", &out);
 }
 
-fn http_text(answer: &[u8], size: usize) -> String {
+fn http_text(response: &[u8], chunk_size: usize) -> String {
     let mut parser = HttpLineReader::new(100, 40);
-    let mut all = Vec::new();
-    let name = |piece: &HttpEvent| match piece {
+    let mut texts = Vec::new();
+    let event_text = |event: &HttpEvent| match event {
         HttpEvent::Line(line) => format!("line {}", String::from_utf8_lossy(line)),
         HttpEvent::End => "end".to_owned(),
     };
-    for bytes in answer.chunks(size) {
+    for bytes in response.chunks(chunk_size) {
         match parser.feed(bytes) {
-            Ok(pieces) => all.extend(pieces.iter().map(name)),
-            Err(malformed) => {
+            Ok(events) => texts.extend(events.iter().map(event_text)),
+            Err(error) => {
                 return format!(
-                    "{} error: {malformed}, off {}",
-                    all.join(", "),
+                    "{} error: {error}, off {}",
+                    texts.join(", "),
                     parser.retry_after().unwrap_or(-1)
                 );
             }
         }
     }
-    let ended = match parser.finish() {
-        Ok(pieces) => pieces.iter().map(name).collect::<Vec<_>>().join(", "),
-        Err(malformed) => format!("error: {malformed}"),
+    let end_text = match parser.finish() {
+        Ok(events) => events.iter().map(event_text).collect::<Vec<_>>().join(", "),
+        Err(error) => format!("error: {error}"),
     };
     format!(
-        "{} then {ended}, off {}",
-        all.join(", "),
+        "{} then {end_text}, off {}",
+        texts.join(", "),
         parser.retry_after().unwrap_or(-1)
     )
 }
 
 #[test]
-fn answers_of_the_list_service_are_read_the_same() {
-    let long = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "x".repeat(100));
-    let endless = "x".repeat(101);
+fn responses_of_the_list_service_are_parsed_the_same() {
+    let long_header = format!("HTTP/1.1 200 OK\r\nX: {}\r\n\r\n", "x".repeat(100));
+    let unterminated = "x".repeat(101);
     let long_line = format!("HTTP/1.1 200 OK\r\n\r\n{}", "y".repeat(41));
     let long_lines = format!("HTTP/1.1 200 OK\r\n\r\n{}\n", "y".repeat(41));
     let chunked =
@@ -84,27 +84,27 @@
         format!("HTTP/1.1 {}\r\n\r\n", "5".repeat(80)),
         "\r\n\r\n".to_owned(),
         "HTTP/1.1 200 OK\r\n".to_owned(),
-        long,
-        endless,
+        long_header,
+        unterminated,
         long_line,
         long_lines,
     ];
     let mut out = String::new();
-    for (number, answer) in cases.iter().enumerate() {
-        for size in [1, 7, 4096] {
+    for (number, response) in cases.iter().enumerate() {
+        for chunk_size in [1, 7, 4096] {
             line(
                 &mut out,
-                &format!("answer {number} by {size}"),
-                http_text(answer.as_bytes(), size),
+                &format!("answer {number} by {chunk_size}"),
+                http_text(response.as_bytes(), chunk_size),
             );
         }
     }
-    let no_text = [b"HTTP/1.1 200 OK\r\nX: ", &b"\xff"[..], b"\r\n\r\n"].concat();
-    line(&mut out, "no text", http_text(&no_text, 4096));
+    let invalid_utf8 = [b"HTTP/1.1 200 OK\r\nX: ", &b"\xff"[..], b"\r\n\r\n"].concat();
+    line(&mut out, "no text", http_text(&invalid_utf8, 4096));
     compare("http.txt", &out);
 }
 
-/// A good list, and what is replaced in it by what.
+/// Replacements in a valid list: the original text and the new one.
 const LIST_CHANGES: [(&str, &str); 22] = [
     ("\"revision\":1", "\"revision\":18446744073709551615"),
     ("\"revision\":1", "\"revision\":-1"),
@@ -131,57 +131,61 @@
 ];
 
 #[test]
-fn lists_are_read_the_same() {
+fn lists_are_parsed_the_same() {
     let mut out = String::new();
-    let read = |text: &str| match parse_endpoint_list(text.as_bytes()) {
+    let parsed = |text: &str| match parse_endpoint_list(text.as_bytes()) {
         Ok(list) => list_text_of(&list),
-        Err(malformed) => format!("error: {malformed}"),
+        Err(error) => format!("error: {error}"),
     };
-    line(&mut out, "list", read(&three()));
+    line(&mut out, "list", parsed(&three_members()));
     for (from, to) in LIST_CHANGES {
-        assert!(three().contains(from), "{from}");
-        line(&mut out, to, read(&three().replacen(from, to, 1)));
+        assert!(three_members().contains(from), "{from}");
+        line(&mut out, to, parsed(&three_members().replacen(from, to, 1)));
     }
     compare("lists.txt", &out);
 }
 
-fn watch_text(lines: &[&str], most: usize) -> String {
-    let mut objects = WatchParser::new(most);
-    let read = lines
+fn watch_text(lines: &[&str], max_bytes: usize) -> String {
+    let mut parser = WatchParser::new(max_bytes);
+    let texts = lines
         .iter()
-        .map(|line| match objects.push_line(line.as_bytes().to_vec()) {
+        .map(|line| match parser.push_line(line.as_bytes().to_vec()) {
             Ok(WatchEvent::Heartbeat) => "alive".to_owned(),
             Ok(WatchEvent::List(list)) => format!("list {}", list_text_of(&list)),
             Ok(WatchEvent::Incomplete) => "more".to_owned(),
-            Err(malformed) => format!("error: {malformed}"),
+            Err(error) => format!("error: {error}"),
         });
-    read.collect::<Vec<_>>().join("; ")
+    texts.collect::<Vec<_>>().join("; ")
 }
 
 #[test]
-fn lines_of_a_watch_are_read_the_same() {
-    let one = list_text(7, false, &[entry(1, "ready", "leader")]);
-    let odd = one.replace("\"room\"", "\"a } ] \\\" { \"");
-    let many = one.replace(',', ",\n");
-    let many: Vec<&str> = many.split('\n').collect();
+fn lines_of_a_watch_are_parsed_the_same() {
+    let single_line = list_text(7, false, &[entry(1, "ready", "leader")]);
+    let with_brackets = single_line.replace("\"room\"", "\"a } ] \\\" { \"");
+    let multi_line = single_line.replace(',', ",\n");
+    let lines: Vec<&str> = multi_line.split('\n').collect();
     let mut out = String::new();
-    line(&mut out, "one", watch_text(&["", &one, " ", &odd], 1 << 20));
-    line(&mut out, "many", watch_text(&many, 1 << 20));
+    line(
+        &mut out,
+        "one",
+        watch_text(&["", &single_line, " ", &with_brackets], 1 << 20),
+    );
+    line(&mut out, "many", watch_text(&lines, 1 << 20));
     line(
         &mut out,
         "blank inside",
-        watch_text(&[many[0], ""], 1 << 20),
+        watch_text(&[lines[0], ""], 1 << 20),
     );
     line(
         &mut out,
         "list inside",
-        watch_text(&[many[0], &one], 1 << 20),
+        watch_text(&[lines[0], &single_line], 1 << 20),
     );
     line(&mut out, "no list", watch_text(&["nonsense"], 1 << 20));
     line(&mut out, "no JSON", watch_text(&["{]"], 1 << 20));
     line(&mut out, "wrong list", watch_text(&["{}"], 1 << 20));
-    line(&mut out, "too long", watch_text(&[&one], 20));
-    let lost = [
+    line(&mut out, "too long", watch_text(&[&single_line], 20));
+    let errors = [
         WatchError::from("ended"),
         WatchError::from("reset".to_owned()),
         WatchError {
@@ -189,11 +193,11 @@
             retry_after: Some(7),
         },
     ];
-    for lost in lost {
+    for error in errors {
         line(
             &mut out,
             "lost",
-            format!("{} {}", lost.reason, lost.retry_after.unwrap_or(-1)),
+            format!("{} {}", error.reason, error.retry_after.unwrap_or(-1)),
         );
     }
     compare("watch.txt", &out);
