--- a/crates/stackgw-cluster/src/cluster.rs
+++ b/crates/stackgw-cluster/src/cluster.rs
@@ -54,12 +54,12 @@
 /// A change of membership, or a received message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// An instance is up.
+    /// An instance has come up, or is up in another incarnation.
     Up(Identity),
     /// An instance seems to be down.
     Down(Identity),
-    /// A later incarnation of this instance is up: this one was replaced, or two processes run
-    /// with the same name.
+    /// A later incarnation of this instance is known to be or have been up: this one was replaced,
+    /// or two processes run with the same name.
     Superseded(Identity),
     /// A message between sessions.
     Sessions {
@@ -137,17 +137,18 @@
         }
     }
 
-    /// All instances that are or were up, except this one.
+    /// Returns the instances that are up or have been down for at most ten minutes, except this one.
+    /// Seeds are included however long they have been down.
     pub fn instances(&self) -> impl Iterator<Item = &InstanceStatus> {
         self.instances.iter()
     }
 
-    /// Increases with each change of the instances that are up.
+    /// Returns a number that increases with each change of the instances that are up.
     pub fn epoch(&self) -> u64 {
         self.instances.epoch()
     }
 
-    /// The counters as they are now.
+    /// Returns the counters as they are now.
     pub fn counters(&self) -> DatagramCounters {
         self.counters
     }
@@ -228,14 +229,15 @@
         datagrams.push(Datagram { to, bytes });
     }
 
-    /// When [`Cluster::handle_timeout`] must be called next.
+    /// Returns when [`Cluster::handle_timeout`] must be called next.
     pub fn next_timeout(&self) -> Time {
         let first = self.timers.first_key_value();
         let timer_at = first.map_or(Time::MAX, |((at, _), _)| *at);
         timer_at.min(self.contact_seeds_at)
     }
 
-    /// Fires the timers that are due.
+    /// Fires the timers that are due. Once per second, also contacts the seeds that are not known to
+    /// be up, and removes instances that have been down for long.
     pub fn handle_timeout(
         &mut self,
         now: Time,
--- a/crates/stackgw-cluster/src/envelope.rs
+++ b/crates/stackgw-cluster/src/envelope.rs
@@ -95,7 +95,7 @@
         (!keys.is_empty()).then_some(Keyring { keys })
     }
 
-    /// Puts a body into an envelope.
+    /// Puts a body into an envelope that is signed with the first key.
     pub fn sign(&self, kind: u8, body: &[u8]) -> Vec<u8> {
         let Some(key) = self.keys.first() else {
             return Vec::new();
@@ -112,7 +112,8 @@
     /// Opens the envelope of a datagram.
     ///
     /// # Errors
-    /// If the envelope is longer than [`MAX_DATAGRAM_BYTES`], or not authentic.
+    /// If the envelope is longer than [`MAX_DATAGRAM_BYTES`], shorter than [`ENVELOPE_BYTES`], of
+    /// another version, or not signed with one of the keys.
     pub fn verify<'a>(&self, bytes: &'a [u8]) -> Result<Envelope<'a>, VerifyError> {
         self.verify_sized(bytes, MAX_DATAGRAM_BYTES)
     }
@@ -120,7 +121,8 @@
     /// Opens an envelope of at most `max_bytes`.
     ///
     /// # Errors
-    /// If the envelope is longer, or not authentic.
+    /// If the envelope is longer, shorter than [`ENVELOPE_BYTES`], of another version, or not signed
+    /// with one of the keys.
     pub fn verify_sized<'a>(
         &self,
         bytes: &'a [u8],
--- a/crates/stackgw-cluster/src/instances.rs
+++ b/crates/stackgw-cluster/src/instances.rs
@@ -27,9 +27,10 @@
 pub(crate) enum Observation {
     /// The instance came up, went down, or has another incarnation.
     Changed,
-    /// A later incarnation of the local instance is up.
+    /// A later incarnation of the local instance is or was up.
     Superseded,
-    /// Nothing has changed.
+    /// Nothing that matters has changed, or the status was not stored: it is of an earlier
+    /// incarnation or of an unknown node, or the table is full.
     Ignored,
 }
 
@@ -59,7 +60,7 @@
         self.by_node.get(&node)
     }
 
-    /// Increases with each change of the instances that are up.
+    /// Returns a number that increases with each change of the instances that are up.
     pub(crate) fn epoch(&self) -> u64 {
         self.epoch
     }
--- a/crates/stackgw-cluster/tests/cluster.rs
+++ b/crates/stackgw-cluster/tests/cluster.rs
@@ -75,8 +75,10 @@
         assert!(network.instances[&n].counters().unknown_key > 0);
     }
     // The same secret gives a different key in another cluster.
-    let other_cluster =
-        Keyring::new(vec![Key::new("other", SECRET.as_bytes()).expect("a secret")]).expect("keys");
+    let other_cluster = Keyring::new(vec![
+        Key::new("other", SECRET.as_bytes()).expect("the secret is long enough")
+    ])
+    .expect("there is a key");
     assert_eq!(
         keyring(&[SECRET]).verify(&other_cluster.sign(1, b"x")),
         Err(VerifyError::UnknownKey)
--- a/crates/stackgw-cluster/tests/common/mod.rs
+++ b/crates/stackgw-cluster/tests/common/mod.rs
@@ -14,8 +14,9 @@
 const STEP: Time = 10 * MS;
 
 pub fn keyring(secrets: &[&str]) -> Keyring {
-    let key = |secret: &&str| Key::new("depots", secret.as_bytes()).expect("a secret");
-    Keyring::new(secrets.iter().map(key).collect()).expect("keys")
+    let key =
+        |secret: &&str| Key::new("depots", secret.as_bytes()).expect("the secret is long enough");
+    Keyring::new(secrets.iter().map(key).collect()).expect("there is a key")
 }
 
 pub fn peer(node: u64, incarnation: u64) -> Peer {
--- a/crates/stackgw-cluster/tests/fixtures.rs
+++ b/crates/stackgw-cluster/tests/fixtures.rs
@@ -58,7 +58,7 @@
     let announcement = out.remove(0).bytes;
     cluster
         .handle_datagram(0, &announcement, &mut out, &mut events)
-        .expect("a valid datagram");
+        .expect("the announcement is a valid datagram");
     let answer = out.remove(0).bytes;
     out.clear();
     cluster.send(peer(2, 8), &message(), &mut out);
@@ -145,7 +145,7 @@
     let mut events = Vec::new();
     cluster
         .handle_datagram(0, &fixture("membership"), &mut Vec::new(), &mut events)
-        .expect("an announcement");
+        .expect("the announcement is a valid datagram");
     let second = identity(2, 8);
     assert_eq!(events, [Event::Up(second)]);
 }
