--- a/crates/stackgw-config/src/cluster.rs
+++ b/crates/stackgw-config/src/cluster.rs
@@ -21,8 +21,8 @@
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
     /// Addresses of instances to contact first; this instance's own address may be among them. Must
-    /// be the same on every instance: with `start` on, the first of these instances that are up
-    /// lead the watch of the endpoint list.
+    /// be the same on every instance: with `start` on, the instances that watch the list service for
+    /// the fleet are chosen from these first.
     #[serde(default)]
     #[garde(length(max = 64))]
     pub seeds: Vec<SocketAddr>,
@@ -36,7 +36,7 @@
 }
 
 impl Cluster {
-    /// The address that other instances send to.
+    /// Returns the address that other instances send to.
     pub fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
--- a/crates/stackgw-config/src/duration.rs
+++ b/crates/stackgw-config/src/duration.rs
@@ -22,12 +22,12 @@
         Duration(std::time::Duration::from_secs(secs))
     }
 
-    /// The duration in whole milliseconds, saturating at the maximum of `u64`.
+    /// Returns the duration in whole milliseconds, saturating at the maximum of `u64`.
     pub fn as_millis(self) -> u64 {
         u64::try_from(self.0.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The duration in nanoseconds, saturating at the maximum of `i64`.
+    /// Returns the duration in nanoseconds, saturating at the maximum of `i64`.
     pub fn as_nanos(self) -> i64 {
         i64::try_from(self.0.as_nanos()).unwrap_or(i64::MAX)
     }
--- a/crates/stackgw-config/src/read.rs
+++ b/crates/stackgw-config/src/read.rs
@@ -4,14 +4,15 @@
 use crate::operator::OperatorConfig;
 use std::path::Path;
 
-/// Larger files are rejected unread.
+/// Larger files are rejected without being read.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Reads and validates a file. A file that is empty or contains only comments gives the default
 /// configuration.
 ///
 /// # Errors
-/// If the file cannot be read, is not valid YAML, or a value is missing, unknown or out of range.
+/// If the file cannot be read, is not a regular file, is larger than 1 MiB, is not UTF-8, is not
+/// valid YAML, or a key or value is missing, unknown or out of range.
 pub fn read(file: &Path) -> Result<OperatorConfig, ConfigError> {
     let error = |line, reason| ConfigError {
         file: file.to_owned(),
@@ -31,7 +32,8 @@
     })
 }
 
-/// The JSON Schema of the file, for editors and checks.
+/// Returns the JSON Schema of the operator's configuration file, with which editors and other
+/// programs can check it.
 pub fn schema() -> serde_json::Value {
     schemars::schema_for!(OperatorConfig).to_value()
 }
@@ -57,7 +59,8 @@
 
 /// Reduces the parser's message to one line that names the field. The line number is left out,
 /// because [`ConfigError`] has it, and so is the excerpt of the file that the parser prints below
-/// its message. If the message lacks the field's name, the name is taken from the line at fault.
+/// its message. If the message lacks the field's name, the name is taken from the line at fault,
+/// except for a missing field, whose line names another one.
 fn summarize(message: &str, line_text: &str) -> String {
     let first = message
         .lines()
--- a/crates/stackgw-config/src/sessions.rs
+++ b/crates/stackgw-config/src/sessions.rs
@@ -82,7 +82,7 @@
 }
 
 impl Sessions {
-    /// The cluster that this section describes.
+    /// Returns the cluster that this section describes.
     pub fn cluster(&self) -> Cluster {
         Cluster {
             name: self.cluster.clone(),
--- a/crates/stackgw-config/tests/fixtures.rs
+++ b/crates/stackgw-config/tests/fixtures.rs
@@ -10,7 +10,8 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// `file <tab> line <tab> replacement of the line <tab> the error, or "accepted"`.
+/// One changed file per line: `file <tab> line, counted from 0 <tab> replacement of the line <tab> the
+/// error, or "accepted"`.
 const ERRORS: &str = include_str!("fixtures/errors.txt");
 /// Messages that have been reworded since the fixture was written: the text in the fixture and the
 /// text of today.
@@ -361,7 +362,10 @@
         );
         rejected += usize::from(expected != "accepted");
     }
-    assert!(rejected > 500, "{rejected}");
+    assert!(
+        rejected > 500,
+        "the fixture has only {rejected} invalid files"
+    );
 }
 
 #[test]
--- a/crates/stackgw-settings/src/error.rs
+++ b/crates/stackgw-settings/src/error.rs
@@ -3,10 +3,12 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Why a settings document cannot be used. Each message is one line and names the key at fault.
+/// Why a settings document cannot be used. Each message is one line and, unless the text is not JSON,
+/// names the key at fault or the list that contains the fault.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is not valid JSON.
+    /// The text is not valid JSON, is nested too deeply, or has a number too large for the parser.
+    /// Valid JSON that is not an object is reported as a missing section.
     #[error("not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// A value is missing or has the wrong type.
@@ -23,7 +25,7 @@
     /// A number is zero or negative.
     #[error("{0} is not above 0")]
     NotPositive(&'static str),
-    /// A number is out of the range of its type.
+    /// An index or count is not from 0 to 2^32 - 1.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
     /// A string is not one of the values that the key accepts.
--- a/crates/stackgw-settings/src/gossip.rs
+++ b/crates/stackgw-settings/src/gossip.rs
@@ -34,7 +34,8 @@
 /// A message from another gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GossipMessage {
-    /// When the message was sent, by the common clock, in whole milliseconds.
+    /// When the message was sent, by the clock that gateways share, rounded down to milliseconds; not
+    /// later than it was received.
     pub sent_at: Time,
     /// Whether the receiver must relay the message to the other gateways.
     pub relay: bool,
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Encodes updates into as many messages as they need. Updates of unknown members are left out.
+    /// Encodes updates into as many messages as they need. Updates of unknown members are left out;
+    /// latency ratios above 3.15 and sample counts above 255 are reduced to these.
     pub fn encode(&self, now: Time, relay: bool, updates: &[GossipUpdate]) -> Vec<Vec<u8>> {
         let entries: Vec<_> = updates
             .iter()
@@ -108,8 +110,8 @@
         Some([a, b, c, age, role << ROLE_SHIFT | ratio, samples])
     }
 
-    /// Decodes a message. Updates of unknown members are left out. Returns `None` if the bytes are
-    /// not a gossip message.
+    /// Decodes a message. Updates of unknown members, and of members that share a digest, are left
+    /// out. Returns `None` if the bytes are not a gossip message.
     pub fn decode(&self, now: Time, bytes: &[u8]) -> Option<GossipMessage> {
         let (&[relay, a, b, c, d], entries) = bytes.split_first_chunk::<HEADER_BYTES>()?;
         if relay > 1 || entries.len() % ENTRY_BYTES != 0 {
--- a/crates/stackgw-settings/src/platform_settings.rs
+++ b/crates/stackgw-settings/src/platform_settings.rs
@@ -10,9 +10,10 @@
 /// and endpoint lists.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct NameTable {
-    /// The classes, by index.
+    /// The names of the classes, by the index that requests give.
     pub classes: Vec<String>,
-    /// The zones, by index.
+    /// The names of the zones, by the index that the router's settings and members give; empty if
+    /// the document has no list of them.
     pub zones: Vec<String>,
 }
 
@@ -23,12 +24,12 @@
     pub router: Settings,
     /// The names of classes and zones.
     pub names: NameTable,
-    /// The time that positions are counted from, in wire protocols that count them from a fixed
-    /// time.
+    /// The router's time, in nanoseconds, that position 0 stands for in wire protocols that give the
+    /// positions of members as the time since a fixed point.
     pub position_zero: Time,
     /// Time in nanoseconds after which a member closes an idle connection; 0 if unknown.
     pub member_idle_timeout: Span,
-    /// Maximum number of open requests of one router.
+    /// Maximum number of open requests of one router; 2^32 - 1 if the document has none.
     pub max_open_requests: usize,
 }
 
@@ -36,8 +37,7 @@
     /// Reads the document from its text.
     ///
     /// # Errors
-    /// If the text is not valid JSON, or a key is missing or has an invalid value; the error names
-    /// the key.
+    /// If the text is not valid JSON, or for the reasons of [`PlatformSettings::from_json`].
     pub fn from_text(text: &str) -> Result<Self, SettingsError> {
         Self::from_json(&serde_json::from_str(text)?)
     }
@@ -45,7 +45,12 @@
     /// Reads the document.
     ///
     /// # Errors
-    /// If a key is missing or has an invalid value; the error names the key.
+    /// If a key is missing or has an invalid value; the error names the key, or the list that
+    /// contains the invalid value. A missing key is no error if it has a default: `ConnIdleNs`,
+    /// `MaxRetryAfterNs` and `MustAskInNs` (0), and `MaxOpen` (2^32 - 1). `Zones` is empty if it is
+    /// missing or not a list, and `MarksRetry` and `OnlyDrainingBinds` are false if they are missing
+    /// or not a boolean. Some keys are needed only with certain values of others, for example
+    /// `CatchUpWaitNs` only if `Behind` is `hold`.
     pub fn from_json(document: &Value) -> Result<Self, SettingsError> {
         let document = Section::new(document);
         let limits = document.section("Limits")?;
@@ -83,8 +88,9 @@
         .ok_or(SettingsError::NameNotText(list))
 }
 
-/// Sets a field of a load report by its name in the document; unknown names are ignored. The
-/// position (`x0`) is ignored too, because its origin and precision differ between wire protocols.
+/// Sets the field of a load report that has this name on the wire: `x1` (primary if above 0.5),
+/// `inflight`, `queue` or `util`. Other names are ignored, among them `x0`, the position, because its
+/// origin and precision differ between wire protocols.
 pub fn record_load_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "x1" => report.is_primary = Some(value > 0.5),
--- a/crates/stackgw-settings/src/router_settings.rs
+++ b/crates/stackgw-settings/src/router_settings.rs
@@ -12,7 +12,7 @@
 const POSITION_FIELD: &str = "x0";
 
 /// Reads the router's settings. If several keys are invalid, the error names the first one that is
-/// read; the sections themselves are checked first.
+/// read; the sections themselves, and the lists in `Domain` and `Stats`, are checked first.
 pub(crate) fn router_settings(document: Section) -> Result<Settings, SettingsError> {
     let domain = document.section("Domain")?;
     let limits_section = document.section("Limits")?;
@@ -50,6 +50,7 @@
     }
 }
 
+/// Whether clients mark retries; false if the section `Clients` or its key is missing or invalid.
 fn retries_are_flagged(document: Section) -> bool {
     let clients = document.get("Clients").map(Section::new);
     clients.is_some_and(|clients| clients.flag("MarksRetry").unwrap_or(false))
--- a/crates/stackgw-settings/src/section.rs
+++ b/crates/stackgw-settings/src/section.rs
@@ -3,8 +3,8 @@
 use crate::error::{SettingsError, ValueType};
 use serde_json::Value;
 
-/// A year in nanoseconds. Longer times are reduced to this, so that adding several of them to a
-/// time cannot overflow.
+/// A year in nanoseconds. Longer times, and counts above this number, are reduced to it, so that
+/// adding several times cannot overflow.
 pub(crate) const MAX_SPAN: i64 = 365 * 86_400 * 1_000_000_000;
 
 /// An object of the document.
@@ -17,12 +17,12 @@
         Section(value)
     }
 
-    /// The value of a key, if present.
+    /// Returns the value of a key, if present.
     pub(crate) fn get(self, key: &str) -> Option<&'a Value> {
         self.0.get(key)
     }
 
-    /// The object under a key.
+    /// Returns the object under a key.
     pub(crate) fn section(self, key: &'static str) -> Result<Section<'a>, SettingsError> {
         let value = self.get(key).filter(|value| value.is_object());
         value.map(Section).ok_or(SettingsError::WrongType {
@@ -61,7 +61,7 @@
         self.typed(key, ValueType::Integer, Value::as_i64)
     }
 
-    /// An integer of 0 or more, reduced to [`MAX_SPAN`] if it is larger.
+    /// Returns an integer of 0 or more, reduced to [`MAX_SPAN`] if it is larger.
     pub(crate) fn non_negative(self, key: &'static str) -> Result<i64, SettingsError> {
         let number = self.integer(key)?;
         if number >= 0 {
@@ -83,8 +83,8 @@
         }
     }
 
-    /// An integer above 0, reduced to [`MAX_SPAN`] if it is larger. The router divides by these
-    /// values, so 0 would be a division by zero.
+    /// Returns an integer above 0, reduced to [`MAX_SPAN`] if it is larger. The router divides by
+    /// these values, so 0 would be a division by zero.
     pub(crate) fn positive(self, key: &'static str) -> Result<i64, SettingsError> {
         let number = self.integer(key)?;
         if number > 0 {
@@ -94,6 +94,7 @@
         }
     }
 
+    /// Returns an integer from 0 to 2^32 - 1.
     pub(crate) fn index(self, key: &'static str) -> Result<u32, SettingsError> {
         u32::try_from(self.integer(key)?).map_err(|_| SettingsError::OutOfRange(key))
     }
--- a/crates/stackgw-settings/tests/document.rs
+++ b/crates/stackgw-settings/tests/document.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 
 const DOCUMENT: &str = include_str!("fixtures/settings.json");
-/// `pointer <tab> new value or "absent" <tab> the error, or "accepted"`.
+/// One changed document per line: `pointer <tab> new value or "absent" <tab> the error, or "accepted"`.
 const ERRORS: &str = include_str!("fixtures/errors.txt");
 /// Messages that have been reworded since the fixture was written: the text in the fixture and the
 /// text of today.
@@ -569,7 +569,10 @@
         assert_eq!(result, reworded(expected), "{pointer} {value_text}");
         rejected += usize::from(expected != "accepted");
     }
-    assert!(rejected > 300, "{rejected}");
+    assert!(
+        rejected > 300,
+        "the fixture has only {rejected} invalid documents"
+    );
 }
 
 #[test]
