--- a/crates/stackgw-adapter/src/instance.rs
+++ b/crates/stackgw-adapter/src/instance.rs
@@ -17,12 +17,13 @@
 /// The bit of `StateBits` that marks a retry of an earlier request by the client.
 const RETRY_BIT: i64 = 2;
 
-/// `Note` has the member's role in its lowest two bits, and the member's position in milliseconds in the bits above them.
+/// The number of values of the two lowest bits of `Note`, which have the member's role. The bits above them have the member's
+/// position in milliseconds since [`Instance::position_zero`]; 0 means that it has none.
 const NOTE_ROLES: i64 = 4;
 const NOTE_PRIMARY: i64 = 1;
 const NOTE_REPLICA: i64 = 2;
 
-/// The field of a load report with the member's position in seconds.
+/// The field of a load report with the member's position in seconds since [`Instance::position_zero`].
 const POSITION_FIELD: &str = "x0";
 
 const SECOND_IN_NS: f64 = 1e9;
@@ -34,7 +35,7 @@
 /// One router with the names that belong to its ids.
 pub struct Instance {
     router: Router,
-    /// The time that positions on the wire are counted from.
+    /// The router's time that position 0 on the wire stands for.
     position_zero: Time,
     classes: usize,
     members: MemberNames,
@@ -93,7 +94,7 @@
     }
 
     /// Passes an event to the router, and writes the router's actions to `reply`. If the router panics, the panic is written to
-    /// `reply` and the instance keeps running.
+    /// `reply` instead of the event's actions, and the instance keeps running.
     pub fn handle(&mut self, name: &str, now: Time, event: Event, reply: &mut String) {
         let (router, actions) = (&mut self.router, &mut self.actions);
         let handled = catch_unwind(AssertUnwindSafe(|| router.handle(now, event, actions)));
--- a/crates/stackgw-adapter/src/line.rs
+++ b/crates/stackgw-adapter/src/line.rs
@@ -75,7 +75,7 @@
         })
     }
 
-    /// An error about one field of this line.
+    /// Returns an error about one field of this line.
     pub fn error(&self, field: &str, problem: impl Into<String>) -> InputError {
         InputError {
             line: self.number,
@@ -84,13 +84,13 @@
         }
     }
 
-    /// The text of an optional field.
+    /// Returns the text of an optional field.
     pub fn optional_text(&self, field: &str) -> Option<&'a str> {
         let mut fields = self.fields.iter();
         fields.find(|f| f.name == field).map(|f| f.text)
     }
 
-    /// The text of a required field; an empty text is an error.
+    /// Returns the text of a required field; an empty text is an error.
     pub fn text(&self, field: &str) -> Result<&'a str, InputError> {
         match self.optional_text(field) {
             None => Err(self.error(field, format!("missing in '{}'", self.name))),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The integer in an optional field.
+    /// Returns the integer in an optional field.
     pub fn optional_integer(&self, field: &str) -> Result<Option<i64>, InputError> {
         let parse = |v: &str| {
             v.parse()
@@ -108,27 +108,27 @@
         self.optional_text(field).map(parse).transpose()
     }
 
-    /// The integer in a required field.
+    /// Returns the integer in a required field.
     pub fn integer(&self, field: &str) -> Result<i64, InputError> {
         self.text(field)?;
         self.optional_integer(field)?
             .ok_or_else(|| self.error(field, "missing"))
     }
 
-    /// The integer from 0 to 2^32 - 1 in a required field.
+    /// Returns the integer from 0 to 2^32 - 1 in a required field.
     pub fn index(&self, field: &str) -> Result<u32, InputError> {
         let value = self.integer(field)?;
         u32::try_from(value).map_err(|_| self.error(field, format!("{value} is out of range")))
     }
 
-    /// The finite number in an optional field.
+    /// Returns the finite number in an optional field.
     pub fn optional_number(&self, field: &str) -> Result<Option<f64>, InputError> {
         self.optional_text(field)
             .map(|v| self.parse_number(field, v))
             .transpose()
     }
 
-    /// The boolean in an optional field; false if the field is absent.
+    /// Returns the boolean in an optional field; false if the field is absent.
     pub fn flag(&self, field: &str) -> Result<bool, InputError> {
         match self.optional_text(field) {
             None | Some("0") => Ok(false),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The `name:value` pairs of a load report.
+    /// Returns the `name:value` pairs of a load report.
     pub fn number_pairs(&self, field: &str) -> Result<Vec<(&'a str, f64)>, InputError> {
         let Some(text) = self.optional_text(field).filter(|t| !t.is_empty()) else {
             return Ok(Vec::new());
--- a/crates/stackgw-adapter/src/member_pages.rs
+++ b/crates/stackgw-adapter/src/member_pages.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 struct PageInProgress {
     page: u32,
-    /// The number of missing entries; above 0.
+    /// The number of entries that have not been received yet; above 0.
     missing: u32,
 }
 
@@ -65,12 +65,15 @@
 }
 
 impl MemberPages {
-    /// The entries of a page, if it has been announced.
+    /// Returns the entries of a page, if it has been announced.
     pub fn get(&self, page: u32) -> Option<&[ListedMember]> {
         self.pages.get(&page).map(Vec::as_slice)
     }
 
-    /// Handles a `page` line.
+    /// Handles a `page` line, which announces a page and its number of entries.
+    ///
+    /// # Errors
+    /// If the line is malformed, or the page's number is above 15.
     pub fn begin_page(&mut self, line: &Line) -> Result<(), InputError> {
         let page = line.index("Buffer")?;
         if page > MAX_PAGE {
--- a/crates/stackgw-adapter/src/names.rs
+++ b/crates/stackgw-adapter/src/names.rs
@@ -12,12 +12,12 @@
 }
 
 impl MemberNames {
-    /// The id of a name, if it is known.
+    /// Returns the id of a name, if it is known.
     pub fn id(&self, name: &str) -> Option<MemberId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a member; empty if the member has been removed.
+    /// Returns the name of a member; empty if the member has been removed.
     pub fn name(&self, id: MemberId) -> &str {
         self.names.get(&id).map_or("", String::as_str)
     }
@@ -57,12 +57,12 @@
 }
 
 impl RequestNames {
-    /// The id of a request, if it is known.
+    /// Returns the id of a request, if it is known.
     pub fn id(&self, name: &str) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a request; empty if it is no longer known.
+    /// Returns the name of a request; empty if it is no longer known.
     pub fn name(&self, id: RequestId) -> &str {
         let request = self.requests.get(&id);
         request.map_or("", |request| request.name.as_str())
--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -12,7 +12,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
+    let mut stdin = child.stdin.take().expect("standard input is piped");
     let text = input.to_owned();
     let writer = std::thread::spawn(move || drop(stdin.write_all(text.as_bytes())));
     let output = child.wait_with_output().expect("the adapter ends");
@@ -80,7 +80,7 @@
     assert_eq!(
         after.matches("RequestId=r1").count(),
         1,
-        "sent only once, before the instance was stopped: {after}"
+        "the request is sent only once, before the instance is stopped: {after}"
     );
 }
 
@@ -254,7 +254,10 @@
         "probe_done",
         "heard",
     ] {
-        assert!(has(CONVERSATION, message, ""), "{message}");
+        assert!(
+            has(CONVERSATION, message, ""),
+            "the conversation has no '{message}' line"
+        );
     }
     for status in [
         "delivered",
@@ -269,13 +272,13 @@
     ] {
         assert!(
             has(CONVERSATION, "", &format!("Status={status} ")),
-            "{status}"
+            "the conversation has no line with the status '{status}'"
         );
     }
     for scope in ["delta", "full", "cached", "failed"] {
         assert!(
             has(CONVERSATION, "topology", &format!("Scope={scope}")),
-            "{scope}"
+            "the conversation has no list with the scope '{scope}'"
         );
     }
     for reply in [
@@ -289,6 +292,9 @@
         "stream_changes",
         "done",
     ] {
-        assert!(has(REPLIES, reply, ""), "{reply}");
+        assert!(
+            has(REPLIES, reply, ""),
+            "the replies have no '{reply}' line"
+        );
     }
 }
--- a/crates/stackgw-store/src/durable_store.rs
+++ b/crates/stackgw-store/src/durable_store.rs
@@ -8,7 +8,8 @@
     /// Stores these records; they are durable when this returns.
     ///
     /// # Errors
-    /// If the commit fails. None of the records counts as stored, and the store accepts no more.
+    /// If the commit fails. The caller must treat none of the records as stored, and must not commit
+    /// to the store again.
     fn commit(&mut self, records: &[Record]) -> Result<(), StoreError>;
 
     /// Quarantines the store, so that later incarnations do not read it.
--- a/crates/stackgw-store/src/endpoint_list.rs
+++ b/crates/stackgw-store/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The cached endpoint list: one file, which is replaced as a whole. A file that is damaged or
-//! belongs to another list service is not used.
+//! The cached endpoint list: one file, which is replaced as a whole. A file that is damaged is
+//! quarantined; a file of another list service is not used.
 
 use crate::error::StoreError;
 use crate::quarantine::{quarantine_file, unix_ms};
@@ -37,7 +37,9 @@
 /// to another service.
 ///
 /// # Errors
-/// If the file cannot be read or is damaged. A damaged file has been quarantined.
+/// If the file cannot be read, is not a regular file, is larger than 16 MiB, has another format
+/// version or is damaged. In the last two cases the file has been quarantined, unless renaming it
+/// failed.
 pub fn read(path: &Path, service: &str) -> Result<Option<CachedEndpoints>, StoreError> {
     let io_error = |source| StoreError::ListIo {
         path: path.to_owned(),
--- a/crates/stackgw-store/src/error.rs
+++ b/crates/stackgw-store/src/error.rs
@@ -15,7 +15,7 @@
         /// The store's file.
         path: PathBuf,
     },
-    /// The store's file can be neither read nor created.
+    /// The store's file cannot be read, created or moved.
     #[error("store: {}: {source}", path.display())]
     Io {
         /// The store's file.
@@ -31,7 +31,8 @@
         /// The database's error.
         source: Box<redb::Error>,
     },
-    /// A newly created store is rejected.
+    /// The store that was created in place of a quarantined one is rejected too, or the database
+    /// panicked while it created a store.
     #[error("store: {}: {reason}", path.display())]
     Rejected {
         /// The store's file.
@@ -63,7 +64,7 @@
         /// The list's file.
         path: PathBuf,
     },
-    /// The cached endpoint list is damaged and has been quarantined.
+    /// The cached endpoint list is damaged, or has another format version, and has been quarantined.
     #[error("start.list: {}: is damaged; moved to {}", path.display(), moved_to.display())]
     ListDamaged {
         /// The list's file.
@@ -95,7 +96,7 @@
     /// The database cannot read the file.
     #[error("{0}")]
     Unreadable(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The database panicked while reading the file.
+    /// The database panicked while opening or creating the file.
     #[error("the file is damaged and cannot be read")]
     Damaged,
     /// A value that every store has is missing.
--- a/crates/stackgw-store/src/lib.rs
+++ b/crates/stackgw-store/src/lib.rs
@@ -1,9 +1,10 @@
 //! Durable state of one instance: the incarnation and session records ([`StoreFile`]) and the
-//! cached endpoint list ([`EndpointListWriter`]). No other package writes files.
+//! cached endpoint list ([`EndpointListWriter`]). No other package of the gateway writes files.
 //!
-//! - A file is verified before it is used. A file that is damaged, or belongs to another cluster,
-//!   instance or format version, is quarantined: it is renamed and never overwritten. The instance
-//!   then starts without it.
+//! - A file is verified before it is used. A file that is damaged or has another format version, and
+//!   a store of another cluster or instance, is quarantined: it is renamed and never overwritten.
+//!   The instance then starts without it. The list of another list service is not used, and is
+//!   replaced by the next list that is written.
 //! - Commits are atomic, and durable when [`DurableStore::commit`] returns.
 //! - Writing blocks on the disk, so [`RecordWriter`] and [`EndpointListWriter`] write on threads of
 //!   their own.
--- a/crates/stackgw-store/src/owner.rs
+++ b/crates/stackgw-store/src/owner.rs
@@ -9,6 +9,7 @@
     pub cluster: String,
     /// The instance's id.
     pub node: NodeId,
-    /// How long positions are retained, in milliseconds.
+    /// How long positions are retained, in milliseconds. Unlike cluster and node, it may differ from
+    /// the value with which the store was written.
     pub retention_ms: u64,
 }
--- a/crates/stackgw-store/src/quarantine.rs
+++ b/crates/stackgw-store/src/quarantine.rs
@@ -64,7 +64,7 @@
         .unwrap_or_else(|| numbered(first))
 }
 
-/// The wall clock in Unix milliseconds.
+/// Returns the wall clock in Unix milliseconds.
 pub(crate) fn unix_ms() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/stackgw-store/src/store_file.rs
+++ b/crates/stackgw-store/src/store_file.rs
@@ -14,8 +14,8 @@
 
 /// Size of the database's page cache in bytes.
 const CACHE_BYTES: usize = 4 << 20;
-/// Positions are removed this many retention times after they were written. It is more than one,
-/// because the wall clock may be adjusted.
+/// Positions are removed by a commit at least this many retention times after they were written. It
+/// is more than one, because the wall clock may be adjusted.
 const RETENTIONS_ON_DISK: u64 = 3;
 
 /// A file that is ready for a new incarnation of its instance.
@@ -72,7 +72,8 @@
     /// file is quarantined and replaced by a new one.
     ///
     /// # Errors
-    /// If the file is in use, or cannot be read, created or moved. It is still at its path.
+    /// If the file is in use, or cannot be read, created, written or moved; it is still at its path.
+    /// Also if a rejected file has been quarantined and the new one cannot be opened.
     pub fn open(path: &Path, owner: &StoreOwner) -> Result<OpenedStore, StoreError> {
         match Self::open_or_create(path, owner) {
             Ok(opened) => Ok(opened),
--- a/crates/stackgw-store/src/tables.rs
+++ b/crates/stackgw-store/src/tables.rs
@@ -53,7 +53,8 @@
         })
     }
 
-    /// Applies records with `now_ms` as their time of writing, and updates the number of records.
+    /// Applies records with `now_ms` as their time of writing, and updates the number of records,
+    /// which an invalidation sets to that of its version.
     pub(crate) fn apply_all(&mut self, records: &[Record], now_ms: u64) -> Result<(), Error> {
         let mut count = self
             .meta
--- a/crates/stackgw-store/tests/store.rs
+++ b/crates/stackgw-store/tests/store.rs
@@ -219,11 +219,19 @@
         .expect("the commit succeeds");
     let after = std::fs::read(directory.store()).expect("the file can be read");
     drop(opened);
-    assert_eq!(before.len(), after.len(), "the file did not grow");
+    assert_eq!(
+        before.len(),
+        after.len(),
+        "the second commit must not change the file's size"
+    );
     let changed_offsets: Vec<_> = (0..after.len())
         .filter(|at| before[*at] != after[*at])
         .collect();
-    assert!(changed_offsets.len() > 20, "{}", changed_offsets.len());
+    assert!(
+        changed_offsets.len() > 20,
+        "the second commit changed only {} bytes",
+        changed_offsets.len()
+    );
     // Opening the file waits for the disk, so testing all offsets takes minutes. CI tests only some
     // of them; STACKGW_EVERY=1 tests all.
     let stride = std::env::var("STACKGW_EVERY")
@@ -255,7 +263,10 @@
          after, {quarantined} quarantined",
         changed_offsets.len()
     );
-    assert!(old > 0, "{old} {new} {quarantined}");
+    assert!(
+        old > 0,
+        "no torn file has the records from before the commit: {new} after, {quarantined} quarantined"
+    );
 }
 
 #[test]
@@ -291,7 +302,7 @@
         let is_partial = opened.quarantined.is_none() && opened.recovered.positions.len() != 50;
         assert!(
             !is_wrong && !is_partial,
-            "byte {at}: {} positions",
+            "damaged at byte {at}: {} of 50 positions, or a wrong one",
             opened.recovered.positions.len()
         );
     }
@@ -347,7 +358,10 @@
         assert_eq!(error.to_string(), "store: g0.redb: no space left");
         writer.put(position(2));
         drop(writer);
-        assert!(outcomes.recv().is_err(), "no further outcome");
+        assert!(
+            outcomes.recv().is_err(),
+            "an outcome was reported after the failure"
+        );
     }
 }
 
