--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -254,10 +254,7 @@
         "probe_done",
         "heard",
     ] {
-        assert!(
-            has(CONVERSATION, message, ""),
-            "the conversation has no '{message}' line"
-        );
+        assert!(has(CONVERSATION, message, ""), "no '{message}' line");
     }
     for status in [
         "delivered",
@@ -292,9 +289,6 @@
         "stream_changes",
         "done",
     ] {
-        assert!(
-            has(REPLIES, reply, ""),
-            "the replies have no '{reply}' line"
-        );
+        assert!(has(REPLIES, reply, ""), "no '{reply}' line");
     }
 }
