--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -43,7 +43,7 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    String::from_utf8(output.stdout.clone()).expect("UTF-8")
+    String::from_utf8(output.stdout.clone()).expect("the output is UTF-8")
 }
 
 const READ: &str =
@@ -76,7 +76,10 @@
         + &power_on_lines("gateway_0")
         + "resolved GatewayId=gateway_0 RequestId=r1 Attempt=0 Server=alpha Status=dropped TookNs=1\ngo\n";
     let text = stdout(&run(&input));
-    let after = text.split("done seq=1").nth(1).expect("a second reply");
+    let after = text
+        .split("done seq=1")
+        .nth(1)
+        .expect("the output has a second reply");
     assert_eq!(
         after.matches("RequestId=r1").count(),
         1,
--- a/crates/stackgw-bootstrap/tests/histories.rs
+++ b/crates/stackgw-bootstrap/tests/histories.rs
@@ -45,7 +45,7 @@
         assert_eq!(
             (sim.up_to_date_count(), sim.polls.len()),
             (fleet, leaders),
-            "at {fleet}"
+            "instances up to date and polls of the list service after the start, with {fleet} instances"
         );
         // A rollout of a release restarts all instances at once.
         let from = sim.now;
@@ -54,7 +54,7 @@
         assert_eq!(
             (sim.up_to_date_count(), sim.polls_since(from)),
             (fleet, leaders),
-            "at {fleet}"
+            "instances up to date and polls of the list service after the rollout, with {fleet} instances"
         );
         // An outage does not cause more polls than the schedule permits.
         sim.set_service_state(0..fleet, ServiceState::Down);
@@ -66,7 +66,7 @@
         assert_eq!(sim.up_to_date_count(), fleet);
         assert!(
             sim.polls_since(from) <= 2 * leaders,
-            "{} polls for an outage at {fleet}",
+            "{} polls of the list service after an outage, with {fleet} instances",
             sim.polls_since(from)
         );
     }
@@ -81,7 +81,11 @@
         sim.advance(5 * SECOND);
         sim.drain(3);
         sim.advance(DRAIN_GRACE);
-        assert_eq!(sim.up_to_date_count(), 40, "seed {seed}");
+        assert_eq!(
+            sim.up_to_date_count(),
+            40,
+            "instances that know of the drain, seed {seed}"
+        );
         let knows_of_drain =
             |instance: &Instance| instance.routed_phases.get("m3") == Some(&Lifecycle::Draining);
         assert!(sim.instances.iter().all(knows_of_drain));
@@ -97,7 +101,11 @@
         (0..3).for_each(|n| sim.kill(n));
         sim.drain(1);
         sim.advance(3 * SECOND);
-        assert_eq!(sim.up_to_date_count(), 27, "seed {seed}");
+        assert_eq!(
+            sim.up_to_date_count(),
+            27,
+            "surviving instances that know of the drain, seed {seed}"
+        );
         // Three polls by the first leaders, and at most six by the instances that replace them: for a while, instances may
         // see different leaders.
         assert!(
@@ -132,7 +140,7 @@
             assert_eq!(
                 (sim.up_to_date_count(), sim.running_count()),
                 (survivors, survivors),
-                "{survivors} of {fleet}, seed {seed}"
+                "instances up to date and running, of {survivors} survivors of {fleet}, seed {seed}"
             );
             // While leaders are lost, an instance polls at most 64 instances per 100 ms (the answer timeout). The other 200
             // datagrams are an allowance for answers and pushes.
--- a/crates/stackgw-cluster/tests/common/mod.rs
+++ b/crates/stackgw-cluster/tests/common/mod.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Instances by number, and the datagrams in flight between them. A datagram is delivered in the
-/// step after it was sent.
+/// Instances by number, and the datagrams in flight between them. A datagram that a timer sends is
+/// delivered in the same step of simulated time, and one that answers another in the next step.
 #[derive(Default)]
 pub struct Network {
     pub now: Time,
--- a/crates/stackgw-cluster/tests/fixtures.rs
+++ b/crates/stackgw-cluster/tests/fixtures.rs
@@ -84,7 +84,9 @@
 }
 
 fn decode_hex(text: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |at: usize| {
+        u8::from_str_radix(&text[at..at + 2], 16).expect("the fixture has hexadecimal digits")
+    };
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
--- a/crates/stackgw-config/tests/file.rs
+++ b/crates/stackgw-config/tests/file.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_file_is_read_and_missing_fields_have_defaults() {
-    let operator = read_text(COMPLETE).expect("a valid file");
+    let operator = read_text(COMPLETE).expect("the file is valid");
     let sessions = operator.sessions.expect("the section is present");
     assert_eq!(
         (sessions.lease, sessions.horizon),
@@ -66,7 +66,7 @@
 #[test]
 fn the_files_under_deploy_fit_the_schema_and_are_valid() {
     let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    let schema = jsonschema::validator_for(&schema()).expect("a valid schema");
+    let schema = jsonschema::validator_for(&schema()).expect("the schema is valid");
     let mut checked_files = 0;
     for entry in std::fs::read_dir(directory)
         .expect("the directory exists")
@@ -79,7 +79,8 @@
         {
             read(&path).unwrap_or_else(|error| panic!("{error}"));
             let text = std::fs::read_to_string(&path).expect("the file is UTF-8");
-            let value: serde_json::Value = serde_saphyr::from_str(&text).expect("valid YAML");
+            let value: serde_json::Value =
+                serde_saphyr::from_str(&text).expect("the file is valid YAML");
             let errors: Vec<_> = schema.iter_errors(&value).map(|e| e.to_string()).collect();
             assert!(errors.is_empty(), "{}: {errors:?}", path.display());
             checked_files += 1;
--- a/crates/stackgw-config/tests/fixtures.rs
+++ b/crates/stackgw-config/tests/fixtures.rs
@@ -45,7 +45,7 @@
 }
 
 fn address(text: &str) -> std::net::SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("the text is an address")
 }
 
 fn paths(texts: &[&str]) -> Vec<PathBuf> {
@@ -237,12 +237,12 @@
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     for (name, expected) in examples() {
         assert_eq!(
-            read(&fixture(name)).expect("a valid file"),
+            read(&fixture(name)).expect("the file is valid"),
             expected,
             "{name}"
         );
         assert_eq!(
-            read(&deploy.join(name)).expect("a valid file"),
+            read(&deploy.join(name)).expect("the file is valid"),
             expected,
             "deploy/{name}"
         );
@@ -253,7 +253,7 @@
 fn files_with_every_key_are_parsed_to_the_expected_configuration() {
     for (name, expected) in full() {
         assert_eq!(
-            read(&fixture(name)).expect("a valid file"),
+            read(&fixture(name)).expect("the file is valid"),
             expected,
             "{name}"
         );
@@ -277,7 +277,7 @@
 
 /// Replacements of a line: its key with other values, and other forms of the line.
 fn replacements(line: &str) -> Vec<String> {
-    let (key, value) = line.split_once(':').expect("a key");
+    let (key, value) = line.split_once(':').expect("the line has a key");
     let values = [
         "",
         " null",
@@ -327,7 +327,7 @@
             for replacement in replacements(line) {
                 let result = result_text(&replaced(name, number, &replacement));
                 writeln!(table, "{name}\t{number}\t{replacement}\t{result}")
-                    .expect("writing to a string");
+                    .expect("writing to a string cannot fail");
             }
         }
     }
@@ -352,7 +352,7 @@
         };
         let result = result_text(&replaced(
             name,
-            number.parse().expect("a number"),
+            number.parse().expect("the field is a number"),
             replacement,
         ));
         assert_eq!(
@@ -396,7 +396,10 @@
         Value::Object(object) => {
             let mut outlined = BTreeMap::new();
             if let Some(target) = object.get("$ref").and_then(Value::as_str) {
-                let name = target.rsplit('/').next().expect("a name");
+                let name = target
+                    .rsplit('/')
+                    .next()
+                    .expect("the reference ends with a name");
                 outlined.insert("is".to_owned(), outline(&definitions[name], definitions));
             }
             for (key, value) in object {
--- a/crates/stackgw-settings/tests/document.rs
+++ b/crates/stackgw-settings/tests/document.rs
@@ -389,11 +389,11 @@
 #[test]
 fn the_recorded_document_is_parsed_to_the_expected_settings() {
     assert_eq!(
-        PlatformSettings::from_text(DOCUMENT).expect("a valid document"),
+        PlatformSettings::from_text(DOCUMENT).expect("the document is valid"),
         expected()
     );
     assert_eq!(
-        PlatformSettings::from_json(&document()).expect("a valid document"),
+        PlatformSettings::from_json(&document()).expect("the document is valid"),
         expected()
     );
 }
@@ -541,7 +541,8 @@
         for value in std::iter::once(None).chain(values.iter().cloned().map(Some)) {
             let value_text = value.as_ref().map_or("absent".to_owned(), Value::to_string);
             let result = result_text(PlatformSettings::from_json(&changed(pointer, value)));
-            writeln!(table, "{pointer}\t{value_text}\t{result}").expect("writing to a string");
+            writeln!(table, "{pointer}\t{value_text}\t{result}")
+                .expect("writing to a string cannot fail");
         }
     }
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/errors.txt");
--- a/crates/stackgw-settings/tests/gossip.rs
+++ b/crates/stackgw-settings/tests/gossip.rs
@@ -42,13 +42,15 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("writing to a string");
+        write!(text, "{byte:02x}").expect("writing to a string cannot fail");
         text
     })
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("digits");
+    let byte = |at: usize| {
+        u8::from_str_radix(&text[at..at + 2], 16).expect("the fixture has hexadecimal digits")
+    };
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
@@ -75,7 +77,7 @@
     for (line, relay) in MESSAGES.lines().zip([true, true, false, false]) {
         let message = codec()
             .decode(NOW + 40 * MS, &unhex(line))
-            .expect("a message");
+            .expect("the bytes are a gossip message");
         assert_eq!((message.sent_at, message.relay), (NOW / MS * MS, relay));
         decoded.push(message.updates);
     }
--- a/crates/stackgw-settings/tests/gossip_codec.rs
+++ b/crates/stackgw-settings/tests/gossip_codec.rs
@@ -29,7 +29,9 @@
         samples: 3,
     };
     let bodies = here.encode(now, true, &[update]);
-    let message = there.decode(now + 20 * MS, &bodies[0]).expect("a message");
+    let message = there
+        .decode(now + 20 * MS, &bodies[0])
+        .expect("the bytes are a gossip message");
     let sent_at = message.sent_at;
     assert!(message.relay && sent_at <= now && now - sent_at < MS);
     let received = &message.updates[0];
@@ -37,7 +39,7 @@
         (received.member, received.is_primary, received.samples),
         (MemberId(1), Some(false), 3)
     );
-    let position = received.position.expect("a position");
+    let position = received.position.expect("the update has a position");
     assert!(
         position <= now - 9 * MS && position > now - 30 * MS,
         "{position}"
@@ -85,18 +87,26 @@
     };
     here.remove(MemberId(0));
     let bodies = here.encode(SECOND, false, &[update(0), update(1)]);
-    let message = there.decode(SECOND, &bodies[0]).expect("a message");
+    let message = there
+        .decode(SECOND, &bodies[0])
+        .expect("the bytes are a gossip message");
     assert_eq!(members(&message), [MemberId(1)]);
     let bodies = there.encode(SECOND, false, &[update(0), update(1)]);
-    let message = here.decode(SECOND, &bodies[0]).expect("a message");
+    let message = here
+        .decode(SECOND, &bodies[0])
+        .expect("the bytes are a gossip message");
     assert_eq!(members(&message), [MemberId(1)]);
     // Updates of two members that share a digest are dropped; once one member is removed, updates
     // of the other are decoded again.
     let mut same_digest = codec(&["a", "a"]);
-    let message = same_digest.decode(SECOND, &bodies[0]).expect("a message");
+    let message = same_digest
+        .decode(SECOND, &bodies[0])
+        .expect("the bytes are a gossip message");
     assert!(message.updates.is_empty());
     same_digest.remove(MemberId(1));
-    let message = same_digest.decode(SECOND, &bodies[0]).expect("a message");
+    let message = same_digest
+        .decode(SECOND, &bodies[0])
+        .expect("the bytes are a gossip message");
     assert_eq!(message.updates.len(), 1);
 }
 
--- a/crates/stackgw-store/tests/fixtures.rs
+++ b/crates/stackgw-store/tests/fixtures.rs
@@ -100,7 +100,7 @@
 
 /// Writes the records to a new file and returns the incarnation that wrote them.
 fn write_store(path: &Path) -> u64 {
-    let mut opened = StoreFile::open(path, &owner()).expect("a new store");
+    let mut opened = StoreFile::open(path, &owner()).expect("a store can be created");
     for record in records() {
         opened.store.commit(&[record]).expect("the commit succeeds");
     }
@@ -162,7 +162,7 @@
 fn a_store_of_an_earlier_build_is_opened_with_the_same_records() {
     let directory = TempDir::new("earlier");
     restore_store(&directory.store());
-    let opened = StoreFile::open(&directory.store(), &owner()).expect("a valid store");
+    let opened = StoreFile::open(&directory.store(), &owner()).expect("the store is valid");
     assert!(opened.quarantined.is_none());
     assert_eq!(opened.recovered, recovered(FIXTURE_INCARNATION));
     assert!(opened.incarnation > FIXTURE_INCARNATION);
@@ -177,7 +177,7 @@
     show: impl Fn(K::SelfType<'_>, V::SelfType<'_>) -> String,
     found: &mut Rows,
 ) {
-    let transaction = database.begin_read().expect("a transaction");
+    let transaction = database.begin_read().expect("a transaction can be begun");
     let table = transaction
         .open_table(TableDefinition::<K, V>::new(name))
         .expect("the table has these types");
@@ -196,7 +196,7 @@
 /// The contents of a file by the names and types of its tables. Times from the wall clock are left
 /// out.
 fn tables(path: &Path) -> Rows {
-    let database = redb::Database::open(path).expect("a database");
+    let database = redb::Database::open(path).expect("the file is a database");
     let mut found = Rows::new();
     let meta = |key: &str, value: u64| match key {
         "incarnation" => key.to_owned(),
@@ -220,7 +220,7 @@
     );
     rows::<u64, u64>(&database, "whole", pair, &mut found);
     rows::<u64, (u64, u64, u64)>(&database, "seen", pair, &mut found);
-    let transaction = database.begin_read().expect("a transaction");
+    let transaction = database.begin_read().expect("a transaction can be begun");
     let names = transaction.list_tables().expect("the tables are listed");
     let names: Vec<_> = names.map(|table| table.name().to_owned()).collect();
     assert!(
@@ -250,13 +250,13 @@
     let path = directory.path().join("members.list");
     std::fs::write(&path, LIST).expect("the fixture can be copied");
     assert_eq!(
-        read_endpoint_list(&path, "nottingham-1").expect("a valid file"),
+        read_endpoint_list(&path, "nottingham-1").expect("the file is valid"),
         Some(cached())
     );
     assert_eq!(
-        read_endpoint_list(&path, "nottingham-2").expect("a valid file"),
+        read_endpoint_list(&path, "nottingham-2").expect("the file is valid"),
         None,
-        "another service's list"
+        "the list of another service must not be used"
     );
     assert_eq!(
         std::fs::read_to_string(&path).expect("the file is still there"),
@@ -294,7 +294,7 @@
     assert_eq!(
         read_endpoint_list(&path, "nottingham-1").expect("a missing file is no error"),
         None,
-        "the file has been moved"
+        "the damaged file must have been moved away"
     );
     std::fs::create_dir_all(&path).expect("the directory can be created");
     let error = read_endpoint_list(&path, "nottingham-1")
@@ -333,7 +333,7 @@
     for (other, reason) in others {
         restore_store(&path);
         let message = StoreFile::open(&path, &other)
-            .expect("a new store")
+            .expect("a store can be created")
             .quarantined
             .expect("the old store is quarantined")
             .to_string();
@@ -347,7 +347,7 @@
         assert!(number.parse::<u64>().is_ok(), "{message}");
     }
     restore_store(&path);
-    let _first = StoreFile::open(&path, &owner()).expect("a valid store");
+    let _first = StoreFile::open(&path, &owner()).expect("the store is valid");
     let error = StoreFile::open(&path, &owner())
         .expect_err("the store is in use")
         .to_string();
--- a/crates/stackgw-store/tests/store.rs
+++ b/crates/stackgw-store/tests/store.rs
@@ -57,7 +57,7 @@
     assert_eq!(
         recovered.positions,
         [(SessionKey(1), 1_000), (SessionKey(2), 2_000)],
-        "positions never go back"
+        "a lower position must not replace a higher one"
     );
     assert_eq!(
         (
@@ -173,7 +173,7 @@
     ];
     for (n, other) in foreign.iter().enumerate() {
         std::fs::write(directory.store(), &bytes).expect("the file can be written");
-        let opened = StoreFile::open(&directory.store(), other).expect("a new store");
+        let opened = StoreFile::open(&directory.store(), other).expect("a store can be created");
         let quarantined = opened.quarantined.expect("the file is quarantined");
         let message = quarantined.to_string();
         assert!(
@@ -349,7 +349,7 @@
         let mut stored = 0;
         let (error, quarantined) = loop {
             writer.put(position(1));
-            match outcomes.recv().expect("an outcome") {
+            match outcomes.recv().expect("the writer reports an outcome") {
                 CommitOutcome::Stored(count) => stored = count,
                 CommitOutcome::Failed { error, quarantined } => break (error, quarantined),
             }
@@ -389,9 +389,11 @@
     let directory = TempDir::new("last");
     drop(open(&directory.store()).store);
     let database = redb::Database::open(directory.store()).expect("the database opens");
-    let transaction = database.begin_write().expect("a transaction");
+    let transaction = database.begin_write().expect("a transaction can be begun");
     let meta = redb::TableDefinition::<&str, u64>::new("meta");
-    let mut table = transaction.open_table(meta).expect("the table");
+    let mut table = transaction
+        .open_table(meta)
+        .expect("the table can be opened");
     table
         .insert("incarnation", u64::MAX)
         .expect("the insert succeeds");
