--- a/crates/stackgw-config/src/error.rs
+++ b/crates/stackgw-config/src/error.rs
@@ -25,7 +25,7 @@
     /// The path names a directory, a pipe or another special file, or the file exceeds the size
     /// limit.
     #[error("is not a regular file, or is too large")]
-    NotRegularFile,
+    NotRegularOrTooLarge,
     /// The text is not valid YAML, or a value is missing, unknown or out of range. One line that
     /// names the field.
     #[error("{0}")]
--- a/crates/stackgw-config/src/read.rs
+++ b/crates/stackgw-config/src/read.rs
@@ -42,7 +42,7 @@
     let metadata = std::fs::metadata(file)?;
     // Without the check for a regular file, reading a pipe could block the whole gateway.
     if !metadata.is_file() || metadata.len() > MAX_FILE_BYTES {
-        return Err(Reason::NotRegularFile);
+        return Err(Reason::NotRegularOrTooLarge);
     }
     Ok(std::fs::read_to_string(file)?)
 }
