--- a/crates/stackgw-store/src/endpoint_list.rs
+++ b/crates/stackgw-store/src/endpoint_list.rs
@@ -51,7 +51,7 @@
         Err(error) => return Err(io_error(error)),
     };
     if !metadata.is_file() || metadata.len() > MAX_FILE_BYTES {
-        return Err(StoreError::ListNotRegularFile {
+        return Err(StoreError::ListNotRegularOrTooLarge {
             path: path.to_owned(),
         });
     }
--- a/crates/stackgw-store/src/error.rs
+++ b/crates/stackgw-store/src/error.rs
@@ -60,7 +60,7 @@
     },
     /// The path of the cached endpoint list is not a regular file, or the file is too large.
     #[error("start.list: {}: is not a regular file, or is too large", path.display())]
-    ListNotRegularFile {
+    ListNotRegularOrTooLarge {
         /// The list's file.
         path: PathBuf,
     },
