--- a/crates/stackgw-adapter/tests/transcripts.rs
+++ b/crates/stackgw-adapter/tests/transcripts.rs
@@ -12,7 +12,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
+    let mut stdin = child.stdin.take().expect("standard input is piped");
     let text = input.to_owned();
     let writer = std::thread::spawn(move || drop(stdin.write_all(text.as_bytes())));
     let output = child.wait_with_output().expect("the adapter ends");
@@ -43,7 +43,7 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    String::from_utf8(output.stdout.clone()).expect("UTF-8")
+    String::from_utf8(output.stdout.clone()).expect("the output is UTF-8")
 }
 
 const READ: &str =
@@ -76,11 +76,14 @@
         + &power_on_lines("gateway_0")
         + "resolved GatewayId=gateway_0 RequestId=r1 Attempt=0 Server=alpha Status=dropped TookNs=1\ngo\n";
     let text = stdout(&run(&input));
-    let after = text.split("done seq=1").nth(1).expect("a second reply");
+    let after = text
+        .split("done seq=1")
+        .nth(1)
+        .expect("the output has a second reply");
     assert_eq!(
         after.matches("RequestId=r1").count(),
         1,
-        "sent only once, before the instance was stopped: {after}"
+        "the request is sent only once, before the instance is stopped: {after}"
     );
 }
 
@@ -254,7 +257,7 @@
         "probe_done",
         "heard",
     ] {
-        assert!(has(CONVERSATION, message, ""), "{message}");
+        assert!(has(CONVERSATION, message, ""), "no '{message}' line");
     }
     for status in [
         "delivered",
@@ -269,13 +272,13 @@
     ] {
         assert!(
             has(CONVERSATION, "", &format!("Status={status} ")),
-            "{status}"
+            "the conversation has no line with the status '{status}'"
         );
     }
     for scope in ["delta", "full", "cached", "failed"] {
         assert!(
             has(CONVERSATION, "topology", &format!("Scope={scope}")),
-            "{scope}"
+            "the conversation has no list with the scope '{scope}'"
         );
     }
     for reply in [
@@ -289,6 +292,6 @@
         "stream_changes",
         "done",
     ] {
-        assert!(has(REPLIES, reply, ""), "{reply}");
+        assert!(has(REPLIES, reply, ""), "no '{reply}' line");
     }
 }
--- a/crates/stackgw-cluster/tests/fixtures.rs
+++ b/crates/stackgw-cluster/tests/fixtures.rs
@@ -58,7 +58,7 @@
     let announcement = out.remove(0).bytes;
     cluster
         .handle_datagram(0, &announcement, &mut out, &mut events)
-        .expect("a valid datagram");
+        .expect("the announcement is a valid datagram");
     let answer = out.remove(0).bytes;
     out.clear();
     cluster.send(peer(2, 8), &message(), &mut out);
@@ -84,7 +84,9 @@
 }
 
 fn decode_hex(text: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |at: usize| {
+        u8::from_str_radix(&text[at..at + 2], 16).expect("the fixture has hexadecimal digits")
+    };
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
@@ -145,7 +147,7 @@
     let mut events = Vec::new();
     cluster
         .handle_datagram(0, &fixture("membership"), &mut Vec::new(), &mut events)
-        .expect("an announcement");
+        .expect("the announcement is a valid datagram");
     let second = identity(2, 8);
     assert_eq!(events, [Event::Up(second)]);
 }
--- a/crates/stackgw-store/tests/store.rs
+++ b/crates/stackgw-store/tests/store.rs
@@ -57,7 +57,7 @@
     assert_eq!(
         recovered.positions,
         [(SessionKey(1), 1_000), (SessionKey(2), 2_000)],
-        "positions never go back"
+        "a lower position must not replace a higher one"
     );
     assert_eq!(
         (
@@ -173,7 +173,7 @@
     ];
     for (n, other) in foreign.iter().enumerate() {
         std::fs::write(directory.store(), &bytes).expect("the file can be written");
-        let opened = StoreFile::open(&directory.store(), other).expect("a new store");
+        let opened = StoreFile::open(&directory.store(), other).expect("a store can be created");
         let quarantined = opened.quarantined.expect("the file is quarantined");
         let message = quarantined.to_string();
         assert!(
@@ -219,11 +219,19 @@
         .expect("the commit succeeds");
     let after = std::fs::read(directory.store()).expect("the file can be read");
     drop(opened);
-    assert_eq!(before.len(), after.len(), "the file did not grow");
+    assert_eq!(
+        before.len(),
+        after.len(),
+        "the second commit must not change the file's size"
+    );
     let changed_offsets: Vec<_> = (0..after.len())
         .filter(|at| before[*at] != after[*at])
         .collect();
-    assert!(changed_offsets.len() > 20, "{}", changed_offsets.len());
+    assert!(
+        changed_offsets.len() > 20,
+        "the second commit changed only {} bytes",
+        changed_offsets.len()
+    );
     // Opening the file waits for the disk, so testing all offsets takes minutes. CI tests only some
     // of them; STACKGW_EVERY=1 tests all.
     let stride = std::env::var("STACKGW_EVERY")
@@ -255,7 +263,10 @@
          after, {quarantined} quarantined",
         changed_offsets.len()
     );
-    assert!(old > 0, "{old} {new} {quarantined}");
+    assert!(
+        old > 0,
+        "no torn file has the records from before the commit: {new} after, {quarantined} quarantined"
+    );
 }
 
 #[test]
@@ -291,7 +302,7 @@
         let is_partial = opened.quarantined.is_none() && opened.recovered.positions.len() != 50;
         assert!(
             !is_wrong && !is_partial,
-            "byte {at}: {} positions",
+            "damaged at byte {at}: {} of 50 positions, or a wrong one",
             opened.recovered.positions.len()
         );
     }
@@ -338,7 +349,7 @@
         let mut stored = 0;
         let (error, quarantined) = loop {
             writer.put(position(1));
-            match outcomes.recv().expect("an outcome") {
+            match outcomes.recv().expect("the writer reports an outcome") {
                 CommitOutcome::Stored(count) => stored = count,
                 CommitOutcome::Failed { error, quarantined } => break (error, quarantined),
             }
@@ -347,7 +358,10 @@
         assert_eq!(error.to_string(), "store: g0.redb: no space left");
         writer.put(position(2));
         drop(writer);
-        assert!(outcomes.recv().is_err(), "no further outcome");
+        assert!(
+            outcomes.recv().is_err(),
+            "an outcome was reported after the failure"
+        );
     }
 }
 
@@ -375,9 +389,11 @@
     let directory = TempDir::new("last");
     drop(open(&directory.store()).store);
     let database = redb::Database::open(directory.store()).expect("the database opens");
-    let transaction = database.begin_write().expect("a transaction");
+    let transaction = database.begin_write().expect("a transaction can be begun");
     let meta = redb::TableDefinition::<&str, u64>::new("meta");
-    let mut table = transaction.open_table(meta).expect("the table");
+    let mut table = transaction
+        .open_table(meta)
+        .expect("the table can be opened");
     table
         .insert("incarnation", u64::MAX)
         .expect("the insert succeeds");
