--- a/crates/stackgw-gateway/src/io/alarm.rs
+++ b/crates/stackgw-gateway/src/io/alarm.rs
@@ -12,7 +12,8 @@
 }
 
 impl Alarm {
-    /// Sets the time; the task is woken only if it is earlier than the one it waits for.
+    /// Sets the time of the next timer. The task is woken only if this time is earlier than the previous one; otherwise it
+    /// reads the new time when the previous one is reached.
     pub(super) fn set(&self, due: Option<Time>) {
         let before = self.due.replace(due);
         let is_sooner = due.is_some_and(|due| before.is_none_or(|before| due < before));
--- a/crates/stackgw-gateway/src/io/backend_channels.rs
+++ b/crates/stackgw-gateway/src/io/backend_channels.rs
@@ -18,7 +18,7 @@
 pub enum BackendCommand {
     /// Open a connection to a member.
     Open(ConnectionId, SocketAddr),
-    /// Execute a request on a connection, one at a time.
+    /// Execute a request on a connection. The gateway sends the next one only after the response to this one has ended.
     Execute(ConnectionId, BackendRequest),
     /// Close a connection and stop the request on it; a write that has been sent is still executed to its end.
     Close(ConnectionId),
@@ -30,9 +30,9 @@
     Connected(ConnectionId),
     /// A message of a response, in PostgreSQL's protocol.
     Frame(ConnectionId, Frame),
-    /// The response is this stream.
+    /// The response on a connection is a stream: its header, and the stream for the frontend.
     StreamStarted(ConnectionId, StreamHeader, RelayedStream),
-    /// The stream on a connection waits for its reader.
+    /// The stream on a connection is paused because its reader is slow. From then on it no longer counts as load of its member.
     StreamStalled(ConnectionId),
     /// The stream on a connection has ended.
     StreamEnded(ConnectionId, Outcome),
@@ -74,7 +74,8 @@
 impl BackendChannels {
     /// Creates both channels.
     pub(super) fn new() -> (BackendChannels, GatewayChannels) {
-        // The number of commands is bounded by the limit of connections to members.
+        // Unbounded, so that the gateway's thread never waits for the backend. The queue stays short: the number of open
+        // connections is limited, and each has at most one request.
         let (command_sender, commands) = async_channel::unbounded();
         let (events, event_receiver) = async_channel::bounded(EVENT_QUEUE);
         let gateway = GatewayChannels {
@@ -85,32 +86,32 @@
     }
 }
 
-/// The backend as the gateway sees it.
-pub(super) struct Backends {
+/// The gateway's handle to the backend: the command channel, the open connections, and streams that no request has taken yet.
+pub(super) struct BackendHandle {
     /// `None`: there is no backend.
     commands: Option<Sender<BackendCommand>>,
     /// The backend's open connections.
     pub(super) connections: RefCell<HashSet<ConnectionId>>,
-    /// Streams that have just started, by connection.
+    /// Streams that have started and that no request has taken yet, by connection.
     pub(super) started_streams: RefCell<HashMap<ConnectionId, RelayedStream>>,
 }
 
-impl Backends {
+impl BackendHandle {
     pub(super) fn new(commands: Option<Sender<BackendCommand>>) -> Self {
-        Backends {
+        BackendHandle {
             commands,
             connections: RefCell::default(),
             started_streams: RefCell::default(),
         }
     }
 
-    /// Sends a command. Returns whether there is a running backend.
+    /// Sends a command. Returns false if there is no backend, or it has stopped.
     pub(super) fn send(&self, command: BackendCommand) -> bool {
         let commands = self.commands.as_ref();
         commands.is_some_and(|commands| commands.try_send(command).is_ok())
     }
 
-    /// Removes and returns the stream that has just started on a connection.
+    /// Removes and returns the stream that has started on a connection, if no request has taken it yet.
     pub(super) fn take_started_stream(&self, id: ConnectionId) -> Option<RelayedStream> {
         self.started_streams.borrow_mut().remove(&id)
     }
--- a/crates/stackgw-gateway/src/io/backends.rs
+++ b/crates/stackgw-gateway/src/io/backends.rs
@@ -13,7 +13,7 @@
     while let Ok(event) = events.recv().await {
         // Events of a connection that the gateway has closed are outdated.
         if driver
-            .backends
+            .backend
             .connections
             .borrow()
             .contains(&event.connection())
@@ -29,13 +29,10 @@
             BackendEvent::Connected(id) => self.handle_input(Input::MemberConnected(id)),
             BackendEvent::Frame(id, frame) => self.handle_input(Input::MemberFrame(id, frame)),
             BackendEvent::StreamStarted(id, header, stream) => {
-                self.backends
-                    .started_streams
-                    .borrow_mut()
-                    .insert(id, stream);
+                self.backend.started_streams.borrow_mut().insert(id, stream);
                 self.handle_input(Input::StreamStarted(id, header));
                 // Drops the stream if no request has taken it.
-                let stream = self.backends.take_started_stream(id);
+                let stream = self.backend.take_started_stream(id);
                 drop(stream);
             }
             BackendEvent::StreamStalled(id) => self.handle_input(Input::StreamPaused(id)),
@@ -43,33 +40,34 @@
                 self.handle_input(Input::StreamEnded(id, outcome));
             }
             BackendEvent::Closed(id, reason) => {
-                self.backends.connections.borrow_mut().remove(&id);
+                self.backend.connections.borrow_mut().remove(&id);
                 self.handle_input(Input::MemberClosed(id, reason));
             }
         }
     }
 
-    /// Opens a connection through the backend; without a backend it counts as disconnected.
+    /// Opens a connection through the backend. Without a running backend, the connection is reported as closed to the
+    /// reducer.
     pub(super) fn open_backend_connection(&self, id: ConnectionId, address: SocketAddr) {
-        if self.backends.send(BackendCommand::Open(id, address)) {
-            self.backends.connections.borrow_mut().insert(id);
+        if self.backend.send(BackendCommand::Open(id, address)) {
+            self.backend.connections.borrow_mut().insert(id);
         } else {
             self.queue_input(Input::MemberClosed(id, CloseReason::Disconnected));
         }
     }
 
-    /// Executes a request. It counts as written at once, because from now on it may have been executed; the outcome tells if it
-    /// was never sent.
+    /// Passes a request to the backend and reports it as written at once, because the backend may send it at any time from now
+    /// on. If the backend could not send it, it closes the connection with [`CloseReason::NotSent`].
     pub(super) fn execute_on_backend(&self, id: ConnectionId, request: BackendRequest) {
-        self.backends.send(BackendCommand::Execute(id, request));
+        self.backend.send(BackendCommand::Execute(id, request));
         self.queue_input(Input::MemberFlushed(id));
     }
 
     /// Closes a connection of the backend; does nothing for other connections.
     pub(super) fn close_backend_connection(&self, id: ConnectionId) {
-        let is_known = self.backends.connections.borrow_mut().remove(&id);
+        let is_known = self.backend.connections.borrow_mut().remove(&id);
         if is_known {
-            self.backends.send(BackendCommand::Close(id));
+            self.backend.send(BackendCommand::Close(id));
         }
     }
 }
--- a/crates/stackgw-gateway/src/io/client_table.rs
+++ b/crates/stackgw-gateway/src/io/client_table.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct WaitingClient {
     pub(super) id: ClientId,
-    /// The size of the next message; 0 while it is incomplete.
+    /// The size of the next message; 0 while it is incomplete, or if its header is malformed.
     pub(super) message_bytes: usize,
 }
 
@@ -27,12 +27,12 @@
 pub(super) struct Clients {
     pub(super) connections: RefCell<HashMap<ClientId, Client>>,
     pub(super) next_id: Cell<u64>,
-    /// Clients whose next messages are not accepted yet, in the order in which they began to wait. A client whose message has
-    /// just been accepted goes to the end.
+    /// Clients whose next messages are not accepted yet, in the order in which they began to wait. A client whose message is
+    /// accepted is removed; if its next message must wait, it is added at the end.
     pub(super) waiting: RefCell<VecDeque<WaitingClient>>,
     /// Clients whose tasks hold bytes that the reducer has not accepted; reads from them may be paused.
     pub(super) with_pending_bytes: RefCell<BTreeSet<ClientId>>,
-    /// Set if `with_pending_bytes` is not empty.
+    /// Set when a client is added to `with_pending_bytes`; reset by the check for disconnects if that set is empty.
     pub(super) any_pending_bytes: Flag,
     /// The budget for bytes that the clients' tasks hold.
     pub(super) budget: Rc<ReadBudget>,
@@ -62,7 +62,7 @@
     }
 
     /// Records that a client's next message is not accepted yet.
-    pub(super) fn wait(&self, client: WaitingClient) {
+    pub(super) fn add_waiting(&self, client: WaitingClient) {
         let mut waiting = self.waiting.borrow_mut();
         match waiting.iter_mut().find(|known| known.id == client.id) {
             Some(known) => *known = client,
--- a/crates/stackgw-gateway/src/io/clients.rs
+++ b/crates/stackgw-gateway/src/io/clients.rs
@@ -37,7 +37,7 @@
             return;
         };
         if close {
-            connection.close_when_written();
+            connection.mark_closing();
             connection.wake();
         }
         match connection.write(bytes) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Closes a client's connection unless it has received bytes meanwhile.
+    /// Closes a client's connection unless it has received bytes that were not passed to the reducer yet.
     pub(super) fn close_client_if_idle(&self, id: ClientId) {
         let closed = self
             .clients
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Updates the state of reads after a change of the bytes that a client's task holds.
+    /// Records which bytes a client's task holds now, and reports them to the reducer if there are any. If the client's next
+    /// message is not accepted, the client is added to those that wait.
     fn update_pending_bytes(
         self: &Rc<Self>,
         id: ClientId,
@@ -147,7 +148,8 @@
         self.handle_input(Input::ClientReadAhead(id, read_ahead));
         let message_bytes = next_frame_bytes.unwrap_or(0);
         if !self.accepts_message(id, message_bytes) {
-            self.clients.wait(WaitingClient { id, message_bytes });
+            self.clients
+                .add_waiting(WaitingClient { id, message_bytes });
         }
     }
 }
--- a/crates/stackgw-gateway/src/io/connection/events.rs
+++ b/crates/stackgw-gateway/src/io/connection/events.rs
@@ -18,12 +18,12 @@
     Written,
     /// The task was woken to check the bytes that it holds.
     Woken,
-    /// The connection has ended.
+    /// The connection has ended or is broken, or is to be closed after its last write.
     Closed,
 }
 
-/// The events of a connection, as a stream. Other connections are read between two reads of one connection, because its task
-/// yields after each event.
+/// The events of a connection, as a stream. Between two reads the stream does not yield to other tasks; a client's task does so
+/// after each event.
 pub(in crate::io) struct ConnectionEvents {
     pub(in crate::io) connection: Rc<Connection>,
     /// Buffer for one read, shared by all connections.
@@ -94,8 +94,8 @@
         Poll::Pending
     }
 
-    /// Reads and drops the bytes that arrive after the last write: closing a socket that holds unread bytes sends a reset,
-    /// which may overtake the last bytes written.
+    /// Closes the sending side after the last write, then reads and drops up to `linger_bytes`: closing a socket that holds
+    /// unread bytes sends a reset, which may overtake the last bytes written.
     fn poll_discard(&self, buffer: &mut [u8], cx: &mut Context<'_>) -> Poll<ConnectionEvent> {
         let discarded = match self.discarded.get() {
             Some(discarded) => discarded,
--- a/crates/stackgw-gateway/src/io/connection/mod.rs
+++ b/crates/stackgw-gateway/src/io/connection/mod.rs
@@ -1,4 +1,4 @@
-//! One TCP connection, shared by the task that reads it and the effects that write to it.
+//! One TCP connection, shared by the task that reads from it and the effects that write to it.
 //!
 //! Reads keep within a budget that all connections of one kind share. Writes go to the socket at once as far as it accepts
 //! them, and the connection's task writes the rest. This module does not interpret the bytes.
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-/// Size of one read of bytes that are dropped.
+/// Size of one read of the bytes that are dropped before the process exits.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
 /// The progress of a write.
@@ -46,7 +46,7 @@
 pub(super) struct Connection {
     socket: Async<TcpStream>,
     unwritten: RefCell<Vec<u8>>,
-    /// Wakes the task that reads it.
+    /// Wakes the connection's task.
     waker: RefCell<Option<Waker>>,
     is_woken: Cell<bool>,
     closes_when_written: Cell<bool>,
@@ -104,7 +104,8 @@
         ConnectionKey(std::ptr::from_ref(self).addr())
     }
 
-    /// Returns how many bytes may be read now. If the budget allows none, the waker is woken once it allows more.
+    /// Returns how many bytes may be read now. If the budget allows none, the waker is woken once it allows more. If the
+    /// connection's own limit allows none, no waker is needed, as only its task reduces the pending bytes.
     fn readable_bytes(&self, waker: &Waker) -> usize {
         let pending_bytes = self.pending_bytes.get();
         if pending_bytes > self.limits.max_pending_bytes {
@@ -168,8 +169,9 @@
         progress
     }
 
-    /// Closes the connection once all queued bytes have been written.
-    pub(super) fn close_when_written(&self) {
+    /// Marks the connection for closing: once all queued bytes have been written, its sending side is closed and its input is
+    /// dropped.
+    pub(super) fn mark_closing(&self) {
         self.closes_when_written.set(true);
     }
 
@@ -193,8 +195,8 @@
         }
     }
 
-    /// Peeks at one unread byte. An interrupted call is repeated: it has seen nothing, and if it counted as empty, unread bytes
-    /// would be lost with the connection.
+    /// Peeks at one unread byte. An interrupted call is repeated: if it were taken for a socket without unread bytes, such
+    /// bytes would be lost when the connection is closed.
     fn peek(&self) -> std::io::Result<usize> {
         loop {
             match self.socket.get_ref().peek(&mut [0]) {
@@ -209,8 +211,9 @@
         PollFd::new(self.socket.get_ref(), PollFlags::RDHUP)
     }
 
-    /// Closes the connection unless bytes have arrived that were not passed on. Bytes that arrive between the check and the
-    /// close are lost, so the connection is shut down here and not later when its task is dropped.
+    /// Closes the connection unless bytes have arrived that were not passed on; returns whether it was closed. Bytes that
+    /// arrive between the check and the close are lost, so the connection is shut down here and not later when its task is
+    /// dropped.
     pub(super) fn close_if_idle(&self) -> bool {
         let is_idle = self.pending_bytes.get() == 0 && !matches!(self.peek(), Ok(1..));
         if is_idle {
--- a/crates/stackgw-gateway/src/io/connection/read_budget.rs
+++ b/crates/stackgw-gateway/src/io/connection/read_budget.rs
@@ -18,12 +18,12 @@
 
 /// The bytes that all connections of one kind may hold together before they are passed on.
 ///
-/// Half of the budget is for connections that hold no complete message yet. Of the other half, each connection may hold as much
-/// as it leaves free (a dynamic threshold). In addition each connection has a small reserve that does not depend on the others.
-/// So connections that send without pause never take the space that a message of another connection needs.
+/// Half of the budget is only for connections that hold no complete message yet. Of the other half, each connection may hold as
+/// much as is still free of that half (a dynamic threshold). In addition each connection has a small reserve that does not
+/// depend on the others. So connections that send without pause never take the space that another connection's message needs.
 ///
-/// Parts of large messages could fill the budget and then all wait for it. To prevent this deadlock, one connection at a time
-/// may exceed its share until its message has been passed on.
+/// Incomplete large messages could fill the budget, and then each would wait for the others. To prevent this deadlock, one
+/// connection at a time may exceed its share, and the whole budget, until bytes of it have been passed on.
 pub(in crate::io) struct ReadBudget {
     used_bytes: Cell<usize>,
     max_bytes: usize,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Removes a connection that has ended.
+    /// Removes a connection that has ended from those that wait.
     pub(super) fn forget(&self, connection: ConnectionKey) {
         let mut waiting = self.waiting.borrow_mut();
         waiting.retain(|reader| reader.connection != connection);
@@ -91,8 +91,9 @@
         woken.into_iter().for_each(|reader| reader.waker.wake());
     }
 
-    /// Returns how many bytes a connection that holds `pending_bytes` may read now; if it is 0, its task is woken once it may
-    /// read. `needs_more` says that the connection holds no complete message.
+    /// Returns how many bytes a connection that holds `pending_bytes` may read now: any number while it is within its share,
+    /// otherwise what is left of its reserve. If this is 0, its task is woken once it may read. `needs_more` says that the
+    /// connection holds no complete message.
     pub(super) fn readable_bytes(
         &self,
         connection: ConnectionKey,
@@ -108,7 +109,7 @@
         }
         let reserved_bytes = self.reserved_bytes.saturating_sub(pending_bytes);
         if reserved_bytes == 0 {
-            self.wait(WaitingReader {
+            self.add_waiting(WaitingReader {
                 connection,
                 pending_bytes,
                 needs_more,
@@ -126,7 +127,7 @@
         self.exempt.get() == Some(connection)
     }
 
-    fn wait(&self, reader: WaitingReader) {
+    fn add_waiting(&self, reader: WaitingReader) {
         let mut waiting = self.waiting.borrow_mut();
         match waiting
             .iter_mut()
--- a/crates/stackgw-gateway/src/io/control.rs
+++ b/crates/stackgw-gateway/src/io/control.rs
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum size of a query.
+/// Size after which no more of a query is read.
 const MAX_QUERY_BYTES: usize = 4 << 10;
 /// Size of one read of a query.
 const READ_BYTES: usize = 512;
-/// Maximum number of connections that are served at once; further ones wait in the backlog.
+/// Maximum number of connections that are served at once; further ones wait.
 const MAX_CONNECTIONS: usize = 4;
 /// Time in which a connection must send its query and read the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
@@ -28,7 +28,8 @@
 /// Access for the gateway's own user only.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Opens the socket. A socket that an ended process left behind is removed; any other file stays, and is an error.
+/// Opens the socket. An existing socket that accepts no connections, left behind by an ended process, is removed. Any other
+/// existing file stays, and is an error.
 pub(super) fn listen(path: &Path) -> Result<Async<UnixListener>, GatewayError> {
     bind(path).map_err(|source| GatewayError::Control {
         path: path.to_owned(),
--- a/crates/stackgw-gateway/src/io/discovery.rs
+++ b/crates/stackgw-gateway/src/io/discovery.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 impl Driver {
-    /// Opens a watch of the changes after a revision; replaces any other watch.
+    /// Opens a watch of the changes after a revision, or from the complete list on if it is `None`; replaces any other watch.
     pub(super) fn open_watch(self: &Rc<Self>, address: SocketAddr, after: Option<u64>) {
         let task = self.executor.spawn(watch(self.clone(), address, after));
         *self.list_requests.watch.borrow_mut() = Some(task);
@@ -135,7 +135,7 @@
     driver.handle_input(Input::WatchLost(error));
 }
 
-/// Requests the complete list once.
+/// Requests the complete list once and passes it to the reducer. Fails after `watch_idle_timeout`.
 async fn fetch(driver: Rc<Driver>, address: SocketAddr) {
     let timeout = Duration::from_nanos(driver.limits.watch_idle_timeout as u64);
     let timed_out = async {
--- a/crates/stackgw-gateway/src/io/driver.rs
+++ b/crates/stackgw-gateway/src/io/driver.rs
@@ -1,7 +1,7 @@
 //! Drives the reducer: passes inputs to it one at a time and carries out its effects.
 
 use super::alarm::Alarm;
-use super::backend_channels::Backends;
+use super::backend_channels::BackendHandle;
 use super::client_table::Clients;
 use super::clock::Clock;
 use super::control_answers::StatusReplies;
@@ -34,29 +34,29 @@
     pub(super) reloader: ConfigReloader,
     pub(super) clients: Clients,
     pub(super) members: Members,
-    pub(super) backends: Backends,
+    pub(super) backend: BackendHandle,
     pub(super) open_requests: OpenRequests,
     pub(super) list_requests: ListRequests,
     pub(super) datagrams: DatagramSockets,
     pub(super) storage: RefCell<Storage>,
     pub(super) status_replies: StatusReplies,
     pub(super) alarm: Alarm,
-    /// Set when the gateway exits.
+    /// Set when the gateway is to exit.
     pub(super) exits: Flag,
     /// Buffer for one read, shared by all connections of this thread.
     pub(super) read_buffer: Rc<RefCell<Vec<u8>>>,
 }
 
-/// Sockets for datagrams, if they are turned on.
+/// The sockets for datagrams; `None` where the configuration has none.
 #[derive(Default)]
 pub(super) struct DatagramSockets {
-    /// To the other gateways of the platform.
+    /// To and from the other gateways of the platform.
     pub(super) peers: Option<Rc<Async<UdpSocket>>>,
-    /// To other instances of the operator's cluster.
+    /// To and from other instances of the operator's cluster.
     pub(super) cluster: Option<Rc<Async<UdpSocket>>>,
 }
 
-/// The writers to the disk, if they are turned on. Dropping them commits what is queued.
+/// The writers to the disk; `None` where the configuration has none. Dropping a writer commits what is queued.
 #[derive(Default)]
 pub(super) struct Storage {
     /// Writes session records.
@@ -66,8 +66,8 @@
 }
 
 impl Driver {
-    /// Passes an input to the reducer and carries out its effects, until no input is left. An input that arises while another
-    /// one is being handled is queued.
+    /// Queues an input, then passes the queued inputs to the reducer and carries out their effects until no input is left. A
+    /// call while inputs are being handled only queues its input.
     pub(super) fn handle_input(self: &Rc<Self>, input: Input) {
         self.queue_input(input);
         if self.is_handling.replace(true) {
@@ -90,12 +90,12 @@
         self.alarm.set(self.reducer.borrow().next_due());
     }
 
-    /// Queues an input for the loop that is handling inputs now.
+    /// Queues an input. It is handled by the call of `handle_input` that is running, or else by the next one.
     pub(super) fn queue_input(&self, input: Input) {
         self.inputs.borrow_mut().push_back(input);
     }
 
-    /// Runs a task until the gateway exits.
+    /// Starts a task, which runs until it ends or the gateway exits.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
@@ -141,11 +141,12 @@
             Effect::StatusReply(number, reply) => self.status_replies.insert(number, reply),
             Effect::Log(text) => info!(self.log, "{text}"),
             Effect::Report(counters) => info!(self.log, "{counters}"),
-            Effect::Exit => self.exit(),
+            Effect::Exit => self.request_exit(),
         }
     }
 
-    fn exit(&self) {
+    /// Ends the output to all clients and sets the flag that makes the gateway exit.
+    fn request_exit(&self) {
         self.finish_writing_to_clients();
         self.exits.set(true);
     }
--- a/crates/stackgw-gateway/src/io/frontends.rs
+++ b/crates/stackgw-gateway/src/io/frontends.rs
@@ -8,17 +8,17 @@
 use std::rc::Rc;
 
 impl Driver {
-    /// Sends the final response to a request.
+    /// Sends the final response to a request if its frontend still waits for it.
     pub(super) fn respond_to_frontend(&self, id: CallId, final_response: FinalResponse) {
         if let Some(response) = self.open_requests.remove(id) {
             let _ = response.try_send(FrontendResponse::Final(final_response));
         }
     }
 
-    /// Responds to a request with the stream that has just started on a connection.
+    /// Responds to a request with the stream that has started on a connection.
     pub(super) fn respond_to_frontend_with_stream(&self, id: CallId, connection: ConnectionId) {
         let response = self.open_requests.remove(id);
-        let stream = self.backends.take_started_stream(connection);
+        let stream = self.backend.take_started_stream(connection);
         if let (Some(response), Some(stream)) = (response, stream) {
             let _ = response.try_send(FrontendResponse::Stream(stream));
         }
--- a/crates/stackgw-gateway/src/io/members.rs
+++ b/crates/stackgw-gateway/src/io/members.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 impl Driver {
-    /// Opens a connection; the reducer closes it if that takes too long.
+    /// Opens a connection. It has no timeout here: the reducer closes a connection that takes too long to open.
     pub(super) fn open_member_connection(self: &Rc<Self>, id: ConnectionId, address: SocketAddr) {
         let task = self.executor.spawn(serve(self.clone(), id, address));
         let member = Member {
@@ -22,7 +22,7 @@
         self.members.connections.borrow_mut().insert(id, member);
     }
 
-    /// Writes to a member if its connection can still carry a request.
+    /// Writes to a member if its connection can still carry a request; otherwise closes the connection.
     pub(super) fn write_to_member(&self, id: ConnectionId, bytes: Vec<u8>) {
         let Some(connection) = self.members.connection(id) else {
             return;
@@ -120,8 +120,8 @@
 ) -> Result<bool, FrameError> {
     let mut response_ended = true;
     while let Some(frame) = frames.next_frame() {
-        // The response's last message may let the reducer write the next request to this connection at once. The bytes left
-        // here must be counted before, so that they are recognized as unexpected data.
+        // The response's last message may let the reducer write the next request to this connection at once. The bytes after
+        // it must be counted before that, so that they are recognized as unexpected data.
         connection.set_pending_bytes(frames.pending_bytes());
         let frame = frame?;
         response_ended = frame.kind == server::READY_FOR_QUERY;
--- a/crates/stackgw-gateway/src/io/request_handle.rs
+++ b/crates/stackgw-gateway/src/io/request_handle.rs
@@ -33,7 +33,7 @@
 
 /// The response to another frontend's request.
 pub enum FrontendResponse {
-    /// The one final response.
+    /// The final response; nothing follows it.
     Final(FinalResponse),
     /// A stream, which the frontend owns from now on.
     Stream(RelayedStream),
--- a/crates/stackgw-gateway/src/io/startup.rs
+++ b/crates/stackgw-gateway/src/io/startup.rs
@@ -1,7 +1,7 @@
 //! Opens the parts of a gateway in the order of their dependencies, and runs the gateway until it exits.
 
 use super::alarm::Alarm;
-use super::backend_channels::{BackendChannels, BackendCommand, BackendEvent, Backends};
+use super::backend_channels::{BackendChannels, BackendCommand, BackendEvent, BackendHandle};
 use super::client_table::Clients;
 use super::clock::Clock;
 use super::control_answers::StatusReplies;
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// A socket, store or frontend that the configuration names cannot be opened.
+/// The signal handlers cannot be installed, or a socket, store or frontend that the configuration names cannot be opened.
 pub(crate) fn serve(
     config: Config,
     frontend: Option<FrontendFactory>,
@@ -286,7 +286,7 @@
             reloader: self.reloader,
             clients: Clients::new(&self.limits),
             members: Members::new(&self.limits),
-            backends: Backends::new(outputs.backend_commands),
+            backend: BackendHandle::new(outputs.backend_commands),
             open_requests: OpenRequests::default(),
             list_requests: ListRequests::default(),
             datagrams: outputs.datagrams,
--- a/crates/stackgw-gateway/src/io/storage.rs
+++ b/crates/stackgw-gateway/src/io/storage.rs
@@ -24,7 +24,7 @@
 /// Opens the store of session records, if the operator's file names one.
 ///
 /// A store that another process uses, or that can neither be used nor moved aside, is an error: otherwise a later incarnation
-/// would treat it as complete.
+/// would treat it as complete, although it lacks the records of this one.
 pub(super) fn open_session_store(
     config: &Config,
     log: &Logger,
@@ -76,8 +76,8 @@
     pub(super) writer: Option<EndpointListWriter>,
 }
 
-/// Opens the file of the endpoint list, if the operator's file names one. A file that cannot be read is logged; the gateway
-/// still starts.
+/// Opens the file of the endpoint list, if the operator's file names one. If it cannot be read or its writer cannot be started,
+/// this is logged and the gateway still starts.
 pub(super) fn open_endpoint_list(
     bootstrap: &stackgw_config::Bootstrap,
     log: &Logger,
