--- a/crates/stackgw-gateway/src/config/document.rs
+++ b/crates/stackgw-gateway/src/config/document.rs
@@ -28,7 +28,7 @@
         variable,
         precedence,
     };
-    // Only the first error is reported: fields that a variable may override are read last.
+    // Only the first error is reported: errors in these fields come before those in fields that a variable may override.
     let peers = document.peers()?;
     let platform = document.platform()?;
     let settings = document.settings()?;
@@ -65,6 +65,7 @@
         self.json.get(name).filter(|value| !value.is_null())
     }
 
+    /// Returns a field's value or that of its variable, by precedence. A value that is not a string counts as missing.
     fn text_or_variable(
         &self,
         field: &'static str,
--- a/crates/stackgw-gateway/src/config/error.rs
+++ b/crates/stackgw-gateway/src/config/error.rs
@@ -34,18 +34,18 @@
     /// A field is not a string.
     #[error("{0} is not a string")]
     NotText(&'static str),
-    /// A field is not a socket address.
+    /// A field, or the variable used instead of it, is not a socket address.
     #[error("{field}: '{text}' is not an address and port")]
     Address {
         /// The document's field.
         field: &'static str,
-        /// The field's value.
+        /// The value of the field or variable.
         text: String,
     },
-    /// The other gateways' addresses are not an array.
+    /// The addresses of the tier's gateways are not an array.
     #[error("peers is not a list")]
     PeersNotAList,
-    /// One of the other gateways' addresses is not a string.
+    /// One of the addresses of the tier's gateways is not a string.
     #[error("peers contains a value that is not a string")]
     PeerNotText,
     /// A part of the document is missing.
@@ -54,12 +54,12 @@
     /// A limit of the platform is missing or not at least 1.
     #[error("limits.{0} is not a positive number")]
     NotPositive(&'static str),
-    /// The platform grants too few descriptors to serve any client.
+    /// The platform grants fewer descriptors than a gateway needs.
     #[error("limits.sockets: {sockets} is less than the minimum of {min}")]
     TooFewSockets {
         /// The descriptors that the platform grants.
         sockets: usize,
-        /// The descriptors that a gateway needs.
+        /// The minimum number of descriptors.
         min: usize,
     },
     /// The settings cannot be used.
--- a/crates/stackgw-gateway/src/config/file.rs
+++ b/crates/stackgw-gateway/src/config/file.rs
@@ -15,7 +15,8 @@
     Ok(std::fs::read_to_string(path)?)
 }
 
-/// Reads the keys of a cluster from the files that hold their secrets; errors name the field that lists the files.
+/// Reads the keys of a cluster, or of Flight tickets, from the files that hold their secrets; errors name the field that lists
+/// the files.
 pub(super) fn read_keyring(
     field: &'static str,
     cluster: &str,
--- a/crates/stackgw-gateway/src/config/mod.rs
+++ b/crates/stackgw-gateway/src/config/mod.rs
@@ -41,13 +41,14 @@
     pub settings: PlatformSettings,
     /// The limits: sizes, counts and times.
     pub limits: Limits,
-    /// The file that the configuration was read from.
+    /// The file that the platform's document was read from; `None` if it was parsed from text.
     pub file: Option<PathBuf>,
     /// The operator's file; without one all its features are off.
     pub operator: OperatorConfig,
     /// Sharing of sessions among instances; `None`: off.
     pub session_sharing: Option<SessionSharingConfig>,
-    /// The other instances, from the `cluster` or the `sessions` part of the operator's file.
+    /// How this instance reaches the others: the `cluster` part of the operator's file, or else its `sessions` part. `None`: it
+    /// has neither.
     pub cluster: Option<ClusterConfig>,
     /// How this instance obtains the endpoint list; `None`: only from the list service and the platform's document.
     pub bootstrap: Option<stackgw_config::Bootstrap>,
@@ -84,7 +85,7 @@
     pub keyring: Keyring,
 }
 
-/// The other instances, and the keys that they share.
+/// How this instance reaches the others, and the keys that they share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClusterConfig {
     /// The operator's options.
@@ -128,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// `ROUTER_CONFIG` is not set, or its file cannot be used.
+    /// `ROUTER_CONFIG` is not set, its file cannot be used, or a variable that overrides a field is malformed.
     pub fn from_env(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let path = PathBuf::from(variable("ROUTER_CONFIG").ok_or(ConfigError::NoDocument)?);
         let config = Self::from_text(&document_text(&path)?, variable)?;
@@ -142,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// The first field that is missing or malformed.
+    /// The text is not valid JSON, or a field or its variable is missing or malformed; only the first such error is returned.
     pub fn from_text(
         text: &str,
         variable: impl Fn(&str) -> Option<String>,
@@ -198,8 +199,8 @@
 
 /// Reloads the files of a running gateway.
 ///
-/// Environment variables take precedence only at start. On a reload the document's fields take precedence, and the values from
-/// the start are used for fields that the document omits.
+/// Environment variables take precedence only at start. On a reload the document's fields take precedence, and the name and the
+/// addresses of `listen` and `discovery` keep their values from the start if the document omits them.
 #[derive(Debug, Clone)]
 pub struct ConfigReloader {
     file: Option<PathBuf>,
--- a/crates/stackgw-gateway/src/counters.rs
+++ b/crates/stackgw-gateway/src/counters.rs
@@ -23,28 +23,28 @@
     taken,
     /// Statements rejected with an error because of their form, class or group.
     malformed,
-    /// Requests answered with a row from a member.
+    /// Requests answered with a row or a stream from a member.
     answered_served,
     /// Requests rejected; none of them was executed.
     answered_rejected,
-    /// Requests failed; they may have been executed.
+    /// Requests answered with a failure; they may have been executed.
     answered_failed,
     /// Requests whose client disconnected before the response.
     abandoned,
-    /// Requests rejected before they reached the router: too many requests or connections were open, or no endpoint list was
-    /// known yet.
+    /// Requests rejected before they reached the router: too many requests, connections or bytes of statements were open, no
+    /// endpoint list was known yet, a write could not have been confirmed, or the gateway was shutting down.
     rejected_early,
     /// Served requests whose response is a stream.
     streams_begun,
     /// Streams that ended before they were complete.
     streams_broken,
-    /// Connections that were established too late for their attempt and kept for the next one.
+    /// Connections whose attempt or health check timed out during the handshake, and that were kept for a later one.
     members_late,
     /// Attempts started by the router.
     attempts,
     /// Attempts whose last byte was written to a member.
     written,
-    /// Attempts that ended with a row.
+    /// Attempts that ended with a row or a complete stream.
     ended_served,
     /// Attempts that ended with a member's error.
     ended_error,
@@ -66,7 +66,7 @@
     ended_not_sent,
     /// Health checks sent.
     health_checks,
-    /// Health checks without a load report.
+    /// Health checks without a valid load report.
     health_checks_failed,
     /// Client connections accepted.
     clients_opened,
@@ -108,7 +108,7 @@
     members_unexpected_data,
     /// Positions discarded because they were in the future.
     positions_implausible,
-    /// Attempts that got a second connection because the first one was closed before they were sent.
+    /// Attempts and health checks moved to another connection because theirs was closed before they were sent.
     members_reopened,
     /// Members from endpoint lists that are still known.
     members_known,
@@ -128,7 +128,8 @@
     gossip_sent,
     /// Gossip datagrams received from other gateways of the tier.
     gossip_received,
-    /// Datagrams dropped because they were not from a gateway of the tier, or not gossip.
+    /// Datagrams dropped because they were not from a gateway of the tier, or not gossip, and malformed messages about the
+    /// endpoint list from other instances.
     gossip_dropped,
     /// Bytes that clients have sent and that have not been passed to the reducer yet.
     read_ahead_bytes,
--- a/crates/stackgw-gateway/src/error.rs
+++ b/crates/stackgw-gateway/src/error.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// An error that keeps a gateway from starting. Its message is one line that names the field at fault.
+/// An error that keeps a gateway from starting. Its message is one line that names the field at fault, if there is one.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
     /// The signal handlers cannot be installed.
--- a/crates/stackgw-gateway/src/lib.rs
+++ b/crates/stackgw-gateway/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`reducer::Reducer`] is the gateway without its sockets: a state machine of inputs and effects. [`run`] runs the complete
 //! gateway: one thread that reads sockets, passes inputs to the reducer and carries out its effects. All decisions are made by
-//! the router or the reducer; the I/O side keeps no state of requests or members.
+//! the router or the reducer; the I/O side only keeps connections, channels and the bytes that are queued on them.
 
 pub mod config;
 pub mod counters;
@@ -34,7 +34,7 @@
 pub type FrontendFactory =
     Box<dyn FnOnce(RequestHandle, BackendChannels, Logger) -> Result<Box<dyn Any>, FrontendError>>;
 
-/// Serves until a SIGTERM has been handled completely. Logs go to standard error without blocking the gateway.
+/// Serves until a SIGTERM or SIGINT has been handled completely. Logs go to standard error without blocking the gateway.
 ///
 /// # Errors
 ///
--- a/crates/stackgw-gateway/src/limits.rs
+++ b/crates/stackgw-gateway/src/limits.rs
@@ -32,7 +32,7 @@
     /// At the limit of clients, a connection that has been idle for this long may be closed to make room for a new one.
     pub eviction_idle: Span,
     /// A connection without a request so far is evicted before all others, but not within this time of its start: its first
-    /// request may be on its way.
+    /// request may be in transit.
     pub eviction_grace: Span,
     /// Requests in flight or queued at once.
     pub requests: usize,
@@ -80,7 +80,7 @@
     pub max_clock_skew: Span,
     /// Idle connections to members are closed after this time, before the members' own limit closes them.
     pub member_idle_timeout: Span,
-    /// Interval at which idle connections are checked.
+    /// Interval at which idle and stalled connections are checked.
     pub sweep_interval: Span,
     /// A client that sends no request within this time after it connects is disconnected.
     pub first_request_timeout: Span,
@@ -92,12 +92,12 @@
     ///
     /// Closing a socket that holds unread bytes sends a reset, which can discard the error before the client reads it.
     pub linger_timeout: Span,
-    /// How many bytes of input are still read and dropped in that case.
+    /// Maximum number of bytes of input that are read and dropped during `linger_timeout`.
     pub linger_bytes: usize,
     /// Malformed statements in a row after which the connection is closed.
     pub max_consecutive_malformed: u32,
-    /// Statements of one client served at once, where it writes several before it reads. The deadline of each further one
-    /// counts only from when it is accepted; with a lower limit its response would come too late.
+    /// Statements of one client that are served at once if it writes several before it reads the responses. The deadline of any
+    /// further statement is counted only from when it is accepted, so with a lower limit its response would come too late.
     pub max_pipelined_statements: usize,
     /// Messages of one client that are passed to the reducer before other tasks run.
     pub messages_per_turn: usize,
@@ -119,8 +119,8 @@
     /// A watch that delivers no complete line for this long after its first one is reopened: twice the interval of its blank
     /// lines.
     ///
-    /// A change counts as notified 6 s after the list service has it and is reachable, in whatever state the watch is. Each of
-    /// these three timeouts must stay within that, together with the longest backoff and one more connect.
+    /// A gateway must act on a change by 6 s after the list service has it and is reachable, in any state of its watch. Each of
+    /// the three timeouts of a watch must fit into these 6 s, together with the longest backoff and one more connect.
     pub watch_idle_timeout: Span,
     /// Shortest backoff before another request to the list service.
     pub watch_min_backoff: Span,
@@ -132,11 +132,11 @@
     pub shutdown_accept: Span,
     /// After SIGTERM clients keep their open connections, and are served, for this long.
     pub shutdown_serve: Span,
-    /// Interval at which client connections are then checked, and closed if they are between requests.
+    /// Interval at which client connections are checked after `shutdown_serve`, and closed if they are between requests.
     pub shutdown_sweep_interval: Span,
     /// Time after SIGTERM from which every open request, and each new one, is rejected at once.
     pub shutdown_reject: Span,
-    /// Time after SIGTERM at which the gateway exits even if requests are left: before the SIGKILL.
+    /// Time after SIGTERM at which the gateway exits even if requests are left: before the platform sends SIGKILL.
     pub shutdown_deadline: Span,
 }
 
@@ -146,9 +146,9 @@
 const OWN_DESCRIPTORS: usize = 32;
 /// One in this many of `client_bytes` is reserved, in equal shares for all clients.
 const RESERVED_DIVISOR: usize = 4;
-/// Share of the remaining descriptors for connections to members; clients get the rest.
+/// Share of the descriptors beyond `OWN_DESCRIPTORS` for connections to members; clients get the rest.
 const MEMBER_SHARE: f64 = 0.4;
-/// Share of the remaining descriptors for `client_reserve`, each held only until its client is rejected.
+/// Share of the descriptors beyond `OWN_DESCRIPTORS` for `client_reserve`, each held only until its client is rejected.
 const RESERVE_SHARE: f64 = 0.06;
 /// Largest value that clients write.
 const VALUE_BYTES: usize = 64 << 10;
@@ -156,15 +156,15 @@
 const TEXT_BYTES: usize = 8 << 10;
 /// A client's largest statement, with its value in hexadecimal.
 const STATEMENT_BYTES: usize = 2 * VALUE_BYTES + TEXT_BYTES;
-/// A response may take one in this many bytes of the memory. A response that is rejected only for its size is requested again
-/// and again, at the same cost for its member each time.
+/// A response may take one in this many bytes of the memory. The limit is generous, as a response that is rejected for its size
+/// is requested again, at the same cost for its member each time.
 const RESPONSE_DIVISOR: usize = 64;
 /// Once the member has begun the handshake, a connect that timed out may take this many further timeouts: a queue of handshakes
 /// at the member can be a few timeouts long.
 const LATE_CONNECT_FACTOR: Span = 4;
 /// Idle time after which members close connections, if the settings do not name it.
 const DEFAULT_MEMBER_IDLE: Span = 30 * SECOND;
-/// Longest time for which requests are served after SIGTERM, even if their deadlines are later.
+/// Longest time for which requests are served after SIGTERM, even if their deadlines are later. `shutdown_serve` adds 200 ms.
 const MAX_SHUTDOWN_SERVE: Span = 3 * SECOND;
 
 /// The limits that depend neither on the platform nor on the settings; all others are 0 here.
@@ -225,20 +225,20 @@
 };
 
 impl Limits {
-    /// Bytes reserved for each client however much the others hold: once for accepted statements, and once more for bytes sent
-    /// ahead of them.
+    /// Returns the bytes reserved for each client however much the others hold: once for accepted statements, and once more for
+    /// bytes sent ahead of them.
     pub fn reserved_client_bytes(&self) -> usize {
         let connections = (self.clients + self.client_reserve).max(1);
         (self.client_bytes / RESERVED_DIVISOR / connections).max(1)
     }
 
-    /// Bytes that all clients share in addition to their reserved ones.
+    /// Returns the bytes that all clients share in addition to their reserved ones.
     pub fn shared_client_bytes(&self) -> usize {
         self.client_bytes - self.client_bytes / RESERVED_DIVISOR
     }
 
-    /// A client that has sent no more bytes ahead than this, one statement, is not closed when the bytes sent ahead by all
-    /// clients exceed their limit.
+    /// Returns how many bytes a client may send ahead without being closed while the bytes sent ahead by all clients exceed
+    /// their limit: the largest statement, but at most 1/16 of `client_bytes`.
     pub fn tolerated_read_ahead_bytes(&self) -> usize {
         self.statement_bytes.min(self.client_bytes / 16)
     }
@@ -310,7 +310,7 @@
     }
 }
 
-/// The longest deadline of any class.
+/// Returns the longest deadline of any class; 1 s without classes.
 fn longest_deadline(settings: &PlatformSettings) -> Span {
     let deadlines = settings.router.classes.iter().map(|class| class.deadline);
     deadlines.max().unwrap_or(SECOND)
--- a/crates/stackgw-gateway/src/logging.rs
+++ b/crates/stackgw-gateway/src/logging.rs
@@ -5,8 +5,8 @@
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 use stackgw_config::LogFormat;
 
-/// Logs plain text, or JSON objects if the operator's file selects them. A full queue drops lines and reports how many later;
-/// dropping the guard writes the queued lines.
+/// Returns a logger that writes plain text, or JSON objects if the operator's file selects them. If its queue is full, lines
+/// are dropped and their number is logged later. Dropping the guard writes the queued lines.
 pub(crate) fn logger(config: &Config) -> (Logger, AsyncGuard) {
     let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = match config.operator.format {
         LogFormat::Json => Box::new(slog_json::Json::default(std::io::stderr()).fuse()),
