--- a/crates/stackgw-gateway/tests/abandoned_requests.rs
+++ b/crates/stackgw-gateway/tests/abandoned_requests.rs
@@ -38,11 +38,11 @@
     assert_eq!(
         statements(&harness.send(other, write_query(900)))[0].0,
         conn,
-        "the connection serves the next request"
+        "the connection must serve the next request"
     );
 }
 
-/// The same if the client has cancelled its request and stays connected.
+/// A request that its client has cancelled is not sent either, although the client stays connected.
 #[test]
 fn a_cancelled_request_is_not_sent() {
     let (mut harness, client, conn) = request_awaiting_connection(write_query(900));
@@ -71,7 +71,7 @@
     assert!(statements(&harness.reply(conn, greeting())).is_empty());
     assert!(
         harness.reducer.accepts_frame(client),
-        "it may send another request"
+        "a client whose request was cancelled may send another"
     );
 }
 
@@ -86,7 +86,7 @@
     assert_eq!(
         sqlstate(&client_replies(&effects)[0]).as_deref(),
         Some("53300"),
-        "it has not run"
+        "a write that was never sent must be rejected"
     );
 }
 
@@ -121,6 +121,6 @@
     harness.input(Input::ClientConnected(ClientId(2000)));
     assert!(
         harness.reducer.accepts_frame(ClientId(2000)),
-        "its startup message, or a cancel instead"
+        "a new client's startup message, or a cancel instead, must be accepted"
     );
 }
--- a/crates/stackgw-gateway/tests/calls.rs
+++ b/crates/stackgw-gateway/tests/calls.rs
@@ -123,15 +123,17 @@
             "SELECT val FROM state WHERE uid = '{key}' /* id={id},c=look,d=900,cluster=2 */"
         ))
     };
+    // A call takes about 120 KiB, for its text and once more for its key. Once three quarters of 1 MiB are used, large calls
+    // are rejected.
     let mut rejected = 0;
     for call in 0..200 {
         let effects = harness.input(Input::Call(CallId(call), large(), false));
         let is_rejected = |e: &Effect| matches!(e, Effect::CallCompleted(_, FinalResponse::Rejected(text, None)) if text.contains("bytes"));
         rejected += usize::from(effects.iter().any(is_rejected));
     }
-    assert!(rejected > 180, "{rejected} at once");
+    assert!(rejected > 180, "{rejected} of 200 calls were rejected");
     let buffered = harness.reducer.counters().buffered_bytes;
-    assert!(buffered <= 1 << 20, "{buffered} bytes");
+    assert!(buffered <= 1 << 20, "{buffered} bytes are buffered");
     // There is still capacity for a small call.
     let effects = harness.input(Input::Call(CallId(900), read_query(900), false));
     assert!(
--- a/crates/stackgw-gateway/tests/client_connections.rs
+++ b/crates/stackgw-gateway/tests/client_connections.rs
@@ -14,7 +14,7 @@
     assert_eq!(
         sqlstate(&client_replies(&harness.send(eager, read_query(900)))[0]).as_deref(),
         Some("57P03"),
-        "a retry is safe"
+        "a request without an endpoint list must be rejected so that a retry is safe"
     );
     let effects = harness.input(Input::EndpointList(list(
         1,
@@ -170,19 +170,23 @@
     let (idle, partial) = (harness.client(1), harness.client(2));
     harness.send(idle, query(""));
     harness.input(Input::ClientReadAhead(partial, ReadAhead::partial(7)));
+    // The timeout of a partial message is 2 s, and clients are checked every 0.5 s.
     let effects = harness.advance(2 * SECOND + 600 * MS);
     let is_error = |e: &Effect| matches!(e, Effect::ClientWrite { client, close: true, bytes } if *client == partial && bytes[0] == b'E');
-    assert!(effects.iter().any(is_error), "it gets an error");
+    assert!(
+        effects.iter().any(is_error),
+        "a client that stalls within a message must get an error"
+    );
     assert!(
         harness
             .advance(2 * SECOND)
             .contains(&Effect::ClientClose(partial)),
-        "and is closed even if it continues to send"
+        "the client must be closed even if it continues to send"
     );
     let closes_idle = |e: &Effect| matches!(e, Effect::ClientClose(c) | Effect::ClientCloseIfIdle(c) if *c == idle);
     assert!(
         !harness.effects.iter().any(closes_idle),
-        "an idle client is not closed"
+        "an idle client must not be closed"
     );
 }
 
@@ -208,11 +212,11 @@
     };
     assert!(
         close_position(new_client).is_some(),
-        "it is closed unless it has just sent something"
+        "a client without a request must be closed if it is idle"
     );
     assert!(
         close_position(new_client) < close_position(idle),
-        "the idle client is next, in case the new one has sent something"
+        "the idle client must be next, in case the new one has sent something"
     );
     harness.input(Input::ClientClosed(idle, CloseReason::Disconnected));
     assert_eq!(harness.reducer.counters().clients_evicted, 1);
@@ -225,7 +229,10 @@
             .iter()
             .any(|e| matches!(e, Effect::ClientCloseIfIdle(_)))
     };
-    assert!(!closed_if_idle(&harness.advance(150 * MS)), "none is idle");
+    assert!(
+        !closed_if_idle(&harness.advance(150 * MS)),
+        "no client is idle, so none may be closed"
+    );
     harness.serve(conn, b"x");
     assert!(harness
         .advance(150 * MS)
@@ -245,7 +252,7 @@
     let (third, fourth) = (harness.client(3), harness.client(4));
     assert!(
         harness.effects.contains(&Effect::AcceptClients(false)),
-        "the reserve is used up too"
+        "no client may be accepted once the reserve is used up too"
     );
     // A client without a request is closed to make room for one that sends a request.
     let effects = harness.send(third, read_query(900));
@@ -276,12 +283,13 @@
     let (unstarted, started, used) = (ClientId(1), harness.client(2), harness.client(3));
     harness.input(Input::ClientConnected(unstarted));
     harness.send(used, query(""));
+    // The timeout of the first request is 1.5 s, and clients are checked every 0.5 s.
     let effects = harness.advance(2 * SECOND + 100 * MS);
     let closed_if_idle: Vec<_> = [unstarted, started, used]
         .map(|id| effects.contains(&Effect::ClientCloseIfIdle(id)))
         .to_vec();
     assert_eq!(closed_if_idle, [true, true, false]);
-    // A request may be on its way, so the client must not get a message that it would take for the response.
+    // A request may be in transit, so the client must not get a message that it would take for the response.
     assert_eq!(client_replies(&effects).len(), 0);
 }
 
@@ -293,7 +301,10 @@
         harness.reducer.accepts_frame(client) && !harness.send(client, query("SELECT 1")).is_empty()
     });
     let sent = sent.count();
-    assert!((3..30).contains(&sent), "{sent} in a row");
+    assert!(
+        (3..30).contains(&sent),
+        "closed after {sent} malformed statements"
+    );
     let closes_connection = |e: &Effect| matches!(e, Effect::ClientWrite { close: true, .. });
     assert!(harness.effects.iter().any(closes_connection));
     // The connection is closed after a timeout even if the client does not read the error.
@@ -305,6 +316,7 @@
 #[test]
 fn the_client_with_the_most_read_ahead_is_closed_before_others_wait() {
     let mut config = config(&three_members());
+    // Clients are closed above three quarters of this, 300 bytes.
     config.limits.client_bytes = 400;
     let mut harness = ReducerHarness::with(config);
     let (used, largest, small) = (harness.client(1), harness.client(2), harness.client(3));
@@ -321,13 +333,13 @@
     let closes_largest = |e: &Effect| matches!(e, Effect::ClientWrite { client, close: true, .. } if *client == largest);
     assert!(
         effects.iter().any(closes_largest),
-        "a client without a request is closed first"
+        "a client without a request must be closed first"
     );
     assert_eq!(harness.reducer.counters().clients_over_buffer_limit, 1);
     assert!(
         client_replies(&harness.input(Input::ClientReadAhead(small, ReadAhead::partial(100))))
             .is_empty(),
-        "its bytes no longer count"
+        "the bytes of the closed client must no longer count"
     );
 }
 
@@ -358,7 +370,7 @@
     };
     assert!(
         closed_if_idle(&harness.advance(SECOND)).is_empty(),
-        "up to the soft limit idle connections stay open"
+        "up to the soft limit idle connections must stay open"
     );
     let before = harness.effects.len();
     let busy = harness.client(7);
@@ -368,11 +380,11 @@
     assert_eq!(
         closed_if_idle(&effects).first(),
         Some(&clients[0]),
-        "the one that has been idle longest"
+        "the client that has been idle longest must be closed first"
     );
     assert!(!closed_if_idle(&effects).contains(&busy));
     harness.input(Input::ClientClosed(clients[0], CloseReason::Disconnected));
-    // A client that has just got a response is likely to send another request.
+    // A client that got a response less than 250 ms ago is likely to send another request, so it is not closed.
     let new = harness.client(8);
     harness.send(new, query(""));
     assert!(!closed_if_idle(&harness.advance(200 * MS)).contains(&new));
--- a/crates/stackgw-gateway/tests/clock.rs
+++ b/crates/stackgw-gateway/tests/clock.rs
@@ -52,9 +52,12 @@
         sent.sum::<usize>()
     };
     let (with_pauses, without_pauses) = (sent_after_pauses(700 * MS), sent_after_pauses(0));
-    assert!(without_pauses >= 6, "{without_pauses} at once");
+    assert!(
+        without_pauses >= 6,
+        "{without_pauses} requests sent at once without pauses"
+    );
     assert!(
         with_pauses >= without_pauses - 1,
-        "{with_pauses} at once after pauses, {without_pauses} without"
+        "{with_pauses} requests sent at once after pauses, {without_pauses} without pauses"
     );
 }
--- a/crates/stackgw-gateway/tests/config.rs
+++ b/crates/stackgw-gateway/tests/config.rs
@@ -74,6 +74,7 @@
     for sockets in [64, 128, 1024, 65_536] {
         for memory_mb in [32, 192, 2048] {
             let limits = Limits::new(Platform { memory_mb, sockets }, &settings);
+            // The gateway itself needs 32 descriptors.
             assert!(
                 limits.clients + limits.client_reserve + limits.member_connections + 32 <= sockets
             );
--- a/crates/stackgw-gateway/tests/connection_pacing.rs
+++ b/crates/stackgw-gateway/tests/connection_pacing.rs
@@ -7,7 +7,9 @@
 use stackgw_gateway::reducer::{Effect, Input};
 use stackgw_router::api::{Time, MS, SECOND};
 
+/// The start time of a member that starts with the test, in Unix milliseconds.
 const COLD: i64 = START / MS;
+/// The start time of a member that is warm, in Unix milliseconds.
 const LONG_AGO: i64 = 0;
 
 /// A gateway of a fleet of ten, which may open `opens` new connections per second to a cold member, with an endpoint list.
@@ -71,7 +73,7 @@
     let unpaced = opening_times(&mut paced_harness(COLD, None), 5 * SECOND);
     assert!(
         unpaced.len() > 3 * paced.len(),
-        "without pacing: {}",
+        "connections without pacing: {}",
         unpaced.len()
     );
 }
@@ -83,7 +85,7 @@
         paced.first() < Some(&(100 * MS)) && paced.len() > 5,
         "{paced:?}"
     );
-    // The same for a member that has become warm by its age.
+    // A cold member becomes warm 10 s after its start (`WarmWithinNs`).
     let mut harness = paced_harness(COLD, Some(2));
     harness.advance(11 * SECOND);
     let paced = opening_times(&mut harness, SECOND);
@@ -120,7 +122,7 @@
     assert_eq!(
         (answered, counters.answered_failed),
         (6, 0),
-        "each has one response"
+        "each request must get one response"
     );
     assert!(conns.len() <= 2, "{conns:?}");
     if counters.answered_served > 0 {
--- a/crates/stackgw-gateway/tests/digest/discovery.rs
+++ b/crates/stackgw-gateway/tests/digest/discovery.rs
@@ -8,7 +8,7 @@
 use stackgw_router::api::{MS, SECOND};
 
 impl Simulation {
-    /// The agent's current list: all entries, or some of them.
+    /// The current list of the list service: all entries, or some of them.
     pub(crate) fn endpoint_list(&mut self, complete: bool) -> ListUpdate {
         let mut entries = Vec::new();
         for n in 1..=MEMBERS {
--- a/crates/stackgw-gateway/tests/digest/simulation.rs
+++ b/crates/stackgw-gateway/tests/digest/simulation.rs
@@ -45,6 +45,7 @@
 pub(crate) struct Gateway {
     pub(crate) reducer: Reducer,
     pub(crate) clients: BTreeMap<ClientId, Client>,
+    /// Open connections to members, each with the index of its member.
     pub(crate) conns: BTreeMap<ConnectionId, u32>,
     pub(crate) calls: BTreeSet<CallId>,
     pub(crate) streams: BTreeSet<ConnectionId>,
@@ -67,11 +68,13 @@
     pub(crate) scheduled: BTreeMap<(Time, u64), (usize, Scheduled)>,
     pub(crate) last_event_number: u64,
     pub(crate) behaviors: [MemberBehavior; MEMBERS as usize],
+    /// Each member's phase in the list: 0 ready, 1 draining, 2 gone, 3 not listed.
     pub(crate) phases: [u8; MEMBERS as usize],
     pub(crate) has_new_address: [bool; MEMBERS as usize],
     pub(crate) up_since_ms: [i64; MEMBERS as usize],
     pub(crate) leader: u32,
     pub(crate) revision: u64,
+    /// Whether the agent of the list service is reachable.
     pub(crate) agent_up: bool,
     pub(crate) next_client: u64,
     pub(crate) next_call: u64,
--- a/crates/stackgw-gateway/tests/endpoint_list.rs
+++ b/crates/stackgw-gateway/tests/endpoint_list.rs
@@ -26,13 +26,17 @@
             .count()
     };
     let effects = harness.input(Input::WatchLost("ended".into()));
-    assert_eq!(watches_opened(&effects), 0, "not at once");
+    assert_eq!(
+        watches_opened(&effects),
+        0,
+        "the watch must not be reopened at once"
+    );
     assert_eq!(watches_opened(&harness.advance(150 * MS)), 1);
     harness.input(Input::WatchLost("refused".into()));
     assert_eq!(
         watches_opened(&harness.advance(150 * MS)),
         0,
-        "the second backoff is longer"
+        "the second backoff must be longer"
     );
     assert_eq!(watches_opened(&harness.advance(SECOND)), 1);
     // Blank lines keep the watch open. It is reopened after a silence longer than two intervals of blank lines.
@@ -73,7 +77,7 @@
     assert_eq!(
         harness.reducer.counters().lists,
         1,
-        "an older list does not replace a newer one"
+        "an older list must not replace a newer one"
     );
 }
 
@@ -138,7 +142,7 @@
 /// After a reload (SIGHUP) the complete list is requested at the new address at once, regardless of the revisions of the old one.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one sequence of steps")]
-fn a_reload_moves_the_watch_and_old_revisions_do_not_count() {
+fn a_reload_moves_the_watch_and_resets_the_known_revision() {
     let known = list_text(
         41,
         true,
@@ -159,7 +163,7 @@
         effects.contains(&Effect::CloseWatch) && effects.contains(&Effect::OpenWatch(new, None)),
         "{effects:?}"
     );
-    // The revisions there are lower and still count.
+    // Lists from the new address are applied although their revisions are lower.
     harness.input(Input::EndpointList(list(
         3,
         true,
@@ -178,7 +182,7 @@
     let effects = harness.send(client, read_query(400));
     assert!(
         opened(&effects).iter().all(|(_, member)| *member == 3),
-        "the list from the new address is applied"
+        "the list from the new address must be applied"
     );
     // A lost watch is reopened at the new address after the new revision.
     harness.input(Input::WatchLost("ended".into()));
@@ -272,7 +276,7 @@
 
 /// Entries from peers and from the disk are not validated like those from the list service: a start time out of range overflowed.
 #[test]
-fn a_member_with_an_impossible_start_time_counts_as_just_started() {
+fn a_member_with_an_impossible_start_time_is_accepted() {
     let mut harness = ReducerHarness::new("null");
     let mut update = list(1, true, &[entry(1, "ready", "leader")]);
     update.members[0].up_since_ms = i64::MAX;
--- a/crates/stackgw-gateway/tests/invariants.rs
+++ b/crates/stackgw-gateway/tests/invariants.rs
@@ -72,7 +72,7 @@
             match effect {
                 Effect::ClientWrite { client, close, .. } => {
                     if let Some(count) = self.unanswered.get_mut(client).filter(|_| !close) {
-                        assert!(*count > 0, "a response without a request");
+                        assert!(*count > 0, "a client got a response without a request");
                         *count -= 1;
                     }
                     if *close {
@@ -96,7 +96,7 @@
                     let busy = self.conns.get_mut(conn).expect("an open connection");
                     assert!(
                         !std::mem::replace(busy, true),
-                        "two requests on one connection"
+                        "two requests were sent on one connection at once"
                     );
                 }
                 Effect::ClientCloseIfIdle(client) => self.closing_if_idle.push(*client),
@@ -308,7 +308,7 @@
             assert_eq!(
                 environment.unanswered.remove(&id).unwrap_or(0),
                 0,
-                "closed within a request"
+                "a client was closed within a request"
             );
             environment.apply(&harness.input(Input::ClientClosed(id, CloseReason::Disconnected)));
         }
@@ -320,6 +320,7 @@
     let counters = harness.reducer.counters();
     assert_eq!(counters.clients_open, environment.clients.len() as u64);
     assert_eq!(counters.members_open, environment.conns.len() as u64);
+    // The limit of connections to members that `run` sets.
     assert!(counters.members_open <= 4);
     // The router's number of requests in flight is the number of attempts on connections.
     for member in harness.reducer.member_statuses() {
--- a/crates/stackgw-gateway/tests/member_connections.rs
+++ b/crates/stackgw-gateway/tests/member_connections.rs
@@ -13,7 +13,7 @@
     let client = harness.client(1);
     let effects = harness.send(client, write_query(900));
     let (conn, member) = opened(&effects)[0];
-    assert_eq!(member, 1, "the listed primary");
+    assert_eq!(member, 1, "the connection must go to the listed primary");
     assert!(!closed(&harness.advance(249 * MS)).contains(&conn));
     assert!(closed(&harness.advance(2 * MS)).contains(&conn));
     assert_eq!(harness.reducer.counters().ended_no_connection, 1);
@@ -44,7 +44,7 @@
     assert_eq!(
         statements(&effects)[0].0,
         conn,
-        "the idle connection is reused"
+        "the idle connection must be reused"
     );
     let effects = harness.disconnect(conn);
     let (new_conn, _) = statements(&effects)[0].clone();
@@ -55,7 +55,7 @@
     assert_eq!(
         harness.reducer.counters().attempts,
         2,
-        "the reopened connection is part of the same attempt"
+        "the reopened connection must be part of the same attempt"
     );
 }
 
@@ -70,7 +70,7 @@
     assert!(!early.contains(&conn));
     assert!(
         closed(&harness.advance(4 * SECOND)).contains(&conn),
-        "members close idle connections after 20 s"
+        "an idle connection must be closed before members close it after 20 s"
     );
 }
 
@@ -124,6 +124,7 @@
 
 #[test]
 fn nothing_is_sent_on_a_slow_connect_after_the_drain_grace() {
+    // The drain grace is 1 s. The connect begins within it and is established before or after its end.
     for (established_ms, sent) in [(940, 1), (1010, 0)] {
         let mut harness = ReducerHarness::new(&three_members());
         let client = harness.client(1);
@@ -161,7 +162,10 @@
         &[entry(1, "draining", "leader")],
     )));
     let early = closed(&harness.advance(900 * MS));
-    assert!(!early.contains(&conn), "it may still get requests");
+    assert!(
+        !early.contains(&conn),
+        "a draining member may still get requests within the grace of 1 s"
+    );
     assert!(closed(&harness.advance(SECOND)).contains(&conn));
 }
 
@@ -179,7 +183,7 @@
         (member, harness.reducer.counters().ended_no_connection),
         (1, 0)
     );
-    // Only once: if the second connection breaks too, the attempt ends without a connection.
+    // If the second connection breaks too, the attempt ends without a connection.
     harness.input(Input::MemberConnected(next));
     harness.disconnect(next);
     let counters = harness.reducer.counters();
@@ -250,7 +254,7 @@
             .first()
             .map(|(on, _)| *on),
         Some(conn),
-        "the connection is used"
+        "the late connection must serve the next request"
     );
     let mut harness = ReducerHarness::new(&three_members());
     let (_, conn) = begin_handshake(&mut harness, 1);
--- a/crates/stackgw-gateway/tests/member_responses.rs
+++ b/crates/stackgw-gateway/tests/member_responses.rs
@@ -57,6 +57,7 @@
     )));
     let client = harness.client(1);
     harness.send(client, read_query(400));
+    // The timeout of a health check is that of a connect, 250 ms.
     harness.advance(240 * MS);
     assert_eq!(harness.reducer.counters().health_checks_failed, 0);
     harness.advance(300 * MS);
@@ -91,7 +92,7 @@
     assert_eq!(
         closed(&harness.input(Input::MemberPartialFrame(conn))),
         [conn],
-        "part of a message is unexpected too"
+        "a connection with an unexpected part of a message must be closed"
     );
     // The data is found only when the next request is about to be written. That request has not been sent, so it goes to
     // another connection.
@@ -138,7 +139,7 @@
         assert_eq!(
             sqlstate(&client_replies(&effects)[0]).as_deref(),
             Some("58000"),
-            "it may have run: {frames:?}"
+            "a write that may have run must fail with 58000: {frames:?}"
         );
         assert_eq!(harness.reducer.counters().ended_malformed, 1, "{frames:?}");
         // A read is retried on another member and served.
@@ -167,11 +168,12 @@
     assert_eq!(
         statements(&harness.send(client, write_query(900))).len(),
         1,
-        "the primary still gets requests"
+        "the primary must still get requests"
     );
 }
 
-/// A message whose length field is too large must not delay its request until the client's deadline.
+/// A message whose length field is too large must not delay its request until the client's deadline. A response may stall for
+/// 150 ms.
 #[test]
 fn a_response_that_stalls_is_malformed_well_before_the_clients_deadline() {
     let (mut harness, _, conn) = request_in_flight(read_query(900));
@@ -180,7 +182,10 @@
     assert!(!closed(&effects).contains(&conn));
     harness.input(Input::MemberPartialFrame(conn));
     let effects = harness.advance(140 * MS);
-    assert!(!closed(&effects).contains(&conn), "more of it has arrived");
+    assert!(
+        !closed(&effects).contains(&conn),
+        "the stall timeout must restart when more of the response arrives"
+    );
     let effects = harness.advance(20 * MS);
     assert!(closed(&effects).contains(&conn));
     assert_eq!(
@@ -190,7 +195,7 @@
         ),
         (1, 0)
     );
-    assert!(!statements(&effects).is_empty(), "the read is retried");
+    assert!(!statements(&effects).is_empty(), "the read must be retried");
 }
 
 #[test]
@@ -218,7 +223,7 @@
     assert_eq!(
         client_replies(&respond(&mut harness, conn, 5 * SECOND)).len(),
         1,
-        "the row itself is valid"
+        "a row with an implausible position must still be served"
     );
     assert_eq!(harness.reducer.counters().positions_implausible, 1);
     let mut effects = harness.send(client, write_query(900));
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -210,7 +210,11 @@
         parser.feed(&bytes[50..]);
         parser.feed(&bytes[..50]);
         assert!(parser.next_frame().is_some_and(|f| f.is_ok()) && parser.next_frame().is_none());
-        assert!(parser.buffered_bytes() < 400, "{}", parser.buffered_bytes());
+        assert!(
+            parser.buffered_bytes() < 400,
+            "{} bytes are buffered",
+            parser.buffered_bytes()
+        );
     }
 }
 
@@ -232,11 +236,14 @@
     .is_err());
     assert!(
         parse_http(&[b'x'; 600], &[]).is_err(),
-        "a head without an end"
+        "a head without an end must be an error above the size limit"
     );
     let mut long = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
     long.extend(vec![b'x'; MAX_BYTES + 1]);
-    assert!(parse_http(&long, &[]).is_err(), "a line without an end");
+    assert!(
+        parse_http(&long, &[]).is_err(),
+        "a line without an end must be an error above the size limit"
+    );
 }
 
 #[test]
@@ -284,7 +291,7 @@
     assert_eq!(
         position("x0=9999999999.9"),
         None,
-        "later than any valid time"
+        "a position later than any valid time must be malformed"
     );
     assert_eq!(position("x0=1e300"), None);
     assert_eq!(parse_load_report("x0=1,x1"), None);
@@ -334,17 +341,20 @@
     assert_eq!(
         parse_reply(&good[..2]).expect("valid so far").outcome(),
         None,
-        "not complete"
+        "a reply without its completion must have no outcome"
     );
     assert!(
         parse_reply(&[good[0].clone(), good[1].clone(), good[1].clone()]).is_err(),
-        "two rows"
+        "a reply with two rows must be malformed"
+    );
+    assert!(
+        parse_reply(&good[1..]).is_err(),
+        "a row without a description must be malformed"
     );
-    assert!(parse_reply(&good[1..]).is_err(), "no description");
     let short = message(b'D', &[0, 1, 0, 0, 0, 9, b'a']);
     assert!(
         parse_reply(&[good[0].clone(), short]).is_err(),
-        "shorter than its length field"
+        "a column shorter than its length must be malformed"
     );
     assert_eq!(
         parse_reply(&[good[0].clone(), good[2].clone()])
@@ -362,7 +372,7 @@
     };
     assert!(
         parse_reply(&[good[0].clone(), long]).is_err(),
-        "over the limit"
+        "a row over the size limit must be malformed"
     );
 }
 
--- a/crates/stackgw-gateway/tests/pipelining.rs
+++ b/crates/stackgw-gateway/tests/pipelining.rs
@@ -18,21 +18,21 @@
     };
     let first = connection_used(&harness.send(client, read_query(900)));
     let second = connection_used(&harness.send(client, read_query(900)));
-    assert_ne!(first, second, "both are in flight");
+    assert_ne!(first, second, "two reads must be in flight at once");
     assert!(harness.reducer.accepts_frame(client));
     let effects = harness.send(client, write_query(900));
     assert!(
         statements(&effects).is_empty() && opened(&effects).is_empty(),
-        "a write waits for reads of its key"
+        "a write must wait for reads of its key"
     );
     assert!(
         client_replies(&harness.send(client, query(""))).is_empty(),
-        "and all statements after it wait"
+        "all statements after the write must wait"
     );
     harness.advance(50 * MS);
     assert!(
         client_replies(&harness.serve(second, b"two")).is_empty(),
-        "its reply follows the first one"
+        "the second reply must follow the first one"
     );
     let effects = harness.serve(first, b"one");
     let writes = client_replies(&effects);
@@ -40,6 +40,7 @@
     assert!(writes[0].windows(3).any(|w| w == b"one") && writes[1].windows(3).any(|w| w == b"two"));
     let write = connection_used(&effects);
     let sent = harness.sent_statement(write, effects);
+    // The write has waited for 50 ms of its 900 ms.
     assert!(sent.contains("d=850"), "{sent}");
     let primary_status = || vec![status("node_role", "leader"), ready()];
     let writes = client_replies(&harness.reply(write, [row(b"three"), primary_status()].concat()));
@@ -94,5 +95,8 @@
     }
     assert!(!harness.reducer.accepts_frame(client));
     harness.advance(2 * SECOND);
-    assert!(harness.reducer.accepts_frame(client), "all are answered");
+    assert!(
+        harness.reducer.accepts_frame(client),
+        "a client whose statements are all answered may send another"
+    );
 }
--- a/crates/stackgw-gateway/tests/read_ahead.rs
+++ b/crates/stackgw-gateway/tests/read_ahead.rs
@@ -20,8 +20,8 @@
     ))
 }
 
-/// Clients whose requests in flight use all the statement bytes they may, and that have sent as much ahead as the I/O side
-/// reads.
+/// A harness with clients whose requests in flight use all the statement bytes they may, and that have sent nine tenths of
+/// `CLIENT_BYTES` ahead together.
 fn flooded_harness() -> ReducerHarness {
     let mut config = config(&three_members());
     config.limits.client_bytes = CLIENT_BYTES;
@@ -85,11 +85,12 @@
     assert!(harness.reducer.accepts_frame(other));
 }
 
-/// Of clients with an incomplete message, one that holds less than an equal share is not closed, even if it has sent no request
-/// yet.
+/// Of clients with an incomplete message, those that have sent no request are closed before others, even if they hold less. A
+/// client that holds less than an equal share is not closed.
 #[test]
-fn the_client_with_the_largest_part_of_a_message_is_closed() {
+fn a_client_without_a_request_is_closed_first_for_a_part_of_a_message() {
     let mut config = config(&three_members());
+    // Clients are closed above three quarters of this: 750 bytes, of which four clients have equal shares of 187.
     config.limits.client_bytes = 1000;
     let mut harness = ReducerHarness::with(config);
     let [small, used, unused, new_client] = [1, 2, 3, 4].map(|n| harness.client(n));
--- a/crates/stackgw-gateway/tests/requests.rs
+++ b/crates/stackgw-gateway/tests/requests.rs
@@ -76,7 +76,7 @@
     assert_eq!(
         sqlstate(&client_replies(&effects)[0]).as_deref(),
         Some("58000"),
-        "completely written: it may have run"
+        "a completely written write may have run, so it must fail with 58000"
     );
     assert_eq!(harness.reducer.counters().ended_reset, 1);
 
@@ -90,14 +90,14 @@
     assert_eq!(
         harness.reducer.counters().ended_no_connection,
         1,
-        "its last byte was not written: it has not run"
+        "an attempt whose last byte was not written has not run"
     );
     let effects = harness.advance(950 * MS);
     let code = sqlstate(&client_replies(&effects)[0]);
     assert_eq!(
         code.as_deref(),
         Some("53300"),
-        "it has not run, so the client may retry"
+        "a write that has not run must be rejected, so that the client may retry"
     );
 }
 
@@ -146,7 +146,7 @@
         let code = sqlstate(&client_replies(&effects)[0]).expect("an error");
         assert!(
             code != "53300" && code != "57P03",
-            "{text}: an error, not a rejection"
+            "{text}: got a rejection instead of an error"
         );
         assert!(statements(&effects).is_empty(), "{text} was forwarded");
     }
--- a/crates/stackgw-gateway/tests/session_sharing.rs
+++ b/crates/stackgw-gateway/tests/session_sharing.rs
@@ -48,7 +48,10 @@
 fn sharing_harness_with(session_sharing: SessionSharingConfig) -> ReducerHarness {
     let mut config = config(&three_members());
     config.session_sharing = Some(session_sharing);
-    let session_sharing = config.session_sharing.clone().expect("it is set");
+    let session_sharing = config
+        .session_sharing
+        .clone()
+        .expect("session sharing is set");
     let mut harness = ReducerHarness::with(config);
     let incarnation = Incarnation {
         number: 5,
@@ -115,7 +118,7 @@
     assert_eq!(
         sqlstate(&replies[0]).as_deref(),
         Some("58000"),
-        "it has run"
+        "a write that has run must fail with 58000 and not be rejected"
     );
     assert!(client_replies(&harness.advance(3 * SECOND)).is_empty());
     assert_eq!(harness.reducer.counters().buffered_bytes, 0);
@@ -167,7 +170,7 @@
     assert_eq!(
         (replies.len(), sqlstate(&replies[0]).as_deref()),
         (1, Some("53300")),
-        "a read may be rejected"
+        "a read that no member may serve must be rejected"
     );
 }
 
@@ -181,7 +184,7 @@
     assert_eq!(
         (replies.len(), sqlstate(&replies[0])),
         (1, None),
-        "no other instance has to confirm"
+        "a write must be confirmed without any other instance"
     );
     // Once session reads need not go to the primary any more, only a replica that is known to have the write may serve.
     harness.advance(1_500 * MS);
@@ -206,6 +209,7 @@
 #[test]
 fn foreign_datagrams_are_counted_and_change_nothing() {
     let mut harness = sharing_harness(&["g0", "g1"]);
+    // The last length is above the largest datagram, 1,200 bytes.
     for length in [0, 1, 30, 1_200, 1_300] {
         harness.input(Input::ClusterDatagram(vec![1; length]));
     }
--- a/crates/stackgw-gateway/tests/shutdown.rs
+++ b/crates/stackgw-gateway/tests/shutdown.rs
@@ -18,7 +18,7 @@
     let effects = harness.advance(450 * MS);
     assert!(
         !effects.contains(&Effect::StopListening),
-        "new clients may connect for 0.4 s"
+        "new clients must be able to connect for more than 0.4 s"
     );
     let other = harness.client(4);
     harness.send(other, query(""));
@@ -31,9 +31,10 @@
         !effects
             .iter()
             .any(|e| matches!(e, Effect::ClientCloseIfIdle(_))),
-        "connections stay open and are served"
+        "idle connections must stay open while clients are served"
     );
     assert_eq!(client_replies(&harness.send(idle, query("")))[0][0], b'I');
+    // Clients are served until 2.2 s after SIGTERM: for the longest deadline, 2 s, and 200 ms.
     effects.extend(harness.advance(700 * MS));
     for client in [idle, connected_after_sigterm, other] {
         assert!(
@@ -44,7 +45,7 @@
     }
     assert!(
         !effects.contains(&Effect::ClientCloseIfIdle(busy)),
-        "its request is open"
+        "a client with an open request must not be closed"
     );
     assert!(!effects.contains(&Effect::Exit));
     let effects = harness.serve(conn, b"x");
@@ -57,7 +58,7 @@
 
 #[test]
 fn after_sigterm_the_gateway_answers_open_requests_and_exits_before_the_sigkill() {
-    // The client's deadline is far later than the SIGKILL.
+    // The client's deadline, 9 s, is far later than the exit at the latest, 2.58 s after SIGTERM.
     let (mut harness, _, _) = request_in_flight(write_query(9000));
     harness.input(Input::Terminate);
     harness.input(Input::ListenerClosed);
@@ -68,7 +69,7 @@
     assert_eq!(
         sqlstate(&replies[0]).as_deref(),
         Some("58000"),
-        "it may have run"
+        "a write that may have run must fail with 58000"
     );
     let position = |matches: fn(&Effect) -> bool| effects.iter().position(matches);
     assert!(
@@ -94,7 +95,7 @@
     assert_eq!(
         codes,
         ["58000", "57P03", "57P03"],
-        "the first may have run, the others have not"
+        "the first statement may have run, the others have not"
     );
 }
 
@@ -105,6 +106,7 @@
     let (mut harness, client, _) = request_in_flight(write_query(9000));
     harness.input(Input::Terminate);
     harness.input(Input::ListenerClosed);
+    // All open requests are answered 2.42 s after SIGTERM, before the exit at 2.58 s.
     let effects = harness.advance(2 * SECOND + 430 * MS);
     assert_eq!(
         sqlstate(&client_replies(&effects)[0]).as_deref(),
@@ -112,7 +114,7 @@
     );
     assert!(
         !effects.contains(&Effect::Exit),
-        "responses are written before the exit"
+        "the gateway must not exit before its responses are written"
     );
     let effects = harness.send(client, read_query(900));
     assert_eq!(
@@ -121,16 +123,16 @@
     );
     assert!(
         statements(&effects).is_empty() && opened(&effects).is_empty(),
-        "nothing is forwarded"
+        "a request after the last responses must not be forwarded"
     );
     assert!(
         effects.contains(&Effect::ClientCloseIfIdle(client)),
-        "it is closed between requests"
+        "the client must be closed between requests"
     );
     let effects = harness.input(Input::ClientClosed(client, CloseReason::Disconnected));
     assert!(effects.contains(&Effect::Exit));
     assert!(
         !harness.advance(SECOND).contains(&Effect::Exit),
-        "it exits once"
+        "the gateway must exit only once"
     );
 }
--- a/crates/stackgw-gateway/tests/streams.rs
+++ b/crates/stackgw-gateway/tests/streams.rs
@@ -125,7 +125,7 @@
     assert_eq!(
         in_flight(&harness),
         1,
-        "long after the deadline for its start"
+        "a stream must count as load long after the deadline for its start"
     );
     let effects = harness.input(Input::StreamEnded(conn, Outcome::Served));
     assert!(!closed(&effects).contains(&conn));
@@ -141,7 +141,7 @@
             .reducer
             .member_statuses()
             .all(|member| member.snapshot.latency_ratio < 1.0),
-        "its duration does not count as latency"
+        "the duration of a stream must not count as latency"
     );
 }
 
--- a/crates/stackgw-gateway/tests/unit/connection.rs
+++ b/crates/stackgw-gateway/tests/unit/connection.rs
@@ -46,7 +46,7 @@
     assert_eq!(
         may_read(),
         [true, false, false],
-        "the same connection until its message is complete"
+        "the same connection must read until its message is complete"
     );
     pairs[1].0.set_pending_bytes(61);
     pairs[0].0.set_pending_bytes(0);
@@ -55,7 +55,11 @@
     assert_eq!(may_read(), [false, true, false]);
     pairs[1].0.set_pending_bytes(0);
     pairs[2].0.set_pending_bytes(0);
-    assert_eq!(may_read(), [true, true, true], "the budget is free again");
+    assert_eq!(
+        may_read(),
+        [true, true, true],
+        "all connections must read once the budget is free again"
+    );
 }
 
 /// Connections that hold as many bytes as they may leave part of the budget free, and each other connection keeps its reserve.
@@ -70,35 +74,39 @@
             connection.set_pending_bytes(connection.pending_bytes.get() + 10);
         }
     }
-    let held: usize = full.iter().map(|(c, _)| c.pending_bytes.get()).sum();
+    let pending_bytes: usize = full.iter().map(|(c, _)| c.pending_bytes.get()).sum();
     assert!(
-        held < 600,
-        "half of the budget is for connections without a complete message"
+        pending_bytes < 600,
+        "half of the budget must be left to connections without a complete message"
     );
     let (new_connection, _peer) = connection_pair_within(&budget);
     assert!(
         new_connection.readable_bytes(waker) > 10,
-        "the free part of the budget"
+        "a new connection must read more than its reserve while the budget is not used up"
     );
     full[0].0.set_pending_bytes(1000);
-    assert_eq!(new_connection.readable_bytes(waker), 10, "its reserve");
+    assert_eq!(
+        new_connection.readable_bytes(waker),
+        10,
+        "a new connection must be able to read its reserve"
+    );
     new_connection.set_pending_bytes(3);
     let (exempt, _peer) = connection_pair_within(&budget);
     exempt.set_pending_bytes(100);
     assert!(
         exempt.readable_bytes(waker) > 0,
-        "the rest of a partial message is read"
+        "the exempt connection must read the rest of its message"
     );
     assert_eq!(
         new_connection.readable_bytes(waker),
         7,
-        "the rest of its reserve"
+        "a connection must be able to read the rest of its reserve"
     );
     exempt.set_pending_bytes(0);
     full[0].0.set_pending_bytes(0);
     assert!(
         full[8].0.readable_bytes(waker) > 0,
-        "the full connections are read again"
+        "connections at their limit must read again once the budget is free"
     );
 }
 
@@ -122,6 +130,6 @@
     connection.set_pending_bytes(3);
     assert!(
         !connection.close_if_idle(),
-        "bytes that its task holds count too"
+        "a connection whose task holds bytes must not be closed"
     );
 }
--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -140,7 +140,10 @@
         if harness.reducer.counters().lists > 0 {
             return harness.now - agent.outage_end.max(outage_start);
         }
-        assert!(harness.now < agent.outage_end + 20 * SECOND, "not applied");
+        assert!(
+            harness.now < agent.outage_end + 20 * SECOND,
+            "the list was not applied"
+        );
         watches_to_open = effects
             .iter()
             .filter(|e| matches!(e, Effect::OpenWatch(..)))
@@ -186,6 +189,7 @@
             }
         }
     }
+    // 0.5 s below the limit of 6 s.
     assert!(worst.0 <= 5500 * MS, "{} ms: {}", worst.0 / MS, worst.1);
 }
 
@@ -205,7 +209,7 @@
     assert_eq!(
         opened(&harness.advance(3990 * MS)),
         0,
-        "two blank lines may be missing"
+        "the watch must stay open for 4 s: two blank lines may be missing"
     );
     let effects = harness.advance(150 * MS);
     assert!(effects.contains(&Effect::CloseWatch) && opened(&effects) == 1);
@@ -227,7 +231,7 @@
         let effects = harness.advance(3500 * MS);
         assert!(
             effects.iter().any(|e| matches!(e, Effect::OpenWatch(..))),
-            "connects: {connects}"
+            "the watch was not reopened; connects: {connects}"
         );
     }
 }
@@ -316,7 +320,8 @@
     polls_by_tenth.into_iter().max().unwrap_or(0)
 }
 
-/// Gateways that lost the list service at the same time polled it again within the same 100 ms.
+/// Gateways that lost the list service at the same time polled it again within the same 100 ms. Evenly spread, each of the ten
+/// intervals of 100 ms gets 10% of the polls; the bound is 11%.
 #[test]
 fn gateways_poll_evenly_spread_after_an_outage() {
     for seconds in [6, 20, 60] {
@@ -327,7 +332,7 @@
     }
 }
 
-/// After a short outage the backoffs have not reached their maximum, and only jitter spreads the polls.
+/// After a short outage the backoffs have not reached their maximum, and only jitter spreads the polls, less evenly.
 #[test]
 fn gateways_poll_spread_after_a_short_outage() {
     let harnesses = (0..FLEET_SIZE).map(harness_of_instance);
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -16,7 +16,7 @@
     hex(&bytes)
 }
 
-/// Every error reply of the gateway: whether it closes the connection, its code, text and detail.
+/// Error replies: whether each closes the connection, its code, text and detail.
 const ERRORS: [(bool, &str, &str, Option<&str>); 18] = [
     (false, "53300", "no\0zero", Some("25")),
     (false, "53300", "too busy", None),
@@ -204,7 +204,7 @@
     let mut harness = ReducerHarness::new(&three_members());
     harness.input(Input::ClientConnected(ClientId(1)));
     let welcome = client_writes(&harness.input(Input::ClientFrame(ClientId(1), startup())));
-    // The rest is the random cancel key.
+    // Left out: the 8 bytes of the random cancel key, and the 6 bytes of ReadyForQuery after it.
     line(
         &mut out,
         "startup",
@@ -264,7 +264,7 @@
     )
 }
 
-/// All frames decoded when the bytes are fed three at a time, and the number of remaining bytes.
+/// All frames decoded when the bytes are fed three at a time, then the numbers of pending and buffered bytes or the error.
 fn frames_text(mut parser: FrameDecoder, bytes: &[u8]) -> String {
     let mut texts = Vec::new();
     for piece in bytes.chunks(3) {
