--- a/crates/stackgw-flight/src/backend/stream.rs
+++ b/crates/stackgw-flight/src/backend/stream.rs
@@ -68,7 +68,7 @@
                 Ok(false) => {
                     if !has_stalled {
                         has_stalled = true;
-                        let event = BackendEvent::StreamStalled(self.connection);
+                        let event = BackendEvent::StreamPaused(self.connection);
                         self.backend.notify(event).await;
                     }
                     if let Err(outcome) = writer.wait_until_readable().await {
--- a/crates/stackgw-gateway/src/io/backend_channels.rs
+++ b/crates/stackgw-gateway/src/io/backend_channels.rs
@@ -33,7 +33,7 @@
     /// The response on a connection is a stream: its header, and the stream for the frontend.
     StreamStarted(ConnectionId, StreamHeader, RelayedStream),
     /// The stream on a connection is paused because its reader is slow. From then on it no longer counts as load of its member.
-    StreamStalled(ConnectionId),
+    StreamPaused(ConnectionId),
     /// The stream on a connection has ended.
     StreamEnded(ConnectionId, Outcome),
     /// A connection has ended, or could not be established.
@@ -47,7 +47,7 @@
             BackendEvent::Connected(id)
             | BackendEvent::Frame(id, _)
             | BackendEvent::StreamStarted(id, ..)
-            | BackendEvent::StreamStalled(id)
+            | BackendEvent::StreamPaused(id)
             | BackendEvent::StreamEnded(id, _)
             | BackendEvent::Closed(id, _) => *id,
         }
--- a/crates/stackgw-gateway/src/io/backends.rs
+++ b/crates/stackgw-gateway/src/io/backends.rs
@@ -35,7 +35,7 @@
                 let stream = self.backend.take_started_stream(id);
                 drop(stream);
             }
-            BackendEvent::StreamStalled(id) => self.handle_input(Input::StreamPaused(id)),
+            BackendEvent::StreamPaused(id) => self.handle_input(Input::StreamPaused(id)),
             BackendEvent::StreamEnded(id, outcome) => {
                 self.handle_input(Input::StreamEnded(id, outcome));
             }
