--- a/crates/stackgw-gateway/src/pg/frame.rs
+++ b/crates/stackgw-gateway/src/pg/frame.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns whether the parameters of a startup packet end as the protocol requires. Their names and values are not checked.
-    pub fn has_parameters(&self) -> bool {
+    pub fn has_terminated_parameters(&self) -> bool {
         // The code is followed by names and values, each terminated by a zero byte, and by one more zero byte.
         self.body()
             .get(4..)
--- a/crates/stackgw-gateway/src/reducer/steps/client_messages.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/client_messages.rs
@@ -135,7 +135,7 @@
                 self.handle_cancel_request(cx, frame);
                 self.close_client(cx, id);
             }
-            _ if frame.is_startup() && frame.has_parameters() => {
+            _ if frame.is_startup() && frame.has_terminated_parameters() => {
                 let mut reply = Vec::new();
                 if version != code::VERSION_3 {
                     write::negotiate(&mut reply);
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -259,7 +259,7 @@
         frame.kind,
         hex(&frame.bytes),
         frame.code().map_or("-".to_owned(), |code| code.to_string()),
-        frame.has_parameters(),
+        frame.has_terminated_parameters(),
         frame.is_startup()
     )
 }
