--- a/crates/stackgw-flight/src/backend/member_status.rs
+++ b/crates/stackgw-flight/src/backend/member_status.rs
@@ -59,7 +59,7 @@
     let mut reply = Reply::default();
     for frame in decode_frames(&bytes) {
         // The parser accepts parameters at any point of a reply.
-        let _ = reply.take(&frame, usize::MAX);
+        let _ = reply.add(&frame, usize::MAX);
     }
     StreamHeader {
         primary: reply.primary,
--- a/crates/stackgw-gateway/src/pg/reply.rs
+++ b/crates/stackgw-gateway/src/pg/reply.rs
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// The message is not valid here, or the row is too large; the reply is malformed.
-    pub fn take(&mut self, frame: &Frame, max_bytes: usize) -> Result<bool, UnexpectedMessage> {
+    pub fn add(&mut self, frame: &Frame, max_bytes: usize) -> Result<bool, UnexpectedMessage> {
         let body = frame.body();
         let is_open = self.outcome().is_none();
         match frame.kind {
--- a/crates/stackgw-gateway/src/reducer/steps/member_messages.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/member_messages.rs
@@ -34,7 +34,7 @@
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        let taken = connection.reply.take(frame, cx.limits.answer_bytes);
+        let taken = connection.reply.add(frame, cx.limits.answer_bytes);
         match (connection.state, taken) {
             (ConnectionState::Streaming(_), _) => {}
             // A second response, or unexpected data after a response, would be taken for the next request's response. An idle
--- a/crates/stackgw-gateway/tests/parsers.rs
+++ b/crates/stackgw-gateway/tests/parsers.rs
@@ -128,7 +128,7 @@
     fn a_reply_stays_within_its_limit_for_any_bytes(kinds in proptest::collection::vec((any::<u8>(), body()), 0..10)) {
         let mut reply = Reply::default();
         for (kind, body) in kinds {
-            if reply.take(&message(kind, &body), MAX_BYTES).is_err() {
+            if reply.add(&message(kind, &body), MAX_BYTES).is_err() {
                 break;
             }
         }
@@ -259,8 +259,8 @@
         ),
         status("other", "thing"),
     ]);
-    assert!(frames.iter().all(|f| reply.take(f, MAX_BYTES) == Ok(false)));
-    assert_eq!(reply.take(&ready(), MAX_BYTES), Ok(true));
+    assert!(frames.iter().all(|f| reply.add(f, MAX_BYTES) == Ok(false)));
+    assert_eq!(reply.add(&ready(), MAX_BYTES), Ok(true));
     assert_eq!(
         (reply.outcome(), reply.primary),
         (Some(ReplyOutcome::Row), Some(true))
@@ -311,7 +311,7 @@
         vec![message(b'S', &[0xff, 0, 0xfe])],
     ]
     .concat();
-    assert!(frames.iter().all(|f| reply.take(f, MAX_BYTES) == Ok(false)));
+    assert!(frames.iter().all(|f| reply.add(f, MAX_BYTES) == Ok(false)));
     assert_eq!(
         (reply.outcome(), reply.primary, reply.position),
         (Some(ReplyOutcome::Row), None, None)
@@ -330,7 +330,7 @@
         frames
             .iter()
             .try_fold(Reply::default(), |mut reply, frame| {
-                reply.take(frame, MAX_BYTES).map(|_| reply)
+                reply.add(frame, MAX_BYTES).map(|_| reply)
             })
     };
     let good = row(b"abc");
--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -372,7 +372,7 @@
     let mut reply = Reply::default();
     let mut results = Vec::new();
     for frame in frames {
-        match reply.take(frame, 64) {
+        match reply.add(frame, 64) {
             Ok(is_complete) => results.push(is_complete.to_string()),
             Err(error) => {
                 results.push(error.to_string());
