--- a/crates/stackgw-gateway/tests/watch.rs
+++ b/crates/stackgw-gateway/tests/watch.rs
@@ -140,10 +140,7 @@
         if harness.reducer.counters().lists > 0 {
             return harness.now - agent.outage_end.max(outage_start);
         }
-        assert!(
-            harness.now < agent.outage_end + 20 * SECOND,
-            "the list was not applied"
-        );
+        assert!(harness.now < agent.outage_end + 20 * SECOND, "list is late");
         watches_to_open = effects
             .iter()
             .filter(|e| matches!(e, Effect::OpenWatch(..)))
