--- a/crates/stackgw-gateway/tests/read_ahead.rs
+++ b/crates/stackgw-gateway/tests/read_ahead.rs
@@ -90,7 +90,7 @@
 #[test]
 fn a_client_without_a_request_is_closed_first_for_a_part_of_a_message() {
     let mut config = config(&three_members());
-    // Clients are closed above three quarters of this: 750 bytes, of which four clients have equal shares of 187.
+    // Clients are closed above three quarters of this, 750 bytes. The four clients below hold 770 bytes, an equal share of 192.
     config.limits.client_bytes = 1000;
     let mut harness = ReducerHarness::with(config);
     let [small, used, unused, new_client] = [1, 2, 3, 4].map(|n| harness.client(n));
