--- a/crates/stackgw-gateway/tests/endpoint_list.rs
+++ b/crates/stackgw-gateway/tests/endpoint_list.rs
@@ -276,7 +276,7 @@
 
 /// Entries from peers and from the disk are not validated like those from the list service: a start time out of range overflowed.
 #[test]
-fn a_member_with_an_impossible_start_time_is_accepted() {
+fn a_member_with_an_impossible_start_time_counts_as_just_started() {
     let mut harness = ReducerHarness::new("null");
     let mut update = list(1, true, &[entry(1, "ready", "leader")]);
     update.members[0].up_since_ms = i64::MAX;
