--- a/crates/stackgw-gateway/tests/wire_texts.rs
+++ b/crates/stackgw-gateway/tests/wire_texts.rs
@@ -16,7 +16,7 @@
     hex(&bytes)
 }
 
-/// Every error reply of the gateway: whether it closes the connection, its code, text and detail.
+/// Error replies: whether each closes the connection, its code, text and detail.
 const ERRORS: [(bool, &str, &str, Option<&str>); 18] = [
     (false, "53300", "no\0zero", Some("25")),
     (false, "53300", "too busy", None),
@@ -204,7 +204,7 @@
     let mut harness = ReducerHarness::new(&three_members());
     harness.input(Input::ClientConnected(ClientId(1)));
     let welcome = client_writes(&harness.input(Input::ClientFrame(ClientId(1), startup())));
-    // The rest is the random cancel key.
+    // Left out: the 8 bytes of the random cancel key, and the 6 bytes of ReadyForQuery after it.
     line(
         &mut out,
         "startup",
@@ -259,12 +259,12 @@
         frame.kind,
         hex(&frame.bytes),
         frame.code().map_or("-".to_owned(), |code| code.to_string()),
-        frame.has_parameters(),
+        frame.has_terminated_parameters(),
         frame.is_startup()
     )
 }
 
-/// All frames decoded when the bytes are fed three at a time, and the number of remaining bytes.
+/// All frames decoded when the bytes are fed three at a time, then the numbers of pending and buffered bytes or the error.
 fn frames_text(mut parser: FrameDecoder, bytes: &[u8]) -> String {
     let mut texts = Vec::new();
     for piece in bytes.chunks(3) {
@@ -372,7 +372,7 @@
     let mut reply = Reply::default();
     let mut results = Vec::new();
     for frame in frames {
-        match reply.take(frame, 64) {
+        match reply.add(frame, 64) {
             Ok(is_complete) => results.push(is_complete.to_string()),
             Err(error) => {
                 results.push(error.to_string());
