--- a/crates/stackgw-router/src/api/event.rs
+++ b/crates/stackgw-router/src/api/event.rs
@@ -31,23 +31,23 @@
     Overloaded,
     /// Rejected without execution: a write at a replica, or a read at a replica that lags too far behind.
     Misrouted,
-    /// No answer in time; it may have run or may still run.
+    /// No answer in time; the attempt may have run or may still run.
     TimedOut,
-    /// No connection was established, so it never ran.
+    /// No connection was established, or the request was not written completely, so the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     ConnectionReset,
     /// The response was malformed: the attempt may have run, and the content of the response is ignored. Responses of
     /// all members may be damaged in transit, so this counts neither for nor against the member.
     MalformedResponse,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the attempt is known not to have run.
+    /// Returns whether an attempt with this outcome is known not to have run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::Misrouted | Outcome::ConnectFailed | Outcome::NotSent)
     }
@@ -88,7 +88,7 @@
     },
     /// A request arrived and must get one final answer.
     Request(Request),
-    /// An attempt's response began to stream to the client; the router no longer owes a final answer.
+    /// An attempt's response began to stream to the client; the request needs no final answer from the router.
     StreamStarted {
         /// The request that the attempt belongs to.
         request: RequestId,
@@ -107,9 +107,9 @@
         member: MemberId,
         /// Whether the member responded.
         responded: bool,
-        /// Time since it was sent.
+        /// Time since the health check was sent.
         elapsed: Span,
-        /// The member's report.
+        /// The member's report; ignored unless the member responded.
         load_report: LoadReport,
     },
     /// Gossip from another router.
--- a/crates/stackgw-router/src/api/request.rs
+++ b/crates/stackgw-router/src/api/request.rs
@@ -71,7 +71,7 @@
     pub idempotency: Idempotency,
     /// Answers within this time count with the full weight.
     pub latency_objective: Span,
-    /// Total time that the client waits, over all its attempts.
+    /// Total time that the client waits for an answer, including its retries.
     pub deadline: Span,
     /// Weight of an answer within the latency objective.
     pub priority_weight: f64,
@@ -88,11 +88,12 @@
     pub class: usize,
     /// The group that holds its data.
     pub group: GroupId,
-    /// When the client gives up on this attempt.
+    /// When the client stops waiting for this request; a retry is a new request.
     pub deadline: Time,
     /// Its session, for writes and for reads that must see these.
     pub session: Option<SessionId>,
-    /// When the session's last write was committed, as the client states it.
+    /// When the session's last write was committed, as far as the client or the host knows. Not used with
+    /// [`super::SessionTracking::Router`].
     pub last_write: Option<Time>,
     /// Whether the client states that this is a retry of an earlier request.
     pub is_retry: bool,
--- a/crates/stackgw-router/src/api/settings.rs
+++ b/crates/stackgw-router/src/api/settings.rs
@@ -116,7 +116,7 @@
     pub instance_index: u32,
     /// The zone that this router is in.
     pub zone: u32,
-    /// Minimum time between the events that the host passes on; 0: events are passed on as they arrive.
+    /// Events have the same time or times that differ by at least this; 0: every event has the time of its arrival.
     pub tick: Span,
     /// Whether the endpoint list must be polled; otherwise the host is notified of changes.
     pub polls_endpoint_list: bool,
--- a/crates/stackgw-router/src/router/admission.rs
+++ b/crates/stackgw-router/src/router/admission.rs
@@ -14,14 +14,14 @@
 pub(super) const INITIAL_LATENCY_RATIO: f64 = 0.25;
 pub(super) const SMOOTHING: f64 = 0.05;
 pub(super) const MAX_LATENCY_RATIO: f64 = 1.2;
-/// Samples between two cuts of a limit: costs vary so much that with fewer, chance alone closes a member.
+/// Samples between limit cuts. Request costs vary: with fewer samples, chance alone cuts it to MIN_LIMIT.
 const SAMPLES_PER_CUT: u32 = 12;
-/// A limit grows only while more than this share of it is in use, by at most MAX_GROWTH of itself per answer.
+/// A served answer raises a limit only if more than this share is in use, by at most MAX_GROWTH of the limit.
 const GROWTH_UTILISATION: f64 = 0.7;
 const MAX_GROWTH: f64 = 0.2;
 
 impl Router {
-    /// Whether one more request fits within `share` of the limit; if ejected, only as a half-open attempt.
+    /// Whether one more request fits the slow start budget, and `share` of the limit or a half-open attempt.
     pub(super) fn has_capacity(&self, member: &MemberState, role: Role, share: f64) -> bool {
         if member.ejected {
             return self.now >= member.half_open_at && self.has_slow_start_budget(member);
--- a/crates/stackgw-router/src/router/events.rs
+++ b/crates/stackgw-router/src/router/events.rs
@@ -1,4 +1,4 @@
-//! Event dispatch: passes each event to the modules that decide. Nothing is decided here.
+//! Event dispatch: passes each event to the modules that decide. It makes no decisions.
 
 use super::Router;
 use crate::api::*;
@@ -18,7 +18,7 @@
         match event {
             Event::EndpointList { scope, members } => self.apply_endpoint_list(scope, &members),
             Event::Request(request) => self.accept(request),
-            // The member's response streams to the client, so the router no longer owes a final answer.
+            // The response streams to the client, so the request needs no final answer from the router.
             Event::StreamStarted { request, .. } => drop(self.requests.remove(request)),
             Event::AttemptEnded(result) => self.handle_result(&result),
             Event::ClientDisconnected(request) => self.finish(request),
--- a/crates/stackgw-router/src/router/health_checks.rs
+++ b/crates/stackgw-router/src/router/health_checks.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// All members while no primary is usable, one at a time for a queued read, else stale ones by budget.
+    /// All due members if requests are queued without a usable primary, one for queued reads, else by budget.
     fn due_checks(&mut self, group: GroupId) -> Vec<MemberId> {
         let primary = self.usable_primary(group);
         let members = self.members.of_group(group).filter(|(id, _)| Some(*id) != primary);
@@ -91,7 +91,7 @@
         stale.into_iter().map(|(id, _)| *id).collect()
     }
 
-    /// Queued reads that need a claimed primary would wait in vain if a merely listed one counted as usable.
+    /// The primary unless ejected, or merely listed while queued reads need a claim and would wait in vain.
     fn usable_primary(&self, group: GroupId) -> Option<MemberId> {
         use Consistency::{ReadYourWrites, Strong};
         let needs_claim = |request: &RequestState| matches!(request.consistency(), Strong | ReadYourWrites);
--- a/crates/stackgw-router/src/router/membership.rs
+++ b/crates/stackgw-router/src/router/membership.rs
@@ -4,7 +4,7 @@
 use crate::api::*;
 use crate::state::{hash_fraction, MemberState, Observation, Role, Source};
 
-/// Share of the drain grace during which a draining primary still gets writes if no other is known.
+/// Share of the drain grace during which a draining primary still gets requests if no other claims the role.
 const DRAIN_GRACE_SHARE: f64 = 0.8;
 /// Concurrency limit of a new member for the whole fleet, divided among its routers.
 const INITIAL_FLEET_LIMIT: f64 = 12.0;
@@ -42,7 +42,7 @@
         member.listed_primary = endpoint.listed_primary;
     }
 
-    /// Each router starts elsewhere in the rotation, or all that start together would begin with one member.
+    /// Each router starts at its own place in the rotation, or all that start together begin with one member.
     fn initial_state(&self, endpoint: &Member) -> MemberState {
         let virtual_time = hash_fraction(self.seed ^ u64::from(endpoint.id.0));
         let concurrency_limit = INITIAL_FLEET_LIMIT / f64::from(self.settings.fleet_size.max(1));
@@ -65,7 +65,7 @@
         member.lifecycle == Lifecycle::Serving || role == Role::Primary && in_grace
     }
 
-    /// The current primary: the last member to claim the role, else the listed one.
+    /// The last member to claim the role, else a listed one that never denied it, if it accepts requests.
     pub(super) fn primary(&self, group: GroupId) -> Option<MemberId> {
         let accepts = |member: &MemberState| self.accepts(member, Role::Primary);
         let is_listed = |m: &MemberState| m.listed_primary && m.replica_as_of == 0 && accepts(m);
@@ -73,8 +73,8 @@
         claimed.or_else(|| self.members.of_group(group).find(|(_, m)| is_listed(m)).map(|(id, _)| id))
     }
 
-    /// Claims are ordered by position, so an older one never overrides a newer one. An answer that denies the
-    /// role counts at once: from then on, the staleness bounds apply to reads at that member.
+    /// Updates position and role. A claim never overrides one with a later position. An answer that denies
+    /// the role takes effect at once: from then on, the staleness bounds apply to reads at that member.
     pub(super) fn apply_role_and_position(&mut self, observed: &Observation) {
         let Some((member, group)) = self.members.with_group(observed.member) else { return };
         member.advance_position(observed);
--- a/crates/stackgw-router/src/router/mod.rs
+++ b/crates/stackgw-router/src/router/mod.rs
@@ -50,7 +50,7 @@
     tightest_bound: Span,
     /// The shortest latency objective of all classes.
     shortest_objective: f64,
-    /// Every router of a large fleet checks members' health, so each does so this many times less often.
+    /// Divides this router's health check rate and minimum limits, as those of all routers in a fleet add up.
     fleet_divisor: f64,
     /// Factor on this router's intervals, so that the routers of a fleet do not send health checks in sync.
     jitter: f64,
@@ -75,8 +75,8 @@
         self.throughput.warm()
     }
 
-    /// Sets the initial warm throughput, as measured by an earlier incarnation or a peer. This router's own
-    /// measurements replace it.
+    /// Sets the initial warm throughput, as measured by an earlier incarnation or a peer, unless a value is
+    /// known already. This router's own measurements replace it.
     pub fn seed_warm_throughput(&mut self, rate: f64) {
         self.throughput.seed(rate);
     }
--- a/crates/stackgw-router/src/router/outliers.rs
+++ b/crates/stackgw-router/src/router/outliers.rs
@@ -6,7 +6,7 @@
 use crate::state::{smooth, Assessment, LatencySample, MemberState, Observation};
 use std::collections::BTreeSet;
 
-/// Failure score at which a member is ejected; an answer resets the score.
+/// Failure score at which a member is ejected; a served or misrouted attempt resets the score.
 const EJECTION_SCORE: u32 = 4;
 const SLOW_CONNECT_SCORE: u32 = 2;
 pub(super) const ERROR_SCORE: u32 = 2;
@@ -20,7 +20,7 @@
 const MAX_SILENCE_BASE: f64 = 2.0;
 const MAX_SILENCE_SHARED: f64 = 7.0;
 /// An attempt is lost, not late, after this many usual response times, if later ones were answered or loss is
-/// high. It grows with each attempt, as expensive reads stay expensive, and is longer while loss is low.
+/// high. This grows with each attempt, as expensive reads stay expensive, and is longer while loss is low.
 const LOST_AFTER_RESPONSE_TIMES: f64 = 4.0;
 const HIGH_LOSS: f64 = 0.08;
 const LOW_LOSS_FACTOR: f64 = 3.0;
@@ -36,7 +36,7 @@
         let is_lost = member.record_loss(self.now, result);
         if result.outcome == Outcome::Misrouted && class.is_some_and(|c| c.consistency != Consistency::Write)
         {
-            member.lag = member.lag.max(LAG_AFTER_REJECTED_READ); // Too far behind, whatever it reported.
+            member.lag = member.lag.max(LAG_AFTER_REJECTED_READ); // It lags more than it reported.
         }
         let elapsed = (result.elapsed - self.stall).max(0) as f64;
         let ratio = class.map_or(member.latency_ratio, |class| elapsed / class.latency_objective as f64);
@@ -65,11 +65,11 @@
         Assessment { failures, latency }
     }
 
-    /// Cancels reads at unresponsive members and those whose answer is lost, to retry them elsewhere.
+    /// Cancels idempotent requests at unresponsive members or with a lost answer, to retry them elsewhere.
     pub(super) fn detect_unresponsive(&mut self) {
         let unresponsive = self.eject_unresponsive();
-        let reads = self.requests.values().filter(|request| request.is_idempotent());
-        for request in reads.filter(|_| self.settings.limits.cancel) {
+        let idempotent = self.requests.values().filter(|request| request.is_idempotent());
+        for request in idempotent.filter(|_| self.settings.limits.cancel) {
             let is_lost = |member: &MemberState| {
                 let factor = if member.loss_share > HIGH_LOSS { 1.0 } else { LOW_LOSS_FACTOR };
                 member.is_lost(self.now, request.last_sent_at, f64::from(request.attempts_sent) * factor)
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Ejects members that answer no request in flight for far longer than usual, whatever health checks say.
+    /// Ejects members that answer no request in flight for far longer than usual, despite good health checks.
     fn eject_unresponsive(&mut self) -> BTreeSet<MemberId> {
         let mut unresponsive = BTreeSet::new();
         for attempt in self.requests.values().flat_map(|request| &request.open_attempts) {
@@ -107,7 +107,7 @@
         may_be_lost && (now - sent_at) as f64 > LOST_AFTER_RESPONSE_TIMES * factor * self.latency
     }
 
-    /// Updates the share of lost answers. Taken for slow ones, they would shrink limits to nothing.
+    /// Returns whether the answer is lost, and records it: as slow answers, these cut limits to nothing.
     fn record_loss(&mut self, now: Time, result: &AttemptResult) -> bool {
         let is_unanswered = matches!(result.outcome, Outcome::TimedOut | Outcome::Cancelled);
         let is_lost = is_unanswered && self.is_lost(now, now - result.elapsed, 1.0);
@@ -117,7 +117,7 @@
         is_lost
     }
 
-    /// A member listed as removed where that is not binding is ejected at its first failure.
+    /// Adds to the failure score. A member whose removal is in doubt is ejected at its first failure.
     pub(super) fn add_failures(&mut self, now: Time, failures: u32) {
         self.failure_score += failures;
         if self.failure_score >= EJECTION_SCORE || (self.removal_in_doubt && failures > 0) {
--- a/crates/stackgw-router/src/router/requests.rs
+++ b/crates/stackgw-router/src/router/requests.rs
@@ -39,15 +39,15 @@
     /// Dispatches a request that has no open attempt: sends it, gives it its final answer, or queues it.
     pub(super) fn dispatch(&mut self, id: RequestId) -> DispatchResult {
         let Some(request) = self.requests.get_dispatchable(id) else { return DispatchResult::Settled };
-        let too_late = |reserve| !self.may_send(request) || self.now >= self.queue_deadline(request, reserve);
-        let must_end = too_late(QUEUE_RESERVE);
-        // The queue's reserve must not reject a new request that a member, if only an idle one, can answer.
+        let blocked = |reserve| !self.may_send(request) || self.now >= self.queue_deadline(request, reserve);
+        let must_end = blocked(QUEUE_RESERVE);
+        // The queue's reserve would reject a new request that only an idle member can answer in time.
         let was_queued = self.now > request.arrived_at && request.attempts_sent == 0;
-        let is_expired = if was_queued { must_end } else { too_late(SEND_RESERVE_IDLE) };
-        let may_select = !is_expired && request.failed_at.len() < MAX_FAILED_MEMBERS;
+        let is_blocked = if was_queued { must_end } else { blocked(SEND_RESERVE_IDLE) };
+        let may_select = !is_blocked && request.failed_at.len() < MAX_FAILED_MEMBERS;
         let selected = if may_select { self.select_member(request) } else { None };
         let is_idle = |m: &MemberState| f64::from(m.in_flight + 2) <= m.concurrency_limit;
-        let is_in_time = |id: &MemberId| is_idle(&self.members[*id]) || !too_late(SEND_RESERVE);
+        let is_in_time = |id: &MemberId| is_idle(&self.members[*id]) || !blocked(SEND_RESERVE);
         if let Some(member) = selected.filter(is_in_time) {
             self.send(id, member);
         } else if must_end || !request.failed_at.is_empty() {
@@ -59,7 +59,7 @@
         DispatchResult::Settled
     }
 
-    /// Dispatches queued requests, highest weight first, then least time left, so that none starves.
+    /// Dispatches queued requests, highest weight first, at equal weight least time left, so none starves.
     pub(super) fn dispatch_queued(&mut self, group: GroupId) {
         let queued = self.members.take_queued(group);
         let rank = |request: &RequestState| QueueRank {
@@ -114,7 +114,7 @@
         self.finish(id);
     }
 
-    /// A request too late to count for much gets the longest retry-after: its retries would feed a storm.
+    /// A share of the remaining time; the maximum if an answer is too late to count, against retry storms.
     fn retry_after(&self, request: &RequestState) -> Option<Span> {
         let limits = &self.settings.limits;
         let remaining = (request.arrived_at + request.class.deadline - self.now).max(0);
@@ -124,7 +124,7 @@
         Some(wait.min(limits.max_retry_after)).filter(|wait| limits.retry_after && *wait > 0)
     }
 
-    /// Safety net: fails requests past their deadline, whose attempts should have ended but did not.
+    /// Fails requests half the answer slack after their deadline, as a safety net if attempts never end.
     pub(super) fn fail_overdue(&mut self) {
         for id in self.requests.due_by(self.now - self.settings.obligations.answer_slack / 2) {
             self.actions.push(Action::Fail(id));
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Until when a request may be queued: its deadline if it may not be rejected, else in time for a retry.
+    /// Until when a request may be queued: near its deadline, half its time, or its objective less a reserve.
     fn queue_deadline(&self, request: &RequestState, reserve: f64) -> Time {
         let RequestState { class, arrived_at, .. } = request;
         let (deadline, interval) = (request.deadline(), self.timer_interval());
@@ -148,7 +148,7 @@
         deadline.min(arrived_at + class.latency_objective) - (class.latency_objective as f64 * share) as Span
     }
 
-    /// Whether another attempt may be sent: not where a second execution could do harm.
+    /// Whether another attempt may be sent: attempts and time are left, and a second execution does no harm.
     fn may_send(&self, request: &RequestState) -> bool {
         let is_exhausted = request.attempts_sent >= self.settings.limits.max_attempts;
         if is_exhausted || request.deadline() - self.now <= self.settings.tick {
--- a/crates/stackgw-router/src/router/selection.rs
+++ b/crates/stackgw-router/src/router/selection.rs
@@ -6,11 +6,11 @@
 
 /// Session reads this soon after a write go to the primary; a shorter time brings no benefit.
 const READ_AFTER_WRITE: Span = SECOND;
-/// Subtracted from each staleness bound, for the time between the decision and the send.
+/// Subtracted from staleness bounds (at most half of each) for the time from the decision to the send.
 const STALENESS_MARGIN: Span = 100 * MS;
 /// Replicas with more than this times the replicas' mean in flight, plus one, are skipped.
 const MAX_IN_FLIGHT_RATIO: f64 = 1.3;
-/// Share of the primary's limit for reads that no replica can serve; the rest is for requests that need it.
+/// Share of the primary's limit for reads that no replica can serve; requests that need it get the rest.
 const FALLBACK_SHARE: f64 = 0.6;
 const FULL_LIMIT: f64 = 1.0;
 
@@ -121,7 +121,7 @@
             && self.router.has_capacity(member, role, share)
     }
 
-    /// Whether a member has the write. If only listed as primary, it may be a replica: its position decides.
+    /// Whether a member has applied the write. A merely listed primary may be a replica: its position tells.
     fn has_applied(&self, id: MemberId, write: Time) -> bool {
         self.has_claimed(id) || self.router.members[id].position >= write
     }
--- a/crates/stackgw-router/src/router/slow_start.rs
+++ b/crates/stackgw-router/src/router/slow_start.rs
@@ -29,7 +29,7 @@
         let scale = f64::from(counts.limited.max(1)) / f64::from(counts.connected.max(1));
         let min_budget = MIN_FLEET_BUDGET / f64::from(self.settings.fleet_size.max(1));
         let budget = (rate * scale * rules.overload_window as f64 / SECOND as f64).max(min_budget);
-        // A fraction is a probability, drawn per router and window: else hundreds would each send one.
+        // A fraction is a probability, drawn per router and window: else hundreds of routers each send one.
         let window = member.started_at.unwrap_or(0) ^ (self.now / rules.overload_window.max(1));
         let allowed = (budget + hash_fraction(self.seed ^ window as u64)).floor();
         (member.cold_sends_within(self.now, rules.overload_window) as f64) < allowed
--- a/crates/stackgw-router/src/state/measure.rs
+++ b/crates/stackgw-router/src/state/measure.rs
@@ -110,7 +110,7 @@
         self.warm_by_role.replica.max(self.warm_by_role.primary)
     }
 
-    /// Sets the throughput of a warm member unless it has been measured already.
+    /// Sets the throughput of a warm member unless a value is known already.
     pub(crate) fn seed(&mut self, rate: f64) {
         if self.warm() <= 0.0 {
             self.warm_by_role = ByRole::both(rate);
--- a/crates/stackgw-router/src/state/request.rs
+++ b/crates/stackgw-router/src/state/request.rs
@@ -44,7 +44,8 @@
     pub(crate) open_attempts: Vec<OpenAttempt>,
     /// Send time of the first attempt that may have run.
     pub(crate) may_have_run_at: Option<Time>,
-    /// Members that rejected it without execution since the last health check ended.
+    /// Members that rejected it without execution or could not be reached. Cleared when a health check in its group
+    /// ends while it is queued.
     pub(crate) rejected_by: Vec<MemberId>,
     /// Members that answered it with an error.
     pub(crate) failed_at: Vec<MemberId>,
@@ -90,11 +91,12 @@
         self.class.consistency == Consistency::Write
     }
 
+    /// Whether a second execution does no harm, or an idempotency key lets members drop it.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.class.idempotency != Idempotency::NonIdempotent
     }
 
-    /// Whether the member is excluded because it rejected the request or answered it with an error.
+    /// Whether the member is excluded because it rejected the request, could not be reached, or answered with an error.
     pub(crate) fn is_excluded(&self, member: MemberId) -> bool {
         self.rejected_by.contains(&member) || self.failed_at.contains(&member)
     }
@@ -159,7 +161,7 @@
         ids.iter().filter_map(|id| self.0.get(id))
     }
 
-    /// Allows these requests to be sent to members that rejected them before.
+    /// Allows these requests to be sent again to members that rejected them or could not be reached.
     pub(crate) fn forget_rejections(&mut self, ids: &BTreeSet<RequestId>) {
         for id in ids {
             if let Some(request) = self.0.get_mut(id) {
--- a/crates/stackgw-router/src/state/table.rs
+++ b/crates/stackgw-router/src/state/table.rs
@@ -48,7 +48,7 @@
     groups: BTreeMap<GroupId, GroupState>,
 }
 
-/// Access to a member that must be in the table.
+/// Returns a member; panics if it is not in the table.
 impl Index<MemberId> for MemberTable {
     type Output = MemberState;
 
