--- a/crates/stackgw-router/tests/decisions/admission.rs
+++ b/crates/stackgw-router/tests/decisions/admission.rs
@@ -8,7 +8,7 @@
     let mut host = TestHost::with_reports(settings(), 3);
     host.now += BOUND;
     let reads: usize = (0..50).map(|_| sent_to(&host.request(BOUNDED).1).len()).sum();
-    assert!(reads < 12, "{reads} reads at once");
+    assert!(reads < 12, "the primary got {reads} fallback reads at once, of its limit of 12");
     assert_eq!(sent_to(&host.request(WRITE).1), [0]);
 }
 
@@ -18,8 +18,11 @@
     let open: Vec<_> = (0..60).map(|_| host.request(EVENTUAL).0).collect();
     let actions = host.advance(300 * MS);
     let rejected = open.iter().filter(|id| is_rejected(&actions, **id)).count();
-    assert!(rejected >= 30, "{rejected} of 60");
-    assert!(!actions.iter().any(|a| matches!(a, Action::Fail(_))), "all may be rejected");
+    assert!(rejected >= 30, "only {rejected} of 60 reads were rejected");
+    assert!(
+        !actions.iter().any(|a| matches!(a, Action::Fail(_))),
+        "a read was failed although it may be rejected"
+    );
 }
 
 #[test]
@@ -60,12 +63,16 @@
         sent_to(&host.send_event(Event::Request(request))).len()
     };
     let mut host = TestHost::with_reports(settings(), 3);
-    assert_eq!(sends(&mut host, 0), 1, "with all members idle");
+    assert_eq!(sends(&mut host, 0), 1, "a request with 50 ms left is sent while all members are idle");
     // A member counts as idle while it has at least two fewer requests in flight than its limit.
     for _ in 0..22 {
         host.request(BOUNDED);
     }
-    assert_eq!(sends(&mut host, 1), 0, "with all of them near their limits");
+    assert_eq!(
+        sends(&mut host, 1),
+        0,
+        "a request with 50 ms left is not sent while all members are near their limits"
+    );
 }
 
 #[test]
@@ -89,5 +96,9 @@
     let request = Request { id: RequestId(900), class: EVENTUAL, group: GROUP, ..Request::default() };
     let deadline = host.now + 200 * MS;
     let actions = host.send_event(Event::Request(Request { deadline, ..request }));
-    assert_eq!(sent_to(&actions).len(), 1, "a member has capacity, and answers within 140 ms");
+    assert_eq!(
+        sent_to(&actions).len(),
+        1,
+        "a request with 200 ms left is sent, as a member with capacity answers within 140 ms"
+    );
 }
--- a/crates/stackgw-router/tests/decisions/connection_permits.rs
+++ b/crates/stackgw-router/tests/decisions/connection_permits.rs
@@ -26,13 +26,13 @@
     let before = host.advance(150 * MS);
     assert!(sent_to(&before).is_empty() && health_checked(&before).is_empty(), "{before:?}");
     let after = host.advance(60 * MS);
-    assert_eq!(sent_to(&after), [0], "a connection may be opened now");
+    assert_eq!(sent_to(&after), [0], "the write is sent once a connection may be opened");
     // The permit is used up: until the host sets new ones, nothing more is sent to the member.
     let (_, actions) = host.request(WRITE);
     assert!(sent_to(&actions).is_empty());
     host.router.set_connection_permits(MemberId(0), permits(1, Time::MAX));
     let actions = host.end_attempt(write, 0, Outcome::Served, 5 * MS);
-    assert_eq!(sent_to(&actions), [0], "a connection is free again");
+    assert_eq!(sent_to(&actions), [0], "the write is sent once a connection is free");
 }
 
 #[test]
@@ -53,7 +53,11 @@
     let mut host = with_permits([None, permits(0, Time::MAX), permits(0, Time::MAX)]);
     let started = |id| Member { started_at: Some(START), ..member(id, false) };
     host.send_event(Event::EndpointList { scope: ListScope::Changes, members: vec![started(1), started(2)] });
-    assert_eq!(sent_to(&host.request(BOUNDED).1), [0], "only the primary can be reached");
+    assert_eq!(
+        sent_to(&host.request(BOUNDED).1),
+        [0],
+        "the read goes to the primary, as only that can be reached"
+    );
 }
 
 #[test]
@@ -79,5 +83,8 @@
         to_one
     };
     let (one, all) = (sends_to_one(1), sends_to_one(3));
-    assert!(one >= 2 * all && one <= 4 * all, "{one} sends with one connected, {all} with all connected");
+    assert!(
+        one >= 2 * all && one <= 4 * all,
+        "{one} sends with one connected, {all} with all three: expected two to four times as many"
+    );
 }
--- a/crates/stackgw-router/tests/decisions/consistency.rs
+++ b/crates/stackgw-router/tests/decisions/consistency.rs
@@ -16,7 +16,7 @@
     let old = host.now - 3 * SECOND;
     assert!(sent_to(&host.request_after_write(SESSION, Some(2 * SECOND)).1).is_empty());
     answer_health_checks(&mut host, old);
-    assert_eq!(sent_to(&host.log), [0], "no replica has applied the write");
+    assert_eq!(sent_to(&host.log), [0], "the read goes to the primary, as no replica has applied the write");
     host.report(2, false, host.now - SECOND);
     for _ in 0..4 {
         assert_eq!(sent_to(&host.request_after_write(SESSION, Some(2 * SECOND)).1), [2]);
@@ -41,9 +41,16 @@
     host.end_attempt_as(id, 0, Outcome::Served, 50 * MS, Some(true), Some(host.now));
     host.now += SECOND;
     let old = host.now - 2 * SECOND;
-    assert!(sent_to(&host.request(SESSION).1).is_empty(), "the replicas last reported before the write");
+    assert!(
+        sent_to(&host.request(SESSION).1).is_empty(),
+        "a read was sent although the replicas last reported before the write"
+    );
     answer_health_checks(&mut host, old);
-    assert_eq!(sent_to(&host.log).last(), Some(&0), "the replicas have not caught up");
+    assert_eq!(
+        sent_to(&host.log).last(),
+        Some(&0),
+        "the read goes to the primary, as the replicas have not caught up"
+    );
     host.report(1, false, host.now);
     assert_eq!(sent_to(&host.request(SESSION).1), [1]);
 }
@@ -52,7 +59,7 @@
 fn strong_reads_wait_until_a_member_has_claimed_the_primary_role() {
     let mut host = TestHost::new(settings(), 3);
     let (_, actions) = host.request(STRONG);
-    assert!(sent_to(&actions).is_empty(), "the list does not prove the role");
+    assert!(sent_to(&actions).is_empty(), "a strong read was sent to a primary that is only listed");
     host.report(0, true, host.now);
     assert_eq!(sent_to(&host.log), [0]);
 }
@@ -64,7 +71,10 @@
     host.report(0, false, host.now + MS);
     host.now += BOUND;
     let (_, actions) = host.request(BOUNDED);
-    assert!(sent_to(&actions).is_empty(), "no primary and no fresh replica: {actions:?}");
+    assert!(
+        sent_to(&actions).is_empty(),
+        "a bounded read was sent without a primary or a fresh replica: {actions:?}"
+    );
 }
 
 #[test]
@@ -100,7 +110,7 @@
         ..Request::default()
     };
     let actions = host.send_event(Event::Request(request));
-    assert!(sent_to(&actions).is_empty(), "the list does not prove the role");
+    assert!(sent_to(&actions).is_empty(), "a strong read was sent to a primary that is only listed");
     assert!(
         actions.contains(&Action::HealthCheck(MemberId(0))),
         "the listed primary gets a health check: {actions:?}"
--- a/crates/stackgw-router/tests/decisions/final_answers.rs
+++ b/crates/stackgw-router/tests/decisions/final_answers.rs
@@ -16,7 +16,7 @@
         _ => None,
     });
     assert!(retry_after.is_some_and(|wait| wait > 0 && wait <= SECOND), "retry-after: {retry_after:?}");
-    assert!(!is_rejected(&host.advance(3 * SECOND), id), "rejected twice");
+    assert!(!is_rejected(&host.advance(3 * SECOND), id), "the request was rejected twice");
 }
 
 /// Regression: writes queued without a primary were rejected just after half of their time, which has a cost. Found
@@ -31,12 +31,12 @@
         let requested_at = host.now;
         host.send_event(Event::Request(request));
         while !is_rejected(&host.advance(10 * MS), RequestId(0)) {
-            assert!(host.now < requested_at + 3 * SECOND, "never rejected");
+            assert!(host.now < requested_at + 3 * SECOND, "the write was not rejected within 3 s");
         }
         let spent = host.now - requested_at;
         assert!(
             spent <= time * MS / 2 && spent >= time * MS / 4,
-            "{time} ms: rejected after {} ms",
+            "a write with {time} ms was rejected after {} ms",
             spent / MS
         );
     }
@@ -80,7 +80,11 @@
         let mut host = TestHost::new(settings, 1);
         host.send_event(Event::EndpointList { scope: ListScope::Full, members: vec![] });
         let (id, _) = host.request(EVENTUAL);
-        assert_eq!(is_rejected(&host.advance(400 * MS), id), !is_queued, "{late_weight_share}");
+        assert_eq!(
+            is_rejected(&host.advance(400 * MS), id),
+            !is_queued,
+            "late weight share {late_weight_share}"
+        );
     }
 }
 
@@ -93,16 +97,19 @@
     host.now += 100 * MS;
     host.send_event(Event::EndpointList { scope: ListScope::Full, members: vec![] });
     let actions = host.end_attempt(id, 0, Outcome::ConnectionReset, 100 * MS);
-    assert!(actions.iter().all(|a| !matches!(a, Action::Fail(_))), "queued, as it may be retried");
+    assert!(
+        actions.iter().all(|a| !matches!(a, Action::Fail(_))),
+        "the write is queued, as it may be retried"
+    );
     let mut after = 10 * MS;
     while host.now < deadline {
         host.now += after;
         let actions = host.send_event(Event::Timer(0));
         if is_failed(&actions, id) || is_rejected(&actions, id) {
-            return assert!(host.now < deadline);
+            return assert!(host.now < deadline, "the final answer came at the deadline or later");
         }
         let timer = |a: &Action| if let Action::SetTimer { after, .. } = a { Some(*after) } else { None };
-        after = actions.iter().find_map(timer).expect("a timer is always set");
+        after = actions.iter().find_map(timer).expect("the router sets a timer after each timer event");
     }
-    panic!("no final answer before the deadline");
+    panic!("the write got no final answer before its deadline");
 }
--- a/crates/stackgw-router/tests/decisions/gossip.rs
+++ b/crates/stackgw-router/tests/decisions/gossip.rs
@@ -15,7 +15,10 @@
     host.send_event(Event::Gossip { sent_at: host.now, relay: false, updates });
     assert_eq!(sent_to(&host.request(BOUNDED).1), [2]);
     host.now += BOUND;
-    assert!(sent_to(&host.request(BOUNDED).1).is_empty(), "stale positions: a health check comes first");
+    assert!(
+        sent_to(&host.request(BOUNDED).1).is_empty(),
+        "a read was sent before the health check that stale positions require"
+    );
 }
 
 #[test]
--- a/crates/stackgw-router/tests/decisions/health_checks.rs
+++ b/crates/stackgw-router/tests/decisions/health_checks.rs
@@ -9,7 +9,7 @@
     let mut first = health_checked(&host.log);
     first.sort_unstable();
     first.dedup();
-    assert_eq!(first, [1, 2, 3], "all replicas");
+    assert_eq!(first, [1, 2, 3], "all replicas get a health check at the start");
     let more = health_checked(&host.advance(20 * MS));
     assert!(more.is_empty(), "no second check while the first is pending: {more:?}");
 }
--- a/crates/stackgw-router/tests/decisions/idempotency.rs
+++ b/crates/stackgw-router/tests/decisions/idempotency.rs
@@ -32,8 +32,11 @@
     assert_eq!(sent_to(&actions), [0]);
     host.now += 1_600 * MS;
     let actions = host.end_attempt(id, 0, Outcome::ConnectionReset, 1_600 * MS);
-    assert!(sent_to(&actions).is_empty(), "its idempotency key has expired");
-    assert!(is_failed(&actions, id) && !is_rejected(&actions, id), "it may have run");
+    assert!(sent_to(&actions).is_empty(), "a write was retried after its idempotency key expired");
+    assert!(
+        is_failed(&actions, id) && !is_rejected(&actions, id),
+        "a write that may have run must be failed, not rejected"
+    );
 }
 
 #[test]
@@ -42,9 +45,12 @@
     let (id, actions) = host.request(EVENTUAL);
     let to = sent_to(&actions)[0];
     let actions = host.advance(2 * SECOND);
-    assert!(sent_to(&actions).is_empty(), "no second attempt before the end of the first is reported");
+    assert!(
+        sent_to(&actions).is_empty(),
+        "a second attempt was sent before the end of the first was reported"
+    );
     let actions = host.end_attempt(id, to, Outcome::Cancelled, 2 * SECOND);
-    assert!(is_rejected(&actions, id), "too late to count");
+    assert!(is_rejected(&actions, id), "a request that is too late to count is rejected");
 }
 
 #[test]
@@ -57,5 +63,5 @@
         count += 1;
         to = sent_to(&host.end_attempt(id, member, Outcome::Overloaded, MS));
     }
-    assert_eq!(count, 6);
+    assert_eq!(count, 6, "attempts of a request; `max_attempts` is 6");
 }
--- a/crates/stackgw-router/tests/decisions/membership.rs
+++ b/crates/stackgw-router/tests/decisions/membership.rs
@@ -23,7 +23,10 @@
     host.now += 500 * MS;
     assert_eq!(sent_to(&host.request(WRITE).1), [0]);
     host.now += 400 * MS;
-    assert!(sent_to(&host.request(WRITE).1).is_empty(), "the drain grace is nearly over");
+    assert!(
+        sent_to(&host.request(WRITE).1).is_empty(),
+        "a write was sent to the draining primary although the drain grace is nearly over"
+    );
     host.report(1, true, host.now);
     assert!(sent_to(&host.log).ends_with(&[1]), "the new primary gets the queued write");
 }
@@ -78,7 +81,7 @@
     // A member with an open attempt is kept until the attempt has ended.
     host.send_event(Event::EndpointList { scope: ListScope::Changes, members: vec![removed(busy)] });
     host.advance(60 * SECOND);
-    assert!(!forgotten(&host).contains(&busy));
+    assert!(!forgotten(&host).contains(&busy), "a member with an open attempt was forgotten");
     host.end_attempt_as(id, busy, Outcome::Served, MS, Some(false), None);
     host.advance(60 * SECOND);
     assert!(forgotten(&host).contains(&busy));
@@ -98,11 +101,14 @@
     assert!(to.contains(&1) && to.contains(&2), "members missing or listed as removed are used: {to:?}");
     let at_removed = open.iter().find(|(_, actions)| sent_to(actions) == [2]).expect("2 is used");
     host.end_attempt(at_removed.0, 2, Outcome::ConnectionReset, MS);
-    assert!((0..4).all(|_| sent_to(&host.request(EVENTUAL).1) != [2]), "ejected at its first failure");
+    assert!(
+        (0..4).all(|_| sent_to(&host.request(EVENTUAL).1) != [2]),
+        "the removed member got a request after its first failure"
+    );
     host.send_event(list_event(ListScope::Full, &[0, 1, 2].map(|id| (id, Lifecycle::Serving))));
     host.advance(300 * MS);
     let to: Vec<_> = (0..3).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
-    assert!(to.contains(&2), "tried again once it is listed as serving: {to:?}");
+    assert!(to.contains(&2), "the member is tried again once it is listed as serving: {to:?}");
 }
 
 #[test]
@@ -125,9 +131,16 @@
     let mut host = TestHost::with_reports(advisory_removal(), 3);
     host.send_event(list_event(ListScope::Full, &[(2, Lifecycle::Serving)]));
     let (id, actions) = host.request(WRITE);
-    assert_eq!(sent_to(&actions), [0], "missing from the list, but the last to claim the primary role");
+    assert_eq!(
+        sent_to(&actions),
+        [0],
+        "the write goes to the last member to claim the primary role, although it is not listed"
+    );
     host.end_attempt_as(id, 0, Outcome::Misrouted, MS, Some(false), Some(host.now));
     host.now += 50 * MS;
     host.report(1, true, host.now);
-    assert!(sent_to(&host.log).contains(&1), "the new primary, also missing from the list");
+    assert!(
+        sent_to(&host.log).contains(&1),
+        "the new primary gets the write, although it is missing from the list"
+    );
 }
--- a/crates/stackgw-router/tests/decisions/outliers.rs
+++ b/crates/stackgw-router/tests/decisions/outliers.rs
@@ -23,7 +23,7 @@
     assert!(actions.contains(&Action::Cancel { request: unanswered, attempt: 0 }));
     host.report(1, false, host.now);
     let to: Vec<_> = (0..4).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
-    assert!(!to.contains(&1), "a health check does not prove that it serves");
+    assert!(!to.contains(&1), "an unresponsive member got a read after a health check");
     assert_eq!(sent_to(&host.end_attempt(unanswered, 1, Outcome::Cancelled, 300 * MS)), [2]);
 }
 
@@ -37,16 +37,20 @@
         (id, _) = host.request(EVENTUAL);
         to = 1;
     }
-    assert_eq!(sent_to(&host.end_attempt(id, to, Outcome::ConnectFailed, MS)), [2], "retried at once");
+    assert_eq!(
+        sent_to(&host.end_attempt(id, to, Outcome::ConnectFailed, MS)),
+        [2],
+        "the read is sent to the other replica at once"
+    );
     let next: Vec<_> = (0..4).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
     assert!(!next.contains(&1));
     host.advance(300 * MS);
     let (half_open, actions) = host.request(EVENTUAL);
-    assert_eq!(sent_to(&actions), [1], "a half-open attempt");
+    assert_eq!(sent_to(&actions), [1], "the ejected member gets a half-open attempt");
     assert_ne!(sent_to(&host.request(EVENTUAL).1), [1], "only one half-open attempt at a time");
     host.end_attempt(half_open, 1, Outcome::Served, 10 * MS);
     let next: Vec<_> = (0..6).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
-    assert!(next.contains(&1), "back in rotation");
+    assert!(next.contains(&1), "the member is back in rotation");
 }
 
 #[test]
@@ -120,7 +124,7 @@
         }
     }
     let cancelled = host.log.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
-    assert!(cancelled > 20, "{cancelled} attempts cancelled well before their deadlines");
+    assert!(cancelled > 20, "only {cancelled} attempts were cancelled before their deadlines");
     for (member, snapshot) in host.router.member_snapshots() {
         assert!(!snapshot.ejected && snapshot.concurrency_limit > 5.0, "{member:?}: {snapshot:?}");
     }
@@ -139,7 +143,7 @@
     }
     assert!(!host.log.iter().any(|a| matches!(a, Action::Cancel { .. })));
     let latency_ratio = |host: &TestHost| {
-        host.router.member_snapshots().find(|(id, _)| id.0 == to).map(|(_, b)| b.latency_ratio)
+        host.router.member_snapshots().find(|(id, _)| id.0 == to).map(|(_, snapshot)| snapshot.latency_ratio)
     };
     let before = latency_ratio(&host);
     host.end_attempt(slow, to, Outcome::TimedOut, 800 * MS);
@@ -155,7 +159,7 @@
         let (id, _) = host.request(WRITE);
         host.end_attempt(id, 0, Outcome::ConnectionReset, MS);
     }
-    assert!(host.router.member_snapshots().any(|(id, b)| id.0 == 0 && b.ejected));
+    assert!(host.router.member_snapshots().any(|(id, snapshot)| id.0 == 0 && snapshot.ejected));
     host.advance(300 * MS);
     let now = host.now;
     (1..3).for_each(|id| host.report(id, false, now));
@@ -175,7 +179,10 @@
     while let [member] = to[..] {
         attempts += 1;
         let actions = host.end_attempt(id, member, Outcome::Error, MS);
-        assert!(!sent_to(&actions).is_empty() || is_rejected(&actions, id), "answered at once");
+        assert!(
+            !sent_to(&actions).is_empty() || is_rejected(&actions, id),
+            "an error was followed by neither another attempt nor a rejection"
+        );
         to = sent_to(&actions);
     }
     attempts
--- a/crates/stackgw-router/tests/decisions/primary_changes.rs
+++ b/crates/stackgw-router/tests/decisions/primary_changes.rs
@@ -21,9 +21,12 @@
     (0..4).for_each(|_| drop(host.request(WRITE)));
     let actions = host.advance(SECOND);
     assert!(health_checked(&actions).contains(&2), "all members get health checks to find the primary");
-    assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "a write may have run");
+    assert!(
+        !actions.iter().any(|a| matches!(a, Action::Cancel { .. })),
+        "an attempt of a write, which may have run, was cancelled"
+    );
     let (id, actions) = host.request(WRITE);
-    assert!(sent_to(&actions).is_empty(), "queued");
+    assert!(sent_to(&actions).is_empty(), "the write is queued while the primary is unresponsive");
     host.report(2, true, host.now);
     assert!(host.log.contains(&Action::Send { request: id, member: MemberId(2), timeout: None }));
 }
@@ -36,9 +39,15 @@
     let first = host.request(BOUNDED);
     assert!(sent_to(&first.1).len() <= 1, "one half-open attempt at most");
     let waiting: Vec<_> = (0..5).map(|_| host.request(BOUNDED)).collect();
-    assert!(waiting.iter().all(|(_, actions)| sent_to(actions).is_empty()));
+    assert!(
+        waiting.iter().all(|(_, actions)| sent_to(actions).is_empty()),
+        "a read was sent to a stale replica"
+    );
     host.report(1, false, host.now - 50 * MS);
-    assert!(sent_to(&host.log).ends_with(&[1, 1]), "served as soon as a replica has caught up");
+    assert!(
+        sent_to(&host.log).ends_with(&[1, 1]),
+        "queued reads are sent as soon as a replica has caught up"
+    );
 }
 
 #[test]
--- a/crates/stackgw-router/tests/decisions/selection.rs
+++ b/crates/stackgw-router/tests/decisions/selection.rs
@@ -33,7 +33,7 @@
     host.now += BOUND;
     host.report(1, false, host.now - 10 * MS);
     for _ in 0..6 {
-        assert_eq!(sent_to(&host.request(BOUNDED).1), [1], "replica 2 last reported too long ago");
+        assert_eq!(sent_to(&host.request(BOUNDED).1), [1], "only replica 1 reported within the bound");
     }
 }
 
@@ -43,9 +43,13 @@
     let old = host.now;
     host.now += BOUND;
     let (_, actions) = host.request(BOUNDED);
-    assert!(sent_to(&actions).is_empty(), "a health check of the replicas takes milliseconds");
+    assert!(sent_to(&actions).is_empty(), "a read was sent before the health check of the replicas");
     answer_health_checks(&mut host, old);
-    assert_eq!(sent_to(&host.log), [0], "no replica reported a fresh position");
+    assert_eq!(
+        sent_to(&host.log),
+        [0],
+        "the read goes to the primary, as no replica reported a fresh position"
+    );
 }
 
 #[test]
@@ -57,7 +61,7 @@
     let (id, actions) = host.request(BOUNDED);
     assert_eq!(sent_to(&actions), [2]);
     let actions = host.end_attempt(id, 2, Outcome::Misrouted, MS);
-    assert_eq!(sent_to(&actions), [0], "then the primary");
+    assert_eq!(sent_to(&actions), [0], "after the most advanced replica, the primary is tried");
 }
 
 #[test]
@@ -92,7 +96,7 @@
         }
     }
     let next: Vec<_> = (0..2).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
-    assert!(!next.contains(&1), "{next:?}");
+    assert!(!next.contains(&1), "replica 1 got a request: {next:?}");
 }
 
 #[test]
@@ -121,5 +125,6 @@
         let to = sent_to(&host.request(BOUNDED).1);
         first[to[0] as usize] += 1;
     }
-    assert!(first[1..].iter().all(|n| *n < 50), "{first:?}");
+    // An even share of the 120 reads is 24 for each of the five replicas.
+    assert!(first[1..].iter().all(|n| *n < 50), "reads by member: {first:?}");
 }
--- a/crates/stackgw-router/tests/decisions/slow_start.rs
+++ b/crates/stackgw-router/tests/decisions/slow_start.rs
@@ -17,8 +17,11 @@
         to_cold += host.serve(EVENTUAL, MS).into_iter().filter(|to| *to == 2).count();
         host.advance(6 * MS);
     }
-    assert!(to_cold > 0, "the cold member is used");
-    assert!(to_cold <= 60, "{to_cold} sends in one window, of 300 requests for two replicas");
+    assert!(to_cold > 0, "the cold member got no request");
+    assert!(
+        to_cold <= 60,
+        "{to_cold} sends to the cold member in one window, of 300 requests for two replicas"
+    );
 }
 
 #[test]
@@ -29,8 +32,9 @@
     host.send_event(Event::EndpointList { scope: ListScope::Changes, members: change });
     host.now += SECOND;
     host.report(1, true, host.now);
+    // No throughput has been measured, so the budget is the minimum: four sends per window.
     let first: usize = (0..100).map(|_| sent_to(&host.request(WRITE).1).len()).sum();
-    assert!((1..=8).contains(&first), "{first} writes at once");
+    assert!((1..=8).contains(&first), "the cold primary got {first} writes at once");
 }
 
 #[test]
@@ -53,7 +57,7 @@
         sends += sent_to(&host.log).len();
     }
     // Warm, it answered some 130 requests/s for all routers. Cold, its budget is a fifth of that, times an overload
-    // multiple of three, over the window.
+    // multiple of three, over the window of 2 s: 156 sends, of which the fleet uses 40%.
     assert!((1..=90).contains(&sends), "{sends} of 200 routers sent at once");
 }
 
@@ -67,7 +71,10 @@
         host.advance(50 * MS);
     }
     let rate = host.router.warm_throughput();
-    assert!((9.0..11.0).contains(&rate), "{rate} requests/s; two replicas share twenty");
+    assert!(
+        (9.0..11.0).contains(&rate),
+        "warm throughput of {rate} requests/s, although two replicas share twenty"
+    );
     // Additional writes change nothing while they are fewer.
     for _ in 0..100 {
         for class in [EVENTUAL, EVENTUAL, EVENTUAL, EVENTUAL, WRITE] {
@@ -76,5 +83,5 @@
         host.advance(200 * MS);
     }
     let rate = host.router.warm_throughput();
-    assert!((9.0..11.0).contains(&rate), "{rate} requests/s");
+    assert!((9.0..11.0).contains(&rate), "warm throughput of {rate} requests/s with additional writes");
 }
--- a/crates/stackgw-router/tests/decisions/stalls.rs
+++ b/crates/stackgw-router/tests/decisions/stalls.rs
@@ -14,8 +14,9 @@
         host.end_attempt(*id, to, Outcome::Served, 2 * SECOND);
     }
     let to: Vec<_> = (0..6).flat_map(|_| sent_to(&host.request(EVENTUAL).1)).collect();
-    assert!(to.contains(&1) && to.contains(&2), "both still serve: {to:?}");
-    assert_eq!(host.log.iter().filter(|a| matches!(a, Action::Cancel { .. })).count(), 0);
+    assert!(to.contains(&1) && to.contains(&2), "both replicas still get reads: {to:?}");
+    let cancelled = host.log.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
+    assert_eq!(cancelled, 0, "attempts were cancelled after a stall of the router");
 }
 
 #[test]
--- a/crates/stackgw-router/tests/fleet_slow_start.rs
+++ b/crates/stackgw-router/tests/fleet_slow_start.rs
@@ -366,8 +366,8 @@
     }
     let WorstWindow { share_of_limit, description } = worst;
     eprintln!("{fleet} routers: at most {share_of_limit:.2} of the limit: {description}");
-    assert!(share_of_limit > 0.1, "cold members are hardly used");
-    assert!(share_of_limit <= 1.0, "{fleet} routers: {share_of_limit:.2} of the limit: {description}");
+    assert!(share_of_limit > 0.1, "{fleet} routers use less than 10% of the cold members' limit");
+    assert!(share_of_limit <= 1.0, "{fleet} routers reach {share_of_limit:.2} of the limit: {description}");
 }
 
 #[test]
--- a/crates/stackgw-router/tests/invariants.rs
+++ b/crates/stackgw-router/tests/invariants.rs
@@ -8,6 +8,8 @@
 use stackgw_router::{api::*, Router};
 use std::collections::BTreeMap;
 
+/// One step of a history. Lags, write ages and `Advance` are in milliseconds; `index` selects an open attempt or request.
+/// The deadline of a request is 50 ms away, plus 10 ms for each of `deadline_steps`.
 #[derive(Debug, Clone)]
 enum Step {
     Request { class: usize, deadline_steps: u8, write_age: Option<u16> },
@@ -128,55 +130,64 @@
         match action {
             Action::Send { request, member, .. } => {
                 self.check_send(*request, *member);
-                let pending = self.requests.get_mut(request).expect("known");
+                let pending = self.requests.get_mut(request).expect("the request was sent to the router");
                 let number = pending.attempts_sent;
                 let attempt = OpenAttempt { request: *request, number, member: *member, sent_at: self.now };
                 pending.open.push(attempt);
                 pending.attempts_sent += 1;
             }
             Action::Reject { request, .. } => {
-                let pending = self.requests.get_mut(request).expect("known");
-                assert!(!pending.is_ended, "two final answers");
+                let pending = self.requests.get_mut(request).expect("the request was sent to the router");
+                assert!(!pending.is_ended, "a request got two final answers");
                 let class = &self.settings.classes[pending.class];
                 let is_idempotent = class.idempotency == Idempotency::Idempotent;
                 let never_ran = pending.may_have_run_at.is_none() && pending.open.is_empty();
-                assert!(is_idempotent || never_ran, "rejected although a retry may do harm");
+                assert!(is_idempotent || never_ran, "a request was rejected although its retry may do harm");
                 pending.is_ended = true;
             }
             Action::Fail(request) => {
-                let pending = self.requests.get_mut(request).expect("known");
-                assert!(!pending.is_ended, "two final answers");
+                let pending = self.requests.get_mut(request).expect("the request was sent to the router");
+                assert!(!pending.is_ended, "a request got two final answers");
                 pending.is_ended = true;
             }
-            Action::SetTimer { after, .. } => assert!(*after > 0),
+            Action::SetTimer { after, .. } => assert!(*after > 0, "a timer was set without a delay"),
             _ => {}
         }
     }
 
     fn check_send(&self, request: RequestId, member: MemberId) {
         let pending = &self.requests[&request];
-        assert!(!pending.is_ended, "sent after its final answer");
-        assert!(self.now < pending.deadline, "sent after the deadline");
-        assert!(pending.open.is_empty(), "two attempts at once");
-        assert!(pending.attempts_sent < self.settings.limits.max_attempts, "too many attempts");
+        assert!(!pending.is_ended, "an attempt was sent after its request's final answer");
+        assert!(self.now < pending.deadline, "an attempt was sent after its request's deadline");
+        assert!(pending.open.is_empty(), "two attempts of a request are open at once");
+        assert!(
+            pending.attempts_sent < self.settings.limits.max_attempts,
+            "a request got more than its maximum of attempts"
+        );
         let class = &self.settings.classes[pending.class];
         if let Some(first) = pending.may_have_run_at {
             match class.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::WithKey { window, .. } => {
-                    assert!(self.now - first <= window, "sent after its idempotency key expired")
+                    assert!(
+                        self.now - first <= window,
+                        "an attempt was sent after its request's idempotency key expired"
+                    )
                 }
                 Idempotency::NonIdempotent => panic!("a non-idempotent request may run twice"),
             }
         }
         if let Some(since) = self.unavailable.get(&member) {
             let grace = self.settings.obligations.drain_grace;
-            assert!(self.now - since <= grace, "sent to a member that is draining or removed");
+            assert!(self.now - since <= grace, "an attempt was sent to a member that is draining or removed");
         }
         if let Consistency::BoundedStaleness(bound) = class.consistency {
             let position = self.positions.get(&member).copied().unwrap_or(0);
             let is_exempt = self.last_known_primary.get(&member).copied().unwrap_or(false);
-            assert!(is_exempt || self.now - position <= bound, "stale read");
+            assert!(
+                is_exempt || self.now - position <= bound,
+                "a bounded read was sent to a member outside its staleness bound"
+            );
         }
     }
 
@@ -208,13 +219,16 @@
             }
             let slack = self.settings.obligations.answer_slack;
             let pending = &self.requests[&id];
-            assert!(pending.is_ended || self.now < pending.deadline + slack, "no final answer in time");
+            assert!(
+                pending.is_ended || self.now < pending.deadline + slack,
+                "a request got no final answer in time"
+            );
         }
     }
 
     fn end_attempt(&mut self, attempt: OpenAttempt, outcome: Outcome, reported: ReportedState) {
         let OpenAttempt { request, number, member, sent_at } = attempt;
-        let pending = self.requests.get_mut(&request).expect("known");
+        let pending = self.requests.get_mut(&request).expect("the request was sent to the router");
         pending.open.retain(|open| open.number != number);
         if !outcome.never_ran() {
             pending.may_have_run_at =
@@ -314,7 +328,7 @@
         let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
         if !open.is_empty() {
             let id = open[usize::from(index) % open.len()];
-            self.requests.get_mut(&id).expect("known").is_ended = true;
+            self.requests.get_mut(&id).expect("the request was sent to the router").is_ended = true;
             self.send_event(Event::ClientDisconnected(id));
         }
     }
--- a/crates/stackgw-router/tests/policy_size.rs
+++ b/crates/stackgw-router/tests/policy_size.rs
@@ -23,7 +23,10 @@
     let root = repository_root();
     let manifest = read(&root.join("deploy/balancer.toml"));
     let start = manifest.find("\npolicy = [").expect("deploy/balancer.toml lists policy files");
-    let list = manifest[start..].split(['[', ']']).nth(1).expect("the list is closed");
+    let list = manifest[start..]
+        .split(['[', ']'])
+        .nth(1)
+        .expect("the policy list in deploy/balancer.toml ends with a bracket");
     let names = list.split('"').skip(1).step_by(2);
     names.map(|name| root.join(name)).collect()
 }
@@ -31,7 +34,7 @@
 /// All source files below a folder.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("the folder is readable");
-    let paths = entries.map(|entry| entry.expect("the entry is readable").path());
+    let paths = entries.map(|entry| entry.expect("the entry of the folder is readable").path());
     paths.flat_map(|path| if path.is_dir() { source_files(&path) } else { vec![path] }).collect()
 }
 
@@ -48,19 +51,19 @@
             assert!(columns <= MAX_COLUMNS, "{}:{} has {columns} columns", file.display(), number + 1);
         }
     }
-    assert!(lines <= MAX_LINES, "{lines} non-blank lines, {MAX_LINES} allowed");
+    assert!(lines <= MAX_LINES, "the policy files have {lines} non-blank lines, {MAX_LINES} allowed");
 }
 
 #[test]
 fn the_first_lines_of_the_router_point_to_its_interface() {
     let text = read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src/router/mod.rs"));
     let opening: Vec<&str> = text.lines().take(5).collect();
-    assert!(opening.join(" ").contains("api.rs"), "{opening:?}");
+    assert!(opening.join(" ").contains("api.rs"), "no reference to api.rs in {opening:?}");
 }
 
 #[test]
 fn no_tuned_value_is_declared_outside_the_policy_files() {
-    let package = Path::new(env!("CARGO_MANIFEST_DIR")).canonicalize().expect("the package exists");
+    let package = Path::new(env!("CARGO_MANIFEST_DIR")).canonicalize().expect("the package's folder exists");
     let policy: Vec<PathBuf> = policy_files().iter().filter_map(|file| file.canonicalize().ok()).collect();
     for file in source_files(&package.join("src")) {
         if policy.contains(&file) || file.ends_with(UNITS_OF_TIME) {
@@ -70,7 +73,11 @@
             let is_number = ["f64", "Span", "Time", "u32", "u64", "i64", "usize"]
                 .iter()
                 .any(|kind| line.contains(&format!(": {kind} =")));
-            assert!(!(line.contains("const ") && is_number), "{}: {line}", file.display());
+            assert!(
+                !(line.contains("const ") && is_number),
+                "a numeric constant in {}: {line}",
+                file.display()
+            );
         }
     }
 }
