--- a/crates/stackgw-gateway/src/reducer/input.rs
+++ b/crates/stackgw-gateway/src/reducer/input.rs
@@ -31,7 +31,7 @@
 }
 
 impl ReadAhead {
-    /// Part of a message.
+    /// Read-ahead that is the start of an incomplete message, or empty.
     pub fn partial(bytes: usize) -> Self {
         ReadAhead {
             bytes,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// At least one complete message that was not accepted.
+    /// Read-ahead that starts with a complete message, which was not accepted.
     pub fn waiting(bytes: usize) -> Self {
         ReadAhead {
             bytes,
@@ -116,7 +116,7 @@
 /// A query at the control socket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StatusQuery {
-    /// The state of session coordination, and why reads are uncertain.
+    /// The state of session coordination, and why this instance serves session reads as strong reads, if it does.
     Sessions,
     /// The state of one session of a group.
     Session(u32, String),
--- a/crates/stackgw-gateway/src/reducer/mod.rs
+++ b/crates/stackgw-gateway/src/reducer/mod.rs
@@ -132,7 +132,7 @@
             .accepts_frame(client, bytes, &self.counters, &self.limits)
     }
 
-    /// The current counters.
+    /// Returns the current counters.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
--- a/crates/stackgw-gateway/src/reducer/state/admission.rs
+++ b/crates/stackgw-gateway/src/reducer/state/admission.rs
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Handles the timer for the next eviction.
-    pub(crate) fn admission_timer_fired(&mut self) {
+    /// Records that the timer for the next eviction has fired; [`admit`](Self::admit) then evicts.
+    pub(crate) fn clear_admission_timer(&mut self) {
         self.admission_timer_pending = false;
     }
 
-    /// Closes the first idle client that may be closed now, else sets the timer for the time when one may be.
+    /// Closes the first idle client that may be closed now; if none may, sets the timer for the time at which one may.
     fn evict_idle(&mut self, cx: &mut Context<'_>, is_full: bool) {
         let without_request = self
             .first_idle(false)
@@ -81,7 +81,8 @@
         self.eviction_order.range(first..).next().copied()
     }
 
-    /// Determines whether there is capacity for a client's first request.
+    /// Returns whether there is capacity for a client's first request, and which client must be closed for it. There always is
+    /// if the client connected below the client limit, or if it was checked before.
     pub(crate) fn claim_capacity(&mut self, id: ClientId, client_limit: usize) -> Capacity {
         let is_full = self.connected.len() > client_limit;
         let client = self.connected.get_mut(&id);
@@ -106,7 +107,7 @@
 }
 
 /// Returns how long a client must be idle before it may be closed for another. A new client gets a delay too, as its first
-/// request may be on its way.
+/// request may be in transit.
 fn eviction_delay(rank: &EvictionRank, is_full: bool, limits: &Limits) -> Span {
     match (is_full, rank.has_sent_request) {
         (false, _) => limits.soft_limit_idle,
--- a/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
+++ b/crates/stackgw-gateway/src/reducer/state/bootstrap.rs
@@ -14,7 +14,7 @@
 /// The bootstrap of this instance.
 pub(crate) struct BootstrapCoordination {
     bootstrap: Bootstrap,
-    /// Kept for its allocation.
+    /// An empty vector whose allocation is reused.
     spare_outputs: Vec<Output>,
     timer: Option<TimerKey>,
     service: String,
--- a/crates/stackgw-gateway/src/reducer/state/client.rs
+++ b/crates/stackgw-gateway/src/reducer/state/client.rs
@@ -100,9 +100,9 @@
     /// Returns whether another message of this size may be buffered, given the bytes that this client and all others have
     /// buffered.
     ///
-    /// A message within the client's reserve always may. Half of the shared bytes is kept for clients that have nothing
-    /// buffered. Of the other half, each client may hold as much as is still free (a dynamic threshold). Clients that send
-    /// continuously thus leave capacity to others.
+    /// A message within the client's reserve is always accepted. Half of the shared bytes is reserved for clients that have
+    /// nothing buffered. Of the other half, each client may hold as much as is still free (a dynamic threshold). Clients that
+    /// send continuously thus leave capacity to others.
     pub(super) fn has_capacity(
         &self,
         bytes: usize,
--- a/crates/stackgw-gateway/src/reducer/state/client_buffers.rs
+++ b/crates/stackgw-gateway/src/reducer/state/client_buffers.rs
@@ -84,6 +84,7 @@
     // Writes to clients.
 
     /// Counts bytes as pending. Returns them if they may be written at once; otherwise they are queued at the pipeline's end.
+    /// Does nothing if the client is not connected.
     pub(crate) fn prepare_write(
         &mut self,
         id: ClientId,
--- a/crates/stackgw-gateway/src/reducer/state/router_driver.rs
+++ b/crates/stackgw-gateway/src/reducer/state/router_driver.rs
@@ -12,7 +12,7 @@
     router: Router,
     clock: TickClock,
     events: VecDeque<Event>,
-    /// Kept for its allocation.
+    /// An empty vector whose allocation is reused.
     spare_actions: Vec<Action>,
 }
 
@@ -59,7 +59,7 @@
         self.router.seed_warm_throughput(rate);
     }
 
-    /// Takes the updates about members that responses have carried since the last call.
+    /// Takes the updates about members from responses and health checks since the last call.
     pub(crate) fn take_gossip(&mut self) -> Vec<GossipUpdate> {
         self.router.take_gossip()
     }
--- a/crates/stackgw-gateway/src/reducer/state/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/state/sessions.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// The certainty of session reads that was last logged.
+/// The certainty of session reads that was last logged. An instance is certain if it knows the positions that session reads
+/// must see; otherwise it is uncertain and serves them as strong reads.
 #[derive(Debug, Clone, Copy)]
 struct LoggedCertainty {
     uncertainty: Option<UncertaintyReason>,
@@ -44,7 +45,7 @@
 /// The sessions of this instance, with the counters and names for status reports.
 pub(crate) struct SessionCoordination {
     sessions: Sessions,
-    /// Kept for its allocation.
+    /// An empty vector whose allocation is reused.
     spare_outputs: Vec<Output>,
     names: BTreeMap<NodeId, String>,
     /// The options at the start; most cannot be changed without a restart.
@@ -165,7 +166,8 @@
         reason.describe(|node| self.name(node))
     }
 
-    /// Returns a log line if session reads became certain or uncertain and no change was logged recently.
+    /// Returns a log line if the certainty of session reads, or the reason why they are uncertain, has changed since the last
+    /// line and that line is older than [`CERTAINTY_LOG_INTERVAL`]. Only session replicas log it.
     pub(crate) fn certainty_change(&mut self, now: Time) -> Option<String> {
         let status = self.sessions.status(now);
         let needs_no_line = |logged: LoggedCertainty| {
--- a/crates/stackgw-gateway/src/reducer/state/shutdown.rs
+++ b/crates/stackgw-gateway/src/reducer/state/shutdown.rs
@@ -7,32 +7,35 @@
 pub(crate) struct Shutdown {
     requested: bool,
     listener_closed: bool,
+    /// When the closing of idle clients starts.
     drain_start: Time,
+    /// New requests are rejected.
     rejecting: bool,
     exited: bool,
 }
 
 impl Shutdown {
-    /// Begins the shutdown. Returns false if it has begun already.
+    /// Records that a shutdown was requested. Returns false if one was requested before.
     pub(crate) fn request(&mut self) -> bool {
         !std::mem::replace(&mut self.requested, true)
     }
 
-    /// Sets the time from which on idle clients are closed.
+    /// Sets the time at which the shutdown starts to close idle clients.
     pub(crate) fn set_drain_start(&mut self, at: Time) {
         self.drain_start = at;
     }
 
-    /// Returns whether the time from which on a shutdown closes idle clients has passed.
-    pub(crate) fn may_drain(&self, now: Time) -> bool {
+    /// Returns whether the start time of closing idle clients has been reached; also true if none was set.
+    pub(crate) fn is_drain_due(&self, now: Time) -> bool {
         now >= self.drain_start
     }
 
+    /// Returns whether a shutdown was requested and idle clients are being closed.
     pub(crate) fn is_draining(&self, now: Time) -> bool {
-        self.requested && self.may_drain(now)
+        self.requested && self.is_drain_due(now)
     }
 
-    pub(crate) fn close_listener(&mut self) {
+    pub(crate) fn mark_listener_closed(&mut self) {
         self.listener_closed = true;
     }
 
@@ -40,8 +43,8 @@
         self.listener_closed
     }
 
-    /// Rejects every new request from now on.
-    pub(crate) fn start_rejecting(&mut self) {
+    /// Records that new requests are to be rejected; [`is_rejecting`](Self::is_rejecting) returns true from then on.
+    pub(crate) fn mark_rejecting(&mut self) {
         self.rejecting = true;
     }
 
@@ -49,8 +52,8 @@
         self.rejecting
     }
 
-    /// Marks the exit. Returns false if it was marked already.
-    pub(crate) fn exit(&mut self) -> bool {
+    /// Records that the program exits. Returns false if that was recorded before.
+    pub(crate) fn mark_exited(&mut self) -> bool {
         !std::mem::replace(&mut self.exited, true)
     }
 }
--- a/crates/stackgw-gateway/src/reducer/state/watch.rs
+++ b/crates/stackgw-gateway/src/reducer/state/watch.rs
@@ -123,7 +123,8 @@
         self.backoff.reset();
     }
 
-    /// Sets the revision to that of a list. Returns false for a list of changes that is older than the current revision.
+    /// Sets the revision to that of a list; a complete list also ends a pending fetch. Returns false, and changes nothing, for
+    /// a list of changes that is older than the current revision.
     pub(crate) fn accept(&mut self, list: &ListUpdate) -> bool {
         let is_stale = |known| list.revision < known;
         if !list.complete && self.revision.is_some_and(is_stale) {
@@ -139,7 +140,7 @@
         cx.emit(Effect::FetchEndpoints(self.discovery));
     }
 
-    pub(crate) fn fetch_failed(&mut self) {
+    pub(crate) fn mark_fetch_failed(&mut self) {
         self.fetching = false;
     }
 
@@ -148,7 +149,7 @@
         std::mem::replace(&mut self.discovery, discovery) != discovery
     }
 
-    /// Restarts the watch at another agent.
+    /// Restarts the watch, if the router wants one, and a pending fetch at another agent.
     ///
     /// Another agent has its own revision numbers. If the old agent's revision were kept, the new one's lists could be taken
     /// for stale.
--- a/crates/stackgw-gateway/src/reducer/status.rs
+++ b/crates/stackgw-gateway/src/reducer/status.rs
@@ -27,7 +27,7 @@
             format!("{} ms old", (now - at) / MS)
         });
         let suffix = if ejected {
-            ", ejected except for trial requests"
+            ", ejected except for half-open attempts"
         } else {
             ""
         };
--- a/crates/stackgw-gateway/src/reducer/steps/attempts.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/attempts.rs
@@ -54,7 +54,7 @@
     }
 
     /// Assigns a task to the member's most recently used idle connection, else to one that is being established, else to a new
-    /// connection.
+    /// connection. If the member is unknown or no connection may be opened, the task ends as not sent.
     pub(super) fn assign_connection(
         &mut self,
         cx: &mut Context<'_>,
@@ -134,7 +134,7 @@
         Some(task)
     }
 
-    /// Writes a connection's task and sets the timer for its deadline.
+    /// Writes a connection's task and sets the timer for its deadline. A task that must no longer be sent ends as not sent.
     pub(super) fn write_task(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
--- a/crates/stackgw-gateway/src/reducer/steps/bootstrap.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/bootstrap.rs
@@ -309,7 +309,8 @@
                 .to_owned()
         }
         LogEvent::WatchReleased => {
-            "closed the watch of the endpoint list; other instances hold it".to_owned()
+            "closed the watch of the endpoint list; other instances watch it for the fleet"
+                .to_owned()
         }
         LogEvent::ServiceBehind(version) => {
             format!("the list service sends lists older than the known version {version}")
--- a/crates/stackgw-gateway/src/reducer/steps/client_connections.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/client_connections.rs
@@ -62,7 +62,7 @@
     }
 
     /// Closes a client that has not finished a message, or has sent no request, in time. The first gets an error. The second
-    /// gets none: its first request may be on its way, and the error would be taken for the response.
+    /// gets none: its first request may be in transit, and the client would take the error for its response.
     pub(super) fn close_inactive_client(&mut self, cx: &mut Context<'_>, id: ClientId) {
         if self.clients.take_partial(id) {
             cx.counters.clients_stalled += 1;
--- a/crates/stackgw-gateway/src/reducer/steps/dispatch.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/dispatch.rs
@@ -104,7 +104,7 @@
                 }
             }
             Timer::WatchTimeout => self.handle_watch_timeout(cx),
-            Timer::Admission => self.clients.admission_timer_fired(),
+            Timer::Admission => self.clients.clear_admission_timer(),
             Timer::Sessions => self.handle_sessions_timeout(cx),
             Timer::Cluster => self.handle_cluster_timeout(cx),
             Timer::Bootstrap => self.handle_bootstrap_timeout(cx),
--- a/crates/stackgw-gateway/src/reducer/steps/endpoints.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/endpoints.rs
@@ -48,7 +48,7 @@
     }
 
     pub(super) fn handle_fetch_failed(&mut self) {
-        self.watch.fetch_failed();
+        self.watch.mark_fetch_failed();
         self.report_list_failure();
     }
 
@@ -60,7 +60,7 @@
         });
     }
 
-    /// Handles a list from the watch or from a fetch.
+    /// Handles a list from the watch or from a fetch. A list of changes that is older than the known revision is ignored.
     pub(super) fn handle_endpoint_list(&mut self, cx: &mut Context<'_>, list: ListUpdate) {
         let limit = cx.limits.watch_idle_timeout;
         self.watch.extend_timeout(cx, limit);
@@ -82,7 +82,7 @@
         self.apply_list(cx, scope, &list.members);
     }
 
-    /// Applies a complete list or a list of changes.
+    /// Applies a complete list, a cached list or a list of changes.
     pub(super) fn apply_list(
         &mut self,
         cx: &mut Context<'_>,
--- a/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/member_connections.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Handles a connection that was not established in time, or whose task has timed out.
+    /// Handles a connection that was not established in time, or whose task has timed out or whose response has stalled.
     pub(super) fn handle_connection_timeout(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         self.record_failed_handshake(cx, id);
         let Some(connection) = self.connections.get_mut(id) else {
--- a/crates/stackgw-gateway/src/reducer/steps/requests.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/requests.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Accepts a request of any frontend and submits it to the router, or returns the response that rejects it.
+    /// Accepts a request of any frontend, or returns the response that rejects it. An accepted request is submitted to the
+    /// router; if sessions are shared, a session read is submitted once it is known what it must see.
     pub(super) fn submit(
         &mut self,
         cx: &mut Context<'_>,
@@ -100,7 +101,8 @@
         Ok(id)
     }
 
-    /// Returns the index of a statement's class if the statement is valid and endpoints are known.
+    /// Returns the index of a statement's class, or the response that rejects the statement: a shutdown rejects new
+    /// requests, no endpoints are known, the statement is invalid, or another open request has its id.
     fn check_statement(
         &mut self,
         cx: &mut Context<'_>,
@@ -137,7 +139,7 @@
         Ok(class)
     }
 
-    /// Rejects requests over the limit of open requests, and writes that could not be confirmed.
+    /// Rejects requests over the limit of open requests, and writes whose responses could not be confirmed.
     fn check_capacity(
         &self,
         cx: &mut Context<'_>,
--- a/crates/stackgw-gateway/src/reducer/steps/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/sessions.rs
@@ -136,7 +136,8 @@
         self.schedule_sessions(cx);
     }
 
-    /// Logs that session reads have become certain, or why they are no longer certain.
+    /// Logs whether session reads are certain (this instance knows the position that each must see) or why they are served as
+    /// strong reads, if that has changed.
     pub(super) fn log_session_certainty(&mut self, cx: &mut Context<'_>) {
         let sessions = self.sessions.as_mut();
         if let Some(line) = sessions.and_then(|sessions| sessions.certainty_change(cx.now)) {
@@ -215,7 +216,7 @@
     // Writes.
 
     /// Holds a served write's response until the owners of its session have confirmed the write. Returns the row if the
-    /// response needs no confirmation and can be sent at once.
+    /// response needs no confirmation and can be sent at once. If the write cannot be recorded, its request fails at once.
     pub(super) fn await_write_confirmation(
         &mut self,
         cx: &mut Context<'_>,
@@ -257,8 +258,8 @@
         }
     }
 
-    /// Handles a write that has run but was not confirmed in time. If its response reported success, the session's next read
-    /// could miss the write, so the response leaves open whether it ran.
+    /// Handles a write that has run but could not be recorded or was not confirmed in time. If its response reported
+    /// success, the session's next read could miss the write, so the response leaves open whether it ran.
     pub(super) fn fail_unconfirmed_write(&mut self, cx: &mut Context<'_>, id: RequestId) {
         let open = self.requests.get(id);
         if !open.is_some_and(|open| open.has_unconfirmed_write()) {
--- a/crates/stackgw-gateway/src/reducer/steps/shutdown.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: accepted requests are finished, and clients are served until shortly before the SIGKILL.
+//! Graceful shutdown: accepted requests are finished, and clients are served until shortly before the SIGKILL that follows a
+//! SIGTERM after a grace period.
 
 use super::requests::SHUTTING_DOWN;
 use crate::reducer::context::Context;
@@ -32,17 +33,17 @@
     }
 
     pub(super) fn handle_listener_closed(&mut self, cx: &mut Context<'_>) {
-        self.shutdown.close_listener();
+        self.shutdown.mark_listener_closed();
         let clients = self.clients.len();
         cx.log(format!("no longer listening, {clients} clients connected"));
     }
 
-    /// Closes clients between requests and repeats this until none is left.
+    /// Closes clients between requests and repeats this until no client is left. Does nothing before the drain start.
     ///
     /// If clients were closed together with the listener, they would reconnect to an address that does not respond until this
     /// gateway has restarted.
     pub(super) fn drain_clients(&mut self, cx: &mut Context<'_>) {
-        if !self.shutdown.may_drain(cx.now) {
+        if !self.shutdown.is_drain_due(cx.now) {
             return;
         }
         for client in self.clients.drainable() {
@@ -53,14 +54,14 @@
         }
     }
 
-    /// Answers all open requests shortly before a SIGKILL and rejects every request from now on. The response of a request that
-    /// was sent leaves open whether it ran. Clients are still closed between requests, and the program exits with the last of
-    /// them.
+    /// Answers all open requests shortly before the SIGKILL; requests that arrive later are rejected. The response of a request
+    /// that was sent leaves open whether it ran. Clients are still closed between requests, and the program exits once no
+    /// client and no request of another frontend is left.
     ///
     /// If the program exited here, accepted statements would be lost: those that start once the response before them is sent,
     /// those that a client's task has read but could not deliver, and those whose response is not flushed yet.
     pub(super) fn reject_remaining(&mut self, cx: &mut Context<'_>) {
-        self.shutdown.start_rejecting();
+        self.shutdown.mark_rejecting();
         let mut remaining = self.unanswered_requests();
         while let Some(request) = remaining.pop_first() {
             self.reject_remaining_request(cx, request);
@@ -89,8 +90,9 @@
         cx.counters.answered_rejected += u64::from(answered && !was_sent);
     }
 
+    /// Logs the counters and exits the program; does nothing if called again.
     pub(super) fn exit(&mut self, cx: &mut Context<'_>) {
-        if self.shutdown.exit() {
+        if self.shutdown.mark_exited() {
             let counters = Box::new(cx.counters.clone());
             cx.emit(Effect::Report(counters));
             cx.emit(Effect::Exit);
