--- a/crates/stackgw-gateway/src/reducer/state/client.rs
+++ b/crates/stackgw-gateway/src/reducer/state/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection.
+//! One client's connection: its pipeline, its buffered bytes and its rank in the eviction order.
 
 use crate::limits::Limits;
 use crate::pg::Frame;
--- a/crates/stackgw-gateway/src/reducer/state/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/state/cluster.rs
@@ -26,7 +26,7 @@
     Effect::ClusterDatagram(datagram.to, datagram.bytes)
 }
 
-/// The membership and its one timer.
+/// The membership of the cluster, with the one timer that it needs.
 pub(crate) struct ClusterMembership {
     cluster: Cluster,
     /// The options at the start; most cannot be changed without a restart.
@@ -81,7 +81,8 @@
         (step, received)
     }
 
-    /// Counts the rejected datagrams that claimed to belong to this cluster.
+    /// Returns the number of rejected datagrams: without a valid envelope, with an unknown key, with a wrong signature, or
+    /// malformed.
     pub(crate) fn rejected_datagrams(&self) -> u64 {
         let counters = self.cluster.counters();
         counters.foreign + counters.unknown_key + counters.forged + counters.malformed
--- a/crates/stackgw-gateway/src/reducer/state/connection.rs
+++ b/crates/stackgw-gateway/src/reducer/state/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a member.
+//! One connection to a member: its state and its current task.
 
 use crate::pg::Reply;
 use crate::reducer::ids::CallId;
--- a/crates/stackgw-gateway/src/reducer/state/members.rs
+++ b/crates/stackgw-gateway/src/reducer/state/members.rs
@@ -114,7 +114,7 @@
         endpoint.draining_since = is_binding.then(|| endpoint.draining_since.unwrap_or(now));
     }
 
-    /// Marks members that are missing from a complete list as draining from now on.
+    /// Marks members that are missing from a complete list as draining since now, unless they are draining already.
     pub(crate) fn drain_unlisted(&mut self, now: Time, listed: &BTreeSet<MemberId>) {
         let endpoints = self.endpoints.iter_mut();
         for (_, endpoint) in endpoints.filter(|(id, _)| !listed.contains(id)) {
--- a/crates/stackgw-gateway/src/reducer/state/requests.rs
+++ b/crates/stackgw-gateway/src/reducer/state/requests.rs
@@ -32,7 +32,7 @@
     pub(crate) attempts: Vec<OpenAttempt>,
     /// The outcome is decided.
     pub(crate) is_finished: bool,
-    /// The request for the router, held until the session's last write is known.
+    /// The request for the router, which is not submitted until the session's last write is known.
     pub(crate) awaiting_session: Option<Box<Request>>,
     /// The response may be a stream.
     pub(crate) may_stream: bool,
--- a/crates/stackgw-gateway/src/reducer/state/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/state/sessions.rs
@@ -55,7 +55,7 @@
     /// Reads that had to be strong, by reason.
     strong_reads: BTreeMap<UncertaintyReason, u64>,
     logged: Option<LoggedCertainty>,
-    /// Served writes that were not confirmed in time.
+    /// Served writes that could not be recorded or were not confirmed in time.
     unconfirmed_writes: u64,
 }
 
@@ -115,7 +115,7 @@
         self.spare_outputs = outputs;
     }
 
-    /// Cancels a request's pending read or write of its session.
+    /// Cancels a request's pending read or write of its session. The ticket is the number of the request's id.
     pub(crate) fn cancel(&mut self, ticket: u64) {
         self.sessions.cancel_read(ticket);
         self.sessions.cancel_write(ticket);
@@ -137,7 +137,7 @@
         *self.strong_reads.entry(reason).or_default() += 1;
     }
 
-    /// Counts a served write that was not confirmed in time. Returns the count.
+    /// Counts a served write that could not be recorded or was not confirmed in time. Returns the count.
     pub(crate) fn count_unconfirmed_write(&mut self) -> u64 {
         self.unconfirmed_writes += 1;
         self.unconfirmed_writes
--- a/crates/stackgw-gateway/src/reducer/steps/cluster.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/cluster.rs
@@ -38,7 +38,7 @@
         let (step, received) = cluster.handle_datagram(cx.now, bytes);
         if received.is_err() {
             let rejected = cluster.rejected_datagrams();
-            let what = "rejected datagrams that claim to belong to this cluster:";
+            let what = "rejected datagrams at the address of the cluster:";
             cx.log_rarely(rejected, what);
         }
         self.apply_cluster_step(cx, step);
--- a/crates/stackgw-gateway/src/reducer/steps/member_messages.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/member_messages.rs
@@ -1,4 +1,4 @@
-//! Members' messages.
+//! Handlers for members' messages: a completely written task, and complete or partial messages.
 
 use super::member_connections::reply_outcome;
 use crate::pg::Frame;
@@ -11,7 +11,7 @@
 use stackgw_router::api::Outcome;
 
 impl Gateway {
-    /// Marks a task as completely written; its response is awaited from now on.
+    /// Records that a connection's task is completely written, so that its response is awaited.
     pub(super) fn handle_member_flushed(&mut self, cx: &mut Context<'_>, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
--- a/crates/stackgw-gateway/src/reducer/steps/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/sessions.rs
@@ -270,7 +270,7 @@
             let count = sessions.count_unconfirmed_write();
             cx.log_rarely(
                 count,
-                "writes served but not confirmed by their session owners in time:",
+                "writes served but not recorded, or not confirmed by their session owners in time:",
             );
         }
         let text = "the write was sent and may have run, its answer could not be confirmed";
--- a/crates/stackgw-gateway/src/reducer/steps/streams.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/streams.rs
@@ -97,7 +97,7 @@
         connections.filter(|connection| *connection != id).collect()
     }
 
-    /// Handles a stream that is paused for its reader: from now on it does not count as load of its member.
+    /// Handles a stream that is paused for its reader: it no longer counts as load of its member.
     ///
     /// Otherwise streams whose readers have stalled would use up their member's concurrency limit and block other requests.
     pub(super) fn handle_stream_paused(&mut self, id: ConnectionId) {
--- a/crates/stackgw-gateway/src/reducer/timers.rs
+++ b/crates/stackgw-gateway/src/reducer/timers.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Keeps a timer that is already set for this time, else replaces it.
+    /// Sets a timer for this time, and cancels the current one unless it is set for the same time; that one is then kept.
     pub(crate) fn reschedule(
         &mut self,
         current: Option<TimerKey>,
--- a/crates/stackgw-router/src/state/gossip.rs
+++ b/crates/stackgw-router/src/state/gossip.rs
@@ -54,6 +54,7 @@
     /// Whether updates are collected, because this router sends them or its host takes them.
     pub(crate) is_enabled: bool,
     updates: BTreeMap<MemberId, GossipUpdate>,
+    /// Number of the current term. All routers derive it from their common clock.
     pub(crate) term: i64,
     /// When this router broadcasts the updates that it collects. `None` if it does not collect in this term.
     pub(crate) broadcast_at: Option<Time>,
--- a/crates/stackgw-router/src/state/member.rs
+++ b/crates/stackgw-router/src/state/member.rs
@@ -47,6 +47,7 @@
     /// When the next half-open attempt may be sent; `half_open_wait` is the wait before the one after it.
     pub(crate) half_open_at: Time,
     pub(crate) half_open_wait: Span,
+    /// Sum of the scores of failed attempts since the last one that was served or misrouted.
     pub(crate) failure_score: u32,
 
     pub(crate) checked_at: Time,
--- a/crates/stackgw-router/tests/decisions/outliers.rs
+++ b/crates/stackgw-router/tests/decisions/outliers.rs
@@ -126,7 +126,10 @@
     let cancelled = host.log.iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
     assert!(cancelled > 20, "only {cancelled} attempts were cancelled before their deadlines");
     for (member, snapshot) in host.router.member_snapshots() {
-        assert!(!snapshot.ejected && snapshot.concurrency_limit > 5.0, "{member:?}: {snapshot:?}");
+        assert!(
+            !snapshot.ejected && snapshot.concurrency_limit > 5.0,
+            "{member:?} was ejected, or its limit fell from 12 to 5 or less: {snapshot:?}"
+        );
     }
 }
 
--- a/crates/stackgw-router/tests/fleet_slow_start.rs
+++ b/crates/stackgw-router/tests/fleet_slow_start.rs
@@ -104,6 +104,7 @@
     attempts: BTreeMap<(usize, u32, RequestId), u32>,
     /// Times of sends to each restarted member by routers that had been notified of the restart.
     sends: BTreeMap<u32, Vec<Time>>,
+    /// When the restarted members restart: 8 s after the start, when routers have measured the throughput of members.
     restart_at: Time,
     /// Requests per second per unit of `traffic`.
     request_rate: f64,
@@ -150,7 +151,7 @@
         self.schedule(after, Step::Request(router));
     }
 
-    /// Starts all routers. Half of them are notified of member restarts at once, the others within two seconds.
+    /// Starts all routers. Half of them are notified of member restarts after 300 ms, the others up to 2 s later.
     fn start(&mut self, with_restarts: bool) {
         let until_restart = self.restart_at - START;
         for router in 0..self.instances.len() {
