--- a/crates/stackgw-gateway/src/reducer/state/sessions.rs
+++ b/crates/stackgw-gateway/src/reducer/state/sessions.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// The certainty of session reads that was last logged.
+/// The certainty of session reads that was last logged. An instance is certain if it knows the positions that session reads
+/// must see; otherwise it is uncertain and serves them as strong reads.
 #[derive(Debug, Clone, Copy)]
 struct LoggedCertainty {
     uncertainty: Option<UncertaintyReason>,
@@ -44,7 +45,7 @@
 /// The sessions of this instance, with the counters and names for status reports.
 pub(crate) struct SessionCoordination {
     sessions: Sessions,
-    /// Kept for its allocation.
+    /// An empty vector whose allocation is reused.
     spare_outputs: Vec<Output>,
     names: BTreeMap<NodeId, String>,
     /// The options at the start; most cannot be changed without a restart.
@@ -54,7 +55,7 @@
     /// Reads that had to be strong, by reason.
     strong_reads: BTreeMap<UncertaintyReason, u64>,
     logged: Option<LoggedCertainty>,
-    /// Served writes that were not confirmed in time.
+    /// Served writes that could not be recorded or were not confirmed in time.
     unconfirmed_writes: u64,
 }
 
@@ -114,7 +115,7 @@
         self.spare_outputs = outputs;
     }
 
-    /// Cancels a request's pending read or write of its session.
+    /// Cancels a request's pending read or write of its session. The ticket is the number of the request's id.
     pub(crate) fn cancel(&mut self, ticket: u64) {
         self.sessions.cancel_read(ticket);
         self.sessions.cancel_write(ticket);
@@ -136,7 +137,7 @@
         *self.strong_reads.entry(reason).or_default() += 1;
     }
 
-    /// Counts a served write that was not confirmed in time. Returns the count.
+    /// Counts a served write that could not be recorded or was not confirmed in time. Returns the count.
     pub(crate) fn count_unconfirmed_write(&mut self) -> u64 {
         self.unconfirmed_writes += 1;
         self.unconfirmed_writes
@@ -165,7 +166,8 @@
         reason.describe(|node| self.name(node))
     }
 
-    /// Returns a log line if session reads became certain or uncertain and no change was logged recently.
+    /// Returns a log line if the certainty of session reads, or the reason why they are uncertain, has changed since the last
+    /// line and that line is older than [`CERTAINTY_LOG_INTERVAL`]. Only session replicas log it.
     pub(crate) fn certainty_change(&mut self, now: Time) -> Option<String> {
         let status = self.sessions.status(now);
         let needs_no_line = |logged: LoggedCertainty| {
