--- a/crates/stackgw-sessions/src/durability.rs
+++ b/crates/stackgw-sessions/src/durability.rs
@@ -28,7 +28,7 @@
     requested: u64,
     /// How many of the requested records are in the store.
     stored: u64,
-    /// Records requested up to the reset of the store; these do not count for its version.
+    /// Records requested up to the reset of the store, which its version does not include.
     requested_before_version: u64,
     /// Number of the record of the replica set. No lease is granted before it is in the store.
     replica_set_record: u64,
@@ -111,8 +111,8 @@
         })
     }
 
-    /// Handles a failure of the store whose file stayed in place.
-    pub(crate) fn fail(&mut self) {
+    /// Marks the store as failed with its file still in place.
+    pub(crate) fn mark_failed(&mut self) {
         self.failed = true;
     }
 
@@ -125,9 +125,9 @@
         self.replica_set_record = 0;
     }
 
-    /// Resets the version of a store that a peer has found outdated at version `reported`. The
-    /// store gets `incarnation` as its ID. Returns the new version, or `None` if the report is
-    /// about a different store.
+    /// Resets the version of a store that a peer has found to be outdated at version `reported`.
+    /// The store gets `incarnation` as its ID. Returns the new version, or `None` if there is no
+    /// store or the report is about a different one.
     pub(crate) fn reset_version(
         &mut self,
         reported: StoreVersion,
@@ -145,15 +145,18 @@
         Some(*version)
     }
 
-    /// Sets the number of the record of a reset. Records up to this one do not count for the new
-    /// version.
+    /// Sets the number of the record of a reset. The new version does not include records up to
+    /// this one.
     pub(crate) fn set_invalidation_record(&mut self, record: u64) {
         self.requested_before_version = record;
     }
 
-    /// Compares a replica's store with its last known version, and records the reported version.
+    /// Compares a replica's store with its last known version, and records the reported version if
+    /// it is newer and the store is not outdated.
+    ///
     /// The store is outdated if an earlier incarnation of the replica had written more records to
-    /// it, or had run without it.
+    /// it, or had run without it. A store that the reporting incarnation created or reset is never
+    /// outdated.
     ///
     /// Without this check, a replica with an outdated store would claim, as a writer and as an
     /// owner, that its history is complete although writes are missing from it.
--- a/crates/stackgw-sessions/src/forwarding.rs
+++ b/crates/stackgw-sessions/src/forwarding.rs
@@ -39,8 +39,8 @@
         self.0.insert(number, write);
     }
 
-    /// Counts the next attempt to forward a write, and returns its destination and message. The
-    /// replicas are tried in turn.
+    /// Counts the next attempt to forward a write, and returns its destination and message; `None`
+    /// if the write is not known or there are no replicas. The replicas are tried in turn.
     pub(crate) fn next_attempt(
         &mut self,
         number: u64,
--- a/crates/stackgw-sessions/src/identity.rs
+++ b/crates/stackgw-sessions/src/identity.rs
@@ -7,8 +7,8 @@
 /// The host's number for a write or a read.
 pub type RequestNumber = u64;
 
-/// As a destination, means whichever incarnation is running. As the last known incarnation, means
-/// that none is known yet.
+/// An incarnation number that no incarnation has. In a destination, it stands for whichever
+/// incarnation is running; as the last known incarnation, it means that none is known yet.
 pub const ANY_INCARNATION: u64 = 0;
 
 /// Identifies an instance by a hash of its name. The ID stays the same across restarts.
@@ -61,7 +61,7 @@
 
 /// Identifies a session within its group by a hash of both.
 ///
-/// Sessions whose keys collide share their positions. Their reads then require newer data than
+/// Sessions whose keys collide share their positions. Their reads may then require newer data than
 /// necessary, so a collision costs some performance but never correctness.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionKey(pub u64);
--- a/crates/stackgw-sessions/src/lib.rs
+++ b/crates/stackgw-sessions/src/lib.rs
@@ -10,12 +10,18 @@
 //! > is required to see a position at or after that of the write, or to see every commit
 //! > ([`ReadRequirement::Strong`]).
 //!
+//! The requirement lapses after [`Settings::retention`], by which time every member has applied the
+//! write. An instance is *certain* if no write of another instance or of its own within the
+//! retention can be missing from the positions that it has recorded as an owner. Otherwise, it is
+//! *uncertain*: it queries the other owners of a session, and the session's reads must see every
+//! commit if none of these is certain.
+//!
 //! # Roles
 //!
 //! | role | module | what it does |
 //! | --- | --- | --- |
 //! | writer | `writer`, `write_log`, `peer_replication`, `forwarding` | sends positions to the owners of a session, grants leases, releases responses |
-//! | session replica | `session_replica`, `peer_progress`, `positions` | records positions for writers, holds leases granted by the other replicas, determines whether its positions are complete (whether it is certain) |
+//! | session replica | `session_replica`, `peer_progress`, `positions` | records positions for writers, holds leases granted by the other replicas, determines whether it is certain |
 //! | reader | `reader` | queries the owners of a session for its position |
 //! | durability | `durability`, `record` | tracks which records are in the store, and detects peers whose store is an old copy |
 //!
--- a/crates/stackgw-sessions/src/message.rs
+++ b/crates/stackgw-sessions/src/message.rs
@@ -1,7 +1,7 @@
 //! The messages between instances and their encoding.
 //!
 //! The transport (`stackgw-cluster`) authenticates messages: every message that arrives here was
-//! sealed with the cluster's key. Receivers still do not rely on field values that cannot be true.
+//! sealed with the cluster's key. Receivers nevertheless tolerate implausible field values.
 //!
 //! The encoding is postcard: the order of variants and of fields is part of the wire format.
 
@@ -14,7 +14,8 @@
 /// Maximum length of an encoded message. With its envelope, a message of this length fits into a
 /// datagram of 1,200 bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1_100;
-/// Maximum number of positions in one message. Each takes up to 24 bytes.
+/// Maximum number of positions in one message. Each takes up to 24 bytes, as long as its sequence
+/// number is below 2^35 and its position is known.
 pub const MAX_POSITIONS_PER_MESSAGE: usize = 40;
 
 /// The position of one write, as its writer sends it to an owner of the session.
@@ -67,7 +68,8 @@
     /// A writer grants an owner a lease.
     LeaseGrant(LeaseGrant),
     /// The receiver's store is at an older version than before, for example because it was restored
-    /// from an old copy.
+    /// from an old copy. Contains the version that the receiver reported, or the default version if
+    /// it reported none.
     StoreOutdated(StoreVersion),
     /// Rejects a lease request: the replica sets of the requester and of the sender of this message
     /// differ.
--- a/crates/stackgw-sessions/src/peer_progress.rs
+++ b/crates/stackgw-sessions/src/peer_progress.rs
@@ -11,6 +11,7 @@
 /// The value of [`PeerProgress::complete_since`] if no write of a replica is missing.
 pub(crate) const COMPLETE_HISTORY: Time = Time::MIN / 2;
 
+/// A lease request that the peer has not answered.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct OutstandingRequest {
     nonce: u64,
@@ -21,13 +22,15 @@
 /// known here.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct PeerProgress {
-    /// The incarnation that granted the last lease.
+    /// The incarnation that granted the last lease or, after a restart, the one that the store
+    /// records as complete; [`ANY_INCARNATION`] if there is neither.
     pub(crate) incarnation: u64,
     pub(crate) lease_until: Time,
     /// This instance has acknowledged every write whose response the peer has released since this
     /// time.
     pub(crate) complete_since: Time,
-    /// Whether a record that no write of the peer is missing was requested.
+    /// Whether a [`Record::CompletePeer`](crate::record::Record::CompletePeer) for this incarnation
+    /// of the peer was requested or recovered.
     pub(crate) is_recorded_complete: bool,
     /// Whether the peer has reported a replica set that differs from the local one.
     pub(crate) replica_set_differs: bool,
@@ -76,7 +79,8 @@
     }
 
     /// Applies a lease grant. The lease starts when it was requested, so that it ends here before
-    /// it ends at the grantor, which starts it later.
+    /// it ends at the grantor, which starts it later. Ignores a grant that does not belong to an
+    /// outstanding request, comes from an earlier incarnation or has already ended.
     pub(crate) fn apply_grant(
         &mut self,
         now: Time,
--- a/crates/stackgw-sessions/src/peer_replication.rs
+++ b/crates/stackgw-sessions/src/peer_replication.rs
@@ -54,7 +54,8 @@
     ///
     /// Writes that an earlier incarnation acknowledged stay acknowledged: either its store has
     /// them, or the later incarnation is uncertain until they are older than the retention. A lease
-    /// granted to an earlier incarnation is no longer in effect.
+    /// granted to an earlier incarnation is shortened to end at `earlier_leases_until` at the
+    /// latest.
     pub(crate) fn observe_incarnation(
         &mut self,
         incarnation: u64,
@@ -64,9 +65,9 @@
             return Freshness::Outdated;
         }
         if incarnation > self.peer.incarnation {
-            // The lease is shortened to `earlier_leases_until` rather than ended, because an
-            // earlier incarnation of this instance may have granted a lease to this incarnation of
-            // the replica rather than to the last known one.
+            // The lease is shortened to `earlier_leases_until` rather than ended at once, because
+            // an earlier incarnation of this instance may have granted a lease to this incarnation
+            // of the replica rather than to the last known one.
             self.peer.incarnation = incarnation;
             self.lease_until = self.lease_until.min(earlier_leases_until);
         }
--- a/crates/stackgw-sessions/src/positions.rs
+++ b/crates/stackgw-sessions/src/positions.rs
@@ -14,7 +14,7 @@
 /// Number of buckets into which evicted positions are merged. A session must see the position of
 /// its bucket.
 const BUCKETS: usize = 4096;
-/// The high bits of a session's key, shifted right by this, select its bucket.
+/// A session's key shifted right by this number of bits, modulo [`BUCKETS`], selects its bucket.
 const BUCKET_SHIFT: u32 = 48;
 /// How often within one retention expired buckets are removed. Scanning all buckets for each added
 /// position would cost too much.
@@ -42,18 +42,18 @@
 pub struct RecordedPosition {
     /// The position that reads of the session must see; [`UNKNOWN_POSITION`]: every commit.
     pub position: Time,
-    /// When the position was added or, for an evicted position, when its bucket last changed.
+    /// When a position of the session or a position in its bucket was last added.
     pub at: Time,
-    /// Whether the position was evicted into a bucket shared with other sessions. Reads may then be
-    /// required to see later data than necessary.
+    /// Whether the position is that of a bucket of evicted positions, which is shared with other
+    /// sessions. Reads may then be required to see later data than necessary.
     pub evicted: bool,
 }
 
 /// Positions by session.
 ///
 /// A position is dropped after the retention, when every member of the group has applied its write.
-/// A position that exceeds the maximum number is merged into a bucket. Until the bucket expires,
-/// reads of the session may be required to see later data than necessary.
+/// The oldest positions beyond the maximum number are merged into buckets. Until its bucket
+/// expires, reads of a session may be required to see later data than necessary.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct SessionPositions {
     max_positions: usize,
@@ -68,7 +68,8 @@
 }
 
 impl SessionPositions {
-    /// Retains at most `max_positions` positions, each for `retention`.
+    /// Creates an empty collection that retains at most `max_positions` positions (0 is treated as
+    /// 1), each for `retention`.
     pub fn new(max_positions: usize, retention: Span) -> Self {
         SessionPositions {
             max_positions: max_positions.max(1),
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Adds a position. An earlier position than the recorded one does not replace it.
+    /// Adds a position. An earlier position than the recorded one does not replace it, but the
+    /// retention of the recorded one starts again.
     pub fn add(&mut self, now: Time, key: SessionKey, position: Time) {
         self.expire(now);
         let known = self
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Drops positions that are older than the retention.
+    /// Drops positions that are older than the retention. Buckets of evicted positions are checked
+    /// only if more than 1/16 of the retention has passed since they were last checked.
     pub fn expire(&mut self, now: Time) {
         let oldest = now.saturating_sub(self.retention);
         while let Some((added_at, key)) = self.order.pop_front_if(|(at, _)| *at < oldest) {
--- a/crates/stackgw-sessions/src/record.rs
+++ b/crates/stackgw-sessions/src/record.rs
@@ -23,19 +23,20 @@
 /// A record for the store. Records are numbered from 1 in the order in which they are requested.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Record {
-    /// The digest of the replica set that is in force from this record on. Records about peers
-    /// under a different replica set are no longer valid.
+    /// The digest of the replica set that is in force from this record on. Earlier
+    /// [`Record::CompletePeer`] records are no longer valid if the replica set has changed.
     ReplicaSet(u64),
     /// A position that this instance records as an owner of the session.
     Position(SessionKey, Time),
     /// The position of a local write that some owner has not acknowledged.
     Unacknowledged(SessionKey, Time),
-    /// This instance has every write of this peer.
+    /// This instance has every write that this peer has released within the retention. The peer may
+    /// be this instance itself.
     CompletePeer(Peer),
-    /// The version of a peer's store.
+    /// The last known version of a peer's store; the default version if the peer has no store.
     PeerStore(Peer, StoreVersion),
-    /// The store was found to be an old copy and is reset to this version, which has no records,
-    /// with an unbroken history since this incarnation.
+    /// The store was found to be an old copy and is reset to this version, which has no records.
+    /// Its history is unbroken from the incarnation in the second field on.
     Invalidated(StoreVersion, u64),
 }
 
@@ -48,7 +49,7 @@
     LeftInPlace,
 }
 
-/// The contents of the store at start. All fields are empty for a new store.
+/// The contents of the store at start. All lists are empty for a new store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct Recovered {
     /// The first incarnation since which every incarnation wrote to this store without a gap; the
@@ -64,7 +65,8 @@
     pub positions: Vec<(SessionKey, Time)>,
     /// Positions of local writes that some owner had not acknowledged.
     pub unacknowledged: Vec<(SessionKey, Time)>,
-    /// Peers whose writes were all known under that replica set. May include this instance itself.
+    /// Peers of which no write within the retention was missing under that replica set. May include
+    /// this instance itself.
     pub complete_peers: Vec<Peer>,
 }
 
--- a/crates/stackgw-sessions/src/replica_set.rs
+++ b/crates/stackgw-sessions/src/replica_set.rs
@@ -16,8 +16,9 @@
 }
 
 impl ReplicaSet {
-    /// Creates a set in which each session is owned by `owners_per_session` of the replicas.
-    /// `durations` are settings that must be equal on all replicas.
+    /// Creates a set in which each session is owned by `owners_per_session` of the replicas, but by
+    /// at least one and at most all of them. `durations` are settings that must be equal on all
+    /// replicas; they enter the digest.
     pub fn new(
         replicas: impl IntoIterator<Item = NodeId>,
         owners_per_session: usize,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// A hash of the replicas, the number of owners per session and the durations.
+    /// Returns a hash of the replicas, the number of owners per session and the durations.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -45,12 +46,12 @@
         &self.replicas
     }
 
-    /// Whether this instance is a replica.
+    /// Whether the instance `node` is a replica of this set.
     pub fn contains(&self, node: NodeId) -> bool {
         self.replicas.binary_search(&node).is_ok()
     }
 
-    /// The owners of a session, in the order in which they are queried.
+    /// Returns the owners of a session, in the order in which they are queried.
     ///
     /// Owners are chosen by rendezvous hashing: when a replica joins or leaves, only the sessions
     /// that it gains or gives up change owners.
--- a/crates/stackgw-sessions/src/session_replica.rs
+++ b/crates/stackgw-sessions/src/session_replica.rs
@@ -39,7 +39,7 @@
     peers: BTreeMap<NodeId, PeerProgress>,
     /// Every write that this instance itself has released since this time is known here.
     local_complete_since: Time,
-    /// Whether a record that none of this instance's own writes is missing was requested.
+    /// Whether a [`Record::CompletePeer`] for this instance itself was requested or recovered.
     is_recorded_complete: bool,
     pending_acknowledgements: VecDeque<PendingAcknowledgement>,
     next_lease_request_at: Time,
@@ -76,8 +76,8 @@
         self.next_lease_request_at
     }
 
-    /// Restores which peers' histories are complete. The records must be of the replica set in
-    /// force.
+    /// Restores which histories are complete: those of peers and this instance's own. The records
+    /// must be of the replica set in force.
     pub(crate) fn restore_complete_peers(&mut self, local: NodeId, recovered: &Recovered) {
         for complete in &recovered.complete_peers {
             if complete.node == local {
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Handles that this instance has become a replica.
+    /// Handles that this instance has become a replica. It forwarded its earlier writes to other
+    /// replicas, so their positions are not known here.
     pub(crate) fn join_replica_set(&mut self, now: Time) {
         self.local_complete_since = self.local_complete_since.max(now);
     }
@@ -172,7 +173,8 @@
         }
     }
 
-    /// Records positions, and acknowledges them once they are stored.
+    /// Records positions, and acknowledges them once they are stored, or at once if there is no
+    /// store. Ignores them if the store failed and its file stayed in place.
     pub(crate) fn handle_positions(
         &mut self,
         context: &mut Context<'_>,
@@ -268,7 +270,7 @@
     /// Requests a lease from each other replica.
     pub(crate) fn request_leases(&mut self, context: &mut Context<'_>) {
         // A replica whose store failed acknowledges nothing. If it held a lease, it would block
-        // every write.
+        // every write of the sessions that it owns.
         if context.instance.durability.has_failed() {
             return;
         }
@@ -286,8 +288,9 @@
         }
     }
 
-    /// Requests records of the replicas none of whose writes is missing, so that after a restart
-    /// this instance need not wait for a retention until it is certain.
+    /// Requests records of the replicas none of whose writes within the retention is missing, so
+    /// that after a restart this instance need not wait for a retention until it is certain. Once
+    /// per retention, also requests records of the versions of the peers' stores.
     pub(crate) fn record_complete_peers(&mut self, context: &mut Context<'_>) {
         let durability = &context.instance.durability;
         if !durability.has_store() || durability.has_failed() || !durability.replica_set_is_stored()
@@ -326,7 +329,7 @@
         complete
     }
 
-    /// Checks that every write whose response was sent is known here.
+    /// Checks that every write whose response was sent within the retention is known here.
     ///
     /// # Errors
     ///
@@ -360,11 +363,13 @@
         Ok(())
     }
 
-    /// The position that a session must see, if this replica owns the session and is certain.
+    /// Returns the position that a session must see; `None` if it has not written within the
+    /// retention.
     ///
     /// # Errors
     ///
-    /// Returns the reason why the position is not known here.
+    /// Returns [`UncertaintyReason::OwnersUncertain`] if this instance is not an owner of the
+    /// session, or the reason why it is uncertain.
     pub(crate) fn required_position(
         &self,
         now: Time,
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -59,7 +59,10 @@
         &self.instance.replica_set
     }
 
-    /// Replaces the list of replicas. Leases and histories of the old replica set are discarded.
+    /// Replaces the list of replicas; has no effect if the replica set stays the same.
+    ///
+    /// Discards the leases that this instance holds and what it knows of the other replicas'
+    /// histories. Leases that it has granted stay in effect until they end.
     pub fn set_replicas(&mut self, now: Time, replicas: Vec<NodeId>, outputs: &mut Vec<Output>) {
         let was_replica = self.is_replica();
         self.instance.settings.replicas = replicas;
@@ -132,7 +135,8 @@
         }
     }
 
-    /// Handles a message from an incarnation of a peer to an incarnation of this instance.
+    /// Handles a message from an incarnation of a peer to an incarnation of this instance. Ignores
+    /// and counts a message for another incarnation, from an earlier one or with an invalid sender.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -168,8 +172,8 @@
     ///
     /// If its file was set aside, so that no later incarnation reads it, this incarnation continues
     /// without a store. If the file was left in place, a later incarnation would treat it as
-    /// complete: this incarnation then acknowledges and releases nothing any more, and is no longer
-    /// certain.
+    /// complete: this incarnation then acknowledges nothing, releases nothing while it is a
+    /// replica, and is no longer certain.
     pub fn handle_store_failure(
         &mut self,
         now: Time,
@@ -178,7 +182,7 @@
     ) {
         match failure {
             StoreFailure::LeftInPlace => {
-                self.instance.durability.fail();
+                self.instance.durability.mark_failed();
                 self.replica.drop_acknowledgements();
             }
             StoreFailure::SetAside => {
@@ -191,14 +195,15 @@
         }
     }
 
-    /// Whether responses to writes can be released at all. They cannot be after the store of a
-    /// replica failed and its file stayed in place. The host should then reject writes before they
-    /// are executed.
+    /// Whether responses to writes can be released at all. Returns `false` if this instance is a
+    /// replica whose store failed and whose file stayed in place. The host should then reject
+    /// writes before they are executed.
     pub fn can_release(&self) -> bool {
         self.instance.can_release()
     }
 
-    /// When [`Sessions::handle_timeout`] must be called next.
+    /// When [`Sessions::handle_timeout`] must be called next; [`Time::MAX`] if there is no
+    /// deadline.
     pub fn next_deadline(&self) -> Time {
         let lease_request = if self.is_replica() {
             self.replica.next_lease_request_at()
@@ -305,8 +310,9 @@
         }
     }
 
-    /// Invalidates the store after a peer has reported that it is outdated at version `reported`.
-    /// Resets the version of the store and the history of this instance.
+    /// Invalidates the store after a peer has reported that it is outdated at version `reported`:
+    /// resets the version of the store and the history of this instance. Has no effect if there is
+    /// no store or the report is about a different one.
     fn invalidate_store(&mut self, now: Time, reported: StoreVersion, outputs: &mut Vec<Output>) {
         let incarnation = self.instance.local().incarnation;
         let new_version = self
@@ -391,9 +397,9 @@
     let replica_set = settings.replica_set();
     let recorded_set = recovered.and_then(|recovered| recovered.replica_set);
     // An instance outside of the replica set grants no leases, so there are none of earlier
-    // incarnations to honor. If the store has the same set, leases were granted only to owners by
-    // that set, and these are assumed to hold one. Otherwise it is not known to whom leases were
-    // granted, and nothing is released until they have ended.
+    // incarnations to honor. If the store has the same set, leases were granted only to replicas of
+    // that set, and each of these is assumed to hold one. Otherwise, it is not known to which
+    // replicas leases were granted, and nothing is released until all of them have ended.
     let is_same_set = recorded_set == Some(replica_set.digest());
     if is_same_set || !replica_set.contains(settings.local.node) {
         log.allow_release(now);
--- a/crates/stackgw-sessions/src/status.rs
+++ b/crates/stackgw-sessions/src/status.rs
@@ -14,21 +14,24 @@
     pub answered_locally: u64,
     /// Reads for which another owner knew the position.
     pub answered_by_owner: u64,
-    /// Reads that had to see every commit.
+    /// Reads that had to see every commit. Reads of a session whose write has no known position are
+    /// included here and in one of the two counters above.
     pub strong_reads: u64,
     /// Writes whose response was released.
     pub writes_released: u64,
-    /// Writes that were released without the acknowledgement of an owner, because the owner's lease
-    /// had ended.
+    /// Writes that were released without the acknowledgement of an owner, because the owner held no
+    /// lease.
     pub released_unacknowledged: u64,
     /// Messages that were for another incarnation, came from an earlier one, or had an invalid
     /// sender.
     pub messages_ignored: u64,
     /// Messages sent.
     pub messages_sent: u64,
-    /// Local writes dropped for lack of room.
+    /// Local writes dropped because there were more than
+    /// [`Settings::max_local_writes`](crate::Settings::max_local_writes).
     pub local_writes_evicted: u64,
-    /// Writes, reads and acknowledgements that were rejected for lack of room.
+    /// Writes, reads and acknowledgements that were rejected because
+    /// [`Settings::max_pending`](crate::Settings::max_pending) of them were pending.
     pub rejected: u64,
     /// How often the store was found to be an old copy.
     pub outdated_stores: u64,
@@ -75,7 +78,8 @@
     /// Remaining time of the lease that it granted to this instance. Zero if this instance is not a
     /// replica.
     pub lease_held_for: Span,
-    /// Remaining time of the lease that this instance granted to it.
+    /// Remaining time of the lease that this instance granted to it, or that an earlier incarnation
+    /// of this instance may have granted.
     pub lease_granted_for: Span,
     /// Local writes that it has not acknowledged.
     pub unacknowledged: usize,
@@ -92,7 +96,7 @@
     pub uncertainty: Option<UncertaintyReason>,
     /// The other replicas.
     pub peers: Vec<PeerStatus>,
-    /// Recorded positions.
+    /// Recorded positions, without evicted ones.
     pub positions: usize,
     /// Positions evicted since the start.
     pub evicted: u64,
--- a/crates/stackgw-sessions/src/uncertainty.rs
+++ b/crates/stackgw-sessions/src/uncertainty.rs
@@ -1,24 +1,27 @@
-//! Why an instance cannot know which position a session must see.
+//! The reasons for which a read must see every commit.
 
 use crate::identity::NodeId;
 
 /// Why a read must see every commit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum UncertaintyReason {
-    /// This replica has not granted a lease: it is down, partitioned or slow.
+    /// No lease granted by this replica is in effect: it is down, partitioned or slow, its store
+    /// failed, or it waits for this instance to acknowledge writes.
     NoLease(NodeId),
     /// The configuration of this replica has a different replica set or different durations.
     ReplicaSetMismatch(NodeId),
     /// This replica grants leases, but some of its writes within the retention may be missing.
     IncompleteHistory(NodeId),
-    /// This instance started less than one retention ago, without the positions that it had
-    /// recorded before.
+    /// This instance started without its earlier positions, joined the replica set, or had its
+    /// store reset less than one retention ago. Positions of its own writes may be missing. The
+    /// same holds after a change of the replica set if its write log is incomplete.
     RecentlyStarted,
-    /// The store of this instance failed.
+    /// The store of this instance failed, and its file stayed in place.
     StoreFailed,
-    /// No owner replied in time.
+    /// The owner that was queried last did not reply in time.
     OwnersUnresponsive,
-    /// The owners that replied are uncertain themselves.
+    /// The owner that was queried last is uncertain itself, or this instance is not an owner and
+    /// skipped all owners because they gave no useful reply a short time ago.
     OwnersUncertain,
     /// The session has written, but the position of the write is not known.
     UnknownPosition,
@@ -27,7 +30,7 @@
 }
 
 impl UncertaintyReason {
-    /// Describes the reason to operators; `name` gives the host's name of a replica. The log, the
+    /// Describes the reason to operators; `name` returns the name of a replica. The log, the
     /// control socket and `docs/operate/sessions.md` contain these texts.
     pub fn describe(&self, name: impl Fn(&NodeId) -> String) -> String {
         match self {
--- a/crates/stackgw-sessions/src/write_log.rs
+++ b/crates/stackgw-sessions/src/write_log.rs
@@ -12,20 +12,23 @@
 use stackgw_router::api::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A write of this instance.
+/// A write that this instance handles: its own, or one that another instance forwarded to it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct LocalWrite {
     pub(crate) key: SessionKey,
     pub(crate) position: Time,
-    /// The request whose response waits for its release; `None`: the response was released.
+    /// The request whose response waits for its release (for a forwarded write, the forwarding
+    /// instance's number); `None` if the response was released.
     pub(crate) request: Option<RequestNumber>,
     /// When the write was served or, once its response was released, the time of the release.
     pub(crate) since: Time,
-    /// When the position was last sent to owners that have not acknowledged it.
+    /// When the write was added or its position was last sent again to the replicas that have not
+    /// acknowledged it.
     pub(crate) last_sent_at: Time,
     /// The record that must be in the store before the release, if there is one.
     pub(crate) record: Option<u64>,
-    /// Whether a record says that some owner has not acknowledged the write.
+    /// Whether a [`Record::Unacknowledged`](crate::record::Record::Unacknowledged) of the write was
+    /// requested or recovered.
     pub(crate) is_recorded_unacknowledged: bool,
 }
 
@@ -39,15 +42,15 @@
     }
 }
 
-/// The condition on which the release of a response still depends.
+/// Whether a response may be released and, if not, what has to happen first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReleaseCondition {
     /// The response may be released.
     Met,
     /// A record that some owner has not acknowledged the write must be requested and stored first.
     NeedsRecord,
-    /// The response must wait: until an owner acknowledges the write or its lease ends, or until
-    /// the write's record is in the store.
+    /// The response must wait until each replica with a lease has acknowledged the write or its
+    /// lease has ended, until releases are allowed, and until the write's record is in the store.
     Pending,
 }
 
@@ -101,7 +104,8 @@
     }
 
     /// Switches to a replica set: from now on replicates to its replicas, and to other replicas
-    /// only as long as their leases are in effect.
+    /// only as long as their leases are in effect. Every retained write is replicated to its owners
+    /// by the new set again.
     pub(crate) fn apply_replica_set(&mut self, now: Time, local: NodeId, replica_set: &ReplicaSet) {
         self.peers
             .retain(|node, peer| replica_set.contains(*node) || peer.lease_until > now);
@@ -150,7 +154,7 @@
             })
     }
 
-    /// The condition on which the release of a write's response still depends.
+    /// Whether a write's response may be released and, if not, what has to happen first.
     pub(crate) fn release_condition(
         &self,
         now: Time,
@@ -194,8 +198,9 @@
     }
 
     /// Drops released writes that are older than the retention, and the oldest ones beyond
-    /// `max_writes`; `complete_since` then moves past the latter. Returns the number of writes
-    /// dropped because of `max_writes`.
+    /// `max_writes`; `complete_since` then moves past the latter, and the history is marked as
+    /// broken if one of them was unacknowledged. Returns the number of writes dropped because of
+    /// `max_writes`.
     pub(crate) fn expire(
         &mut self,
         now: Time,
@@ -272,7 +277,7 @@
         }
     }
 
-    /// Returns the next released writes that a replica has not acknowledged, and counts them as
+    /// Returns the next released writes that a replica has not acknowledged, and marks them as
     /// sent.
     pub(crate) fn next_unsent(&mut self, node: NodeId, max_updates: usize) -> Vec<PositionUpdate> {
         let Some(peer) = self.peers.get_mut(&node) else {
@@ -343,7 +348,8 @@
         self.unacknowledged_peers(sequence).next().is_some()
     }
 
-    /// Sets the record, now requested, that some owner has not acknowledged a write.
+    /// Notes that a [`Record::Unacknowledged`](crate::record::Record::Unacknowledged) of a write
+    /// was requested under the number `record`. The release waits until it is in the store.
     pub(crate) fn set_unacknowledged_record(&mut self, sequence: u64, record: u64) {
         if let Some(write) = self.writes.get_mut(&sequence) {
             write.record = Some(record);
--- a/crates/stackgw-sessions/src/writer.rs
+++ b/crates/stackgw-sessions/src/writer.rs
@@ -61,7 +61,8 @@
         self.log.pending().len() + self.outgoing.len()
     }
 
-    /// When unacknowledged positions and forwarded writes will be sent again.
+    /// When unacknowledged positions and forwarded writes will be sent again; [`Time::MAX`] if no
+    /// write is pending.
     pub(crate) fn next_deadline(&self) -> Time {
         if self.log.pending().is_empty() && self.outgoing.is_empty() {
             Time::MAX
@@ -141,7 +142,9 @@
         );
     }
 
-    /// Handles a forwarded write of another instance as if it were a local one.
+    /// Handles a forwarded write of another instance as if it were a local one. Ignores it if this
+    /// instance is not a replica, already handles the write, or has too many pending writes; the
+    /// other instance sends it again.
     pub(crate) fn handle_forwarded_write(
         &mut self,
         context: &mut Context<'_>,
@@ -192,9 +195,13 @@
         }
     }
 
-    /// Grants a replica the lease that it requests, if it has acknowledged all released writes.
+    /// Grants a replica the lease that it requests, if it has acknowledged all released writes, no
+    /// pending write has waited too long for its acknowledgement, and the record of the replica
+    /// set, if there is a store, is in it. Sends it released writes that it has not acknowledged.
+    /// Rejects the request if the replica sets differ.
     ///
-    /// A lease granted earlier would make the replica certain although it is missing writes.
+    /// A lease granted before the released writes are acknowledged would make the replica certain
+    /// although it is missing writes.
     pub(crate) fn handle_lease_request(
         &mut self,
         context: &mut Context<'_>,
