--- a/crates/stackgw-sessions/benches/scale.rs
+++ b/crates/stackgw-sessions/benches/scale.rs
@@ -22,7 +22,7 @@
 const REQUESTS: u64 = 4_000;
 /// Time over which lease messages are counted.
 const IDLE_SPAN: Span = 10 * SECOND;
-/// Sessions whose owners are compared between two replica sets.
+/// Number of sessions whose owners are compared between two replica sets.
 const COMPARED_SESSIONS: u64 = 100_000;
 const RECORDED_POSITIONS: u64 = 1_000_000;
 
@@ -53,6 +53,7 @@
 
 fn print_messages(replicas: usize, forwarders: usize) {
     let mut simulation = Simulation::new(1, replicas, forwarders, false, RELIABLE);
+    // After this, all replicas are certain.
     simulation.advance(RETENTION + 2 * SECOND);
     let before = simulation.messages;
     simulation.advance(IDLE_SPAN);
@@ -66,7 +67,11 @@
         Simulation::write,
     );
     let read = messages_per_request(&mut simulation, instances, lease_messages, Simulation::read);
-    assert!(simulation.missed.is_empty());
+    assert!(
+        simulation.missed.is_empty(),
+        "reads missed released writes: {:?}",
+        simulation.missed
+    );
     let certain = simulation.certain_reads as f64 / REQUESTS as f64;
     println!(
         "| {instances} | {replicas} | {per_second:.0} | {write:.2} | {read:.2} | {certain:.3} |"
@@ -87,13 +92,15 @@
         request(simulation, index, session);
         simulation.advance(MS / 2);
     }
+    // Long enough for the last requests: a message takes up to 1 ms.
     simulation.advance(20 * MS);
     let elapsed = (simulation.now - started) as f64;
     let idle = lease_messages as f64 * elapsed / IDLE_SPAN as f64;
     ((simulation.messages - before) as f64 - idle) / REQUESTS as f64
 }
 
-/// Keys that are spread out.
+/// Returns keys that are spread over the whole range: multiples of 2^64 divided by the golden
+/// ratio.
 fn key(n: u64) -> SessionKey {
     SessionKey(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
--- a/crates/stackgw-sessions/tests/common/mod.rs
+++ b/crates/stackgw-sessions/tests/common/mod.rs
@@ -11,6 +11,7 @@
 pub const RETENTION: Span = 2 * SECOND;
 pub const LEASE: Span = 300 * MS;
 
+/// Returns the settings of an instance without a store.
 pub fn settings(index: usize, incarnation: u64, replicas: usize) -> Settings {
     Settings {
         local: Peer {
@@ -83,12 +84,15 @@
 pub struct Conditions {
     /// Fraction of messages that are lost.
     pub loss: f64,
-    /// Fraction of messages that arrive twice.
+    /// Fraction of messages that are sent twice. In addition, a quarter of this fraction of all
+    /// copies is delayed by up to two more leases.
     pub duplication: f64,
+    /// Maximum delay of a message; at least 0.2 ms is used.
     pub max_delay: Span,
+    /// Maximum time until a record is in the store; at least 0.2 ms is used.
     pub max_sync_time: Span,
-    /// Treats every read as not required to see any position, to show that the check of reads can
-    /// fail.
+    /// Checks every read as if it were not required to see any position, to show that the check of
+    /// reads can fail.
     pub ignore_positions: bool,
 }
 
@@ -137,11 +141,15 @@
     pending_writes: BTreeMap<(usize, RequestNumber), PendingWrite>,
     pending_reads: BTreeMap<(usize, RequestNumber), PendingRead>,
     released_writes: BTreeMap<SessionKey, Vec<ReleasedWrite>>,
+    /// Number of reads that were not required to see every commit.
     pub certain_reads: u64,
+    /// Number of reads that were required to see every commit, by reason.
     pub strong_reads: BTreeMap<UncertaintyReason, u64>,
+    /// Number of released writes.
     pub released: u64,
     /// Descriptions of reads that were not required to see a released write of their session.
     pub missed: Vec<String>,
+    /// Number of messages sent, without duplicates.
     pub messages: u64,
     last_position: Time,
     /// Changes each instance's settings before it starts.
@@ -277,17 +285,19 @@
         }
     }
 
-    /// Restores an old copy of the store, without its last `records` records.
+    /// Restores an old copy of the store, without the last `records` records that were synced. The
+    /// instance must be down.
     pub fn restore_old_store(&mut self, index: usize, records: usize) {
         let instance = &mut self.instances[index];
         instance.synced = instance.synced.saturating_sub(records);
     }
 
-    /// Sets an instance's clock forward or back. The instance must be down.
-    pub fn set_clock(&mut self, index: usize, by: Span) {
+    /// Shifts an instance's clock by a positive or negative span. The instance must be down.
+    pub fn shift_clock(&mut self, index: usize, by: Span) {
         self.instances[index].clock_offset += by;
     }
 
+    /// Deletes the store. An instance that has one starts with a new one.
     pub fn lose_store(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         instance.store = None;
@@ -308,11 +318,13 @@
         self.apply_outputs(index, outputs);
     }
 
+    /// Whether an instance is running and not paused.
     pub fn is_ready(&self, index: usize) -> bool {
         let instance = &self.instances[index];
         instance.running.is_some() && !instance.paused
     }
 
+    /// Lets a member serve a write of a session at an instance, if the instance is ready.
     pub fn write(&mut self, index: usize, session: u64) {
         if !self.is_ready(index) {
             return;
@@ -332,6 +344,7 @@
         });
     }
 
+    /// Starts a read of a session at an instance, if the instance is ready.
     pub fn read(&mut self, index: usize, session: u64) {
         if !self.is_ready(index) {
             return;
@@ -384,10 +397,14 @@
         let bytes = message.encode(to);
         assert!(
             bytes.len() <= MAX_MESSAGE_BYTES,
-            "{} bytes: {message:?}",
+            "a message is too long, {} bytes: {message:?}",
             bytes.len()
         );
-        assert_eq!(Message::decode(&bytes), Ok((to, message.clone())));
+        assert_eq!(
+            Message::decode(&bytes),
+            Ok((to, message.clone())),
+            "a message differs after encoding and decoding"
+        );
         let copies = 1 + usize::from(self.rng.random::<f64>() < self.conditions.duplication);
         for _ in 0..copies {
             let is_partitioned = self.partitions.contains(&(index, target));
--- a/crates/stackgw-sessions/tests/digest/fingerprint.rs
+++ b/crates/stackgw-sessions/tests/digest/fingerprint.rs
@@ -117,7 +117,8 @@
             Output::Send(to, message) => {
                 self.number(1);
                 let bytes = message.encode(*to);
-                // The index of the message's variant follows the destination.
+                // The encoding begins with the destination, followed by the index of the message's
+                // variant. This message has one byte for the index and one for the nonce.
                 let kind = Message::PositionUncertain { nonce: 0 }.encode(*to).len() - 2;
                 self.messages.insert(bytes[kind]);
                 bytes.into_iter().for_each(|byte| self.byte(byte));
@@ -176,6 +177,7 @@
         counters.into_iter().for_each(|n| self.number(n));
     }
 
+    /// Adds the status of an instance and what it knows of a session.
     pub fn instance(&mut self, simulation: &Simulation, n: usize, key: SessionKey) {
         self.number(n as u64);
         let Some(running) = simulation.instances[n].running.as_ref() else {
--- a/crates/stackgw-sessions/tests/digest/main.rs
+++ b/crates/stackgw-sessions/tests/digest/main.rs
@@ -37,6 +37,7 @@
     instances: usize,
     replicas: usize,
     has_stores: bool,
+    /// Whether forged messages are delivered.
     has_forger: bool,
     next_request: u64,
 }
@@ -123,6 +124,7 @@
         });
     }
 
+    /// Returns the number of one of this test's last 12 reads and writes.
     fn recent_request(&mut self) -> u64 {
         let back = self.random_below(12) + 1;
         self.next_request.saturating_sub(back).max(FIRST_REQUEST)
@@ -138,7 +140,7 @@
             }
             4 => {
                 let by = self.random_below(4_000) as Span - 3_000;
-                self.simulation.set_clock(n, by * MS);
+                self.simulation.shift_clock(n, by * MS);
                 if !self.has_stores {
                     self.simulation.instances[n].incarnation = 0;
                 }
@@ -188,7 +190,7 @@
         (self.random_below(2) == 0).then_some(version)
     }
 
-    /// A message that no instance has sent, from a peer that holds the cluster key.
+    /// Returns a message that no instance has sent, as from a peer that holds the cluster key.
     fn forged_message(&mut self, n: usize) -> Message {
         let key = SessionKey(self.random_below(SESSIONS));
         let (nonce, number, position) = (
@@ -244,6 +246,7 @@
     fn forge(&mut self, n: usize) {
         let message = self.forged_message(n);
         let other = self.random_instance();
+        // One message in 40 seems to come from a later incarnation.
         let incarnation = self.simulation.instances[other].incarnation + self.random_below(40) / 39;
         let from = Peer {
             node: node(other),
@@ -258,6 +261,7 @@
         });
     }
 
+    /// Returns the digest of an instance's replica set; 0 if the instance is down.
     fn replica_set_of(&self, n: usize) -> u64 {
         self.simulation.instances[n]
             .running
--- a/crates/stackgw-sessions/tests/forged_messages.rs
+++ b/crates/stackgw-sessions/tests/forged_messages.rs
@@ -9,10 +9,12 @@
 use stackgw_router::api::{MS, SECOND};
 use stackgw_sessions::*;
 
+/// Generates small, arbitrary and extreme numbers.
 fn number() -> impl Strategy<Value = u64> + Clone {
     prop_oneof![0..5u64, any::<u64>(), Just(u64::MAX)]
 }
 
+/// Generates small, arbitrary and extreme signed numbers.
 fn signed() -> impl Strategy<Value = i64> + Clone {
     prop_oneof![0..5i64, any::<i64>(), Just(i64::MAX), Just(i64::MIN)]
 }
@@ -25,6 +27,7 @@
     })
 }
 
+/// Generates messages of each kind, half of them with this digest of the replica set.
 fn message(replica_set: u64) -> impl Strategy<Value = Message> {
     let replica_set = prop_oneof![Just(replica_set), any::<u64>()];
     let key = number().prop_map(SessionKey);
@@ -92,6 +95,7 @@
             let from = Peer { node: node(n), incarnation };
             let to = Peer { node: local.node, incarnation: if to % 2 == 0 { 0 } else { local.incarnation } };
             sessions.handle_message(now, from, to, message, &mut outputs);
+            // The number of requested records also serves as request number.
             sessions.record_write(now, records, SessionKey(records % 9), Some(now), &mut outputs);
             sessions.begin_read(now, records, SessionKey(records % 9), &mut outputs);
             sessions.handle_timeout(now, &mut outputs);
@@ -100,13 +104,22 @@
                 sessions.handle_records_stored(now, records, &mut outputs);
             }
             let status = sessions.status(now);
-            prop_assert!(status.positions <= 30 && status.pending <= 20, "{status:?}");
-            // An instance that started less than a retention ago is uncertain, whatever messages
-            // arrive.
-            prop_assert!(now - 1_000 * SECOND >= RETENTION || status.uncertainty.is_some());
+            prop_assert!(
+                status.positions <= 30 && status.pending <= 20,
+                "the state exceeds its limits: {status:?}"
+            );
+            // Without its earlier positions, an instance that started less than a retention ago
+            // must be uncertain, regardless of the messages that arrive.
+            prop_assert!(
+                now - 1_000 * SECOND >= RETENTION || status.uncertainty.is_some(),
+                "the instance is certain within a retention after its start"
+            );
             for output in outputs.drain(..) {
                 if let Output::Send(to, message) = output {
-                    prop_assert!(message.encode(to).len() <= MAX_MESSAGE_BYTES);
+                    prop_assert!(
+                        message.encode(to).len() <= MAX_MESSAGE_BYTES,
+                        "a message is too long: {message:?}"
+                    );
                 }
             }
         }
@@ -115,7 +128,10 @@
     #[test]
     fn arbitrary_bytes_are_a_message_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..MAX_MESSAGE_BYTES + 50)) {
         if let Ok((to, message)) = Message::decode(&bytes) {
-            prop_assert!(message.encode(to).len() <= bytes.len() + 20);
+            prop_assert!(
+                message.encode(to).len() <= bytes.len() + 20,
+                "the message became longer: {message:?}"
+            );
         }
     }
 }
--- a/crates/stackgw-sessions/tests/histories.rs
+++ b/crates/stackgw-sessions/tests/histories.rs
@@ -26,7 +26,7 @@
     ignore_positions: false,
 };
 
-/// Runs random reads and writes with all kinds of faults at random.
+/// Runs random reads and writes, with random crashes, losses of stores, pauses and partitions.
 fn random_history(
     seed: u64,
     replicas: usize,
@@ -78,7 +78,7 @@
         let simulation = random_history(seed, replicas, forwarders, seed % 3 != 0, UNRELIABLE);
         assert!(
             simulation.missed.is_empty(),
-            "seed {seed}: {:?}",
+            "seed {seed}: reads missed released writes: {:?}",
             simulation.missed
         );
         certain += simulation.certain_reads;
@@ -87,7 +87,8 @@
     }
     assert!(
         certain > 5_000 && strong > 5_000 && released > 10_000,
-        "{certain} {strong} {released}"
+        "too few reads or writes: {certain} certain reads, {strong} strong reads, \
+         {released} released writes"
     );
 }
 
@@ -99,15 +100,18 @@
     };
     let histories = (0..10).map(|seed| random_history(seed, 2, 0, true, conditions));
     let missed = histories.map(|simulation| simulation.missed.len());
-    assert!(missed.sum::<usize>() > 100);
+    assert!(
+        missed.sum::<usize>() > 100,
+        "the check finds too few reads that miss writes"
+    );
 }
 
-/// A simulation in which all replicas are certain.
+/// Returns a simulation in which all replicas are certain.
 fn certain_cluster(replicas: usize, forwarders: usize, has_stores: bool) -> Simulation {
     let mut simulation = Simulation::new(7, replicas, forwarders, has_stores, RELIABLE);
     simulation.advance(RETENTION + 2 * SECOND);
     for n in 0..replicas {
-        assert_eq!(uncertainty(&simulation, n), None, "{n}");
+        assert_eq!(uncertainty(&simulation, n), None, "replica {n} is certain");
     }
     simulation
 }
@@ -129,13 +133,21 @@
         }
         simulation.advance(5 * MS);
     }
-    assert!(simulation.missed.is_empty(), "{:?}", simulation.missed);
+    assert!(
+        simulation.missed.is_empty(),
+        "reads missed released writes: {:?}",
+        simulation.missed
+    );
     assert!(
         simulation.strong_reads.is_empty(),
-        "{:?}",
+        "some reads were strong: {:?}",
         simulation.strong_reads
     );
-    assert!(simulation.released >= 660, "{}", simulation.released);
+    assert!(
+        simulation.released >= 660,
+        "{} of 667 writes were released",
+        simulation.released
+    );
 }
 
 #[test]
@@ -146,7 +158,7 @@
     simulation.advance(LEASE / 2);
     assert_eq!(
         simulation.released, 0,
-        "the dead replica's lease may still be in effect"
+        "the write waits, because the dead replica's lease may still be in effect"
     );
     simulation.advance(LEASE);
     assert_eq!(simulation.released, 1);
@@ -155,7 +167,7 @@
     assert_eq!(
         (simulation.certain_reads, simulation.strong_reads.len()),
         (0, 1),
-        "the replica may be alive behind a partition, and write"
+        "the read must be strong: the replica may be alive behind a partition and serve writes"
     );
 }
 
@@ -170,7 +182,11 @@
     simulation.advance(2 * LEASE);
     (0..3).for_each(|n| simulation.read(n, 1));
     simulation.advance(100 * MS);
-    assert!(simulation.missed.is_empty(), "{:?}", simulation.missed);
+    assert!(
+        simulation.missed.is_empty(),
+        "reads missed released writes: {:?}",
+        simulation.missed
+    );
     assert_eq!(simulation.certain_reads, 3, "{:?}", simulation.strong_reads);
 }
 
@@ -205,10 +221,14 @@
         (0..3).for_each(|n| simulation.read(n, session));
     }
     simulation.advance(200 * MS);
-    assert!(simulation.missed.is_empty(), "{:?}", simulation.missed);
+    assert!(
+        simulation.missed.is_empty(),
+        "reads missed released writes: {:?}",
+        simulation.missed
+    );
     assert!(
         simulation.certain_reads >= 55,
-        "{} {:?}",
+        "{} of 60 reads were certain; reasons of the others: {:?}",
         simulation.certain_reads,
         simulation.strong_reads
     );
@@ -223,7 +243,7 @@
     simulation.advance(2 * LEASE);
     assert_eq!(
         simulation.released, 1,
-        "the paused replica's lease has ended"
+        "the write is released, because the paused replica's lease has ended"
     );
     simulation.instances[0].paused = false;
     simulation.read(0, 1);
@@ -232,7 +252,11 @@
     simulation.read(0, 1);
     simulation.advance(50 * MS);
     assert_eq!(simulation.certain_reads, 1, "{:?}", simulation.strong_reads);
-    assert!(simulation.missed.is_empty(), "{:?}", simulation.missed);
+    assert!(
+        simulation.missed.is_empty(),
+        "reads missed released writes: {:?}",
+        simulation.missed
+    );
 }
 
 #[test]
@@ -270,7 +294,7 @@
                 uncertainty(&simulation, n),
                 Some(UncertaintyReason::ReplicaSetMismatch(_) | UncertaintyReason::NoLease(_))
             ),
-            "{n}: {:?}",
+            "replica {n} must be uncertain because of the lists, but its reason is {:?}",
             uncertainty(&simulation, n)
         );
     }
@@ -282,7 +306,7 @@
     assert_eq!(
         (uncertainty(&simulation, 0), uncertainty(&simulation, 1)),
         (None, None),
-        "both have run for longer than the retention, so their histories are complete at once"
+        "both replicas have run for longer than the retention, so they are certain at once"
     );
 }
 
@@ -319,7 +343,7 @@
     assert_eq!(
         (simulation.released, uncertainty(&simulation, 0)),
         (1, None),
-        "the instance continues without a store"
+        "the write is released and the instance is certain, because it continues without a store"
     );
     simulation.kill(0);
     simulation.start(0);
@@ -336,7 +360,7 @@
     stuck.advance(3 * LEASE);
     assert_eq!(
         stuck.released, 0,
-        "a later incarnation would treat the file as complete"
+        "the write is not released, because a later incarnation would treat the file as complete"
     );
 }
 
@@ -384,7 +408,8 @@
     simulation.advance(LEASE / 2);
     assert_eq!(
         simulation.released, 0,
-        "the replica's later incarnation may hold a lease of the writer's earlier incarnation"
+        "the write waits, because the replica's later incarnation may hold a lease of the writer's \
+         earlier incarnation"
     );
 }
 
@@ -404,7 +429,8 @@
     assert_eq!(simulation.missed.len(), 0, "{:?}", simulation.missed);
     assert!(
         uncertainties.iter().all(Option::is_some),
-        "the store lacks positions and records of unacknowledged writes"
+        "both replicas must be uncertain, because the store lacks positions and records of \
+         unacknowledged writes"
     );
     simulation.advance(RETENTION);
     assert_eq!(
@@ -452,7 +478,7 @@
         }
         assert!(
             simulation.missed.is_empty(),
-            "seed {seed}: {:?}",
+            "seed {seed}: reads missed released writes: {:?}",
             simulation.missed
         );
         certain_after += simulation.certain_reads;
@@ -497,6 +523,6 @@
             simulation.strong_reads.values().sum::<u64>()
         ),
         (0, 1),
-        "the read is answered exactly once"
+        "the read is answered exactly once, as a strong read"
     );
 }
--- a/crates/stackgw-sessions/tests/model.rs
+++ b/crates/stackgw-sessions/tests/model.rs
@@ -42,6 +42,7 @@
     /// The previous incarnation that wrote to the store.
     last_incarnation: u64,
     records: Vec<Record>,
+    /// Number of records that survive a crash.
     synced: usize,
     /// Number of records of earlier incarnations.
     recovered: usize,
@@ -84,8 +85,11 @@
     writes_made: Vec<Write>,
     /// Indexed by request number.
     reads_made: Vec<Read>,
+    /// Number of released writes.
     released: usize,
+    /// Whether some read was not required to see every commit.
     certain: bool,
+    /// Whether some read was not required to see a released write.
     missed: bool,
 }
 
@@ -140,7 +144,7 @@
         }
     }
 
-    /// A cluster that has run for long: each store has records that no write is missing.
+    /// Returns a cluster that has run for long: each store has records that no write is missing.
     fn initial_cluster(&self) -> Cluster {
         let replica_set =
             ReplicaSet::new((0..self.nodes).map(node_id), 2, &[LEASE, self.retention]);
@@ -178,8 +182,8 @@
             missed: false,
         };
         (0..self.nodes).for_each(|n| self.start(&mut cluster, n));
-        // After this, leases of earlier incarnations have ended and the instances hold each other's
-        // leases.
+        // After these 6 ticks, leases of earlier incarnations have ended, and the instances hold
+        // each other's leases.
         for _ in 0..6 {
             cluster.now += TICK;
             (0..self.nodes).for_each(|n| {
@@ -349,6 +353,7 @@
     }
 
     fn actions(&self, cluster: &Cluster, actions: &mut Vec<Action>) {
+        // The time at which the initial cluster is ready.
         let start = 106 * TICK;
         if cluster.now < start + self.ticks * TICK {
             actions.push(Action::Tick);
@@ -455,7 +460,12 @@
     acknowledges_early: false,
 };
 
-/// Whether no read missed a released write, in all states or in up to about `max_states` of them.
+/// Returns whether no read missed a released write, in all states or in up to about `max_states` of
+/// them.
+///
+/// # Panics
+///
+/// If no read was missed, but no read after a write, or after a write and a crash, was certain.
 fn check(name: &str, bounds: Bounds, max_states: Option<usize>) -> bool {
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get().min(8));
     let mut builder = bounds.checker().threads(threads);
@@ -494,19 +504,25 @@
 
 #[test]
 fn two_instances_exhaustively() {
-    assert!(check("two", SMALL, None));
+    assert!(
+        check("two", SMALL, None),
+        "a read missed a released write; its path is printed above"
+    );
 }
 
 #[test]
 fn an_acknowledgement_sent_too_early_is_found() {
-    assert!(!check(
-        "early",
-        Bounds {
-            acknowledges_early: true,
-            ..SMALL
-        },
-        None
-    ));
+    assert!(
+        !check(
+            "early",
+            Bounds {
+                acknowledges_early: true,
+                ..SMALL
+            },
+            None
+        ),
+        "the checker found no read that missed a write"
+    );
 }
 
 /// Takes minutes and is run by hand: `cargo test --release -p stackgw-sessions --test model --
@@ -515,30 +531,42 @@
 #[ignore = "takes minutes"]
 fn larger_bounds() {
     let max_states = Some(30_000_000);
-    assert!(check(
-        "two, more time and a lost store",
-        Bounds {
-            ticks: 2,
-            lost_stores: 1,
-            ..SMALL
-        },
-        None
-    ));
-    assert!(check(
-        "two, duplicates and two crashes",
-        Bounds {
-            crashes: 2,
-            duplicates: 1,
-            ..SMALL
-        },
-        max_states
-    ));
+    assert!(
+        check(
+            "two, more time and a lost store",
+            Bounds {
+                ticks: 2,
+                lost_stores: 1,
+                ..SMALL
+            },
+            None
+        ),
+        "a read missed a released write; its path is printed above"
+    );
+    assert!(
+        check(
+            "two, duplicates and two crashes",
+            Bounds {
+                crashes: 2,
+                duplicates: 1,
+                ..SMALL
+            },
+            max_states
+        ),
+        "a read missed a released write; its path is printed above"
+    );
     let short = Bounds {
         ticks: 6,
         retention: 4 * TICK,
         lost_stores: 1,
         ..SMALL
     };
-    assert!(check("two, a short retention", short, max_states));
-    assert!(check("three", Bounds { nodes: 3, ..SMALL }, max_states));
+    assert!(
+        check("two, a short retention", short, max_states),
+        "a read missed a released write; its path is printed above"
+    );
+    assert!(
+        check("three", Bounds { nodes: 3, ..SMALL }, max_states),
+        "a read missed a released write; its path is printed above"
+    );
 }
--- a/crates/stackgw-sessions/tests/stored_and_sent.rs
+++ b/crates/stackgw-sessions/tests/stored_and_sent.rs
@@ -159,7 +159,7 @@
         nodes
             .iter()
             .position(|known| *known == node)
-            .expect("one of the three")
+            .expect("an owner is one of the three replicas")
     };
     let owners = |n| {
         replica_set
@@ -177,7 +177,9 @@
     17_976_738_094_164_826_054,
     2_850_079_368_443_514_579,
 ];
+/// The key of the session `7f3a9c21e0b4d655` of group 2.
 const SESSION: u64 = 12_907_638_285_093_708_163;
+/// The digest of the replica set of `g0`, `g1` and `g2`.
 const REPLICA_SET: u64 = 16_563_709_622_201_792_816;
 /// The owners of sessions 0 to 5, as indices into the three instances.
 const OWNERS: [[usize; 2]; 6] = [[2, 1], [1, 0], [2, 1], [1, 2], [0, 2], [2, 0]];
@@ -215,6 +217,7 @@
 
 #[test]
 fn records_of_each_kind_are_recovered() {
+    // The version has 300 records; nine more are applied.
     let store_version = StoreVersion {
         records: 309,
         ..VERSION
