--- a/crates/stackgw-streams/src/channel_pool.rs
+++ b/crates/stackgw-streams/src/channel_pool.rs
@@ -32,7 +32,7 @@
 
 impl<M: Ord + Clone> ChannelPool<M> {
     /// Creates an empty pool whose connections carry up to `requests_per_channel` requests each; 0
-    /// counts as 1.
+    /// is treated as 1.
     pub fn new(requests_per_channel: usize) -> Self {
         ChannelPool {
             requests_per_channel: requests_per_channel.max(1),
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Assigns a request to a connection to `member`; adds a connection if none has capacity.
+    /// Assigns a request to a connection to `member`, and adds a connection if none has capacity.
+    /// Returns the connection's ID.
     pub fn assign(&mut self, member: &M) -> ChannelId {
         let fullest = self.fullest_available(member);
         let id = fullest.unwrap_or_else(|| self.add_channel(member));
@@ -52,6 +53,7 @@
 
     /// Removes a finished request from its connection. Returns `true` if that was the connection's
     /// last request: the connection has then been removed from the pool, and the caller closes it.
+    /// Returns `false` for a connection that is not in the pool.
     pub fn release(&mut self, id: ChannelId) -> bool {
         self.update(id, |channel| {
             channel.requests = channel.requests.saturating_sub(1);
@@ -69,7 +71,7 @@
     }
 
     /// Records that a connection failed or could not be established: no further request is assigned
-    /// to it. Its current requests end by themselves and still have to be released.
+    /// to it. The caller still has to release each of its current requests.
     pub fn mark_broken(&mut self, id: ChannelId) {
         self.update(id, |channel| channel.broken = true);
     }
--- a/crates/stackgw-streams/src/flow_control.rs
+++ b/crates/stackgw-streams/src/flow_control.rs
@@ -63,7 +63,7 @@
 
 /// Flow control over all bulk streams of a gateway.
 ///
-/// Calls with the id of a closed stream have no effect.
+/// Calls with the ID of a closed stream have no effect.
 #[derive(Debug)]
 pub struct FlowControl {
     limits: StreamLimits,
@@ -118,9 +118,12 @@
         }
     }
 
-    /// Requests permission to read one message from the stream's member. If it is granted,
-    /// [`StreamLimits::member_timeout`] starts; otherwise, [`FlowControl::take_resumed`] returns
-    /// the stream once the call can be repeated.
+    /// Requests permission to read one message from the stream's member. Returns whether it is
+    /// granted.
+    ///
+    /// If it is granted, [`StreamLimits::member_timeout`] starts. Otherwise,
+    /// [`FlowControl::take_resumed`] returns the stream once the call can be repeated, unless the
+    /// stream is closed or its member has sent its last message.
     pub fn try_read(&mut self, now: Time, id: StreamId) -> bool {
         let total_exhausted = self.buffered_bytes >= self.limits.bytes_total;
         let Some(stream) = self.streams.get_mut(&id) else {
@@ -155,7 +158,8 @@
         self.update_timeout(id);
     }
 
-    /// Records that the reader consumed a message, which frees its buffer space.
+    /// Records that the reader consumed a message, which frees its buffer space and restarts
+    /// [`StreamLimits::reader_timeout`].
     pub fn record_consumed(&mut self, now: Time, id: StreamId, bytes: usize) {
         let limit = self.limits.bytes_per_stream;
         let Some(stream) = self.streams.get_mut(&id) else {
@@ -197,17 +201,18 @@
     }
 
     /// Returns the streams for which [`FlowControl::try_read`] can be called again, and clears the
-    /// list of them.
+    /// list of them. Streams on the list may not have been denied a read, and may have been closed.
     pub fn take_resumed(&mut self) -> Vec<StreamId> {
         std::mem::take(&mut self.resumed)
     }
 
-    /// When [`FlowControl::expire`] has to be called next.
+    /// When [`FlowControl::expire`] has to be called next; `None` if no stream has a timeout.
     pub fn next_timeout(&self) -> Option<Time> {
         self.timeouts.first().map(|(at, _)| *at)
     }
 
-    /// Ends and closes the streams whose deadline or timeout has passed.
+    /// Ends and closes the streams whose deadline or timeout has passed. Returns them with the
+    /// reasons.
     pub fn expire(&mut self, now: Time) -> Vec<ExpiredStream> {
         let mut expired = Vec::new();
         while let Some((at, id)) = self.timeouts.first().copied() {
--- a/crates/stackgw-streams/src/lib.rs
+++ b/crates/stackgw-streams/src/lib.rs
@@ -14,12 +14,13 @@
 //!
 //! # Invariants
 //!
-//! The random histories under `tests/` assert these:
+//! The tests in `tests/histories.rs` check these:
 //!
 //! - A stream buffers at most [`StreamLimits::bytes_per_stream`] plus one message; all streams
 //!   together buffer at most [`StreamLimits::bytes_total`] plus one message per stream.
-//! - A stream that buffers nothing may always read, regardless of how much the other streams
-//!   buffer: no reader waits for another reader.
+//! - A stream that buffers nothing may read until its member has sent its last message, regardless
+//!   of how much the other streams buffer: no reader waits for another reader. This requires that
+//!   [`StreamLimits::bytes_per_stream`] is not 0.
 //! - Freed buffer space goes to the stream that has waited longest for it.
 //! - A stream is ended once, for one reason.
 
--- a/crates/stackgw-streams/src/limits.rs
+++ b/crates/stackgw-streams/src/limits.rs
@@ -8,7 +8,8 @@
 pub struct StreamLimits {
     /// Maximum number of streams open at once.
     pub max_streams: usize,
-    /// A stream that buffers this much reads no further messages.
+    /// A stream that buffers this much reads no further messages. If this is 0, no stream reads
+    /// any.
     pub bytes_per_stream: usize,
     /// Once all streams together buffer this much, only streams that buffer nothing may read.
     pub bytes_total: usize,
--- a/crates/stackgw-streams/tests/digest.rs
+++ b/crates/stackgw-streams/tests/digest.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Numbers ids in the order of their first appearance, because the ids do not expose their values.
+/// Numbers IDs in the order of their first appearance, because the IDs do not expose their values.
 struct IdNumbering<I>(BTreeMap<I, usize>);
 
 impl<I: Ord + Copy> IdNumbering<I> {
@@ -64,7 +64,8 @@
     }
 }
 
-/// A random history of flow control. Closed ids stay in use, as in late calls.
+/// Adds the results of a random history of flow control. Some calls use IDs of closed streams, as
+/// late calls do.
 fn flow_history(seed: u64, digest: &mut Digest) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut flow = FlowControl::new(random_limits(&mut random));
@@ -112,7 +113,8 @@
     }
 }
 
-/// A random history of a channel pool. Closed ids stay in use, as in late calls.
+/// Adds the results of a random history of a channel pool. Some calls use IDs of closed
+/// connections, as late calls do.
 fn channels_history(seed: u64, digest: &mut Digest) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut pool = ChannelPool::new(random.random_range(0..6));
--- a/crates/stackgw-streams/tests/histories.rs
+++ b/crates/stackgw-streams/tests/histories.rs
@@ -92,7 +92,12 @@
     fn open(&mut self) {
         match self.flow.open() {
             Ok(id) => drop(self.streams.insert(id, StreamModel::default())),
-            Err(TooManyStreams) => assert_eq!(self.streams.len(), LIMITS.max_streams),
+            Err(TooManyStreams) => assert_eq!(
+                self.streams.len(),
+                LIMITS.max_streams,
+                "a stream was rejected below the limit, {}",
+                self.context
+            ),
         }
     }
 
@@ -105,7 +110,7 @@
     fn finish_receiving(&mut self) {
         let id = self.pick();
         self.flow.finish_receiving(id);
-        let stream = self.streams.get_mut(&id).expect("stream exists");
+        let stream = self.streams.get_mut(&id).expect("the model has the stream");
         stream.receive_finished = true;
         stream.reading = false;
         stream.waiting = false;
@@ -113,7 +118,7 @@
 
     fn read(&mut self) {
         let id = self.pick();
-        let stream = self.streams.get_mut(&id).expect("stream exists");
+        let stream = self.streams.get_mut(&id).expect("the model has the stream");
         if !stream.receive_finished && !stream.reading && !stream.waiting {
             stream.reading = self.flow.try_read(self.now, id);
             let may_wait = !stream.buffered.is_empty();
@@ -134,7 +139,7 @@
 
     fn consume(&mut self) {
         let id = self.pick();
-        let stream = self.streams.get_mut(&id).expect("stream exists");
+        let stream = self.streams.get_mut(&id).expect("the model has the stream");
         if let Some(bytes) = stream.buffered.pop() {
             self.flow.record_consumed(self.now, id, bytes);
         }
@@ -144,10 +149,20 @@
         let context = &self.context;
         let sums = self.streams.values().map(StreamModel::buffered_bytes);
         let stream_limit = LIMITS.bytes_per_stream + MAX_MESSAGE_BYTES;
-        assert!(sums.clone().all(|sum| sum < stream_limit), "{context}");
-        assert_eq!(self.flow.buffered_bytes(), sums.sum::<usize>(), "{context}");
+        assert!(
+            sums.clone().all(|sum| sum < stream_limit),
+            "a stream buffers too much, {context}"
+        );
+        assert_eq!(
+            self.flow.buffered_bytes(),
+            sums.sum::<usize>(),
+            "the buffered bytes differ from the model, {context}"
+        );
         let total_limit = LIMITS.bytes_total + LIMITS.max_streams * MAX_MESSAGE_BYTES;
-        assert!(self.flow.buffered_bytes() < total_limit, "{context}");
+        assert!(
+            self.flow.buffered_bytes() < total_limit,
+            "all streams together buffer too much, {context}"
+        );
     }
 
     /// Checks that no stream is left waiting while space is free in total and the stream either
@@ -185,17 +200,20 @@
         bytes_per_stream: 80,
         ..LIMITS
     });
-    let [a, b, c] = [0; 3].map(|_| flow.open().expect("below the limit of streams"));
+    let [a, b, c] = [0; 3].map(|_| flow.open().expect("fewer streams than the limit are open"));
     for id in [a, b, c] {
         assert!(flow.try_read(0, id));
         flow.record_received(0, id, 40);
     }
-    assert!(!flow.try_read(0, b) && !flow.try_read(0, c) && !flow.try_read(0, a));
+    assert!(
+        !flow.try_read(0, b) && !flow.try_read(0, c) && !flow.try_read(0, a),
+        "120 of 100 bytes are buffered, so no stream may read"
+    );
     flow.record_consumed(0, a, 40);
     assert_eq!(
         flow.take_resumed(),
         [a, b],
-        "stream a, which buffers nothing; then b, which has waited longest"
+        "expected stream a, which buffers nothing, then stream b, which has waited longest"
     );
 }
 
@@ -203,7 +221,7 @@
 fn each_timeout_ends_a_stream_once_with_its_own_reason() {
     let run = |deadline: Option<Time>, action: &dyn Fn(&mut FlowControl, StreamId)| {
         let mut flow = FlowControl::new(LIMITS);
-        let id = flow.open().expect("below the limit of streams");
+        let id = flow.open().expect("fewer streams than the limit are open");
         deadline
             .into_iter()
             .for_each(|deadline| flow.set_deadline(id, deadline));
@@ -235,7 +253,7 @@
 #[test]
 fn slow_progress_and_an_unread_member_do_not_time_out() {
     let mut flow = FlowControl::new(LIMITS);
-    let id = flow.open().expect("below the limit of streams");
+    let id = flow.open().expect("fewer streams than the limit are open");
     let mut now = 0;
     for _ in 0..10 {
         while flow.try_read(now, id) {
@@ -273,7 +291,10 @@
     let any_has_capacity =
         existing.any(|channel| channel.member == member && channel.has_capacity());
     let is_new = !channels.contains_key(&id);
-    assert_eq!(is_new, !any_has_capacity, "seed {seed}");
+    assert_eq!(
+        is_new, !any_has_capacity,
+        "a connection is added only if none has capacity, seed {seed}"
+    );
     let channel = channels.entry(id).or_insert(ChannelModel {
         member,
         requests: 0,
@@ -281,7 +302,10 @@
     });
     channel.requests += 1;
     let is_allowed = channel.requests <= REQUESTS_PER_CHANNEL && !channel.broken;
-    assert!(channel.member == member && is_allowed, "seed {seed}");
+    assert!(
+        channel.member == member && is_allowed,
+        "the assigned connection is to another member, overfull or broken, seed {seed}"
+    );
 }
 
 #[test]
@@ -305,12 +329,20 @@
                 }
                 channel.requests -= 1;
                 let is_empty = channel.requests == 0;
-                assert_eq!(pool.release(id), is_empty, "seed {seed}");
+                assert_eq!(
+                    pool.release(id),
+                    is_empty,
+                    "a connection is closed with its last request, seed {seed}"
+                );
                 if is_empty {
                     channels.remove(&id);
                 }
             }
-            assert_eq!(pool.len(), channels.len(), "seed {seed}");
+            assert_eq!(
+                pool.len(),
+                channels.len(),
+                "the number of connections differs from the model, seed {seed}"
+            );
         }
     }
 }
