--- a/crates/stackgw-flight/src/backend/member_status.rs
+++ b/crates/stackgw-flight/src/backend/member_status.rs
@@ -12,7 +12,7 @@
 const READ_ONLY: &str = "25006";
 /// SQLSTATE of a request that the member has rejected.
 const OVERLOADED: &str = "53300";
-/// SQLSTATE of a request that may have run.
+/// SQLSTATE of a request that failed for any other reason, and may have run.
 const INTERNAL_ERROR: &str = "XX000";
 
 /// How the connection was lost, if the status was created locally because of that. Statuses sent by
--- a/crates/stackgw-flight/src/backend/request.rs
+++ b/crates/stackgw-flight/src/backend/request.rs
@@ -43,7 +43,7 @@
 pub(super) struct LostConnection {
     /// The reason to report to the gateway.
     pub(super) close_reason: CloseReason,
-    /// The reason to log; `None` if the connection was closed on purpose.
+    /// The reason to log; `None` if the connection was closed on purpose or the error has no text.
     pub(super) log_reason: Option<String>,
 }
 
@@ -100,7 +100,8 @@
     }
 
     /// Runs a write. A write that was sent may run at the member even if it is cancelled here, so
-    /// it is awaited even after its client has disconnected, to learn its outcome.
+    /// its response is awaited even after its client has disconnected. That it ended or timed out
+    /// is then logged.
     async fn run_write(&self, closed: &mut oneshot::Receiver<()>) -> RequestEnd {
         let mut response = std::pin::pin!(self.fetch_value());
         tokio::select! {
@@ -122,7 +123,8 @@
         RequestEnd::ClosedByGateway
     }
 
-    /// Sends the statement. Returns the response before its first message is read.
+    /// Sends the statement with GetFlightInfo and DoGet. Returns the response before its first
+    /// message is read.
     pub(super) async fn send(&self) -> Result<MemberResponse, Status> {
         let mut client = self.client();
         let timeout = Duration::from_millis(self.request.timeout_ms);
@@ -145,8 +147,9 @@
         Ok(MemberResponse { headers, messages })
     }
 
-    /// Asks the member to cancel the request, in the background. Members that detect reset streams
-    /// have already stopped it.
+    /// Requests in the background that the member cancel the request; has no effect before the
+    /// member has replied to GetFlightInfo. Members that detect reset streams have already stopped
+    /// it.
     pub(super) fn cancel(&self) {
         let Some(info) = lock(&self.flight_info).take() else {
             return;
@@ -162,7 +165,8 @@
         });
     }
 
-    /// Reports a member's error status to the gateway.
+    /// Handles an error status. Reports it to the gateway as the member's response, unless it was
+    /// created locally because the connection was lost.
     pub(super) async fn fail(&self, status: &Status) -> RequestEnd {
         if let Some(close_reason) = connection_loss(status) {
             let log_reason = Some(root_cause(status)).filter(|reason| !reason.is_empty());
--- a/crates/stackgw-flight/src/backend/stream.rs
+++ b/crates/stackgw-flight/src/backend/stream.rs
@@ -138,7 +138,8 @@
     !matches!(message_type(message), Some(MessageHeader::Schema) | None)
 }
 
-/// The type of a message, read from its header alone; `None` if the header is invalid.
+/// The type of a message, read from its header alone; `None` if the header is invalid. A message
+/// without a header that has application metadata is valid and has the type `NONE`.
 fn message_type(message: &FlightData) -> Option<MessageHeader> {
     if message.data_header.is_empty() && !message.app_metadata.is_empty() {
         return Some(MessageHeader::NONE);
--- a/crates/stackgw-flight/src/cancellation.rs
+++ b/crates/stackgw-flight/src/cancellation.rs
@@ -88,7 +88,8 @@
         self.request.cancelled.notified().await;
     }
 
-    /// Sets the function that is called when the request is cancelled.
+    /// Sets the function that is called when the request is cancelled from now on. It is not called
+    /// for an earlier cancellation.
     pub(crate) fn on_cancel(&self, cancel_stream: impl Fn() + Send + Sync + 'static) {
         *lock(&self.request.cancel_stream) = Some(Box::new(cancel_stream));
     }
--- a/crates/stackgw-flight/src/config.rs
+++ b/crates/stackgw-flight/src/config.rs
@@ -10,11 +10,13 @@
 pub struct ServerConfig {
     /// Address to listen on for clients.
     pub listen: SocketAddr,
-    /// Keys that seal tickets and prepared statements. All instances must have the same keys.
+    /// Keys that seal tickets, prepared statements and bearer tokens. All instances must have the
+    /// same keys.
     pub key_ring: Keyring,
     /// How long a ticket, a prepared statement or a bearer token is valid, in milliseconds.
     pub ticket_lifetime_ms: u64,
-    /// Default and maximum timeout of a request, in milliseconds.
+    /// Default and maximum timeout of a request, in milliseconds. Does not limit the duration of a
+    /// response stream.
     pub request_timeout_ms: u64,
     /// Maximum number of requests open at once.
     pub max_requests: usize,
@@ -29,7 +31,8 @@
     /// Groups whose members all speak Flight SQL. The schema of a response from such a group is not
     /// known before the response arrives.
     pub flight_groups: Vec<u32>,
-    /// Time reserved for sending the response before the client's deadline, in milliseconds.
+    /// Time reserved for sending the response before the client's deadline, in milliseconds; at
+    /// most half of the client's timeout is used.
     pub answer_slack_ms: u64,
     /// Users who may connect; `None` disables authentication.
     pub users: Option<Users>,
@@ -40,12 +43,13 @@
 pub struct BackendConfig {
     /// Timeout for establishing a connection, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Maximum number of requests on one connection.
+    /// Maximum number of requests on one connection; 0 is treated as 1.
     pub requests_per_channel: usize,
     /// Maximum size of a message, in bytes.
     pub max_message_bytes: usize,
     /// Maximum size of a single value, in bytes.
     pub max_value_bytes: usize,
     /// How long to wait for the outcome of a write whose client has disconnected, in milliseconds.
+    /// If the request's own timeout is longer, it is used instead.
     pub write_outcome_timeout_ms: u64,
 }
--- a/crates/stackgw-flight/src/frontend/batches.rs
+++ b/crates/stackgw-flight/src/frontend/batches.rs
@@ -19,7 +19,8 @@
 /// The messages of a response.
 pub(super) type FlightDataStream = BoxStream<'static, Result<FlightData, Status>>;
 
-/// Reads the parameters that a client binds: one batch with one row.
+/// Reads the parameters that a client binds: one batch with one row, of which columns with NULL are
+/// skipped.
 pub(super) async fn read_parameters(
     data: PeekableFlightDataStream,
 ) -> Result<Vec<ParameterValue>, Status> {
@@ -37,7 +38,7 @@
     values.ok_or_else(|| Status::invalid_argument("parameters are texts and bytes"))
 }
 
-/// The first row's value; `None` if the column is neither text nor bytes.
+/// The first row's value; `None` if the column's type is not supported for parameters.
 fn first_value(column: &ArrayRef) -> Option<ParameterValue> {
     let text = |text: &str| ParameterValue::Text(text.to_owned());
     let bytes = |bytes: &[u8]| ParameterValue::Bytes(bytes.to_vec());
--- a/crates/stackgw-flight/src/frontend/call.rs
+++ b/crates/stackgw-flight/src/frontend/call.rs
@@ -25,8 +25,9 @@
     })
 }
 
-/// The client's timeout in milliseconds, minus `answer_slack_ms`, at most half of the timeout. The
-/// client's timeout runs until the response has arrived, so that time is reserved for sending it.
+/// The client's timeout in milliseconds, reduced by `answer_slack_ms` or by half of the timeout,
+/// whichever is shorter; `None` if the client set no timeout. The client's timeout runs until the
+/// response has arrived, so some of it is reserved for sending the response.
 pub(super) fn timeout_ms(
     headers: &MetadataMap,
     answer_slack_ms: u64,
@@ -40,7 +41,7 @@
     Ok(Some(timeout_ms - answer_slack_ms.min(timeout_ms / 2)))
 }
 
-/// Parses up to 8 digits followed by a unit.
+/// Parses up to 8 digits followed by a unit to milliseconds, rounded down.
 fn parse_timeout_ms(text: &str) -> Option<u64> {
     let unit_at = text.len().checked_sub(1)?;
     let (digits, unit) = text.split_at_checked(unit_at)?;
--- a/crates/stackgw-flight/src/frontend/context.rs
+++ b/crates/stackgw-flight/src/frontend/context.rs
@@ -74,8 +74,8 @@
     }
 }
 
-/// Rejects statements that write. A ticket or a prepared statement may be used more than once, and
-/// a write must not run twice.
+/// Rejects statements that write, which must run through DoPut. DoGet may be called more than once
+/// with the same ticket or prepared statement, and a write must not run twice.
 pub(super) fn check_is_read(statement: &StatementTemplate) -> Result<(), Status> {
     if statement.is_write() {
         let text = "a statement that writes goes by DoPut";
--- a/crates/stackgw-flight/src/frontend/executor.rs
+++ b/crates/stackgw-flight/src/frontend/executor.rs
@@ -22,7 +22,8 @@
     gateway: RequestHandle,
     permits: Arc<Semaphore>,
     running: Arc<RunningRequests>,
-    /// Default and maximum timeout of a request, in milliseconds.
+    /// Default and maximum timeout of a request, in milliseconds. Does not limit the duration of a
+    /// response stream.
     max_timeout_ms: u64,
 }
 
@@ -101,7 +102,8 @@
         permits.try_acquire_owned().map_err(reject)
     }
 
-    /// Renders the statement's text for one execution, with a new random id.
+    /// Renders the statement's text for one execution, with a new random id unless the statement
+    /// sets an id.
     fn render(&self, statement: &StatementTemplate, timeout_ms: Option<u64>) -> String {
         let id = format!("f{:032x}", rand::random::<u128>());
         let timeout_ms = timeout_ms.unwrap_or(self.max_timeout_ms);
@@ -116,7 +118,7 @@
     Ok(())
 }
 
-/// The value of a served request; an error for all other outcomes.
+/// The value of a served request; an error for all other outcomes and for a row without a value.
 fn served_value(outcome: FinalResponse) -> Result<Option<Vec<u8>>, Status> {
     let FinalResponse::Served(row) = outcome else {
         return Err(to_status(&outcome));
--- a/crates/stackgw-flight/src/frontend/schemas.rs
+++ b/crates/stackgw-flight/src/frontend/schemas.rs
@@ -31,7 +31,8 @@
     Arc::new(Schema::new(vec![table_type]))
 }
 
-/// The unbound parameters of a statement: a key, and a value if the statement writes.
+/// The schema of a statement's unbound parameters, which does not depend on their places in the
+/// statement: the first one is described as a key, a second one as a value.
 pub(super) fn parameter_schema(statement: &StatementTemplate) -> Schema {
     let key = Field::new(KEY_COLUMN, DataType::Utf8, false);
     let value = Field::new(VALUE_COLUMN, DataType::Binary, false);
--- a/crates/stackgw-flight/src/relay/streams.rs
+++ b/crates/stackgw-flight/src/relay/streams.rs
@@ -60,6 +60,7 @@
         }
     }
 
+    /// Opens a stream; `None` if the maximum number of streams is open.
     pub(super) fn open(self: &Arc<Self>) -> Option<RelayStream> {
         let buffer = Arc::new(StreamBuffer::default());
         let id = self.update(|_, flow| flow.open()).ok()?;
@@ -71,6 +72,7 @@
         })
     }
 
+    /// Closes a stream, which releases its buffer space to other streams.
     pub(super) fn close(&self, id: StreamId) {
         self.update(|_, flow| flow.close(id));
         lock(&self.state).buffers.remove(&id);
--- a/crates/stackgw-flight/src/statement/mod.rs
+++ b/crates/stackgw-flight/src/statement/mod.rs
@@ -1,7 +1,8 @@
 //! Conversion of Flight SQL clients' statements to statements of the PostgreSQL protocol.
 //!
 //! If a statement's comment and the headers of its call set the same option, the values must be
-//! equal. `?` is the placeholder for the key and for the value.
+//! equal; of two timeouts, the shorter one applies. `?` is the placeholder for the key and for the
+//! value.
 
 mod comment;
 mod error;
--- a/crates/stackgw-flight/src/statement/template.rs
+++ b/crates/stackgw-flight/src/statement/template.rs
@@ -30,8 +30,9 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the statement or an option is malformed, if a required option is
-    /// missing, or if the comment and the headers contradict each other.
+    /// Returns an error if the statement is too long, if its comment or an option is malformed, if
+    /// the comment sets an option twice, if a required option is missing, or if the comment and the
+    /// headers contradict each other.
     pub fn parse(statement: &str, headers: &RequestOptions) -> Result<Self, StatementError> {
         if statement.len() > MAX_STATEMENT_BYTES {
             return Err(StatementError::TooLong);
@@ -73,7 +74,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StatementError::ParameterCount`] or [`StatementError::InvalidKey`].
+    /// Returns [`StatementError::ParameterCount`] if the number of values differs from the number
+    /// of unbound parameters, or [`StatementError::InvalidKey`] if a text could inject SQL.
     pub fn bind(&self, values: &[ParameterValue]) -> Result<Self, StatementError> {
         let sql = parameters::bind(&self.sql, values)?;
         Ok(StatementTemplate {
--- a/crates/stackgw-flight/src/tickets.rs
+++ b/crates/stackgw-flight/src/tickets.rs
@@ -52,7 +52,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`TicketError::Foreign`] or [`TicketError::Expired`].
+    /// Returns [`TicketError::Foreign`] if the bytes are not a handle sealed with one of the keys,
+    /// or [`TicketError::Expired`] if its expiry time has been reached.
     pub fn open(key_ring: &Keyring, handle: &[u8], now_ms: u64) -> Result<Self, TicketError> {
         let opened = key_ring.verify_sized(handle, usize::MAX);
         let Envelope { kind, body } = opened.map_err(|_| TicketError::Foreign)?;
--- a/crates/stackgw-flight/src/users.rs
+++ b/crates/stackgw-flight/src/users.rs
@@ -37,7 +37,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Users`] with the file and the invalid line.
+    /// Returns [`Error::Users`] if the file cannot be read, is not a regular file or is too large,
+    /// has an invalid line, or contains no users.
     pub fn read(scheme: AuthScheme, file: &Path) -> Result<Self, Error> {
         let secrets = read_secrets(file).map_err(|problem| Error::Users {
             file: file.to_owned(),
--- a/crates/stackgw-flight/tests/statements_and_tickets.rs
+++ b/crates/stackgw-flight/tests/statements_and_tickets.rs
@@ -24,7 +24,8 @@
 fn parse_rendered(text: &str) -> Statement {
     let mut bytes = Vec::new();
     write::query(&mut bytes, text);
-    Statement::parse(Frame { kind: b'Q', bytes }).expect("a statement of the PostgreSQL protocol")
+    Statement::parse(Frame { kind: b'Q', bytes })
+        .expect("the text is a statement of the PostgreSQL protocol")
 }
 
 #[test]
@@ -101,14 +102,17 @@
             class: Some(bad.to_owned()),
             ..headers()
         };
-        assert!(StatementTemplate::parse(SELECT, &forged).is_err(), "{bad}");
+        assert!(
+            StatementTemplate::parse(SELECT, &forged).is_err(),
+            "the class {bad:?} must be rejected"
+        );
     }
 }
 
 #[test]
 fn bound_parameters_cannot_inject_sql() {
     let insert = "INSERT INTO state (uid, val) VALUES (?, ?) RETURNING val";
-    let template = StatementTemplate::parse(insert, &headers()).expect("a valid statement");
+    let template = StatementTemplate::parse(insert, &headers()).expect("the statement is valid");
     assert_eq!(
         (template.unbound_parameters(), template.is_write()),
         (2, true)
@@ -134,7 +138,7 @@
                     ParameterValue::Bytes(vec![])
                 ])
                 .is_err(),
-            "{bad}"
+            "the key {bad:?} must be rejected"
         );
     }
 }
@@ -143,17 +147,19 @@
 fn forged_foreign_and_expired_handles_are_rejected() {
     let ring = |secret: &str| {
         Keyring::new(vec![
-            Key::new("flight", secret.as_bytes()).expect("a secret")
+            Key::new("flight", secret.as_bytes()).expect("the secret is valid")
         ])
-        .expect("keys")
+        .expect("the keys are a valid key ring")
     };
     let (ours, theirs) = (ring("a secret of this test"), ring("another secret of it"));
+    // The comment's unknown option of 5,000 bytes is ignored and does not become part of the
+    // ticket.
     let ticket = SealedHandle::Ticket {
         statement: StatementTemplate::parse(
             &format!("{SELECT} /* x={} */", "y".repeat(5_000)),
             &headers(),
         )
-        .expect("a valid statement"),
+        .expect("the statement is valid"),
         nonce: 7,
     };
     let sealed = ticket.seal(&ours, 1_000);
@@ -172,11 +178,12 @@
         assert_eq!(
             SealedHandle::open(&ours, &forged, 1),
             Err(TicketError::Foreign),
-            "byte {at}"
+            "a handle with byte {at} changed is not accepted"
         );
         assert_eq!(
             SealedHandle::open(&ours, &sealed[..at], 1),
-            Err(TicketError::Foreign)
+            Err(TicketError::Foreign),
+            "a handle cut to {at} bytes is not accepted"
         );
     }
     // A datagram between instances, signed with the same key, is not accepted as a handle.
@@ -201,7 +208,7 @@
         (FinalResponse::Malformed("no"), Code::InvalidArgument),
     ];
     for (outcome, code) in codes {
-        assert_eq!(to_status(&outcome).code(), code);
+        assert_eq!(to_status(&outcome).code(), code, "the code of {outcome:?}");
     }
 }
 
@@ -227,5 +234,8 @@
         );
     }
     std::fs::remove_file(&file).expect("the file exists");
-    assert!(Users::read(AuthScheme::Bearer, &file).is_err());
+    assert!(
+        Users::read(AuthScheme::Bearer, &file).is_err(),
+        "reading a file that does not exist must fail"
+    );
 }
--- a/crates/stackgw-flight/tests/wire_fixtures.rs
+++ b/crates/stackgw-flight/tests/wire_fixtures.rs
@@ -48,18 +48,19 @@
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    let byte =
-        |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two hexadecimal digits");
+    let byte = |at: usize| {
+        u8::from_str_radix(&text[at..at + 2], 16).expect("the text consists of hexadecimal digits")
+    };
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
 fn key_ring() -> Keyring {
-    let key = |secret: &str| Key::new("flight", secret.as_bytes()).expect("a secret");
+    let key = |secret: &str| Key::new("flight", secret.as_bytes()).expect("the secret is valid");
     Keyring::new(vec![
         key("the first secret of the fixtures"),
         key("the second secret of the fixtures"),
     ])
-    .expect("keys")
+    .expect("the keys are a valid key ring")
 }
 
 fn headers(class: &str, group: &str) -> RequestOptions {
@@ -84,10 +85,12 @@
 const INSERT: &str = "INSERT INTO state (uid, val) VALUES (?, ?) RETURNING val";
 
 fn handles() -> Vec<(&'static str, SealedHandle)> {
-    let read = StatementTemplate::parse(SELECT, &headers("look", "2")).expect("a statement");
+    let read =
+        StatementTemplate::parse(SELECT, &headers("look", "2")).expect("the statement is valid");
     let full = StatementTemplate::parse(&format!("{SELECT}; /* d=90 */"), &all_headers())
-        .expect("a statement");
-    let open = StatementTemplate::parse(INSERT, &headers("buy", "3")).expect("a statement");
+        .expect("the statement is valid");
+    let open =
+        StatementTemplate::parse(INSERT, &headers("buy", "3")).expect("the statement is valid");
     let values = [
         ParameterValue::Text("k1".to_owned()),
         ParameterValue::Bytes(vec![0, 1, 255]),
@@ -130,17 +133,22 @@
     }
     assert_equals_fixture("handles.txt", &actual);
     for (line, (name, sealed)) in fixture("handles.txt").lines().zip(handles()) {
-        let (recorded_name, handle) = line.split_once(' ').expect("a name and a handle");
-        assert_eq!(recorded_name, name);
+        let (recorded_name, handle) = line
+            .split_once(' ')
+            .expect("the line is a name and a handle");
+        assert_eq!(
+            recorded_name, name,
+            "the fixture lists the handles in order"
+        );
         assert_eq!(
             SealedHandle::open(&key_ring(), &unhex(handle), NOW_MS),
             Ok(sealed),
-            "{name}"
+            "the contents of the recorded handle {name}"
         );
         assert_eq!(
             SealedHandle::open(&key_ring(), &unhex(handle), EXPIRES_AT_MS),
             Err(TicketError::Expired),
-            "{name}"
+            "the recorded handle {name} has expired"
         );
     }
 }
@@ -269,7 +277,7 @@
     )
 }
 
-/// All properties of a statement, in one line.
+/// Describes all properties of a statement in one line.
 fn describe(template: &StatementTemplate) -> String {
     format!(
         "writes={} parameters={} group2={} group3={} wait={:?},{:?} text={} fresh={}",
@@ -300,9 +308,10 @@
 #[test]
 fn parameters_bind_as_recorded() {
     let text = |text: &str| ParameterValue::Text(text.to_owned());
-    let insert = StatementTemplate::parse(INSERT, &headers("buy", "3")).expect("a statement");
+    let insert =
+        StatementTemplate::parse(INSERT, &headers("buy", "3")).expect("the statement is valid");
     let quoted = StatementTemplate::parse("SELECT '?' WHERE uid = ?", &headers("look", "2"))
-        .expect("a statement");
+        .expect("the statement is valid");
     let cases = [
         (
             &insert,
