--- a/crates/stackgw-flight/src/statement/template.rs
+++ b/crates/stackgw-flight/src/statement/template.rs
@@ -53,19 +53,19 @@
         Ok(template)
     }
 
-    /// Whether the statement writes, judging by its first keyword.
+    /// Returns whether the statement writes, that is, whether it begins with `insert` in any case.
     pub fn is_write(&self) -> bool {
         self.sql
             .get(..INSERT.len())
             .is_some_and(|keyword| keyword.eq_ignore_ascii_case(INSERT))
     }
 
-    /// Whether the statement is addressed to this replication group.
+    /// Returns whether the statement is addressed to this replication group.
     pub fn is_for_group(&self, group: u32) -> bool {
         self.group.parse() == Ok(group)
     }
 
-    /// Number of unbound parameters.
+    /// Returns the number of unbound parameters.
     pub fn unbound_parameters(&self) -> usize {
         parameters::count_placeholders(&self.sql)
     }
@@ -103,12 +103,13 @@
         text + " */"
     }
 
-    /// The client's timeout in milliseconds: the shorter of the statement's and the call's timeout.
+    /// Returns the client's timeout in milliseconds: the shorter of the statement's and the call's
+    /// timeout; `None` if neither is set.
     pub fn timeout_ms(&self, call_timeout_ms: Option<u64>) -> Option<u64> {
         min_timeout(self.timeout_ms, call_timeout_ms)
     }
 
-    /// Removes the statement's id, so that each execution is a separate request.
+    /// Returns the statement without its id, so that each execution is a separate request.
     pub fn without_id(self) -> Self {
         StatementTemplate { id: None, ..self }
     }
--- a/crates/stackgw-sessions/src/identity.rs
+++ b/crates/stackgw-sessions/src/identity.rs
@@ -16,7 +16,7 @@
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// The ID of the instance with this name.
+    /// Returns the ID of the instance with this name.
     pub fn of(name: &str) -> Self {
         NodeId(xxh3_64(name.as_bytes()))
     }
@@ -41,7 +41,7 @@
 }
 
 impl Peer {
-    /// Addresses whichever incarnation of this instance is running.
+    /// Returns the address of whichever incarnation of this instance is running.
     pub fn any_incarnation(node: NodeId) -> Self {
         Peer {
             node,
@@ -67,7 +67,7 @@
 pub struct SessionKey(pub u64);
 
 impl SessionKey {
-    /// The key of a session in a group.
+    /// Returns the key of a session in a group.
     pub fn of(group: u32, session: &str) -> Self {
         SessionKey(xxh3_64_with_seed(session.as_bytes(), u64::from(group)))
     }
--- a/crates/stackgw-sessions/src/positions.rs
+++ b/crates/stackgw-sessions/src/positions.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The recorded position of a session, if it is within the retention.
+    /// Returns the recorded position of a session, if it is within the retention.
     pub fn get(&self, now: Time, key: SessionKey) -> Option<RecordedPosition> {
         let oldest = now.saturating_sub(self.retention);
         let is_live = |entry: &&Entry| entry.added_at >= oldest;
@@ -137,17 +137,17 @@
         })
     }
 
-    /// Number of recorded positions, without evicted ones.
+    /// Returns the number of recorded positions, without evicted ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no position is recorded, including evicted ones.
+    /// Returns whether neither recorded nor evicted positions are left.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty() && self.buckets.is_empty()
     }
 
-    /// How many positions were evicted because the maximum number was exceeded.
+    /// Returns how many positions were evicted because the maximum number was exceeded.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
--- a/crates/stackgw-sessions/src/replica_set.rs
+++ b/crates/stackgw-sessions/src/replica_set.rs
@@ -41,12 +41,12 @@
         self.digest
     }
 
-    /// All replicas, ordered by ID.
+    /// Returns all replicas, ordered by ID.
     pub fn replicas(&self) -> &[NodeId] {
         &self.replicas
     }
 
-    /// Whether the instance `node` is a replica of this set.
+    /// Returns whether the instance `node` is a replica of this set.
     pub fn contains(&self, node: NodeId) -> bool {
         self.replicas.binary_search(&node).is_ok()
     }
@@ -69,7 +69,7 @@
         best.into_iter().map(|(_, node)| node)
     }
 
-    /// Whether this replica is an owner of a session.
+    /// Returns whether the replica `node` is an owner of a session.
     pub fn is_owner(&self, key: SessionKey, node: NodeId) -> bool {
         self.owners(key).any(|owner| owner == node)
     }
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -49,12 +49,12 @@
         sessions
     }
 
-    /// Whether this instance is a session replica.
+    /// Returns whether this instance is a session replica.
     pub fn is_replica(&self) -> bool {
         self.instance.is_replica()
     }
 
-    /// The replica set in force.
+    /// Returns the replica set in force.
     pub fn replica_set(&self) -> &ReplicaSet {
         &self.instance.replica_set
     }
@@ -195,14 +195,14 @@
         }
     }
 
-    /// Whether responses to writes can be released at all. Returns `false` if this instance is a
-    /// replica whose store failed and whose file stayed in place. The host should then reject
+    /// Returns whether responses to writes can be released at all. Returns `false` if this instance
+    /// is a replica whose store failed and whose file stayed in place. The host should then reject
     /// writes before they are executed.
     pub fn can_release(&self) -> bool {
         self.instance.can_release()
     }
 
-    /// When [`Sessions::handle_timeout`] must be called next; [`Time::MAX`] if there is no
+    /// Returns when [`Sessions::handle_timeout`] must be called next; [`Time::MAX`] if there is no
     /// deadline.
     pub fn next_deadline(&self) -> Time {
         let lease_request = if self.is_replica() {
@@ -215,7 +215,8 @@
             .min(self.writer.next_deadline())
     }
 
-    /// Handles all deadlines that have passed.
+    /// Handles all deadlines that have passed: resends messages, queries further owners, requests
+    /// leases and drops expired data. Also releases the responses that no longer have to wait.
     pub fn handle_timeout(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let mut context = Context::new(now, &mut self.instance, outputs);
         self.reader.handle_timeout(&mut context);
@@ -229,7 +230,7 @@
         self.writer.release_ready(&mut context);
     }
 
-    /// The state of this instance, for operators.
+    /// Returns the state of this instance, for operators.
     pub fn status(&self, now: Time) -> Status {
         let log = self.writer.log();
         let peers = log.peers().iter().map(|(node, peer)| PeerStatus {
--- a/crates/stackgw-streams/src/channel_pool.rs
+++ b/crates/stackgw-streams/src/channel_pool.rs
@@ -76,12 +76,12 @@
         self.update(id, |channel| channel.broken = true);
     }
 
-    /// Number of connections.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.channels.len()
     }
 
-    /// Whether there is no connection.
+    /// Returns whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.channels.is_empty()
     }
--- a/crates/stackgw-streams/src/flow_control.rs
+++ b/crates/stackgw-streams/src/flow_control.rs
@@ -110,7 +110,7 @@
         Ok(id)
     }
 
-    /// Sets the client's deadline.
+    /// Sets the client's deadline, which replaces an earlier one.
     pub fn set_deadline(&mut self, id: StreamId, deadline: Time) {
         if let Some(stream) = self.streams.get_mut(&id) {
             stream.deadline = Some(deadline);
@@ -206,7 +206,8 @@
         std::mem::take(&mut self.resumed)
     }
 
-    /// When [`FlowControl::expire`] has to be called next; `None` if no stream has a timeout.
+    /// Returns when [`FlowControl::expire`] has to be called next; `None` if no stream has a
+    /// timeout.
     pub fn next_timeout(&self) -> Option<Time> {
         self.timeouts.first().map(|(at, _)| *at)
     }
@@ -228,17 +229,17 @@
         expired
     }
 
-    /// Bytes buffered by all streams.
+    /// Returns the number of bytes buffered by all streams.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Number of open streams.
+    /// Returns the number of open streams.
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
-    /// Whether no stream is open.
+    /// Returns whether no stream is open.
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
