--- a/crates/stackgw-flight/src/status.rs
+++ b/crates/stackgw-flight/src/status.rs
@@ -7,7 +7,8 @@
 use tonic::{Code, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
-/// Returns the text of an error's innermost source. The outer text of transport errors has no details.
+/// Returns the text of an error's innermost source. The outer text of transport errors has no
+/// details.
 pub fn root_cause(error: &dyn std::error::Error) -> String {
     let mut innermost = error;
     while let Some(source) = innermost.source() {
