--- a/crates/stackgw-flight/src/statement/template.rs
+++ b/crates/stackgw-flight/src/statement/template.rs
@@ -30,8 +30,9 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the statement or an option is malformed, if a required option is
-    /// missing, or if the comment and the headers contradict each other.
+    /// Returns an error if the statement is too long, if its comment or an option is malformed, if
+    /// the comment sets an option twice, if a required option is missing, or if the comment and the
+    /// headers contradict each other.
     pub fn parse(statement: &str, headers: &RequestOptions) -> Result<Self, StatementError> {
         if statement.len() > MAX_STATEMENT_BYTES {
             return Err(StatementError::TooLong);
@@ -52,19 +53,19 @@
         Ok(template)
     }
 
-    /// Whether the statement writes, judging by its first keyword.
+    /// Returns whether the statement writes, that is, whether it begins with `insert` in any case.
     pub fn is_write(&self) -> bool {
         self.sql
             .get(..INSERT.len())
             .is_some_and(|keyword| keyword.eq_ignore_ascii_case(INSERT))
     }
 
-    /// Whether the statement is addressed to this replication group.
+    /// Returns whether the statement is addressed to this replication group.
     pub fn is_for_group(&self, group: u32) -> bool {
         self.group.parse() == Ok(group)
     }
 
-    /// Number of unbound parameters.
+    /// Returns the number of unbound parameters.
     pub fn unbound_parameters(&self) -> usize {
         parameters::count_placeholders(&self.sql)
     }
@@ -73,7 +74,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StatementError::ParameterCount`] or [`StatementError::InvalidKey`].
+    /// Returns [`StatementError::ParameterCount`] if the number of values differs from the number
+    /// of unbound parameters, or [`StatementError::InvalidKey`] if a text could inject SQL.
     pub fn bind(&self, values: &[ParameterValue]) -> Result<Self, StatementError> {
         let sql = parameters::bind(&self.sql, values)?;
         Ok(StatementTemplate {
@@ -101,12 +103,13 @@
         text + " */"
     }
 
-    /// The client's timeout in milliseconds: the shorter of the statement's and the call's timeout.
+    /// Returns the client's timeout in milliseconds: the shorter of the statement's and the call's
+    /// timeout; `None` if neither is set.
     pub fn timeout_ms(&self, call_timeout_ms: Option<u64>) -> Option<u64> {
         min_timeout(self.timeout_ms, call_timeout_ms)
     }
 
-    /// Removes the statement's id, so that each execution is a separate request.
+    /// Returns the statement without its id, so that each execution is a separate request.
     pub fn without_id(self) -> Self {
         StatementTemplate { id: None, ..self }
     }
--- a/crates/stackgw-sessions/src/identity.rs
+++ b/crates/stackgw-sessions/src/identity.rs
@@ -7,8 +7,8 @@
 /// The host's number for a write or a read.
 pub type RequestNumber = u64;
 
-/// As a destination, means whichever incarnation is running. As the last known incarnation, means
-/// that none is known yet.
+/// An incarnation number that no incarnation has. In a destination, it stands for whichever
+/// incarnation is running; as the last known incarnation, it means that none is known yet.
 pub const ANY_INCARNATION: u64 = 0;
 
 /// Identifies an instance by a hash of its name. The ID stays the same across restarts.
@@ -16,7 +16,7 @@
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// The ID of the instance with this name.
+    /// Returns the ID of the instance with this name.
     pub fn of(name: &str) -> Self {
         NodeId(xxh3_64(name.as_bytes()))
     }
@@ -41,7 +41,7 @@
 }
 
 impl Peer {
-    /// Addresses whichever incarnation of this instance is running.
+    /// Returns the address of whichever incarnation of this instance is running.
     pub fn any_incarnation(node: NodeId) -> Self {
         Peer {
             node,
@@ -61,13 +61,13 @@
 
 /// Identifies a session within its group by a hash of both.
 ///
-/// Sessions whose keys collide share their positions. Their reads then require newer data than
+/// Sessions whose keys collide share their positions. Their reads may then require newer data than
 /// necessary, so a collision costs some performance but never correctness.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionKey(pub u64);
 
 impl SessionKey {
-    /// The key of a session in a group.
+    /// Returns the key of a session in a group.
     pub fn of(group: u32, session: &str) -> Self {
         SessionKey(xxh3_64_with_seed(session.as_bytes(), u64::from(group)))
     }
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -49,17 +49,20 @@
         sessions
     }
 
-    /// Whether this instance is a session replica.
+    /// Returns whether this instance is a session replica.
     pub fn is_replica(&self) -> bool {
         self.instance.is_replica()
     }
 
-    /// The replica set in force.
+    /// Returns the replica set in force.
     pub fn replica_set(&self) -> &ReplicaSet {
         &self.instance.replica_set
     }
 
-    /// Replaces the list of replicas. Leases and histories of the old replica set are discarded.
+    /// Replaces the list of replicas; has no effect if the replica set stays the same.
+    ///
+    /// Discards the leases that this instance holds and what it knows of the other replicas'
+    /// histories. Leases that it has granted stay in effect until they end.
     pub fn set_replicas(&mut self, now: Time, replicas: Vec<NodeId>, outputs: &mut Vec<Output>) {
         let was_replica = self.is_replica();
         self.instance.settings.replicas = replicas;
@@ -132,7 +135,8 @@
         }
     }
 
-    /// Handles a message from an incarnation of a peer to an incarnation of this instance.
+    /// Handles a message from an incarnation of a peer to an incarnation of this instance. Ignores
+    /// and counts a message for another incarnation, from an earlier one or with an invalid sender.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -168,8 +172,8 @@
     ///
     /// If its file was set aside, so that no later incarnation reads it, this incarnation continues
     /// without a store. If the file was left in place, a later incarnation would treat it as
-    /// complete: this incarnation then acknowledges and releases nothing any more, and is no longer
-    /// certain.
+    /// complete: this incarnation then acknowledges nothing, releases nothing while it is a
+    /// replica, and is no longer certain.
     pub fn handle_store_failure(
         &mut self,
         now: Time,
@@ -178,7 +182,7 @@
     ) {
         match failure {
             StoreFailure::LeftInPlace => {
-                self.instance.durability.fail();
+                self.instance.durability.mark_failed();
                 self.replica.drop_acknowledgements();
             }
             StoreFailure::SetAside => {
@@ -191,14 +195,15 @@
         }
     }
 
-    /// Whether responses to writes can be released at all. They cannot be after the store of a
-    /// replica failed and its file stayed in place. The host should then reject writes before they
-    /// are executed.
+    /// Returns whether responses to writes can be released at all. Returns `false` if this instance
+    /// is a replica whose store failed and whose file stayed in place. The host should then reject
+    /// writes before they are executed.
     pub fn can_release(&self) -> bool {
         self.instance.can_release()
     }
 
-    /// When [`Sessions::handle_timeout`] must be called next.
+    /// Returns when [`Sessions::handle_timeout`] must be called next; [`Time::MAX`] if there is no
+    /// deadline.
     pub fn next_deadline(&self) -> Time {
         let lease_request = if self.is_replica() {
             self.replica.next_lease_request_at()
@@ -210,7 +215,8 @@
             .min(self.writer.next_deadline())
     }
 
-    /// Handles all deadlines that have passed.
+    /// Handles all deadlines that have passed: resends messages, queries further owners, requests
+    /// leases and drops expired data. Also releases the responses that no longer have to wait.
     pub fn handle_timeout(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let mut context = Context::new(now, &mut self.instance, outputs);
         self.reader.handle_timeout(&mut context);
@@ -224,7 +230,7 @@
         self.writer.release_ready(&mut context);
     }
 
-    /// The state of this instance, for operators.
+    /// Returns the state of this instance, for operators.
     pub fn status(&self, now: Time) -> Status {
         let log = self.writer.log();
         let peers = log.peers().iter().map(|(node, peer)| PeerStatus {
@@ -305,8 +311,9 @@
         }
     }
 
-    /// Invalidates the store after a peer has reported that it is outdated at version `reported`.
-    /// Resets the version of the store and the history of this instance.
+    /// Invalidates the store after a peer has reported that it is outdated at version `reported`:
+    /// resets the version of the store and the history of this instance. Has no effect if there is
+    /// no store or the report is about a different one.
     fn invalidate_store(&mut self, now: Time, reported: StoreVersion, outputs: &mut Vec<Output>) {
         let incarnation = self.instance.local().incarnation;
         let new_version = self
@@ -391,9 +398,9 @@
     let replica_set = settings.replica_set();
     let recorded_set = recovered.and_then(|recovered| recovered.replica_set);
     // An instance outside of the replica set grants no leases, so there are none of earlier
-    // incarnations to honor. If the store has the same set, leases were granted only to owners by
-    // that set, and these are assumed to hold one. Otherwise it is not known to whom leases were
-    // granted, and nothing is released until they have ended.
+    // incarnations to honor. If the store has the same set, leases were granted only to replicas of
+    // that set, and each of these is assumed to hold one. Otherwise, it is not known to which
+    // replicas leases were granted, and nothing is released until all of them have ended.
     let is_same_set = recorded_set == Some(replica_set.digest());
     if is_same_set || !replica_set.contains(settings.local.node) {
         log.allow_release(now);
