--- a/crates/stackgw-cli/src/cmd/demo.rs
+++ b/crates/stackgw-cli/src/cmd/demo.rs
@@ -1,4 +1,7 @@
-//! `stackgw demo`: runs a fleet on loopback, kills gateways between writes and reads, and audits session consistency.
+//! `stackgw demo`: runs members, gateways and clients on loopback.
+//!
+//! By default it injects faults between writes and reads (gateways are killed, paused, partitioned or lose their stores, a
+//! replica becomes slow) and audits session consistency. With `--start` it measures cold starts of the fleet instead.
 
 use crate::error::CommandResult;
 use clap::Args;
@@ -19,13 +22,13 @@
 /// Requests per second over all gateways of the cold start demo.
 const FLEET_LOAD: f64 = 300.0;
 
-/// Run fake members, gateways and clients on loopback and kill gateways.
+/// Run fake members, gateways and clients on loopback, inject faults, and audit session consistency.
 #[derive(Args)]
 pub struct Demo {
     /// Number of gateways.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=16))]
     gateways: u16,
-    /// Number of gateways that are session replicas; by default all.
+    /// Number of gateways that are session replicas, from 1 to all of them; by default all.
     #[arg(long)]
     keepers: Option<u16>,
     /// Write-read pairs to complete.
@@ -40,7 +43,8 @@
     /// Pause before each further read, in milliseconds.
     #[arg(long, default_value_t = 40)]
     pause_ms: u64,
-    /// Interval at which a gateway is killed and restarted, in milliseconds; 0 disables this.
+    /// Pause before each injected fault, in milliseconds; 0 disables all faults. At least half of the faults kill and restart one
+    /// gateway; the others kill all gateways, pause or partition one, or slow down a replica.
     #[arg(long, default_value_t = 700)]
     kill_every_ms: u64,
     /// Replication lag of each replica, in milliseconds.
@@ -55,35 +59,39 @@
     /// Run the session replicas without stores on disk.
     #[arg(long)]
     no_disks: bool,
-    /// Don't share sessions between gateways, to show which writes reads then miss.
+    /// Don't share sessions between gateways, to show that reads then miss writes of their sessions; the command fails if they do.
     #[arg(long)]
     off: bool,
     /// Members speak Arrow Flight SQL, and gateways offer it in addition to the PostgreSQL protocol.
     #[cfg(feature = "flight")]
     #[arg(long, conflicts_with = "off")]
     flight: bool,
-    /// Run the cold start demo instead: a fleet that starts all at once, without its list service, and with cold members.
+    /// Run the cold start demo instead: at least three gateways start all at once, lose their list service for six seconds, start
+    /// again while it is down, and start with cold members. Of the other options, only --gateways, --seed and --json apply.
     #[arg(long, conflicts_with = "off")]
     start: bool,
-    /// Afterwards print the gateways' addresses and keep running until standard input is closed.
+    /// After the audit, print the gateways' addresses and classes, and keep the gateways running until standard input is closed.
     #[arg(long)]
     hold: bool,
     /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Time limit, in seconds.
+    /// Time limit of the audit, in seconds.
     #[arg(long, default_value_t = 600)]
     most_s: u64,
-    /// Print the verdict as JSON.
+    /// Print the verdict as JSON; with --start, print the report as JSON after the text.
     #[arg(long)]
     json: bool,
 }
 
 impl Demo {
-    /// Runs the demo and prints the verdict.
+    /// Runs the demo and prints the verdict or, with `--start`, the results of each phase.
     ///
     /// # Errors
-    /// If a read missed a write of its session, or a request was lost or executed twice.
+    /// - The members or gateways can't be started.
+    /// - The audit: a read missed a write of its session, a request got no answer or more than one, a write ran more than once, or
+    ///   a write ran or didn't run contrary to its answer.
+    /// - `--start`: a request was lost or duplicated, a read was stale, or a member collapsed.
     pub fn run(self) -> CommandResult {
         if self.start {
             return self.show_cold_start();
@@ -92,7 +100,7 @@
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let verdict = self.audit(&folder);
-        // The logs are kept for diagnosis if the audit found faults.
+        // The logs are kept for diagnosis if the audit found errors, except with `--off`, which is expected to cause some.
         let keeps_logs = verdict
             .as_ref()
             .is_ok_and(|verdict| !verdict.is_good() && !self.off);
@@ -109,16 +117,16 @@
             Ok(())
         } else if self.off {
             Err(
-                "reads missed writes of their sessions, as expected when sessions are not shared"
+                "the audit found errors; reads are expected to miss writes when sessions are not shared"
                     .into(),
             )
         } else {
             let folder = folder.display();
-            Err(format!("the audit found faults; the logs are in {folder}").into())
+            Err(format!("the audit found errors; the logs are in {folder}").into())
         }
     }
 
-    /// Runs a fleet's cold start and prints the load and availability of each phase.
+    /// Runs the phases of the cold start demo, and prints the load and availability of each.
     fn show_cold_start(&self) -> CommandResult {
         let fleet = usize::from(self.gateways.max(MIN_FLEET));
         println!("{fleet} gateways, three members, one list service; each phase lasts ten seconds");
@@ -137,17 +145,17 @@
         if self.json {
             println!("{}", serde_json::to_string(&report)?);
         }
-        let faults_of = |phase: &&PhaseReport| phase.faults + phase.member_load.collapses;
-        match report.phases().iter().map(faults_of).sum::<u64>() {
+        let errors_of = |phase: &&PhaseReport| phase.faults + phase.member_load.collapses;
+        match report.phases().iter().map(errors_of).sum::<u64>() {
             0 => Ok(()),
-            faults => Err(format!(
-                "{faults} faults (lost, duplicate or stale requests, member collapses)"
+            errors => Err(format!(
+                "{errors} errors (lost or duplicate requests, stale reads, member collapses)"
             )
             .into()),
         }
     }
 
-    /// Runs the session audit while gateways are killed.
+    /// Runs the session audit, with faults unless they are disabled, and returns its verdict.
     fn audit(&self, folder: &Path) -> CommandResult<Verdict> {
         let group = ReplicaGroup::start_with(GroupConfig {
             protocol: self.member_protocol(),
@@ -155,7 +163,9 @@
         })?;
         let gateways = GatewayFleet::start(self.fleet_config(&group, folder)?)?;
         if self.kill_every_ms == 0 && !self.off {
-            // Without faults, show the steady state: wait until all session replicas are sure.
+            // Without faults, show the steady state, in which each session replica is certain: it knows the positions that its
+            // reads must see. A replica that starts without a store is uncertain for the retention; the three lease durations
+            // leave time to obtain a lease from every other replica.
             let settle_ms = self.horizon_ms + 3 * self.lease_ms;
             std::thread::sleep(Duration::from_millis(settle_ms));
         }
@@ -166,7 +176,7 @@
         });
         bar.finish_and_clear();
         if self.hold {
-            hold(&gateways);
+            wait_for_stdin_to_close(&gateways);
         }
         Ok(verdict)
     }
@@ -212,6 +222,7 @@
     }
 
     fn audit_plan(&self) -> AuditPlan {
+        // Long enough for leases to expire meanwhile.
         let two_leases = Duration::from_millis(self.lease_ms * 2);
         let faults = Faults {
             kill_interval: Duration::from_millis(self.kill_every_ms.max(1)),
@@ -252,7 +263,7 @@
     };
     println!(
         "{name}: {} list polls ({} in the worst 100 ms), ready {ready}, {:.1}% served in time, {} handshakes, \
-         cold members at {:.0}% of the load at which they collapse",
+         cold members at up to {:.0}% of the load at which they collapse",
         phase.polls.total,
         phase.polls.peak,
         phase.served_fraction * 100.0,
@@ -262,7 +273,7 @@
 }
 
 /// Prints the gateways' addresses, and waits until standard input is closed.
-fn hold(gateways: &GatewayFleet) {
+fn wait_for_stdin_to_close(gateways: &GatewayFleet) {
     for index in 0..gateways.len() {
         let address = match gateways.address(index) {
             Some(address) => address.to_string(),
--- a/crates/stackgw-cli/src/cmd/measure/sessions.rs
+++ b/crates/stackgw-cli/src/cmd/measure/sessions.rs
@@ -1,4 +1,7 @@
 //! `stackgw measure sessions`: the cost of shared sessions.
+//!
+//! Each case has a busy phase, in which 8 clients read without pauses, and a calm phase, in which 48 clients pause before each
+//! further read.
 
 use super::table::{print_head, print_row, Column};
 use crate::error::CommandResult;
@@ -7,7 +10,7 @@
 use stackgw_testkit::measure::sessions::SessionCostPlan;
 use stackgw_testkit::{FleetMode, Percentiles};
 
-/// Shared sessions: off, always cautious, on without disks, on with disks.
+/// Sessions that are not shared, shared but always cautious (reads see every commit), shared without disks, shared with disks.
 #[derive(Args)]
 pub struct SessionsCost {
     /// Fleet sizes, in gateways.
@@ -16,7 +19,7 @@
     /// Number of rounds; each round runs every case once.
     #[arg(long, default_value_t = 3)]
     rounds: u64,
-    /// Write-read pairs in the busy phase of each case.
+    /// Write-read pairs in the busy phase of each case, in which clients read without pauses.
     #[arg(long, default_value_t = 2_000)]
     pairs: u64,
     /// Print each case as a line of JSON.
@@ -24,8 +27,9 @@
     json: bool,
 }
 
-/// A retention that is longer than any measurement, so that all reads stay cautious.
-const ENDLESS_RETENTION_MS: u64 = 3_000_000;
+/// Fifty minutes, longer than any measurement of a case. Session replicas that start without a store are uncertain for the
+/// retention, so all session reads of the case are strong reads.
+const LONG_RETENTION_MS: u64 = 3_000_000;
 
 const RETENTION_MS: u64 = 2_000;
 
@@ -48,7 +52,7 @@
         name: "cautious",
         mode: FleetMode::SharedSessions,
         has_disks: false,
-        retention_ms: ENDLESS_RETENTION_MS,
+        retention_ms: LONG_RETENTION_MS,
     },
     Case {
         name: "on, no disks",
@@ -72,7 +76,7 @@
     case: &'static str,
     write_us: Percentiles,
     read_us: Percentiles,
-    /// The fraction of session reads that replicas served, in the calm phase.
+    /// The fraction of reads that replicas ran in the calm phase.
     replicas: f64,
     /// CPU time of all gateways per request, in microseconds.
     cpu_us: f64,
@@ -84,42 +88,42 @@
 const COLUMNS: [Column<Line>; 8] = [
     Column {
         heading: "write p50 us",
-        figure: |line| line.write_us.p50 as f64,
+        value: |line| line.write_us.p50 as f64,
         digits: 0,
     },
     Column {
         heading: "write p99 us",
-        figure: |line| line.write_us.p99 as f64,
+        value: |line| line.write_us.p99 as f64,
         digits: 0,
     },
     Column {
         heading: "read p50 us",
-        figure: |line| line.read_us.p50 as f64,
+        value: |line| line.read_us.p50 as f64,
         digits: 0,
     },
     Column {
         heading: "read p99 us",
-        figure: |line| line.read_us.p99 as f64,
+        value: |line| line.read_us.p99 as f64,
         digits: 0,
     },
     Column {
         heading: "by replicas",
-        figure: |line| line.replicas,
+        value: |line| line.replicas,
         digits: 3,
     },
     Column {
         heading: "cpu us a request",
-        figure: |line| line.cpu_us,
+        value: |line| line.cpu_us,
         digits: 0,
     },
     Column {
         heading: "MiB",
-        figure: |line| line.memory_mb,
+        value: |line| line.memory_mb,
         digits: 1,
     },
     Column {
         heading: "misses",
-        figure: |line| line.misses as f64,
+        value: |line| line.misses as f64,
         digits: 0,
     },
 ];
@@ -176,8 +180,8 @@
     println!("{instances} gateways: median (least to most) over the rounds");
     print_head(&["case"], &COLUMNS);
     for case in &CASES {
-        let is_round = |line: &&Line| line.instances == instances && line.case == case.name;
-        let rounds: Vec<_> = lines.iter().filter(is_round).collect();
+        let is_of_case = |line: &&Line| line.instances == instances && line.case == case.name;
+        let rounds: Vec<_> = lines.iter().filter(is_of_case).collect();
         print_row(&[case.name], &COLUMNS, &rounds);
     }
 }
--- a/crates/stackgw-cli/src/cmd/measure/start.rs
+++ b/crates/stackgw-cli/src/cmd/measure/start.rs
@@ -15,10 +15,11 @@
     /// Fleet sizes, in gateways.
     #[arg(long, value_delimiter = ',', default_values_t = [100u16, 200, 300])]
     gateways: Vec<u16>,
-    /// Ways of getting the endpoint list to measure: off, alone, undealt, cluster.
+    /// Cases to measure. off: gateways have the platform's configuration alone; alone: and bootstrap settings; cluster: and form a
+    /// cluster; undealt: as cluster, but connections to members are not paced.
     #[arg(long, value_delimiter = ',', default_values_t = ["off".to_owned(), "alone".to_owned(), "cluster".to_owned()])]
     cases: Vec<String>,
-    /// An earlier build of this program, measured as the case `before`.
+    /// An earlier build of this program, measured as the case `before` with the configuration of the case off.
     #[arg(long)]
     before: Option<PathBuf>,
     /// Requests per second over all gateways; the members' warm capacity is twice this.
@@ -27,7 +28,7 @@
     /// Number of rounds; each round runs every case once.
     #[arg(long, default_value_t = 3)]
     rounds: u64,
-    /// Fraction of a cold member's capacity that handshakes may use, in cases where connections are paced.
+    /// Fraction of a cold member's capacity that handshakes may use, in the cases alone and cluster.
     #[arg(long, default_value_t = DEFAULT_HANDSHAKE_FRACTION)]
     opens: f64,
     /// Seed of all random choices; incremented for each round.
@@ -50,67 +51,67 @@
 const COLUMNS: [Column<PhaseReport>; 13] = [
     Column {
         heading: "list asks",
-        figure: |phase| phase.polls.total as f64,
+        value: |phase| phase.polls.total as f64,
         digits: 0,
     },
     Column {
         heading: "in the worst 100 ms",
-        figure: |phase| phase.polls.peak as f64,
+        value: |phase| phase.polls.peak as f64,
         digits: 0,
     },
     Column {
         heading: "refused",
-        figure: |phase| phase.polls.rejected as f64,
+        value: |phase| phase.polls.rejected as f64,
         digits: 0,
     },
     Column {
         heading: "99% ready, ms",
-        figure: |phase| phase.ready_ms.map_or(f64::INFINITY, |ms| ms as f64),
+        value: |phase| phase.ready_ms.map_or(f64::INFINITY, |ms| ms as f64),
         digits: 0,
     },
     Column {
         heading: "served in time",
-        figure: |phase| phase.served_fraction,
+        value: |phase| phase.served_fraction,
         digits: 3,
     },
     Column {
         heading: "in the first 5 s",
-        figure: |phase| phase.served_fraction_first,
+        value: |phase| phase.served_fraction_first,
         digits: 3,
     },
     Column {
         heading: "members could",
-        figure: |phase| phase.attainable.first_seconds,
+        value: |phase| phase.attainable.first_seconds,
         digits: 3,
     },
     Column {
         heading: "answered",
-        figure: |phase| phase.answered_fraction,
+        value: |phase| phase.answered_fraction,
         digits: 3,
     },
     Column {
         heading: "handshakes",
-        figure: |phase| phase.member_load.handshakes as f64,
+        value: |phase| phase.member_load.handshakes as f64,
         digits: 0,
     },
     Column {
         heading: "at one in its worst 100 ms",
-        figure: |phase| phase.member_load.peak_handshakes as f64,
+        value: |phase| phase.member_load.peak_handshakes as f64,
         digits: 0,
     },
     Column {
         heading: "cold, of what it falls at",
-        figure: |phase| phase.member_load.peak_overload,
+        value: |phase| phase.member_load.peak_overload,
         digits: 2,
     },
     Column {
         heading: "fell",
-        figure: |phase| phase.member_load.collapses as f64,
+        value: |phase| phase.member_load.collapses as f64,
         digits: 0,
     },
     Column {
         heading: "broken",
-        figure: |phase| phase.faults as f64,
+        value: |phase| phase.faults as f64,
         digits: 0,
     },
 ];
--- a/crates/stackgw-cli/src/cmd/measure/table.rs
+++ b/crates/stackgw-cli/src/cmd/measure/table.rs
@@ -1,21 +1,22 @@
-//! Markdown tables of figures over several rounds.
+//! Markdown tables of values measured over several rounds.
 
-/// The median, minimum and maximum of the figures; a value that is not finite is printed as `never`.
-pub fn median_and_range(figures: impl Iterator<Item = f64>, digits: usize) -> String {
-    let mut figures: Vec<_> = figures.collect();
-    figures.sort_by(f64::total_cmp);
-    let at = |index: usize| match figures.get(index).copied().unwrap_or_default() {
-        figure if figure.is_finite() => format!("{figure:.digits$}"),
+/// Formats the median, minimum and maximum of the values. A value that is not finite is shown as `never`; without values, all three
+/// are 0.
+pub fn median_and_range(values: impl Iterator<Item = f64>, digits: usize) -> String {
+    let mut values: Vec<_> = values.collect();
+    values.sort_by(f64::total_cmp);
+    let at = |index: usize| match values.get(index).copied().unwrap_or_default() {
+        value if value.is_finite() => format!("{value:.digits$}"),
         _ => "never".to_owned(),
     };
-    let last = figures.len().saturating_sub(1);
+    let last = values.len().saturating_sub(1);
     format!("{} ({} to {})", at(last / 2), at(0), at(last))
 }
 
-/// A column: its heading, the figure of one round, and its number of decimal places.
+/// A column: its heading, its value for one round, and its number of decimal places.
 pub struct Column<T> {
     pub heading: &'static str,
-    pub figure: fn(&T) -> f64,
+    pub value: fn(&T) -> f64,
     pub digits: usize,
 }
 
@@ -35,8 +36,8 @@
     let cells: Vec<_> = columns
         .iter()
         .map(|column| {
-            let figures = rounds.iter().map(|round| (column.figure)(round));
-            median_and_range(figures, column.digits)
+            let values = rounds.iter().map(|round| (column.value)(round));
+            median_and_range(values, column.digits)
         })
         .collect();
     println!("| {} | {} |", names.join(" | "), cells.join(" | "));
--- a/crates/stackgw-cli/src/cmd/sessions.rs
+++ b/crates/stackgw-cli/src/cmd/sessions.rs
@@ -48,7 +48,8 @@
     }
 }
 
-/// `sure`, or `cautious` with the reason why reads are cautious.
+/// Describes whether the instance is certain about its sessions, that is, knows the positions that their reads must see: `sure`,
+/// or `cautious` with the reason why it serves session reads as strong reads.
 fn certainty(answer: &Value) -> String {
     match &answer["unsure_because"] {
         Value::Null => "sure".to_owned(),
--- a/crates/stackgw-cli/src/main.rs
+++ b/crates/stackgw-cli/src/main.rs
@@ -34,11 +34,11 @@
     Check(cmd::check::Check),
     /// Print the JSON Schema of the operator's file.
     Schema,
-    /// Show the session state of a running gateway, and why reads are cautious.
+    /// Show the session state of a running gateway, and why reads are cautious (must see every commit).
     Sessions(cmd::sessions::SessionsQuery),
     /// Show the endpoint list of a running gateway and where it came from.
     List(cmd::list::ListQuery),
-    /// Run fake members, gateways and clients on loopback, kill gateways, and audit session consistency.
+    /// Run fake members, gateways and clients on loopback, inject faults, and audit session consistency.
     Demo(cmd::demo::Demo),
     /// Query a gateway or a member over Arrow Flight SQL.
     #[cfg(feature = "flight")]
