--- a/crates/stackgw-cli/src/cmd/query/mod.rs
+++ b/crates/stackgw-cli/src/cmd/query/mod.rs
@@ -70,7 +70,7 @@
     /// Runs the query and writes the answer.
     ///
     /// # Errors
-    /// If the call fails or the answer can't be written.
+    /// If an argument or the file of credentials is invalid, a call fails, or the answer can't be written.
     pub fn run(self) -> CommandResult {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
--- a/crates/stackgw-cli/src/cmd/query/output.rs
+++ b/crates/stackgw-cli/src/cmd/query/output.rs
@@ -69,7 +69,7 @@
     /// Writes a batch.
     ///
     /// # Errors
-    /// If it can't be written.
+    /// If the batch can't be converted to the format, or can't be written.
     pub fn write(&mut self, batch: RecordBatch) -> CommandResult {
         match self {
             AnswerWriter::Table { batches, .. } => batches.push(batch),
--- a/crates/stackgw-cli/src/control_socket.rs
+++ b/crates/stackgw-cli/src/control_socket.rs
@@ -13,7 +13,7 @@
 /// Sends a request to a gateway and returns its answer.
 ///
 /// # Errors
-/// If the socket can't be used, or the gateway answers with an error; the message names the socket.
+/// If the socket can't be used, or the answer is an error or not valid JSON; the message names the socket.
 pub fn request(socket: &Path, request: &Value) -> CommandResult<Value> {
     let with_socket = |error: &dyn std::fmt::Display| format!("{}: {error}", socket.display());
     let line = exchange(socket, request).map_err(|e| with_socket(&e))?;
--- a/crates/stackgw-cli/tests/common/pg_connection.rs
+++ b/crates/stackgw-cli/tests/common/pg_connection.rs
@@ -36,7 +36,7 @@
         PgConnection { socket, decoder }
     }
 
-    /// The next message; `None` if the connection has ended or the bytes are malformed.
+    /// The next message; `None` if the connection has ended, the bytes are malformed, or nothing arrives for `TIMEOUT`.
     pub fn next(&mut self) -> Option<Frame> {
         let mut buffer = [0; 4096];
         loop {
--- a/crates/stackgw-cli/tests/common/scripted_member.rs
+++ b/crates/stackgw-cli/tests/common/scripted_member.rs
@@ -16,7 +16,7 @@
 
 /// The behavior that a key selects.
 enum Script<'a> {
-    /// `slow`: the answer waits until the test releases it.
+    /// `slow`: the answer waits until the test releases it, but no longer than `TIMEOUT`.
     Wait,
     /// `twice-...`: the answer is sent twice.
     DuplicateReply,
--- a/crates/stackgw-cli/tests/flight.rs
+++ b/crates/stackgw-cli/tests/flight.rs
@@ -143,12 +143,12 @@
             .expect("a ticket");
         fixture.gateways.restart(0).expect("the gateway starts");
         // The gateway listens, but may not have the endpoint list yet.
-        let mut waits = fixture
+        let mut client = fixture
             .gateways
             .address(0)
             .and_then(Client::connect)
             .expect("a connection");
-        assert!(waits.is_ready());
+        assert!(client.is_ready(), "the restarted gateway is ready");
         for n in 0..2 {
             let mut other = connect_sql(fixture.flight_address(n), "look").await;
             assert_eq!(
--- a/crates/stackgw-testkit/src/gateway_files.rs
+++ b/crates/stackgw-testkit/src/gateway_files.rs
@@ -1,4 +1,5 @@
-//! The files of one gateway in a fleet's folder: the platform's document, the operator's file, keys, logs and stores.
+//! The files of one gateway in a fleet's folder: the platform's document (its JSON configuration), the operator's file, keys,
+//! logs and stores.
 
 use crate::error::TestkitError;
 use crate::fleet_config::{FleetConfig, FleetMode, FLIGHT_USER};
--- a/crates/stackgw-testkit/src/measure/flight.rs
+++ b/crates/stackgw-testkit/src/measure/flight.rs
@@ -26,7 +26,7 @@
 /// The number of messages that a client reads before it cancels a stream.
 const MESSAGES_BEFORE_CANCEL: u32 = 50;
 
-/// After this time a gateway that has just started no longer treats session positions as uncertain.
+/// After this time, which exceeds the retention, a gateway that has just started is certain about its sessions.
 const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 const RETENTION_MS: u64 = 2_000;
 
@@ -209,7 +209,7 @@
         Ok(self.statement_rate(statements, cpu_before))
     }
 
-    /// Measures small reads with PostgreSQL's protocol per second of the gateway's CPU time.
+    /// Measures small reads with PostgreSQL's protocol per second of the gateway's CPU time. Their outcomes are not checked.
     ///
     /// # Errors
     /// If the gateway does not run or accepts no connection.
--- a/crates/stackgw-testkit/src/soak/clients.rs
+++ b/crates/stackgw-testkit/src/soak/clients.rs
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Pauses for up to 40 ms before the next request; one time in 40 for up to 1.5 s, in which the gateway may close the
-    /// connection.
+    /// Pauses before about half of the requests, for less than 40 ms; before one in 40 for 0.2 to 1.5 s, in which the gateway
+    /// may close the connection.
     fn pause(&mut self) {
         let ms = match self.rng.random_range(0..40) {
             0 => self.rng.random_range(200..1_500),
@@ -304,10 +304,10 @@
 pub(super) struct IdleConnections(Vec<TcpStream>);
 
 impl IdleConnections {
-    pub(super) fn connect(state: &SoakState<'_>, gateway: usize, size: usize) -> Self {
+    pub(super) fn connect(state: &SoakState<'_>, gateway: usize, count: usize) -> Self {
         let address = state.gateways.address(gateway);
         let connect = |_| address.and_then(|address| TcpStream::connect(address).ok());
-        IdleConnections((0..size).filter_map(connect).collect())
+        IdleConnections((0..count).filter_map(connect).collect())
     }
 
     /// Replaces connections that the gateway has closed.
@@ -329,7 +329,7 @@
         }
     }
 
-    /// Sends an invalid message on half of the connections.
+    /// Sends a byte that begins no valid startup message on every other connection.
     pub(super) fn send_invalid_bytes(&mut self) {
         for socket in self.0.iter_mut().step_by(2) {
             let _ = socket.write_all(b"?");
