--- a/crates/stackgw-cli/src/cmd/demo.rs
+++ b/crates/stackgw-cli/src/cmd/demo.rs
@@ -238,7 +238,7 @@
             pairs: self.pairs,
             later_reads: self.reads,
             read_pause: Duration::from_millis(self.pause_ms),
-            roam: true,
+            uses_random_gateways: true,
             seed: self.seed,
             faults: (self.kill_every_ms > 0).then_some(faults),
             time_limit: Duration::from_secs(self.most_s),
--- a/crates/stackgw-cli/tests/sessions.rs
+++ b/crates/stackgw-cli/tests/sessions.rs
@@ -96,7 +96,7 @@
         pairs,
         later_reads: 1,
         read_pause: Duration::from_millis(5),
-        roam: true,
+        uses_random_gateways: true,
         seed: SEED.fetch_add(1, Ordering::Relaxed),
         faults: None,
         time_limit: Duration::from_secs(120),
--- a/crates/stackgw-testkit/src/audit_client.rs
+++ b/crates/stackgw-testkit/src/audit_client.rs
@@ -197,7 +197,7 @@
     /// returns `None`.
     fn choose_gateway(&mut self) -> Option<usize> {
         let gateways = self.gateways.len();
-        let gateway = if self.plan.roam {
+        let gateway = if self.plan.uses_random_gateways {
             self.rng.random_range(0..gateways)
         } else {
             self.preferred_gateway
--- a/crates/stackgw-testkit/src/audit_plan.rs
+++ b/crates/stackgw-testkit/src/audit_plan.rs
@@ -15,7 +15,7 @@
     /// The pause before each further read.
     pub read_pause: Duration,
     /// Whether each request goes through a random gateway; otherwise a client stays with one gateway until that is down.
-    pub roam: bool,
+    pub uses_random_gateways: bool,
     /// The seed of all random choices.
     pub seed: u64,
     /// The faults to inject into gateways and members during the audit; `None`: no faults.
--- a/crates/stackgw-testkit/src/measure/sessions.rs
+++ b/crates/stackgw-testkit/src/measure/sessions.rs
@@ -108,7 +108,7 @@
             pairs: self.pairs,
             later_reads: 3,
             read_pause: Duration::ZERO,
-            roam: false,
+            uses_random_gateways: false,
             seed: self.seed,
             faults: None,
             time_limit: TIME_LIMIT,
