--- a/crates/stackgw-adapter/src/member_pages.rs
+++ b/crates/stackgw-adapter/src/member_pages.rs
@@ -1,4 +1,5 @@
-//! Numbered pages of list entries, which later lines refer to. A `page` line announces the number of `item` lines that follow.
+//! Numbered pages of the endpoint list: parts of it that other input lines refer to by number. A `page` line announces a page and
+//! the number of `item` lines that follow, each with one entry.
 
 use crate::line::{InputError, Line};
 use stackgw_router::api::{GroupId, Lifecycle, Member, MemberId};
@@ -57,7 +58,7 @@
     missing: u32,
 }
 
-/// The pages of a process. A page that is announced again replaces the previous one with its number.
+/// All pages announced so far; they are shared by all instances of the process. Announcing a page again replaces its entries.
 #[derive(Debug, Default)]
 pub struct MemberPages {
     pages: HashMap<u32, Vec<ListedMember>>,
@@ -85,7 +86,11 @@
         Ok(())
     }
 
-    /// Adds a line as the next entry of the page that is being received. Returns false, and ignores the line, if no page is.
+    /// Adds a line as the next entry of the page that is being received. If no page is being received, returns false and ignores
+    /// the line.
+    ///
+    /// # Errors
+    /// If a page is being received and the line is not an `item` line or is malformed.
     pub fn add_entry(&mut self, line: &Line) -> Result<bool, InputError> {
         let Some(progress) = &mut self.in_progress else {
             return Ok(false);
--- a/crates/stackgw-cli/src/cmd/list.rs
+++ b/crates/stackgw-cli/src/cmd/list.rs
@@ -58,6 +58,7 @@
     if answer["behind"] == true {
         println!("the list service sends an older revision than this list");
     }
+    // The key `holders` names the instances that should watch the list service.
     for leader in entries(answer, "holders") {
         println!("designated watch leader: {}", plain_text(leader));
     }
--- a/crates/stackgw-flight/src/auth_service.rs
+++ b/crates/stackgw-flight/src/auth_service.rs
@@ -29,6 +29,7 @@
             frontend,
             users: config.users.clone(),
             key_ring: config.key_ring.clone(),
+            // Tokens are valid for as long as tickets.
             token_lifetime_ms: config.ticket_lifetime_ms,
         }
     }
@@ -68,8 +69,9 @@
     type ListActionsStream = <Frontend as FlightService>::ListActionsStream;
     type DoExchangeStream = <Frontend as FlightService>::DoExchangeStream;
 
-    /// Issues a token to a client that authenticates. The response is empty if no users are
-    /// configured.
+    /// Issues a token to a client that authenticates: in the response's payload and in its
+    /// `authorization` header. If no users are configured, the payload is empty and there is no
+    /// header.
     async fn handshake(
         &self,
         call: Request<Streaming<HandshakeRequest>>,
--- a/crates/stackgw-flight/src/frontend/prepared.rs
+++ b/crates/stackgw-flight/src/frontend/prepared.rs
@@ -24,6 +24,7 @@
     ) -> Result<ActionCreatePreparedStatementResult, Status> {
         let transaction = query.transaction_id.as_ref();
         let statement = self.parse_statement(&query.query, transaction, call)?;
+        // With an id, all executions of the handle would be the same request.
         let statement = statement.without_id();
         let dataset_schema = match self.response_schema(&statement) {
             Some(schema) => encode_schema(&schema)?,
@@ -53,7 +54,8 @@
         })
     }
 
-    /// Runs a prepared statement that writes, with the parameters of the call.
+    /// Runs a prepared statement that writes. Binds its parameters to the values of the call; if
+    /// they are already bound, ignores these values.
     pub(super) async fn run_prepared_update(
         &self,
         update: &CommandPreparedStatementUpdate,
@@ -81,7 +83,8 @@
         flight_info(schema.as_deref(), ticket, call.into_inner())
     }
 
-    /// Runs a prepared statement that reads, whose parameters are bound.
+    /// Runs a prepared statement that reads. Rejects a write, and a statement with unbound
+    /// parameters.
     pub(super) async fn run_prepared_query(
         &self,
         query: &CommandPreparedStatementQuery,
--- a/crates/stackgw-gateway/src/reducer/status.rs
+++ b/crates/stackgw-gateway/src/reducer/status.rs
@@ -2,19 +2,23 @@
 
 use stackgw_router::api::{MemberSnapshot, Time, MS};
 
-/// The router's assessment of a member, and the attempts that are open on connections to it.
+/// The router's assessment of a member, and the number of attempts on connections to it.
+///
+/// The counts of the two can differ: the router counts an attempt as in flight until its outcome is reported to it, the gateway
+/// as long as the attempt occupies a connection. A stream that pauses for its reader is reported to the router at the first
+/// pause, but occupies its connection until it ends.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MemberStatus {
-    /// The member's name.
+    /// The member's name; `?` if the gateway does not know it.
     pub name: String,
-    /// The router's assessment.
+    /// The router's assessment, with the router's count of requests in flight.
     pub snapshot: MemberSnapshot,
-    /// Open attempts on connections to it.
+    /// Attempts that occupy a connection to the member, as the gateway counts them.
     pub attempts: u32,
 }
 
 impl MemberStatus {
-    /// Returns the log line of a report.
+    /// Returns the member's line in the periodic log report.
     pub(crate) fn log_line(&self, now: Time) -> String {
         let MemberSnapshot {
             in_flight,
--- a/crates/stackgw-gateway/src/reducer/steps/reload.rs
+++ b/crates/stackgw-gateway/src/reducer/steps/reload.rs
@@ -6,8 +6,8 @@
 use crate::reducer::state::Gateway;
 
 impl Gateway {
-    /// Applies the parts of a configuration that a running gateway can change and logs the names of the others. An invalid
-    /// configuration changes nothing.
+    /// Applies the parts of a configuration that a running gateway can change, and logs the names of the changed parts that need a
+    /// restart. An invalid configuration changes nothing and is logged.
     pub(super) fn reload(
         &mut self,
         cx: &mut Context<'_>,
@@ -39,11 +39,11 @@
             "configuration reloaded, endpoint list at {}",
             config.discovery
         );
-        let unchanged = self
+        let not_applied = self
             .static_config
             .differing_parts(&StaticConfig::of(config));
-        if !unchanged.is_empty() {
-            line += &format!("; not applied until a restart: {}", unchanged.join(", "));
+        if !not_applied.is_empty() {
+            line += &format!("; not applied until a restart: {}", not_applied.join(", "));
         }
         cx.log(line);
     }
--- a/crates/stackgw-router/src/router/requests.rs
+++ b/crates/stackgw-router/src/router/requests.rs
@@ -44,13 +44,13 @@
         // The queue's reserve would reject a new request that only an idle member can answer in time.
         let was_queued = self.now > request.arrived_at && request.attempts_sent == 0;
         let is_blocked = if was_queued { must_end } else { blocked(SEND_RESERVE_IDLE) };
-        let may_select = !is_blocked && request.failed_at.len() < MAX_FAILED_MEMBERS;
+        let may_select = !is_blocked && request.failed_by.len() < MAX_FAILED_MEMBERS;
         let selected = if may_select { self.select_member(request) } else { None };
         let is_idle = |m: &MemberState| f64::from(m.in_flight + 2) <= m.concurrency_limit;
         let is_in_time = |id: &MemberId| is_idle(&self.members[*id]) || !blocked(SEND_RESERVE);
         if let Some(member) = selected.filter(is_in_time) {
             self.send(id, member);
-        } else if must_end || !request.failed_at.is_empty() {
+        } else if must_end || !request.failed_by.is_empty() {
             self.reject_or_fail(id);
         } else {
             self.members.queue(request.group(), id);
@@ -100,7 +100,7 @@
             }
             // An error counts as a member's fault only if another member then serves the same request.
             // Otherwise, requests that fail everywhere would eject all members.
-            for id in &request.failed_at {
+            for id in &request.failed_by {
                 self.members.modify(*id, |member| member.add_failures(self.now, outliers::ERROR_SCORE));
             }
         }
--- a/crates/stackgw-router/src/state/request.rs
+++ b/crates/stackgw-router/src/state/request.rs
@@ -19,7 +19,7 @@
 pub(crate) enum DispatchResult {
     /// The request is in its group's queue.
     Queued,
-    /// The request was sent, has its final answer, or needed no dispatch.
+    /// The request was sent, already had an open attempt, or has its final answer.
     Settled,
 }
 
@@ -29,7 +29,7 @@
     pub(crate) request: RequestId,
     /// The class's priority weight.
     pub(crate) weight: f64,
-    /// Until when the request may be queued.
+    /// From this time, the request is rejected or failed instead of queued.
     pub(crate) deadline: Time,
 }
 
@@ -42,13 +42,13 @@
     pub(crate) attempts_sent: u32,
     pub(crate) last_sent_at: Time,
     pub(crate) open_attempts: Vec<OpenAttempt>,
-    /// Send time of the first attempt that may have run.
+    /// Earliest send time of the ended attempts that may have run. Open attempts are not included.
     pub(crate) may_have_run_at: Option<Time>,
     /// Members that rejected it without execution or could not be reached. Cleared when a health check in its group
     /// ends while it is queued.
     pub(crate) rejected_by: Vec<MemberId>,
     /// Members that answered it with an error.
-    pub(crate) failed_at: Vec<MemberId>,
+    pub(crate) failed_by: Vec<MemberId>,
 }
 
 impl RequestState {
@@ -62,7 +62,7 @@
             open_attempts: Vec::new(),
             may_have_run_at: None,
             rejected_by: Vec::new(),
-            failed_at: Vec::new(),
+            failed_by: Vec::new(),
         }
     }
 
@@ -98,7 +98,7 @@
 
     /// Whether the member is excluded because it rejected the request, could not be reached, or answered with an error.
     pub(crate) fn is_excluded(&self, member: MemberId) -> bool {
-        self.rejected_by.contains(&member) || self.failed_at.contains(&member)
+        self.rejected_by.contains(&member) || self.failed_by.contains(&member)
     }
 
     pub(crate) fn start_attempt(&mut self, now: Time, member: MemberId) {
@@ -117,7 +117,7 @@
             Outcome::Misrouted | Outcome::Overloaded | Outcome::ConnectFailed => {
                 self.rejected_by.push(result.member);
             }
-            Outcome::Error => self.failed_at.push(result.member),
+            Outcome::Error => self.failed_by.push(result.member),
             _ => {}
         }
     }
@@ -176,7 +176,7 @@
     }
 }
 
-/// Times of the sessions' last writes, where the router tracks them.
+/// Times of the sessions' last writes. Recorded only with `SessionTracking::Router`.
 #[derive(Debug, Default)]
 pub(crate) struct SessionWrites(BTreeMap<SessionId, Time>);
 
--- a/crates/stackgw-router/tests/policy_size.rs
+++ b/crates/stackgw-router/tests/policy_size.rs
@@ -1,4 +1,6 @@
-//! The policy files must stay short enough to be read in one sitting, so their size is limited.
+//! Checks of the router's source files. The policy files, which deploy/balancer.toml lists, must stay short
+//! enough to be read from start to end, so their lines and columns are limited. Only they and the file of time
+//! units may declare numeric constants. The first lines of the router module must refer to its interface, api.rs.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,7 +10,7 @@
 const MAX_COLUMNS: usize = 110;
 
 /// The only file besides the policy files that may declare numeric constants.
-const UNITS_OF_TIME: &str = "src/api/time.rs";
+const TIME_UNITS_FILE: &str = "src/api/time.rs";
 
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().expect("the repository's root exists")
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn the_policy_files_keep_their_limits() {
+fn the_policy_files_are_within_the_limits_of_lines_and_columns() {
     let files = policy_files();
     assert!(!files.is_empty(), "no policy file is listed");
     let mut lines = 0;
@@ -55,18 +57,18 @@
 }
 
 #[test]
-fn the_first_lines_of_the_router_point_to_its_interface() {
+fn the_first_lines_of_the_router_module_refer_to_api_rs() {
     let text = read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src/router/mod.rs"));
     let opening: Vec<&str> = text.lines().take(5).collect();
     assert!(opening.join(" ").contains("api.rs"), "no reference to api.rs in {opening:?}");
 }
 
 #[test]
-fn no_tuned_value_is_declared_outside_the_policy_files() {
+fn only_policy_files_and_the_file_of_time_units_declare_numeric_constants() {
     let package = Path::new(env!("CARGO_MANIFEST_DIR")).canonicalize().expect("the package's folder exists");
     let policy: Vec<PathBuf> = policy_files().iter().filter_map(|file| file.canonicalize().ok()).collect();
     for file in source_files(&package.join("src")) {
-        if policy.contains(&file) || file.ends_with(UNITS_OF_TIME) {
+        if policy.contains(&file) || file.ends_with(TIME_UNITS_FILE) {
             continue;
         }
         for line in read(&file).lines() {
--- a/crates/stackgw-sessions/src/sessions.rs
+++ b/crates/stackgw-sessions/src/sessions.rs
@@ -54,7 +54,7 @@
         self.instance.is_replica()
     }
 
-    /// Returns the replica set in force.
+    /// Returns the current replica set.
     pub fn replica_set(&self) -> &ReplicaSet {
         &self.instance.replica_set
     }
@@ -82,8 +82,8 @@
         self.handle_timeout(now, outputs);
     }
 
-    /// Records a write of this session that a member served, with its position if the member
-    /// reported one.
+    /// Records a write of a session that a member served, with its position if the member reported
+    /// one.
     ///
     /// If the write is accepted, its response waits for [`Output::Release`]. If it is rejected, too
     /// many writes are pending, and the response must not be sent.
@@ -135,8 +135,12 @@
         }
     }
 
-    /// Handles a message from an incarnation of a peer to an incarnation of this instance. Ignores
-    /// and counts a message for another incarnation, from an earlier one or with an invalid sender.
+    /// Handles a message from an incarnation of a peer to an incarnation of this instance.
+    ///
+    /// Ignores and counts a message that is for another instance or incarnation, whose sender is
+    /// invalid, or whose sender is an earlier incarnation than the last known one. If the message
+    /// shows that its sender's store is outdated, replies with [`Message::StoreOutdated`] and does
+    /// not handle the message otherwise.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -173,7 +177,7 @@
     /// If its file was set aside, so that no later incarnation reads it, this incarnation continues
     /// without a store. If the file was left in place, a later incarnation would treat it as
     /// complete: this incarnation then acknowledges nothing, releases nothing while it is a
-    /// replica, and is no longer certain.
+    /// replica, and is no longer certain of the positions that session reads must see.
     pub fn handle_store_failure(
         &mut self,
         now: Time,
@@ -224,6 +228,8 @@
             self.replica.begin_lease_round(&context);
             self.writer.expire(&mut context);
             self.replica.request_leases(&mut context);
+            // A peer is complete if no write that it has released within the retention is missing
+            // here.
             self.replica.record_complete_peers(&mut context);
         }
         self.writer.handle_timeout(&mut context);
@@ -259,6 +265,8 @@
         let mut context = Context::new(now, &mut self.instance, outputs);
         self.writer.apply_replica_set(&context);
         self.replica.apply_replica_set(&context);
+        // Under another replica set, this instance may own sessions whose writes it has not
+        // received.
         if is_same_set {
             let local = context.instance.local().node;
             self.replica.restore_complete_peers(local, &recovered);
@@ -276,14 +284,14 @@
         }
     }
 
-    /// Whether a message comes from another instance and is addressed to this incarnation or to
-    /// whichever is running.
+    /// Whether a message names a specific incarnation of another instance as its sender, and this
+    /// incarnation, or any incarnation of this instance, as its destination.
     fn is_addressed(&self, from: Peer, to: Peer) -> bool {
         let local = self.instance.local();
         let is_destination =
             to.incarnation == ANY_INCARNATION || to.incarnation == local.incarnation;
-        let is_origin = from.node != local.node && from.incarnation != ANY_INCARNATION;
-        to.node == local.node && is_destination && is_origin
+        let has_valid_sender = from.node != local.node && from.incarnation != ANY_INCARNATION;
+        to.node == local.node && is_destination && has_valid_sender
     }
 
     /// Compares the incarnation of a message's sender with the last known one, and updates the
@@ -295,7 +303,9 @@
         }
     }
 
-    /// The version of the store of a message's sender, if it is older than the last known one.
+    /// Checks the store version in a lease request or grant from a replica, and records it if it is
+    /// newer than the last known one. Returns the reported version if it shows that the store is
+    /// outdated; `None` for a current store, for other messages and for other senders.
     fn outdated_store(&mut self, from: Peer, message: &Message) -> Option<StoreVersion> {
         let version = match message {
             Message::LeaseRequest(request) => request.store_version,
@@ -312,8 +322,9 @@
     }
 
     /// Invalidates the store after a peer has reported that it is outdated at version `reported`:
-    /// resets the version of the store and the history of this instance. Has no effect if there is
-    /// no store or the report is about a different one.
+    /// resets the version of the store and the history of this instance, which is what it has
+    /// recorded of its own unacknowledged writes and of the peers' writes. Has no effect if there
+    /// is no store or the report is about a different one.
     fn invalidate_store(&mut self, now: Time, reported: StoreVersion, outputs: &mut Vec<Output>) {
         let incarnation = self.instance.local().incarnation;
         let new_version = self
@@ -323,7 +334,8 @@
         let Some(version) = new_version else {
             return;
         };
-        // Peers that already hold leases of this incarnation must not rely on its history.
+        // Unacknowledged writes of earlier incarnations may be missing from the write log, so peers
+        // that hold leases of this incarnation must no longer rely on its history.
         self.writer.log_mut().mark_history_broken(incarnation);
         self.replica.reset_history(now);
         self.instance.counters.outdated_stores += 1;
@@ -397,10 +409,12 @@
     let mut log = WriteLog::new(now, unbroken_since, earlier_leases_until);
     let replica_set = settings.replica_set();
     let recorded_set = recovered.and_then(|recovered| recovered.replica_set);
-    // An instance outside of the replica set grants no leases, so there are none of earlier
-    // incarnations to honor. If the store has the same set, leases were granted only to replicas of
-    // that set, and each of these is assumed to hold one. Otherwise, it is not known to which
-    // replicas leases were granted, and nothing is released until all of them have ended.
+    // An instance outside of the replica set forwards its writes to a replica, which releases them,
+    // so nothing is held back here for leases that earlier incarnations granted. If it joins the
+    // set later, each other replica is assumed to hold such a lease. If the store has the same set,
+    // leases were granted only to replicas of that set, and each of these is assumed to hold one.
+    // Otherwise, it is not known to which replicas leases were granted, and nothing is released
+    // until all of them have ended.
     let is_same_set = recorded_set == Some(replica_set.digest());
     if is_same_set || !replica_set.contains(settings.local.node) {
         log.allow_release(now);
