--- a/crates/stackgw-router/tests/policy_size.rs
+++ b/crates/stackgw-router/tests/policy_size.rs
@@ -1,7 +1,7 @@
 //! Checks of the router's source files. The policy files, which deploy/balancer.toml lists, must stay short
 //! enough to be read from start to end, so their lines and columns are limited. Only they and the file of
-//! time units may declare numeric constants. The first lines of the router module must refer to its interface,
-//! api.rs.
+//! time units may declare numeric constants. The first lines of the router module must refer to its
+//! interface, api.rs.
 
 use std::fs;
 use std::path::{Path, PathBuf};
